--- a/datastore/src/access.rs
+++ b/datastore/src/access.rs
@@ -63,8 +63,12 @@
 impl fmt::Display for Rights {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let held = [self.read, self.weights, self.routes, self.ring];
-        let names: Vec<_> =
-            RIGHTS.iter().zip(held).filter(|(_, held)| *held).map(|(name, _)| *name).collect();
+        let names: Vec<_> = RIGHTS
+            .iter()
+            .zip(held)
+            .filter(|(_, held)| *held)
+            .map(|(name, _)| *name)
+            .collect();
         f.write_str(if names.is_empty() { "no rights" } else { "" })?;
         f.write_str(&names.join(", "))
     }
@@ -101,6 +105,8 @@
 
     /// What a session may do now that came in by this key; none where the key is no longer there.
     pub fn rights(&self, name: &str, proof: &Proof) -> Option<Rights> {
-        self.find(proof).filter(|key| key.name == name).map(|key| key.rights)
+        self.find(proof)
+            .filter(|key| key.name == name)
+            .map(|key| key.rights)
     }
 }
--- a/datastore/src/check.rs
+++ b/datastore/src/check.rs
@@ -36,8 +36,16 @@
 
 impl Default for Most {
     fn default() -> Self {
-        let memory = MemoryTerms { most: usize::MAX, ..MemoryTerms::default() };
-        Most { hosts: 16 * 1024, routes: 16 * 1024, route_names: 64 * 1024, memory }
+        let memory = MemoryTerms {
+            most: usize::MAX,
+            ..MemoryTerms::default()
+        };
+        Most {
+            hosts: 16 * 1024,
+            routes: 16 * 1024,
+            route_names: 64 * 1024,
+            memory,
+        }
     }
 }
 
@@ -77,7 +85,11 @@
     /// The part of its work that a host can do so long after its start.
     pub fn warmth(&self, started: Option<f64>, now: f64) -> f64 {
         let age = started.map_or(f64::INFINITY, |started| (now - started).max(0.0));
-        let part = if self.cold_time > 0.0 { (age / self.cold_time).min(1.0) } else { 1.0 };
+        let part = if self.cold_time > 0.0 {
+            (age / self.cold_time).min(1.0)
+        } else {
+            1.0
+        };
         self.cold_share + (1.0 - self.cold_share) * part
     }
 }
@@ -135,11 +147,24 @@
 
 impl<'a> Context<'a> {
     pub fn new(
-        terms: &'a RuleTerms, facts: &'a Facts, (old, old_seen): (&'a Tree, &Seen),
-        (new, new_seen): (&'a Tree, &Seen), drained: &'a Drained, changes: &'a [Difference],
+        terms: &'a RuleTerms,
+        facts: &'a Facts,
+        (old, old_seen): (&'a Tree, &Seen),
+        (new, new_seen): (&'a Tree, &Seen),
+        drained: &'a Drained,
+        changes: &'a [Difference],
     ) -> Self {
         let (was, is) = (merged(old, old_seen, facts), merged(new, new_seen, facts));
-        Context { terms, facts, old, new, drained, was, is, changes }
+        Context {
+            terms,
+            facts,
+            old,
+            new,
+            drained,
+            was,
+            is,
+            changes,
+        }
     }
 
     /// The released build: the newest that is no trial any more, or every listed one before any news.
@@ -163,15 +188,27 @@
         })
     }
 
-    fn weighed(&self, tree: &Tree, hosts: &BTreeMap<Arc<str>, Listed>) -> (Vec<Arc<str>>, Vec<Weighed>) {
+    fn weighed(
+        &self,
+        tree: &Tree,
+        hosts: &BTreeMap<Arc<str>, Listed>,
+    ) -> (Vec<Arc<str>>, Vec<Weighed>) {
         let serving = hosts.iter().filter(|(_, host)| host.serves());
         let weight = |name: &Arc<str>| {
             let name: Option<HostName> = name.parse().ok();
-            name.and_then(|name| tree.hosts.get(&name)?.weight).unwrap_or(1.0)
+            name.and_then(|name| tree.hosts.get(&name)?.weight)
+                .unwrap_or(1.0)
         };
         let weighed = serving.map(|(name, host)| {
             let warmth = self.terms.warmth(host.started, self.facts.now);
-            (name.clone(), Weighed { size: host.size, weight: weight(name), warmth })
+            (
+                name.clone(),
+                Weighed {
+                    size: host.size,
+                    weight: weight(name),
+                    warmth,
+                },
+            )
         });
         weighed.unzip()
     }
@@ -200,7 +237,12 @@
 pub fn check(context: &Context) -> Faults {
     let mut faults = Faults::default();
     if context.facts.discovery.is_some() && !context.facts.heard {
-        let fault = Fault::new("hosts", "discovery has not told its list yet", "nothing", "a list");
+        let fault = Fault::new(
+            "hosts",
+            "discovery has not told its list yet",
+            "nothing",
+            "a list",
+        );
         faults.push(fault.passing(context.facts.now + LOOK_AGAIN));
         return faults;
     }
@@ -211,12 +253,20 @@
 /// An entry of its own has all that an entry needs; what is no entry speaks of a host that is listed.
 fn entries_whole(context: &Context, faults: &mut Faults) {
     let needed = [Leaf::Endpoint, Leaf::Zone, Leaf::Kind, Leaf::Build];
-    let missing = context.new.hosts.iter().filter(|(name, _)| !context.is.contains_key(name.as_str()));
+    let missing = context
+        .new
+        .hosts
+        .iter()
+        .filter(|(name, _)| !context.is.contains_key(name.as_str()));
     for (name, set) in missing {
         if needed.iter().all(|leaf| set.get(*leaf).is_none()) {
             let what = "no such host is listed, by discovery or here";
-            let fault =
-                Fault::new(format!("hosts/{name}"), what, "no entry", "endpoint, zone, kind and build");
+            let fault = Fault::new(
+                format!("hosts/{name}"),
+                what,
+                "no entry",
+                "endpoint, zone, kind and build",
+            );
             faults.push(match context.facts.discovery {
                 // It may be listed yet.
                 Some(_) => fault.passing(context.facts.now + LOOK_AGAIN),
@@ -225,7 +275,12 @@
         } else {
             for leaf in needed.iter().filter(|leaf| set.get(**leaf).is_none()) {
                 let path = Path::Host(name.clone(), *leaf);
-                faults.push(Fault::new(path, "is missing in an entry", "nothing", leaf.takes()));
+                faults.push(Fault::new(
+                    path,
+                    "is missing in an entry",
+                    "nothing",
+                    leaf.takes(),
+                ));
             }
         }
     }
@@ -241,8 +296,18 @@
     let names = tree.routes.values().map(names).sum();
     let counts = [
         ("hosts", "are more than a router keeps", hosts, most.hosts),
-        ("routes", "are more than a router keeps", routes, most.routes),
-        ("routes", "name more than a router keeps", names, most.route_names),
+        (
+            "routes",
+            "are more than a router keeps",
+            routes,
+            most.routes,
+        ),
+        (
+            "routes",
+            "name more than a router keeps",
+            names,
+            most.route_names,
+        ),
     ];
     let mut faults = Faults::default();
     for (path, what, found, most) in counts.into_iter().filter(|(.., found, most)| found > most) {
@@ -252,10 +317,22 @@
     let of_hosts = hosts * memory.host + tree.hosts.len() * memory.host_set;
     let of_routes = routes * memory.route + names * memory.route_name;
     if of_hosts + of_routes > memory.most {
-        let path = if of_hosts >= of_routes { "hosts" } else { "routes" };
-        let given = format!("{} bytes for {hosts} hosts and {routes} routes", of_hosts + of_routes);
+        let path = if of_hosts >= of_routes {
+            "hosts"
+        } else {
+            "routes"
+        };
+        let given = format!(
+            "{} bytes for {hosts} hosts and {routes} routes",
+            of_hosts + of_routes
+        );
         let taken = format!("{} bytes at most", memory.most);
-        faults.push(Fault::new(path, "take more memory than the router has for them", given, taken));
+        faults.push(Fault::new(
+            path,
+            "take more memory than the router has for them",
+            given,
+            taken,
+        ));
     }
     faults
 }
@@ -272,7 +349,12 @@
         let other = numbers.insert(host.id(), host);
         if let Some(other) = other {
             let what = format!("its name leads to the same number as {}", other.name);
-            faults.push(Fault::new(format!("hosts/{}", host.name), what, &host.name, "another name"));
+            faults.push(Fault::new(
+                format!("hosts/{}", host.name),
+                what,
+                &host.name,
+                "another name",
+            ));
         }
         if host.state == HostState::Gone {
             continue;
@@ -280,8 +362,10 @@
         if let Some(other) = at.insert(host.endpoint, host) {
             let path = format!("hosts/{}/endpoint", host.name);
             let what = format!("is the address of {} too", other.name);
-            faults
-                .push(Fault::new(path, what, host.endpoint, "an address of its own").by(Rule::NoEffectTwice));
+            faults.push(
+                Fault::new(path, what, host.endpoint, "an address of its own")
+                    .by(Rule::NoEffectTwice),
+            );
         }
     }
 }
@@ -291,8 +375,12 @@
     for (name, set) in &context.new.hosts {
         if let Some(started) = set.started.filter(|started| *started > latest) {
             let what = format!("lies {:.1} s ahead", started - context.facts.now);
-            let fault =
-                Fault::new(Path::Host(name.clone(), Leaf::Started), what, started, "a time that has been");
+            let fault = Fault::new(
+                Path::Host(name.clone(), Leaf::Started),
+                what,
+                started,
+                "a time that has been",
+            );
             faults.push(fault.passing(started));
         }
     }
@@ -301,11 +389,15 @@
 /// Rule 3: a host that was drained comes back as another process only.
 fn drained_stay_out(context: &Context, faults: &mut Faults) {
     for (name, drained) in context.drained {
-        let Some(host) = context.is.get(name.as_str()).filter(|host| host.serves()) else { continue };
+        let Some(host) = context.is.get(name.as_str()).filter(|host| host.serves()) else {
+            continue;
+        };
         if host.started.is_none_or(|started| started <= *drained) {
             let path = Path::Host(name.clone(), Leaf::State);
             let what = "it was drained and has not started anew since";
-            let given = host.started.map_or("no start".into(), |started| format!("started {started}"));
+            let given = host
+                .started
+                .map_or("no start".into(), |started| format!("started {started}"));
             let taken = format!("a start after {drained}, or the host left draining");
             faults.push(Fault::new(path, what, given, taken).by(Rule::DrainsKept));
         }
@@ -315,12 +407,26 @@
 /// Rule 5: nothing is put to a build that the platform has taken back.
 fn builds_wanted(context: &Context, faults: &mut Faults) {
     let gone = |news: &StageNews| matches!(news.phase, Phase::GoingBack | Phase::Withdrawn);
-    let Some(news) = context.facts.news.filter(gone) else { return };
-    for (name, host) in context.is.iter().filter(|(_, host)| host.serves() && host.build == news.build) {
-        let before = context.was.get(name).is_some_and(|was| was.serves() && was.build == host.build);
+    let Some(news) = context.facts.news.filter(gone) else {
+        return;
+    };
+    for (name, host) in context
+        .is
+        .iter()
+        .filter(|(_, host)| host.serves() && host.build == news.build)
+    {
+        let before = context
+            .was
+            .get(name)
+            .is_some_and(|was| was.serves() && was.build == host.build);
         if !before {
             let what = "the platform has taken this build back";
-            let fault = Fault::new(format!("hosts/{name}/build"), what, host.build.0, "an earlier build");
+            let fault = Fault::new(
+                format!("hosts/{name}/build"),
+                what,
+                host.build.0,
+                "an earlier build",
+            );
             faults.push(fault.by(Rule::ExposureCapped));
         }
     }
@@ -330,7 +436,10 @@
 fn places_left(context: &Context, faults: &mut Faults) {
     let (_, least_zone, least_build) = context.old.guards.in_force();
     let count = |hosts: &BTreeMap<Arc<str>, Listed>, of: &dyn Fn(&Listed) -> bool| {
-        hosts.values().filter(|host| host.serves() && of(host)).count()
+        hosts
+            .values()
+            .filter(|host| host.serves() && of(host))
+            .count()
     };
     let mut left = |path: &str, named: String, least: u32, of: &dyn Fn(&Listed) -> bool| {
         let (was, is) = (count(&context.was, of), count(&context.is, of));
@@ -348,12 +457,26 @@
     let zones: BTreeSet<_> = context.was.values().map(|host| host.zone.clone()).collect();
     for zone in zones {
         let of = |host: &Listed| host.zone == zone;
-        left("guards/least-hosts-zone", format!("zone {zone}"), least_zone, &of);
+        left(
+            "guards/least-hosts-zone",
+            format!("zone {zone}"),
+            least_zone,
+            &of,
+        );
     }
-    let trial = context.facts.news.filter(|news| news.phase == Phase::OnTrial).map(|news| news.build);
+    let trial = context
+        .facts
+        .news
+        .filter(|news| news.phase == Phase::OnTrial)
+        .map(|news| news.build);
     for build in context.released(&context.was).into_iter().chain(trial) {
         let of = |host: &Listed| host.build == build;
-        left("guards/least-hosts-build", format!("build {}", build.0), least_build, &of);
+        left(
+            "guards/least-hosts-build",
+            format!("build {}", build.0),
+            least_build,
+            &of,
+        );
     }
 }
 
@@ -369,8 +492,14 @@
     // The last host of a thin list is the other guards' matter.
     if share > most && (gone > 1 || most <= 0.0) {
         let given = format!("{gone} of {was}");
-        let taken = format!("{most} of them at most, or a higher guards/largest-removal set before");
-        faults.push(Fault::new("hosts", "too many are taken out of service at once", given, taken));
+        let taken =
+            format!("{most} of them at most, or a higher guards/largest-removal set before");
+        faults.push(Fault::new(
+            "hosts",
+            "too many are taken out of service at once",
+            given,
+            taken,
+        ));
     }
 }
 
@@ -405,9 +534,13 @@
             true => "this router alone".into(),
             false => format!("all {} routers together, though none alone,", terms.routers),
         };
-        let started = context.is.get(name).and_then(|host| host.started).unwrap_or(context.facts.now);
-        let warm =
-            ((share / terms.fall_multiple).min(1.0) - terms.cold_share) / (1.0 - terms.cold_share).max(1e-9);
+        let started = context
+            .is
+            .get(name)
+            .and_then(|host| host.started)
+            .unwrap_or(context.facts.now);
+        let warm = ((share / terms.fall_multiple).min(1.0) - terms.cold_share)
+            / (1.0 - terms.cold_share).max(1e-9);
         let passes = started + terms.cold_time * warm.clamp(0.0, 1.0);
         let what = format!(
             "{who} would send the host {share:.2} times its fair share; it started {:.1} s ago, can do {:.2} of \
@@ -429,9 +562,20 @@
 fn routes_known(context: &Context, faults: &mut Faults) {
     let none = BTreeSet::new();
     for (name, route) in &context.new.routes {
-        let known =
-            |operation: &&Arc<str>| !context.terms.operations.iter().any(|known| **known == ***operation);
-        for operation in route.operations.as_ref().unwrap_or(&none).iter().filter(known) {
+        let known = |operation: &&Arc<str>| {
+            !context
+                .terms
+                .operations
+                .iter()
+                .any(|known| **known == ***operation)
+        };
+        for operation in route
+            .operations
+            .as_ref()
+            .unwrap_or(&none)
+            .iter()
+            .filter(known)
+        {
             let path = Path::Route(name.clone(), Leaf::Operations);
             let taken = context.terms.operations.join(", ");
             faults.push(Fault::new(path, "no such operation", operation, taken));
@@ -440,11 +584,19 @@
         for host in route.hosts.as_ref().unwrap_or(&none).iter().filter(missing) {
             let path = Path::Route(name.clone(), Leaf::Hosts);
             let was = context.was.contains_key(host);
-            let what =
-                if was { "refers to a host that would be listed no more" } else { "no such host is listed" };
+            let what = if was {
+                "refers to a host that would be listed no more"
+            } else {
+                "no such host is listed"
+            };
             faults.push(Fault::new(path, what, host, "a host that is listed"));
         }
-        if *route == (RouteSet { precedence: route.precedence, ..RouteSet::default() }) {
+        if *route
+            == (RouteSet {
+                precedence: route.precedence,
+                ..RouteSet::default()
+            })
+        {
             let what = "says neither which invocations it is for nor which hosts they use";
             faults.push(Fault::new(
                 format!("routes/{name}"),
@@ -461,10 +613,20 @@
     let all = routes(context.new);
     // More than are shown need not be found.
     for (one, other) in kestreltide_routes::unordered(&all, KEPT) {
-        let what = format!("overlaps with route {} and nothing says which goes first", other.name);
-        let given = one.precedence.map_or("no precedence".into(), |given| given.to_string());
+        let what = format!(
+            "overlaps with route {} and nothing says which goes first",
+            other.name
+        );
+        let given = one
+            .precedence
+            .map_or("no precedence".into(), |given| given.to_string());
         let path = format!("routes/{}/precedence", one.name);
-        faults.push(Fault::new(path, what, given, "a precedence for each, not the same"));
+        faults.push(Fault::new(
+            path,
+            what,
+            given,
+            "a precedence for each, not the same",
+        ));
     }
 }
 
@@ -477,10 +639,19 @@
         return;
     }
     for route in routes(context.new) {
-        let held = context.is.values().filter(serves).any(|host| route.pool.holds(&host.entry()));
+        let held = context
+            .is
+            .values()
+            .filter(serves)
+            .any(|host| route.pool.holds(&host.entry()));
         if !held {
             let what = "its pool would have no host of the released build in service";
-            let fault = Fault::new(format!("routes/{}", route.name), what, "no such host", "at least one");
+            let fault = Fault::new(
+                format!("routes/{}", route.name),
+                what,
+                "no such host",
+                "at least one",
+            );
             faults.push(fault.by(Rule::ExposureCapped));
         }
     }
@@ -515,7 +686,12 @@
             }
             if let Some(cap) = ring.cap.filter(|cap| *cap > news.cap) {
                 let taken = format!("{} at most, the cap told", news.cap);
-                let fault = Fault::new("ring/cap", "would be raised, and can only be lowered", cap, taken);
+                let fault = Fault::new(
+                    "ring/cap",
+                    "would be raised, and can only be lowered",
+                    cap,
+                    taken,
+                );
                 faults.push(fault.by(Rule::ExposureCapped));
             }
         }
--- a/datastore/src/desk.rs
+++ b/datastore/src/desk.rs
@@ -71,8 +71,12 @@
         match self {
             Refused::Faults(faults) => faults.fmt(f),
             Refused::Locked(holder) => write!(f, "session {holder} holds the lock"),
-            Refused::Waiting(pending) => write!(f, "a commit ({}) waits to be confirmed", pending.author),
-            Refused::NothingWaits => f.write_str("no commit of this session or name waits to be confirmed"),
+            Refused::Waiting(pending) => {
+                write!(f, "a commit ({}) waits to be confirmed", pending.author)
+            }
+            Refused::NothingWaits => {
+                f.write_str("no commit of this session or name waits to be confirmed")
+            }
             Refused::NotHeld => f.write_str("this session does not hold the lock"),
         }
     }
@@ -98,8 +102,19 @@
 impl Desk {
     /// After a restart a commit that was not confirmed is due to be undone at once.
     pub fn new(store: Datastore, pending: Option<Pending>) -> Self {
-        let pending = pending.map(|pending| Pending { session: None, persist: None, until: 0.0, ..pending });
-        Desk { store, running: None, candidate: None, pending, sessions: 0 }
+        let pending = pending.map(|pending| Pending {
+            session: None,
+            persist: None,
+            until: 0.0,
+            ..pending
+        });
+        Desk {
+            store,
+            running: None,
+            candidate: None,
+            pending,
+            sessions: 0,
+        }
     }
 
     pub fn open(&mut self) -> SessionId {
@@ -123,7 +138,11 @@
         if let Some(holder) = self.holder(target) {
             return Err(Refused::Locked(holder));
         }
-        if let Some(pending) = self.pending.as_ref().filter(|pending| pending.session != Some(session)) {
+        if let Some(pending) = self
+            .pending
+            .as_ref()
+            .filter(|pending| pending.session != Some(session))
+        {
             return Err(Refused::Waiting(pending.clone()));
         }
         match target {
@@ -153,8 +172,13 @@
     /// Commits a candidate. While a commit waits to be confirmed only those that it waits for may commit, and an
     /// ordinary commit of theirs confirms it.
     pub fn commit(
-        &mut self, asker: Asker, candidate: &Candidate, author: Author, confirm: Option<Confirm>,
-        persist_id: Option<&str>, facts: &Facts,
+        &mut self,
+        asker: Asker,
+        candidate: &Candidate,
+        author: Author,
+        confirm: Option<Confirm>,
+        persist_id: Option<&str>,
+        facts: &Facts,
     ) -> Result<Commit, Refused> {
         if let Some(holder) = self.kept_out(asker) {
             return Err(Refused::Locked(holder));
@@ -171,17 +195,25 @@
             // What comes back is what stood before the first of them.
             let to = self.pending.as_ref().map_or(before.0, |pending| pending.to);
             let until = facts.now + confirm.within;
-            Pending { to, until, session: asker, persist: confirm.persist, author }
+            Pending {
+                to,
+                until,
+                session: asker,
+                persist: confirm.persist,
+                author,
+            }
         });
         Ok(commit)
     }
 
     fn waited_for(&self, asker: Asker, persist_id: Option<&str>) -> bool {
-        self.pending.as_ref().is_some_and(|pending| match (&pending.persist, persist_id) {
-            (Some(name), Some(said)) => name == said,
-            (None, None) => pending.session.is_some() && pending.session == asker,
-            _ => false,
-        })
+        self.pending
+            .as_ref()
+            .is_some_and(|pending| match (&pending.persist, persist_id) {
+                (Some(name), Some(said)) => name == said,
+                (None, None) => pending.session.is_some() && pending.session == asker,
+                _ => false,
+            })
     }
 
     /// What was committed stays.
@@ -195,7 +227,10 @@
 
     /// What was committed is undone now.
     pub fn cancel(
-        &mut self, asker: Asker, persist_id: Option<&str>, facts: &Facts,
+        &mut self,
+        asker: Asker,
+        persist_id: Option<&str>,
+        facts: &Facts,
     ) -> Result<Commit, Refused> {
         if !self.waited_for(asker, persist_id) {
             return Err(Refused::NothingWaits);
@@ -208,8 +243,12 @@
         let free = |holder: &mut Asker| *holder = holder.filter(|holder| *holder != session);
         free(&mut self.running);
         free(&mut self.candidate);
-        let only_its = |pending: &Pending| pending.session == Some(session) && pending.persist.is_none();
-        self.pending.as_ref().is_some_and(only_its).then(|| self.undo(facts))
+        let only_its =
+            |pending: &Pending| pending.session == Some(session) && pending.persist.is_none();
+        self.pending
+            .as_ref()
+            .is_some_and(only_its)
+            .then(|| self.undo(facts))
     }
 
     /// When the desk has something to do by itself.
@@ -224,8 +263,14 @@
     }
 
     fn undo(&mut self, facts: &Facts) -> Result<Commit, Faults> {
-        let Some(pending) = self.pending.take() else { return Ok(Commit::Nothing) };
-        let author = Author { source: Source::Management, version: "not confirmed".into(), ..pending.author };
+        let Some(pending) = self.pending.take() else {
+            return Ok(Commit::Nothing);
+        };
+        let author = Author {
+            source: Source::Management,
+            version: "not confirmed".into(),
+            ..pending.author
+        };
         // The rules go before the promise: what would break one now is not brought back, and somebody is told.
         self.store.roll_back(Revision(pending.to), author, facts)
     }
@@ -268,6 +313,8 @@
 pub fn as_faults(refused: Refused, again: f64) -> Faults {
     match refused {
         Refused::Faults(faults) => faults,
-        other => Fault::new("running", other.to_string(), "a commit", "the same later").passing(again).into(),
+        other => Fault::new("running", other.to_string(), "a commit", "the same later")
+            .passing(again)
+            .into(),
     }
 }
--- a/datastore/src/draft.rs
+++ b/datastore/src/draft.rs
@@ -23,7 +23,12 @@
             Ok(host) => host,
             Err(why) => {
                 let takes = "up to 128 letters, digits and . _ : -";
-                self.fault(Fault::new(place, format!("the host's name {why}"), name, takes));
+                self.fault(Fault::new(
+                    place,
+                    format!("the host's name {why}"),
+                    name,
+                    takes,
+                ));
                 return None;
             }
         };
@@ -48,11 +53,19 @@
                     return self.fault(Fault::new(place, what, text, "each leaf once"));
                 }
                 if let Err(fault) = self.tree.set(&path, Some(value)) {
-                    self.fault(Fault { path: format!("{place}: {path}"), ..fault });
+                    self.fault(Fault {
+                        path: format!("{place}: {path}"),
+                        ..fault
+                    });
                 }
             }
             Err(why) => {
-                self.fault(Fault::new(format!("{place}: {path}"), why, shown(text), leaf.takes()));
+                self.fault(Fault::new(
+                    format!("{place}: {path}"),
+                    why,
+                    shown(text),
+                    leaf.takes(),
+                ));
             }
         }
     }
--- a/datastore/src/fault.rs
+++ b/datastore/src/fault.rs
@@ -43,7 +43,10 @@
 
 impl Fault {
     pub fn new(
-        path: impl fmt::Display, what: impl Into<String>, given: impl fmt::Display, taken: impl fmt::Display,
+        path: impl fmt::Display,
+        what: impl Into<String>,
+        given: impl fmt::Display,
+        taken: impl fmt::Display,
     ) -> Self {
         Fault {
             path: path.to_string(),
@@ -56,18 +59,30 @@
     }
 
     pub fn by(self, rule: Rule) -> Self {
-        Fault { rule: Some(rule), ..self }
+        Fault {
+            rule: Some(rule),
+            ..self
+        }
     }
 
     pub fn passing(self, at: f64) -> Self {
-        Fault { passes_at: Some(at), ..self }
+        Fault {
+            passes_at: Some(at),
+            ..self
+        }
     }
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {} (given: {}; taken: {}", self.path, self.what, self.given, self.taken)?;
-        self.rule.iter().try_for_each(|rule| write!(f, "; {rule}"))?;
+        write!(
+            f,
+            "{}: {} (given: {}; taken: {}",
+            self.path, self.what, self.given, self.taken
+        )?;
+        self.rule
+            .iter()
+            .try_for_each(|rule| write!(f, "; {rule}"))?;
         f.write_str(")")
     }
 }
@@ -88,7 +103,11 @@
 impl Faults {
     pub fn push(&mut self, fault: Fault) {
         self.all_pass = (self.is_empty() || self.all_pass) && fault.passes_at.is_some();
-        if self.first.len() < KEPT { self.first.push(fault) } else { self.more += 1 }
+        if self.first.len() < KEPT {
+            self.first.push(fault)
+        } else {
+            self.more += 1
+        }
     }
 
     pub fn is_empty(&self) -> bool {
@@ -126,6 +145,10 @@
         for (place, fault) in self.first.iter().enumerate() {
             write!(f, "{}{fault}", if place == 0 { "" } else { "\n" })?;
         }
-        if self.more > 0 { write!(f, "\nand {} more", self.more) } else { Ok(()) }
+        if self.more > 0 {
+            write!(f, "\nand {} more", self.more)
+        } else {
+            Ok(())
+        }
     }
 }
--- a/datastore/src/lib.rs
+++ b/datastore/src/lib.rs
@@ -23,5 +23,6 @@
 pub use snapshot::Snapshot;
 pub use store::{Author, Candidate, Change, Datastore, History, Memory, RevisionRecord, Source};
 pub use tree::{
-    AdminState, Guards, HostName, HostSet, Leaf, Path, Place, RingSet, RouteName, RouteSet, Tree, Value,
+    AdminState, Guards, HostName, HostSet, Leaf, Path, Place, RingSet, RouteName, RouteSet, Tree,
+    Value,
 };
--- a/datastore/src/merge.rs
+++ b/datastore/src/merge.rs
@@ -34,7 +34,10 @@
 ];
 
 pub fn wins(leaf: Leaf) -> Wins {
-    PRECEDENCE.iter().find(|row| row.0 == leaf).map_or(Wins::Discovery, |row| row.1)
+    PRECEDENCE
+        .iter()
+        .find(|row| row.0 == leaf)
+        .map_or(Wins::Discovery, |row| row.1)
 }
 
 /// A host as somebody lists it, whole.
@@ -98,7 +101,12 @@
     }
 }
 
-fn pick<T>(leaf: Leaf, discovery: Option<T>, operators: Option<T>, later: impl Fn(T, T) -> T) -> Option<T> {
+fn pick<T>(
+    leaf: Leaf,
+    discovery: Option<T>,
+    operators: Option<T>,
+    later: impl Fn(T, T) -> T,
+) -> Option<T> {
     match (wins(leaf), discovery, operators) {
         (Wins::Discovery, Some(said), _) | (Wins::Operators, _, Some(said)) => Some(said),
         (Wins::Later | Wins::Careful, Some(a), Some(b)) => Some(later(a, b)),
@@ -109,27 +117,75 @@
 /// The host as it counts. `since` is when operators listed it first, where nobody says when it started: a new
 /// machine is the careful guess. `None` where what there is makes no entry.
 pub fn merge(
-    name: &HostName, discovery: Option<&Listed>, set: Option<&HostSet>, since: Option<f64>,
+    name: &HostName,
+    discovery: Option<&Listed>,
+    set: Option<&HostSet>,
+    since: Option<f64>,
 ) -> Option<Listed> {
     let nothing = HostSet::default();
     let set = set.unwrap_or(&nothing);
     let told = |of: fn(&Listed) -> Arc<str>| discovery.map(of);
     let first = |a, _| a;
     let state = set.state.map(AdminState::host_state);
-    let build = set.build.and_then(|build| u16::try_from(build).ok()).map(BuildId);
+    let build = set
+        .build
+        .and_then(|build| u16::try_from(build).ok())
+        .map(BuildId);
     let started = set.started.or(since.filter(|_| discovery.is_none()));
     Some(Listed {
         name: discovery.map_or_else(|| name.shared(), |told| told.name.clone()),
-        endpoint: pick(Leaf::Endpoint, discovery.map(|told| told.endpoint), set.endpoint, first)?,
-        zone: pick(Leaf::Zone, told(|told| told.zone.clone()), set.zone.clone(), |a, _| a)?,
-        cell: pick(Leaf::Cell, discovery.map(|told| told.cell), set.cell, |a, _| a).unwrap_or(0),
-        kind: pick(Leaf::Kind, told(|told| told.kind.clone()), set.kind.clone(), |a, _| a)?,
-        size: pick(Leaf::Size, discovery.map(|told| told.size), set.size, |a, _| a).unwrap_or(1.0),
-        build: pick(Leaf::Build, discovery.map(|told| told.build), build, |a, _| a)?,
-        started: pick(Leaf::Started, discovery.and_then(|told| told.started), started, f64::max),
-        state: pick(Leaf::State, discovery.map(|told| told.state), state, |a, b| {
-            if care(a) >= care(b) { a } else { b }
-        })
+        endpoint: pick(
+            Leaf::Endpoint,
+            discovery.map(|told| told.endpoint),
+            set.endpoint,
+            first,
+        )?,
+        zone: pick(
+            Leaf::Zone,
+            told(|told| told.zone.clone()),
+            set.zone.clone(),
+            |a, _| a,
+        )?,
+        cell: pick(
+            Leaf::Cell,
+            discovery.map(|told| told.cell),
+            set.cell,
+            |a, _| a,
+        )
+        .unwrap_or(0),
+        kind: pick(
+            Leaf::Kind,
+            told(|told| told.kind.clone()),
+            set.kind.clone(),
+            |a, _| a,
+        )?,
+        size: pick(
+            Leaf::Size,
+            discovery.map(|told| told.size),
+            set.size,
+            |a, _| a,
+        )
+        .unwrap_or(1.0),
+        build: pick(
+            Leaf::Build,
+            discovery.map(|told| told.build),
+            build,
+            |a, _| a,
+        )?,
+        started: pick(
+            Leaf::Started,
+            discovery.and_then(|told| told.started),
+            started,
+            f64::max,
+        ),
+        state: pick(
+            Leaf::State,
+            discovery.map(|told| told.state),
+            state,
+            |a, b| {
+                if care(a) >= care(b) { a } else { b }
+            },
+        )
         .unwrap_or(HostState::Running),
     })
 }
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -43,7 +43,11 @@
 
 impl Snapshot {
     pub fn new(
-        old: &Snapshot, revision: Revision, at: f64, (tree, seen): (&Tree, &Seen), changes: &[Difference],
+        old: &Snapshot,
+        revision: Revision,
+        at: f64,
+        (tree, seen): (&Tree, &Seen),
+        changes: &[Difference],
     ) -> Self {
         let said = tree.hosts.iter().map(|(name, set)| {
             let since = seen.get(name).copied();
@@ -60,7 +64,9 @@
         });
         let mut hosts: Box<[Said]> = said.collect();
         hosts.sort_by_key(|said| said.host);
-        let weights = hosts.iter().filter_map(|said| Some((said.host, said.set.weight?)));
+        let weights = hosts
+            .iter()
+            .filter_map(|said| Some((said.host, said.set.weight?)));
         let weights = weights.filter(|(_, weight)| *weight != 1.0).collect();
         let mut changed: Vec<_> = changes
             .iter()
@@ -71,10 +77,22 @@
             .collect();
         changed.sort();
         changed.dedup();
-        let set = Arc::new(OperatorSet { revision, weights, ring: ring(tree) });
+        let set = Arc::new(OperatorSet {
+            revision,
+            weights,
+            ring: ring(tree),
+        });
         let routes = Arc::new(Routes::new(routes(tree)));
         let (follows, entries) = (old.revision(), Arc::default());
-        let mut new = Snapshot { set, hosts, changed: changed.into(), entries, follows, routes, at };
+        let mut new = Snapshot {
+            set,
+            hosts,
+            changed: changed.into(),
+            entries,
+            follows,
+            routes,
+            at,
+        };
         let none = |_: HostId| None;
         new.entries = new.changes(old, &new.changed, none, none).into();
         new
@@ -83,7 +101,10 @@
     /// What the decisions are told of hosts that may have changed. `was` and `is` say how those count that
     /// discovery lists too; `None` where it does not.
     pub fn changes<'a>(
-        &'a self, old: &'a Snapshot, hosts: &[HostId], was: impl Fn(HostId) -> Option<Listed>,
+        &'a self,
+        old: &'a Snapshot,
+        hosts: &[HostId],
+        was: impl Fn(HostId) -> Option<Listed>,
         is: impl Fn(HostId) -> Option<Listed>,
     ) -> Vec<HostEntry> {
         let mut entries = Vec::with_capacity(hosts.len());
@@ -93,7 +114,10 @@
             let is = is.as_ref().or_else(|| self.said(*host)?.alone.as_ref());
             // What stood there before goes first: another machine under the same id begins anew.
             let went = was.filter(|was| is.is_none_or(|is| was.moved(is)));
-            entries.extend(went.map(|was| HostEntry { state: HostState::Gone, ..was.entry() }));
+            entries.extend(went.map(|was| HostEntry {
+                state: HostState::Gone,
+                ..was.entry()
+            }));
             // A weight is no part of it: most revisions change nothing else.
             let entry = is
                 .map(Listed::entry)
@@ -118,7 +142,12 @@
     let ring = &tree.ring;
     let build = BuildId(u16::try_from(ring.build?).ok()?);
     let (hold, back) = (ring.hold == Some(true), ring.back == Some(true));
-    Some(RingWish { build, hold, back, cap: ring.cap.unwrap_or(1.0) })
+    Some(RingWish {
+        build,
+        hold,
+        back,
+        cap: ring.cap.unwrap_or(1.0),
+    })
 }
 
 /// The routes of a tree, each with its pool.
@@ -126,15 +155,29 @@
     let routes = tree.routes.iter().map(|(name, set)| {
         let named = |names: &Option<BTreeSet<Arc<str>>>| names.clone().unwrap_or_default();
         let pool = Pool {
-            zones: named(&set.zones).iter().map(|zone| ZoneId::named(zone)).collect(),
-            kinds: named(&set.kinds).iter().map(|kind| KindId::named(kind)).collect(),
-            hosts: named(&set.hosts).iter().map(|host| HostId::named(host)).collect(),
+            zones: named(&set.zones)
+                .iter()
+                .map(|zone| ZoneId::named(zone))
+                .collect(),
+            kinds: named(&set.kinds)
+                .iter()
+                .map(|kind| KindId::named(kind))
+                .collect(),
+            hosts: named(&set.hosts)
+                .iter()
+                .map(|host| HostId::named(host))
+                .collect(),
         };
         let of = Match {
             operations: named(&set.operations),
             key_prefix: set.key_prefix.clone().unwrap_or_default(),
         };
-        Route { name: name.shared(), precedence: set.precedence, of, pool: Arc::new(pool) }
+        Route {
+            name: name.shared(),
+            precedence: set.precedence,
+            of,
+            pool: Arc::new(pool),
+        }
     });
     routes.collect()
 }
--- a/datastore/src/store.rs
+++ b/datastore/src/store.rs
@@ -49,7 +49,11 @@
 impl fmt::Display for Author {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} by {}", self.source, self.name)?;
-        if self.version.is_empty() { Ok(()) } else { write!(f, ", version {}", self.version) }
+        if self.version.is_empty() {
+            Ok(())
+        } else {
+            write!(f, ", version {}", self.version)
+        }
     }
 }
 
@@ -99,7 +103,10 @@
 
 impl Candidate {
     pub fn of(base: &Arc<InForce>) -> Self {
-        Candidate { base: base.clone(), tree: (*base.tree).clone() }
+        Candidate {
+            base: base.clone(),
+            tree: (*base.tree).clone(),
+        }
     }
 
     /// Whether it is still what it was made from.
@@ -129,7 +136,12 @@
 
 impl Default for History {
     fn default() -> Self {
-        History { revisions: 1000, changes: 10_000, refusals: 16, drained: 64 * 1024 }
+        History {
+            revisions: 1000,
+            changes: 10_000,
+            refusals: 16,
+            drained: 64 * 1024,
+        }
     }
 }
 
@@ -171,18 +183,45 @@
     /// As it was when this was remembered. Nothing is checked again: it was well then, and what has become
     /// dangerous since is guarded when it is used.
     pub fn remembering(terms: RuleTerms, keep: History, memory: Memory) -> Self {
-        let Memory { revision, tree, seen, drained, history, refusals } = memory;
+        let Memory {
+            revision,
+            tree,
+            seen,
+            drained,
+            history,
+            refusals,
+        } = memory;
         let changes = Tree::default().differences(&tree);
-        let (nothing, at) = (Snapshot::default(), history.back().map_or(0.0, |last| last.at));
-        let snapshot = Snapshot::new(&nothing, Revision(revision), at, (&tree, &seen), &changes).into();
-        let in_force = Arc::new(InForce { revision: Revision(revision), tree, seen });
-        let mut store = Datastore { terms, keep, in_force, snapshot, drained, history, refusals };
+        let (nothing, at) = (
+            Snapshot::default(),
+            history.back().map_or(0.0, |last| last.at),
+        );
+        let snapshot =
+            Snapshot::new(&nothing, Revision(revision), at, (&tree, &seen), &changes).into();
+        let in_force = Arc::new(InForce {
+            revision: Revision(revision),
+            tree,
+            seen,
+        });
+        let mut store = Datastore {
+            terms,
+            keep,
+            in_force,
+            snapshot,
+            drained,
+            history,
+            refusals,
+        };
         store.forget();
         store
     }
 
     pub fn memory(&self) -> Memory {
-        let InForce { revision, tree, seen } = &*self.in_force;
+        let InForce {
+            revision,
+            tree,
+            seen,
+        } = &*self.in_force;
         Memory {
             revision: revision.0,
             tree: tree.clone(),
@@ -216,7 +255,12 @@
     }
 
     /// Takes a candidate whole, or refuses it whole and says why; a refusal is remembered.
-    pub fn commit(&mut self, candidate: &Candidate, author: Author, facts: &Facts) -> Result<Commit, Faults> {
+    pub fn commit(
+        &mut self,
+        candidate: &Candidate,
+        author: Author,
+        facts: &Facts,
+    ) -> Result<Commit, Faults> {
         let (tree, seen, changes) = match self.weigh(candidate, facts) {
             Ok(weighed) => weighed,
             Err(faults) => {
@@ -228,10 +272,20 @@
             return Ok(Commit::Nothing);
         }
         let revision = Revision(self.in_force.revision.0 + 1);
-        let snapshot = Arc::new(Snapshot::new(&self.snapshot, revision, facts.now, (&tree, &seen), &changes));
+        let snapshot = Arc::new(Snapshot::new(
+            &self.snapshot,
+            revision,
+            facts.now,
+            (&tree, &seen),
+            &changes,
+        ));
         self.snapshot = snapshot.clone();
         self.note_drained(&tree, &seen, facts);
-        self.in_force = Arc::new(InForce { revision, tree: Arc::new(tree), seen: Arc::new(seen) });
+        self.in_force = Arc::new(InForce {
+            revision,
+            tree: Arc::new(tree),
+            seen: Arc::new(seen),
+        });
         self.history.push_back(RevisionRecord {
             number: revision.0,
             based_on: candidate.base.revision.0,
@@ -244,7 +298,12 @@
     }
 
     /// An earlier revision again, as a new one: what has been committed since is undone.
-    pub fn roll_back(&mut self, to: Revision, mut author: Author, facts: &Facts) -> Result<Commit, Faults> {
+    pub fn roll_back(
+        &mut self,
+        to: Revision,
+        mut author: Author,
+        facts: &Facts,
+    ) -> Result<Commit, Faults> {
         author.source = Source::RolledBack(to.0);
         let tree = match self.tree_at(to) {
             Ok(tree) => tree,
@@ -253,20 +312,31 @@
                 return Err(fault.into());
             }
         };
-        let candidate = Candidate { base: self.in_force.clone(), tree };
+        let candidate = Candidate {
+            base: self.in_force.clone(),
+            tree,
+        };
         self.commit(&candidate, author, facts)
     }
 
     /// The tree as it was in a revision that history still holds.
     pub fn tree_at(&self, at: Revision) -> Result<Tree, Fault> {
-        let oldest = self.history.front().map_or(self.in_force.revision.0, |first| first.number - 1);
+        let oldest = self
+            .history
+            .front()
+            .map_or(self.in_force.revision.0, |first| first.number - 1);
         let newest = self.in_force.revision.0;
         if !(oldest..=newest).contains(&at.0) {
             let taken = format!("{oldest} to {newest}");
             return Err(Fault::new("revision", "is not held", at.0, taken));
         }
         let mut tree = (*self.in_force.tree).clone();
-        for record in self.history.iter().rev().take_while(|record| record.number > at.0) {
+        for record in self
+            .history
+            .iter()
+            .rev()
+            .take_while(|record| record.number > at.0)
+        {
             for change in record.changes.iter() {
                 tree.set(&change.path, change.old.clone())?;
             }
@@ -281,18 +351,29 @@
 
     fn refused(&mut self, author: Author, at: f64, faults: Faults) {
         // The same again and again, as somebody tries, is one refusal.
-        if let Some(last) =
-            self.refusals.back_mut().filter(|last| last.author == author && last.faults == faults)
+        if let Some(last) = self
+            .refusals
+            .back_mut()
+            .filter(|last| last.author == author && last.faults == faults)
         {
             last.at = at;
             return;
         }
-        self.refusals.push_back(Refusal { at, author, stays: self.in_force.revision.0, faults });
+        self.refusals.push_back(Refusal {
+            at,
+            author,
+            stays: self.in_force.revision.0,
+            faults,
+        });
         self.forget();
     }
 
     /// The tree that a candidate comes to on what is in force now, and what it changes.
-    fn weigh(&self, candidate: &Candidate, facts: &Facts) -> Result<(Tree, Seen, Vec<Difference>), Faults> {
+    fn weigh(
+        &self,
+        candidate: &Candidate,
+        facts: &Facts,
+    ) -> Result<(Tree, Seen, Vec<Difference>), Faults> {
         let head = &*self.in_force;
         let tree = if candidate.base.revision == head.revision {
             candidate.tree.clone()
@@ -303,11 +384,19 @@
         let mut seen = Seen::new();
         if head.revision > Revision(0) {
             // Who is listed anew and says no start may have just started.
-            let unsaid = tree.hosts.iter().filter(|(_, set)| set.endpoint.is_some() && set.started.is_none());
+            let unsaid = tree
+                .hosts
+                .iter()
+                .filter(|(_, set)| set.endpoint.is_some() && set.started.is_none());
             for (name, set) in unsaid {
                 let before = head.tree.hosts.get(name);
-                let same = before.is_some_and(|old| (old.endpoint, old.build) == (set.endpoint, set.build));
-                let since = if same { head.seen.get(name).copied() } else { Some(facts.now) };
+                let same = before
+                    .is_some_and(|old| (old.endpoint, old.build) == (set.endpoint, set.build));
+                let since = if same {
+                    head.seen.get(name).copied()
+                } else {
+                    Some(facts.now)
+                };
                 seen.extend(since.map(|since| (name.clone(), since)));
             }
         }
@@ -323,7 +412,9 @@
         let theirs = candidate.base.tree.differences(&self.in_force.tree);
         let mut faults = Faults::default();
         for change in &mine {
-            let Ok(place) = theirs.binary_search_by(|other| other.path.cmp(&change.path)) else { continue };
+            let Ok(place) = theirs.binary_search_by(|other| other.path.cmp(&change.path)) else {
+                continue;
+            };
             let other = &theirs[place];
             if other.new != change.new {
                 faults.push(self.conflict(candidate, change, other));
@@ -334,14 +425,36 @@
     }
 
     fn conflict(&self, candidate: &Candidate, mine: &Difference, theirs: &Difference) -> Fault {
-        let by = self.history.iter().rev().find(|r| r.changes.iter().any(|change| change.path == mine.path));
+        let by = self
+            .history
+            .iter()
+            .rev()
+            .find(|r| r.changes.iter().any(|change| change.path == mine.path));
         let who = by.map_or("somebody".into(), |r| {
             let at = std::time::UNIX_EPOCH + std::time::Duration::from_secs_f64(r.at.max(0.0));
-            format!("revision {} ({}, {})", r.number, r.author, humantime::format_rfc3339_millis(at))
+            format!(
+                "revision {} ({}, {})",
+                r.number,
+                r.author,
+                humantime::format_rfc3339_millis(at)
+            )
         });
-        let what = format!("was changed since revision {} by {who}", candidate.base.revision.0);
-        let text = |change: &Difference| change.new.as_ref().map_or("nothing".into(), ToString::to_string);
-        Fault::new(&mine.path, what, text(mine), format!("{}, or a candidate made from it", text(theirs)))
+        let what = format!(
+            "was changed since revision {} by {who}",
+            candidate.base.revision.0
+        );
+        let text = |change: &Difference| {
+            change
+                .new
+                .as_ref()
+                .map_or("nothing".into(), ToString::to_string)
+        };
+        Fault::new(
+            &mine.path,
+            what,
+            text(mine),
+            format!("{}, or a candidate made from it", text(theirs)),
+        )
     }
 
     /// Remembers whom operators drain, by the process that it was.
@@ -356,7 +469,8 @@
             let at = self.drained.get(name).copied();
             // A start that nobody told lies before the drain.
             let process = started.unwrap_or(at.unwrap_or(facts.now));
-            self.drained.insert(name.clone(), at.map_or(process, |at| at.max(process)));
+            self.drained
+                .insert(name.clone(), at.map_or(process, |at| at.max(process)));
         }
     }
 
@@ -369,11 +483,18 @@
         while self.history.len() > 1
             && (self.history.len() > self.keep.revisions || changes > self.keep.changes)
         {
-            changes -= self.history.pop_front().map_or(0, |record| record.changes.len());
+            changes -= self
+                .history
+                .pop_front()
+                .map_or(0, |record| record.changes.len());
         }
         while self.drained.len() > self.keep.drained {
             // The one whose process is oldest is least likely to be meant again.
-            let oldest = self.drained.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|(name, _)| name.clone());
+            let oldest = self
+                .drained
+                .iter()
+                .min_by(|a, b| a.1.total_cmp(b.1))
+                .map(|(name, _)| name.clone());
             oldest.map(|name| self.drained.remove(&name));
         }
     }
--- a/datastore/src/tree.rs
+++ b/datastore/src/tree.rs
@@ -20,7 +20,9 @@
     match text {
         "" => Err("is empty".into()),
         _ if text.len() > NAME_MOST => Err(format!("is longer than {NAME_MOST} characters")),
-        _ if !text.chars().all(plain) => Err("has characters other than letters, digits and . _ : -".into()),
+        _ if !text.chars().all(plain) => {
+            Err("has characters other than letters, digits and . _ : -".into())
+        }
         _ => Ok(text.into()),
     }
 }
@@ -92,12 +94,18 @@
     Out,
 }
 
-const STATES: [(AdminState, &str); 3] =
-    [(AdminState::InService, "in-service"), (AdminState::Draining, "draining"), (AdminState::Out, "out")];
+const STATES: [(AdminState, &str); 3] = [
+    (AdminState::InService, "in-service"),
+    (AdminState::Draining, "draining"),
+    (AdminState::Out, "out"),
+];
 
 impl fmt::Display for AdminState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let text = STATES.iter().find(|(state, _)| state == self).map_or("", |(_, text)| text);
+        let text = STATES
+            .iter()
+            .find(|(state, _)| state == self)
+            .map_or("", |(_, text)| text);
         f.write_str(text)
     }
 }
@@ -144,28 +152,103 @@
 
 /// What each leaf is of, its name there, and what it takes.
 const LEAVES: [(Leaf, Place, &str, &str); 22] = [
-    (Leaf::Endpoint, Place::Host, "endpoint", "an address and port, such as 10.1.0.18:6379"),
+    (
+        Leaf::Endpoint,
+        Place::Host,
+        "endpoint",
+        "an address and port, such as 10.1.0.18:6379",
+    ),
     (Leaf::Zone, Place::Host, "zone", NAMED),
-    (Leaf::Cell, Place::Host, "cell", "a whole number from 0 to 4294967295"),
+    (
+        Leaf::Cell,
+        Place::Host,
+        "cell",
+        "a whole number from 0 to 4294967295",
+    ),
     (Leaf::Kind, Place::Host, "kind", NAMED),
-    (Leaf::Size, Place::Host, "size", "a number over 0, at most 1000000, 1 for a usual host"),
-    (Leaf::Build, Place::Host, "build", "a whole number from 0 to 65535"),
-    (Leaf::Started, Place::Host, "started", "a time such as 2026-12-01T03:00:00Z, or seconds since 1970"),
-    (Leaf::Weight, Place::Host, "weight", "a number from 0.01 to 100, 1 for an even share"),
-    (Leaf::State, Place::Host, "state", "in-service, draining or out"),
-    (Leaf::LargestRemoval, Place::Guards, "largest-removal", "a share from 0 to 1 of the hosts in service"),
-    (Leaf::LeastHostsZone, Place::Guards, "least-hosts-zone", "a whole number from 0 to 16384"),
-    (Leaf::LeastHostsBuild, Place::Guards, "least-hosts-build", "a whole number from 0 to 16384"),
-    (Leaf::Precedence, Place::Route, "precedence", "a whole number from 0 to 4294967295, lower first"),
-    (Leaf::Operations, Place::Route, "operation", "names of the service's operations"),
-    (Leaf::KeyPrefix, Place::Route, "key-prefix", "up to 128 characters"),
+    (
+        Leaf::Size,
+        Place::Host,
+        "size",
+        "a number over 0, at most 1000000, 1 for a usual host",
+    ),
+    (
+        Leaf::Build,
+        Place::Host,
+        "build",
+        "a whole number from 0 to 65535",
+    ),
+    (
+        Leaf::Started,
+        Place::Host,
+        "started",
+        "a time such as 2026-12-01T03:00:00Z, or seconds since 1970",
+    ),
+    (
+        Leaf::Weight,
+        Place::Host,
+        "weight",
+        "a number from 0.01 to 100, 1 for an even share",
+    ),
+    (
+        Leaf::State,
+        Place::Host,
+        "state",
+        "in-service, draining or out",
+    ),
+    (
+        Leaf::LargestRemoval,
+        Place::Guards,
+        "largest-removal",
+        "a share from 0 to 1 of the hosts in service",
+    ),
+    (
+        Leaf::LeastHostsZone,
+        Place::Guards,
+        "least-hosts-zone",
+        "a whole number from 0 to 16384",
+    ),
+    (
+        Leaf::LeastHostsBuild,
+        Place::Guards,
+        "least-hosts-build",
+        "a whole number from 0 to 16384",
+    ),
+    (
+        Leaf::Precedence,
+        Place::Route,
+        "precedence",
+        "a whole number from 0 to 4294967295, lower first",
+    ),
+    (
+        Leaf::Operations,
+        Place::Route,
+        "operation",
+        "names of the service's operations",
+    ),
+    (
+        Leaf::KeyPrefix,
+        Place::Route,
+        "key-prefix",
+        "up to 128 characters",
+    ),
     (Leaf::Zones, Place::Route, "zone", NAMES),
     (Leaf::Kinds, Place::Route, "kind", NAMES),
     (Leaf::Hosts, Place::Route, "host", NAMES),
-    (Leaf::RingBuild, Place::Ring, "build", "the number of the build on trial"),
+    (
+        Leaf::RingBuild,
+        Place::Ring,
+        "build",
+        "the number of the build on trial",
+    ),
     (Leaf::Hold, Place::Ring, "hold", "true or false"),
     (Leaf::Back, Place::Ring, "back", "true or false"),
-    (Leaf::Cap, Place::Ring, "cap", "a share from 0 to 1, at most the cap told"),
+    (
+        Leaf::Cap,
+        Place::Ring,
+        "cap",
+        "a share from 0 to 1, at most the cap told",
+    ),
 ];
 
 impl Leaf {
@@ -192,7 +275,10 @@
     }
 
     pub fn all_of(place: Place) -> impl Iterator<Item = Leaf> {
-        LEAVES.iter().filter(move |row| row.1 == place).map(|row| row.0)
+        LEAVES
+            .iter()
+            .filter(move |row| row.1 == place)
+            .map(|row| row.0)
     }
 
     pub fn of_host(name: &str) -> Option<Leaf> {
@@ -231,8 +317,10 @@
             Leaf::Started => time(text).map(Value::Number),
             Leaf::Weight => number(WEIGHTS[0], WEIGHTS[1]),
             Leaf::State => {
-                let state =
-                    STATES.iter().find(|(_, name)| *name == text).map(|(state, _)| Value::State(*state));
+                let state = STATES
+                    .iter()
+                    .find(|(_, name)| *name == text)
+                    .map(|(state, _)| Value::State(*state));
                 state.ok_or_else(|| "is no administrative state".into())
             }
             Leaf::LargestRemoval | Leaf::Cap => number(0.0, 1.0),
@@ -264,12 +352,16 @@
 fn time(text: &str) -> Result<f64, String> {
     let seconds = match text.parse::<f64>() {
         Ok(seconds) => Some(seconds),
-        Err(_) => humantime::parse_rfc3339(text)
-            .ok()
-            .and_then(|at| at.duration_since(std::time::UNIX_EPOCH).ok().map(|since| since.as_secs_f64())),
+        Err(_) => humantime::parse_rfc3339(text).ok().and_then(|at| {
+            at.duration_since(std::time::UNIX_EPOCH)
+                .ok()
+                .map(|since| since.as_secs_f64())
+        }),
     };
     // To the microsecond, so that a time that was written out and read again is the same.
-    let sense = seconds.map(|at| (at * 1e6).round() / 1e6).filter(|at| (0.0..=LAST_TIME).contains(at));
+    let sense = seconds
+        .map(|at| (at * 1e6).round() / 1e6)
+        .filter(|at| (0.0..=LAST_TIME).contains(at));
     sense.ok_or_else(|| "is no time".into())
 }
 
@@ -318,7 +410,9 @@
 impl Path {
     pub fn leaf(&self) -> Leaf {
         match self {
-            Path::Host(_, leaf) | Path::Guards(leaf) | Path::Route(_, leaf) | Path::Ring(leaf) => *leaf,
+            Path::Host(_, leaf) | Path::Guards(leaf) | Path::Route(_, leaf) | Path::Ring(leaf) => {
+                *leaf
+            }
         }
     }
 }
@@ -340,19 +434,31 @@
     fn from_str(text: &str) -> Result<Self, Fault> {
         let unknown = |what: &str, takes: &str| Fault::new(text, what, text, takes);
         let leaf = |place: Place, name: &str| {
-            let names = || Leaf::all_of(place).map(Leaf::name).collect::<Vec<_>>().join(", ");
+            let names = || {
+                Leaf::all_of(place)
+                    .map(Leaf::name)
+                    .collect::<Vec<_>>()
+                    .join(", ")
+            };
             Leaf::named(place, name).ok_or_else(|| unknown("no such leaf", &names()))
         };
         let well = |why: String| unknown(&format!("the name {why}"), NAMED);
         let parts: Vec<_> = text.trim_start_matches('/').split('/').collect();
         match parts.as_slice() {
-            ["hosts", host, name] => Ok(Path::Host(host.parse().map_err(well)?, leaf(Place::Host, name)?)),
-            ["routes", route, name] => {
-                Ok(Path::Route(route.parse().map_err(well)?, leaf(Place::Route, name)?))
-            }
+            ["hosts", host, name] => Ok(Path::Host(
+                host.parse().map_err(well)?,
+                leaf(Place::Host, name)?,
+            )),
+            ["routes", route, name] => Ok(Path::Route(
+                route.parse().map_err(well)?,
+                leaf(Place::Route, name)?,
+            )),
             ["guards", name] => Ok(Path::Guards(leaf(Place::Guards, name)?)),
             ["ring", name] => Ok(Path::Ring(leaf(Place::Ring, name)?)),
-            _ => Err(unknown("no such path", "hosts/NAME/LEAF, routes/NAME/LEAF, guards/LEAF or ring/LEAF")),
+            _ => Err(unknown(
+                "no such path",
+                "hosts/NAME/LEAF, routes/NAME/LEAF, guards/LEAF or ring/LEAF",
+            )),
         }
     }
 }
@@ -457,7 +563,10 @@
 
     pub fn in_force(&self) -> (f64, u32, u32) {
         let (removal, zone, build) = Self::IN_FORCE;
-        let least = (self.least_hosts_zone.unwrap_or(zone), self.least_hosts_build.unwrap_or(build));
+        let least = (
+            self.least_hosts_zone.unwrap_or(zone),
+            self.least_hosts_build.unwrap_or(build),
+        );
         (self.largest_removal.unwrap_or(removal), least.0, least.1)
     }
 }
@@ -478,8 +587,15 @@
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let text = |value: &Option<Value>| value.as_ref().map_or("nothing".into(), Value::to_string);
-        write!(f, "{}: {} -> {}", self.path, text(&self.old), text(&self.new))
+        let text =
+            |value: &Option<Value>| value.as_ref().map_or("nothing".into(), Value::to_string);
+        write!(
+            f,
+            "{}: {} -> {}",
+            self.path,
+            text(&self.old),
+            text(&self.new)
+        )
     }
 }
 
@@ -527,7 +643,16 @@
             Path::Guards(leaf) => self.guards.set(*leaf, value),
             Path::Ring(leaf) => self.ring.set(*leaf, value),
         };
-        if well { Ok(()) } else { Err(Fault::new(path, "is of another type", given, path.leaf().takes())) }
+        if well {
+            Ok(())
+        } else {
+            Err(Fault::new(
+                path,
+                "is of another type",
+                given,
+                path.leaf().takes(),
+            ))
+        }
     }
 
     /// The leaves that differ, in the order of their paths.
@@ -541,7 +666,12 @@
                 &mut found,
             );
         });
-        differ(Place::Guards, |leaf| (self.guards.get(leaf), new.guards.get(leaf)), Path::Guards, &mut found);
+        differ(
+            Place::Guards,
+            |leaf| (self.guards.get(leaf), new.guards.get(leaf)),
+            Path::Guards,
+            &mut found,
+        );
         both(&self.routes, &new.routes, |name, old, new| {
             differ(
                 Place::Route,
@@ -550,7 +680,12 @@
                 &mut found,
             );
         });
-        differ(Place::Ring, |leaf| (self.ring.get(leaf), new.ring.get(leaf)), Path::Ring, &mut found);
+        differ(
+            Place::Ring,
+            |leaf| (self.ring.get(leaf), new.ring.get(leaf)),
+            Path::Ring,
+            &mut found,
+        );
         found
     }
 
@@ -558,7 +693,11 @@
     pub fn patched(&self, differences: &[Difference], back: bool) -> Result<Tree, Faults> {
         let (mut tree, mut faults) = (self.clone(), Faults::default());
         for difference in differences {
-            let value = if back { &difference.old } else { &difference.new };
+            let value = if back {
+                &difference.old
+            } else {
+                &difference.new
+            };
             faults.extend(tree.set(&difference.path, value.clone()).err());
         }
         faults.into_result().map(|()| tree)
@@ -567,7 +706,9 @@
 
 /// Walks two maps by their keys, where what stands there differs.
 fn both<K: Ord, V: Default + PartialEq>(
-    old: &BTreeMap<K, V>, new: &BTreeMap<K, V>, mut differs: impl FnMut(&K, &V, &V),
+    old: &BTreeMap<K, V>,
+    new: &BTreeMap<K, V>,
+    mut differs: impl FnMut(&K, &V, &V),
 ) {
     let nothing = V::default();
     let (mut olds, mut news) = (old.iter().peekable(), new.iter().peekable());
@@ -578,10 +719,21 @@
             (None, Some(_)) => Ordering::Greater,
             (None, None) => return,
         };
-        let old = if order == Ordering::Greater { None } else { olds.next() };
-        let new = if order == Ordering::Less { None } else { news.next() };
+        let old = if order == Ordering::Greater {
+            None
+        } else {
+            olds.next()
+        };
+        let new = if order == Ordering::Less {
+            None
+        } else {
+            news.next()
+        };
         let Some((key, _)) = old.or(new) else { return };
-        let (old, new) = (old.map_or(&nothing, |old| old.1), new.map_or(&nothing, |new| new.1));
+        let (old, new) = (
+            old.map_or(&nothing, |old| old.1),
+            new.map_or(&nothing, |new| new.1),
+        );
         if old != new {
             differs(key, old, new);
         }
@@ -589,13 +741,19 @@
 }
 
 fn differ(
-    place: Place, values: impl Fn(Leaf) -> (Option<Value>, Option<Value>), path: impl Fn(Leaf) -> Path,
+    place: Place,
+    values: impl Fn(Leaf) -> (Option<Value>, Option<Value>),
+    path: impl Fn(Leaf) -> Path,
     found: &mut Vec<Difference>,
 ) {
     for leaf in Leaf::all_of(place) {
         let (old, new) = values(leaf);
         if old != new {
-            found.push(Difference { path: path(leaf), old, new });
+            found.push(Difference {
+                path: path(leaf),
+                old,
+                new,
+            });
         }
     }
 }
--- a/datastore/src/view.rs
+++ b/datastore/src/view.rs
@@ -39,7 +39,17 @@
 
 impl View {
     pub fn facts(&self, now: f64) -> Facts {
-        let View { discovery, heard, news, .. } = self;
-        Facts { now, discovery: discovery.clone(), heard: *heard, news: *news }
+        let View {
+            discovery,
+            heard,
+            news,
+            ..
+        } = self;
+        Facts {
+            now,
+            discovery: discovery.clone(),
+            heard: *heard,
+            news: *news,
+        }
     }
 }
--- a/management/src/commit_service.rs
+++ b/management/src/commit_service.rs
@@ -127,8 +127,13 @@
 /// That the commit service does not answer.
 pub fn busy() -> Refused {
     Refused::Faults(
-        Fault::new("running", "the desk has no room for one more question", "a question", "the same later")
-            .into(),
+        Fault::new(
+            "running",
+            "the desk has no room for one more question",
+            "a question",
+            "the same later",
+        )
+        .into(),
     )
 }
 
@@ -148,12 +153,24 @@
 
     /// Locks a datastore for a session; refused where another holds the lock or nobody answers.
     pub async fn lock(&self, session: SessionId, target: Target) -> Result<(), Refused> {
-        self.asked(|reply| Ask::Lock { session, target, reply }).await.unwrap_or(Err(busy()))
+        self.asked(|reply| Ask::Lock {
+            session,
+            target,
+            reply,
+        })
+        .await
+        .unwrap_or(Err(busy()))
     }
 
     /// Releases a lock; refused where the session does not hold it or nobody answers.
     pub async fn unlock(&self, session: SessionId, target: Target) -> Result<(), Refused> {
-        self.asked(|reply| Ask::Unlock { session, target, reply }).await.unwrap_or(Err(busy()))
+        self.asked(|reply| Ask::Unlock {
+            session,
+            target,
+            reply,
+        })
+        .await
+        .unwrap_or(Err(busy()))
     }
 
     /// Checks a candidate; refused with its validation errors, or where nobody answers.
@@ -165,22 +182,46 @@
     /// Confirms the commit that waits; refused where nothing waits, where another has to confirm it, or where nobody
     /// answers.
     pub async fn confirm(&self, asker: Asker, persist_id: Option<String>) -> Result<(), Refused> {
-        self.asked(|reply| Ask::Confirm { asker, persist_id, reply }).await.unwrap_or(Err(busy()))
+        self.asked(|reply| Ask::Confirm {
+            asker,
+            persist_id,
+            reply,
+        })
+        .await
+        .unwrap_or(Err(busy()))
     }
 
     /// Rolls back the commit that waits; refused as a confirmation is.
     pub async fn cancel(&self, asker: Asker, persist_id: Option<String>) -> Result<(), Refused> {
-        self.asked(|reply| Ask::Cancel { asker, persist_id, reply }).await.unwrap_or(Err(busy()))
+        self.asked(|reply| Ask::Cancel {
+            asker,
+            persist_id,
+            reply,
+        })
+        .await
+        .unwrap_or(Err(busy()))
     }
 
     /// Commits, and answers once the loop has the revision in force: whoever is told that it is committed can rely
     /// on it. A loop that does not come round in time is not waited for.
     pub async fn commit(
-        &self, asker: Asker, candidate: Candidate, author: Author, confirm: Option<Confirm>,
+        &self,
+        asker: Asker,
+        candidate: Candidate,
+        author: Author,
+        confirm: Option<Confirm>,
         persist_id: Option<String>,
     ) -> Result<Commit, Refused> {
-        let make =
-            |reply| Ask::Commit(Box::new(CommitAsk { asker, candidate, author, confirm, persist_id, reply }));
+        let make = |reply| {
+            Ask::Commit(Box::new(CommitAsk {
+                asker,
+                candidate,
+                author,
+                confirm,
+                persist_id,
+                reply,
+            }))
+        };
         let commit = self.asked(make).await.unwrap_or(Err(busy()))?;
         if let Commit::Taken(snapshot) = &commit {
             let until = Instant::now() + TAKEN;
--- a/management/src/gnmi/access.rs
+++ b/management/src/gnmi/access.rs
@@ -16,16 +16,26 @@
         let first = certificates.first().ok_or_else(denied)?;
         let mut hash = [0; 32];
         hash.copy_from_slice(ring::digest::digest(&ring::digest::SHA256, first).as_ref());
-        let key =
-            self.commit_service.keys.load().find(&Proof::Certificate(hash)).cloned().ok_or_else(denied)?;
+        let key = self
+            .commit_service
+            .keys
+            .load()
+            .find(&Proof::Certificate(hash))
+            .cloned()
+            .ok_or_else(denied)?;
         let rights = key.rights;
         Ok((key, rights))
     }
 
     pub(super) fn may_read<T>(&self, request: &Request<T>) -> Result<Key, Status> {
         let (key, rights) = self.key(request)?;
-        let denied =
-            format!("reading: is beyond the rights of this key (given: {rights}; taken: the right read)");
-        if rights.read { Ok(key) } else { Err(Status::permission_denied(denied)) }
+        let denied = format!(
+            "reading: is beyond the rights of this key (given: {rights}; taken: the right read)"
+        );
+        if rights.read {
+            Ok(key)
+        } else {
+            Err(Status::permission_denied(denied))
+        }
     }
 }
--- a/management/src/gnmi/arbitration.rs
+++ b/management/src/gnmi/arbitration.rs
@@ -14,7 +14,12 @@
         let role = said.role.as_ref().map_or("", |role| role.id.as_str());
         let id = said.election_id.as_ref().map(|id| (id.high, id.low));
         let id = id.ok_or_else(|| {
-            invalid_argument("master_arbitration", "has no election id", "nothing", "an election id")
+            invalid_argument(
+                "master_arbitration",
+                "has no election id",
+                "nothing",
+                "an election id",
+            )
         })?;
         let mut masters = self.masters.lock().unwrap_or_else(PoisonError::into_inner);
         // Roles that nobody has are not kept without end.
--- a/management/src/gnmi/confirmed_commit.rs
+++ b/management/src/gnmi/confirmed_commit.rs
@@ -14,7 +14,12 @@
 impl Service {
     /// The session at the commit service of who has this key: commits that wait are its.
     pub(super) async fn confirming_session(&self, key: &Key) -> Option<SessionId> {
-        if let Some(session) = self.sessions.lock().unwrap_or_else(PoisonError::into_inner).get(&key.name) {
+        if let Some(session) = self
+            .sessions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(&key.name)
+        {
             return Some(*session);
         }
         let session = self.commit_service.open().await?;
@@ -23,7 +28,11 @@
     }
 
     /// A commit-confirmed request that edits nothing: confirm or cancel what waits.
-    pub(super) async fn confirm_or_cancel(&self, key: &Key, said: &CommitExt) -> Result<bool, Status> {
+    pub(super) async fn confirm_or_cancel(
+        &self,
+        key: &Key,
+        said: &CommitExt,
+    ) -> Result<bool, Status> {
         let persist = Some(said.id.clone());
         match &said.action {
             Some(Action::Confirm(_)) => {
@@ -42,9 +51,9 @@
                     .map_err(|refused| refusal_status(&refused))?;
                 Ok(true)
             }
-            Some(Action::SetRollbackDuration(_)) => {
-                Err(Status::unimplemented("commit/set_rollback_duration: is not served here"))
-            }
+            Some(Action::SetRollbackDuration(_)) => Err(Status::unimplemented(
+                "commit/set_rollback_duration: is not served here",
+            )),
             Some(Action::Commit(_)) => Ok(false),
             None => Err(invalid_argument(
                 "commit",
--- a/management/src/gnmi/connections.rs
+++ b/management/src/gnmi/connections.rs
@@ -28,7 +28,9 @@
 
 impl AsyncRead for AdmittedConnection {
     fn poll_read(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
     ) -> Ready<std::io::Result<()>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
@@ -36,7 +38,9 @@
 
 impl AsyncWrite for AdmittedConnection {
     fn poll_write(
-        mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8],
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
     ) -> Ready<std::io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
@@ -52,7 +56,8 @@
 
 /// Connections that come, those beyond so many closed at once: half a handshake holds a place, not the service.
 pub(super) fn accept_connections(
-    listener: TcpListener, limit: usize,
+    listener: TcpListener,
+    limit: usize,
 ) -> ReceiverStream<std::io::Result<AdmittedConnection>> {
     let (sender, receiver) = mpsc::channel(1);
     let room = Arc::new(Semaphore::new(limit));
@@ -62,8 +67,17 @@
                 sleep(Duration::from_millis(100)).await;
                 continue;
             };
-            let Ok(permit) = room.clone().try_acquire_owned() else { continue };
-            if sender.send(Ok(AdmittedConnection { stream, _permit: permit })).await.is_err() {
+            let Ok(permit) = room.clone().try_acquire_owned() else {
+                continue;
+            };
+            if sender
+                .send(Ok(AdmittedConnection {
+                    stream,
+                    _permit: permit,
+                }))
+                .await
+                .is_err()
+            {
                 return;
             }
         }
--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -28,7 +28,11 @@
 impl Service {
     /// Edits of one update, replacement or deletion.
     pub(super) fn edit(
-        &self, prefix: Option<&Path>, path: &Path, value: Option<&TypedValue>, op: Op,
+        &self,
+        prefix: Option<&Path>,
+        path: &Path,
+        value: Option<&TypedValue>,
+        op: Op,
     ) -> Result<Vec<Edit>, Status> {
         let shown = path_text(path);
         let pattern = pattern(prefix, path)?;
@@ -55,15 +59,29 @@
                 (parent, Some(node), Step { name, keys: vec![] })
             }
             None => {
-                let (mut at, node) = pattern.instance(self.schema).map_err(|why| no_instance(shown, &why))?;
+                let (mut at, node) = pattern
+                    .instance(self.schema)
+                    .map_err(|why| no_instance(shown, &why))?;
                 match at.0.pop() {
                     Some(step) => (at, node, step),
-                    None => (at, None, Step { name: String::new(), keys: vec![] }),
+                    None => (
+                        at,
+                        None,
+                        Step {
+                            name: String::new(),
+                            keys: vec![],
+                        },
+                    ),
                 }
             }
         };
         let list = node.filter(|node| step.keys.is_empty() && self.is_list(*node));
-        Ok(EditTarget { parent, node, step, list })
+        Ok(EditTarget {
+            parent,
+            node,
+            step,
+            list,
+        })
     }
 
     /// The parent and the node of a list or leaf-list that a pattern names without keys.
@@ -79,29 +97,57 @@
     }
 
     fn is_list(&self, node: NodeId) -> bool {
-        matches!(self.schema.node_of(node).kind, NodeKind::List { .. } | NodeKind::LeafList { .. })
+        matches!(
+            self.schema.node_of(node).kind,
+            NodeKind::List { .. } | NodeKind::LeafList { .. }
+        )
     }
 
     /// Edits that remove what stands at the target, all entries of a list as well.
     fn removals(&self, target: &EditTarget, shown: &str) -> Result<Vec<Edit>, Status> {
         let there = self.entries_to_remove(target.node, &target.step, target.list);
-        let removal = |(node, step)| Edit { node, op: Some(Op::Remove), value: None, step, children: vec![] };
-        there.into_iter().map(|found| self.place(&target.parent, removal(found), shown)).collect()
+        let removal = |(node, step)| Edit {
+            node,
+            op: Some(Op::Remove),
+            value: None,
+            step,
+            children: vec![],
+        };
+        there
+            .into_iter()
+            .map(|found| self.place(&target.parent, removal(found), shown))
+            .collect()
     }
 
     /// Edits that merge a value into the target.
-    fn edits_of_value(&self, target: &EditTarget, shown: &str, value: &Value) -> Result<Vec<Edit>, Status> {
-        let EditTarget { parent, node, step, list } = target;
+    fn edits_of_value(
+        &self,
+        target: &EditTarget,
+        shown: &str,
+        value: &Value,
+    ) -> Result<Vec<Edit>, Status> {
+        let EditTarget {
+            parent,
+            node,
+            step,
+            list,
+        } = target;
         let json = self.json_of(shown, *node, value)?;
         let mut faults = vec![];
         let read = match (*node, *list) {
             (Some(node), Some(_)) => values_of_json(self.schema, node, parent, &json, &mut faults),
             (Some(node), None) => {
                 let json = with_keys(json, step);
-                one_of_json(self.schema, node, parent, &json, &mut faults).into_iter().collect()
+                one_of_json(self.schema, node, parent, &json, &mut faults)
+                    .into_iter()
+                    .collect()
             }
             (None, _) => {
-                let here = if step.name.is_empty() { parent.clone() } else { parent.below(step.clone()) };
+                let here = if step.name.is_empty() {
+                    parent.clone()
+                } else {
+                    parent.below(step.clone())
+                };
                 of_json(self.schema, None, &here, &json, &mut faults)
             }
         };
@@ -111,8 +157,13 @@
         if node.is_none() {
             return Ok(read);
         }
-        let merge = |edit| Edit { op: Some(Op::Merge), ..edit };
-        read.into_iter().map(|edit| self.place(parent, merge(edit), shown)).collect()
+        let merge = |edit| Edit {
+            op: Some(Op::Merge),
+            ..edit
+        };
+        read.into_iter()
+            .map(|edit| self.place(parent, merge(edit), shown))
+            .collect()
     }
 
     /// An edit below its parent, from the top of the model.
@@ -122,24 +173,40 @@
 
     /// What a removal at this place has to take away.
     fn entries_to_remove(
-        &self, node: Option<NodeId>, step: &Step, list: Option<NodeId>,
+        &self,
+        node: Option<NodeId>,
+        step: &Step,
+        list: Option<NodeId>,
     ) -> Vec<(NodeId, Step)> {
         let tree = &self.commit_service.published.load().in_force.tree;
         match (node, list) {
-            (Some(_), Some(list)) if matches!(self.schema.node_of(list).kind, NodeKind::List { .. }) => {
+            (Some(_), Some(list))
+                if matches!(self.schema.node_of(list).kind, NodeKind::List { .. }) =>
+            {
                 let names: Vec<String> = match self.schema.node_of(list).name.as_str() {
                     "host" => tree.hosts.keys().map(ToString::to_string).collect(),
                     "route" => tree.routes.keys().map(ToString::to_string).collect(),
                     _ => vec![],
                 };
-                let step = |name: String| Step { name: step.name.clone(), keys: vec![("name".into(), name)] };
+                let step = |name: String| Step {
+                    name: step.name.clone(),
+                    keys: vec![("name".into(), name)],
+                };
                 names.into_iter().map(|name| (list, step(name))).collect()
             }
             (Some(node), _) => vec![(node, step.clone())],
             (None, _) => {
                 let config = |id: &&NodeId| self.schema.node_of(**id).config;
-                let step = |id: NodeId| Step { name: self.schema.node_of(id).name.clone(), keys: vec![] };
-                self.schema.top.iter().filter(config).map(|id| (*id, step(*id))).collect()
+                let step = |id: NodeId| Step {
+                    name: self.schema.node_of(id).name.clone(),
+                    keys: vec![],
+                };
+                self.schema
+                    .top
+                    .iter()
+                    .filter(config)
+                    .map(|id| (*id, step(*id)))
+                    .collect()
             }
         }
     }
@@ -154,7 +221,9 @@
     match json {
         Json::Object(mut members) => {
             for (key, value) in &step.keys {
-                members.entry(key.clone()).or_insert_with(|| Json::String(value.clone()));
+                members
+                    .entry(key.clone())
+                    .or_insert_with(|| Json::String(value.clone()));
             }
             Json::Object(members)
         }
--- a/management/src/gnmi/encoding.rs
+++ b/management/src/gnmi/encoding.rs
@@ -26,12 +26,21 @@
 impl Service {
     pub(super) fn json_value(&self, data: &Data, of: Encoding) -> TypedValue {
         let bytes = json::value(self.schema, data).to_string().into_bytes();
-        let value = if of == Encoding::Json { Value::JsonVal(bytes) } else { Value::JsonIetfVal(bytes) };
+        let value = if of == Encoding::Json {
+            Value::JsonVal(bytes)
+        } else {
+            Value::JsonIetfVal(bytes)
+        };
         TypedValue { value: Some(value) }
     }
 
     /// A value in JSON's form, whatever it came in.
-    pub(super) fn json_of(&self, at: &str, node: Option<NodeId>, value: &Value) -> Result<Json, Status> {
+    pub(super) fn json_of(
+        &self,
+        at: &str,
+        node: Option<NodeId>,
+        value: &Value,
+    ) -> Result<Json, Status> {
         let typed = |text: String| {
             let of = node.map(|node| &self.schema.node_of(node).kind);
             match of {
@@ -60,7 +69,11 @@
             Value::BoolVal(flag) => Json::Bool(*flag),
             Value::LeaflistVal(all) => {
                 let items = all.element.iter().filter_map(|item| item.value.as_ref());
-                Json::Array(items.map(|item| self.json_of(at, node, item)).collect::<Result<_, _>>()?)
+                Json::Array(
+                    items
+                        .map(|item| self.json_of(at, node, item))
+                        .collect::<Result<_, _>>()?,
+                )
             }
             Value::BytesVal(_) | Value::AnyVal(_) | Value::ProtoBytes(_) => {
                 return Err(invalid_argument(
@@ -75,15 +88,25 @@
 }
 
 pub(super) fn update(at: &Instance, value: &TypedValue, duplicates: u32) -> Update {
-    Update { path: Some(path_of(at)), val: Some(value.clone()), duplicates }
+    Update {
+        path: Some(path_of(at)),
+        val: Some(value.clone()),
+        duplicates,
+    }
 }
 
 pub(super) fn collect(
-    schema: &Schema, of: Encoding, at: &Instance, data: &Data, out: &mut BTreeMap<Instance, TypedValue>,
+    schema: &Schema,
+    of: Encoding,
+    at: &Instance,
+    data: &Data,
+    out: &mut BTreeMap<Instance, TypedValue>,
 ) {
     match &data.content {
         Content::Inner(children) => {
-            children.iter().for_each(|child| collect(schema, of, &at.below(child.step(schema)), child, out));
+            children
+                .iter()
+                .for_each(|child| collect(schema, of, &at.below(child.step(schema)), child, out));
         }
         Content::Leaf(text) => {
             let list = matches!(schema.node_of(data.node).kind, NodeKind::LeafList { .. });
@@ -99,12 +122,22 @@
                 (_, value) => Value::JsonIetfVal(value.to_string().into_bytes()),
             };
             match (list, out.get_mut(at)) {
-                (true, Some(TypedValue { value: Some(Value::LeaflistVal(all)) })) => {
-                    all.element.push(TypedValue { value: Some(value) })
-                }
+                (
+                    true,
+                    Some(TypedValue {
+                        value: Some(Value::LeaflistVal(all)),
+                    }),
+                ) => all.element.push(TypedValue { value: Some(value) }),
                 (true, _) => {
-                    let all = ScalarArray { element: vec![TypedValue { value: Some(value) }] };
-                    out.insert(at.clone(), TypedValue { value: Some(Value::LeaflistVal(all)) });
+                    let all = ScalarArray {
+                        element: vec![TypedValue { value: Some(value) }],
+                    };
+                    out.insert(
+                        at.clone(),
+                        TypedValue {
+                            value: Some(Value::LeaflistVal(all)),
+                        },
+                    );
                 }
                 _ => drop(out.insert(at.clone(), TypedValue { value: Some(value) })),
             }
@@ -116,11 +149,18 @@
 fn proto_text(schema: &Schema, node: NodeId, text: &str) -> Value {
     use kestreltide_model::types::Type;
     match &schema.node_of(node).kind {
-        NodeKind::Leaf { of: Type::Whole { signed: true, .. }, .. } => {
-            Value::IntVal(text.parse().unwrap_or_default())
-        }
-        NodeKind::Leaf { of: Type::Whole { .. }, .. } => Value::UintVal(text.parse().unwrap_or_default()),
-        NodeKind::Leaf { of: Type::Decimal { .. }, .. } => Value::DoubleVal(text.parse().unwrap_or_default()),
+        NodeKind::Leaf {
+            of: Type::Whole { signed: true, .. },
+            ..
+        } => Value::IntVal(text.parse().unwrap_or_default()),
+        NodeKind::Leaf {
+            of: Type::Whole { .. },
+            ..
+        } => Value::UintVal(text.parse().unwrap_or_default()),
+        NodeKind::Leaf {
+            of: Type::Decimal { .. },
+            ..
+        } => Value::DoubleVal(text.parse().unwrap_or_default()),
         _ => Value::StringVal(text.into()),
     }
 }
--- a/management/src/gnmi/errors.rs
+++ b/management/src/gnmi/errors.rs
@@ -6,7 +6,9 @@
 
 pub(super) fn invalid_argument(path: &str, what: &str, given: &str, taken: &str) -> Status {
     let given = kestreltide_datastore::draft::shown(given);
-    Status::invalid_argument(kestreltide_datastore::Fault::new(path, what, given, taken).to_string())
+    Status::invalid_argument(
+        kestreltide_datastore::Fault::new(path, what, given, taken).to_string(),
+    )
 }
 
 pub(super) fn edit_errors_status(faults: &[EditFault]) -> Status {
@@ -18,7 +20,10 @@
     match refused {
         // Another's change of the same leaf, or a rule: the request is well, the time or the set is not.
         Refused::Faults(faults)
-            if faults.first.iter().any(|fault| fault.what.starts_with("was changed since")) =>
+            if faults
+                .first
+                .iter()
+                .any(|fault| fault.what.starts_with("was changed since")) =>
         {
             Status::aborted(refused.to_string())
         }
--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -10,12 +10,15 @@
 use super::encoding::{collect, encoding};
 use super::paths::{leads_nowhere, path_of, path_text, pattern, select};
 use super::{Service, nanos};
-use crate::proto::gnmi::{Encoding, GetRequest, GetResponse, Notification, Path, Update, get_request};
+use crate::proto::gnmi::{
+    Encoding, GetRequest, GetResponse, Notification, Path, Update, get_request,
+};
 use crate::state;
 
 impl Service {
     pub(super) async fn answer_get(
-        &self, request: Request<GetRequest>,
+        &self,
+        request: Request<GetRequest>,
     ) -> Result<Response<GetResponse>, Status> {
         self.may_read(&request)?;
         let asked = request.into_inner();
@@ -30,7 +33,11 @@
         let timestamp = nanos();
         let mut notification = Vec::new();
         let everything = [Path::default()];
-        for path in if asked.path.is_empty() { &everything[..] } else { &asked.path } {
+        for path in if asked.path.is_empty() {
+            &everything[..]
+        } else {
+            &asked.path
+        } {
             let wanted = pattern(asked.prefix.as_ref(), path)?;
             if !wanted.known(self.schema) {
                 return Err(leads_nowhere(path));
@@ -50,7 +57,10 @@
                 atomic: false,
             });
         }
-        Ok(Response::new(GetResponse { notification, extension: vec![] }))
+        Ok(Response::new(GetResponse {
+            notification,
+            extension: vec![],
+        }))
     }
 
     /// What of everything is asked for: what operators set, or the router's own.
@@ -60,7 +70,9 @@
             let config = |child: &Data| self.schema.node_of(child.node).config;
             match DataType::try_from(of) {
                 Ok(DataType::Config) => children.retain(config),
-                Ok(DataType::State | DataType::Operational) => children.retain(|child| !config(child)),
+                Ok(DataType::State | DataType::Operational) => {
+                    children.retain(|child| !config(child))
+                }
                 _ => {}
             }
         }
@@ -71,10 +83,16 @@
         let found = select(self.schema, wanted, data);
         if of == Encoding::Proto {
             let mut leaves = BTreeMap::new();
-            found.iter().for_each(|(at, data)| collect(self.schema, of, at, data, &mut leaves));
+            found
+                .iter()
+                .for_each(|(at, data)| collect(self.schema, of, at, data, &mut leaves));
             return leaves
                 .into_iter()
-                .map(|(at, val)| Update { path: Some(path_of(&at)), val: Some(val), duplicates: 0 })
+                .map(|(at, val)| Update {
+                    path: Some(path_of(&at)),
+                    val: Some(val),
+                    duplicates: 0,
+                })
                 .collect();
         }
         let update = |(at, data): (Instance, &Data)| Update {
--- a/management/src/gnmi/mod.rs
+++ b/management/src/gnmi/mod.rs
@@ -35,8 +35,8 @@
 use crate::commit_service::Handle;
 use crate::proto::gnmi::g_nmi_server::GNmi;
 use crate::proto::gnmi::{
-    CapabilityRequest, CapabilityResponse, Encoding, GetRequest, GetResponse, ModelData, SetRequest,
-    SetResponse, SubscribeRequest,
+    CapabilityRequest, CapabilityResponse, Encoding, GetRequest, GetResponse, ModelData,
+    SetRequest, SetResponse, SubscribeRequest,
 };
 
 const VERSION: &str = "0.10.0";
@@ -77,7 +77,8 @@
     type SubscribeStream = Responses;
 
     async fn capabilities(
-        &self, request: Request<CapabilityRequest>,
+        &self,
+        request: Request<CapabilityRequest>,
     ) -> Result<Response<CapabilityResponse>, Status> {
         self.key(&request)?;
         Ok(Response::new(CapabilityResponse {
@@ -101,7 +102,8 @@
     }
 
     async fn subscribe(
-        &self, request: Request<Streaming<SubscribeRequest>>,
+        &self,
+        request: Request<Streaming<SubscribeRequest>>,
     ) -> Result<Response<Responses>, Status> {
         self.start_subscription(request).await
     }
--- a/management/src/gnmi/path_subscription.rs
+++ b/management/src/gnmi/path_subscription.rs
@@ -30,10 +30,17 @@
 
 impl PathSubscription {
     pub(super) fn new(
-        selection: Selection, of: &crate::proto::gnmi::Subscription, limits: &Limits,
+        selection: Selection,
+        of: &crate::proto::gnmi::Subscription,
+        limits: &Limits,
     ) -> Result<Self, Status> {
         let mode = SubscriptionMode::try_from(of.mode).map_err(|_| {
-            invalid_argument("subscription/mode", "no such mode", &of.mode.to_string(), "ON_CHANGE or SAMPLE")
+            invalid_argument(
+                "subscription/mode",
+                "no such mode",
+                &of.mode.to_string(),
+                "ON_CHANGE or SAMPLE",
+            )
         })?;
         let on_change = mode != SubscriptionMode::Sample;
         let least = Duration::from_secs_f64(limits.sample);
@@ -48,10 +55,13 @@
             ));
         }
         let sample = (!on_change).then(|| interval.max(least));
-        let heartbeat =
-            (of.heartbeat_interval > 0).then(|| Duration::from_nanos(of.heartbeat_interval).max(least));
+        let heartbeat = (of.heartbeat_interval > 0)
+            .then(|| Duration::from_nanos(of.heartbeat_interval).max(least));
         let (now, sent) = (Instant::now(), Arc::default());
-        let (due, beat) = (sample.map(|every| now + every), heartbeat.map(|every| now + every));
+        let (due, beat) = (
+            sample.map(|every| now + every),
+            heartbeat.map(|every| now + every),
+        );
         Ok(PathSubscription {
             selection,
             on_change,
@@ -82,21 +92,40 @@
         if !(self.on_change && changed || sampled || beat) {
             return None;
         }
-        Some(if beat || sampled && !self.suppress { Due::Everything } else { Due::Changes })
+        Some(if beat || sampled && !self.suppress {
+            Due::Everything
+        } else {
+            Due::Changes
+        })
     }
 
     /// The updates and deletions that bring it to a snapshot, which counts as sent from here on. What has changed
     /// carries the count of changes that it stands for.
     pub(super) fn take_updates(
-        &mut self, schema: &Schema, snapshot: &Snapshot, due: Due, coalesced: u32,
+        &mut self,
+        schema: &Schema,
+        snapshot: &Snapshot,
+        due: Due,
+        coalesced: u32,
     ) -> (Vec<Update>, Vec<Path>) {
         let (now, changes) = snapshot.changes(schema, &self.selection, &self.sent);
-        let mut updates: Vec<_> =
-            changes.updates.iter().map(|(at, value)| update(at, value, coalesced)).collect();
+        let mut updates: Vec<_> = changes
+            .updates
+            .iter()
+            .map(|(at, value)| update(at, value, coalesced))
+            .collect();
         if due == Due::Everything {
-            let told =
-                |at: &Instance| changes.updates.binary_search_by(|(changed, _)| changed.cmp(at)).is_ok();
-            updates.extend(now.iter().filter(|(at, _)| !told(at)).map(|(at, value)| update(at, value, 0)));
+            let told = |at: &Instance| {
+                changes
+                    .updates
+                    .binary_search_by(|(changed, _)| changed.cmp(at))
+                    .is_ok()
+            };
+            updates.extend(
+                now.iter()
+                    .filter(|(at, _)| !told(at))
+                    .map(|(at, value)| update(at, value, 0)),
+            );
         }
         self.sent = now;
         (updates, changes.deleted.clone())
--- a/management/src/gnmi/paths.rs
+++ b/management/src/gnmi/paths.rs
@@ -14,10 +14,19 @@
     let mut all = Pattern::default();
     for path in prefix.into_iter().chain([path]) {
         if !["", "kestreltide", "openconfig", "rfc7951"].contains(&path.origin.as_str()) {
-            return Err(invalid_argument(&shown, "no such origin", &path.origin, "none, or kestreltide"));
+            return Err(invalid_argument(
+                &shown,
+                "no such origin",
+                &path.origin,
+                "none, or kestreltide",
+            ));
         }
         let steps = path.elem.iter().map(|elem| {
-            let keys = elem.key.iter().map(|(name, value)| (name.clone(), value.clone())).collect();
+            let keys = elem
+                .key
+                .iter()
+                .map(|(name, value)| (name.clone(), value.clone()))
+                .collect();
             (elem.name.as_str(), keys)
         });
         let steps = Pattern::steps(steps)
@@ -33,7 +42,8 @@
         out += &format!("/{}", elem.name);
         let mut keys: Vec<_> = elem.key.iter().collect();
         keys.sort();
-        keys.iter().for_each(|(name, value)| out += &format!("[{name}={value}]"));
+        keys.iter()
+            .for_each(|(name, value)| out += &format!("[{name}={value}]"));
     }
     if out.is_empty() { "/".into() } else { out }
 }
@@ -47,15 +57,27 @@
 }
 
 /// The instances that a pattern selects from data; those at the top for the empty pattern.
-pub(super) fn select<'a>(schema: &Schema, pattern: &Pattern, data: &'a [Data]) -> Vec<(Instance, &'a Data)> {
+pub(super) fn select<'a>(
+    schema: &Schema,
+    pattern: &Pattern,
+    data: &'a [Data],
+) -> Vec<(Instance, &'a Data)> {
     if pattern.0.is_empty() {
-        data.iter().map(|data| (Instance(vec![data.step(schema)]), data)).collect()
+        data.iter()
+            .map(|data| (Instance(vec![data.step(schema)]), data))
+            .collect()
     } else {
         pattern.select(schema, data)
     }
 }
 
 pub(super) fn path_of(at: &Instance) -> Path {
-    let elem = |step: &Step| PathElem { name: step.name.clone(), key: step.keys.iter().cloned().collect() };
-    Path { elem: at.0.iter().map(elem).collect(), ..Path::default() }
+    let elem = |step: &Step| PathElem {
+        name: step.name.clone(),
+        key: step.keys.iter().cloned().collect(),
+    };
+    Path {
+        elem: at.0.iter().map(elem).collect(),
+        ..Path::default()
+    }
 }
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -28,7 +28,11 @@
 
 /// Serves until the listener fails for good.
 pub async fn serve(
-    log: Logger, commit_service: Handle, limits: Limits, listener: TcpListener, tls: Tls,
+    log: Logger,
+    commit_service: Handle,
+    limits: Limits,
+    listener: TcpListener,
+    tls: Tls,
 ) -> Result<(), String> {
     let schema = kestreltide_model::published()?;
     let bind = Arc::new(Bind::new(schema)?);
@@ -50,8 +54,9 @@
     };
     let service = GNmiServer::new(service).max_decoding_message_size(limits.message);
     let config = tls_config(tls, &limits);
-    let server =
-        Server::builder().tls_config(config).map_err(|e| format!("certificate: cannot be used: {e}"))?;
+    let server = Server::builder()
+        .tls_config(config)
+        .map_err(|e| format!("certificate: cannot be used: {e}"))?;
     let alive = Duration::from_secs_f64(limits.alive);
     let mut server = server
         .max_concurrent_streams(limits.streams)
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -20,7 +20,8 @@
 
 impl Service {
     pub(super) async fn apply_set(
-        &self, request: Request<SetRequest>,
+        &self,
+        request: Request<SetRequest>,
     ) -> Result<Response<SetResponse>, Status> {
         let (key, rights) = self.key(&request)?;
         let asked = request.into_inner();
@@ -37,14 +38,30 @@
         let response = self.edit_candidate(&mut candidate, &asked)?;
         let author = self.next_author(&key);
         if let Err(fault) = rights.check(&published.in_force.tree.differences(&candidate.tree)) {
-            (self.commit_service.ask)(crate::Ask::Denied { author, fault: fault.clone() });
+            (self.commit_service.ask)(crate::Ask::Denied {
+                author,
+                fault: fault.clone(),
+            });
             return Err(Status::permission_denied(fault.to_string()));
         }
-        let session = if confirm.is_some() { self.confirming_session(&key).await } else { None };
-        match self.commit_service.commit(session, candidate, author, confirm, None).await {
+        let session = if confirm.is_some() {
+            self.confirming_session(&key).await
+        } else {
+            None
+        };
+        match self
+            .commit_service
+            .commit(session, candidate, author, confirm, None)
+            .await
+        {
             Ok(Commit::Taken(_) | Commit::Nothing) => {
                 let prefix = asked.prefix.clone();
-                Ok(Response::new(SetResponse { prefix, response, timestamp: nanos(), extension: vec![] }))
+                Ok(Response::new(SetResponse {
+                    prefix,
+                    response,
+                    timestamp: nanos(),
+                    extension: vec![],
+                }))
             }
             Err(refused) => Err(refusal_status(&refused)),
         }
@@ -52,23 +69,43 @@
 
     /// Deletions, then replacements, then updates, as one transaction (gNMI, section 3.4.3).
     fn edit_candidate(
-        &self, candidate: &mut Candidate, asked: &SetRequest,
+        &self,
+        candidate: &mut Candidate,
+        asked: &SetRequest,
     ) -> Result<Vec<UpdateResult>, Status> {
         let prefix = asked.prefix.as_ref();
         let mut response = Vec::new();
-        let update = |update: &Update| (update.path.clone().unwrap_or_default(), update.val.clone());
-        let deletes = asked
-            .delete
+        let update =
+            |update: &Update| (update.path.clone().unwrap_or_default(), update.val.clone());
+        let deletes = asked.delete.iter().map(|path| {
+            (
+                (path.clone(), None),
+                Op::Remove,
+                update_result::Operation::Delete,
+            )
+        });
+        let replaces = asked
+            .replace
+            .iter()
+            .map(|u| (update(u), Op::Replace, update_result::Operation::Replace));
+        let updates = asked
+            .update
             .iter()
-            .map(|path| ((path.clone(), None), Op::Remove, update_result::Operation::Delete));
-        let replaces =
-            asked.replace.iter().map(|u| (update(u), Op::Replace, update_result::Operation::Replace));
-        let updates = asked.update.iter().map(|u| (update(u), Op::Merge, update_result::Operation::Update));
+            .map(|u| (update(u), Op::Merge, update_result::Operation::Update));
         for ((path, value), op, told) in deletes.chain(replaces).chain(updates) {
             let edits = self.edit(prefix, &path, value.as_ref(), op)?;
-            apply(self.schema, &self.bind, &mut candidate.tree, &edits, Op::Merge)
-                .map_err(|faults| edit_errors_status(&faults))?;
-            response.push(UpdateResult { path: Some(path), op: told.into() });
+            apply(
+                self.schema,
+                &self.bind,
+                &mut candidate.tree,
+                &edits,
+                Op::Merge,
+            )
+            .map_err(|faults| edit_errors_status(&faults))?;
+            response.push(UpdateResult {
+                path: Some(path),
+                op: told.into(),
+            });
         }
         Ok(response)
     }
@@ -76,7 +113,11 @@
     /// The author of the next revision, with a number of its own.
     fn next_author(&self, key: &Key) -> Author {
         let number = self.number.fetch_add(1, Relaxed);
-        Author { source: Source::Management, name: key.name.clone(), version: format!("gnmi set {number}") }
+        Author {
+            source: Source::Management,
+            name: key.name.clone(),
+            version: format!("gnmi set {number}"),
+        }
     }
 }
 
@@ -84,7 +125,12 @@
 fn settled(asked: &SetRequest) -> Result<Response<SetResponse>, Status> {
     let empty = asked.delete.is_empty() && asked.replace.is_empty() && asked.update.is_empty();
     if !empty {
-        return Err(invalid_argument("commit", "confirms or cancels, and edits too", "edits", "one of both"));
+        return Err(invalid_argument(
+            "commit",
+            "confirms or cancels, and edits too",
+            "edits",
+            "one of both",
+        ));
     }
     Ok(Response::new(SetResponse {
         prefix: asked.prefix.clone(),
@@ -99,8 +145,9 @@
         Some(Action::Commit(request)) => request.rollback_duration.as_ref(),
         _ => None,
     };
-    let within =
-        said_time.map_or(DEFAULT_CONFIRM_SECONDS, |time| time.seconds as f64 + f64::from(time.nanos) / 1e9);
+    let within = said_time.map_or(DEFAULT_CONFIRM_SECONDS, |time| {
+        time.seconds as f64 + f64::from(time.nanos) / 1e9
+    });
     if !(0.1..=86_400.0).contains(&within) || said.id.is_empty() {
         return Err(invalid_argument(
             "commit",
@@ -109,17 +156,30 @@
             "an id, 0.1 to 86400 seconds",
         ));
     }
-    Ok(Confirm { within, persist: Some(said.id.clone()) })
+    Ok(Confirm {
+        within,
+        persist: Some(said.id.clone()),
+    })
 }
 
 fn as_arbitration(ext: &Ext) -> Option<&MasterArbitration> {
-    if let Ext::MasterArbitration(said) = ext { Some(said) } else { None }
+    if let Ext::MasterArbitration(said) = ext {
+        Some(said)
+    } else {
+        None
+    }
 }
 
 fn as_commit(ext: &Ext) -> Option<&CommitExt> {
-    if let Ext::Commit(said) = ext { Some(said) } else { None }
+    if let Ext::Commit(said) = ext {
+        Some(said)
+    } else {
+        None
+    }
 }
 
 fn extension<'a, T>(all: &'a [Extension], of: impl Fn(&'a Ext) -> Option<T>) -> Option<T> {
-    all.iter().filter_map(|extension| extension.ext.as_ref()).find_map(of)
+    all.iter()
+        .filter_map(|extension| extension.ext.as_ref())
+        .find_map(of)
 }
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -48,7 +48,13 @@
 impl Snapshot {
     fn new(number: u64, make: Box<dyn Fn() -> Vec<Data> + Send + Sync>) -> Self {
         let (data, found, differences) = (OnceLock::new(), Mutex::default(), Mutex::default());
-        Snapshot { number, make, data, found, differences }
+        Snapshot {
+            number,
+            make,
+            data,
+            found,
+            differences,
+        }
     }
 
     fn data(&self) -> &[Data] {
@@ -61,10 +67,15 @@
         if let Some(leaves) = found.get(selection) {
             return leaves.clone();
         }
-        let (pattern, encoding) = (&selection.0, Encoding::try_from(selection.1).unwrap_or_default());
+        let (pattern, encoding) = (
+            &selection.0,
+            Encoding::try_from(selection.1).unwrap_or_default(),
+        );
         let instances = select(schema, pattern, self.data());
         let mut leaves = Leaves::new();
-        instances.iter().for_each(|(at, data)| collect(schema, encoding, at, data, &mut leaves));
+        instances
+            .iter()
+            .for_each(|(at, data)| collect(schema, encoding, at, data, &mut leaves));
         let leaves = Arc::new(leaves);
         // Bounded by what streams there are; the next change begins anew.
         found.insert(selection.clone(), leaves.clone());
@@ -73,7 +84,10 @@
 
     /// What differs from what a stream has sent.
     pub(super) fn changes(
-        &self, schema: &Schema, selection: &Selection, sent: &Arc<Leaves>,
+        &self,
+        schema: &Schema,
+        selection: &Selection,
+        sent: &Arc<Leaves>,
     ) -> (Arc<Leaves>, Arc<Changes>) {
         let now = self.leaves(schema, selection);
         if Arc::ptr_eq(&now, sent) {
@@ -81,13 +95,24 @@
         }
         // Held with it, so that the place in memory stays that of these leaves.
         let key = (selection.clone(), Arc::as_ptr(sent) as usize);
-        let mut differences = self.differences.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut differences = self
+            .differences
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         if let Some((_, changes)) = differences.get(&key) {
             return (now, changes.clone());
         }
         let differs = |(at, value): &(&Instance, &TypedValue)| sent.get(*at) != Some(*value);
-        let updates = now.iter().filter(differs).map(|(at, value)| (at.clone(), value.clone())).collect();
-        let deleted = sent.keys().filter(|at| !now.contains_key(*at)).map(path_of).collect();
+        let updates = now
+            .iter()
+            .filter(differs)
+            .map(|(at, value)| (at.clone(), value.clone()))
+            .collect();
+        let deleted = sent
+            .keys()
+            .filter(|at| !now.contains_key(*at))
+            .map(path_of)
+            .collect();
         let changes = Arc::new(Changes { updates, deleted });
         differences.insert(key, (sent.clone(), changes.clone()));
         (now, changes)
@@ -99,27 +124,41 @@
 
 /// Follows what is published, and says when something changed. Streams share what they make of it.
 pub(super) fn follow_published(
-    schema: &'static Schema, bind: Arc<Bind>, commit_service: Handle,
+    schema: &'static Schema,
+    bind: Arc<Bind>,
+    commit_service: Handle,
 ) -> watch::Receiver<Arc<Snapshot>> {
     let snapshot = move |number, view: &Arc<View>, published: &Arc<Published>| {
         let (bind, view, published) = (bind.clone(), view.clone(), published.clone());
-        Arc::new(Snapshot::new(number, Box::new(move || vec![state::all(schema, &bind, &view, &published)])))
+        Arc::new(Snapshot::new(
+            number,
+            Box::new(move || vec![state::all(schema, &bind, &view, &published)]),
+        ))
     };
-    let (mut view, mut published) = (commit_service.view.load_full(), commit_service.published.load_full());
+    let (mut view, mut published) = (
+        commit_service.view.load_full(),
+        commit_service.published.load_full(),
+    );
     let (sender, receiver) = watch::channel(snapshot(0, &view, &published));
     tokio::spawn(async move {
         let mut number = 0;
         while !sender.is_closed() {
             // Nobody has to tell: a look costs two pointers.
             sleep(LOOK_INTERVAL).await;
-            let (now, published_now) =
-                (commit_service.view.load_full(), commit_service.published.load_full());
+            let (now, published_now) = (
+                commit_service.view.load_full(),
+                commit_service.published.load_full(),
+            );
             if Arc::ptr_eq(&now, &view) && Arc::ptr_eq(&published_now, &published) {
                 continue;
             }
             // Each revision counts, also those that came between two looks: who is told of the newest is told how
             // many it stands for.
-            let revisions = published_now.in_force.revision.0.saturating_sub(published.in_force.revision.0);
+            let revisions = published_now
+                .in_force
+                .revision
+                .0
+                .saturating_sub(published.in_force.revision.0);
             (view, published, number) = (now, published_now, number + revisions.max(1));
             let _ = sender.send(snapshot(number, &view, &published));
         }
--- a/management/src/gnmi/stream.rs
+++ b/management/src/gnmi/stream.rs
@@ -51,7 +51,13 @@
     }
 
     async fn send(&self, response: Told) -> bool {
-        self.sender.send(Ok(SubscribeResponse { response: Some(response), extension: vec![] })).await.is_ok()
+        self.sender
+            .send(Ok(SubscribeResponse {
+                response: Some(response),
+                extension: vec![],
+            }))
+            .await
+            .is_ok()
     }
 
     /// Everything that is wanted, then that it was everything.
@@ -70,12 +76,22 @@
 
     async fn send_notification(&self, update: Vec<Update>, delete: Vec<Path>) -> bool {
         let prefix = self.prefix.clone();
-        self.send(Told::Update(Notification { timestamp: nanos(), prefix, update, delete, atomic: false }))
-            .await
+        self.send(Told::Update(Notification {
+            timestamp: nanos(),
+            prefix,
+            update,
+            delete,
+            atomic: false,
+        }))
+        .await
     }
 
     async fn serve_once(&mut self) -> &'static str {
-        if self.send_all(self.updates_only).await { "all was sent" } else { "it went away" }
+        if self.send_all(self.updates_only).await {
+            "all was sent"
+        } else {
+            "it went away"
+        }
     }
 
     async fn serve_polls(&mut self, mut asks: Streaming<SubscribeRequest>) -> &'static str {
@@ -95,7 +111,12 @@
                 _ => {
                     let _ = self
                         .sender
-                        .send(Err(invalid_argument("subscribe", "is no poll", "another", "a poll")))
+                        .send(Err(invalid_argument(
+                            "subscribe",
+                            "is no poll",
+                            "another",
+                            "a poll",
+                        )))
                         .await;
                     return "it sent something else than a poll";
                 }
@@ -126,7 +147,9 @@
             if !self.may_still_read() {
                 let _ = self
                     .sender
-                    .send(Err(Status::unauthenticated("certificate: is no longer in the file of keys")))
+                    .send(Err(Status::unauthenticated(
+                        "certificate: is no longer in the file of keys",
+                    )))
                     .await;
                 return "its key is no longer in the file of keys";
             }
@@ -142,9 +165,15 @@
     /// Waits for a change, for a timer of a subscription or for the next look at the keys; an error says what ends
     /// the stream.
     async fn wait(
-        &self, changes: &mut watch::Receiver<Arc<Snapshot>>, asks: &mut Streaming<SubscribeRequest>,
+        &self,
+        changes: &mut watch::Receiver<Arc<Snapshot>>,
+        asks: &mut Streaming<SubscribeRequest>,
     ) -> Result<(), &'static str> {
-        let next = self.subscriptions.iter().filter_map(PathSubscription::next_timer).min();
+        let next = self
+            .subscriptions
+            .iter()
+            .filter_map(PathSubscription::next_timer)
+            .min();
         // Keys may go at any time, also while nothing changes.
         let look = Instant::now() + Duration::from_secs(1);
         tokio::select! {
@@ -169,10 +198,13 @@
         let now = Instant::now();
         for place in 0..self.subscriptions.len() {
             let subscription = &mut self.subscriptions[place];
-            let Some(due) = subscription.due_at(now, progress.changed) else { continue };
+            let Some(due) = subscription.due_at(now, progress.changed) else {
+                continue;
+            };
             let (updates, deleted) =
                 subscription.take_updates(self.context.schema, snapshot, due, progress.coalesced);
-            if (!updates.is_empty() || !deleted.is_empty()) && !self.send_notification(updates, deleted).await
+            if (!updates.is_empty() || !deleted.is_empty())
+                && !self.send_notification(updates, deleted).await
             {
                 return false;
             }
@@ -192,6 +224,9 @@
 
 impl Progress {
     fn between(seen: u64, number: u64) -> Self {
-        Progress { changed: number != seen, coalesced: number.saturating_sub(seen + 1) as u32 }
+        Progress {
+            changed: number != seen,
+            coalesced: number.saturating_sub(seen + 1) as u32,
+        }
     }
 }
--- a/management/src/gnmi/subscribe.rs
+++ b/management/src/gnmi/subscribe.rs
@@ -26,11 +26,15 @@
 
 impl Service {
     pub(super) async fn start_subscription(
-        &self, request: Request<Streaming<SubscribeRequest>>,
+        &self,
+        request: Request<Streaming<SubscribeRequest>>,
     ) -> Result<Response<Responses>, Status> {
         let key = self.may_read(&request)?;
         let mut asks = request.into_inner();
-        let Some(Ok(SubscribeRequest { request: Some(Asked::Subscribe(list)), .. })) = asks.next().await
+        let Some(Ok(SubscribeRequest {
+            request: Some(Asked::Subscribe(list)),
+            ..
+        })) = asks.next().await
         else {
             return Err(invalid_argument(
                 "subscribe",
@@ -40,10 +44,17 @@
             ));
         };
         if self.streams.load(Relaxed) >= self.limits.sessions {
-            return Err(Status::resource_exhausted("subscribe: no room for one more stream"));
+            return Err(Status::resource_exhausted(
+                "subscribe: no room for one more stream",
+            ));
         }
         let mode = Mode::try_from(list.mode).map_err(|_| {
-            invalid_argument("subscribe/mode", "no such mode", &list.mode.to_string(), "STREAM, ONCE or POLL")
+            invalid_argument(
+                "subscribe/mode",
+                "no such mode",
+                &list.mode.to_string(),
+                "STREAM, ONCE or POLL",
+            )
         })?;
         let encoding = encoding(list.encoding)?;
         let subscriptions = self.path_subscriptions(&list, encoding)?;
@@ -67,7 +78,9 @@
 
     /// The subscriptions of a list, each with a path that the model knows.
     fn path_subscriptions(
-        &self, list: &SubscriptionList, encoding: Encoding,
+        &self,
+        list: &SubscriptionList,
+        encoding: Encoding,
     ) -> Result<Vec<PathSubscription>, Status> {
         let mut subscriptions = Vec::new();
         for one in &list.subscription {
@@ -76,7 +89,11 @@
             if !pattern.known(self.schema) {
                 return Err(leads_nowhere(&path));
             }
-            subscriptions.push(PathSubscription::new((pattern, encoding.into()), one, &self.limits)?);
+            subscriptions.push(PathSubscription::new(
+                (pattern, encoding.into()),
+                one,
+                &self.limits,
+            )?);
         }
         if subscriptions.is_empty() || subscriptions.len() > MAX_SUBSCRIPTIONS {
             return Err(invalid_argument(
@@ -102,5 +119,8 @@
 /// The prefix that notifications repeat: its target alone, where it has one.
 fn target_only(prefix: &Path) -> Option<Path> {
     let target = prefix.target.clone();
-    (!target.is_empty()).then(|| Path { target, ..Path::default() })
+    (!target.is_empty()).then(|| Path {
+        target,
+        ..Path::default()
+    })
 }
--- a/management/src/netconf/framing.rs
+++ b/management/src/netconf/framing.rs
@@ -45,7 +45,15 @@
     /// Messages of so many bytes at most.
     pub fn new(most: usize) -> Self {
         let (buffer, message) = (vec![], vec![]);
-        Frames { framing: Framing::EndMark, most, buffer, looked: 0, message, chunk: 0, chunks: 0 }
+        Frames {
+            framing: Framing::EndMark,
+            most,
+            buffer,
+            looked: 0,
+            message,
+            chunk: 0,
+            chunks: 0,
+        }
     }
 
     /// How messages end at present.
@@ -72,7 +80,9 @@
     }
 
     fn by_mark(&mut self) -> Result<Option<Vec<u8>>, Malformed> {
-        let found = self.buffer[self.looked..].windows(END.len()).position(|window| window == END);
+        let found = self.buffer[self.looked..]
+            .windows(END.len())
+            .position(|window| window == END);
         match found {
             Some(place) => {
                 let end = self.looked + place;
@@ -84,7 +94,9 @@
                 self.looked = 0;
                 Ok(Some(message))
             }
-            None if self.buffer.len() > self.most + END.len() => Err(Malformed("a message is too long")),
+            None if self.buffer.len() > self.most + END.len() => {
+                Err(Malformed("a message is too long"))
+            }
             None => {
                 self.looked = self.buffer.len().saturating_sub(END.len() - 1);
                 Ok(None)
@@ -142,7 +154,9 @@
     if !bytes.starts_with(begun) {
         return Err(WRONG);
     }
-    let Some(first) = bytes.get(2) else { return Ok(None) };
+    let Some(first) = bytes.get(2) else {
+        return Ok(None);
+    };
     if *first == b'#' {
         return match bytes.get(3) {
             Some(b'\n') => Ok(Some((Header::End, 4))),
@@ -150,7 +164,11 @@
             None => Ok(None),
         };
     }
-    let digits = bytes[2..].iter().take(DIGITS + 1).take_while(|byte| byte.is_ascii_digit()).count();
+    let digits = bytes[2..]
+        .iter()
+        .take(DIGITS + 1)
+        .take_while(|byte| byte.is_ascii_digit())
+        .count();
     if digits > DIGITS || *first == b'0' || digits == 0 {
         return Err(WRONG);
     }
@@ -159,7 +177,8 @@
         Some(b'\n') => {
             let text = std::str::from_utf8(&bytes[2..2 + digits]).map_err(|_| WRONG)?;
             let size: u64 = text.parse().map_err(|_| WRONG)?;
-            let size = u32::try_from(size).map_err(|_| Malformed("a chunk is longer than any may be"))?;
+            let size =
+                u32::try_from(size).map_err(|_| Malformed("a chunk is longer than any may be"))?;
             Ok(Some((Header::Chunk(size as usize), 2 + digits + 1)))
         }
         Some(_) => Err(WRONG),
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -47,7 +47,14 @@
     pub fn new(log: Logger, commit_service: Handle, limits: Limits) -> Result<Self, String> {
         let schema = kestreltide_model::published()?;
         let bind = Arc::new(Bind::new(schema)?);
-        Ok(Shared { log, commit_service, limits, schema, bind, sessions: Mutex::default() })
+        Ok(Shared {
+            log,
+            commit_service,
+            limits,
+            schema,
+            bind,
+            sessions: Mutex::default(),
+        })
     }
 
     fn with_sessions<T>(&self, with: impl FnOnce(&mut BTreeMap<SessionId, Arc<Notify>>) -> T) -> T {
@@ -56,7 +63,10 @@
 
     /// The rights of a key as the file of keys has them now; none where it is no longer there.
     pub fn rights(&self, key: &Key) -> Option<Rights> {
-        self.commit_service.keys.load().rights(&key.name, &key.proof)
+        self.commit_service
+            .keys
+            .load()
+            .rights(&key.name, &key.proof)
     }
 }
 
@@ -110,10 +120,19 @@
 }
 
 /// One connection to its end. The exchange of versions and keys, then proving who one is: one time for all of it.
-async fn serve_connection(shared: Arc<Shared>, config: Arc<russh::server::Config>, stream: TcpStream) {
+async fn serve_connection(
+    shared: Arc<Shared>,
+    config: Arc<russh::server::Config>,
+    stream: TcpStream,
+) {
     let entered = Arc::new(AtomicBool::new(false));
     let patience = Duration::from_secs_f64(shared.limits.enter);
-    let handler = Connection { shared, entered: entered.clone(), key: None, channels: BTreeMap::new() };
+    let handler = Connection {
+        shared,
+        entered: entered.clone(),
+        key: None,
+        channels: BTreeMap::new(),
+    };
     let running = timeout(patience, russh::server::run_stream(config, stream, handler)).await;
     let Ok(Ok(running)) = running else { return };
     tokio::pin!(running);
@@ -137,7 +156,11 @@
 impl Handler for Connection {
     type Error = russh::Error;
 
-    async fn auth_publickey(&mut self, user: &str, key: VerifiedPublicKey<'_>) -> Result<Auth, Self::Error> {
+    async fn auth_publickey(
+        &mut self,
+        user: &str,
+        key: VerifiedPublicKey<'_>,
+    ) -> Result<Auth, Self::Error> {
         let known = proof(key.public_key)
             .and_then(|proof| self.shared.commit_service.keys.load().find(&proof).cloned());
         Ok(match known.filter(|key| key.name == user) {
@@ -151,7 +174,10 @@
     }
 
     async fn channel_open_session(
-        &mut self, channel: Channel<Msg>, reply: ChannelOpenHandle, _: &mut Ssh,
+        &mut self,
+        channel: Channel<Msg>,
+        reply: ChannelOpenHandle,
+        _: &mut Ssh,
     ) -> Result<(), Self::Error> {
         // One session a connection is what there is use for; a few may be opened and closed.
         if self.channels.len() < 4 {
@@ -164,7 +190,10 @@
     }
 
     async fn subsystem_request(
-        &mut self, id: ChannelId, name: &str, session: &mut Ssh,
+        &mut self,
+        id: ChannelId,
+        name: &str,
+        session: &mut Ssh,
     ) -> Result<(), Self::Error> {
         let (Some(channel), Some(key)) = (self.channels.remove(&id), self.key.clone()) else {
             return session.channel_failure(id);
@@ -178,7 +207,11 @@
         tokio::spawn(async move {
             serve_session(shared, key, channel).await;
             let _ = ssh
-                .disconnect(russh::Disconnect::ByApplication, "the session is over".into(), "en".into())
+                .disconnect(
+                    russh::Disconnect::ByApplication,
+                    "the session is over".into(),
+                    "en".into(),
+                )
                 .await;
         });
         Ok(())
@@ -187,7 +220,9 @@
 
 /// One session from its hello to its end, whatever ends it.
 async fn serve_session(shared: Arc<Shared>, key: Key, channel: Channel<Msg>) {
-    let Some(id) = shared.commit_service.open().await else { return };
+    let Some(id) = shared.commit_service.open().await else {
+        return;
+    };
     let killed = Arc::new(Notify::new());
     let room = shared.with_sessions(|sessions| {
         let room = sessions.len() < shared.limits.sessions;
@@ -210,12 +245,25 @@
 
 /// Exchanges messages over a channel until something ends the session; says what.
 async fn exchange_messages(
-    shared: &Shared, id: SessionId, key: &Key, channel: Channel<Msg>, killed: &Notify,
+    shared: &Shared,
+    id: SessionId,
+    key: &Key,
+    channel: Channel<Msg>,
+    killed: &Notify,
 ) -> &'static str {
     let (reading, writing) = tokio::io::split(channel.into_stream());
     let session = Session::new(id, &key.name, shared.schema, shared.bind.clone());
     let frames = Frames::new(shared.limits.message);
-    let mut exchange = Exchange { shared, id, key, session, frames, writing, news: None, missed: 0 };
+    let mut exchange = Exchange {
+        shared,
+        id,
+        key,
+        session,
+        frames,
+        writing,
+        news: None,
+        missed: 0,
+    };
     match exchange.run(reading, killed).await {
         Err(why) => why,
     }
@@ -243,9 +291,12 @@
 
 impl<W: AsyncWrite + Unpin> Exchange<'_, W> {
     async fn run(
-        &mut self, mut reading: impl AsyncRead + Unpin, killed: &Notify,
+        &mut self,
+        mut reading: impl AsyncRead + Unpin,
+        killed: &Notify,
     ) -> Result<Infallible, Over> {
-        self.send(&write(Framing::EndMark, &self.session.hello())).await?;
+        self.send(&write(Framing::EndMark, &self.session.hello()))
+            .await?;
         let mut buffer = vec![0; 16 * 1024];
         let mut key_check = interval(Duration::from_secs(1));
         let begun = tokio::time::Instant::now();
@@ -272,8 +323,9 @@
         if self.shared.rights(self.key).is_none() {
             return Err(KEY_GONE);
         }
-        let waits_for_hello =
-            !self.session.chunked() && self.frames.framing() == Framing::EndMark && !self.session.greeted();
+        let waits_for_hello = !self.session.chunked()
+            && self.frames.framing() == Framing::EndMark
+            && !self.session.greeted();
         if waits_for_hello && since_begin.as_secs_f64() > self.shared.limits.enter {
             return Err("it did not say hello");
         }
@@ -290,7 +342,9 @@
             }
             Err(RecvError::Closed) => return Err("the router stops"),
         };
-        let Some((at, data)) = data else { return Ok(()) };
+        let Some((at, data)) = data else {
+            return Ok(());
+        };
         let text = write(self.frames.framing(), &self.session.notification(at, &data));
         self.send(&text).await
     }
@@ -298,7 +352,11 @@
     /// Answers all messages that are whole with these bytes.
     async fn take_bytes(&mut self, bytes: &[u8]) -> Result<(), Over> {
         self.frames.push(bytes);
-        while let Some(message) = self.frames.message().map_err(|_| "its messages cannot be read")? {
+        while let Some(message) = self
+            .frames
+            .message()
+            .map_err(|_| "its messages cannot be read")?
+        {
             self.answer(&message).await?;
         }
         Ok(())
@@ -306,7 +364,9 @@
 
     async fn answer(&mut self, message: &[u8]) -> Result<(), Over> {
         let rights = self.shared.rights(self.key).ok_or(KEY_GONE)?;
-        let step = self.session.message(message, rights, &self.shared.commit_service);
+        let step = self
+            .session
+            .message(message, rights, &self.shared.commit_service);
         let (reply, over) = match step {
             Step::Reply(reply) => (reply, None),
             Step::Close(reply) => (reply, Some("it closed")),
@@ -316,7 +376,9 @@
                 (reply, None)
             }
             Step::Kill(other, reply) => {
-                let found = self.shared.with_sessions(|sessions| sessions.get(&other).cloned());
+                let found = self
+                    .shared
+                    .with_sessions(|sessions| sessions.get(&other).cloned());
                 found.inspect(|killed| killed.notify_one());
                 (reply, None)
             }
@@ -325,7 +387,11 @@
                 (self.session.answered(&asked, answer), None)
             }
         };
-        let text = if reply.is_empty() { vec![] } else { write(self.frames.framing(), &reply) };
+        let text = if reply.is_empty() {
+            vec![]
+        } else {
+            write(self.frames.framing(), &reply)
+        };
         // From the message after the hello both sides speak in chunks, if both can.
         if self.session.chunked() {
             self.frames.use_chunks();
@@ -346,14 +412,21 @@
 }
 
 async fn ask_commit_service(
-    shared: &Shared, id: SessionId, session: &Session, asked: &Asked,
+    shared: &Shared,
+    id: SessionId,
+    session: &Session,
+    asked: &Asked,
 ) -> Result<(), Refused> {
     let commit_service = &shared.commit_service;
     match asked.clone() {
         Asked::Lock(target) => commit_service.lock(id, target).await,
         Asked::Unlock(target) => commit_service.unlock(id, target).await,
         Asked::Validate(candidate) => commit_service.validate(candidate).await,
-        Asked::Commit { candidate, confirm, persist_id } => commit_service
+        Asked::Commit {
+            candidate,
+            confirm,
+            persist_id,
+        } => commit_service
             .commit(Some(id), candidate, session.asked_by(), confirm, persist_id)
             .await
             .map(|_| ()),
@@ -363,19 +436,27 @@
 }
 
 /// What happened, as a notification and when; none where the model has no such.
-fn notification(shared: &Shared, told: &News, missed: u64) -> Option<(f64, kestreltide_model::Data)> {
+fn notification(
+    shared: &Shared,
+    told: &News,
+    missed: u64,
+) -> Option<(f64, kestreltide_model::Data)> {
     let node = |name: &str| -> Option<NodeId> { shared.schema.notifications.get(name).copied() };
     Some(match told {
-        News::Committed(record) => {
-            (record.at, state::committed(shared.schema, node("revision-committed")?, record, missed))
-        }
-        News::Refused(refusal) => {
-            (refusal.at, state::refused(shared.schema, node("candidate-refused")?, refusal))
-        }
+        News::Committed(record) => (
+            record.at,
+            state::committed(shared.schema, node("revision-committed")?, record, missed),
+        ),
+        News::Refused(refusal) => (
+            refusal.at,
+            state::refused(shared.schema, node("candidate-refused")?, refusal),
+        ),
     })
 }
 
 /// Unix seconds.
 pub fn now() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |since| since.as_secs_f64())
 }
--- a/management/src/netconf/session/capabilities.rs
+++ b/management/src/netconf/session/capabilities.rs
@@ -27,17 +27,24 @@
 impl Session {
     /// The first message of the server.
     pub fn hello(&self) -> String {
-        let mut out =
-            format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?><hello xmlns=\"{BASE}\"><capabilities>");
+        let mut out = format!(
+            "<?xml version=\"1.0\" encoding=\"UTF-8\"?><hello xmlns=\"{BASE}\"><capabilities>"
+        );
         for capability in CAPABILITIES {
             let _ = write!(out, "<capability>{}</capability>", escaped(capability));
         }
         for module in &self.schema.modules {
-            let capability =
-                format!("{}?module={}&revision={}", module.namespace, module.name, module.revision);
+            let capability = format!(
+                "{}?module={}&revision={}",
+                module.namespace, module.name, module.revision
+            );
             let _ = write!(out, "<capability>{}</capability>", escaped(&capability));
         }
-        let _ = write!(out, "</capabilities><session-id>{}</session-id></hello>", self.id);
+        let _ = write!(
+            out,
+            "</capabilities><session-id>{}</session-id></hello>",
+            self.id
+        );
         out
     }
 }
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -14,7 +14,10 @@
 
 impl Session {
     pub(super) fn commit(
-        &mut self, of: &Element, rights: Rights, commit_service: &Handle,
+        &mut self,
+        of: &Element,
+        rights: Rights,
+        commit_service: &Handle,
     ) -> Result<Step, Vec<RpcError>> {
         let persist_id = text(of, "persist-id");
         let confirm = match of.child("confirmed") {
@@ -38,17 +41,32 @@
                         &taken,
                     )]
                 };
-                Some(Confirm { within: within.ok_or_else(wrong)?, persist: text(of, "persist") })
+                Some(Confirm {
+                    within: within.ok_or_else(wrong)?,
+                    persist: text(of, "persist"),
+                })
             }
         };
         let published = commit_service.published.load();
-        let changed = self.candidate.as_ref().is_some_and(|candidate| !candidate.is_unchanged());
+        let changed = self
+            .candidate
+            .as_ref()
+            .is_some_and(|candidate| !candidate.is_unchanged());
         // Without anything to commit it confirms, where something waits for that.
         if !changed && confirm.is_none() && (published.pending.is_some() || persist_id.is_some()) {
             return Ok(Step::Ask(Asked::Confirm { persist_id }));
         }
         let candidate = self.candidate(commit_service).clone();
-        self.check_rights(candidate.base_tree(), &candidate.tree, rights, commit_service)?;
-        Ok(Step::Ask(Asked::Commit { candidate, confirm, persist_id }))
+        self.check_rights(
+            candidate.base_tree(),
+            &candidate.tree,
+            rights,
+            commit_service,
+        )?;
+        Ok(Step::Ask(Asked::Commit {
+            candidate,
+            confirm,
+            persist_id,
+        }))
     }
 }
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -32,9 +32,16 @@
         };
         let default = Op::by_default(&default).ok_or_else(wrong)?;
         // Whichever it is, an edit that cannot be done whole is not done at all.
-        option(of, "error-option", ["stop-on-error", "continue-on-error", "rollback-on-error"])?;
+        option(
+            of,
+            "error-option",
+            ["stop-on-error", "continue-on-error", "rollback-on-error"],
+        )?;
         let test = option(of, "test-option", ["test-then-set", "set", "test-only"])?;
-        Ok(EditOptions { default, test_only: test == "test-only" })
+        Ok(EditOptions {
+            default,
+            test_only: test == "test-only",
+        })
     }
 }
 
@@ -46,30 +53,58 @@
         return Ok(given);
     }
     let taken = format!("{first}, {second} or {third}");
-    Err(vec![RpcError::invalid(name, "no such option", &given, &taken)])
+    Err(vec![RpcError::invalid(
+        name,
+        "no such option",
+        &given,
+        &taken,
+    )])
 }
 
 impl Session {
     pub(super) fn candidate(&mut self, commit_service: &Handle) -> &mut Candidate {
-        self.candidate.get_or_insert_with(|| Candidate::of(&commit_service.published.load().in_force))
+        self.candidate
+            .get_or_insert_with(|| Candidate::of(&commit_service.published.load().in_force))
     }
 
     /// Edits a tree by a `config` element, whole or not at all.
-    pub(super) fn edited(&self, tree: &mut Tree, config: &Element, default: Op) -> Result<(), Vec<RpcError>> {
+    pub(super) fn edited(
+        &self,
+        tree: &mut Tree,
+        config: &Element,
+        default: Op,
+    ) -> Result<(), Vec<RpcError>> {
         let mut faults = vec![];
-        let edits = of_xml(self.schema, None, &Instance::default(), &config.children, &mut faults);
+        let edits = of_xml(
+            self.schema,
+            None,
+            &Instance::default(),
+            &config.children,
+            &mut faults,
+        );
         if faults.is_empty() {
-            faults = apply(self.schema, &self.bind, tree, &edits, default).err().unwrap_or_default();
+            faults = apply(self.schema, &self.bind, tree, &edits, default)
+                .err()
+                .unwrap_or_default();
+        }
+        if faults.is_empty() {
+            Ok(())
+        } else {
+            Err(faults.iter().map(edit_error).collect())
         }
-        if faults.is_empty() { Ok(()) } else { Err(faults.iter().map(edit_error).collect()) }
     }
 
     pub(super) fn edit_config(
-        &mut self, of: &Element, rights: Rights, commit_service: &Handle,
+        &mut self,
+        of: &Element,
+        rights: Rights,
+        commit_service: &Handle,
     ) -> Result<Step, Vec<RpcError>> {
         let target = target(of, "target")?;
         let options = EditOptions::of(of)?;
-        let config = of.child("config").ok_or_else(|| vec![RpcError::missing("config")])?;
+        let config = of
+            .child("config")
+            .ok_or_else(|| vec![RpcError::missing("config")])?;
         let mut candidate = match target {
             Target::Running => Candidate::of(&commit_service.published.load().in_force),
             Target::Candidate => self.candidate(commit_service).clone(),
@@ -87,7 +122,11 @@
             return Ok(Step::Ask(Asked::Validate(candidate)));
         }
         match target {
-            Target::Running => Ok(Step::Ask(Asked::Commit { candidate, confirm: None, persist_id: None })),
+            Target::Running => Ok(Step::Ask(Asked::Commit {
+                candidate,
+                confirm: None,
+                persist_id: None,
+            })),
             Target::Candidate => {
                 self.candidate = Some(candidate);
                 Ok(Step::Reply(self.ok()))
@@ -97,12 +136,22 @@
 
     /// Whether the rights cover the changes; who tries without is told and remembered.
     pub(super) fn check_rights(
-        &self, before: &Tree, after: &Tree, rights: Rights, commit_service: &Handle,
+        &self,
+        before: &Tree,
+        after: &Tree,
+        rights: Rights,
+        commit_service: &Handle,
     ) -> Result<(), Vec<RpcError>> {
         rights.check(&before.differences(after)).map_err(|fault| {
             let path = fault.path.parse().ok().map(|path| xpath(&path));
-            (commit_service.ask)(crate::Ask::Denied { author: self.author(), fault: fault.clone() });
-            vec![RpcError { path, ..RpcError::new("application", "access-denied", fault.to_string()) }]
+            (commit_service.ask)(crate::Ask::Denied {
+                author: self.author(),
+                fault: fault.clone(),
+            });
+            vec![RpcError {
+                path,
+                ..RpcError::new("application", "access-denied", fault.to_string())
+            }]
         })
     }
 }
--- a/management/src/netconf/session/filter.rs
+++ b/management/src/netconf/session/filter.rs
@@ -9,8 +9,14 @@
 
 impl Session {
     pub(super) fn filter(&self, filter: Option<&Element>) -> Result<Filter, Vec<RpcError>> {
-        let Some(filter) = filter else { return Ok(Filter::All) };
-        let of = |name: &str| filter.attribute("", name).or_else(|| filter.attribute(BASE, name));
+        let Some(filter) = filter else {
+            return Ok(Filter::All);
+        };
+        let of = |name: &str| {
+            filter
+                .attribute("", name)
+                .or_else(|| filter.attribute(BASE, name))
+        };
         match of("type").unwrap_or("subtree") {
             "subtree" => Ok(Filter::Subtree(filter.children.clone())),
             "xpath" => {
@@ -38,8 +44,12 @@
                 }
             }
             other => {
-                let error = RpcError::invalid("filter/type", "no such type", other, "subtree or xpath");
-                let error = RpcError { tag: "bad-attribute".into(), ..error };
+                let error =
+                    RpcError::invalid("filter/type", "no such type", other, "subtree or xpath");
+                let error = RpcError {
+                    tag: "bad-attribute".into(),
+                    ..error
+                };
                 Err(vec![error.with_bad_attribute("type", "filter")])
             }
         }
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -91,7 +91,12 @@
 
 impl Session {
     /// A session before the hello of its client; `name` is that of the key of the client.
-    pub fn new(id: SessionId, name: &str, schema: &'static Schema, bind: std::sync::Arc<Bind>) -> Self {
+    pub fn new(
+        id: SessionId,
+        name: &str,
+        schema: &'static Schema,
+        bind: std::sync::Arc<Bind>,
+    ) -> Self {
         let (greeted, chunks, subscribed, attributes) = (false, false, false, String::new());
         Session {
             id,
@@ -126,7 +131,9 @@
 
     /// What a message leads to.
     pub fn message(&mut self, bytes: &[u8], rights: Rights, commit_service: &Handle) -> Step {
-        let Ok(text) = std::str::from_utf8(bytes) else { return self.malformed("is not UTF-8") };
+        let Ok(text) = std::str::from_utf8(bytes) else {
+            return self.malformed("is not UTF-8");
+        };
         let element = match xml::read(text, &XmlLimits::default()) {
             Ok(element) => element,
             Err(why) => return self.malformed(&why),
@@ -138,7 +145,11 @@
             return self.malformed("is no rpc");
         }
         self.attributes.clear();
-        for (_, name, value) in element.attributes.iter().filter(|(namespace, ..)| namespace.is_empty()) {
+        for (_, name, value) in element
+            .attributes
+            .iter()
+            .filter(|(namespace, ..)| namespace.is_empty())
+        {
             let _ = write!(self.attributes, " {name}=\"{}\"", escaped(value));
         }
         if element.attribute("", "message-id").is_none() {
@@ -158,10 +169,18 @@
 
     /// The first message of the client.
     fn client_hello(&mut self, element: &Element) -> Step {
-        let capabilities =
-            element.child("capabilities").filter(|_| element.name == "hello" && element.namespace == BASE);
-        let Some(capabilities) = capabilities else { return Step::Over("the first message is no hello") };
-        let says = |base: &str| capabilities.children.iter().any(|child| child.text.trim() == base);
+        let capabilities = element
+            .child("capabilities")
+            .filter(|_| element.name == "hello" && element.namespace == BASE);
+        let Some(capabilities) = capabilities else {
+            return Step::Over("the first message is no hello");
+        };
+        let says = |base: &str| {
+            capabilities
+                .children
+                .iter()
+                .any(|child| child.text.trim() == base)
+        };
         if !says(CAPABILITIES[0]) && !says(CAPABILITIES[1]) {
             return Step::Over("no base version in common");
         }
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -13,9 +13,16 @@
 
 impl Session {
     pub(super) fn operation(
-        &mut self, of: &Element, rights: Rights, commit_service: &Handle,
+        &mut self,
+        of: &Element,
+        rights: Rights,
+        commit_service: &Handle,
     ) -> Result<Step, Vec<RpcError>> {
-        let own = self.schema.modules.iter().find(|module| module.namespace == of.namespace);
+        let own = self
+            .schema
+            .modules
+            .iter()
+            .find(|module| module.namespace == of.namespace);
         if let Some(module) = own {
             let name = format!("{}:{}", module.name, of.name);
             return self.trial(of, &name, rights, commit_service);
@@ -23,13 +30,20 @@
         match (of.namespace.as_str(), of.name.as_str()) {
             (BASE, "get" | "get-config") => self.get(of, rights, commit_service),
             (BASE, "edit-config") => self.edit_config(of, rights, commit_service),
-            (BASE, "copy-config") => Err(vec![unsupported("copy-config", "edit-config with replace")]),
-            (BASE, "delete-config") => Err(vec![unsupported("delete-config", "edit-config with delete")]),
+            (BASE, "copy-config") => {
+                Err(vec![unsupported("copy-config", "edit-config with replace")])
+            }
+            (BASE, "delete-config") => Err(vec![unsupported(
+                "delete-config",
+                "edit-config with delete",
+            )]),
             (BASE, "lock") => Ok(Step::Ask(Asked::Lock(target(of, "target")?))),
             (BASE, "unlock") => Ok(Step::Ask(Asked::Unlock(target(of, "target")?))),
             (BASE, "validate") => self.validate(of, commit_service),
             (BASE, "commit") => self.commit(of, rights, commit_service),
-            (BASE, "cancel-commit") => Ok(Step::Ask(Asked::Cancel { persist_id: text(of, "persist-id") })),
+            (BASE, "cancel-commit") => Ok(Step::Ask(Asked::Cancel {
+                persist_id: text(of, "persist-id"),
+            })),
             (BASE, "discard-changes") => {
                 self.candidate = None;
                 Ok(Step::Reply(self.ok()))
@@ -40,23 +54,38 @@
             (MONITORING, "get-schema") => self.get_schema(of),
             (_, other) => {
                 let error = RpcError::unknown(other);
-                Err(vec![RpcError { tag: "operation-not-supported".into(), ..error }])
+                Err(vec![RpcError {
+                    tag: "operation-not-supported".into(),
+                    ..error
+                }])
             }
         }
     }
 
     /// `get`: what operators set and the router's own state. `get-config`: what operators set, in one datastore.
-    fn get(&mut self, of: &Element, rights: Rights, commit_service: &Handle) -> Result<Step, Vec<RpcError>> {
+    fn get(
+        &mut self,
+        of: &Element,
+        rights: Rights,
+        commit_service: &Handle,
+    ) -> Result<Step, Vec<RpcError>> {
         if !rights.read {
             return Err(vec![denied("reading", rights)]);
         }
         let filter = self.filter(of.child("filter"))?;
         let data = if of.name == "get" {
-            state::all(self.schema, &self.bind, &commit_service.view.load(), &commit_service.published.load())
+            state::all(
+                self.schema,
+                &self.bind,
+                &commit_service.view.load(),
+                &commit_service.published.load(),
+            )
         } else {
             let tree = match target(of, "source")? {
                 Target::Running => commit_service.published.load().in_force.tree.clone(),
-                Target::Candidate => std::sync::Arc::new(self.candidate(commit_service).tree.clone()),
+                Target::Candidate => {
+                    std::sync::Arc::new(self.candidate(commit_service).tree.clone())
+                }
             };
             self.bind.data(self.schema, &tree)
         };
@@ -64,7 +93,9 @@
     }
 
     fn validate(&mut self, of: &Element, commit_service: &Handle) -> Result<Step, Vec<RpcError>> {
-        let source = of.child("source").ok_or_else(|| vec![RpcError::missing("source")])?;
+        let source = of
+            .child("source")
+            .ok_or_else(|| vec![RpcError::missing("source")])?;
         let candidate = match source.child("config") {
             Some(config) => {
                 let mut candidate = Candidate::of(&commit_service.published.load().in_force);
@@ -82,9 +113,18 @@
 
     fn kill_session(&self, of: &Element) -> Result<Step, Vec<RpcError>> {
         let said = text(of, "session-id").ok_or_else(|| vec![RpcError::missing("session-id")])?;
-        let session = said.parse().ok().filter(|number| *number != self.id.0 && *number > 0);
-        let wrong =
-            || vec![RpcError::invalid("session-id", "is no other session", &said, "another session's id")];
+        let session = said
+            .parse()
+            .ok()
+            .filter(|number| *number != self.id.0 && *number > 0);
+        let wrong = || {
+            vec![RpcError::invalid(
+                "session-id",
+                "is no other session",
+                &said,
+                "another session's id",
+            )]
+        };
         Ok(Step::Kill(SessionId(session.ok_or_else(wrong)?), self.ok()))
     }
 
@@ -94,16 +134,29 @@
             return Err(vec![denied("reading", rights)]);
         }
         if self.subscribed {
-            return Err(vec![RpcError::new("protocol", "in-use", "this session is subscribed already")]);
+            return Err(vec![RpcError::new(
+                "protocol",
+                "in-use",
+                "this session is subscribed already",
+            )]);
         }
         let stream = text(of, "stream").unwrap_or_else(|| "NETCONF".into());
         if stream != "NETCONF" {
-            return Err(vec![RpcError::invalid("stream", "no such stream", &stream, "NETCONF")]);
+            return Err(vec![RpcError::invalid(
+                "stream",
+                "no such stream",
+                &stream,
+                "NETCONF",
+            )]);
         }
-        if let Some(other) =
-            ["startTime", "stopTime", "filter"].into_iter().find(|name| of.child(name).is_some())
+        if let Some(other) = ["startTime", "stopTime", "filter"]
+            .into_iter()
+            .find(|name| of.child(name).is_some())
         {
-            return Err(vec![unsupported(other, "a subscription from now on, to everything")]);
+            return Err(vec![unsupported(
+                other,
+                "a subscription from now on, to everything",
+            )]);
         }
         self.subscribed = true;
         Ok(Step::Subscribe(self.ok()))
@@ -112,13 +165,33 @@
     /// The text of a module (RFC 6022, section 3.1).
     fn get_schema(&self, of: &Element) -> Result<Step, Vec<RpcError>> {
         let name = text(of, "identifier").ok_or_else(|| vec![RpcError::missing("identifier")])?;
-        let module = self.schema.modules.iter().find(|module| module.name == name);
-        let known: Vec<_> = self.schema.modules.iter().map(|module| module.name.as_str()).collect();
+        let module = self
+            .schema
+            .modules
+            .iter()
+            .find(|module| module.name == name);
+        let known: Vec<_> = self
+            .schema
+            .modules
+            .iter()
+            .map(|module| module.name.as_str())
+            .collect();
         let module = module.ok_or_else(|| {
-            vec![RpcError::invalid("identifier", "no such module", &name, &known.join(", "))]
+            vec![RpcError::invalid(
+                "identifier",
+                "no such module",
+                &name,
+                &known.join(", "),
+            )]
         })?;
-        let out = format!("<rpc-reply xmlns=\"{BASE}\"{}><data xmlns=\"{MONITORING}\">", self.attributes);
-        Ok(Step::Reply(format!("{out}{}</data></rpc-reply>", escaped(&module.text))))
+        let out = format!(
+            "<rpc-reply xmlns=\"{BASE}\"{}><data xmlns=\"{MONITORING}\">",
+            self.attributes
+        );
+        Ok(Step::Reply(format!(
+            "{out}{}</data></rpc-reply>",
+            escaped(&module.text)
+        )))
     }
 }
 
@@ -128,11 +201,18 @@
 
 /// Which datastore an operation names.
 pub(super) fn target(of: &Element, name: &str) -> Result<Target, Vec<RpcError>> {
-    let named = of.child(name).ok_or_else(|| vec![RpcError::missing(name)])?;
+    let named = of
+        .child(name)
+        .ok_or_else(|| vec![RpcError::missing(name)])?;
     match named.children.first().map(|child| child.name.as_str()) {
         Some("running") => Ok(Target::Running),
         Some("candidate") => Ok(Target::Candidate),
-        Some(other) => Err(vec![RpcError::invalid(name, "no such datastore", other, "running or candidate")]),
+        Some(other) => Err(vec![RpcError::invalid(
+            name,
+            "no such datastore",
+            other,
+            "running or candidate",
+        )]),
         None => Err(vec![RpcError::missing(name)]),
     }
 }
--- a/management/src/netconf/session/reply.rs
+++ b/management/src/netconf/session/reply.rs
@@ -9,7 +9,10 @@
 
 impl Session {
     pub(super) fn ok(&self) -> String {
-        format!("<rpc-reply xmlns=\"{BASE}\"{}><ok/></rpc-reply>", self.attributes)
+        format!(
+            "<rpc-reply xmlns=\"{BASE}\"{}><ok/></rpc-reply>",
+            self.attributes
+        )
     }
 
     pub(super) fn errors(&self, errors: &[RpcError]) -> String {
@@ -27,7 +30,8 @@
     /// A notification as it goes out (RFC 5277, section 4).
     pub fn notification(&self, at: f64, data: &Data) -> String {
         let at = kestreltide_model::bind::time(at);
-        let mut out = format!("<notification xmlns=\"{NOTIFICATIONS}\"><eventTime>{at}</eventTime>");
+        let mut out =
+            format!("<notification xmlns=\"{NOTIFICATIONS}\"><eventTime>{at}</eventTime>");
         xml::write(self.schema, std::slice::from_ref(data), &mut out);
         out + "</notification>"
     }
