--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -21,7 +21,13 @@
 
 impl RpcError {
     pub(super) fn new(kind: &'static str, tag: &str, message: impl Into<String>) -> Self {
-        RpcError { kind, tag: tag.into(), path: None, message: message.into(), info: vec![] }
+        RpcError {
+            kind,
+            tag: tag.into(),
+            path: None,
+            message: message.into(),
+            info: vec![],
+        }
     }
 
     pub(super) fn missing(element: &str) -> Self {
@@ -30,24 +36,35 @@
     }
 
     pub(super) fn unknown(element: &str) -> Self {
-        let message = format!("{element}: is not known here (given: {element}; taken: what RFC 6241 has)");
+        let message =
+            format!("{element}: is not known here (given: {element}; taken: what RFC 6241 has)");
         Self::bad_element("unknown-element", element, message)
     }
 
     fn bad_element(tag: &str, element: &str, message: String) -> Self {
         let info = vec![("bad-element", element.into())];
-        RpcError { info, ..Self::new("protocol", tag, message) }
+        RpcError {
+            info,
+            ..Self::new("protocol", tag, message)
+        }
     }
 
     /// That an attribute is not as it has to be, on which element.
     pub(super) fn with_bad_attribute(self, attribute: &str, element: &str) -> Self {
-        let info = vec![("bad-attribute", attribute.into()), ("bad-element", element.into())];
+        let info = vec![
+            ("bad-attribute", attribute.into()),
+            ("bad-element", element.into()),
+        ];
         RpcError { info, ..self }
     }
 
     pub(super) fn invalid(path: &str, what: &str, given: &str, taken: &str) -> Self {
         let given = kestreltide_datastore::draft::shown(given);
-        Self::new("protocol", "invalid-value", Fault::new(path, what, given, taken).to_string())
+        Self::new(
+            "protocol",
+            "invalid-value",
+            Fault::new(path, what, given, taken).to_string(),
+        )
     }
 
     pub(super) fn write(&self, out: &mut String) {
@@ -64,7 +81,11 @@
                 escaped(path)
             );
         }
-        let _ = write!(out, "<error-message xml:lang=\"en\">{}</error-message>", escaped(&self.message));
+        let _ = write!(
+            out,
+            "<error-message xml:lang=\"en\">{}</error-message>",
+            escaped(&self.message)
+        );
         if !self.info.is_empty() {
             out.push_str("<error-info>");
             for (name, content) in &self.info {
@@ -81,7 +102,9 @@
     let leaf = path.leaf().name();
     match path {
         Path::Host(name, _) => format!("/kr:router/kr:hosts/kr:host[kr:name='{name}']/kr:{leaf}"),
-        Path::Route(name, _) => format!("/kr:router/kr:routes/kr:route[kr:name='{name}']/kr:{leaf}"),
+        Path::Route(name, _) => {
+            format!("/kr:router/kr:routes/kr:route[kr:name='{name}']/kr:{leaf}")
+        }
         Path::Guards(_) => format!("/kr:router/kr:guards/kr:{leaf}"),
         Path::Ring(_) => format!("/kr:router/kr:ring/kr:{leaf}"),
     }
@@ -99,24 +122,45 @@
 }
 
 pub(super) fn validation_error(fault: &Fault) -> RpcError {
-    let tag = if fault.what.contains("is missing") { "data-missing" } else { "operation-failed" };
+    let tag = if fault.what.contains("is missing") {
+        "data-missing"
+    } else {
+        "operation-failed"
+    };
     let path = fault.path.parse().ok().map(|path| xpath(&path));
-    RpcError { path, ..RpcError::new("application", tag, fault.to_string()) }
+    RpcError {
+        path,
+        ..RpcError::new("application", tag, fault.to_string())
+    }
 }
 
 pub(super) fn edit_error(fault: &EditFault) -> RpcError {
     let info = match fault.tag {
         Tag::UnknownElement | Tag::MissingElement => vec![("bad-element", fault.about.clone())],
         Tag::UnknownNamespace => {
-            vec![("bad-element", fault.about.clone()), ("bad-namespace", fault.fault.given.clone())]
+            vec![
+                ("bad-element", fault.about.clone()),
+                ("bad-namespace", fault.fault.given.clone()),
+            ]
         }
         Tag::UnknownAttribute | Tag::BadAttribute => {
-            vec![("bad-attribute", fault.about.clone()), ("bad-element", fault.about.clone())]
+            vec![
+                ("bad-attribute", fault.about.clone()),
+                ("bad-element", fault.about.clone()),
+            ]
         }
         _ => vec![],
     };
     let path = Some(instance(&fault.at)).filter(|path| !path.is_empty());
-    RpcError { path, info, ..RpcError::new("application", &fault.tag.to_string(), fault.fault.to_string()) }
+    RpcError {
+        path,
+        info,
+        ..RpcError::new(
+            "application",
+            &fault.tag.to_string(),
+            fault.fault.to_string(),
+        )
+    }
 }
 
 pub(super) fn refusal_errors(refused: &Refused) -> Vec<RpcError> {
@@ -134,17 +178,31 @@
         }
         Refused::Locked(holder) => {
             let error = RpcError::new("protocol", "lock-denied", refused.to_string());
-            vec![RpcError { info: vec![("session-id", holder.to_string())], ..error }]
+            vec![RpcError {
+                info: vec![("session-id", holder.to_string())],
+                ..error
+            }]
         }
         Refused::Waiting(pending) => {
             let error = RpcError::new("protocol", "in-use", refused.to_string());
             vec![RpcError {
-                info: vec![("session-id", pending.session.map_or(0, |session| session.0).to_string())],
+                info: vec![(
+                    "session-id",
+                    pending.session.map_or(0, |session| session.0).to_string(),
+                )],
                 ..error
             }]
         }
-        Refused::NothingWaits => vec![RpcError::new("protocol", "invalid-value", refused.to_string())],
-        Refused::NotHeld => vec![RpcError::new("protocol", "operation-failed", refused.to_string())],
+        Refused::NothingWaits => vec![RpcError::new(
+            "protocol",
+            "invalid-value",
+            refused.to_string(),
+        )],
+        Refused::NotHeld => vec![RpcError::new(
+            "protocol",
+            "operation-failed",
+            refused.to_string(),
+        )],
     }
 }
 
@@ -152,7 +210,9 @@
     RpcError::new(
         "protocol",
         "access-denied",
-        format!("{what}: is beyond the rights of this key (given: {rights}; taken: the right read)"),
+        format!(
+            "{what}: is beyond the rights of this key (given: {rights}; taken: the right read)"
+        ),
     )
 }
 
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -21,11 +21,17 @@
 }
 
 fn author(under: &mut Under, author: &Author) {
-    under.put("source", &author.source).put("author", &author.name).put("version", &author.version);
+    under
+        .put("source", &author.source)
+        .put("author", &author.name)
+        .put("version", &author.version);
 }
 
 fn fault(under: &mut Under, fault: &Fault) {
-    under.put("path", &fault.path).put("what", &fault.what).put("given", &fault.given);
+    under
+        .put("path", &fault.path)
+        .put("what", &fault.what)
+        .put("given", &fault.given);
     under.put("taken", &fault.taken).maybe("rule", fault.rule);
 }
 
@@ -38,17 +44,29 @@
 /// What the router knows and did.
 pub fn state(schema: &Schema, view: &View, published: &Published) -> Option<Data> {
     let mut state = Under::new(schema, schema.at(&["router", "state"])?);
-    state.put("revision", published.in_force.revision.0).put("revisions-taken", view.taken);
-    state.put("longest-pause", decimal(view.longest_pause)).put("open-invocations", view.open);
+    state
+        .put("revision", published.in_force.revision.0)
+        .put("revisions-taken", view.taken);
+    state
+        .put("longest-pause", decimal(view.longest_pause))
+        .put("open-invocations", view.open);
     state.put("clients", view.clients).put("links", view.links);
     state.with("counts", |counts| {
         let of = &view.counts;
-        counts.put("taken", of.taken).put("succeeded", of.succeeded).put("throttled", of.throttled);
-        counts.put("terminated", of.terminated).put("dispatches", of.dispatches);
+        counts
+            .put("taken", of.taken)
+            .put("succeeded", of.succeeded)
+            .put("throttled", of.throttled);
+        counts
+            .put("terminated", of.terminated)
+            .put("dispatches", of.dispatches);
     });
     if let Some(news) = view.news {
         state.with("trial", |trial| {
-            trial.put("build", news.build.0).put("stage", news.stage).put("phase", phase(news.phase));
+            trial
+                .put("build", news.build.0)
+                .put("stage", news.stage)
+                .put("phase", phase(news.phase));
             trial.put("cap", decimal(news.cap));
         });
     }
@@ -57,22 +75,33 @@
     let listed = view.discovery.as_deref().unwrap_or_default();
     for host in all.values() {
         state.with("host", |under| {
-            under.put("name", &host.name).put("endpoint", host.endpoint).put("zone", &host.zone);
+            under
+                .put("name", &host.name)
+                .put("endpoint", host.endpoint)
+                .put("zone", &host.zone);
             under.put("kind", &host.kind).put("build", host.build.0);
             under.put("running", host.state == HostState::Running);
-            under.put("from-discovery", listed.iter().any(|told| told.name == host.name));
+            under.put(
+                "from-discovery",
+                listed.iter().any(|told| told.name == host.name),
+            );
         });
     }
     for record in published.history.iter() {
         state.with("revision-record", |under| {
-            under.put("number", record.number).put("based-on", record.based_on).put("at", time(record.at));
+            under
+                .put("number", record.number)
+                .put("based-on", record.based_on)
+                .put("at", time(record.at));
             author(under, &record.author);
             changes(under, record);
         });
     }
     if let Some(refusal) = &published.refusal {
         state.with("last-refusal", |under| {
-            under.put("at", time(refusal.at)).put("stays", refusal.stays);
+            under
+                .put("at", time(refusal.at))
+                .put("stays", refusal.stays);
             author(under, &refusal.author);
             for (number, one) in refusal.faults.first.iter().enumerate() {
                 under.with("fault", |under| {
@@ -82,14 +111,20 @@
             }
         });
     }
-    debug_assert!(state.missing.is_empty(), "the model has all that is shown: {:?}", state.missing);
+    debug_assert!(
+        state.missing.is_empty(),
+        "the model has all that is shown: {:?}",
+        state.missing
+    );
     Some(state.data())
 }
 
 /// Everything: what operators set, and the router's own state.
 pub fn all(schema: &Schema, bind: &Bind, view: &View, published: &Published) -> Data {
     let mut router = bind.data(schema, &published.in_force.tree);
-    if let (Content::Inner(children), Some(state)) = (&mut router.content, state(schema, view, published)) {
+    if let (Content::Inner(children), Some(state)) =
+        (&mut router.content, state(schema, view, published))
+    {
         children.push(state);
     }
     router
@@ -98,7 +133,9 @@
 /// A notification that a revision was committed; `missed` before it were not sent.
 pub fn committed(schema: &Schema, node: NodeId, record: &RevisionRecord, missed: u64) -> Data {
     let mut under = Under::new(schema, node);
-    under.put("revision", record.number).put("based-on", record.based_on);
+    under
+        .put("revision", record.number)
+        .put("based-on", record.based_on);
     author(&mut under, &record.author);
     changes(&mut under, record);
     under.maybe("missed", (missed > 0).then_some(missed));
@@ -106,7 +143,11 @@
 }
 
 /// A notification that a candidate was refused.
-pub fn refused(schema: &Schema, node: NodeId, refusal: &kestreltide_datastore::store::Refusal) -> Data {
+pub fn refused(
+    schema: &Schema,
+    node: NodeId,
+    refusal: &kestreltide_datastore::store::Refusal,
+) -> Data {
     let mut under = Under::new(schema, node);
     author(&mut under, &refusal.author);
     under.put("stays", refusal.stays);
--- a/measure/src/capacity/fleet_run/budget.rs
+++ b/measure/src/capacity/fleet_run/budget.rs
@@ -14,7 +14,12 @@
 impl Budget {
     /// So many a second, and `bursts` seconds' worth at once.
     pub fn with_burst(rate: f64, bursts: f64, now: f64) -> Self {
-        Budget { rate, most: rate * bursts, left: rate * bursts, at: now }
+        Budget {
+            rate,
+            most: rate * bursts,
+            left: rate * bursts,
+            at: now,
+        }
     }
 
     pub fn new(rate: f64, now: f64) -> Self {
--- a/measure/src/capacity/fleet_run/counters.rs
+++ b/measure/src/capacity/fleet_run/counters.rs
@@ -15,8 +15,14 @@
     GossipReceived,
 }
 
-pub const CAUSES: [Cause; 6] =
-    [Cause::List, Cause::Watch, Cause::Vote, Cause::News, Cause::GossipSent, Cause::GossipReceived];
+pub const CAUSES: [Cause; 6] = [
+    Cause::List,
+    Cause::Watch,
+    Cause::Vote,
+    Cause::News,
+    Cause::GossipSent,
+    Cause::GossipReceived,
+];
 
 /// Messages and their bytes, of questions and answers together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -27,7 +33,10 @@
 
 impl Traffic {
     pub fn since(self, before: Traffic) -> Traffic {
-        Traffic { messages: self.messages - before.messages, bytes: self.bytes - before.bytes }
+        Traffic {
+            messages: self.messages - before.messages,
+            bytes: self.bytes - before.bytes,
+        }
     }
 }
 
--- a/measure/src/capacity/fleet_run/day.rs
+++ b/measure/src/capacity/fleet_run/day.rs
@@ -58,7 +58,12 @@
             };
             (at, event)
         });
-        Day { events: events.collect(), restarts, changes, factor: SECONDS_A_DAY / length }
+        Day {
+            events: events.collect(),
+            restarts,
+            changes,
+            factor: SECONDS_A_DAY / length,
+        }
     }
 }
 
--- a/measure/src/capacity/fleet_run/plan.rs
+++ b/measure/src/capacity/fleet_run/plan.rs
@@ -81,7 +81,13 @@
     pub fn full() -> Self {
         Plan {
             seed: 31,
-            layout: Layout { routers: FLEET_ROUTERS, real: 16, hosts: FLEET_HOSTS, zones: 10, racks: 40 },
+            layout: Layout {
+                routers: FLEET_ROUTERS,
+                real: 16,
+                hosts: FLEET_HOSTS,
+                zones: 10,
+                racks: 40,
+            },
             hollow_list: 740,
             rest_rate: 2.0,
             peak_rate: 10.0,
@@ -95,7 +101,11 @@
                 recovery: 10.0,
                 split: 15.0,
             },
-            capacity: Capacity { discovery_calls: 4_000.0, discovery_bytes: 16e6, votes: 250.0 },
+            capacity: Capacity {
+                discovery_calls: 4_000.0,
+                discovery_bytes: 16e6,
+                votes: 250.0,
+            },
             publish_every: 1.0,
             bake: 3.0,
             stage_spread: 4.0,
@@ -106,7 +116,13 @@
     /// A small fleet with the same events, for continuous integration.
     pub fn small() -> Self {
         Plan {
-            layout: Layout { routers: 12, real: 4, hosts: 24, zones: 4, racks: 8 },
+            layout: Layout {
+                routers: 12,
+                real: 4,
+                hosts: 24,
+                zones: 4,
+                racks: 8,
+            },
             hollow_list: 24,
             rest_rate: 10.0,
             peak_rate: 40.0,
@@ -120,7 +136,11 @@
                 recovery: 3.0,
                 split: 4.0,
             },
-            capacity: Capacity { discovery_calls: 1_000.0, discovery_bytes: 4e6, votes: 250.0 },
+            capacity: Capacity {
+                discovery_calls: 1_000.0,
+                discovery_bytes: 4e6,
+                votes: 250.0,
+            },
             publish_every: 0.05,
             bake: 1.0,
             stage_spread: 0.5,
@@ -130,8 +150,19 @@
 
     /// Twelve routers, all real or all hollow, before 24 hosts.
     pub fn held_against(real: bool) -> Self {
-        let layout = Layout { routers: 12, real: if real { 12 } else { 0 }, hosts: 24, zones: 4, racks: 8 };
-        Plan { layout, rest_rate: 40.0, files: false, ..Plan::small() }
+        let layout = Layout {
+            routers: 12,
+            real: if real { 12 } else { 0 },
+            hosts: 24,
+            zones: 4,
+            racks: 8,
+        };
+        Plan {
+            layout,
+            rest_rate: 40.0,
+            files: false,
+            ..Plan::small()
+        }
     }
 
     /// Half of all routers move a build on, or back.
--- a/measure/src/capacity/fleet_run/plan/tests.rs
+++ b/measure/src/capacity/fleet_run/plan/tests.rs
@@ -6,7 +6,8 @@
 fn every_router_can_read_its_settings() {
     for plan in [Plan::full(), Plan::small(), Plan::held_against(true)] {
         let settings = plan.settings(plan.layout.routers - 1);
-        let (terms, _) = decode(&Fields::from_json("settings", &settings), &mut Names::Named).unwrap();
+        let (terms, _) =
+            decode(&Fields::from_json("settings", &settings), &mut Names::Named).unwrap();
         assert_eq!(terms.routers, plan.layout.routers);
         assert_eq!(terms.votes_on * 2, plan.layout.routers);
         assert_eq!(terms.cold_time, COLD_TIME);
--- a/measure/src/capacity/fleet_run/rollout.rs
+++ b/measure/src/capacity/fleet_run/rollout.rs
@@ -66,7 +66,13 @@
 
 impl Rollout {
     pub fn new(build: u16, needed: u32, bake: f64, now: f64) -> Self {
-        let standing = Standing { build, stage: 0, progress: Progress::Live, cap: 1.0, since: now };
+        let standing = Standing {
+            build,
+            stage: 0,
+            progress: Progress::Live,
+            cap: 1.0,
+            since: now,
+        };
         Rollout {
             standing,
             baseline: build,
@@ -83,7 +89,13 @@
 
     fn stand(&mut self, stage: u32, progress: Progress, cap: f64, now: f64) {
         let build = self.standing.build;
-        self.standing = Standing { build, stage, progress, cap, since: now };
+        self.standing = Standing {
+            build,
+            stage,
+            progress,
+            cap,
+            since: now,
+        };
         self.votes.clear();
         self.most = [0; 2];
     }
@@ -105,8 +117,20 @@
     }
 
     /// A router's vote; false where it is out of date.
-    pub fn cast(&mut self, router: u32, build: u16, stage: u32, opinion: Opinion, now: f64) -> bool {
-        let Standing { build: newest, stage: current, progress, .. } = self.standing;
+    pub fn cast(
+        &mut self,
+        router: u32,
+        build: u16,
+        stage: u32,
+        opinion: Opinion,
+        now: f64,
+    ) -> bool {
+        let Standing {
+            build: newest,
+            stage: current,
+            progress,
+            ..
+        } = self.standing;
         let open = matches!(progress, Progress::Testing | Progress::Live);
         let counts = open && (build, stage) == (newest, current);
         if counts {
@@ -116,12 +140,20 @@
     }
 
     fn count(&self, opinion: Opinion, now: f64) -> usize {
-        self.votes.values().filter(|(of, at)| *of == opinion && now - at < BALLOT_LIFE).count()
+        self.votes
+            .values()
+            .filter(|(of, at)| *of == opinion && now - at < BALLOT_LIFE)
+            .count()
     }
 
     /// Moves the build where its votes say so; whether it stands otherwise than before.
     pub fn decide(&mut self, now: f64) -> bool {
-        let Standing { stage, progress, since, .. } = self.standing;
+        let Standing {
+            stage,
+            progress,
+            since,
+            ..
+        } = self.standing;
         if progress != Progress::Testing {
             return false;
         }
@@ -133,7 +165,12 @@
         }
         let on = standing[0] >= self.needed && now - since >= self.bake;
         if on && stage as usize + 1 < ROLLOUT_SHARES.len() {
-            self.stand(stage + 1, Progress::Testing, ROLLOUT_CAPS[stage as usize + 1], now);
+            self.stand(
+                stage + 1,
+                Progress::Testing,
+                ROLLOUT_CAPS[stage as usize + 1],
+                now,
+            );
         } else if on {
             self.baseline = self.standing.build;
             self.stand(stage, Progress::Live, 1.0, now);
@@ -148,7 +185,13 @@
 
     /// The standing as the platform writes it.
     pub fn render(&self, now: f64) -> String {
-        let Standing { build, stage, progress, cap, since } = self.standing;
+        let Standing {
+            build,
+            stage,
+            progress,
+            cap,
+            since,
+        } = self.standing;
         let (progress, age) = (progress.name(), ((now - since).max(0.0) * 1e3) as u64);
         format!(
             "{{\"image\":{build},\"ring\":{stage},\"progress\":\"{progress}\",\"ceiling\":{cap},\
--- a/measure/src/capacity/simulation/exposure.rs
+++ b/measure/src/capacity/simulation/exposure.rs
@@ -35,7 +35,15 @@
     pub fn new(window: f64, spare: f64) -> Self {
         let (taken, sent, caps) = (VecDeque::new(), VecDeque::new(), VecDeque::new());
         let (spare_once, spare_each) = (Worst::default(), Worst::default());
-        Exposure { window, spare, taken, sent, caps, spare_once, spare_each }
+        Exposure {
+            window,
+            spare,
+            taken,
+            sent,
+            caps,
+            spare_once,
+            spare_each,
+        }
     }
 
     /// Another build goes on trial; the worst so far is forgotten.
@@ -73,7 +81,13 @@
         let [once, each] = [ratio(self.spare), ratio(self.spare * routers as f64)];
         for (worst, ratio) in [(&mut self.spare_once, once), (&mut self.spare_each, each)] {
             if ratio > worst.ratio {
-                *worst = Worst { ratio, at: now, sent, taken, cap };
+                *worst = Worst {
+                    ratio,
+                    at: now,
+                    sent,
+                    taken,
+                    cap,
+                };
             }
         }
     }
