--- a/measure/src/capacity/slopes/servers/platform.rs
+++ b/measure/src/capacity/slopes/servers/platform.rs
@@ -41,7 +41,12 @@
 }
 
 fn state(of: &(Rollout, Instant)) -> Value {
-    let Rollout { build, stage, progress, cap } = of.0;
+    let Rollout {
+        build,
+        stage,
+        progress,
+        cap,
+    } = of.0;
     let age = of.1.elapsed().as_millis() as u64;
     json!({"image": build, "ring": stage, "progress": progress, "ceiling": cap, "lag_ms": age})
 }
@@ -53,8 +58,15 @@
         let listener = block_on(TcpListener::bind("127.0.0.1:0")).expect("the platform can listen");
         let at = listener.local_addr().expect("a listener has an address");
         let scope = Scope::new();
-        scope.spawner().spawn(listen(scope.spawner(), listener, told, counted.clone()));
-        Platform { at, rollout, counted, _scope: scope }
+        scope
+            .spawner()
+            .spawn(listen(scope.spawner(), listener, told, counted.clone()));
+        Platform {
+            at,
+            rollout,
+            counted,
+            _scope: scope,
+        }
     }
 
     pub(in super::super) fn tell(&self, rollout: Rollout) {
@@ -67,14 +79,21 @@
 }
 
 async fn listen(
-    spawner: Spawner, listener: TcpListener, told: watch::Receiver<(Rollout, Instant)>, counted: Arc<Counted>,
+    spawner: Spawner,
+    listener: TcpListener,
+    told: watch::Receiver<(Rollout, Instant)>,
+    counted: Arc<Counted>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
         spawner.spawn(serve(stream, told.clone(), counted.clone()));
     }
 }
 
-async fn serve(stream: TcpStream, mut told: watch::Receiver<(Rollout, Instant)>, counted: Arc<Counted>) {
+async fn serve(
+    stream: TcpStream,
+    mut told: watch::Receiver<(Rollout, Instant)>,
+    counted: Arc<Counted>,
+) {
     let _ = stream.set_nodelay(true);
     let (read, mut write) = stream.into_split();
     let mut lines = BufReader::new(read).lines();
--- a/measure/src/fleet/tests.rs
+++ b/measure/src/fleet/tests.rs
@@ -13,7 +13,10 @@
 
 #[test]
 fn counts_are_spread_over_their_time_and_votes_stand_until_the_next_stage() {
-    let mut sum = Sum { from: 10.0, ..Sum::default() };
+    let mut sum = Sum {
+        from: 10.0,
+        ..Sum::default()
+    };
     sum.add(0, ONE);
     sum.add(1, TWO);
     sum.end();
--- a/measure/src/main.rs
+++ b/measure/src/main.rs
@@ -40,5 +40,9 @@
         What::Fleet(count) => count.run(),
         What::Capacity(capacity) => capacity.run(),
     };
-    if well { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if well {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
