--- a/router/src/fronts/keeper.rs
+++ b/router/src/fronts/keeper.rs
@@ -110,7 +110,10 @@
         let base = store.in_force().clone();
         let desk = Desk::new(store, remembered.pending);
         let published = Arc::new(ArcSwap::from_pointee(desk.publish()));
-        let told = (base.revision.0, desk.store.refusals().next_back().map(|refusal| refusal.at));
+        let told = (
+            base.revision.0,
+            desk.store.refusals().next_back().map(|refusal| refusal.at),
+        );
         let (files, waiting, held) = (remembered.files, None, None);
         let (unsaved, saved, unsaved_told, lines) = (true, 0.0, false, (0.0, 0));
         Ok(Keeper {
@@ -137,11 +140,15 @@
     /// What a router starts with: what the files say if it is well, else the last good revision. `Err` where
     /// there is neither.
     pub fn begin(
-        &mut self, watching: Option<&Watching>, facts: &Facts,
+        &mut self,
+        watching: Option<&Watching>,
+        facts: &Facts,
     ) -> Result<(Option<Arc<Snapshot>>, Option<u64>), String> {
         let mut known = None;
         if let Some(watching) = watching {
-            let (spoken, digest) = look(&watching.watched, |contents| spoken(&watching.files, contents));
+            let (spoken, digest) = look(&watching.watched, |contents| {
+                spoken(&watching.files, contents)
+            });
             known = Some(digest);
             let faults = match spoken {
                 Spoken::Whole(version) => self.offer(version, facts, false).err(),
@@ -152,8 +159,10 @@
             };
             let last_good = self.desk.store.in_force().revision.0 > 0;
             // What only waits for discovery's list is no reason not to start: discovery's hosts serve till then.
-            let waits =
-                watching.discovery && faults.as_ref().is_some_and(|faults| faults.pass_at().is_some());
+            let waits = watching.discovery
+                && faults
+                    .as_ref()
+                    .is_some_and(|faults| faults.pass_at().is_some());
             match faults {
                 Some(faults) if !last_good && !waits => return Err(faults.to_string()),
                 Some(_) if last_good => {
@@ -169,11 +178,22 @@
     }
 
     /// Serves what is asked until it is told to stop or nobody is left.
-    pub fn run(&mut self, asked: &Receiver<Ask>, view: &ArcSwap<View>, post: &Post<Notice>, pulse: &Pulse) {
+    pub fn run(
+        &mut self,
+        asked: &Receiver<Ask>,
+        view: &ArcSwap<View>,
+        post: &Post<Notice>,
+        pulse: &Pulse,
+    ) {
         loop {
             let now = self.clock.now();
             pulse.beat(now);
-            let due = self.waiting.as_ref().map(|waiting| waiting.again).into_iter().chain(self.desk.due());
+            let due = self
+                .waiting
+                .as_ref()
+                .map(|waiting| waiting.again)
+                .into_iter()
+                .chain(self.desk.due());
             let due = due.fold(now + ROUND, f64::min) - now;
             let sleep = Duration::from_secs_f64(due.clamp(0.0, ROUND));
             let ask = match asked.recv_timeout(sleep) {
@@ -182,7 +202,10 @@
                 Err(RecvTimeoutError::Timeout) => None,
             };
             let facts = view.load().facts(self.clock.now());
-            let undone = self.desk.tick(&facts).and_then(|undone| self.undone(undone));
+            let undone = self
+                .desk
+                .tick(&facts)
+                .and_then(|undone| self.undone(undone));
             let reply = match ask {
                 Some(Ask::Files(told)) => Served::only(self.told(told, &facts)),
                 Some(Ask::Desk(ask)) => self.asked(ask, &facts),
@@ -202,7 +225,11 @@
             }
             let view = view.load();
             // The loop holds the one in force, and lets the one before go as it takes it.
-            while self.posted.get(1).is_some_and(|next| next.revision() <= view.revision) {
+            while self
+                .posted
+                .get(1)
+                .is_some_and(|next| next.revision() <= view.revision)
+            {
                 self.posted.pop_front();
             }
             self.save(Some(&view));
@@ -220,8 +247,12 @@
     /// Publishes what the desk has, and tells what happened since the last time.
     fn publish(&mut self) {
         let store = &self.desk.store;
-        let new: Vec<_> =
-            store.history().rev().take_while(|record| record.number > self.told.0).cloned().collect();
+        let new: Vec<_> = store
+            .history()
+            .rev()
+            .take_while(|record| record.number > self.told.0)
+            .cloned()
+            .collect();
         for record in new.into_iter().rev() {
             self.told.0 = record.number;
             let _ = self.news.send(News::Committed(Arc::new(record)));
@@ -252,10 +283,18 @@
             Ok(commit) => {
                 info!(self.log, "a commit that was not confirmed is undone";
                     "revision" => self.desk.store.in_force().revision.0);
-                if let Commit::Taken(snapshot) = commit { Some(snapshot) } else { None }
+                if let Commit::Taken(snapshot) = commit {
+                    Some(snapshot)
+                } else {
+                    None
+                }
             }
             Err(faults) => {
-                self.tell("a commit that was not confirmed cannot be undone", "", &faults);
+                self.tell(
+                    "a commit that was not confirmed cannot be undone",
+                    "",
+                    &faults,
+                );
                 None
             }
         }
@@ -272,19 +311,35 @@
                 let undone = self.desk.ended(session, facts);
                 return Served::only(undone.and_then(|undone| self.undone(undone)));
             }
-            Ask::Lock { session, target, reply } => {
+            Ask::Lock {
+                session,
+                target,
+                reply,
+            } => {
                 let _ = reply.send(self.desk.lock(session, target));
             }
-            Ask::Unlock { session, target, reply } => {
+            Ask::Unlock {
+                session,
+                target,
+                reply,
+            } => {
                 let _ = reply.send(self.desk.unlock(session, target));
             }
             Ask::Validate { candidate, reply } => {
                 let _ = reply.send(self.desk.validate(&candidate, facts));
             }
-            Ask::Confirm { asker, persist_id, reply } => {
+            Ask::Confirm {
+                asker,
+                persist_id,
+                reply,
+            } => {
                 let _ = reply.send(self.desk.confirm(asker, persist_id.as_deref()));
             }
-            Ask::Cancel { asker, persist_id, reply } => {
+            Ask::Cancel {
+                asker,
+                persist_id,
+                reply,
+            } => {
                 let cancelled = self.desk.cancel(asker, persist_id.as_deref(), facts);
                 let taken = match &cancelled {
                     Ok(Commit::Taken(snapshot)) => Some(snapshot.clone()),
@@ -297,7 +352,11 @@
             }
             Ask::Denied { author, fault } => {
                 let faults = fault.into();
-                self.tell("an edit is beyond the rights of who tries it", &author.name, &faults);
+                self.tell(
+                    "an edit is beyond the rights of who tries it",
+                    &author.name,
+                    &faults,
+                );
                 self.desk.store.refuse(author, facts.now, faults);
             }
             Ask::Commit(ask) => {
@@ -322,10 +381,16 @@
                     }
                     Err(_) => {}
                 }
-                let taken =
-                    if let Ok(Commit::Taken(snapshot)) = &committed { Some(snapshot.clone()) } else { None };
+                let taken = if let Ok(Commit::Taken(snapshot)) = &committed {
+                    Some(snapshot.clone())
+                } else {
+                    None
+                };
                 let reply = ask.reply;
-                return Served { taken, reply: Some(Box::new(move || drop(reply.send(committed)))) };
+                return Served {
+                    taken,
+                    reply: Some(Box::new(move || drop(reply.send(committed)))),
+                };
             }
         }
         Served::only(None)
@@ -346,7 +411,11 @@
             }
             Told::Held(faults) => {
                 self.tell("files do not belong together yet", "", &faults);
-                self.held = Some(Held { since: facts.now, author: author(""), faults });
+                self.held = Some(Held {
+                    since: facts.now,
+                    author: author(""),
+                    faults,
+                });
                 self.unsaved = true;
                 None
             }
@@ -354,14 +423,21 @@
     }
 
     fn try_again(&mut self, facts: &Facts) -> Option<Arc<Snapshot>> {
-        let due = self.waiting.as_ref().is_some_and(|waiting| waiting.again <= facts.now);
+        let due = self
+            .waiting
+            .as_ref()
+            .is_some_and(|waiting| waiting.again <= facts.now);
         let waiting = self.waiting.take_if(|_| due)?;
         // It was told of when it began to wait, and is again only where that is over.
-        let looked =
-            self.candidate(&waiting.version).and_then(|candidate| self.desk.validate(&candidate, facts));
+        let looked = self
+            .candidate(&waiting.version)
+            .and_then(|candidate| self.desk.validate(&candidate, facts));
         match looked.err().and_then(|faults| faults.pass_at()) {
             Some(at) => {
-                self.waiting = Some(Waiting { again: at.max(facts.now + AGAIN), ..waiting });
+                self.waiting = Some(Waiting {
+                    again: at.max(facts.now + AGAIN),
+                    ..waiting
+                });
                 None
             }
             // Well by now, unless somebody's lock still keeps it out.
@@ -373,17 +449,28 @@
         if version.generation == self.generation && version.tree != self.files {
             // Half of another version looks like this, too.
             let what = "is that of the version in force, and the content is another";
-            return Err(Fault::new("generation", what, &version.generation, "a name for each version").into());
+            return Err(Fault::new(
+                "generation",
+                what,
+                &version.generation,
+                "a name for each version",
+            )
+            .into());
         }
         let mut candidate = Candidate::of(&self.base);
-        candidate.tree = candidate.tree.patched(&self.files.differences(&version.tree), false)?;
+        candidate.tree = candidate
+            .tree
+            .patched(&self.files.differences(&version.tree), false)?;
         Ok(candidate)
     }
 
     /// What the files changed since they were last taken, on top of what is in force: whoever else changed the
     /// same leaves meanwhile is not overruled in silence.
     fn offer(
-        &mut self, version: Version, facts: &Facts, quiet: bool,
+        &mut self,
+        version: Version,
+        facts: &Facts,
+        quiet: bool,
     ) -> Result<Option<Arc<Snapshot>>, Faults> {
         self.unsaved = true;
         let candidate = match self.candidate(&version) {
@@ -393,7 +480,14 @@
                 return Err(faults);
             }
         };
-        let committed = self.desk.commit(None, &candidate, author(&version.generation), None, None, facts);
+        let committed = self.desk.commit(
+            None,
+            &candidate,
+            author(&version.generation),
+            None,
+            None,
+            facts,
+        );
         // A lock, or a commit that waits, passes: the files are what operators want all the same.
         match committed.map_err(|refused| as_faults(refused, facts.now + AGAIN)) {
             Ok(commit) => {
@@ -420,7 +514,11 @@
                         if !quiet {
                             self.tell("the files are held back", &version.generation, &faults);
                         }
-                        self.waiting = Some(Waiting { version, held, again });
+                        self.waiting = Some(Waiting {
+                            version,
+                            held,
+                            again,
+                        });
                     }
                     None => self.tell("the files are refused", &version.generation, &faults),
                 }
@@ -432,7 +530,9 @@
     /// Files that cannot be read as a version at all.
     fn refused(&mut self, generation: &str, faults: Faults) {
         self.tell("the files are refused", generation, &faults);
-        self.desk.store.refuse(author(generation), self.clock.now(), faults);
+        self.desk
+            .store
+            .refuse(author(generation), self.clock.now(), faults);
         self.unsaved = true;
     }
 
@@ -443,7 +543,11 @@
         }
         self.lines.1 += 1;
         if self.lines.1 <= LINES {
-            let why = faults.first.first().map(ToString::to_string).unwrap_or_default();
+            let why = faults
+                .first
+                .first()
+                .map(ToString::to_string)
+                .unwrap_or_default();
             warn!(self.log, "{}", what; "generation" => generation, "why" => why,
                 "further" => faults.first.len().saturating_sub(1) + faults.more,
                 "stays" => self.desk.store.in_force().revision.0);
@@ -453,11 +557,19 @@
     /// Saves what changed, not more often than makes sense.
     fn save(&mut self, view: Option<&View>) {
         let now = self.clock.now();
-        let Some(folder) = self.terms.folder.as_deref().filter(|_| self.unsaved && now - self.saved >= SAVE)
+        let Some(folder) = self
+            .terms
+            .folder
+            .as_deref()
+            .filter(|_| self.unsaved && now - self.saved >= SAVE)
         else {
             return;
         };
-        let held = self.waiting.as_ref().map(|waiting| waiting.held.clone()).or_else(|| self.held.clone());
+        let held = self
+            .waiting
+            .as_ref()
+            .map(|waiting| waiting.held.clone())
+            .or_else(|| self.held.clone());
         let remembered = Remembered {
             router: self.terms.router.clone(),
             written: now,
@@ -500,5 +612,9 @@
 }
 
 fn author(generation: &str) -> Author {
-    Author { source: Source::Files, name: "operators".into(), version: generation.into() }
+    Author {
+        source: Source::Files,
+        name: "operators".into(),
+        version: generation.into(),
+    }
 }
--- a/router/src/fronts/management.rs
+++ b/router/src/fronts/management.rs
@@ -35,25 +35,38 @@
 }
 
 fn listen(at: SocketAddr, what: &str) -> Result<TcpListener, String> {
-    let failed = |e: std::io::Error| format!("[management] {what}: {at} cannot be listened on: {e}");
+    let failed =
+        |e: std::io::Error| format!("[management] {what}: {at} cannot be listened on: {e}");
     let listener = TcpListener::bind(at).map_err(failed)?;
     listener.set_nonblocking(true).map_err(failed)?;
     Ok(listener)
 }
 
 fn read(path: &Path, what: &str) -> Result<Vec<u8>, String> {
-    fs::read(path).map_err(|e| format!("[management] {what}: {} cannot be read: {e}", path.display()))
+    fs::read(path).map_err(|e| {
+        format!(
+            "[management] {what}: {} cannot be read: {e}",
+            path.display()
+        )
+    })
 }
 
 fn place(watched: &Watched) -> String {
-    watched.files.first().map_or(String::new(), |path| path.display().to_string())
+    watched
+        .files
+        .first()
+        .map_or(String::new(), |path| path.display().to_string())
 }
 
 impl Opened {
     pub fn open(log: &Logger, terms: &ManagementTerms) -> Result<Self, String> {
         let at = place(&terms.keys);
         let (spoken, digest) = look(&terms.keys, |contents| {
-            contents.first().map_or(Spoken::Torn(Default::default()), |content| keys(&at, content))
+            contents
+                .first()
+                .map_or(Spoken::Torn(Default::default()), |content| {
+                    keys(&at, content)
+                })
         });
         let found = match spoken {
             Spoken::Whole(keys) => keys,
@@ -64,9 +77,13 @@
         let netconf = match &terms.netconf {
             None => None,
             Some(of) => {
-                let key = String::from_utf8_lossy(&read(&of.host_key, "ssh-host-key")?).into_owned();
+                let key =
+                    String::from_utf8_lossy(&read(&of.host_key, "ssh-host-key")?).into_owned();
                 let key = russh_key::decode_secret_key(&key, None).map_err(|e| {
-                    format!("[management] ssh-host-key: {} is no private key: {e}", of.host_key.display())
+                    format!(
+                        "[management] ssh-host-key: {} is no private key: {e}",
+                        of.host_key.display()
+                    )
                 })?;
                 let listener = listen(of.listen, "netconf")?;
                 info!(log, "NETCONF is listened for"; "at" => listener.local_addr().map_or(String::new(), |at| at.to_string()));
@@ -88,12 +105,30 @@
         };
         info!(log, "keys are taken"; "generation" => &found.generation, "keys" => found.keys.len());
         let keys = Arc::new(ArcSwap::from_pointee(found));
-        Ok(Opened { netconf, gnmi, keys, watched: terms.keys.clone(), digest })
+        Ok(Opened {
+            netconf,
+            gnmi,
+            keys,
+            watched: terms.keys.clone(),
+            digest,
+        })
     }
 
     /// Starts the threads of the fronts and of their file of keys.
-    pub fn start(self, log: &Logger, clock: Clock, desk: Handle, pulse: Pulse) -> std::io::Result<()> {
-        let Opened { netconf, gnmi, keys: found, watched, digest } = self;
+    pub fn start(
+        self,
+        log: &Logger,
+        clock: Clock,
+        desk: Handle,
+        pulse: Pulse,
+    ) -> std::io::Result<()> {
+        let Opened {
+            netconf,
+            gnmi,
+            keys: found,
+            watched,
+            digest,
+        } = self;
         let ((wake, nudged), of_log, of_keys) = (wakes(), log.clone(), log.clone());
         let mut known = Some(digest);
         supervise(log.clone(), "keys", move || {
@@ -111,18 +146,34 @@
                         info!(of_keys, "keys are taken"; "generation" => generation, "keys" => count);
                     }
                     Told::Refused(faults) | Told::Held(faults) => {
-                        let why = faults.first.first().map(ToString::to_string).unwrap_or_default();
+                        let why = faults
+                            .first
+                            .first()
+                            .map(ToString::to_string)
+                            .unwrap_or_default();
                         warn!(of_keys, "the file of keys is refused, the keys stay as they are"; "why" => why);
                     }
                 }
                 true
             };
-            kestreltide_watch::run(&watched, known.take(), (wake.clone(), &nudged), || (), says, tell);
+            kestreltide_watch::run(
+                &watched,
+                known.take(),
+                (wake.clone(), &nudged),
+                || (),
+                says,
+                tell,
+            );
         })?;
         supervise(log.clone(), "management", move || {
-            let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+            let runtime = match tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+            {
                 Ok(runtime) => runtime,
-                Err(e) => return error!(of_log, "the management fronts cannot be started"; "error" => %e),
+                Err(e) => {
+                    return error!(of_log, "the management fronts cannot be started"; "error" => %e);
+                }
             };
             runtime.block_on(run(&of_log, clock, &desk, &pulse, &netconf, &gnmi));
         })?;
@@ -131,14 +182,25 @@
 }
 
 async fn run(
-    log: &Logger, clock: Clock, desk: &Handle, pulse: &Pulse,
-    netconf: &Option<(TcpListener, russh_key::PrivateKey)>, gnmi: &Option<(TcpListener, Files)>,
+    log: &Logger,
+    clock: Clock,
+    desk: &Handle,
+    pulse: &Pulse,
+    netconf: &Option<(TcpListener, russh_key::PrivateKey)>,
+    gnmi: &Option<(TcpListener, Files)>,
 ) {
     let limits = Limits::default();
     // The listeners are the program's: a thread that is started again goes on with the same.
-    let again = |listener: &TcpListener| listener.try_clone().and_then(tokio::net::TcpListener::from_std);
+    let again = |listener: &TcpListener| {
+        listener
+            .try_clone()
+            .and_then(tokio::net::TcpListener::from_std)
+    };
     if let Some((listener, key)) = netconf {
-        match (again(listener), Shared::new(log.clone(), desk.clone(), limits.clone())) {
+        match (
+            again(listener),
+            Shared::new(log.clone(), desk.clone(), limits.clone()),
+        ) {
             (Ok(listener), Ok(shared)) => {
                 tokio::spawn(serve_netconf(Arc::new(shared), listener, key.clone()));
             }
@@ -149,8 +211,16 @@
     if let Some((listener, files)) = gnmi {
         match again(listener) {
             Ok(listener) => {
-                let Files { certificate, key, clients } = files.clone();
-                let tls = gnmi::Tls { certificate, key, clients };
+                let Files {
+                    certificate,
+                    key,
+                    clients,
+                } = files.clone();
+                let tls = gnmi::Tls {
+                    certificate,
+                    key,
+                    clients,
+                };
                 let (log, desk) = (log.clone(), desk.clone());
                 tokio::spawn(async move {
                     if let Err(why) = gnmi::serve(log.clone(), desk, limits, listener, tls).await {
--- a/router/src/fronts/memory.rs
+++ b/router/src/fronts/memory.rs
@@ -68,16 +68,23 @@
     let unsaved = |e: io::Error| format!("{}: {e}", folder.display());
     let new = folder.join(format!("{NAME}.new"));
     let file = BufWriter::new(File::create(&new).map_err(unsaved)?);
-    let mut file = Checked { to: file, check: crc32fast::Hasher::new() };
+    let mut file = Checked {
+        to: file,
+        check: crc32fast::Hasher::new(),
+    };
     // Piece by piece: a long history once is no reason to hold its text in memory.
     writeln!(file, "{FORM}").map_err(unsaved)?;
     serde_json::to_writer(&mut file, remembered).map_err(|e| unsaved(e.into()))?;
     let check = file.check.finalize();
     writeln!(file.to, "\n{CHECK}{check:08x}").map_err(unsaved)?;
     let file = file.to.into_inner().map_err(|e| unsaved(e.into_error()))?;
-    file.sync_all().and_then(|()| fs::rename(&new, path(folder))).map_err(unsaved)?;
+    file.sync_all()
+        .and_then(|()| fs::rename(&new, path(folder)))
+        .map_err(unsaved)?;
     // The name itself is kept by the folder.
-    File::open(folder).and_then(|folder| folder.sync_all()).map_err(unsaved)
+    File::open(folder)
+        .and_then(|folder| folder.sync_all())
+        .map_err(unsaved)
 }
 
 /// What was remembered; `None` where nothing ever was. A damaged file is an error.
@@ -90,14 +97,20 @@
     };
     let damaged = |why: &str| format!("{}: is damaged: {why}", at.display());
     let tail = format!("\n{CHECK}").len() + 9;
-    let place = bytes.len().checked_sub(tail).ok_or_else(|| damaged("it is too short"))?;
+    let place = bytes
+        .len()
+        .checked_sub(tail)
+        .ok_or_else(|| damaged("it is too short"))?;
     let (said, check) = bytes.split_at(place);
     if check != format!("\n{CHECK}{:08x}\n", crc32fast::hash(said)).as_bytes() {
         return Err(damaged("its check is not that of its content"));
     }
-    let body =
-        said.strip_prefix(format!("{FORM}\n").as_bytes()).ok_or_else(|| damaged("its form is not known"))?;
-    serde_json::from_slice(body).map(Some).map_err(|e| damaged(&e.to_string()))
+    let body = said
+        .strip_prefix(format!("{FORM}\n").as_bytes())
+        .ok_or_else(|| damaged("its form is not known"))?;
+    serde_json::from_slice(body)
+        .map(Some)
+        .map_err(|e| damaged(&e.to_string()))
 }
 
 /// Puts a damaged file aside, so that it can be looked at and is not met again.
--- a/router/src/fronts/memory/tests.rs
+++ b/router/src/fronts/memory/tests.rs
@@ -6,7 +6,11 @@
 fn what_was_saved_is_loaded_and_any_changed_byte_is_noticed() {
     let folder = tempfile::tempdir().expect("a folder");
     assert_eq!(load(folder.path()), Ok(None));
-    let remembered = Remembered { router: "n0".into(), written: 5.0, ..Remembered::default() };
+    let remembered = Remembered {
+        router: "n0".into(),
+        written: 5.0,
+        ..Remembered::default()
+    };
     save(folder.path(), &remembered).expect("saved");
     assert_eq!(load(folder.path()), Ok(Some(remembered)));
     let bytes = fs::read(path(folder.path())).expect("read");
--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -68,22 +68,44 @@
 impl Opening<'_> {
     /// Starts the threads that the operator file asks for; none where it asks for none.
     pub fn fronts(
-        &self, net: &mut Net, operators: &OperatorTerms, listed: Option<Vec<Listed>>, news: Option<StageNews>,
+        &self,
+        net: &mut Net,
+        operators: &OperatorTerms,
+        listed: Option<Vec<Listed>>,
+        news: Option<StageNews>,
     ) -> Result<Option<Joined>, String> {
         if !operators.any() {
             return Ok(None);
         }
-        let OperatorTerms { folder, history, watching, management } = operators.clone();
+        let OperatorTerms {
+            folder,
+            history,
+            watching,
+            management,
+        } = operators.clone();
         let failed = |e: std::io::Error| format!("a thread cannot be started: {e}");
         let (log, clock) = (self.log.clone(), self.clock);
-        let opened = management.as_ref().map(|terms| Opened::open(&log, terms)).transpose()?;
+        let opened = management
+            .as_ref()
+            .map(|terms| Opened::open(&log, terms))
+            .transpose()?;
         let (open, of_loop) = FrontBox::open(net, self.limits.posted).map_err(failed)?;
         let rules = RuleTerms::new(self.terms, self.operations.clone(), self.limits.operators);
-        let terms = KeeperTerms { router: self.router.into(), rules, history, folder };
+        let terms = KeeperTerms {
+            router: self.router.into(),
+            rules,
+            history,
+            folder,
+        };
         let mut keeper = Keeper::start(log.clone(), clock, terms)?;
         let heard = listed.is_some() || operators.alone();
         let discovery = (!operators.alone()).then(|| listed.unwrap_or_default().into());
-        let facts = Facts { now: clock.now(), discovery, heard, news };
+        let facts = Facts {
+            now: clock.now(),
+            discovery,
+            heard,
+            news,
+        };
         let (first, known) = keeper.begin(watching.as_ref(), &facts)?;
         let (asks, asked) = sync_channel(self.limits.asked);
         let (published, told) = keeper.published();
@@ -102,7 +124,8 @@
             supervise(log.clone(), "watch", move || {
                 // After a death everything is told anew; what is in force already changes nothing.
                 let alive = || pulse.beat(clock.now());
-                let says = |contents: &[kestreltide_watch::Content]| spoken(&watching.files, contents);
+                let says =
+                    |contents: &[kestreltide_watch::Content]| spoken(&watching.files, contents);
                 let tell = |told| tell.send(Ask::Files(told)).is_ok();
                 kestreltide_watch::run(
                     &watching.watched,
@@ -130,6 +153,15 @@
             pulses.push(pulse.clone());
             opened.start(&log, clock, desk, pulse).map_err(failed)?;
         }
-        Ok(Some((open, first, Fronts { asks, wake, keeper, pulses })))
+        Ok(Some((
+            open,
+            first,
+            Fronts {
+                asks,
+                wake,
+                keeper,
+                pulses,
+            },
+        )))
     }
 }
--- a/router/src/fronts/supervise.rs
+++ b/router/src/fronts/supervise.rs
@@ -13,7 +13,9 @@
 /// Runs a front in a thread of its own until it ends by itself. What it works on must be whole between its steps:
 /// it goes on with that after a panic.
 pub fn supervise(
-    log: Logger, name: &'static str, mut run: impl FnMut() + Send + 'static,
+    log: Logger,
+    name: &'static str,
+    mut run: impl FnMut() + Send + 'static,
 ) -> std::io::Result<JoinHandle<u32>> {
     thread::Builder::new().name(name.into()).spawn(move || {
         let (mut wait, mut deaths) = (AGAIN[0], 0);
@@ -24,7 +26,9 @@
                 Err(panic) => {
                     deaths += 1;
                     let why = panic.downcast_ref::<&str>().map(|why| (*why).to_owned());
-                    let why = why.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_default();
+                    let why = why
+                        .or_else(|| panic.downcast_ref::<String>().cloned())
+                        .unwrap_or_default();
                     error!(log, "a front died"; "front" => name, "deaths" => deaths, "why" => why);
                 }
             }
--- a/router/src/fronts/terms.rs
+++ b/router/src/fronts/terms.rs
@@ -57,6 +57,8 @@
 
     /// Whether operators' files alone list the hosts.
     pub fn alone(&self) -> bool {
-        self.watching.as_ref().is_some_and(|watching| !watching.discovery)
+        self.watching
+            .as_ref()
+            .is_some_and(|watching| !watching.discovery)
     }
 }
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -170,13 +170,19 @@
 impl Room {
     pub fn new(memory_mb: usize) -> Self {
         let memory = memory_mb.saturating_mul(MIB).max(MEMORY_LEAST * MIB);
-        Room { memory_mb, left: memory.saturating_sub(held(memory_mb)) - PROGRAM }
+        Room {
+            memory_mb,
+            left: memory.saturating_sub(held(memory_mb)) - PROGRAM,
+        }
     }
 
     /// Where it is not left, the error tells how much is.
     pub fn take(&mut self, bytes: usize) -> Result<(), RoomError> {
         let left = self.left.checked_sub(bytes);
-        self.left = left.ok_or(RoomError { most: self.left, memory_mb: self.memory_mb })?;
+        self.left = left.ok_or(RoomError {
+            most: self.left,
+            memory_mb: self.memory_mb,
+        })?;
         Ok(())
     }
 
@@ -204,11 +210,17 @@
             route: ROUTE,
             route_name: ROUTE_NAME,
         };
-        Most { memory, ..Most::default() }
+        Most {
+            memory,
+            ..Most::default()
+        }
     }
 
     fn take_each(&mut self, count: usize, each: usize) -> Result<(), RoomError> {
-        let most = RoomError { most: self.left / each, memory_mb: self.memory_mb };
+        let most = RoomError {
+            most: self.left / each,
+            memory_mb: self.memory_mb,
+        };
         self.take(count.saturating_mul(each)).map_err(|_| most)
     }
 }
@@ -234,7 +246,11 @@
 
     /// The room is what the configuration leaves.
     pub fn new(
-        sockets: usize, memory_mb: usize, room: &Room, terms: &ServiceTerms, transport: &TransportTerms,
+        sockets: usize,
+        memory_mb: usize,
+        room: &Room,
+        terms: &ServiceTerms,
+        transport: &TransportTerms,
     ) -> Self {
         let value = 64 * KIB;
         let message = value + 4 * KIB;
@@ -246,11 +262,27 @@
         // Some clients' connections are never held by an open invocation: who comes when all others are is
         // accepted, read and turned away at once, where it would wait unanswered outside.
         let busy = (clients - clients.div_ceil(SPARE_PART)).max(1);
-        let longest = terms.operations.iter().map(|o| o.time_limit).fold(0.0, f64::max);
+        let longest = terms
+            .operations
+            .iter()
+            .map(|o| o.time_limit)
+            .fold(0.0, f64::max);
         Limits {
-            resp: RespLimits { value, words: 8, line: KIB, digits: 12, message, id: 256 },
+            resp: RespLimits {
+                value,
+                words: 8,
+                line: KIB,
+                digits: 12,
+                message,
+                id: 256,
+            },
             line: 8 * KIB,
-            answer: AnswerLimits { body: 4 * MIB, head: 16 * KIB, frame: 256 * KIB, headers: 32 },
+            answer: AnswerLimits {
+                body: 4 * MIB,
+                head: 16 * KIB,
+                frame: 256 * KIB,
+                headers: 32,
+            },
             datagram: 256,
             datagrams: 1024,
             read_step: 64 * KIB,
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -67,10 +67,18 @@
                 .for_each(|module| println!("{}", kestreltide_model::tree::print(schema, module)));
             return Ok(());
         };
-        let known: Vec<_> = schema.modules.iter().map(|module| module.name.as_str()).collect();
+        let known: Vec<_> = schema
+            .modules
+            .iter()
+            .map(|module| module.name.as_str())
+            .collect();
         let found = schema.modules.iter().find(|module| module.name == *name);
-        let found = found
-            .ok_or_else(|| format!("module: no such module (given: {name}; taken: {})", known.join(", ")))?;
+        let found = found.ok_or_else(|| {
+            format!(
+                "module: no such module (given: {name}; taken: {})",
+                known.join(", ")
+            )
+        })?;
         print!("{}", found.text);
         Ok(())
     }
@@ -80,21 +88,37 @@
     pub(super) fn run(&self) -> Result<(), String> {
         let terms = operator::load(&self.file)?;
         if let Some(watching) = &terms.watching {
-            let version = match look(&watching.watched, |contents| spoken(&watching.files, contents)).0 {
+            let version = match look(&watching.watched, |contents| {
+                spoken(&watching.files, contents)
+            })
+            .0
+            {
                 Spoken::Whole(version) => version,
                 Spoken::Apart(faults) | Spoken::Torn(faults) | Spoken::Wrong(faults) => {
                     return Err(faults.to_string());
                 }
             };
             let rules = self.rules()?;
-            beyond(&version.tree, 0, &rules.most).into_result().map_err(|faults| faults.to_string())?;
+            beyond(&version.tree, 0, &rules.most)
+                .into_result()
+                .map_err(|faults| faults.to_string())?;
             if !watching.discovery {
                 let mut store = Datastore::new(rules, History::default());
                 let mut candidate = Candidate::of(store.in_force());
                 candidate.tree = version.tree;
-                let author = Author { source: Source::Files, name: String::new(), version: String::new() };
-                let facts = Facts { now: now(), heard: true, ..Facts::default() };
-                store.commit(&candidate, author, &facts).map_err(|faults: Faults| faults.to_string())?;
+                let author = Author {
+                    source: Source::Files,
+                    name: String::new(),
+                    version: String::new(),
+                };
+                let facts = Facts {
+                    now: now(),
+                    heard: true,
+                    ..Facts::default()
+                };
+                store
+                    .commit(&candidate, author, &facts)
+                    .map_err(|faults: Faults| faults.to_string())?;
             }
         }
         println!("{} is well", self.file.display());
@@ -118,7 +142,11 @@
         let text = config::load(Some(config.clone()))?;
         let told = config::read(&text, When::Start)?;
         let operations = told.transport.operations.keys().cloned().collect();
-        Ok(RuleTerms::new(&told.terms, operations, told.room.operators()))
+        Ok(RuleTerms::new(
+            &told.terms,
+            operations,
+            told.room.operators(),
+        ))
     }
 }
 
@@ -129,33 +157,45 @@
 }
 
 fn now() -> f64 {
-    UNIX_EPOCH.elapsed().map_or(0.0, |since| since.as_secs_f64())
+    UNIX_EPOCH
+        .elapsed()
+        .map_or(0.0, |since| since.as_secs_f64())
 }
 
 fn time(at: f64) -> String {
     let at = Duration::try_from_secs_f64(at).map(|since| UNIX_EPOCH + since);
-    at.map_or_else(|_| "unknown".into(), |at| humantime::format_rfc3339_millis(at).to_string())
+    at.map_or_else(
+        |_| "unknown".into(),
+        |at| humantime::format_rfc3339_millis(at).to_string(),
+    )
 }
 
 impl Revisions {
     pub(super) fn run(&self) -> Result<(), String> {
         let folder = match &self.state {
             Some(folder) => folder.clone(),
-            None => super::operators(&self.operator)?
-                .folder
-                .ok_or("no state directory: neither --state nor [datastore] state-directory names one")?,
+            None => super::operators(&self.operator)?.folder.ok_or(
+                "no state directory: neither --state nor [datastore] state-directory names one",
+            )?,
         };
-        let remembered =
-            load(&folder)?.ok_or_else(|| format!("{}: no revision is remembered", folder.display()))?;
+        let remembered = load(&folder)?
+            .ok_or_else(|| format!("{}: no revision is remembered", folder.display()))?;
         let memory = &remembered.memory;
         if let Some(number) = self.diff {
             let held = || memory.history.iter().map(|record| record.number);
-            let found = memory.history.iter().find(|record| record.number == number).ok_or_else(|| {
-                let (least, most) = (held().min().unwrap_or(0), held().max().unwrap_or(0));
-                format!("revision: is not held (given: {number}; taken: {least} to {most})")
-            })?;
+            let found = memory
+                .history
+                .iter()
+                .find(|record| record.number == number)
+                .ok_or_else(|| {
+                    let (least, most) = (held().min().unwrap_or(0), held().max().unwrap_or(0));
+                    format!("revision: is not held (given: {number}; taken: {least} to {most})")
+                })?;
             println!("{}", line(found));
-            found.changes.iter().for_each(|change| println!("  {change}"));
+            found
+                .changes
+                .iter()
+                .for_each(|change| println!("  {change}"));
             return Ok(());
         }
         println!(
@@ -169,14 +209,30 @@
         );
         let newest = memory.history.iter().rev().take(self.newest);
         newest.for_each(|record| println!("{}", line(record)));
-        if let Some(Held { since, author, faults }) = &remembered.held {
+        if let Some(Held {
+            since,
+            author,
+            faults,
+        }) = &remembered.held
+        {
             println!("held back since {}: {author}", time(*since));
-            faults.to_string().lines().for_each(|fault| println!("  {fault}"));
+            faults
+                .to_string()
+                .lines()
+                .for_each(|fault| println!("  {fault}"));
         }
         match memory.refusals.back() {
             Some(last) => {
-                println!("last refused {}: {}; revision {} stayed", time(last.at), last.author, last.stays);
-                last.faults.to_string().lines().for_each(|fault| println!("  {fault}"));
+                println!(
+                    "last refused {}: {}; revision {} stayed",
+                    time(last.at),
+                    last.author,
+                    last.stays
+                );
+                last.faults
+                    .to_string()
+                    .lines()
+                    .for_each(|fault| println!("  {fault}"));
             }
             None => println!("nothing was refused"),
         }
@@ -185,6 +241,16 @@
 }
 
 fn line(record: &RevisionRecord) -> String {
-    let RevisionRecord { number, based_on, at, author, changes } = record;
-    format!("{number:>6}  {}  {:>6} leaves  {author} (based on {based_on})", time(*at), changes.len())
+    let RevisionRecord {
+        number,
+        based_on,
+        at,
+        author,
+        changes,
+    } = record;
+    format!(
+        "{number:>6}  {}  {:>6} leaves  {author} (based on {based_on})",
+        time(*at),
+        changes.len()
+    )
 }
--- a/router/src/program/config.rs
+++ b/router/src/program/config.rs
@@ -83,10 +83,16 @@
         return Err(unread("it is no file".into()));
     }
     if found.len() > Limits::FILE as u64 {
-        return Err(unread(format!("it is too long ({} bytes; {} at most)", found.len(), Limits::FILE)));
+        return Err(unread(format!(
+            "it is too long ({} bytes; {} at most)",
+            found.len(),
+            Limits::FILE
+        )));
     }
     let mut text = String::new();
-    file.take(Limits::FILE as u64).read_to_string(&mut text).map_err(|e| unread(e.to_string()))?;
+    file.take(Limits::FILE as u64)
+        .read_to_string(&mut text)
+        .map_err(|e| unread(e.to_string()))?;
     Ok(text)
 }
 
@@ -103,7 +109,9 @@
 /// The environment goes before the file where both say something.
 fn address(variable: &str, told: SocketAddr) -> Result<SocketAddr, String> {
     match env::var(variable) {
-        Ok(text) => text.parse().map_err(|_| format!("{variable}={text} is no address and port")),
+        Ok(text) => text
+            .parse()
+            .map_err(|_| format!("{variable}={text} is no address and port")),
         Err(_) => Ok(told),
     }
 }
@@ -112,10 +120,15 @@
     let reader = &mut serde_json::Deserializer::from_str(text);
     let file: File = serde_path_to_error::deserialize(reader).map_err(|e| {
         let (path, why) = (e.path().to_string(), e.inner());
-        if path == "." { why.to_string() } else { format!("{path}: {why}") }
+        if path == "." {
+            why.to_string()
+        } else {
+            format!("{path}: {why}")
+        }
     })?;
     let seed = file.seed.trim_start_matches("0x");
-    let seed = u64::from_str_radix(seed, 16).map_err(|_| format!("seed: {seed} is no hexadecimal number"))?;
+    let seed = u64::from_str_radix(seed, 16)
+        .map_err(|_| format!("seed: {seed} is no hexadecimal number"))?;
     if file.limits.sockets == 0 || file.limits.memory_mb == 0 {
         return Err("limits: sockets and memory_mb must be more than 0".into());
     }
@@ -124,11 +137,15 @@
         When::Again { memory_mb } => memory_mb.min(file.limits.memory_mb),
     };
     let mut room = Room::new(memory_mb);
-    room.take(text.len()).map_err(|error| borne("the configuration", text.len(), "bytes", &error))?;
+    room.take(text.len())
+        .map_err(|error| borne("the configuration", text.len(), "bytes", &error))?;
     let peers = peers(file.peers, &mut room)?;
     let settings = settings(file.settings, &mut room)?;
     let (terms, transport) = decode(&Fields::from_json("settings", &settings), &mut Names::Named)?;
-    let known = file.known.map(|known| known_hosts(known, &room)).transpose()?;
+    let known = file
+        .known
+        .map(|known| known_hosts(known, &room))
+        .transpose()?;
     Ok(Told {
         name: env::var("PROXY_NAME").unwrap_or(file.name),
         listen: address("PROXY_LISTEN", file.listen)?,
@@ -160,16 +177,25 @@
 fn peers(raw: &RawValue, room: &mut Room) -> Result<Vec<SocketAddr>, String> {
     let text = raw.get();
     // No address holds a comma: they are counted before room is made for them.
-    let count = if text.contains('"') { text.matches(',').count() + 1 } else { 0 };
-    room.take_peers(count).map_err(|error| borne("peers", count, "addresses", &error))?;
+    let count = if text.contains('"') {
+        text.matches(',').count() + 1
+    } else {
+        0
+    };
+    room.take_peers(count)
+        .map_err(|error| borne("peers", count, "addresses", &error))?;
     let reader = &mut serde_json::Deserializer::from_str(text);
     serde_path_to_error::deserialize(reader)
         .map_err(|error| at("peers", &error.path().to_string(), error.inner()))
 }
 
 fn settings(raw: &RawValue, room: &mut Room) -> Result<Value, String> {
-    let (reader, mut track) = (&mut serde_json::Deserializer::from_str(raw.get()), Track::new());
-    let read = Unique { room }.deserialize(serde_path_to_error::Deserializer::new(reader, &mut track));
+    let (reader, mut track) = (
+        &mut serde_json::Deserializer::from_str(raw.get()),
+        Track::new(),
+    );
+    let read =
+        Unique { room }.deserialize(serde_path_to_error::Deserializer::new(reader, &mut track));
     read.map_err(|error| at("settings", &track.path().to_string(), &error))
 }
 
@@ -179,9 +205,13 @@
         format!("known{dot}{}: {}", error.path, unplaced(&error.why))
     })?;
     let (field, count) = ("known.targets", list.targets.len());
-    room.bears_hosts(count).map_err(|error| borne(field, count, "hosts", &error))?;
+    room.bears_hosts(count)
+        .map_err(|error| borne(field, count, "hosts", &error))?;
     if count > room.hosts() {
-        return Err(format!("{field}: more than a router keeps ({count} hosts; {} at most)", room.hosts()));
+        return Err(format!(
+            "{field}: more than a router keeps ({count} hosts; {} at most)",
+            room.hosts()
+        ));
     }
     Ok(list)
 }
@@ -189,7 +219,11 @@
 /// An error in a part of the file, by its path.
 fn at(field: &str, path: &str, error: &serde_json::Error) -> String {
     let dot = if path.starts_with('[') { "" } else { "." };
-    let path = if path == "." { String::new() } else { format!("{dot}{path}") };
+    let path = if path == "." {
+        String::new()
+    } else {
+        format!("{dot}{path}")
+    };
     format!("{field}{path}: {}", unplaced(&error.to_string()))
 }
 
@@ -240,9 +274,16 @@
             ("peers", self.peers == told.peers),
             ("peers_all", self.peers_all == told.peers_all),
             ("platform", self.platform == told.platform.is_some()),
-            ("settings", self.terms == told.terms && self.transport == told.transport),
+            (
+                "settings",
+                self.terms == told.terms && self.transport == told.transport,
+            ),
         ];
-        let changed: Vec<_> = same.iter().filter(|(_, same)| !same).map(|(field, _)| *field).collect();
+        let changed: Vec<_> = same
+            .iter()
+            .filter(|(_, same)| !same)
+            .map(|(field, _)| *field)
+            .collect();
         if changed.is_empty() {
             Ok(())
         } else {
--- a/router/src/program/logs.rs
+++ b/router/src/program/logs.rs
@@ -12,9 +12,18 @@
     // A line is written as one, where it would be some twenty pieces that each can wait for whoever reads them.
     let whole = BufWriter::with_capacity(limits.log_line, stderr());
     let lines = slog_term::FullFormat::new(slog_term::PlainDecorator::new(whole));
-    let lines = lines.use_utc_timestamp().use_original_order().build().fuse();
+    let lines = lines
+        .use_utc_timestamp()
+        .use_original_order()
+        .build()
+        .fuse();
     let builder = slog_async::Async::new(LevelFilter::new(lines, level).fuse());
-    let builder = builder.chan_size(limits.log_lines).overflow_strategy(OverflowStrategy::DropAndReport);
+    let builder = builder
+        .chan_size(limits.log_lines)
+        .overflow_strategy(OverflowStrategy::DropAndReport);
     let (drain, guard) = builder.build_with_guard();
-    (Logger::root(drain.fuse(), o!("router" => name.to_owned())), guard)
+    (
+        Logger::root(drain.fuse(), o!("router" => name.to_owned())),
+        guard,
+    )
 }
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -82,10 +82,12 @@
     let line: Line = argh::from_env();
     let done = match line.command.unwrap_or(Command::Serve(Serve::default())) {
         Command::Serve(serve) => run(&serve),
-        Command::CheckConfig(CheckConfig { config }) => config::load(config)
-            .and_then(|text| config::read(&text, When::Start).map(|told| println!("{} is well", told.name))),
-        Command::ShowLimits(ShowLimits { config }) => config::load(config)
-            .and_then(|text| config::read(&text, When::Start).map(|told| println!("{:#?}", limits(&told)))),
+        Command::CheckConfig(CheckConfig { config }) => config::load(config).and_then(|text| {
+            config::read(&text, When::Start).map(|told| println!("{} is well", told.name))
+        }),
+        Command::ShowLimits(ShowLimits { config }) => config::load(config).and_then(|text| {
+            config::read(&text, When::Start).map(|told| println!("{:#?}", limits(&told)))
+        }),
         Command::Models(models) => models.run(),
         Command::CheckOperator(check) => check.run(),
         Command::ShowOperator(show) => show.run(),
@@ -105,11 +107,18 @@
 }
 
 fn level(text: &str) -> Result<slog::Level, String> {
-    text.parse().map_err(|()| format!("{text} is no level: error, warn, info or debug"))
+    text.parse()
+        .map_err(|()| format!("{text} is no level: error, warn, info or debug"))
 }
 
 fn limits(told: &Told) -> Limits {
-    Limits::new(told.limits.sockets, told.limits.memory_mb, &told.room, &told.terms, &told.transport)
+    Limits::new(
+        told.limits.sockets,
+        told.limits.memory_mb,
+        &told.room,
+        &told.terms,
+        &told.transport,
+    )
 }
 
 fn run(serve: &Serve) -> Result<(), String> {
@@ -133,18 +142,29 @@
     };
     let alone = operators.alone();
     let known = told.known.filter(|_| !alone);
-    let news = told.platform.as_ref().and_then(|platform| platform.news.as_ref());
+    let news = told
+        .platform
+        .as_ref()
+        .and_then(|platform| platform.news.as_ref());
     let news = news.map(|news| news.state().news(false));
     let of_fronts = known.as_ref().filter(|_| operators.any());
     let listed: Option<Vec<Listed>> =
         of_fronts.map(|known| known.targets.iter().map(|t| t.listed()).collect());
     let operations = told.transport.operations.keys().cloned().collect();
     let (router, terms) = (&told.name, &told.terms);
-    let open = Opening { log: &log, clock, limits: &limits, router, terms, operations };
+    let open = Opening {
+        log: &log,
+        clock,
+        limits: &limits,
+        router,
+        terms,
+        operations,
+    };
     let joined = open.fronts(&mut net, &operators, listed, news)?;
     let terms = (told.terms, told.transport);
     let started = Routing::start(log.clone(), (limits, clock), net, terms, parties, told.seed);
-    let mut routing = started.map_err(|e| format!("listen: {} cannot be listened on: {e}", told.listen))?;
+    let mut routing =
+        started.map_err(|e| format!("listen: {} cannot be listened on: {e}", told.listen))?;
     let fronts = joined.map(|(open, first, fronts)| {
         routing.join(open, fronts.pulses.clone(), !alone);
         (first, fronts)
@@ -170,7 +190,10 @@
                 }
                 fronts.iter().for_each(Fronts::look);
                 if self::operators(&serve.operator).as_ref() != Ok(&operators) {
-                    warn!(log, "the operator file has changed or is not well, only a restart takes it");
+                    warn!(
+                        log,
+                        "the operator file has changed or is not well, only a restart takes it"
+                    );
                 }
             }
             Ok(Turn::Over) => break Ok(()),
@@ -190,14 +213,24 @@
 }
 
 fn operators(named: &Option<PathBuf>) -> Result<OperatorTerms, String> {
-    let path = named.clone().or_else(|| std::env::var_os("KESTRELTIDE_OPERATOR").map(PathBuf::from));
-    path.map_or_else(|| Ok(OperatorTerms::default()), |path| operator::load(&path))
+    let path = named
+        .clone()
+        .or_else(|| std::env::var_os("KESTRELTIDE_OPERATOR").map(PathBuf::from));
+    path.map_or_else(
+        || Ok(OperatorTerms::default()),
+        |path| operator::load(&path),
+    )
 }
 
 /// Takes from the configuration what may change while the program runs, if all of it is well.
 fn reread(log: &Logger, routing: &mut Routing, serve: &Serve, fixed: &Fixed) -> Result<(), String> {
     let text = config::load(serve.config.clone())?;
-    let told = config::read(&text, When::Again { memory_mb: fixed.memory_mb() })?;
+    let told = config::read(
+        &text,
+        When::Again {
+            memory_mb: fixed.memory_mb(),
+        },
+    )?;
     fixed.check(&told)?;
     let platform = told.platform.map(|platform| platform.address);
     info!(log, "the configuration was read again"; "discovery" => %told.discovery,
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -34,7 +34,13 @@
 }
 
 /// Section, key, what it takes, its default in words, what it is for.
-type Row = (&'static str, &'static str, Takes, &'static str, &'static str);
+type Row = (
+    &'static str,
+    &'static str,
+    Takes,
+    &'static str,
+    &'static str,
+);
 
 const ROWS: [Row; 16] = [
     (
@@ -44,39 +50,123 @@
         "",
         "where the last good revision is remembered; none: nowhere",
     ),
-    ("datastore", "history", Takes::Whole { least: 1, most: 100_000 }, "1000", "revisions that are kept"),
-    ("watch", "hosts", Takes::Path, "", "the file of hosts and guards"),
-    ("watch", "weights", Takes::Path, "", "the file of weights and states"),
-    ("watch", "discovery", Takes::Flag, "on", "off: hosts are those of the files alone"),
-    ("watch", "notices", Takes::Flag, "on", "off: changes are found by looking alone"),
+    (
+        "datastore",
+        "history",
+        Takes::Whole {
+            least: 1,
+            most: 100_000,
+        },
+        "1000",
+        "revisions that are kept",
+    ),
+    (
+        "watch",
+        "hosts",
+        Takes::Path,
+        "",
+        "the file of hosts and guards",
+    ),
+    (
+        "watch",
+        "weights",
+        Takes::Path,
+        "",
+        "the file of weights and states",
+    ),
+    (
+        "watch",
+        "discovery",
+        Takes::Flag,
+        "on",
+        "off: hosts are those of the files alone",
+    ),
+    (
+        "watch",
+        "notices",
+        Takes::Flag,
+        "on",
+        "off: changes are found by looking alone",
+    ),
     (
         "watch",
         "settle",
-        Takes::Seconds { least: 0.001, most: 10.0 },
+        Takes::Seconds {
+            least: 0.001,
+            most: 10.0,
+        },
         "0.02",
         "without a change before a file is taken for written",
     ),
     (
         "watch",
         "poll",
-        Takes::Seconds { least: 0.01, most: 60.0 },
+        Takes::Seconds {
+            least: 0.01,
+            most: 60.0,
+        },
         "0.1",
         "between looks where no notice comes",
     ),
     (
         "watch",
         "compare",
-        Takes::Seconds { least: 0.1, most: 3600.0 },
+        Takes::Seconds {
+            least: 0.1,
+            most: 3600.0,
+        },
         "1",
         "between readings though nothing seems changed",
     ),
-    ("management", "netconf", Takes::Address, "", "where NETCONF over SSH is listened for; none: not"),
-    ("management", "ssh-host-key", Takes::Path, "", "the private key by which clients know this router"),
-    ("management", "gnmi", Takes::Address, "", "where gNMI over TLS is listened for; none: not"),
-    ("management", "certificate", Takes::Path, "", "this router's certificate, in PEM"),
-    ("management", "key", Takes::Path, "", "its private key, in PEM"),
-    ("management", "client-ca", Takes::Path, "", "who signs clients' certificates, in PEM"),
-    ("management", "keys", Takes::Path, "", "the file of keys: who may come in, and what they may do"),
+    (
+        "management",
+        "netconf",
+        Takes::Address,
+        "",
+        "where NETCONF over SSH is listened for; none: not",
+    ),
+    (
+        "management",
+        "ssh-host-key",
+        Takes::Path,
+        "",
+        "the private key by which clients know this router",
+    ),
+    (
+        "management",
+        "gnmi",
+        Takes::Address,
+        "",
+        "where gNMI over TLS is listened for; none: not",
+    ),
+    (
+        "management",
+        "certificate",
+        Takes::Path,
+        "",
+        "this router's certificate, in PEM",
+    ),
+    (
+        "management",
+        "key",
+        Takes::Path,
+        "",
+        "its private key, in PEM",
+    ),
+    (
+        "management",
+        "client-ca",
+        Takes::Path,
+        "",
+        "who signs clients' certificates, in PEM",
+    ),
+    (
+        "management",
+        "keys",
+        Takes::Path,
+        "",
+        "the file of keys: who may come in, and what they may do",
+    ),
 ];
 
 /// Bytes of a watched file.
@@ -97,7 +187,10 @@
         Takes::Path => Ok(()),
         Takes::Address => match text.parse::<SocketAddr>() {
             Ok(_) => Ok(()),
-            Err(_) => Err(("is no address and port", "an address such as 127.0.0.1:830".into())),
+            Err(_) => Err((
+                "is no address and port",
+                "an address such as 127.0.0.1:830".into(),
+            )),
         },
         Takes::Flag if ["on", "off"].contains(&text) => Ok(()),
         Takes::Flag => Err(("is neither", "on or off".into())),
@@ -116,12 +209,18 @@
 
 /// What a whole operator file says, or everything that is wrong with it.
 pub fn parse(place: &Path, text: &str) -> Result<OperatorTerms, Faults> {
-    let (name, folder) = (place.display().to_string(), place.parent().unwrap_or(Path::new("")));
+    let (name, folder) = (
+        place.display().to_string(),
+        place.parent().unwrap_or(Path::new("")),
+    );
     let read = ini::sections(&name, text)?;
     let mut faults = Faults::default();
     for (number, section) in read.iter().enumerate() {
         known(&name, section, &mut faults);
-        if let Some(first) = read[..number].iter().find(|first| first.name == section.name) {
+        if let Some(first) = read[..number]
+            .iter()
+            .find(|first| first.name == section.name)
+        {
             let path = format!("{name}:{}: [{}]", section.line, section.name);
             faults.push(Fault::new(
                 path,
@@ -134,24 +233,41 @@
     faults.into_result()?;
     let said = |section: &str, key: &str| {
         let section = read.iter().find(|read| read.name == section)?;
-        section.keys.iter().find(|read| read.name == key).map(|key| key.value.as_str())
+        section
+            .keys
+            .iter()
+            .find(|read| read.name == key)
+            .map(|key| key.value.as_str())
     };
     let text = |section: &str, key: &str| {
         said(section, key).unwrap_or_else(|| {
-            ROWS.iter().find(|row| row.0 == section && row.1 == key).map_or("", |row| row.3)
+            ROWS.iter()
+                .find(|row| row.0 == section && row.1 == key)
+                .map_or("", |row| row.3)
         })
     };
     let path = |section, key| said(section, key).map(|path| folder.join(path));
     let seconds = |section, key| text(section, key).parse().unwrap_or(0.0);
-    let files = [(Kind::Hosts, path("watch", "hosts")), (Kind::Weights, path("watch", "weights"))];
-    let files: Vec<_> = files.into_iter().filter_map(|(kind, path)| Some((kind, path?))).collect();
-    let (discovery, watch) =
-        (text("watch", "discovery") == "on", read.iter().find(|section| section.name == "watch"));
+    let files = [
+        (Kind::Hosts, path("watch", "hosts")),
+        (Kind::Weights, path("watch", "weights")),
+    ];
+    let files: Vec<_> = files
+        .into_iter()
+        .filter_map(|(kind, path)| Some((kind, path?)))
+        .collect();
+    let (discovery, watch) = (
+        text("watch", "discovery") == "on",
+        read.iter().find(|section| section.name == "watch"),
+    );
     let management = read.iter().find(|section| section.name == "management");
     let mut faults = Faults::default();
     if let Some(section) = management {
         // A front that cannot prove itself, or let anybody in, is a mistake.
-        let (netconf, gnmi) = (said("management", "netconf").is_some(), said("management", "gnmi").is_some());
+        let (netconf, gnmi) = (
+            said("management", "netconf").is_some(),
+            said("management", "gnmi").is_some(),
+        );
         let needs = [
             ("keys", netconf || gnmi),
             ("ssh-host-key", netconf),
@@ -159,7 +275,9 @@
             ("key", gnmi),
             ("client-ca", gnmi),
         ];
-        for (key, _) in needs.into_iter().filter(|(key, needed)| *needed && said("management", key).is_none())
+        for (key, _) in needs
+            .into_iter()
+            .filter(|(key, needed)| *needed && said("management", key).is_none())
         {
             let at = format!("{name}:{}: [management] {key}", section.line);
             faults.push(Fault::new(at, "is missing", "nothing", "a path"));
@@ -168,7 +286,12 @@
     if let Some(section) = watch {
         let at = format!("{name}:{}: [watch]", section.line);
         if files.is_empty() {
-            faults.push(Fault::new(&at, "names no file to watch", "nothing", "hosts, weights or both"));
+            faults.push(Fault::new(
+                &at,
+                "names no file to watch",
+                "nothing",
+                "hosts, weights or both",
+            ));
         } else if !discovery && said("watch", "hosts").is_none() {
             faults.push(Fault::new(
                 at,
@@ -180,36 +303,76 @@
     }
     faults.into_result()?;
     let settle = seconds("watch", "settle");
-    let patience =
-        Patience { settle, longest: LONGEST * settle, poll: seconds("watch", "poll"), apart: APART * settle };
-    let (compare, notices) = (seconds("watch", "compare"), text("watch", "notices") == "on");
+    let patience = Patience {
+        settle,
+        longest: LONGEST * settle,
+        poll: seconds("watch", "poll"),
+        apart: APART * settle,
+    };
+    let (compare, notices) = (
+        seconds("watch", "compare"),
+        text("watch", "notices") == "on",
+    );
     let paths = files.iter().map(|(_, path)| path.clone()).collect();
-    let watched = Watched { files: paths, most: FILE_MOST, patience, compare, notices };
+    let watched = Watched {
+        files: paths,
+        most: FILE_MOST,
+        patience,
+        compare,
+        notices,
+    };
     let address = |key| said("management", key).and_then(|text| text.parse::<SocketAddr>().ok());
     let file = |key| path("management", key).unwrap_or_default();
-    let netconf = address("netconf").map(|listen| NetconfTerms { listen, host_key: file("ssh-host-key") });
+    let netconf = address("netconf").map(|listen| NetconfTerms {
+        listen,
+        host_key: file("ssh-host-key"),
+    });
     let gnmi = address("gnmi").map(|listen| GnmiTerms {
         listen,
         certificate: file("certificate"),
         key: file("key"),
         client_ca: file("client-ca"),
     });
-    let keys = Watched { files: vec![file("keys")], ..watched.clone() };
-    let management = (netconf.is_some() || gnmi.is_some()).then_some(ManagementTerms { netconf, gnmi, keys });
-    let revisions = text("datastore", "history").parse().unwrap_or(History::default().revisions);
+    let keys = Watched {
+        files: vec![file("keys")],
+        ..watched.clone()
+    };
+    let management = (netconf.is_some() || gnmi.is_some()).then_some(ManagementTerms {
+        netconf,
+        gnmi,
+        keys,
+    });
+    let revisions = text("datastore", "history")
+        .parse()
+        .unwrap_or(History::default().revisions);
     Ok(OperatorTerms {
         folder: path("datastore", "state-directory"),
-        history: History { revisions, ..History::default() },
+        history: History {
+            revisions,
+            ..History::default()
+        },
         management,
-        watching: watch.map(|_| Watching { files, watched, discovery }),
+        watching: watch.map(|_| Watching {
+            files,
+            watched,
+            discovery,
+        }),
     })
 }
 
 fn known(name: &str, section: &Section, faults: &mut Faults) {
-    let keys: Vec<_> = ROWS.iter().filter(|row| row.0 == section.name).map(|row| row.1).collect();
+    let keys: Vec<_> = ROWS
+        .iter()
+        .filter(|row| row.0 == section.name)
+        .map(|row| row.1)
+        .collect();
     let at = format!("{name}:{}", section.line);
     if section.name.is_empty() {
-        let first = section.keys.first().map(|key| shown(&key.name)).unwrap_or_default();
+        let first = section
+            .keys
+            .first()
+            .map(|key| shown(&key.name))
+            .unwrap_or_default();
         return faults.push(Fault::new(
             at,
             "a key stands before the first section",
@@ -222,7 +385,9 @@
     }
     ini::known_keys(name, section, &keys, faults);
     for key in &section.keys {
-        let row = ROWS.iter().find(|row| row.0 == section.name && row.1 == key.name);
+        let row = ROWS
+            .iter()
+            .find(|row| row.0 == section.name && row.1 == key.name);
         if let Some(Err((what, taken))) = row.map(|row| check(row.2, &key.value)) {
             let path = format!("{name}:{}: [{}] {}", key.line, section.name, key.name);
             faults.push(Fault::new(path, what, shown(&key.value), taken));
@@ -244,12 +409,21 @@
     if let Some(path) = path {
         load(path)?;
         let text = fs::read_to_string(path).map_err(|e| e.to_string())?;
-        said = ini::sections(&path.display().to_string(), &text).map_err(|fault| fault.to_string())?;
+        said =
+            ini::sections(&path.display().to_string(), &text).map_err(|fault| fault.to_string())?;
     }
     let mut out = String::new();
     for section in sections() {
         let on = said.iter().find(|said| said.name == section);
-        let _ = writeln!(out, "[{section}]{}", if on.is_some() { "" } else { " ; not in the file" });
+        let _ = writeln!(
+            out,
+            "[{section}]{}",
+            if on.is_some() {
+                ""
+            } else {
+                " ; not in the file"
+            }
+        );
         for (_, key, _, default, what) in ROWS.iter().filter(|row| row.0 == section) {
             let value = on.and_then(|on| on.keys.iter().find(|said| said.name == *key));
             let _ = match value {
--- a/router/src/program/unique.rs
+++ b/router/src/program/unique.rs
@@ -21,7 +21,10 @@
 impl Unique<'_> {
     fn take<E: de::Error>(&mut self, bytes: usize) -> Result<(), E> {
         self.room.take(bytes).map_err(|error| {
-            E::custom(format!("holds more than memory bears (limits.memory_mb is {})", error.memory_mb))
+            E::custom(format!(
+                "holds more than memory bears (limits.memory_mb is {})",
+                error.memory_mb
+            ))
         })
     }
 }
@@ -69,7 +72,9 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut from: A) -> Result<Value, A::Error> {
         let mut items = Vec::new();
-        while let Some(item) = from.next_element_seed(Unique { room: &mut *self.room })? {
+        while let Some(item) = from.next_element_seed(Unique {
+            room: &mut *self.room,
+        })? {
             items.push(item);
         }
         Ok(Value::Array(items))
@@ -83,7 +88,9 @@
                 return Err(de::Error::custom(format!("{key} stands twice")));
             }
             self.take(2 * key.len())?;
-            let value = from.next_value_seed(Unique { room: &mut *self.room })?;
+            let value = from.next_value_seed(Unique {
+                room: &mut *self.room,
+            })?;
             map.insert(key, value);
         }
         Ok(Value::Object(map))
--- a/router/src/protocol/client.rs
+++ b/router/src/protocol/client.rs
@@ -34,7 +34,9 @@
 }
 
 pub fn read<'a>(bytes: &'a [u8], limits: &RespLimits) -> Read<Command<'a>> {
-    let Some((words, used)) = resp::command(bytes, limits)? else { return Ok(None) };
+    let Some((words, used)) = resp::command(bytes, limits)? else {
+        return Ok(None);
+    };
     let name = words[0].to_ascii_uppercase();
     let command = match name.as_slice() {
         IDEMPOTENT | OTHERS => Command::Invocation(asked(words, name == IDEMPOTENT, limits)?),
@@ -45,7 +47,11 @@
     Ok(Some((command, used)))
 }
 
-fn asked<'a>(words: Vec<&'a [u8]>, idempotent: bool, limits: &RespLimits) -> Result<Asked<'a>, Malformed> {
+fn asked<'a>(
+    words: Vec<&'a [u8]>,
+    idempotent: bool,
+    limits: &RespLimits,
+) -> Result<Asked<'a>, Malformed> {
     let text = |word| std::str::from_utf8(word).map_err(|_| Malformed::new("a word is not UTF-8"));
     let (key, id, list) = match words.as_slice() {
         [_, key, id, list] | [_, key, id, list, _] => (text(*key)?, *id, text(*list)?),
@@ -56,7 +62,9 @@
     }
     let (mut operation, mut time, mut again, mut mark) = (None, None, None, None);
     for part in list.split(',') {
-        let (name, value) = part.split_once('=').ok_or_else(|| Malformed::new("a part is not name=value"))?;
+        let (name, value) = part
+            .split_once('=')
+            .ok_or_else(|| Malformed::new("a part is not name=value"))?;
         let known = match name {
             "c" => &mut operation,
             "d" => &mut time,
@@ -73,8 +81,20 @@
     let time = time.filter(|time| time.bytes().all(|byte| byte.is_ascii_digit()));
     let time_millis = time.and_then(|time| time.parse().ok());
     let time_millis = time_millis.ok_or_else(|| Malformed::new("no time (d), or no number"))?;
-    let (again, fingerprinted) = (again == Some("1"), mark.is_some_and(|mark| !mark.is_empty()));
-    Ok(Asked { idempotent, key, id, operation, time_millis, again, fingerprinted, words })
+    let (again, fingerprinted) = (
+        again == Some("1"),
+        mark.is_some_and(|mark| !mark.is_empty()),
+    );
+    Ok(Asked {
+        idempotent,
+        key,
+        id,
+        operation,
+        time_millis,
+        again,
+        fingerprinted,
+        words,
+    })
 }
 
 impl Asked<'_> {
@@ -86,7 +106,10 @@
             bytes.len()
         });
         let ends = ends.collect();
-        Kept { bytes: bytes.into(), ends }
+        Kept {
+            bytes: bytes.into(),
+            ends,
+        }
     }
 }
 
@@ -107,13 +130,18 @@
     }
 
     pub fn id(&self) -> &[u8] {
-        self.ends.get(ID).map_or(&[], |end| &self.bytes[self.ends[ID - 1]..*end])
+        self.ends
+            .get(ID)
+            .map_or(&[], |end| &self.bytes[self.ends[ID - 1]..*end])
     }
 
     /// The command as the client sent it, but with this time (`d`).
     pub fn write(&self, out: &mut Vec<u8>, time_millis: u64) {
         let starts = std::iter::once(0).chain(self.ends.iter().copied());
-        let mut words: Vec<_> = starts.zip(&self.ends).map(|(from, to)| &self.bytes[from..*to]).collect();
+        let mut words: Vec<_> = starts
+            .zip(&self.ends)
+            .map(|(from, to)| &self.bytes[from..*to])
+            .collect();
         let mut list = String::new();
         if let Some(Ok(text)) = words.get(LIST).map(|word| std::str::from_utf8(word)) {
             for part in text.split(',') {
--- a/router/src/protocol/host.rs
+++ b/router/src/protocol/host.rs
@@ -11,13 +11,9 @@
         load: Option<&'a str>,
     },
     /// It may have run.
-    Error {
-        load: Option<&'a str>,
-    },
+    Error { load: Option<&'a str> },
     /// It has never run.
-    Full {
-        load: Option<&'a str>,
-    },
+    Full { load: Option<&'a str> },
     /// The host does not know a command of this form: a defect here.
     Refused(&'a str),
 }
@@ -33,7 +29,9 @@
 
 /// The answer to an invocation.
 pub fn answer<'a>(bytes: &'a [u8], limits: &RespLimits) -> Read<Answer<'a>> {
-    let Some((reply, used)) = resp::reply(bytes, limits)? else { return Ok(None) };
+    let Some((reply, used)) = resp::reply(bytes, limits)? else {
+        return Ok(None);
+    };
     let answer = match reply {
         Reply::Array(Some(items)) => match items.as_slice() {
             [Reply::Bulk(Some(value)), rest @ ..] => {
@@ -41,7 +39,10 @@
                     Reply::Bulk(report) => Some(report.map(text)),
                     _ => None,
                 });
-                Answer::Value { value, load: report.flatten() }
+                Answer::Value {
+                    value,
+                    load: report.flatten(),
+                }
             }
             _ => return Err(Malformed::new("an answer begins with no value")),
         },
@@ -61,7 +62,9 @@
 
 /// The answer to a probe: whether the host is well, and its report.
 pub fn probed<'a>(bytes: &'a [u8], limits: &RespLimits) -> Read<(bool, Option<&'a str>)> {
-    let Some((reply, used)) = resp::reply(bytes, limits)? else { return Ok(None) };
+    let Some((reply, used)) = resp::reply(bytes, limits)? else {
+        return Ok(None);
+    };
     let answer = match reply {
         Reply::Simple(_) => (true, None),
         Reply::Bulk(report) => (true, report.map(text)),
@@ -73,5 +76,9 @@
 
 /// A probe, with or without a request for the report.
 pub fn write_probe(out: &mut Vec<u8>, with_report: bool) {
-    if with_report { write_command(out, &[b"INFO", b"load"]) } else { write_command(out, &[b"PING"]) }
+    if with_report {
+        write_command(out, &[b"INFO", b"load"])
+    } else {
+        write_command(out, &[b"PING"])
+    }
 }
--- a/router/src/protocol/platform.rs
+++ b/router/src/protocol/platform.rs
@@ -12,10 +12,20 @@
 #[derive(Debug, PartialEq)]
 pub enum Told<'a> {
     State(State),
-    Complaint { host: Cow<'a, str>, operation: Cow<'a, str>, age: f64 },
+    Complaint {
+        host: Cow<'a, str>,
+        operation: Cow<'a, str>,
+        age: f64,
+    },
     SignOfLife,
-    Result { call: u64, state: Option<State> },
-    Error { call: u64, verdict: Verdict },
+    Result {
+        call: u64,
+        state: Option<State>,
+    },
+    Error {
+        call: u64,
+        verdict: Verdict,
+    },
     Unknown,
 }
 
@@ -31,8 +41,22 @@
 
 impl State {
     pub fn news(&self, answers_vote: bool) -> StageNews {
-        let State { build, stage, phase, cap, age } = *self;
-        StageNews { verdict: Verdict::Succeeded, build, stage, phase, cap, age, answers_vote }
+        let State {
+            build,
+            stage,
+            phase,
+            cap,
+            age,
+        } = *self;
+        StageNews {
+            verdict: Verdict::Succeeded,
+            build,
+            stage,
+            phase,
+            cap,
+            age,
+            answers_vote,
+        }
     }
 }
 
@@ -82,7 +106,13 @@
             Progress::Recalled => Phase::Withdrawn,
         };
         let (build, stage, cap) = (BuildId(self.image), self.ring, self.ceiling.clamp(0.0, 1.0));
-        State { build, stage, phase, cap, age: self.lag_ms.max(0.0) / 1e3 }
+        State {
+            build,
+            stage,
+            phase,
+            cap,
+            age: self.lag_ms.max(0.0) / 1e3,
+        }
     }
 }
 
@@ -106,7 +136,8 @@
         let why = || Malformed::new(format!("a line is too long ({most} bytes at most)"));
         return if long { Err(why()) } else { Ok(None) };
     };
-    let text = std::str::from_utf8(&bytes[..end]).map_err(|_| Malformed::new("a line is not UTF-8"))?;
+    let text =
+        std::str::from_utf8(&bytes[..end]).map_err(|_| Malformed::new("a line is not UTF-8"))?;
     Ok(Some((told(text.trim_end())?, end + 1)))
 }
 
@@ -121,15 +152,30 @@
         return Ok(Told::Error { call, verdict });
     }
     if let (Some(call), Some(result)) = (line.id, line.result) {
-        let state = result.get().starts_with('{').then(|| parse::<StateForm>(result.get())).transpose()?;
-        return Ok(Told::Result { call, state: state.map(|form| form.state()) });
+        let state = result
+            .get()
+            .starts_with('{')
+            .then(|| parse::<StateForm>(result.get()))
+            .transpose()?;
+        return Ok(Told::Result {
+            call,
+            state: state.map(|form| form.state()),
+        });
     }
-    let params = || line.params.map(RawValue::get).ok_or_else(|| Malformed::new("params is missing"));
+    let params = || {
+        line.params
+            .map(RawValue::get)
+            .ok_or_else(|| Malformed::new("params is missing"))
+    };
     Ok(match line.method.as_deref() {
         Some("progress") => Told::State(parse::<StateForm>(params()?)?.state()),
         Some("complaint") => {
             let form: ComplaintForm = parse(params()?)?;
-            Told::Complaint { host: form.host, operation: form.operation, age: form.lag_ms.max(0.0) / 1e3 }
+            Told::Complaint {
+                host: form.host,
+                operation: form.operation,
+                age: form.lag_ms.max(0.0) / 1e3,
+            }
         }
         Some("ping") => Told::SignOfLife,
         Some(_) => Told::Unknown,
@@ -150,8 +196,12 @@
         Sense::Hold => "hold",
         Sense::Back => "back",
     };
-    let params = format!("{{\"image\":{},\"ring\":{stage},\"opinion\":\"{opinion}\"}}", build.0);
-    let line =
-        format!("{{\"jsonrpc\":\"2.0\",\"id\":{call},\"method\":\"castBallot\",\"params\":{params}}}\n");
+    let params = format!(
+        "{{\"image\":{},\"ring\":{stage},\"opinion\":\"{opinion}\"}}",
+        build.0
+    );
+    let line = format!(
+        "{{\"jsonrpc\":\"2.0\",\"id\":{call},\"method\":\"castBallot\",\"params\":{params}}}\n"
+    );
     out.extend_from_slice(line.as_bytes());
 }
--- a/router/src/protocol/resp.rs
+++ b/router/src/protocol/resp.rs
@@ -29,10 +29,15 @@
 /// A length or number and its line end: anything else is certain at its first wrong byte.
 fn digits(bytes: &[u8], most: usize) -> Read<i64> {
     let sign = usize::from(bytes.first() == Some(&b'-'));
-    let count = bytes[sign..].iter().take(most + 1).take_while(|byte| byte.is_ascii_digit()).count();
+    let count = bytes[sign..]
+        .iter()
+        .take(most + 1)
+        .take_while(|byte| byte.is_ascii_digit())
+        .count();
     let (text, rest) = bytes.split_at(sign + count);
-    let fits =
-        count <= most && (count > 0 || rest.is_empty()) && b"\r\n".starts_with(&rest[..rest.len().min(2)]);
+    let fits = count <= most
+        && (count > 0 || rest.is_empty())
+        && b"\r\n".starts_with(&rest[..rest.len().min(2)]);
     match rest.len() {
         _ if !fits => Err(Malformed::new("a length or number is not one")),
         0 | 1 => Ok(None),
@@ -43,7 +48,10 @@
 fn number(text: &[u8]) -> Result<i64, Malformed> {
     let digits = text.strip_prefix(b"-").unwrap_or(text);
     let plain = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
-    let parsed = std::str::from_utf8(text).ok().filter(|_| plain).and_then(|text| text.parse().ok());
+    let parsed = std::str::from_utf8(text)
+        .ok()
+        .filter(|_| plain)
+        .and_then(|text| text.parse().ok());
     parsed.ok_or_else(|| Malformed::new("a length or number is not one"))
 }
 
@@ -66,25 +74,43 @@
 }
 
 /// The reply that begins after so many bytes of the message.
-fn nested<'a>(message: &'a [u8], before: usize, limits: &RespLimits, depth: usize) -> Read<Reply<'a>> {
+fn nested<'a>(
+    message: &'a [u8],
+    before: usize,
+    limits: &RespLimits,
+    depth: usize,
+) -> Read<Reply<'a>> {
     let bytes = &message[before..];
-    let Some(kind) = bytes.first() else { return Ok(None) };
+    let Some(kind) = bytes.first() else {
+        return Ok(None);
+    };
     if !b"+-:$*".contains(kind) {
-        return Err(Malformed::new("a reply begins with none of the known marks"));
+        return Err(Malformed::new(
+            "a reply begins with none of the known marks",
+        ));
     }
     if b"+-".contains(kind) {
         let read = line(&bytes[1..], limits.line)?;
-        let reply = |text| if *kind == b'+' { Reply::Simple(text) } else { Reply::Error(text) };
+        let reply = |text| {
+            if *kind == b'+' {
+                Reply::Simple(text)
+            } else {
+                Reply::Error(text)
+            }
+        };
         return Ok(read.map(|(text, after)| (reply(text), 1 + after)));
     }
-    let Some((number, after)) = digits(&bytes[1..], limits.digits)? else { return Ok(None) };
+    let Some((number, after)) = digits(&bytes[1..], limits.digits)? else {
+        return Ok(None);
+    };
     let mut used = 1 + after;
     let reply = match kind {
         b':' => Reply::Number(number),
         b'$' => match number {
             -1 => Reply::Bulk(None),
             length => {
-                let Some((value, after)) = bulk(&bytes[used..], length, before + used, limits)? else {
+                let Some((value, after)) = bulk(&bytes[used..], length, before + used, limits)?
+                else {
                     return Ok(None);
                 };
                 used += after;
@@ -94,12 +120,17 @@
         _ => match number {
             -1 => Reply::Array(None),
             count => {
-                let count = usize::try_from(count).ok().filter(|count| *count <= limits.words && depth > 1);
-                let count = count.ok_or_else(|| Malformed::new("an array is too long or too deep"))?;
+                let count = usize::try_from(count)
+                    .ok()
+                    .filter(|count| *count <= limits.words && depth > 1);
+                let count =
+                    count.ok_or_else(|| Malformed::new("an array is too long or too deep"))?;
                 let mut items = Vec::with_capacity(count);
                 for _ in 0..count {
                     let read = nested(message, before + used, limits, depth - 1)?;
-                    let Some((item, after)) = read else { return Ok(None) };
+                    let Some((item, after)) = read else {
+                        return Ok(None);
+                    };
                     used += after;
                     items.push(item);
                 }
@@ -112,13 +143,19 @@
 
 /// A command: an array of bulk strings, at least one.
 pub fn command<'a>(bytes: &'a [u8], limits: &RespLimits) -> Read<Vec<&'a [u8]>> {
-    let Some(kind) = bytes.first() else { return Ok(None) };
+    let Some(kind) = bytes.first() else {
+        return Ok(None);
+    };
     if *kind != b'*' {
         return Err(Malformed::new("a command is an array of bulk strings"));
     }
-    let Some((count, after)) = digits(&bytes[1..], limits.digits)? else { return Ok(None) };
+    let Some((count, after)) = digits(&bytes[1..], limits.digits)? else {
+        return Ok(None);
+    };
     let mut used = 1 + after;
-    let count = usize::try_from(count).ok().filter(|count| (1..=limits.words).contains(count));
+    let count = usize::try_from(count)
+        .ok()
+        .filter(|count| (1..=limits.words).contains(count));
     let count = count.ok_or_else(|| Malformed::new("a command has no words or too many"))?;
     let mut read = Vec::with_capacity(count);
     for _ in 0..count {
@@ -127,9 +164,13 @@
             Some(_) => return Err(Malformed::new("a word of a command is no bulk string")),
             None => return Ok(None),
         }
-        let Some((length, after)) = digits(&bytes[used + 1..], limits.digits)? else { return Ok(None) };
+        let Some((length, after)) = digits(&bytes[used + 1..], limits.digits)? else {
+            return Ok(None);
+        };
         used += 1 + after;
-        let Some((word, after)) = bulk(&bytes[used..], length, used, limits)? else { return Ok(None) };
+        let Some((word, after)) = bulk(&bytes[used..], length, used, limits)? else {
+            return Ok(None);
+        };
         used += after;
         read.push(word);
     }
--- a/router/src/routing/admit.rs
+++ b/router/src/routing/admit.rs
@@ -31,7 +31,14 @@
 
 impl Routing {
     pub(super) fn admit(&mut self, client: SocketId, taken: Taken) {
-        let Taken { operation, key, pool, time_left, again, kept } = taken;
+        let Taken {
+            operation,
+            key,
+            pool,
+            time_left,
+            again,
+            kept,
+        } = taken;
         // Nothing has been dispatched: a client may be told that trying again is harmless.
         let full = self.admitted.len() >= self.limits.invocations;
         if full || self.held + kept.size() > self.limits.held || self.has_given_up() {
@@ -47,7 +54,15 @@
         if let Some(client) = self.clients.get_mut(&client) {
             client.queue.push_back(Waiting::For(id.clone()));
         }
-        self.admitted.insert(id.clone(), Admitted { client, kept, dispatches: 0, left: false });
+        self.admitted.insert(
+            id.clone(),
+            Admitted {
+                client,
+                kept,
+                dispatches: 0,
+                left: false,
+            },
+        );
         self.events.push_back(Event::Arrived(Invocation {
             id,
             operation,
--- a/router/src/routing/book.rs
+++ b/router/src/routing/book.rs
@@ -30,11 +30,19 @@
 
 impl Hosts {
     pub(super) fn new(most: usize) -> Self {
-        Hosts { told: BTreeMap::new(), revision: Arc::default(), most }
+        Hosts {
+            told: BTreeMap::new(),
+            revision: Arc::default(),
+            most,
+        }
     }
 
     pub(super) fn len(&self) -> usize {
-        let alone = self.revision.hosts.iter().filter(|said| !self.told.contains_key(&said.host));
+        let alone = self
+            .revision
+            .hosts
+            .iter()
+            .filter(|said| !self.told.contains_key(&said.host));
         self.told.len() + alone.count()
     }
 
@@ -45,7 +53,9 @@
 
     fn under<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, Listed>> {
         match (self.told.get(&host), revision.said(host)) {
-            (Some(told), Some(said)) => merge(&said.name, Some(told), Some(&said.set), None).map(Cow::Owned),
+            (Some(told), Some(said)) => {
+                merge(&said.name, Some(told), Some(&said.set), None).map(Cow::Owned)
+            }
             (Some(told), None) => Some(Cow::Borrowed(told)),
             (None, said) => said?.alone.as_ref().map(Cow::Borrowed),
         }
@@ -62,7 +72,8 @@
 
     /// Whether a connection to this host at this address may be used again.
     pub(super) fn wanted(&self, host: HostId, at: SocketAddr) -> bool {
-        self.in_force(host).is_some_and(|host| host.serves() && host.endpoint == at)
+        self.in_force(host)
+            .is_some_and(|host| host.serves() && host.endpoint == at)
     }
 
     /// Notes one entry of discovery's list; None where there is no room for one more host.
@@ -75,13 +86,19 @@
         self.told.insert(host, target.listed());
         let new = self.in_force(host)?;
         let moved = old.is_some_and(|old| old.moved(&new));
-        Some(Noted { entry: new.entry(), drop_idle: moved || !new.serves() })
+        Some(Noted {
+            entry: new.entry(),
+            drop_idle: moved || !new.serves(),
+        })
     }
 
     /// A whole list has come: who is not in it is gone.
     pub(super) fn only(&mut self, listed: &[HostEntry]) -> Vec<HostId> {
         let listed: BTreeSet<_> = listed.iter().map(|entry| entry.host).collect();
-        let missing = self.told.iter_mut().filter(|(host, _)| !listed.contains(host));
+        let missing = self
+            .told
+            .iter_mut()
+            .filter(|(host, _)| !listed.contains(host));
         let gone = missing.map(|(host, told)| {
             told.state = HostState::Gone;
             *host
@@ -91,7 +108,11 @@
 
     /// The entries of operators alone, which discovery does not list.
     pub(super) fn of_operators(&self) -> impl Iterator<Item = HostEntry> {
-        let alone = self.revision.hosts.iter().filter(|said| !self.told.contains_key(&said.host));
+        let alone = self
+            .revision
+            .hosts
+            .iter()
+            .filter(|said| !self.told.contains_key(&said.host));
         alone.filter_map(|said| said.entry)
     }
 
@@ -113,7 +134,12 @@
         }
         let mut hosts = new.changed.to_vec();
         if !follows {
-            hosts = old.hosts.iter().chain(&new.hosts).map(|said| said.host).collect();
+            hosts = old
+                .hosts
+                .iter()
+                .chain(&new.hosts)
+                .map(|said| said.host)
+                .collect();
             hosts.sort();
             hosts.dedup();
         }
@@ -121,7 +147,13 @@
             self.told.get(&host)?;
             self.under(revision, host).map(Cow::into_owned)
         };
-        new.changes(&old, &hosts, |host| told(&old, host), |host| told(new, host)).into()
+        new.changes(
+            &old,
+            &hosts,
+            |host| told(&old, host),
+            |host| told(new, host),
+        )
+        .into()
     }
 
     /// All that discovery told and did not take back.
@@ -132,7 +164,9 @@
     pub(super) fn forget_gone(&mut self, using: &BTreeSet<HostId>) {
         // Who is gone stays gone though operators still list it, until discovery says otherwise.
         let said = |host: &HostId| self.revision.said(*host).is_some();
-        self.told.retain(|host, told| told.state != HostState::Gone || using.contains(host) || said(host));
+        self.told.retain(|host, told| {
+            told.state != HostState::Gone || using.contains(host) || said(host)
+        });
     }
 }
 
@@ -233,10 +267,19 @@
             let _ = write!(line, "{name} {count} ");
         }
         line.push_str("ends:");
-        for ((_, name), count) in VERDICTS.iter().zip(self.ends).filter(|(_, count)| *count > 0) {
+        for ((_, name), count) in VERDICTS
+            .iter()
+            .zip(self.ends)
+            .filter(|(_, count)| *count > 0)
+        {
             let _ = write!(line, " {name} {count}");
         }
-        *self = Tally { told: now, second: self.second, before: self.all(), ..Tally::default() };
+        *self = Tally {
+            told: now,
+            second: self.second,
+            before: self.all(),
+            ..Tally::default()
+        };
         Some(line)
     }
 }
--- a/router/src/routing/discovery.rs
+++ b/router/src/routing/discovery.rs
@@ -59,7 +59,19 @@
         let (calls, wait) = (BTreeMap::new(), limits.retry[0]);
         let following = !on_demand;
         let (off, rev, taken, number, heard, told) = (false, None, 0, 0, false, false);
-        Discovery { at, on_demand, off, following, rev, taken, calls, number, wait, heard, told }
+        Discovery {
+            at,
+            on_demand,
+            off,
+            following,
+            rev,
+            taken,
+            calls,
+            number,
+            wait,
+            heard,
+            told,
+        }
     }
 
     /// Not asked from now on.
@@ -89,7 +101,10 @@
     }
 
     fn watching(&self) -> Option<SocketId> {
-        self.calls.iter().find(|(_, call)| call.asked != Asked::Once).map(|(id, _)| *id)
+        self.calls
+            .iter()
+            .find(|(_, call)| call.asked != Asked::Once)
+            .map(|(id, _)| *id)
     }
 }
 
@@ -121,7 +136,8 @@
         }
         let calls: Vec<_> = self.discovery.calls.keys().copied().collect();
         calls.iter().for_each(|id| self.discovery_ready(*id));
-        (self.discovery.at, self.discovery.rev, self.discovery.wait) = (at, None, self.limits.retry[0]);
+        (self.discovery.at, self.discovery.rev, self.discovery.wait) =
+            (at, None, self.limits.retry[0]);
         // Also those that were begun by what has just been read.
         for id in self.discovery.calls.keys().copied().collect::<Vec<_>>() {
             if let Some((asked, _)) = self.drop_call(id)
@@ -142,7 +158,11 @@
 
     pub(super) fn watch_begin(&mut self) {
         if self.discovery.following && self.discovery.watching().is_none() {
-            self.call(if self.discovery.rev.is_some() { Asked::Changes } else { Asked::First });
+            self.call(if self.discovery.rev.is_some() {
+                Asked::Changes
+            } else {
+                Asked::First
+            });
         }
     }
 
@@ -151,7 +171,15 @@
             Ok(stream) => {
                 let (id, now) = (stream.id, self.clock.now());
                 let chunks = Chunks::default();
-                let call = Call { stream, asked, number: 0, taken: 0, since: now, begun: None, chunks };
+                let call = Call {
+                    stream,
+                    asked,
+                    number: 0,
+                    taken: 0,
+                    since: now,
+                    begun: None,
+                    chunks,
+                };
                 self.discovery.calls.insert(id, call);
                 self.ask(id, asked);
             }
@@ -162,7 +190,9 @@
     /// Writes the next question on a connection that has none out.
     fn ask(&mut self, id: SocketId, asked: Asked) {
         let (now, at, rev) = (self.clock.now(), self.discovery.at, self.discovery.rev);
-        let Some(call) = self.discovery.calls.get_mut(&id) else { return };
+        let Some(call) = self.discovery.calls.get_mut(&id) else {
+            return;
+        };
         // What was missed comes at once where a watch begins on demand, even if it is nothing.
         let at_once = self.discovery.on_demand && call.number == 0;
         let hold = if at_once { 0.0 } else { self.limits.watch_hold };
@@ -170,10 +200,16 @@
         self.tally.lists += 1;
         (call.asked, call.number, call.begun) = (asked, self.discovery.number, None);
         (call.taken, call.chunks) = (self.discovery.taken, Chunks::default());
-        let watch = rev.filter(|_| asked == Asked::Changes).map(|rev| (rev, (hold * MILLIS) as u64));
+        let watch = rev
+            .filter(|_| asked == Asked::Changes)
+            .map(|rev| (rev, (hold * MILLIS) as u64));
         discovery::write_get(call.stream.output(), at, watch);
         let in_turn = self.discovery.on_demand && hold <= 0.0 || asked == Asked::Once;
-        let spare = if in_turn { self.limits.turn } else { self.limits.watch_spare };
+        let spare = if in_turn {
+            self.limits.turn
+        } else {
+            self.limits.watch_spare
+        };
         let patience = if watch.is_some() { hold } else { 0.0 } + spare;
         let number = call.number;
         self.set_due(now + patience, Due::CallOver(id, number));
@@ -184,8 +220,13 @@
 
     pub(super) fn discovery_ready(&mut self, id: SocketId) {
         let (most, step) = (self.limits.answer.whole(), self.limits.read_step);
-        let Some(call) = self.discovery.calls.get_mut(&id) else { return };
-        let flushed = call.stream.is_up().and_then(|up| if up { call.stream.flush() } else { Ok(false) });
+        let Some(call) = self.discovery.calls.get_mut(&id) else {
+            return;
+        };
+        let flushed = call
+            .stream
+            .is_up()
+            .and_then(|up| if up { call.stream.flush() } else { Ok(false) });
         match flushed {
             Ok(true) => {}
             Ok(false) => return,
@@ -196,7 +237,9 @@
             filled = call.stream.fill(most, step);
         }
         // Out of the map meanwhile: the list is read from the buffer.
-        let Some(mut call) = self.discovery.calls.remove(&id) else { return };
+        let Some(mut call) = self.discovery.calls.remove(&id) else {
+            return;
+        };
         let answer = self.take_response(&mut call);
         let ended = filled == Fill::Ended;
         match answer {
@@ -231,20 +274,32 @@
         let Some((response, used)) = discovery::response(bytes, &limits, &mut call.chunks)? else {
             let room = bytes.len() < limits.whole();
             // Nothing more of it would ever be read.
-            let long = || Malformed::new(format!("the answer is too long (over {} bytes)", limits.whole()));
+            let long = || {
+                Malformed::new(format!(
+                    "the answer is too long (over {} bytes)",
+                    limits.whole()
+                ))
+            };
             return if room { Ok(None) } else { Err(long()) };
         };
         if response.status != 200 {
             return Err(Malformed::new(format!("status {}", response.status)));
         }
         let list = discovery::list(&response.body)?;
-        let scope = if list.all { ListScope::Whole } else { ListScope::Changes };
+        let scope = if list.all {
+            ListScope::Whole
+        } else {
+            ListScope::Changes
+        };
         if self.discovery.rev.is_some_and(|rev| list.rev < rev) {
             if self.discovery.taken != call.taken {
                 // Another list came while this one was under way: it would bring back what has passed. On demand
                 // each call is answered, be it with nothing.
                 if self.discovery.on_demand {
-                    self.events.push_back(Event::Hosts { scope: ListScope::Changes, entries: [].into() });
+                    self.events.push_back(Event::Hosts {
+                        scope: ListScope::Changes,
+                        entries: [].into(),
+                    });
                 }
                 return Ok(Some((used, response.stays_open)));
             }
@@ -252,7 +307,10 @@
             // it stands; changes do not, so the whole list is asked for next.
             if !list.all {
                 self.discovery.rev = None;
-                return Err(Malformed::new(format!("changes of version {} after a later one", list.rev)));
+                return Err(Malformed::new(format!(
+                    "changes of version {} after a later one",
+                    list.rev
+                )));
             }
         }
         self.discovery.rev = Some(list.rev);
@@ -306,18 +364,28 @@
             }
             entries.extend(self.hosts.of_operators());
         }
-        let youngest = entries.iter().filter_map(|entry| entry.started).reduce(f64::max);
+        let youngest = entries
+            .iter()
+            .filter_map(|entry| entry.started)
+            .reduce(f64::max);
         let youngest = youngest.map_or("none".into(), |at| format!("{:.2}", self.clock.now() - at));
         info!(self.log, "hosts"; "rev" => list.rev, "scope" => ?scope, "entries" => entries.len(),
             "running" => entries.iter().filter(|entry| entry.state == HostState::Running).count(),
             "youngest" => youngest);
-        self.events.push_back(Event::Hosts { scope, entries: entries.into() });
+        self.events.push_back(Event::Hosts {
+            scope,
+            entries: entries.into(),
+        });
         self.view_changed();
     }
 
     /// A whole list names each host once; changes may tell that one went and came again.
     fn tell_doubled(&self, list: &List) {
-        let mut hosts: Vec<_> = list.targets.iter().map(|target| HostId::named(&target.uid)).collect();
+        let mut hosts: Vec<_> = list
+            .targets
+            .iter()
+            .map(|target| HostId::named(&target.uid))
+            .collect();
         hosts.sort_unstable();
         hosts.dedup();
         if hosts.len() < list.targets.len() {
@@ -330,14 +398,20 @@
     /// next sweep, and at the limit who comes be left out.
     fn make_room(&mut self, targets: &mut [&Target], whole: bool) {
         let host = |target: &&Target| HostId::named(&target.uid);
-        let last: BTreeMap<_, _> = targets.iter().map(|target| (host(target), target.state())).collect();
+        let last: BTreeMap<_, _> = targets
+            .iter()
+            .map(|target| (host(target), target.state()))
+            .collect();
         let goes = |target: &&Target| last.get(&host(target)) == Some(&HostState::Gone);
         targets.sort_by_key(goes);
         for target in targets.iter().filter(|target| goes(target)) {
             self.hosts.note(target);
         }
         if whole {
-            let listed: Vec<_> = targets.iter().map(|target| target.listed().entry()).collect();
+            let listed: Vec<_> = targets
+                .iter()
+                .map(|target| target.listed().entry())
+                .collect();
             for host in self.hosts.only(&listed) {
                 self.close_idle(host);
             }
@@ -365,13 +439,19 @@
     }
 
     pub(super) fn call_over(&mut self, id: SocketId, number: u64) {
-        if self.discovery.calls.get(&id).is_some_and(|call| call.number == number) {
+        if self
+            .discovery
+            .calls
+            .get(&id)
+            .is_some_and(|call| call.number == number)
+        {
             self.call_broke(id, "no answer came");
         }
     }
 
     pub(super) fn call_up(&mut self, id: SocketId, number: u64) {
-        let down = |call: &mut Call| call.number == number && !matches!(call.stream.is_up(), Ok(true));
+        let down =
+            |call: &mut Call| call.number == number && !matches!(call.stream.is_up(), Ok(true));
         if self.discovery.calls.get_mut(&id).is_some_and(down) {
             self.call_broke(id, "the connection does not come up");
         }
@@ -391,8 +471,14 @@
     }
 
     pub(super) fn call_rest(&mut self, id: SocketId, number: u64) {
-        let call = self.discovery.calls.get(&id).filter(|call| call.number == number);
-        let Some((_, last)) = call.and_then(|call| call.begun) else { return };
+        let call = self
+            .discovery
+            .calls
+            .get(&id)
+            .filter(|call| call.number == number);
+        let Some((_, last)) = call.and_then(|call| call.begun) else {
+            return;
+        };
         let until = last + self.limits.news_rest;
         if self.clock.now() < until {
             return self.set_due(until, Due::CallRest(id, number));
@@ -410,7 +496,12 @@
         }
         let now = self.clock.now();
         let stood = now - since >= self.limits.retry[1];
-        let at = now + if stood { 0.0 } else { self.discovery.wait * self.spread() };
+        let at = now
+            + if stood {
+                0.0
+            } else {
+                self.discovery.wait * self.spread()
+            };
         self.discovery.wait = (2.0 * self.discovery.wait).min(self.limits.retry[1]);
         self.set_due(at, Due::WatchAgain);
     }
--- a/router/src/routing/fronts.rs
+++ b/router/src/routing/fronts.rs
@@ -28,7 +28,10 @@
 
 impl Pulse {
     pub fn new(name: &'static str) -> Self {
-        Pulse { name, at: Arc::default() }
+        Pulse {
+            name,
+            at: Arc::default(),
+        }
     }
 
     pub fn beat(&self, now: f64) {
@@ -62,8 +65,19 @@
         let (mail, post) = net.mail(most, FRONTS)?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
         let in_force = Arc::new(AtomicU64::new(0));
-        let of_loop = Loop { post, view: view.clone(), in_force: in_force.clone() };
-        Ok((Box { mail, view, in_force }, of_loop))
+        let of_loop = Loop {
+            post,
+            view: view.clone(),
+            in_force: in_force.clone(),
+        };
+        Ok((
+            Box {
+                mail,
+                view,
+                in_force,
+            },
+            of_loop,
+        ))
     }
 }
 
@@ -109,8 +123,14 @@
 
     pub(super) fn fronts_ready(&mut self) {
         // One revision after another: the next lies in its box while one is staged.
-        while let Some(fronts) = self.fronts.as_mut().filter(|fronts| fronts.staging.is_none()) {
-            let Some(notice) = fronts.open.mail.take() else { return };
+        while let Some(fronts) = self
+            .fronts
+            .as_mut()
+            .filter(|fronts| fronts.staging.is_none())
+        {
+            let Some(notice) = fronts.open.mail.take() else {
+                return;
+            };
             match notice {
                 Notice::Revision(snapshot) => self.take_revision(&snapshot),
             }
@@ -118,7 +138,9 @@
     }
 
     pub(super) fn is_staging(&self) -> bool {
-        self.fronts.as_ref().is_some_and(|fronts| fronts.staging.is_some())
+        self.fronts
+            .as_ref()
+            .is_some_and(|fronts| fronts.staging.is_some())
     }
 
     /// Takes a revision, at once where it is short; a long list of who comes and goes is told ahead in parts, one
@@ -133,7 +155,11 @@
 
     /// The next part of what is staged; after the last one it is in force.
     pub(super) fn stage(&mut self) {
-        let Some((snapshot, from)) = self.fronts.as_mut().and_then(|fronts| fronts.staging.take()) else {
+        let Some((snapshot, from)) = self
+            .fronts
+            .as_mut()
+            .and_then(|fronts| fronts.staging.take())
+        else {
             return;
         };
         if from >= snapshot.entries.len() {
@@ -142,7 +168,11 @@
         }
         let begun = self.clock.now();
         let to = (from + self.limits.staged).min(snapshot.entries.len());
-        self.route(Event::Staged { entries: snapshot.entries.clone(), from, to });
+        self.route(Event::Staged {
+            entries: snapshot.entries.clone(),
+            from,
+            to,
+        });
         let paused = self.clock.now() - begun;
         if let Some(fronts) = &mut self.fronts {
             fronts.staging_pause = fronts.staging_pause.max(paused);
@@ -163,9 +193,14 @@
         let entries = self.hosts.take(snapshot, staged);
         let count = snapshot.changed.len();
         self.close_unwanted();
-        self.route(Event::Operators { set: snapshot.set.clone(), entries });
+        self.route(Event::Operators {
+            set: snapshot.set.clone(),
+            entries,
+        });
         let (now, revision) = (self.clock.now(), snapshot.revision());
-        let Some(fronts) = &mut self.fronts else { return };
+        let Some(fronts) = &mut self.fronts else {
+            return;
+        };
         fronts.revision = revision;
         fronts.open.in_force.store(revision.0, Relaxed);
         fronts.taken += 1;
@@ -180,13 +215,17 @@
 
     /// Fronts get the new view soon, not at each of many changes.
     pub(super) fn view_changed(&mut self) {
-        let Some(fronts) = self.fronts.as_mut().filter(|fronts| !fronts.stale) else { return };
+        let Some(fronts) = self.fronts.as_mut().filter(|fronts| !fronts.stale) else {
+            return;
+        };
         fronts.stale = true;
         self.set_due(self.clock.now() + self.limits.view, Due::View);
     }
 
     pub(super) fn publish(&mut self) {
-        let Some(fronts) = &mut self.fronts else { return };
+        let Some(fronts) = &mut self.fronts else {
+            return;
+        };
         fronts.stale = false;
         let asked = !self.discovery.is_off();
         let view = View {
@@ -207,7 +246,9 @@
 
     /// A front that stands still costs invocations nothing, but somebody should know.
     pub(super) fn check_pulses(&mut self, now: f64) {
-        let Some(fronts) = &mut self.fronts else { return };
+        let Some(fronts) = &mut self.fronts else {
+            return;
+        };
         for (pulse, told) in &mut fronts.pulses {
             let last = pulse.last();
             let still = last > 0.0 && now - last > self.limits.front_stall;
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -151,8 +151,12 @@
 
 impl Routing {
     pub fn start(
-        log: Logger, (limits, clock): (Limits, Clock), mut net: Net, told: (ServiceTerms, TransportTerms),
-        parties: Parties, seed: u64,
+        log: Logger,
+        (limits, clock): (Limits, Clock),
+        mut net: Net,
+        told: (ServiceTerms, TransportTerms),
+        parties: Parties,
+        seed: u64,
     ) -> io::Result<Self> {
         let (now, (terms, transport)) = (clock.now(), told);
         let listener = Listener::open(&mut net, parties.listen, limits.backlog, LISTENER)?;
@@ -161,7 +165,13 @@
         let discovery = Discovery::new(parties.discovery, terms.list_asked, &limits);
         let platform = parties.platform.map(|at| Platform::new(at, &limits));
         let peers = match parties.peer_listen.filter(|_| terms.may_tell) {
-            Some(at) => Some(Peers::open(&mut net, at, parties.peers, parties.peers_all, &limits)?),
+            Some(at) => Some(Peers::open(
+                &mut net,
+                at,
+                parties.peers,
+                parties.peers_all,
+                &limits,
+            )?),
             None => None,
         };
         let mut routing = Routing {
@@ -204,7 +214,9 @@
             fronts: None,
         };
         routing.alarms.set(now + routing.limits.sweep, Due::Sweep);
-        routing.alarms.set(now + routing.limits.ready_wait, Due::Ready);
+        routing
+            .alarms
+            .set(now + routing.limits.ready_wait, Due::Ready);
         info!(routing.log, "listening"; "at" => %at, "clients" => routing.limits.clients,
             "host_links" => routing.limits.host_links);
         Ok(routing)
@@ -247,8 +259,13 @@
         let stall = (now - self.woken) + (woken - now - sleep).max(0.0);
         // A signal that ends a standstill can end the sleep with nothing told: what is there at once after that
         // was there before.
-        let carried = if self.told_nothing && woken - now < self.limits.at_once { self.stall } else { 0.0 };
-        (self.stall, self.woken, self.told_nothing) = (stall.max(carried), woken, sockets.is_empty());
+        let carried = if self.told_nothing && woken - now < self.limits.at_once {
+            self.stall
+        } else {
+            0.0
+        };
+        (self.stall, self.woken, self.told_nothing) =
+            (stall.max(carried), woken, sockets.is_empty());
         if self.stall > self.limits.stalled {
             slog::warn!(self.log, "this process stood still"; "seconds" => self.stall);
         }
@@ -278,13 +295,21 @@
             self.link_ready(id);
         } else if self.clients.contains_key(&id) {
             self.take_in(id);
-        } else if self.listener.as_ref().is_some_and(|listener| listener.id == id) {
+        } else if self
+            .listener
+            .as_ref()
+            .is_some_and(|listener| listener.id == id)
+        {
             let _ = self.accept();
         } else if self.fronts.as_ref().is_some_and(|fronts| fronts.owns(id)) {
             self.fronts_ready();
         } else if self.discovery.owns(id) {
             self.discovery_ready(id);
-        } else if self.platform.as_ref().is_some_and(|platform| platform.owns(id)) {
+        } else if self
+            .platform
+            .as_ref()
+            .is_some_and(|platform| platform.owns(id))
+        {
             self.platform_ready();
         } else if self.peers.as_ref().is_some_and(|peers| peers.owns(id)) {
             self.peers_ready();
--- a/router/src/routing/peers.rs
+++ b/router/src/routing/peers.rs
@@ -21,11 +21,24 @@
 
 impl Peers {
     pub(super) fn open(
-        net: &mut Net, listen: SocketAddr, at: Vec<SocketAddr>, all: Option<SocketAddr>, limits: &Limits,
+        net: &mut Net,
+        listen: SocketAddr,
+        at: Vec<SocketAddr>,
+        all: Option<SocketAddr>,
+        limits: &Limits,
     ) -> io::Result<Self> {
         let socket = Datagrams::open(net, listen, limits.datagram, PEERS)?;
-        let numbers = at.iter().enumerate().map(|(number, at)| (*at, RouterId(number as u32))).collect();
-        Ok(Peers { socket, at, all, numbers })
+        let numbers = at
+            .iter()
+            .enumerate()
+            .map(|(number, at)| (*at, RouterId(number as u32)))
+            .collect();
+        Ok(Peers {
+            socket,
+            at,
+            all,
+            numbers,
+        })
     }
 
     pub(super) fn owns(&self, id: SocketId) -> bool {
@@ -50,16 +63,27 @@
         let Some(peers) = &mut self.peers else { return };
         // Bounded: a flood leaves the rest to the next one, which it brings by itself.
         for _ in 0..self.limits.datagrams {
-            let Some((from, payload)) = peers.socket.receive() else { return };
-            let known = peers.numbers.get(&from).filter(|_| payload.len() <= self.limits.datagram);
+            let Some((from, payload)) = peers.socket.receive() else {
+                return;
+            };
+            let known = peers
+                .numbers
+                .get(&from)
+                .filter(|_| payload.len() <= self.limits.datagram);
             match known {
                 Some(from) => {
                     self.tally.heard_peers += 1;
-                    self.events.push_back(Event::Told { from: *from, payload: payload.to_vec() });
+                    self.events.push_back(Event::Told {
+                        from: *from,
+                        payload: payload.to_vec(),
+                    });
                 }
                 None => {
                     self.tally.malformed += 1;
-                    if self.tally.complain(self.clock.now(), self.limits.complaints) {
+                    if self
+                        .tally
+                        .complain(self.clock.now(), self.limits.complaints)
+                    {
                         info!(self.log, "a datagram is from no peer or too long"; "from" => %from);
                     }
                 }
--- a/router/src/routing/platform.rs
+++ b/router/src/routing/platform.rs
@@ -34,7 +34,17 @@
 impl Platform {
     pub(super) fn new(at: SocketAddr, limits: &Limits) -> Self {
         let (votes, wait) = (BTreeMap::new(), limits.retry[0]);
-        Platform { at, stream: None, votes, call: 0, last: 0.0, begun: None, since: 0.0, wait, heard: false }
+        Platform {
+            at,
+            stream: None,
+            votes,
+            call: 0,
+            last: 0.0,
+            begun: None,
+            since: 0.0,
+            wait,
+            heard: false,
+        }
     }
 
     pub(super) fn heard(&self) -> bool {
@@ -60,7 +70,11 @@
 
     pub(super) fn platform_begin(&mut self) {
         let now = self.clock.now();
-        let Some(platform) = self.platform.as_mut().filter(|platform| platform.stream.is_none()) else {
+        let Some(platform) = self
+            .platform
+            .as_mut()
+            .filter(|platform| platform.stream.is_none())
+        else {
             return;
         };
         match Stream::connect(&mut self.net, platform.at, PLATFORM) {
@@ -77,7 +91,11 @@
 
     /// What the old address has told by now is read; votes that were written there may have counted.
     pub(super) fn platform_moved(&mut self, at: SocketAddr) {
-        if self.platform.as_ref().is_none_or(|platform| platform.at == at) {
+        if self
+            .platform
+            .as_ref()
+            .is_none_or(|platform| platform.at == at)
+        {
             return;
         }
         self.platform_ready();
@@ -100,7 +118,8 @@
             answers_vote: true,
         };
         let most = self.limits.votes;
-        let open = |platform: &&mut Platform| platform.stream.is_some() && platform.votes.len() < most;
+        let open =
+            |platform: &&mut Platform| platform.stream.is_some() && platform.votes.len() < most;
         let Some(platform) = self.platform.as_mut().filter(open) else {
             return self.events.push_back(Event::Stage(what));
         };
@@ -108,7 +127,13 @@
         if let Some(stream) = &mut platform.stream {
             platform::write_vote(stream.output(), call, build, stage, sense);
         }
-        platform.votes.insert(call, Vote { written: false, what });
+        platform.votes.insert(
+            call,
+            Vote {
+                written: false,
+                what,
+            },
+        );
         self.tally.votes += 1;
         info!(self.log, "a vote is cast"; "build" => build.0, "stage" => stage, "sense" => ?sense);
         self.set_due(now + self.limits.vote_time, Due::VoteOver(call));
@@ -118,14 +143,27 @@
     pub(super) fn platform_ready(&mut self) {
         let now = self.clock.now();
         loop {
-            let Some(platform) = &mut self.platform else { return };
-            let Some(stream) = &mut platform.stream else { return };
-            match stream.is_up().and_then(|up| if up { stream.flush() } else { Ok(false) }) {
-                Ok(true) => platform.votes.values_mut().for_each(|vote| vote.written = true),
+            let Some(platform) = &mut self.platform else {
+                return;
+            };
+            let Some(stream) = &mut platform.stream else {
+                return;
+            };
+            match stream
+                .is_up()
+                .and_then(|up| if up { stream.flush() } else { Ok(false) })
+            {
+                Ok(true) => platform
+                    .votes
+                    .values_mut()
+                    .for_each(|vote| vote.written = true),
                 Ok(false) => return,
                 Err(e) => return self.platform_broke(&e.to_string()),
             }
-            let filled = stream.fill(self.limits.line + self.limits.read_step, self.limits.read_step);
+            let filled = stream.fill(
+                self.limits.line + self.limits.read_step,
+                self.limits.read_step,
+            );
             if !stream.input().is_empty() {
                 platform.last = now;
             }
@@ -144,8 +182,12 @@
     /// Takes the lines that are whole; false where the connection was given up.
     fn platform_lines(&mut self) -> bool {
         // Out of its place meanwhile: lines are read from the buffer.
-        let Some(platform) = &mut self.platform else { return false };
-        let Some(mut stream) = platform.stream.take() else { return false };
+        let Some(platform) = &mut self.platform else {
+            return false;
+        };
+        let Some(mut stream) = platform.stream.take() else {
+            return false;
+        };
         let broken = loop {
             match platform::read(stream.input(), self.limits.line) {
                 Ok(None) => break None,
@@ -168,8 +210,13 @@
 
     /// A line that stalls is given up sooner than a quiet connection.
     fn platform_rest(&mut self, now: f64) {
-        let Some(platform) = &mut self.platform else { return };
-        let open = platform.stream.as_ref().is_some_and(|stream| !stream.input().is_empty());
+        let Some(platform) = &mut self.platform else {
+            return;
+        };
+        let open = platform
+            .stream
+            .as_ref()
+            .is_some_and(|stream| !stream.input().is_empty());
         let due = open && platform.begun.is_none();
         platform.begun = open.then_some(now);
         if due {
@@ -179,7 +226,9 @@
 
     pub(super) fn line_rest(&mut self) {
         let begun = self.platform.as_ref().and_then(|platform| platform.begun);
-        let Some(until) = begun.map(|last| last + self.limits.news_rest) else { return };
+        let Some(until) = begun.map(|last| last + self.limits.news_rest) else {
+            return;
+        };
         if self.clock.now() < until {
             return self.set_due(until, Due::LineRest);
         }
@@ -187,7 +236,9 @@
     }
 
     fn platform_told(&mut self, told: Told) {
-        let Some(platform) = &mut self.platform else { return };
+        let Some(platform) = &mut self.platform else {
+            return;
+        };
         match told {
             Told::State(state) => {
                 platform.wait = self.limits.retry[0];
@@ -209,16 +260,27 @@
                 if let Some(vote) = platform.votes.remove(&call) {
                     self.tally.votes_away += 1;
                     debug!(self.log, "a vote does not count"; "verdict" => ?verdict);
-                    self.events.push_back(Event::Stage(StageNews { verdict, ..vote.what }));
+                    self.events.push_back(Event::Stage(StageNews {
+                        verdict,
+                        ..vote.what
+                    }));
                 } else {
                     warn!(self.log, "the platform refuses to be followed"; "verdict" => ?verdict);
                 }
             }
-            Told::Complaint { host, operation, age } => {
+            Told::Complaint {
+                host,
+                operation,
+                age,
+            } => {
                 let operation = self.transport.operations.get(operation.as_ref());
                 if let Some(operation) = operation.copied() {
                     let host = HostId::named(&host);
-                    self.events.push_back(Event::Disputed { host, operation, age });
+                    self.events.push_back(Event::Disputed {
+                        host,
+                        operation,
+                        age,
+                    });
                 }
             }
             Told::SignOfLife => {}
@@ -227,14 +289,23 @@
     }
 
     fn news(&mut self, state: &State, answers_vote: bool) {
-        let State { build, stage, phase, cap, age } = *state;
+        let State {
+            build,
+            stage,
+            phase,
+            cap,
+            age,
+        } = *state;
         info!(self.log, "platform"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
             "age" => age, "answers_vote" => answers_vote);
         self.told_news(state.news(answers_vote));
     }
 
     fn told_news(&mut self, news: StageNews) {
-        self.newest = self.newest.filter(|newest| newest.build > news.build).or(Some(news));
+        self.newest = self
+            .newest
+            .filter(|newest| newest.build > news.build)
+            .or(Some(news));
         self.events.push_back(Event::Stage(news));
         self.view_changed();
     }
@@ -243,7 +314,9 @@
     fn platform_broke(&mut self, why: &str) {
         warn!(self.log, "the platform's connection is lost"; "why" => why.to_owned());
         let (now, spread) = (self.clock.now(), self.spread());
-        let Some(platform) = &mut self.platform else { return };
+        let Some(platform) = &mut self.platform else {
+            return;
+        };
         // At once where the connection had stood for long; else later each time, never in step with others.
         let stood = platform.stream.is_some() && now - platform.since >= self.limits.retry[1];
         let again = now + if stood { 0.0 } else { spread * platform.wait };
@@ -254,28 +327,44 @@
 
     /// The connection and the votes that it carried are given up.
     fn platform_close(&mut self) {
-        let Some(platform) = &mut self.platform else { return };
+        let Some(platform) = &mut self.platform else {
+            return;
+        };
         platform.begun = None;
         if let Some(stream) = platform.stream.take() {
             stream.close(&self.net);
         }
         for vote in std::mem::take(&mut platform.votes).into_values() {
-            let what = if vote.written { unread(vote.what) } else { vote.what };
+            let what = if vote.written {
+                unread(vote.what)
+            } else {
+                vote.what
+            };
             self.events.push_back(Event::Stage(what));
         }
     }
 
     pub(super) fn platform_check(&mut self, now: f64) {
         let silence = self.limits.platform_silence;
-        if self.platform.as_ref().is_some_and(|p| p.stream.is_some() && now - p.last > silence) {
+        if self
+            .platform
+            .as_ref()
+            .is_some_and(|p| p.stream.is_some() && now - p.last > silence)
+        {
             self.platform_broke("no sign of life");
         }
     }
 
     pub(super) fn vote_over(&mut self, call: u64) {
-        let Some(platform) = &mut self.platform else { return };
+        let Some(platform) = &mut self.platform else {
+            return;
+        };
         if let Some(vote) = platform.votes.remove(&call) {
-            let what = if vote.written { unread(vote.what) } else { vote.what };
+            let what = if vote.written {
+                unread(vote.what)
+            } else {
+                vote.what
+            };
             self.events.push_back(Event::Stage(what));
         }
     }
@@ -287,5 +376,8 @@
 }
 
 fn unread(what: StageNews) -> StageNews {
-    StageNews { verdict: Verdict::TimedOut, ..what }
+    StageNews {
+        verdict: Verdict::TimedOut,
+        ..what
+    }
 }
--- a/router/src/routing/relay.rs
+++ b/router/src/routing/relay.rs
@@ -9,12 +9,19 @@
 impl Routing {
     /// The final answer to an invocation; what it held is let go. False where none was owed.
     pub(super) fn answer(&mut self, inv: &InvId, write: impl FnOnce(&mut Vec<u8>)) -> bool {
-        let Some(admitted) = self.release(inv) else { return false };
+        let Some(admitted) = self.release(inv) else {
+            return false;
+        };
         let id = admitted.client;
         let now = self.clock.now();
-        let Some(client) = self.clients.get_mut(&id) else { return false };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return false;
+        };
         client.used = now;
-        let place = client.queue.iter().position(|waiting| matches!(waiting, Waiting::For(of) if of == inv));
+        let place = client
+            .queue
+            .iter()
+            .position(|waiting| matches!(waiting, Waiting::For(of) if of == inv));
         match place {
             Some(0) => {
                 write(client.stream.output());
@@ -33,7 +40,9 @@
 
     /// An answer to a command that is no invocation, or that was not let in.
     pub(super) fn reply(&mut self, id: SocketId, write: impl FnOnce(&mut Vec<u8>)) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         if client.queue.is_empty() {
             write(client.stream.output());
         } else {
@@ -53,12 +62,21 @@
     /// Writes what may be written now; false where the connection is gone.
     pub(super) fn write_client(&mut self, id: SocketId) -> bool {
         let now = self.clock.now();
-        let Some(client) = self.clients.get_mut(&id) else { return false };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return false;
+        };
         while let Some(Waiting::Answered(bytes)) = client.queue.front_mut() {
             client.stream.output().append(bytes);
             client.queue.pop_front();
         }
-        let Client { stream, queue, closing, stuck, lingers, .. } = client;
+        let Client {
+            stream,
+            queue,
+            closing,
+            stuck,
+            lingers,
+            ..
+        } = client;
         match stream.flush() {
             Ok(true) => *stuck = None,
             Ok(false) => *stuck = stuck.or(Some(now)),
--- a/router/src/routing/route.rs
+++ b/router/src/routing/route.rs
@@ -12,7 +12,11 @@
 impl Routing {
     pub(super) fn route(&mut self, event: Event) {
         let mut effects = std::mem::take(&mut self.effects);
-        let left = if let Event::ClientLeft { inv } = &event { Some(inv.clone()) } else { None };
+        let left = if let Event::ClientLeft { inv } = &event {
+            Some(inv.clone())
+        } else {
+            None
+        };
         self.decisions.handle(self.clock.now(), event, &mut effects);
         left.map(|inv| self.release(&inv));
         effects.drain(..).for_each(|effect| self.carry_out(effect));
@@ -21,7 +25,12 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Dispatch { inv, host, time_out, on } => self.send(inv, host, time_out, on),
+            Effect::Dispatch {
+                inv,
+                host,
+                time_out,
+                on,
+            } => self.send(inv, host, time_out, on),
             Effect::Recall { inv, dispatch } => self.recall(&inv, dispatch),
             Effect::Throttle { inv, stay_away } => {
                 self.tally.throttled += 1;
@@ -36,7 +45,11 @@
             Effect::Probe { host } => self.probe(host),
             Effect::CloseIdle { host } => self.close_idle(host),
             Effect::Tell { to, payload } => self.tell(to, &payload),
-            Effect::Vote { build, stage, sense } => self.cast(build, stage, sense),
+            Effect::Vote {
+                build,
+                stage,
+                sense,
+            } => self.cast(build, stage, sense),
             Effect::Follow { on } => self.follow(on),
             Effect::FetchList => self.fetch_list(),
             Effect::Note { text } => info!(self.log, "decision"; "note" => text),
