--- a/router/src/routing/send.rs
+++ b/router/src/routing/send.rs
@@ -58,7 +58,9 @@
 impl Routing {
     pub(super) fn send(&mut self, inv: InvId, host: HostId, time_out: f64, on: ConnectionTerms) {
         let now = self.clock.now();
-        let Some(admitted) = self.admitted.get_mut(&inv) else { return };
+        let Some(admitted) = self.admitted.get_mut(&inv) else {
+            return;
+        };
         let no = DispatchNo(admitted.dispatches);
         admitted.dispatches += 1;
         let left = admitted.left;
@@ -66,7 +68,13 @@
         // A first attempt follows the read that brought its request, which found no close.
         if left || no.0 > 0 && self.is_client_gone(&inv) {
             // Decided before the decisions could hear that the client has left: nothing goes out any more.
-            return self.ended(Out { inv, no }, host, Verdict::Moot, (0.0, 0.0), LoadReport::default());
+            return self.ended(
+                Out { inv, no },
+                host,
+                Verdict::Moot,
+                (0.0, 0.0),
+                LoadReport::default(),
+            );
         }
         let Some(id) = self.link_to(host, now, on) else {
             return self.ended(
@@ -82,16 +90,29 @@
         if let (Some(link), Some(admitted)) = (self.links.get_mut(&id), self.admitted.get(&inv)) {
             admitted.kept.write(link.stream.output(), millis);
         }
-        self.begin_use(id, Use::Dispatch(Out { inv, no }), now, (time_out, on.written_within));
+        self.begin_use(
+            id,
+            Use::Dispatch(Out { inv, no }),
+            now,
+            (time_out, on.written_within),
+        );
     }
 
     pub(super) fn probe(&mut self, host: HostId) {
         let now = self.clock.now();
-        let probes = self.links.values().filter(|link| matches!(link.at_use, Use::Probe)).count();
+        let probes = self
+            .links
+            .values()
+            .filter(|link| matches!(link.at_use, Use::Probe))
+            .count();
         let room = probes < self.limits.probes;
         let (longest, written_within) = (f64::INFINITY, self.limits.connect_time);
-        let any =
-            ConnectionTerms { unused_most: longest, rested_least: 0.0, resting_most: 1, written_within };
+        let any = ConnectionTerms {
+            unused_most: longest,
+            rested_least: 0.0,
+            resting_most: 1,
+            written_within,
+        };
         let Some(id) = room.then(|| self.link_to(host, now, any)).flatten() else {
             let load = LoadReport::default();
             return self.events.push_back(Event::Probed {
@@ -104,11 +125,24 @@
         if let Some(link) = self.links.get_mut(&id) {
             host::write_probe(link.stream.output(), self.transport.reports != Reports::Off);
         }
-        self.begin_use(id, Use::Probe, now, (self.limits.probe_time, written_within));
+        self.begin_use(
+            id,
+            Use::Probe,
+            now,
+            (self.limits.probe_time, written_within),
+        );
     }
 
-    fn begin_use(&mut self, id: SocketId, at_use: Use, now: f64, (time_out, written_within): (f64, f64)) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+    fn begin_use(
+        &mut self,
+        id: SocketId,
+        at_use: Use,
+        now: f64,
+        (time_out, written_within): (f64, f64),
+    ) {
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         link.at_use = at_use;
         link.number += 1;
         (link.since, link.written) = (now, false);
@@ -125,7 +159,10 @@
     /// The freshest connection that has rested for long enough and not been without use for too long, or a new
     /// one.
     fn link_to(&mut self, host: HostId, now: f64, on: ConnectionTerms) -> Option<SocketId> {
-        while let Some((id, since)) = self.pools.take(host, now - on.rested_least, on.resting_most) {
+        while let Some((id, since)) = self
+            .pools
+            .take(host, now - on.rested_least, on.resting_most)
+        {
             // Its host may be closing it by now; what is written then is reset, and may not be repeated.
             if now - since > on.unused_most.min(self.limits.idle_time) {
                 self.close_link(id);
@@ -133,8 +170,9 @@
                 break;
             }
             // What lies on it would become the next answer; a late copy may have come since the last look.
-            let look =
-                |link: &mut Link| link.stream.fill(1, 1) == Fill::Drained && link.stream.input().is_empty();
+            let look = |link: &mut Link| {
+                link.stream.fill(1, 1) == Fill::Drained && link.stream.input().is_empty()
+            };
             if self.links.get_mut(&id).is_some_and(look) {
                 if let Some(link) = self.links.get_mut(&id) {
                     link.unused = now - since;
@@ -162,16 +200,29 @@
         };
         let id = stream.id;
         self.tally.links += 1;
-        let link =
-            Link { stream, host, to, at_use: Use::Idle, number: 0, since: now, unused: 0.0, written: false };
+        let link = Link {
+            stream,
+            host,
+            to,
+            at_use: Use::Idle,
+            number: 0,
+            since: now,
+            unused: 0.0,
+            written: false,
+        };
         self.links.insert(id, link);
         Some(id)
     }
 
     /// Writes what can be written now; false where the connection is gone.
     fn write_link(&mut self, id: SocketId) -> bool {
-        let Some(link) = self.links.get_mut(&id) else { return false };
-        let flushed = link.stream.is_up().and_then(|up| if up { link.stream.flush() } else { Ok(false) });
+        let Some(link) = self.links.get_mut(&id) else {
+            return false;
+        };
+        let flushed = link
+            .stream
+            .is_up()
+            .and_then(|up| if up { link.stream.flush() } else { Ok(false) });
         match flushed {
             Ok(all) => link.written |= all,
             Err(_) => self.link_broke(id),
@@ -186,11 +237,15 @@
             return;
         }
         loop {
-            let Some(link) = self.links.get_mut(&id) else { return };
+            let Some(link) = self.links.get_mut(&id) else {
+                return;
+            };
             if !matches!(link.stream.is_up(), Ok(true)) {
                 return;
             }
-            let filled = link.stream.fill(self.limits.resp.message, self.limits.read_step);
+            let filled = link
+                .stream
+                .fill(self.limits.resp.message, self.limits.read_step);
             self.read_link(id, filled == Fill::Ended);
             if filled == Fill::Ended {
                 return self.link_broke(id);
@@ -204,7 +259,9 @@
     /// Takes the answer that a connection holds, if it is whole.
     fn read_link(&mut self, id: SocketId, ended: bool) {
         // Out of the map meanwhile: the value is passed on from the buffer it was read into.
-        let Some(link) = self.links.remove(&id) else { return };
+        let Some(link) = self.links.remove(&id) else {
+            return;
+        };
         let read = self.take_answer(&link);
         self.links.insert(id, link);
         match read {
@@ -232,12 +289,18 @@
             Use::Dispatch(out) => {
                 let Some((answer, used)) = host::answer(bytes, &self.limits.resp)? else {
                     let room = bytes.len() < self.limits.resp.message;
-                    return if room { Ok(None) } else { Err(Malformed::new("an answer is too long")) };
+                    return if room {
+                        Ok(None)
+                    } else {
+                        Err(Malformed::new("an answer is too long"))
+                    };
                 };
                 let (verdict, load) = match answer {
                     // No host has begun it.
                     Answer::Value { .. } if !link.written => {
-                        return Err(Malformed::new("a value for a command that has not been written"));
+                        return Err(Malformed::new(
+                            "a value for a command that has not been written",
+                        ));
                     }
                     Answer::Value { value, load } => {
                         self.relay_value(&out.inv, value);
@@ -253,7 +316,10 @@
                 let load = load.filter(|_| self.transport.reports == Reports::Inline);
                 let load = load.map(TransportTerms::load_by_name).unwrap_or_default();
                 self.ended(
-                    Out { inv: out.inv.clone(), no: out.no },
+                    Out {
+                        inv: out.inv.clone(),
+                        no: out.no,
+                    },
                     host,
                     verdict,
                     (took, link.unused),
@@ -264,11 +330,24 @@
             Use::Probe => {
                 let Some(((well, load), used)) = host::probed(bytes, &self.limits.resp)? else {
                     let room = bytes.len() < self.limits.resp.message;
-                    return if room { Ok(None) } else { Err(Malformed::new("an answer is too long")) };
+                    return if room {
+                        Ok(None)
+                    } else {
+                        Err(Malformed::new("an answer is too long"))
+                    };
+                };
+                let verdict = if well {
+                    Verdict::Succeeded
+                } else {
+                    Verdict::Error
                 };
-                let verdict = if well { Verdict::Succeeded } else { Verdict::Error };
                 let load = load.map(TransportTerms::load_by_name).unwrap_or_default();
-                self.events.push_back(Event::Probed { host, verdict, took, load });
+                self.events.push_back(Event::Probed {
+                    host,
+                    verdict,
+                    took,
+                    load,
+                });
                 Ok(Some(used))
             }
         }
@@ -283,13 +362,16 @@
     /// The connection is without use again, and kept where the host may be used again.
     fn use_done(&mut self, id: SocketId, used: usize, ended: bool) {
         let now = self.clock.now();
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         link.stream.consume(used);
         link.at_use = Use::Idle;
         link.number += 1;
         let clean = link.stream.input().is_empty() && link.stream.unwritten() == 0 && !ended;
         // The host may be gone, or another machine have its id by now.
-        let wanted = self.hosts.wanted(link.host, link.to) && self.pools.count() < self.limits.idle_links;
+        let wanted =
+            self.hosts.wanted(link.host, link.to) && self.pools.count() < self.limits.idle_links;
         if clean && wanted {
             self.pools.put(link.host, id, now);
         } else {
@@ -301,29 +383,52 @@
     /// how far its command had come.
     fn link_broke(&mut self, id: SocketId) {
         self.last_look(id);
-        let verdict = |written| if written { Verdict::Reset } else { Verdict::NoConnection };
+        let verdict = |written| {
+            if written {
+                Verdict::Reset
+            } else {
+                Verdict::NoConnection
+            }
+        };
         self.end_use(id, verdict);
     }
 
     /// Takes an answer that is here already, before what it answers is given up.
     fn last_look(&mut self, id: SocketId) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         if !matches!(link.at_use, Use::Idle) && matches!(link.stream.is_up(), Ok(true)) {
-            let filled = link.stream.fill(self.limits.resp.message, self.limits.resp.message);
+            let filled = link
+                .stream
+                .fill(self.limits.resp.message, self.limits.resp.message);
             self.read_link(id, filled == Fill::Ended);
         }
     }
 
     /// Gives up what a connection carries; giving up closes it.
     fn end_use(&mut self, id: SocketId, verdict: impl Fn(bool) -> Verdict) {
-        let Some(link) = self.links.remove(&id) else { return };
+        let Some(link) = self.links.remove(&id) else {
+            return;
+        };
         let (verdict, host) = (verdict(link.written), link.host);
         let took = self.clock.now() - link.since;
         match link.at_use {
             Use::Idle => self.pools.forget(host, id),
-            Use::Dispatch(out) => self.ended(out, host, verdict, (took, link.unused), LoadReport::default()),
+            Use::Dispatch(out) => self.ended(
+                out,
+                host,
+                verdict,
+                (took, link.unused),
+                LoadReport::default(),
+            ),
             Use::Probe => {
-                self.events.push_back(Event::Probed { host, verdict, took, load: LoadReport::default() });
+                self.events.push_back(Event::Probed {
+                    host,
+                    verdict,
+                    took,
+                    load: LoadReport::default(),
+                });
             }
         }
         link.stream.close(&self.net);
@@ -334,7 +439,11 @@
     pub(super) fn give_up_unwritten(&mut self) {
         let gone = |inv: &InvId| self.admitted.get(inv).is_some_and(|admitted| admitted.left);
         let waits = |link: &Link| link.unwritten().is_some_and(gone);
-        let given_up = self.links.iter().filter(|(_, link)| waits(link)).map(|(id, _)| *id);
+        let given_up = self
+            .links
+            .iter()
+            .filter(|(_, link)| waits(link))
+            .map(|(id, _)| *id);
         for id in given_up.collect::<Vec<_>>() {
             self.end_use(id, |_| Verdict::Moot);
         }
@@ -349,7 +458,11 @@
     /// Closes what is without use and leads to hosts that are gone, drained or elsewhere.
     pub(super) fn close_unwanted(&mut self) {
         let idle = self.pools.ids();
-        let unwanted = |id: &SocketId| self.links.get(id).is_some_and(|l| !self.hosts.wanted(l.host, l.to));
+        let unwanted = |id: &SocketId| {
+            self.links
+                .get(id)
+                .is_some_and(|l| !self.hosts.wanted(l.host, l.to))
+        };
         for id in idle.into_iter().filter(unwanted).collect::<Vec<_>>() {
             self.end_use(id, |_| Verdict::Moot);
         }
@@ -363,28 +476,59 @@
         }
         if self.links.get(&id).is_some_and(same) {
             // A command whose last byte was never written has not been begun.
-            self.end_use(id, |written| if written { Verdict::TimedOut } else { Verdict::NoConnection });
+            self.end_use(id, |written| {
+                if written {
+                    Verdict::TimedOut
+                } else {
+                    Verdict::NoConnection
+                }
+            });
         }
     }
 
     pub(super) fn write_over(&mut self, id: SocketId, number: u64) {
-        if self.links.get(&id).is_some_and(|link| link.number == number && !link.written) {
+        if self
+            .links
+            .get(&id)
+            .is_some_and(|link| link.number == number && !link.written)
+        {
             self.link_broke(id);
         }
     }
 
     pub(super) fn recall(&mut self, inv: &InvId, no: DispatchNo) {
         let of = |link: &Link| matches!(&link.at_use, Use::Dispatch(out) if out.inv == *inv && out.no == no);
-        if let Some(id) = self.links.iter().find(|(_, link)| of(link)).map(|(id, _)| *id) {
+        if let Some(id) = self
+            .links
+            .iter()
+            .find(|(_, link)| of(link))
+            .map(|(id, _)| *id)
+        {
             self.end_use(id, |_| Verdict::Recalled);
         }
     }
 
-    fn ended(&mut self, out: Out, host: HostId, verdict: Verdict, times: (f64, f64), load: LoadReport) {
+    fn ended(
+        &mut self,
+        out: Out,
+        host: HostId,
+        verdict: Verdict,
+        times: (f64, f64),
+        load: LoadReport,
+    ) {
         self.tally.count(verdict);
         let Out { inv, no: dispatch } = out;
         let over = self.admitted.get(&inv).is_none_or(|admitted| admitted.left);
         let (took, unused) = (times.0, Some(times.1));
-        self.events.push_back(Event::Ended { inv, dispatch, host, verdict, over, took, load, unused });
+        self.events.push_back(Event::Ended {
+            inv,
+            dispatch,
+            host,
+            verdict,
+            over,
+            took,
+            load,
+            unused,
+        });
     }
 }
--- a/router/src/routing/shutdown.rs
+++ b/router/src/routing/shutdown.rs
@@ -55,24 +55,83 @@
 /// state that has passed.
 const SHUTDOWN: [(Shutdown, Input, Shutdown, Act); 13] = [
     (Shutdown::No, Input::Told, Shutdown::Serving, Act::Begin),
-    (Shutdown::Serving, Input::ServingOver, Shutdown::Draining, Act::CloseIdle),
-    (Shutdown::Serving, Input::LastTime, Shutdown::GivenUp, Act::GiveUp),
-    (Shutdown::Draining, Input::Empty, Shutdown::LastCall, Act::CallLast),
-    (Shutdown::Draining, Input::LastTime, Shutdown::GivenUp, Act::GiveUp),
-    (Shutdown::Draining, Input::DrainingOver, Shutdown::Closing, Act::CloseListener),
-    (Shutdown::LastCall, Input::Came, Shutdown::Draining, Act::Nothing),
-    (Shutdown::LastCall, Input::DrainingOver, Shutdown::Closing, Act::CloseListener),
-    (Shutdown::LastCall, Input::LastCallOver, Shutdown::Over, Act::Nothing),
-    (Shutdown::Closing, Input::Empty, Shutdown::Over, Act::Nothing),
-    (Shutdown::Closing, Input::LastTime, Shutdown::GivenUp, Act::GiveUp),
-    (Shutdown::GivenUp, Input::Empty, Shutdown::Over, Act::Nothing),
+    (
+        Shutdown::Serving,
+        Input::ServingOver,
+        Shutdown::Draining,
+        Act::CloseIdle,
+    ),
+    (
+        Shutdown::Serving,
+        Input::LastTime,
+        Shutdown::GivenUp,
+        Act::GiveUp,
+    ),
+    (
+        Shutdown::Draining,
+        Input::Empty,
+        Shutdown::LastCall,
+        Act::CallLast,
+    ),
+    (
+        Shutdown::Draining,
+        Input::LastTime,
+        Shutdown::GivenUp,
+        Act::GiveUp,
+    ),
+    (
+        Shutdown::Draining,
+        Input::DrainingOver,
+        Shutdown::Closing,
+        Act::CloseListener,
+    ),
+    (
+        Shutdown::LastCall,
+        Input::Came,
+        Shutdown::Draining,
+        Act::Nothing,
+    ),
+    (
+        Shutdown::LastCall,
+        Input::DrainingOver,
+        Shutdown::Closing,
+        Act::CloseListener,
+    ),
+    (
+        Shutdown::LastCall,
+        Input::LastCallOver,
+        Shutdown::Over,
+        Act::Nothing,
+    ),
+    (
+        Shutdown::Closing,
+        Input::Empty,
+        Shutdown::Over,
+        Act::Nothing,
+    ),
+    (
+        Shutdown::Closing,
+        Input::LastTime,
+        Shutdown::GivenUp,
+        Act::GiveUp,
+    ),
+    (
+        Shutdown::GivenUp,
+        Input::Empty,
+        Shutdown::Over,
+        Act::Nothing,
+    ),
     (Shutdown::GivenUp, Input::End, Shutdown::Over, Act::Nothing),
 ];
 
 impl Routing {
     fn shut_down(&mut self, input: Input) {
-        let row = SHUTDOWN.iter().find(|row| row.0 == self.shutdown && row.1 == input);
-        let Some(&(_, _, next, act)) = row else { return };
+        let row = SHUTDOWN
+            .iter()
+            .find(|row| row.0 == self.shutdown && row.1 == input);
+        let Some(&(_, _, next, act)) = row else {
+            return;
+        };
         self.shutdown = next;
         match act {
             Act::Nothing => {}
@@ -116,7 +175,11 @@
 
     /// After each turn: whether the program is to end.
     pub(super) fn is_over(&mut self) -> bool {
-        let input = if self.clients.is_empty() { Input::Empty } else { Input::Came };
+        let input = if self.clients.is_empty() {
+            Input::Empty
+        } else {
+            Input::Came
+        };
         self.shut_down(input);
         self.shutdown == Shutdown::Over
     }
@@ -134,7 +197,8 @@
 
     /// What is taken from now on has this time at the most, however long its client waits.
     pub(super) fn time_before_last(&self) -> f64 {
-        self.last_at.map_or(f64::INFINITY, |last| (last - self.clock.now()).max(0.0))
+        self.last_at
+            .map_or(f64::INFINITY, |last| (last - self.clock.now()).max(0.0))
     }
 
     fn begin_shutdown(&mut self) {
@@ -151,13 +215,20 @@
 
     fn drain_clients(&mut self) {
         info!(self.log, "draining"; "open" => self.admitted.len(), "clients" => self.clients.len());
-        self.clients.keys().copied().collect::<Vec<_>>().into_iter().for_each(|id| self.take_in(id));
+        self.clients
+            .keys()
+            .copied()
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|id| self.take_in(id));
     }
 
     /// Who waits to be accepted is still served; bounded, as a flood would never end.
     fn close_listener(&mut self) {
         info!(self.log, "closing"; "open" => self.admitted.len(), "clients" => self.clients.len());
-        (0..self.limits.backlog as usize / self.limits.accepts).take_while(|_| self.accept()).for_each(drop);
+        (0..self.limits.backlog as usize / self.limits.accepts)
+            .take_while(|_| self.accept())
+            .for_each(drop);
         if let Some(listener) = self.listener.take() {
             listener.close(&self.net);
         }
@@ -173,16 +244,28 @@
 
     /// After so long without a command or an answer a connection is closed.
     fn quiet(&self) -> f64 {
-        if self.listener.is_some() { self.limits.last_call } else { self.limits.brief_quiet }
+        if self.listener.is_some() {
+            self.limits.last_call
+        } else {
+            self.limits.brief_quiet
+        }
     }
 
     /// Closes who came a while ago and is still silent, and who was told of the close and does not end.
     pub(super) fn drain_due(&mut self) {
         self.drain_due = false;
-        self.clients.keys().copied().collect::<Vec<_>>().into_iter().for_each(|id| self.take_in(id));
+        self.clients
+            .keys()
+            .copied()
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|id| self.take_in(id));
         let now = self.clock.now();
         let told = |client: &Client| client.lingers.map(|(until, _)| until);
-        let over = self.clients.iter().filter(|(_, client)| told(client).is_some_and(|until| until <= now));
+        let over = self
+            .clients
+            .iter()
+            .filter(|(_, client)| told(client).is_some_and(|until| until <= now));
         let over: Vec<_> = over.map(|(id, _)| *id).collect();
         over.into_iter().for_each(|id| self.client_left(id));
         if self.clients.values().any(|client| told(client).is_some()) {
@@ -196,7 +279,9 @@
     pub(super) fn drain_client(&mut self, id: SocketId) {
         let now = self.clock.now();
         let (quiet, last_call, most) = (self.quiet(), self.limits.last_call, self.limits.dropped);
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         if client.closing || !client.is_idle() || client.is_begun() {
             return;
         }
@@ -214,8 +299,11 @@
     /// until the end.
     fn give_up_all(&mut self) {
         info!(self.log, "giving up what is open"; "open" => self.admitted.len(), "clients" => self.clients.len());
-        let open: Vec<_> =
-            self.admitted.iter().map(|(inv, admitted)| (inv.clone(), admitted.dispatches)).collect();
+        let open: Vec<_> = self
+            .admitted
+            .iter()
+            .map(|(inv, admitted)| (inv.clone(), admitted.dispatches))
+            .collect();
         for (inv, dispatches) in open {
             self.answer(&inv, |out| match dispatches {
                 // There is no room any more, and it has run nowhere.
--- a/router/src/routing/take_in.rs
+++ b/router/src/routing/take_in.rs
@@ -63,7 +63,8 @@
         let before = self.stream.input().len();
         let filled = self.stream.fill(most, step);
         let read = self.stream.input().len() - before;
-        self.arrivals.read(read, arrived_since, filled != Fill::More);
+        self.arrivals
+            .read(read, arrived_since, filled != Fill::More);
         filled
     }
 
@@ -115,7 +116,9 @@
                 return self.accept_again(now + self.limits.accept_again);
             }
             self.close_stayer(now);
-            let Some(listener) = &self.listener else { return false };
+            let Some(listener) = &self.listener else {
+                return false;
+            };
             match listener.accept() {
                 Ok(Some(socket)) => self.accepted(socket, now),
                 Ok(None) => return false,
@@ -156,11 +159,15 @@
     /// so for longest.
     fn close_idle_client(&mut self) -> bool {
         let stale = self.clock.now() - self.limits.stale_answer;
-        let of_no_use = |client: &Client| client.is_idle() || client.stuck.is_some_and(|since| since < stale);
+        let of_no_use =
+            |client: &Client| client.is_idle() || client.stuck.is_some_and(|since| since < stale);
         loop {
             let idle = self.clients.iter().filter(|(_, client)| of_no_use(client));
-            let order = |a: &Client, b: &Client| a.rank().cmp(&b.rank()).then(a.used.total_cmp(&b.used));
-            let Some((&id, _)) = idle.min_by(|a, b| order(a.1, b.1)) else { return false };
+            let order =
+                |a: &Client, b: &Client| a.rank().cmp(&b.rank()).then(a.used.total_cmp(&b.used));
+            let Some((&id, _)) = idle.min_by(|a, b| order(a.1, b.1)) else {
+                return false;
+            };
             if self.close_unused(id) {
                 return true;
             }
@@ -172,9 +179,14 @@
     fn close_stayer(&mut self, now: f64) {
         let since = now - self.limits.stay;
         let stays = |client: &Client| client.asked == 1 && client.used < since && client.is_idle();
-        let stayers = self.clients.iter().filter(|(_, client)| stays(client) && client.begun.is_none());
+        let stayers = self
+            .clients
+            .iter()
+            .filter(|(_, client)| stays(client) && client.begun.is_none());
         if stayers.clone().count() >= self.limits.stayers {
-            let oldest = stayers.min_by(|a, b| a.1.used.total_cmp(&b.1.used)).map(|(id, _)| *id);
+            let oldest = stayers
+                .min_by(|a, b| a.1.used.total_cmp(&b.1.used))
+                .map(|(id, _)| *id);
             if let Some(id) = oldest {
                 self.close_unused(id);
             }
@@ -212,11 +224,17 @@
         }
         // What is read now may have come at any time since the last look.
         let arrived_since = self.woken - self.stall;
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         if client.closing {
             return self.drop_input(id);
         }
-        let filled = client.fill(self.limits.resp.message, self.limits.read_step, arrived_since);
+        let filled = client.fill(
+            self.limits.resp.message,
+            self.limits.read_step,
+            arrived_since,
+        );
         // Who has left more unread commands than are kept is gone all the same, with what waits for it.
         let full = client.stream.input().len() >= self.limits.resp.message;
         if filled == Fill::Ended || full && client.stream.is_left() {
@@ -234,9 +252,15 @@
     /// What a client that was turned away still sends would, unread, turn the close into a reset that may
     /// overtake the error line.
     fn drop_input(&mut self, id: SocketId) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
-        let Some((_, left)) = &mut client.lingers else { return };
-        let filled = client.stream.fill(self.limits.resp.message, self.limits.read_step);
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
+        let Some((_, left)) = &mut client.lingers else {
+            return;
+        };
+        let filled = client
+            .stream
+            .fill(self.limits.resp.message, self.limits.read_step);
         let read = client.stream.input().len();
         client.stream.consume(read);
         *left = left.saturating_sub(read);
@@ -254,11 +278,15 @@
             let client = self.clients.get_mut(&id).filter(|client| !client.closing);
             let Some(client) = client else { return false };
             // Backpressure: who does not read answers gives no more commands.
-            if client.queue.len() >= limits.pipeline || client.stream.unwritten() > limits.resp.value {
+            if client.queue.len() >= limits.pipeline
+                || client.stream.unwritten() > limits.resp.value
+            {
                 client.begun = None;
                 return progress;
             }
-            let Some(client) = self.clients.get(&id) else { return false };
+            let Some(client) = self.clients.get(&id) else {
+                return false;
+            };
             let read = client::read(client.stream.input(), &limits.resp);
             let whole = client.stream.input().len() < limits.resp.message;
             let (step, used) = match read {
@@ -272,14 +300,20 @@
                 },
                 Ok(None) if whole => {
                     let now = self.clock.now();
-                    let Some(client) = self.clients.get_mut(&id) else { return false };
-                    client.begun = client.begun.or((!client.stream.input().is_empty()).then_some(now));
+                    let Some(client) = self.clients.get_mut(&id) else {
+                        return false;
+                    };
+                    client.begun = client
+                        .begun
+                        .or((!client.stream.input().is_empty()).then_some(now));
                     return progress;
                 }
                 Ok(None) => return self.reject(id, &Malformed::new("a command is too long")),
                 Err(why) => return self.reject(id, &why),
             };
-            let Some(client) = self.clients.get_mut(&id) else { return false };
+            let Some(client) = self.clients.get_mut(&id) else {
+                return false;
+            };
             client.consume(used);
             (client.used, client.asked, client.begun) = (self.clock.now(), client.asked + 1, None);
             client.unknown += usize::from(matches!(step, Step::Unknown));
@@ -292,7 +326,9 @@
                 Step::Reply(text) => self.reply(id, |out| resp::write_simple(out, text)),
                 Step::Left(_) => self.reply(id, |out| resp::write_error(out, OPEN_ID)),
                 Step::Fail(text) => self.reply(id, |out| resp::write_error(out, text)),
-                Step::Unknown => self.reply(id, |out| resp::write_error(out, "ERR unknown command")),
+                Step::Unknown => {
+                    self.reply(id, |out| resp::write_error(out, "ERR unknown command"))
+                }
             }
         }
     }
@@ -319,20 +355,39 @@
         // Hosts know an invocation by its id: with another's, one would be answered for the other.
         if let Some(holder) = self.open_ids.get(asked.id) {
             // Unless that client is gone, which is only not read yet: then it is sent again.
-            let left = self.clients.get(holder).is_some_and(|client| client.stream.is_left());
-            return Ok(if left { Step::Left(*holder) } else { Step::Fail(OPEN_ID) });
+            let left = self
+                .clients
+                .get(holder)
+                .is_some_and(|client| client.stream.is_left());
+            return Ok(if left {
+                Step::Left(*holder)
+            } else {
+                Step::Fail(OPEN_ID)
+            });
         }
         if asked.time_millis as f64 > self.limits.longest_wait * 1e3 {
             return Err(Malformed::new("the time (d) is beyond all sense"));
         }
         let kept: Kept = asked.keep();
         let key = (!asked.key.is_empty()).then(|| KeyId(asked.key.into()));
-        let pool = self.hosts.route(asked.operation, asked.key).map(|route| route.pool.clone());
+        let pool = self
+            .hosts
+            .route(asked.operation, asked.key)
+            .map(|route| route.pool.clone());
         // A command that lay unread, while this process stood still or behind a full pipeline, has less time left.
         let now = self.clock.now();
         let unread = now - arrived.unwrap_or(now);
-        let time_left = (asked.time_millis as f64 / 1e3 - unread).max(0.0).min(self.time_before_last());
-        Ok(Step::Take(Taken { operation, key, pool, time_left, again: asked.again, kept }))
+        let time_left = (asked.time_millis as f64 / 1e3 - unread)
+            .max(0.0)
+            .min(self.time_before_last());
+        Ok(Step::Take(Taken {
+            operation,
+            key,
+            pool,
+            time_left,
+            again: asked.again,
+            kept,
+        }))
     }
 
     fn reject(&mut self, id: SocketId, why: &Malformed) -> bool {
@@ -358,12 +413,18 @@
     /// Turns away who has connected and said nothing for long, or has begun a command and not ended it.
     pub(super) fn close_unspoken(&mut self, now: f64) {
         let since = now - self.limits.speak;
-        let late = self.clients.iter().filter(|(_, client)| match client.begun {
-            _ if client.closing => client.lingers.is_some_and(|(until, _)| until < now),
-            Some(begun) => begun < since || client.asked == 0 && client.used < since,
-            None => client.asked == 0 && client.used < since,
-        });
-        for (id, begun) in late.map(|(id, client)| (*id, client.begun.is_some())).collect::<Vec<_>>() {
+        let late = self
+            .clients
+            .iter()
+            .filter(|(_, client)| match client.begun {
+                _ if client.closing => client.lingers.is_some_and(|(until, _)| until < now),
+                Some(begun) => begun < since || client.asked == 0 && client.used < since,
+                None => client.asked == 0 && client.used < since,
+            });
+        for (id, begun) in late
+            .map(|(id, client)| (*id, client.begun.is_some()))
+            .collect::<Vec<_>>()
+        {
             match self.clients.get(&id) {
                 Some(client) if begun && !client.closing => {
                     self.reject(id, &Malformed::new("a command does not end"));
@@ -378,7 +439,9 @@
 
     /// The client is gone, or its connection is closed for want of use.
     pub(super) fn client_left(&mut self, id: SocketId) {
-        let Some(client) = self.clients.remove(&id) else { return };
+        let Some(client) = self.clients.remove(&id) else {
+            return;
+        };
         let waited = !client.queue.is_empty();
         for waiting in client.queue {
             if let Waiting::For(inv) = waiting
@@ -399,9 +462,15 @@
 
     /// Whether the client of this request is gone, be it that its close is not read yet.
     pub(super) fn is_client_gone(&mut self, inv: &InvId) -> bool {
-        let Some(admitted) = self.admitted.get(inv) else { return false };
+        let Some(admitted) = self.admitted.get(inv) else {
+            return false;
+        };
         let (id, left) = (admitted.client, admitted.left);
-        let unread = !left && self.clients.get(&id).is_some_and(|client| client.stream.is_left());
+        let unread = !left
+            && self
+                .clients
+                .get(&id)
+                .is_some_and(|client| client.stream.is_left());
         if unread {
             self.client_left(id);
         }
@@ -411,7 +480,10 @@
     /// Closes connections whose clients have not read for long, and the fullest where too much is unread.
     pub(super) fn close_stuck(&mut self, now: f64) {
         let (most, longest) = (self.limits.unread, self.limits.stuck_client);
-        let stuck = self.clients.iter().filter(|(_, c)| c.stuck.is_some_and(|since| now - since > longest));
+        let stuck = self
+            .clients
+            .iter()
+            .filter(|(_, c)| c.stuck.is_some_and(|since| now - since > longest));
         let mut closed: Vec<_> = stuck.map(|(id, _)| *id).collect();
         let unread = |client: &Client| {
             let waiting = client.queue.iter().map(|waiting| match waiting {
@@ -425,7 +497,10 @@
             closed.extend(fullest.map(|(id, _)| *id));
         }
         for id in closed {
-            warn!(self.log, "a client does not read its answers, its connection is closed");
+            warn!(
+                self.log,
+                "a client does not read its answers, its connection is closed"
+            );
             self.client_left(id);
         }
     }
--- a/router/src/transport/alarms.rs
+++ b/router/src/transport/alarms.rs
@@ -12,7 +12,10 @@
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> Ordering {
         // The heap gives its greatest first.
-        other.at.total_cmp(&self.at).then(other.number.cmp(&self.number))
+        other
+            .at
+            .total_cmp(&self.at)
+            .then(other.number.cmp(&self.number))
     }
 }
 
@@ -38,7 +41,11 @@
 
 impl<T> Alarms<T> {
     pub fn new(most: usize) -> Self {
-        Alarms { heap: BinaryHeap::new(), number: 0, most }
+        Alarms {
+            heap: BinaryHeap::new(),
+            number: 0,
+            most,
+        }
     }
 
     /// False where no more can be kept.
@@ -46,7 +53,11 @@
         let room = self.heap.len() < self.most;
         if room {
             self.number += 1;
-            self.heap.push(Entry { at, number: self.number, what });
+            self.heap.push(Entry {
+                at,
+                number: self.number,
+                what,
+            });
         }
         room
     }
--- a/router/src/transport/clock.rs
+++ b/router/src/transport/clock.rs
@@ -11,7 +11,10 @@
 impl Clock {
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
-        Clock { base: unix.map_or(0.0, |time| time.as_secs_f64()), since: Instant::now() }
+        Clock {
+            base: unix.map_or(0.0, |time| time.as_secs_f64()),
+            since: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> f64 {
--- a/router/src/transport/datagram.rs
+++ b/router/src/transport/datagram.rs
@@ -19,7 +19,11 @@
         let socket = Rc::new(socket);
         let (id, _) = net.watch(socket.clone(), rank)?;
         // One byte more than allowed shows what is too long.
-        Ok(Datagrams { id, socket, buffer: vec![0; most + 1] })
+        Ok(Datagrams {
+            id,
+            socket,
+            buffer: vec![0; most + 1],
+        })
     }
 
     /// A datagram that cannot be sent now is lost, as any other may be.
--- a/router/src/transport/listener.rs
+++ b/router/src/transport/listener.rs
@@ -37,7 +37,11 @@
             match self.socket.accept() {
                 Ok((stream, _)) => return Ok(Some(stream)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) => {}
                 Err(e) => return Err(e),
             }
         }
--- a/router/src/transport/net.rs
+++ b/router/src/transport/net.rs
@@ -50,17 +50,27 @@
         let handle = events.handle();
         let taken = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
         let signals = Signals::new(&taken).map_err(io::Error::other)?;
-        let note = |event: calloop::signals::Event, _: &mut _, ready: &mut Ready| match event.signal() {
-            Signal::SIGHUP => ready.signals.reread = true,
-            _ => ready.signals.stop = true,
-        };
-        handle.insert_source(signals, note).map_err(|e| io::Error::from(e.error))?;
-        Ok(Net { events, handle, ready: Ready::default(), next: 0 })
+        let note =
+            |event: calloop::signals::Event, _: &mut _, ready: &mut Ready| match event.signal() {
+                Signal::SIGHUP => ready.signals.reread = true,
+                _ => ready.signals.stop = true,
+            };
+        handle
+            .insert_source(signals, note)
+            .map_err(|e| io::Error::from(e.error))?;
+        Ok(Net {
+            events,
+            handle,
+            ready: Ready::default(),
+            next: 0,
+        })
     }
 
     /// Watches a socket by its edges: whoever owns it reads and writes until it would block.
     pub fn watch<S: AsFd + 'static>(
-        &mut self, socket: Rc<S>, rank: Rank,
+        &mut self,
+        socket: Rc<S>,
+        rank: Rank,
     ) -> io::Result<(SocketId, RegistrationToken)> {
         self.next += 1;
         let id = SocketId(self.next);
@@ -69,7 +79,10 @@
             ready.sockets.push((rank, id));
             Ok(PostAction::Continue)
         };
-        let token = self.handle.insert_source(source, note).map_err(|e| io::Error::from(e.error))?;
+        let token = self
+            .handle
+            .insert_source(source, note)
+            .map_err(|e| io::Error::from(e.error))?;
         Ok((id, token))
     }
 
@@ -89,7 +102,9 @@
                 waiting.push_back(posted);
             }
         };
-        self.handle.insert_source(source, note).map_err(|e| io::Error::other(e.error.to_string()))?;
+        self.handle
+            .insert_source(source, note)
+            .map_err(|e| io::Error::other(e.error.to_string()))?;
         Ok((Mail { id, waiting }, post))
     }
 
@@ -101,7 +116,9 @@
     /// and what signals told.
     pub fn wait(&mut self, seconds: f64) -> io::Result<(Vec<SocketId>, Signalled)> {
         let most = Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::ZERO);
-        self.events.dispatch(Some(most), &mut self.ready).map_err(io::Error::other)?;
+        self.events
+            .dispatch(Some(most), &mut self.ready)
+            .map_err(io::Error::other)?;
         self.ready.sockets.sort_by_key(|(rank, _)| *rank);
         let sockets = self.ready.sockets.drain(..).map(|(_, id)| id).collect();
         Ok((sockets, std::mem::take(&mut self.ready.signals)))
--- a/router/src/transport/pools.rs
+++ b/router/src/transport/pools.rs
@@ -12,7 +12,10 @@
 
 impl<K> Default for Pools<K> {
     fn default() -> Self {
-        Pools { idle: BTreeMap::new(), count: 0 }
+        Pools {
+            idle: BTreeMap::new(),
+            count: 0,
+        }
     }
 }
 
@@ -59,7 +62,10 @@
     }
 
     pub fn take_oldest(&mut self) -> Option<SocketId> {
-        let firsts = self.idle.iter().filter_map(|(key, ids)| ids.first().map(|first| (first.1, *key)));
+        let firsts = self
+            .idle
+            .iter()
+            .filter_map(|(key, ids)| ids.first().map(|first| (first.1, *key)));
         let (_, key) = firsts.min_by(|a, b| a.0.total_cmp(&b.0))?;
         self.count -= 1;
         self.idle.get_mut(&key).map(|ids| ids.remove(0).0)
@@ -68,7 +74,10 @@
     fn remove(&mut self, unwanted: impl Fn(&K, &(SocketId, f64)) -> bool) -> Vec<SocketId> {
         let mut taken = Vec::new();
         for (key, ids) in &mut self.idle {
-            taken.extend(ids.extract_if(.., |idle| unwanted(key, idle)).map(|idle| idle.0));
+            taken.extend(
+                ids.extract_if(.., |idle| unwanted(key, idle))
+                    .map(|idle| idle.0),
+            );
         }
         self.idle.retain(|_, ids| !ids.is_empty());
         self.count -= taken.len();
--- a/router/src/transport/stream.rs
+++ b/router/src/transport/stream.rs
@@ -44,7 +44,9 @@
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
             Ok(()) => {}
-            Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) || e.kind() == ErrorKind::WouldBlock => {}
+            Err(e)
+                if e.raw_os_error() == Some(libc::EINPROGRESS)
+                    || e.kind() == ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
         }
         Self::new(net, socket.into(), rank, false)
@@ -55,7 +57,16 @@
         let socket = Rc::new(socket);
         let (id, token) = net.watch(socket.clone(), rank)?;
         let (input, output) = (Vec::new(), Vec::new());
-        Ok(Stream { id, socket, token, up, input, used: 0, output, written: 0 })
+        Ok(Stream {
+            id,
+            socket,
+            token,
+            up,
+            input,
+            used: 0,
+            output,
+            written: 0,
+        })
     }
 
     /// Whether the connection is up; an error where it never will be.
@@ -107,7 +118,10 @@
     pub fn is_left(&self) -> bool {
         let mut watched = [PollFd::new(&*self.socket, PollFlags::RDHUP)];
         let told = poll(&mut watched, Some(&Timespec::default()));
-        told.is_ok() && watched[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
+        told.is_ok()
+            && watched[0]
+                .revents()
+                .intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
     }
 
     pub fn input(&self) -> &[u8] {
--- a/routes/src/lib.rs
+++ b/routes/src/lib.rs
@@ -26,7 +26,8 @@
     pub fn overlaps(&self, other: &Match) -> bool {
         let any = self.operations.is_empty() || other.operations.is_empty();
         let (a, b) = (&*self.key_prefix, &*other.key_prefix);
-        (any || !self.operations.is_disjoint(&other.operations)) && (a.starts_with(b) || b.starts_with(a))
+        (any || !self.operations.is_disjoint(&other.operations))
+            && (a.starts_with(b) || b.starts_with(a))
     }
 }
 
@@ -49,12 +50,20 @@
     by_prefix.sort_by(|(_, a), (_, b)| a.of.key_prefix.cmp(&b.of.key_prefix));
     let (mut found, mut wider): (Vec<_>, Vec<(usize, &Route)>) = (vec![], vec![]);
     for (place, route) in by_prefix {
-        while wider.last().is_some_and(|(_, last)| !route.of.key_prefix.starts_with(&*last.of.key_prefix)) {
+        while wider
+            .last()
+            .is_some_and(|(_, last)| !route.of.key_prefix.starts_with(&*last.of.key_prefix))
+        {
             wider.pop();
         }
-        let clash = |(_, other): &&(usize, &Route)| !ordered(route, other) && route.of.overlaps(&other.of);
+        let clash =
+            |(_, other): &&(usize, &Route)| !ordered(route, other) && route.of.overlaps(&other.of);
         for (other_place, other) in wider.iter().filter(clash) {
-            found.push(if *other_place < place { (*other, route) } else { (route, *other) });
+            found.push(if *other_place < place {
+                (*other, route)
+            } else {
+                (route, *other)
+            });
             if found.len() >= most {
                 return found;
             }
@@ -88,6 +97,8 @@
 
     /// The route of an invocation; none: all hosts are for it.
     pub fn of(&self, operation: &str, key: &str) -> Option<&Route> {
-        self.ordered.iter().find(|route| route.of.fits(operation, key))
+        self.ordered
+            .iter()
+            .find(|route| route.of.fits(operation, key))
     }
 }
--- a/src/candidates.rs
+++ b/src/candidates.rs
@@ -57,29 +57,48 @@
     /// The lowest tier that has a host.
     pub(crate) fn lowest_tier(&self) -> Option<u8> {
         let counted = self.counted.iter().any(|sum| sum.hosts > 0).then_some(0);
-        self.listed.iter().map(|candidate| candidate.tier).chain(counted).min()
+        self.listed
+            .iter()
+            .map(|candidate| candidate.tier)
+            .chain(counted)
+            .min()
     }
 
     /// Those of one arm and tier that are listed.
     pub(crate) fn listed(&self, arm: usize, tier: u8) -> impl Iterator<Item = &Candidate> {
-        self.listed.iter().filter(move |candidate| candidate.arm == arm && candidate.tier == tier)
+        self.listed
+            .iter()
+            .filter(move |candidate| candidate.arm == arm && candidate.tier == tier)
     }
 
     /// Those of one arm and tier that are only counted.
     pub(crate) fn counted(&self, arm: usize, tier: u8) -> Sum {
-        if tier == 0 { self.counted[arm] } else { Sum::default() }
+        if tier == 0 {
+            self.counted[arm]
+        } else {
+            Sum::default()
+        }
     }
 
     pub(crate) fn sum(&self, arm: usize, tier: u8) -> Sum {
-        let add = |sum: Sum, of: &Candidate| Sum { hosts: sum.hosts + 1, share: sum.share + of.share };
+        let add = |sum: Sum, of: &Candidate| Sum {
+            hosts: sum.hosts + 1,
+            share: sum.share + of.share,
+        };
         let listed = self.listed(arm, tier).fold(Sum::default(), add);
         let counted = self.counted(arm, tier);
-        Sum { hosts: counted.hosts + listed.hosts, share: counted.share + listed.share }
+        Sum {
+            hosts: counted.hosts + listed.hosts,
+            share: counted.share + listed.share,
+        }
     }
 
     /// The share of all hosts of a tier, of both arms.
     pub(crate) fn share(&self, tier: u8) -> f64 {
-        let listed = self.listed.iter().filter(|candidate| candidate.tier == tier);
+        let listed = self
+            .listed
+            .iter()
+            .filter(|candidate| candidate.tier == tier);
         let counted: f64 = [0, 1].map(|arm| self.counted(arm, tier).share).iter().sum();
         counted + listed.map(|candidate| candidate.share).sum::<f64>()
     }
@@ -91,6 +110,9 @@
 
     /// The weight that a request counts for a host, where it is another than the one in force.
     pub(crate) fn weight(&self, host: HostId) -> Option<f64> {
-        self.listed.iter().find(|candidate| candidate.host == host).map(|candidate| candidate.weight)
+        self.listed
+            .iter()
+            .find(|candidate| candidate.host == host)
+            .map(|candidate| candidate.weight)
     }
 }
