--- a/src/choice.rs
+++ b/src/choice.rs
@@ -120,11 +120,25 @@
     (Ballot::Stands, Push::News, Ballot::Silent, false),
 ];
 
-const UNKNOWN: Health = Health { faults: 0.0, pace: 1.5, ejected_until: 0.0, ejected_for: EJECTED[0] };
+const UNKNOWN: Health = Health {
+    faults: 0.0,
+    pace: 1.5,
+    ejected_until: 0.0,
+    ejected_for: EJECTED[0],
+};
 
 fn new_host(entry: &HostEntry) -> Box<Host> {
     let (out, used, health, since, weight) = (vec![], f64::MIN, UNKNOWN, Revision(0), 1.0);
-    Box::new(Host { entry: *entry, usable: false, out, used, health, since, next: Next::Unsaid, weight })
+    Box::new(Host {
+        entry: *entry,
+        usable: false,
+        out,
+        used,
+        health,
+        since,
+        next: Next::Unsaid,
+        weight,
+    })
 }
 
 pub struct Router {
@@ -134,7 +148,14 @@
 
 impl Router {
     pub fn start(terms: ServiceTerms, seed: u64, now: f64) -> Self {
-        let earns = |o: &OperationTerms| o.billed_value / if terms.billed_by_work { 1.0 } else { o.slo_time };
+        let earns = |o: &OperationTerms| {
+            o.billed_value
+                / if terms.billed_by_work {
+                    1.0
+                } else {
+                    o.slo_time
+                }
+        };
         let best = terms.operations.iter().map(earns).fold(0.0, f64::max);
         let operations = terms.operations.iter().map(|o| {
             let (group, window) = match o.repeats {
@@ -143,7 +164,13 @@
                 Repeats::SideEffecting => (RepeatGroup::All, 0.0),
             };
             let (lean, late_is_worthless) = (earns(o) < 0.5 * best, o.late_share <= 0.0);
-            Operation { slo: o.slo_time, late_is_worthless, lean, group, window }
+            Operation {
+                slo: o.slo_time,
+                late_is_worthless,
+                lean,
+                group,
+                window,
+            }
         });
         let needed = terms.votes_on.max(terms.votes_back).max(terms.votes_hold);
         let slots = terms.operations.len().clamp(1, SLOTS);
@@ -151,14 +178,25 @@
         (s.by_clock, s.voters) = (terms.gate == Gate::Clock, VOTERS.max(needed));
         // The platform takes so many calls of all routers together, for renewals and changes of mind too.
         s.turn = f64::from(s.voters) / terms.vote_rate;
-        (s.renew_every, s.even) = (RENEW_EVERY.max(TURNS[2] * s.turn).min(0.8 * terms.ballot_life), 1.0);
+        (s.renew_every, s.even) = (
+            RENEW_EVERY
+                .max(TURNS[2] * s.turn)
+                .min(0.8 * terms.ballot_life),
+            1.0,
+        );
         (s.ask_again, s.many, s.follow_wait) = (ASK_AGAIN, s.routers > FEW, REFOLLOW[0]);
         s.call_spread = terms.ask_every * (1.0 - f64::from(FEW) / f64::from(s.routers)).max(0.0);
         s.haste = (terms.bake / BAKE[0]).clamp(BAKE[1], 1.0);
-        (s.cold_time, s.cold_spend) = (s.cold_time.max(GUARD), COLD_SPEND.min(0.5 * terms.fall_multiple));
+        (s.cold_time, s.cold_spend) = (
+            s.cold_time.max(GUARD),
+            COLD_SPEND.min(0.5 * terms.fall_multiple),
+        );
         (s.pace, s.sending, s.asked, s.stage_since) = ((0.0, now), (0.0, now), (0.0, now), now);
         (s.share, s.shared_drag, s.further) = (1.0 / f64::from(s.routers), 1.0, FURTHER[1] / 2.0);
-        Router { s, rng: ChaCha8Rng::seed_from_u64(seed) }
+        Router {
+            s,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+        }
     }
 
     pub fn handle(&mut self, now: f64, event: Event, effects: &mut Vec<Effect>) {
@@ -187,13 +225,20 @@
             Event::ListFailed if self.s.list_asked => {
                 // A subscription that broke would count as told; ask again soon, spread and slower each time.
                 let wait = self.s.follow_wait * (0.5 + self.rng.random::<f64>());
-                self.s.follow_wait = (2.0 * self.s.follow_wait).min(REFOLLOW[1].max(self.s.call_spread));
+                self.s.follow_wait =
+                    (2.0 * self.s.follow_wait).min(REFOLLOW[1].max(self.s.call_spread));
                 self.set_alarm(now + wait, Task::Follow, effects);
             }
             Event::Arrived(inv) => self.arrived(now, inv, effects),
-            Event::Ended { inv, dispatch, verdict, took, over, unused, .. } => {
-                self.ended(now, inv, dispatch.0, (verdict, took, over, unused), effects)
-            }
+            Event::Ended {
+                inv,
+                dispatch,
+                verdict,
+                took,
+                over,
+                unused,
+                ..
+            } => self.ended(now, inv, dispatch.0, (verdict, took, over, unused), effects),
             Event::ClientLeft { inv } | Event::Streaming { inv, .. } => self.close(&inv),
             Event::Alarm { key } => match self.s.alarms.remove(&key.0) {
                 Some(Task::Gossip) => self.beat(now, effects),
@@ -203,8 +248,12 @@
             },
             Event::Told { from, payload } => self.gossip_received(now, from, &payload, effects),
             Event::Stage(news) => self.stage(now, news, effects),
-            Event::Disputed { host, operation, .. } => {
-                let Some(build) = self.s.hosts.get(&host).map(|h| h.entry.build) else { return };
+            Event::Disputed {
+                host, operation, ..
+            } => {
+                let Some(build) = self.s.hosts.get(&host).map(|h| h.entry.build) else {
+                    return;
+                };
                 self.score(build, operation.0, 1, false, self.s.dispute_weight);
             }
             Event::ListFailed | Event::Tally { .. } | Event::Probed { .. } => {}
@@ -214,13 +263,20 @@
     fn set_alarm(&mut self, at: f64, task: Task, effects: &mut Vec<Effect>) {
         self.s.next_alarm += 1;
         self.s.alarms.insert(self.s.next_alarm, task);
-        effects.push(Effect::SetAlarm { at, key: AlarmKey(self.s.next_alarm) });
+        effects.push(Effect::SetAlarm {
+            at,
+            key: AlarmKey(self.s.next_alarm),
+        });
     }
 
     /// Noted ahead: nothing of it counts before the list that it belongs to is taken.
     fn stage_hosts(&mut self, entries: &[HostEntry]) {
         for entry in entries {
-            let host = self.s.hosts.entry(entry.host).or_insert_with(|| new_host(entry));
+            let host = self
+                .s
+                .hosts
+                .entry(entry.host)
+                .or_insert_with(|| new_host(entry));
             host.stage(entry, UNKNOWN);
             self.s.staged.push(entry.host);
         }
@@ -250,22 +306,45 @@
 
     /// Who warms up, is ejected or fails is looked at for each request, all others by their groups.
     fn indexed(&self, now: f64, host: &Host) -> Option<Indexed> {
-        let Host { health, entry, weight, .. } = host;
+        let Host {
+            health,
+            entry,
+            weight,
+            ..
+        } = host;
         let well = health.ejected_until <= now && health.faults <= FAULTY;
-        let (settled, group) = (well && self.s.warmth(entry, now) >= 1.0, Group::of(entry, self.s.by_cell));
+        let (settled, group) = (
+            well && self.s.warmth(entry, now) >= 1.0,
+            Group::of(entry, self.s.by_cell),
+        );
         let (size, weight, faults, pace) = (entry.size, *weight, health.faults, health.pace);
-        host.usable.then_some(Indexed { group, size, weight, settled, faults, pace })
+        host.usable.then_some(Indexed {
+            group,
+            size,
+            weight,
+            settled,
+            faults,
+            pace,
+        })
     }
 
     fn index(&mut self, now: f64, hosts: Vec<HostId>) {
         let mut index = std::mem::take(&mut self.s.index);
-        let indexed = |host| self.s.hosts.get(&host).and_then(|host| self.indexed(now, host));
+        let indexed = |host| {
+            self.s
+                .hosts
+                .get(&host)
+                .and_then(|host| self.indexed(now, host))
+        };
         index.update(hosts.into_iter().map(|host| (host, indexed(host))));
         self.s.index = index;
     }
 
     fn rate((level, at): (f64, f64), now: f64, more: f64) -> (f64, f64) {
-        (level * (-(now - at) / PACE_TIME).exp() + more / PACE_TIME, now)
+        (
+            level * (-(now - at) / PACE_TIME).exp() + more / PACE_TIME,
+            now,
+        )
     }
 
     fn phase(&self, build: BuildId) -> Phase {
@@ -285,16 +364,31 @@
         let news = self.s.news.filter(|news| news.build == build);
         let (cap, stage) = news.map_or((self.s.first_cap, 0), |news| (news.cap, news.stage));
         let cap = self.s.asked_of(build).map_or(cap, |wish| cap.min(wish.cap));
-        let guarded = stage < self.s.guarded_stages && self.s.operations[operation].window.is_finite();
+        let guarded =
+            stage < self.s.guarded_stages && self.s.operations[operation].window.is_finite();
         if phase != Phase::OnTrial || cap <= 0.0 || guarded {
             return phase == Phase::Released;
         }
         let counts = |o: usize| !self.s.by_operation || o == operation;
         let kept = self.s.window - 2.0 * self.s.tick;
-        let taken = self.s.taken.iter().filter(|(at, o, _)| now - at < kept && counts(*o)).count();
-        let sent = self.s.exposed.iter().filter(|(_, b, o)| *b == build && counts(*o)).count() as f64;
+        let taken = self
+            .s
+            .taken
+            .iter()
+            .filter(|(at, o, _)| now - at < kept && counts(*o))
+            .count();
+        let sent = self
+            .s
+            .exposed
+            .iter()
+            .filter(|(_, b, o)| *b == build && counts(*o))
+            .count() as f64;
         let new_key = new_key && self.s.keys_bound && cap < 1.0;
-        let (part, spare) = if new_key { (BOUND_ROOM[1], 0.5) } else { (1.0, 1.0) };
+        let (part, spare) = if new_key {
+            (BOUND_ROOM[1], 0.5)
+        } else {
+            (1.0, 1.0)
+        };
         sent + 1.0 <= spare * self.s.spare + part * cap * taken as f64
     }
 
@@ -307,11 +401,25 @@
         self.s.taken.retain(|(at, ..)| now - at <= self.s.window);
         self.s.exposed.retain(|(at, ..)| now - at <= self.s.window);
         self.s.further = (self.s.further + FURTHER[0]).min(FURTHER[1]);
-        let bound = self.s.bound_to(&inv.key).is_some_and(|build| self.phase(build) == Phase::OnTrial);
+        let bound = self
+            .s
+            .bound_to(&inv.key)
+            .is_some_and(|build| self.phase(build) == Phase::OnTrial);
         self.s.taken.push_back((now, operation, bound));
         let (key, again, sent) = (inv.key, inv.again, vec![]);
         let (set, pool) = (self.s.set.clone(), inv.pool);
-        let record = Request { operation, key, work, again, slo_at, limit, sent, over: false, pool, set };
+        let record = Request {
+            operation,
+            key,
+            work,
+            again,
+            slo_at,
+            limit,
+            sent,
+            over: false,
+            pool,
+            set,
+        };
         self.s.requests.insert(inv.id.clone(), record);
         self.s.asked = Self::rate(self.s.asked, now, 1.0);
         self.dispatch_or_end(now, &inv.id, false, effects);
@@ -326,12 +434,21 @@
 
     /// Sends the next dispatch; where there is none to send, the final answer goes out at once (rule 1).
     fn dispatch_or_end(&mut self, now: f64, id: &InvId, copy: bool, effects: &mut Vec<Effect>) {
-        let Some(inv) = self.s.requests.get(id).filter(|inv| !inv.over) else { return };
+        let Some(inv) = self.s.requests.get(id).filter(|inv| !inv.over) else {
+            return;
+        };
         let operation = &self.s.operations[inv.operation];
         let (ran, binding) = self.trace(now, inv);
         let throttle = !binding && (ran.is_none() || operation.group == RepeatGroup::All);
-        let (out, first) = (inv.sent.iter().filter(|s| s.out).count(), inv.sent.is_empty());
-        let end = if operation.late_is_worthless { inv.limit.min(inv.slo_at) } else { inv.limit };
+        let (out, first) = (
+            inv.sent.iter().filter(|s| s.out).count(),
+            inv.sent.is_empty(),
+        );
+        let end = if operation.late_is_worthless {
+            inv.limit.min(inv.slo_at)
+        } else {
+            inv.limit
+        };
         let timely = end - now > 2.0 * self.s.tick;
         let paid = first || self.s.further >= 1.0;
         let more = out == 0 || copy && self.s.may_copy && out == 1;
@@ -339,10 +456,15 @@
         // When tight, copies go first, and tries that come again (their SLO time is past); then lean ones.
         let late = copy || inv.again && operation.late_is_worthless;
         let lean = if operation.lean { OPEN_PART[0] } else { 1.0 };
-        let most = (self.s.open_most + self.s.open_most.sqrt()) * if late { OPEN_PART[1] } else { lean };
+        let most =
+            (self.s.open_most + self.s.open_most.sqrt()) * if late { OPEN_PART[1] } else { lean };
         // A bound of less than one lets that part of the invocations in: a draw decides on the last one.
         let room = self.s.open as f64 + self.rng.random::<f64>() <= most;
-        let host = if !binding && timely && paid && more && room { self.choose(now, id) } else { None };
+        let host = if !binding && timely && paid && more && room {
+            self.choose(now, id)
+        } else {
+            None
+        };
         if let Some(host) = host {
             self.s.further -= f64::from(u8::from(!first));
             return self.send(now, id, host, end, effects);
@@ -353,32 +475,61 @@
         self.close(id);
         let wait = ADVICE * (1.0 + self.rng.random::<f64>());
         let stay_away = self.s.advice.map(|most| wait.min(most));
-        let throttled = Effect::Throttle { inv: id.clone(), stay_away };
-        effects.push(if throttle { throttled } else { Effect::Terminate { inv: id.clone() } });
+        let throttled = Effect::Throttle {
+            inv: id.clone(),
+            stay_away,
+        };
+        effects.push(if throttle {
+            throttled
+        } else {
+            Effect::Terminate { inv: id.clone() }
+        });
     }
 
     fn send(&mut self, now: f64, id: &InvId, host: HostId, end: f64, effects: &mut Vec<Effect>) {
-        let (Some(inv), Some(h)) = (self.s.requests.get_mut(id), self.s.hosts.get_mut(&host)) else { return };
+        let (Some(inv), Some(h)) = (self.s.requests.get_mut(id), self.s.hosts.get_mut(&host))
+        else {
+            return;
+        };
         let operation = &self.s.operations[inv.operation];
         let low = self.s.low.get(&(inv.operation, h.entry.kind, EARLIER));
         let quick = low.map_or(0.1 * operation.slo, |low| low.quick * inv.work);
         let wait = (FIRST_WAIT[0] * (inv.slo_at - now)).max(FIRST_WAIT[1] * quick);
         let easy = self.s.further >= 1.0 && self.s.open as f64 <= OPEN_PART[1] * self.s.open_most;
-        let planned = easy && operation.window > wait && inv.sent.len() + 1 < self.s.most_dispatches;
+        let planned =
+            easy && operation.window > wait && inv.sent.len() + 1 < self.s.most_dispatches;
         let planned = planned && now + wait + quick < end.min(inv.slo_at);
-        let time_out = if planned && !self.s.may_copy { wait } else { end - now };
+        let time_out = if planned && !self.s.may_copy {
+            wait
+        } else {
+            end - now
+        };
         // Connections may be dropped unseen after some time without use: then an idle one is closed first.
         let unused = h.out.is_empty() && h.used > f64::MIN && now - h.used > UNUSED[0];
         let stale = self.s.lost[1] > LOST[1] + self.s.lost[0];
         let unused_most = if stale { UNUSED[1] } else { f64::INFINITY };
         // Rules 2, 3 and 5 hold when the last byte is written, not when it is decided: connecting takes time.
         let ran = inv.sent.iter().find(|s| s.out || s.may_have_run);
-        let left = ran.map_or(f64::INFINITY, |first| operation.window - 2.0 * self.s.tick - (now - first.at));
+        let left = ran.map_or(f64::INFINITY, |first| {
+            operation.window - 2.0 * self.s.tick - (now - first.at)
+        });
         let written_within = left.min(WRITTEN * self.s.drain_grace).max(GUARD);
-        let on = ConnectionTerms { unused_most, rested_least: REST, resting_most: RESTING, written_within };
+        let on = ConnectionTerms {
+            unused_most,
+            rested_least: REST,
+            resting_most: RESTING,
+            written_within,
+        };
         effects.extend((unused && stale).then_some(Effect::CloseIdle { host }));
         let (scored, unused) = (h.health.ejected_until <= now, unused && !stale);
-        inv.sent.push(Attempt { to: h.entry, at: now, out: true, may_have_run: false, scored, unused });
+        inv.sent.push(Attempt {
+            to: h.entry,
+            at: now,
+            out: true,
+            may_have_run: false,
+            scored,
+            unused,
+        });
         h.out.push(now);
         h.used = now;
         self.s.sending = Self::rate(self.s.sending, now, 1.0);
@@ -387,7 +538,12 @@
         if self.phase(build) != Phase::Released {
             self.s.exposed.push_back((now, build, operation));
         }
-        effects.push(Effect::Dispatch { inv: id.clone(), host, time_out, on });
+        effects.push(Effect::Dispatch {
+            inv: id.clone(),
+            host,
+            time_out,
+            on,
+        });
         if planned && self.s.may_copy {
             self.set_alarm(now + wait, Task::Further(id.clone()), effects);
         }
@@ -403,36 +559,90 @@
     }
 
     fn ended(&mut self, now: f64, id: InvId, no: u32, how: Outcome, effects: &mut Vec<Effect>) {
-        let Some(inv) = self.s.requests.get_mut(&id) else { return };
-        let Some(sent) = inv.sent.get_mut(no as usize).filter(|s| s.out) else { return };
+        let Some(inv) = self.s.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(sent) = inv.sent.get_mut(no as usize).filter(|s| s.out) else {
+            return;
+        };
         let (verdict, took, over, unused) = how;
-        (sent.out, sent.unused) = (false, unused.map_or(sent.unused, |unused| unused > UNUSED[1]));
-        sent.may_have_run = !matches!(verdict, Verdict::Full | Verdict::NoConnection | Verdict::Moot);
+        (sent.out, sent.unused) = (
+            false,
+            unused.map_or(sent.unused, |unused| unused > UNUSED[1]),
+        );
+        sent.may_have_run = !matches!(
+            verdict,
+            Verdict::Full | Verdict::NoConnection | Verdict::Moot
+        );
         let (sent, operation, work, key) = (*sent, inv.operation, inv.work, inv.key.clone());
-        let (over, broke) = (over || inv.over, f64::from(u8::from(verdict == Verdict::Reset)));
+        let (over, broke) = (
+            over || inv.over,
+            f64::from(u8::from(verdict == Verdict::Reset)),
+        );
         (self.s.open, self.s.further) = (self.s.open - 1, self.s.further + broke);
         self.learn(now, operation, sent, verdict, took, work);
-        let (build, binds) = (sent.to.build, verdict == Verdict::Succeeded && self.s.keys_bound);
+        let (build, binds) = (
+            sent.to.build,
+            verdict == Verdict::Succeeded && self.s.keys_bound,
+        );
         if binds && matches!(self.phase(build), Phase::OnTrial | Phase::Released) {
-            key.map(|key| self.s.bound.entry(key).and_modify(|b| *b = build.max(*b)).or_insert(build));
+            key.map(|key| {
+                self.s
+                    .bound
+                    .entry(key)
+                    .and_modify(|b| *b = build.max(*b))
+                    .or_insert(build)
+            });
+        }
+        if over {
+            self.close(&id)
+        } else {
+            self.dispatch_or_end(now, &id, false, effects)
         }
-        if over { self.close(&id) } else { self.dispatch_or_end(now, &id, false, effects) }
     }
 
-    fn learn(&mut self, now: f64, operation: usize, sent: Attempt, verdict: Verdict, took: f64, work: f64) {
+    fn learn(
+        &mut self,
+        now: f64,
+        operation: usize,
+        sent: Attempt,
+        verdict: Verdict,
+        took: f64,
+        work: f64,
+    ) {
         let Attempt { to, at, scored, .. } = sent;
-        let (slo, warmth, build) = (self.s.operations[operation].slo, self.s.warmth(&to, at), to.build);
+        let (slo, warmth, build) = (
+            self.s.operations[operation].slo,
+            self.s.warmth(&to, at),
+            to.build,
+        );
         let (time, place) = (took / work, (operation, to.kind));
-        let quick = self.s.low.get(&(place.0, place.1, EARLIER)).map(|low| low.quick);
-        let own = self.s.index.get(to.host).filter(|own| own.group.build == build);
+        let quick = self
+            .s
+            .low
+            .get(&(place.0, place.1, EARLIER))
+            .map(|low| low.quick);
+        let own = self
+            .s
+            .index
+            .get(to.host)
+            .filter(|own| own.group.build == build);
         let others = self.s.index.build(build).without(own);
         let unsettled = self.s.index.unsettled().filter(|host| *host != to.host);
-        let of_build = unsettled.filter_map(|id| self.s.hosts.get(&id).filter(|h| h.entry.build == build));
+        let of_build =
+            unsettled.filter_map(|id| self.s.hosts.get(&id).filter(|h| h.entry.build == build));
         let ejected = of_build.filter(|h| h.health.ejected_until > now).count();
         let lonely = others.hosts < EJECT_OTHERS[0] || ejected * EJECT_OTHERS[1] > others.hosts;
         let n = (others.hosts as f64).max(1.0);
         let alike = (others.faults / n, others.pace / n);
-        let Some(host) = self.s.hosts.get_mut(&to.host).filter(|h| h.entry.same_process(&to)) else { return };
+        let Some(host) = self
+            .s
+            .hosts
+            .get_mut(&to.host)
+            .filter(|h| h.entry.same_process(&to))
+        else {
+            return;
+        };
         if let Some(place) = host.out.iter().position(|sent| *sent == at) {
             host.out.swap_remove(place);
         }
@@ -444,7 +654,9 @@
         *share += LOST[0] * (f64::from(u8::from(lost)) - *share);
         let (served, health) = (verdict == Verdict::Succeeded, &mut host.health);
         health.faults += HOST_WEIGHT * (f64::from(u8::from(!served)) - health.faults);
-        let ratio = quick.map_or(health.pace, |quick| (time * warmth / quick).clamp(0.2, 10.0));
+        let ratio = quick.map_or(health.pace, |quick| {
+            (time * warmth / quick).clamp(0.2, 10.0)
+        });
         health.pace += HOST_WEIGHT * (ratio - health.pace);
         // Ejected where it stands out in its build: a hang, a lost link, errors; a build is for the vote.
         if !lonely && health.faults > FAULTY + alike.0 && health.ejected_until <= now {
@@ -453,13 +665,18 @@
         } else if served && health.faults < FAULTY / 3.0 {
             health.ejected_for = EJECTED[0];
         }
-        let (sick, slower) =
-            (health.ejected_until > now && !lonely, !lonely && health.pace > SLOWER * alike.1);
+        let (sick, slower) = (
+            health.ejected_until > now && !lonely,
+            !lonely && health.pace > SLOWER * alike.1,
+        );
         let late = !served || took > slo;
         self.s.pace = Self::rate(self.s.pace, now, f64::from(u8::from(!late)));
         // Late answers shrink what this router keeps open, timely ones widen it while in use, errors and lost
         // connections neither; never below what keeps hosts busy: fewer open would not make slow ones quick.
-        let broke = matches!(verdict, Verdict::Error | Verdict::Reset | Verdict::NoConnection);
+        let broke = matches!(
+            verdict,
+            Verdict::Error | Verdict::Reset | Verdict::NoConnection
+        );
         if !sick && !broke && (late || self.s.open as f64 + 1.0 > 0.5 * self.s.open_most) {
             let fair = self.s.index.len() as f64 * self.s.share;
             let step = if late { -OPEN_STEP[1] } else { OPEN_STEP[0] };
@@ -469,7 +686,11 @@
         let shows = served || verdict == Verdict::TimedOut;
         let arm = usize::from(self.phase(build) != Phase::Released);
         if shows && warmth >= 1.0 && !sick && !slower {
-            let new = Low { quick: time, least: time, before: None };
+            let new = Low {
+                quick: time,
+                least: time,
+                before: None,
+            };
             let low = self.s.low.entry((place.0, place.1, arm)).or_insert(new);
             let below = |level: f64| f64::from(u8::from(served && time < level));
             low.quick *= (LOW_STEP * (LOW[0] - below(low.quick))).exp();
@@ -486,23 +707,41 @@
         if verdict != Verdict::Reset {
             self.score(build, operation, 1, verdict != Verdict::Error, 1.0);
         }
-        let quick = quick.filter(|_| shows).map(|quick| served && time * warmth <= quick);
-        quick.into_iter().for_each(|good| self.score(build, operation, 2, good, 1.0));
+        let quick = quick
+            .filter(|_| shows)
+            .map(|quick| served && time * warmth <= quick);
+        quick
+            .into_iter()
+            .for_each(|good| self.score(build, operation, 2, good, 1.0));
     }
 
     /// A score adds eta to one figure; the earlier arm's weighs as the trial's, whose past is short.
     fn score(&mut self, build: BuildId, operation: usize, mark: usize, good: bool, weight: f64) {
         let arm = usize::from(self.s.news.is_some_and(|news| build >= news.build));
         let place = operation % self.s.slots * MARKS + mark;
-        let weight = if arm == EARLIER { weight * self.s.even } else { weight };
+        let weight = if arm == EARLIER {
+            weight * self.s.even
+        } else {
+            weight
+        };
         self.s.sums[place][arm][usize::from(!good)] += f64::from(self.s.routers) * weight;
     }
 
     fn load(&self, host: &Host, weight: f64, now: f64) -> f64 {
-        let far = if self.s.zone.is_some_and(|zone| zone != host.entry.zone) { FAR } else { 0.0 };
+        let far = if self.s.zone.is_some_and(|zone| zone != host.entry.zone) {
+            FAR
+        } else {
+            0.0
+        };
         // A host that keeps silent counts as slower the longer it does; holds against hangs and lost links.
-        let longest = self.s.operations.iter().map(|o| o.slo).fold(GUARD, f64::max);
-        let silent = ((now - host.out.iter().copied().fold(now, f64::min)) / (SILENT * longest)).max(1.0);
+        let longest = self
+            .s
+            .operations
+            .iter()
+            .map(|o| o.slo)
+            .fold(GUARD, f64::max);
+        let silent =
+            ((now - host.out.iter().copied().fold(now, f64::min)) / (SILENT * longest)).max(1.0);
         let speed = host.entry.size.max(GUARD) * self.s.warmth(&host.entry, now);
         (host.out.len() as f64 / weight + 1.0 + far) * host.health.pace.max(0.5) * silent / speed
     }
@@ -517,7 +756,10 @@
             let new_key = bound.is_none_or(|bound| bound < build);
             let may_return = bound.is_none_or(|bound| build >= bound);
             if room.is_none_or(|(of, _)| of != build) {
-                room = Some((build, self.exposure_room(now, build, inv.operation, new_key)));
+                room = Some((
+                    build,
+                    self.exposure_room(now, build, inv.operation, new_key),
+                ));
             }
             let room = room.is_some_and(|(_, room)| room);
             let same = first.is_none_or(|first| match repeats {
@@ -527,14 +769,24 @@
             });
             // Clients may come with too little time left: no work is begun that not even quick answers meet.
             let low = self.s.low.get(&(inv.operation, group.kind, EARLIER));
-            let least = low.map_or(0.0, |low| (low.least * inv.work).min(FIRST_WAIT[0] * (inv.slo_at - now)));
-            let of_pool = inv.pool.as_ref().is_none_or(|pool| pool.spans(group.zone, group.kind));
+            let least = low.map_or(0.0, |low| {
+                (low.least * inv.work).min(FIRST_WAIT[0] * (inv.slo_at - now))
+            });
+            let of_pool = inv
+                .pool
+                .as_ref()
+                .is_none_or(|pool| pool.spans(group.zone, group.kind));
             if room && may_return && same && of_pool && now + least < inv.limit {
                 arms.push((*group, usize::from(self.phase(build) == Phase::OnTrial)));
             }
         }
         let tried = inv.sent.iter().map(|s| s.to.host).collect();
-        Wanted { arms, tried, pool: inv.pool.clone(), revision: inv.set.revision }
+        Wanted {
+            arms,
+            tried,
+            pool: inv.pool.clone(),
+            revision: inv.set.revision,
+        }
     }
 
     fn candidate(&self, now: f64, wanted: &Wanted, h: &Host, weight: f64) -> Option<Candidate> {
@@ -542,21 +794,37 @@
         let of_pool = wanted.pool.as_ref().is_none_or(|pool| pool.holds(&h.entry));
         let (health, host) = (&h.health, h.entry.host);
         let doubtful = health.ejected_until > now || health.faults > FAULTY && !h.out.is_empty();
-        let tier = if wanted.tried.contains(&host) { 2 } else { u8::from(doubtful) };
+        let tier = if wanted.tried.contains(&host) {
+            2
+        } else {
+            u8::from(doubtful)
+        };
         let warmth = self.s.warmth(&h.entry, now);
         let (share, warming_up) = (weight * h.entry.size * warmth, warmth < 1.0);
         let wanted = h.usable && of_pool && h.since <= wanted.revision;
-        wanted.then_some(Candidate { host, arm, tier, share, warming_up, weight })
+        wanted.then_some(Candidate {
+            host,
+            arm,
+            tier,
+            share,
+            warming_up,
+            weight,
+        })
     }
 
     fn candidates(&self, now: f64, wanted: &Wanted, own: Option<Vec<Weighed>>) -> Candidates {
         let of = |h: &Host| self.candidate(now, wanted, h, h.weight);
         let of_id = |id: &HostId| self.s.hosts.get(id).and_then(|h| of(h));
-        let named = wanted.pool.iter().flat_map(|pool| &pool.hosts).collect::<BTreeSet<_>>();
+        let named = wanted
+            .pool
+            .iter()
+            .flat_map(|pool| &pool.hosts)
+            .collect::<BTreeSet<_>>();
         let (mut counted, with_warming_up) = ([Sum::default(); 2], true);
         let listed = if let Some(own) = own {
             let own = self.s.usable().zip(own);
-            own.filter_map(|(h, own)| self.candidate(now, wanted, h, own.weight)).collect()
+            own.filter_map(|(h, own)| self.candidate(now, wanted, h, own.weight))
+                .collect()
         } else if !named.is_empty() {
             named.into_iter().filter_map(of_id).collect()
         } else if !self.keeps_to_pairs() {
@@ -564,9 +832,18 @@
         } else {
             let (sums, tried) = self.s.index.settled(wanted);
             counted = sums;
-            self.s.index.unsettled().chain(tried).filter_map(|id| of_id(&id)).collect()
+            self.s
+                .index
+                .unsettled()
+                .chain(tried)
+                .filter_map(|id| of_id(&id))
+                .collect()
         };
-        Candidates { listed, counted, with_warming_up }
+        Candidates {
+            listed,
+            counted,
+            with_warming_up,
+        }
     }
 
     fn choose(&mut self, now: f64, id: &InvId) -> Option<HostId> {
@@ -578,7 +855,10 @@
             weighed
         });
         let hash = |key: &KeyId| key.0.bytes().fold(0, |h, b| mix(h ^ u64::from(b)));
-        let (hash, wanted) = (inv.key.as_ref().filter(|_| self.s.keys_warm).map(hash), self.wanted(now, inv));
+        let (hash, wanted) = (
+            inv.key.as_ref().filter(|_| self.s.keys_warm).map(hash),
+            self.wanted(now, inv),
+        );
         let mut open = self.candidates(now, &wanted, own);
         // Rule 4: of all routers a cold host gets by this draw its fair share of what succeeds, and no more.
         let weight = open.share(open.lowest_tier()?);
@@ -588,26 +868,46 @@
             open.remove_warming_up();
         }
         let best = open.lowest_tier()?;
-        let [e, t] = [EARLIER, TRIAL].map(|arm| self.lesser(now, (arm, best), &open, &wanted, hash));
+        let [e, t] =
+            [EARLIER, TRIAL].map(|arm| self.lesser(now, (arm, best), &open, &wanted, hash));
         let [we, wt] = [EARLIER, TRIAL].map(|arm| open.sum(arm, best).share);
         // When tight, the trial holds its machines' part of what is open: bound keys come again and again.
-        let of_trial = self.s.usable().filter(|h| self.phase(h.entry.build) == Phase::OnTrial);
+        let of_trial = self
+            .s
+            .usable()
+            .filter(|h| self.phase(h.entry.build) == Phase::OnTrial);
         let held = || of_trial.map(|h| h.out.len()).sum::<usize>() as f64;
         let (out, tight) = (self.s.open as f64, OPEN_PART[1] * self.s.open_most);
-        let t = t.filter(|_| !self.s.keys_bound || out <= tight || held() <= 1.0 + LEAN * self.s.part * out);
-        let (Some(_), Some(_)) = (e, t) else { return e.or(t) };
+        let t = t.filter(|_| {
+            !self.s.keys_bound || out <= tight || held() <= 1.0 + LEAN * self.s.part * out
+        });
+        let (Some(_), Some(_)) = (e, t) else {
+            return e.or(t);
+        };
         let mut floor = wt / (we + wt).max(GUARD);
         if self.s.keys_bound {
             let share = self.s.taken.iter().filter(|(.., bound)| *bound).count() as f64;
             let share = share / (self.s.taken.len() as f64).max(1.0);
-            floor = if share > BOUND_ROOM[0] * floor { 0.0 } else { (floor - share) / (1.0 - share) };
+            floor = if share > BOUND_ROOM[0] * floor {
+                0.0
+            } else {
+                (floor - share) / (1.0 - share)
+            };
         }
         // A won draw goes above the floor, not up to the cap: that would load a build into looking bad. While
         // the trial is far quicker it goes by all that came, not what is let in: slow hosts keep none idle.
-        let quicker = self.drag(EARLIER).zip(self.drag(TRIAL)).is_some_and(|(e, t)| e > SLOWER * t);
-        let let_in = if quicker { all / Self::rate(self.s.asked, now, 1.0).0 } else { 1.0 };
+        let quicker = self
+            .drag(EARLIER)
+            .zip(self.drag(TRIAL))
+            .is_some_and(|(e, t)| e > SLOWER * t);
+        let let_in = if quicker {
+            all / Self::rate(self.s.asked, now, 1.0).0
+        } else {
+            1.0
+        };
         let place = self.rng.random::<f64>();
-        let won = place < LEAN * floor / let_in.clamp(GUARD, 1.0) && self.draw(TRIAL) > self.draw(EARLIER);
+        let won = place < LEAN * floor / let_in.clamp(GUARD, 1.0)
+            && self.draw(TRIAL) > self.draw(EARLIER);
         if place < floor || won { t } else { e }
     }
 
@@ -618,26 +918,44 @@
 
     /// Hosts accept few connections: in a large fleet a router keeps to some pairs of them.
     fn keeps_to_pairs(&self) -> bool {
-        CONNECTED * (1.0 + f64::from(self.s.routers) * self.s.share) < 4.0 * f64::from(self.s.routers)
+        CONNECTED * (1.0 + f64::from(self.s.routers) * self.s.share)
+            < 4.0 * f64::from(self.s.routers)
     }
 
     /// The lesser in-flight of two random hosts; the key's hash names them where hosts know keys. A router
     /// keeps to as many pairs as its traffic keeps connected and known.
     fn lesser(
-        &mut self, now: f64, (arm, tier): (usize, u8), open: &Candidates, wanted: &Wanted, hash: Option<u64>,
+        &mut self,
+        now: f64,
+        (arm, tier): (usize, u8),
+        open: &Candidates,
+        wanted: &Wanted,
+        hash: Option<u64>,
     ) -> Option<HostId> {
         let salt = hash.unwrap_or_else(|| self.rng.random());
-        let (all, of_me) = (open.sum(arm, tier).hosts as f64, f64::from(self.s.routers) * self.s.share);
+        let (all, of_me) = (
+            open.sum(arm, tier).hosts as f64,
+            f64::from(self.s.routers) * self.s.share,
+        );
         let pairs = CONNECTED * all * (1.0 + of_me) / (4.0 * f64::from(self.s.routers));
         let mine = mix(u64::from(self.s.me.0) + 1) ^ (salt % pairs.max(1.0) as u64);
         let salt = if pairs < all { mine } else { salt };
         let two = if open.counted(arm, tier).hosts == 0 {
             first_two(salt, open.listed(arm, tier).map(|of| (of.host, of.weight)))
         } else {
-            let groups: Vec<_> = wanted.arms.iter().filter(|of| of.1 == arm).map(|of| of.0).collect();
+            let groups: Vec<_> = wanted
+                .arms
+                .iter()
+                .filter(|of| of.1 == arm)
+                .map(|of| of.0)
+                .collect();
             let mut index = std::mem::take(&mut self.s.index);
             let two = index.first_two(salt, &groups, |id| {
-                let of = self.s.hosts.get(&id).and_then(|h| self.candidate(now, wanted, h, h.weight));
+                let of = self
+                    .s
+                    .hosts
+                    .get(&id)
+                    .and_then(|h| self.candidate(now, wanted, h, h.weight));
                 of.is_some_and(|of| of.tier == tier && (open.with_warming_up || !of.warming_up))
             });
             self.s.index = index;
@@ -651,26 +969,46 @@
 
     fn beat(&mut self, now: f64, effects: &mut Vec<Effect>) {
         self.set_alarm(now + GOSSIP_EVERY, Task::Gossip, effects);
-        let relent = |low: &Low| low.before.map(|before| before + RELENT * (low.least - before).min(0.0));
-        self.s.low.values_mut().for_each(|low| low.before = relent(low));
+        let relent = |low: &Low| {
+            low.before
+                .map(|before| before + RELENT * (low.least - before).min(0.0))
+        };
+        self.s
+            .low
+            .values_mut()
+            .for_each(|low| low.before = relent(low));
         self.s.lost[1] -= RELENT / 4.0 * (self.s.lost[1] - self.s.lost[0]).max(0.0);
         self.weigh(now);
         self.index(now, self.s.index.unsettled().collect());
-        let kept =
-            |h: &Host| h.usable || h.next != Next::Unsaid || !h.out.is_empty() || now - h.used < REMEMBERED;
+        let kept = |h: &Host| {
+            h.usable || h.next != Next::Unsaid || !h.out.is_empty() || now - h.used < REMEMBERED
+        };
         if self.s.hosts.len() > self.s.index.len() {
             self.s.hosts.retain(|_, h| kept(h));
         }
-        let of_trial = self.s.index.sum(|build| self.phase(build) == Phase::OnTrial);
+        let of_trial = self
+            .s
+            .index
+            .sum(|build| self.phase(build) == Phase::OnTrial);
         let part = of_trial.share / self.s.index.sum(|_| true).share.max(GUARD);
         (self.s.part, self.s.trial_hosts) = (part, of_trial.hosts as f64);
-        self.s.even = if part > 0.0 { (part / (1.0 - part).max(GUARD)).min(1.0) } else { 1.0 };
-        let (fade, lives) = (0.5f64.powf(GOSSIP_EVERY / HALF_LIFE), self.s.earlier_lives());
+        self.s.even = if part > 0.0 {
+            (part / (1.0 - part).max(GUARD)).min(1.0)
+        } else {
+            1.0
+        };
+        let (fade, lives) = (
+            0.5f64.powf(GOSSIP_EVERY / HALF_LIFE),
+            self.s.earlier_lives(),
+        );
         // Until the trial is listed the earlier arm's past is short: what comes and goes must show in both.
         let most = if part > 0.0 { f64::INFINITY } else { ENOUGH[0] };
         for [earlier, trial] in &mut self.s.sums {
             let keep = (most / (earlier[0] + earlier[1]).max(GUARD)).min(fade);
-            earlier.iter_mut().filter(|_| lives).for_each(|figure| *figure *= keep);
+            earlier
+                .iter_mut()
+                .filter(|_| lives)
+                .for_each(|figure| *figure *= keep);
             trial.iter_mut().for_each(|figure| *figure *= fade);
         }
         if !self.s.may_tell || self.s.routers == 1 {
@@ -679,24 +1017,44 @@
             let other = self.rng.random_range(0..self.s.routers - 1);
             let peer = RouterId(other + u32::from(other >= self.s.me.0));
             self.s.gossip_sent.insert(peer, self.s.sums.clone());
-            effects.push(Effect::Tell { to: Some(peer), payload: self.s.message(false, self.my_drag()) });
+            effects.push(Effect::Tell {
+                to: Some(peer),
+                payload: self.s.message(false, self.my_drag()),
+            });
         }
         self.share(now);
         self.judge(now, effects);
     }
 
-    fn gossip_received(&mut self, now: f64, from: RouterId, payload: &[u8], effects: &mut Vec<Effect>) {
-        let Some(told) = Message::decode(payload).filter(|_| from != self.s.me) else { return };
-        self.s.heard.insert(from, (now, told.taken, told.drag.clamp(0.1, 10.0)));
+    fn gossip_received(
+        &mut self,
+        now: f64,
+        from: RouterId,
+        payload: &[u8],
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(told) = Message::decode(payload).filter(|_| from != self.s.me) else {
+            return;
+        };
+        self.s
+            .heard
+            .insert(from, (now, told.taken, told.drag.clamp(0.1, 10.0)));
         let of = self.s.news.map(|news| news.build);
         if of != Some(told.build) || told.sums.len() != 4 * self.s.sums.len() {
             return;
         }
         let sight = self.s.sight.iter_mut().flatten().flatten().zip(&told.sums);
         sight.for_each(|(seen, theirs)| *seen += SIGHT * (theirs - *seen));
-        let mine = if told.reply { self.s.gossip_sent.remove(&from) } else { Some(self.s.sums.clone()) };
+        let mine = if told.reply {
+            self.s.gossip_sent.remove(&from)
+        } else {
+            Some(self.s.sums.clone())
+        };
         if !told.reply {
-            effects.push(Effect::Tell { to: Some(from), payload: self.s.message(true, self.my_drag()) });
+            effects.push(Effect::Tell {
+                to: Some(from),
+                payload: self.s.message(true, self.my_drag()),
+            });
         }
         let sums = self.s.sums.iter_mut().flatten().flatten().zip(&told.sums);
         if self.s.fresh && !told.fresh {
@@ -706,7 +1064,8 @@
         } else if let (true, Some(mine)) = (self.s.fresh == told.fresh, mine) {
             // Half the difference of what was sent: outcomes that came in meanwhile survive.
             let sent = mine.iter().flatten().flatten();
-            sums.zip(sent).for_each(|((sum, theirs), sent)| *sum = (*sum + (theirs - sent) / 2.0).max(0.0));
+            sums.zip(sent)
+                .for_each(|((sum, theirs), sent)| *sum = (*sum + (theirs - sent) / 2.0).max(0.0));
         }
     }
 
@@ -714,10 +1073,25 @@
         if news.answers_vote {
             let counted = matches!(news.verdict, Verdict::Succeeded | Verdict::Moot);
             let may_stand = counted || news.verdict == Verdict::TimedOut;
-            self.s.stands = if may_stand { self.s.ballot_sense } else { self.s.stands };
-            let spread = if self.s.many { 0.5 + self.rng.random::<f64>() } else { 1.0 };
-            self.s.ask_again = spread * ASK_AGAIN.max(TURNS[0] * self.s.turn).min(self.s.renew_every);
-            self.vote(now, if counted { Push::Counted } else { Push::Unsure }, effects);
+            self.s.stands = if may_stand {
+                self.s.ballot_sense
+            } else {
+                self.s.stands
+            };
+            let spread = if self.s.many {
+                0.5 + self.rng.random::<f64>()
+            } else {
+                1.0
+            };
+            self.s.ask_again = spread
+                * ASK_AGAIN
+                    .max(TURNS[0] * self.s.turn)
+                    .min(self.s.renew_every);
+            self.vote(
+                now,
+                if counted { Push::Counted } else { Push::Unsure },
+                effects,
+            );
         }
         let old = self.s.news;
         if news.verdict != Verdict::Succeeded || old.is_some_and(|old| old.build > news.build) {
@@ -725,11 +1099,18 @@
         }
         self.s.news = Some(news);
         let gone = matches!(news.phase, Phase::GoingBack | Phase::Withdrawn);
-        self.s.bound.retain(|_, build| !gone || *build != news.build);
+        self.s
+            .bound
+            .retain(|_, build| !gone || *build != news.build);
         let same_build = old.is_some_and(|old| old.build == news.build);
         if !same_build {
             // The hash names the voters.
-            let place = |router: u32| (mix(mix(u64::from(news.build.0)) ^ u64::from(router)), router);
+            let place = |router: u32| {
+                (
+                    mix(mix(u64::from(news.build.0)) ^ u64::from(router)),
+                    router,
+                )
+            };
             let before = |other: &u32| place(*other) < place(self.s.me.0);
             self.s.rank = (0..self.s.routers).filter(before).count() as u32;
             let released = old.is_some_and(|old| old.phase == Phase::Released);
@@ -741,10 +1122,14 @@
             let [up, down] = self.s.figures(&self.s.sums, None, 0, EARLIER);
             self.s.kept_best = up / (up + down).max(1.0);
             self.s.low.retain(|key, _| key.2 == EARLIER);
-            self.s.low.values_mut().for_each(|low| low.before = old.map(|_| low.least));
+            self.s
+                .low
+                .values_mut()
+                .for_each(|low| low.before = old.map(|_| low.least));
             self.s.fresh = old.is_none() && news.phase == Phase::OnTrial && news.age > GOSSIP_EVERY;
         }
-        if !same_build || old.is_some_and(|old| old.stage != news.stage || old.phase != news.phase) {
+        if !same_build || old.is_some_and(|old| old.stage != news.stage || old.phase != news.phase)
+        {
             self.s.drag_past = if same_build { self.s.shared_drag } else { 1.0 };
             (self.s.stage_since, self.s.held) = (now - news.age, 0.0);
             (self.s.wish, self.s.wish_since) = (Sense::None, now);
@@ -755,40 +1140,64 @@
     /// The chance that the trial is worse, by what peers told; the more routers, the more it comes in clumps.
     fn chance(&self, slot: Option<usize>, mark: usize, enough: f64, part: f64) -> Option<f64> {
         let part = part / (1.0 + f64::from(self.s.routers) / CLUMPED);
-        let arms =
-            [EARLIER, TRIAL].map(|arm| self.s.figures(&self.s.sight, slot, mark, arm).map(|f| part * f));
+        let arms = [EARLIER, TRIAL].map(|arm| {
+            self.s
+                .figures(&self.s.sight, slot, mark, arm)
+                .map(|f| part * f)
+        });
         let [(em, ev), (tm, tv)] = arms.map(|[up, down]| {
             let (a, n) = (up + 1.0, up + down + 2.0);
             (a / n, a * (n - a) / (n * n * (n + 1.0)))
         });
         let spread = HOST_SPREAD[mark].powi(2) / self.s.trial_hosts.max(1.0);
         let z = (em - tm - MARGINS[mark]) / (ev + tv + spread).sqrt();
-        arms.iter().all(|[up, down]| up + down >= enough * part).then(|| 1.0 / (1.0 + (-1.702 * z).exp()))
+        arms.iter()
+            .all(|[up, down]| up + down >= enough * part)
+            .then(|| 1.0 / (1.0 + (-1.702 * z).exp()))
     }
 
     fn look(&mut self, now: f64, news: &StageNews) -> Look {
-        let live = self.s.heard.values().filter(|heard| heard.0 > self.s.stage_since).count();
+        let live = self
+            .s
+            .heard
+            .values()
+            .filter(|heard| heard.0 > self.s.stage_since)
+            .count();
         let heard = live >= self.s.heard.len().min(HEARD_PEERS);
         let (lives, released) = (self.s.earlier_lives(), news.phase == Phase::Released);
         let pooled = self.chance(None, 0, ENOUGH[0], 1.0);
         let firm = |slot, mark, enough| self.chance(slot, mark, enough, EVIDENCE);
-        let mut worse = lives && firm(None, 0, ENOUGH[0]).is_some_and(|chance| chance > BACK_CHANCE[0]);
+        let mut worse =
+            lives && firm(None, 0, ENOUGH[0]).is_some_and(|chance| chance > BACK_CHANCE[0]);
         // One operation may fail alone, or a build be slow yet in time. Errors of a few hosts are theirs.
         let of_trial = || self.s.usable().filter(|h| h.entry.build >= news.build);
         let met = || of_trial().filter(|h| h.used > f64::MIN);
         let wide = met().filter(|h| h.health.faults > MARGINS[1]).count() * WIDE >= met().count();
-        for mark in (0..MARKS).filter(|mark| *mark == 1 || lives && (*mark == 0 || !self.s.keys_warm)) {
+        for mark in
+            (0..MARKS).filter(|mark| *mark == 1 || lives && (*mark == 0 || !self.s.keys_warm))
+        {
             let slots = (0..self.s.slots).filter(|_| mark != 2);
             let each = slots.filter_map(|slot| firm(Some(slot), mark, ENOUGH[1]));
             let mut all = each.chain(firm(None, mark, ENOUGH[0]));
             worse |= (mark != 1 || wide) && all.any(|chance| chance > BACK_CHANCE[1]);
         }
-        let latest = of_trial().filter_map(|h| h.entry.started).fold(self.s.stage_since, f64::max);
+        let latest = of_trial()
+            .filter_map(|h| h.entry.started)
+            .fold(self.s.stage_since, f64::max);
         // A stage's machines must run before it is moved on: some builds fail only then.
-        let part = self.s.stage_shares.get(news.stage as usize).filter(|_| !released).copied().unwrap_or(1.0);
+        let part = self
+            .s
+            .stage_shares
+            .get(news.stage as usize)
+            .filter(|_| !released)
+            .copied()
+            .unwrap_or(1.0);
         // Its places: all machines, or the earlier ones alone where those stay until the release.
         let of_builds = |of: &dyn Fn(BuildId) -> bool| self.s.index.sum(of).hosts;
-        let (on_trial, all) = (of_builds(&|build| build >= news.build), of_builds(&|_| true));
+        let (on_trial, all) = (
+            of_builds(&|build| build >= news.build),
+            of_builds(&|_| true),
+        );
         let places = if self.s.beside { all - on_trial } else { all };
         let there = on_trial as f64 >= SETTLED[0] * part * places as f64;
         let settled = there && now - latest > SETTLED[1] || now - self.s.stage_since > SETTLED[2];
@@ -801,11 +1210,19 @@
         // Hosts that pause or are lost cost answers, and leave the quick times of all others as they were:
         // what a large fleet loses beside them holds a build for a while, but is not its drag.
         let harmed = drag.max(lost);
-        let drag = if self.s.many && drag < DRAG_SHOWS { drag } else { harmed };
-        let alike = !lives || self.drag(TRIAL).is_none_or(|trial| trial > 1.0 + ALIKE * (drag - 1.0));
+        let drag = if self.s.many && drag < DRAG_SHOWS {
+            drag
+        } else {
+            harmed
+        };
+        let alike = !lives
+            || self
+                .drag(TRIAL)
+                .is_none_or(|trial| trial > 1.0 + ALIKE * (drag - 1.0));
         let other = self.s.drag_other || lost > 1.0 + DRAG_SPAN * self.s.part;
         self.s.drag_other = drag > DRAG[0] && other && !released;
-        let grown = drag > 1.0 + DRAG_GROWS * (self.s.drag_past - 1.0) && drag < 1.0 + DRAG_SPAN * part;
+        let grown =
+            drag > 1.0 + DRAG_GROWS * (self.s.drag_past - 1.0) && drag < 1.0 + DRAG_SPAN * part;
         let dragging = alike && grown && !self.s.drag_other && drag > DRAG[usize::from(!lives)];
         self.s.drag_since = if dragging { self.s.drag_since } else { now };
         let since = now - self.s.drag_since;
@@ -818,7 +1235,9 @@
             _ if worse => Look::Worse,
             _ if released => Look::Starved,
             _ if dragging && (harm || since.min(now - latest) < DRAG_HELD) => Look::Dragging,
-            _ if harm && harmed > DRAG[0] && now - latest < self.s.haste * DRAG_HELD => Look::Dragging,
+            _ if harm && harmed > DRAG[0] && now - latest < self.s.haste * DRAG_HELD => {
+                Look::Dragging
+            }
             _ if !settled => Look::Unclear,
             Some(chance) if heard && (chance < ON_CHANCE || !lives) => Look::Fine,
             Some(_) if heard => Look::Unclear,
@@ -828,49 +1247,89 @@
     }
 
     fn drag(&self, arm: usize) -> Option<f64> {
-        let least = |place: &(usize, KindId, usize)| Some(self.s.low.get(&(place.0, place.1, arm))?.least);
-        let known = self.s.low.iter().filter_map(|(place, low)| Some((least(place)? / low.before?).ln()));
+        let least =
+            |place: &(usize, KindId, usize)| Some(self.s.low.get(&(place.0, place.1, arm))?.least);
+        let known = self
+            .s
+            .low
+            .iter()
+            .filter_map(|(place, low)| Some((least(place)? / low.before?).ln()));
         let (sum, count) = known.fold((0.0, 0.0f64), |(sum, count), log| (sum + log, count + 1.0));
         (count > 0.0).then(|| (sum / count).exp())
     }
 
     fn my_drag(&self) -> f64 {
         let on_trial = self.s.news.is_some_and(|news| news.phase == Phase::OnTrial);
-        self.drag(usize::from(on_trial && !self.s.earlier_lives())).unwrap_or(1.0)
+        self.drag(usize::from(on_trial && !self.s.earlier_lives()))
+            .unwrap_or(1.0)
     }
 
     /// Its share of the traffic and the drag all see, from a sample of peers: its size tells how many live.
     fn share(&mut self, now: f64) {
         self.s.heard.retain(|_, heard| now - heard.0 < PEER_LIVES);
         let mine = (self.s.taken.len() as f64).max(1.0);
-        let (peers, heard) = (f64::from(self.s.routers - 1).max(GUARD), 2.0 * PEER_LIVES / GOSSIP_EVERY);
+        let (peers, heard) = (
+            f64::from(self.s.routers - 1).max(GUARD),
+            2.0 * PEER_LIVES / GOSSIP_EVERY,
+        );
         let reached = peers * (1.0 - (-heard / peers).exp());
         let live = peers * (self.s.heard.len() as f64 / reached).min(1.0);
         let weights = self.s.heard.values().map(|heard| heard.1).sum::<f64>();
         let others = live * weights / (self.s.heard.len() as f64).max(1.0);
-        let drags = self.s.heard.values().map(|heard| heard.1 * heard.2.ln()).sum::<f64>();
+        let drags = self
+            .s
+            .heard
+            .values()
+            .map(|heard| heard.1 * heard.2.ln())
+            .sum::<f64>();
         self.s.share = mine / (mine + others);
         self.s.shared_drag = ((mine * self.my_drag().ln() + drags) / (mine + weights)).exp();
     }
 
     fn judge(&mut self, now: f64, effects: &mut Vec<Effect>) {
         let judged = |news: &StageNews| matches!(news.phase, Phase::OnTrial | Phase::Released);
-        let Some(news) = self.s.news.filter(judged) else { return };
+        let Some(news) = self.s.news.filter(judged) else {
+            return;
+        };
         let look = self.look(now, &news);
-        self.s.worse_since = if look == Look::Worse { self.s.worse_since } else { now };
+        self.s.worse_since = if look == Look::Worse {
+            self.s.worse_since
+        } else {
+            now
+        };
         let firm = look != Look::Worse || now - self.s.worse_since >= BACK_FIRM;
         let look = if firm { look } else { Look::Unclear };
         // Operators' wishes stand beside the figures: the more careful counts, at once and at any rank.
-        let asked = self.s.asked_of(news.build).filter(|wish| wish.back || wish.hold && look != Look::Worse);
-        let look = asked.map_or(look, |wish| if wish.back { Look::Worse } else { Look::Dragging });
+        let asked = self
+            .s
+            .asked_of(news.build)
+            .filter(|wish| wish.back || wish.hold && look != Look::Worse);
+        let look = asked.map_or(look, |wish| {
+            if wish.back {
+                Look::Worse
+            } else {
+                Look::Dragging
+            }
+        });
         let row = WISHES.iter().find(|row| row.0 == look);
         let of = |row: &(_, _, _)| if self.s.by_clock { row.2 } else { row.1 };
         let mut wish = row.and_then(of).unwrap_or(self.s.wish);
         if wish == Sense::Hold && asked.is_none() {
             self.s.held += GOSSIP_EVERY;
-            wish = if self.s.held > HOLD_MOST { Sense::None } else { wish };
+            wish = if self.s.held > HOLD_MOST {
+                Sense::None
+            } else {
+                wish
+            };
         }
-        (self.s.wish, self.s.wish_since) = (wish, if wish == self.s.wish { self.s.wish_since } else { now });
+        (self.s.wish, self.s.wish_since) = (
+            wish,
+            if wish == self.s.wish {
+                self.s.wish_since
+            } else {
+                now
+            },
+        );
         // While a wish of the voters stays unmet the next stand in: some may be dead or cut off.
         let beyond = f64::from((self.s.rank + 1).saturating_sub(self.s.voters));
         let late = (beyond * f64::from(VOTERS) / f64::from(self.s.voters)).ceil() * STAND_IN;
@@ -880,7 +1339,11 @@
         let open = self.s.ballot == Ballot::Asked && now - self.s.ballot_at < turn;
         let nothing = [wish, self.s.stands] == [Sense::None; 2] && self.s.ballot != Ballot::Asked;
         let firm = wish != Sense::None || now - self.s.wish_since >= turn.min(WITHDRAW);
-        let wait = if self.s.ballot == Ballot::Silent { self.s.ask_again } else { self.s.renew_every };
+        let wait = if self.s.ballot == Ballot::Silent {
+            self.s.ask_again
+        } else {
+            self.s.renew_every
+        };
         let changed = wish != self.s.ballot_sense && firm && (!open || wish == Sense::Back);
         let due = changed || now - self.s.ballot_at >= wait;
         if !nothing && due && (asked.is_some() || now - self.s.wish_since >= late) {
@@ -889,7 +1352,12 @@
     }
 
     fn vote(&mut self, now: f64, push: Push, effects: &mut Vec<Effect>) {
-        let Some(row) = BALLOTS.iter().find(|row| row.0 == self.s.ballot && row.1 == push) else { return };
+        let Some(row) = BALLOTS
+            .iter()
+            .find(|row| row.0 == self.s.ballot && row.1 == push)
+        else {
+            return;
+        };
         self.s.ballot = row.2;
         if push == Push::News {
             (self.s.ballot_sense, self.s.stands) = (Sense::None, Sense::None);
@@ -897,9 +1365,15 @@
         if let (true, Some(news)) = (row.3, self.s.news) {
             let renewal = self.s.ballot_sense == self.s.wish;
             (self.s.ballot_sense, self.s.ballot_at) = (self.s.wish, now);
-            effects.push(Effect::Vote { build: news.build, stage: news.stage, sense: self.s.wish });
+            effects.push(Effect::Vote {
+                build: news.build,
+                stage: news.stage,
+                sense: self.s.wish,
+            });
             if !renewal && (self.s.wish == Sense::Back || self.s.rank < VOTERS) {
-                effects.push(Effect::Note { text: self.s.reasons(&news, [EARLIER, TRIAL]) });
+                effects.push(Effect::Note {
+                    text: self.s.reasons(&news, [EARLIER, TRIAL]),
+                });
             }
         }
     }
--- a/src/host_index.rs
+++ b/src/host_index.rs
@@ -23,8 +23,15 @@
 impl Group {
     /// Cells tell hosts apart only where something goes by them.
     pub(crate) fn of(entry: &HostEntry, by_cell: bool) -> Self {
-        let HostEntry { build, kind, zone, .. } = *entry;
-        Group { build, kind, zone, cell: by_cell.then_some(entry.cell) }
+        let HostEntry {
+            build, kind, zone, ..
+        } = *entry;
+        Group {
+            build,
+            kind,
+            zone,
+            cell: by_cell.then_some(entry.cell),
+        }
     }
 }
 
@@ -117,14 +124,20 @@
     pub(crate) fn settled(&self, wanted: &Wanted) -> ([Sum; 2], Vec<HostId>) {
         let mut sums = [Sum::default(); 2];
         for (group, arm) in &wanted.arms {
-            let Some(members) = self.groups.get(group) else { continue };
+            let Some(members) = self.groups.get(group) else {
+                continue;
+            };
             sums[*arm].hosts += members.settled.hosts;
             sums[*arm].share += members.settled.share;
         }
         let mut tried = vec![];
         for host in &wanted.tried {
-            let Some(of) = self.hosts.get(host).filter(|of| of.settled) else { continue };
-            let Some(arm) = wanted.arm(&of.group).filter(|_| !tried.contains(host)) else { continue };
+            let Some(of) = self.hosts.get(host).filter(|of| of.settled) else {
+                continue;
+            };
+            let Some(arm) = wanted.arm(&of.group).filter(|_| !tried.contains(host)) else {
+                continue;
+            };
             sums[arm].hosts -= 1;
             sums[arm].share -= of.size * of.weight;
             tried.push(*host);
@@ -156,7 +169,9 @@
 
     /// Brings hosts up to date; none: a host is not in use.
     pub(crate) fn update(&mut self, hosts: impl Iterator<Item = (HostId, Option<Indexed>)>) {
-        let changed: Vec<_> = hosts.filter(|(host, now)| self.hosts.get(host) != now.as_ref()).collect();
+        let changed: Vec<_> = hosts
+            .filter(|(host, now)| self.hosts.get(host) != now.as_ref())
+            .collect();
         if changed.len() > FOLLOWED_AT_ONCE {
             self.rankings.clear();
         }
@@ -181,7 +196,10 @@
     /// The two hosts of these groups, given in their order, that a hash with this salt places first among those
     /// accepted.
     pub(crate) fn first_two(
-        &mut self, salt: u64, groups: &[Group], accepts: impl Fn(HostId) -> bool,
+        &mut self,
+        salt: u64,
+        groups: &[Group],
+        accepts: impl Fn(HostId) -> bool,
     ) -> Vec<(f64, HostId)> {
         let mut builds: Vec<_> = groups.iter().map(|group| group.build).collect();
         builds.dedup();
@@ -189,11 +207,14 @@
         let mut found = vec![];
         for build in builds {
             let members = || self.members(|group| group.build == build);
-            let ranked = rankings.first_two(salt, build, members, &accepts).unwrap_or_else(|| {
-                let of_request = |group: &Group| group.build == build && groups.binary_search(group).is_ok();
-                let accepted = self.members(of_request).filter(|(host, _)| accepts(*host));
-                crate::rankings::first_two(salt, accepted)
-            });
+            let ranked = rankings
+                .first_two(salt, build, members, &accepts)
+                .unwrap_or_else(|| {
+                    let of_request =
+                        |group: &Group| group.build == build && groups.binary_search(group).is_ok();
+                    let accepted = self.members(of_request).filter(|(host, _)| accepts(*host));
+                    crate::rankings::first_two(salt, accepted)
+                });
             found.extend(ranked);
         }
         self.rankings = rankings;
@@ -251,7 +272,9 @@
             sums.subtract(before);
         }
         self.builds.retain(|_, sums| sums.hosts > 0);
-        let Some(members) = self.groups.get_mut(&before.group) else { return };
+        let Some(members) = self.groups.get_mut(&before.group) else {
+            return;
+        };
         members.hosts.remove(&host);
         if before.settled {
             members.settled.hosts -= 1;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -210,7 +210,8 @@
 
 impl Pool {
     pub fn holds(&self, host: &HostEntry) -> bool {
-        self.spans(host.zone, host.kind) && (self.hosts.is_empty() || self.hosts.contains(&host.host))
+        self.spans(host.zone, host.kind)
+            && (self.hosts.is_empty() || self.hosts.contains(&host.host))
     }
 
     /// Whether hosts of this zone and kind may be in it.
@@ -250,7 +251,9 @@
             {
                 left = rest;
             }
-            left.first().filter(|(first, _)| *first == host).map_or(1.0, |(_, weight)| *weight)
+            left.first()
+                .filter(|(first, _)| *first == host)
+                .map_or(1.0, |(_, weight)| *weight)
         }
     }
 }
--- a/src/narrow.rs
+++ b/src/narrow.rs
@@ -23,14 +23,22 @@
 /// How many times its fair share a host may be given by weight alone: any number when warm, and before that
 /// what leaves room below the fall, but always the fair share itself.
 pub fn carried(warmth: f64, fall_multiple: f64) -> f64 {
-    if warmth >= 1.0 { f64::INFINITY } else { (HEADROOM * fall_multiple * warmth).max(1.0) }
+    if warmth >= 1.0 {
+        f64::INFINITY
+    } else {
+        (HEADROOM * fall_multiple * warmth).max(1.0)
+    }
 }
 
 /// How many times its fair share a host gets by its weight among others, as the weights stand.
 pub fn share(host: &Weighed, among: &[Weighed]) -> f64 {
     let size: f64 = among.iter().map(|other| other.size).sum();
     let weights: f64 = among.iter().map(|other| other.size * other.weight).sum();
-    if weights > 0.0 && size > 0.0 { host.weight * size / weights } else { 1.0 }
+    if weights > 0.0 && size > 0.0 {
+        host.weight * size / weights
+    } else {
+        1.0
+    }
 }
 
 /// Puts in each weight's place what it counts for, 1 being an even share: no cold host's exceeds what it may
@@ -43,14 +51,26 @@
     }
     // From below: a level that is too low only narrows. At the least weight every host counts alike, and warm
     // hosts count in full whatever the level is.
-    let least = hosts.iter().map(|host| host.weight).fold(f64::INFINITY, f64::min);
+    let least = hosts
+        .iter()
+        .map(|host| host.weight)
+        .fold(f64::INFINITY, f64::min);
     let warm = hosts.iter().filter(|host| host.warmth >= 1.0);
     let mut level = least.max(warm.map(|host| host.size * host.weight).sum::<f64>() / size);
-    let counts = |host: &Weighed, level: f64| host.weight.min(level * carried(host.warmth, fall_multiple));
-    let mean = |level: f64| hosts.iter().map(|host| host.size * counts(host, level)).sum::<f64>() / size;
+    let counts =
+        |host: &Weighed, level: f64| host.weight.min(level * carried(host.warmth, fall_multiple));
+    let mean = |level: f64| {
+        hosts
+            .iter()
+            .map(|host| host.size * counts(host, level))
+            .sum::<f64>()
+            / size
+    };
     for _ in 0..STEPS {
         level = mean(level).max(level);
     }
     let all = mean(level);
-    hosts.iter_mut().for_each(|host| host.weight = counts(host, level) / all);
+    hosts
+        .iter_mut()
+        .for_each(|host| host.weight = counts(host, level) / all);
 }
--- a/src/rankings.rs
+++ b/src/rankings.rs
@@ -18,7 +18,10 @@
 }
 
 /// The two first hosts with their places, by a look at all of them.
-pub(crate) fn first_two(salt: u64, hosts: impl Iterator<Item = (HostId, f64)>) -> Vec<(f64, HostId)> {
+pub(crate) fn first_two(
+    salt: u64,
+    hosts: impl Iterator<Item = (HostId, f64)>,
+) -> Vec<(f64, HostId)> {
     let mut found: Vec<(f64, HostId)> = vec![];
     for (host, weight) in hosts {
         let at = place(salt, host, weight);
@@ -42,14 +45,19 @@
 
 impl Ranking {
     fn fill(salt: u64, members: impl Iterator<Item = (HostId, f64)>) -> Self {
-        let mut first: Vec<_> = members.map(|(host, weight)| (place(salt, host, weight), host)).collect();
+        let mut first: Vec<_> = members
+            .map(|(host, weight)| (place(salt, host, weight), host))
+            .collect();
         let mut complete_before = None;
         if first.len() > REMEMBERED {
             complete_before = Some(first.select_nth_unstable_by(REMEMBERED, order).1.0);
             first.truncate(REMEMBERED);
         }
         first.sort_by(order);
-        let mut ranking = Ranking { first, complete_before };
+        let mut ranking = Ranking {
+            first,
+            complete_before,
+        };
         ranking.first.shrink_to_fit();
         ranking
     }
@@ -67,7 +75,9 @@
 
     fn insert(&mut self, at: f64, host: HostId) {
         if self.covers(at) {
-            let before = self.first.partition_point(|other| order(other, &(at, host)).is_lt());
+            let before = self
+                .first
+                .partition_point(|other| order(other, &(at, host)).is_lt());
             self.first.insert(before, (at, host));
             self.shorten();
         }
@@ -97,12 +107,19 @@
     /// The first two accepted hosts of a build with their places, fewer where the build has no more; none where what
     /// is remembered does not tell.
     pub(crate) fn first_two<M: Iterator<Item = (HostId, f64)>>(
-        &mut self, salt: u64, build: BuildId, members: impl Fn() -> M, accepts: impl Fn(HostId) -> bool,
+        &mut self,
+        salt: u64,
+        build: BuildId,
+        members: impl Fn() -> M,
+        accepts: impl Fn(HostId) -> bool,
     ) -> Option<Vec<(f64, HostId)>> {
         if self.by_salt.len() >= RANKINGS && !self.by_salt.contains_key(&(salt, build)) {
             self.clear();
         }
-        let ranking = self.by_salt.entry((salt, build)).or_insert_with(|| Ranking::fill(salt, members()));
+        let ranking = self
+            .by_salt
+            .entry((salt, build))
+            .or_insert_with(|| Ranking::fill(salt, members()));
         if ranking.first.len() < 2 && ranking.complete_before.is_some() {
             *ranking = Ranking::fill(salt, members());
         }
--- a/src/record.rs
+++ b/src/record.rs
@@ -270,13 +270,20 @@
 
 impl State {
     /// What the terms say, and nothing seen yet.
-    pub(crate) fn of(terms: &ServiceTerms, operations: Vec<Operation>, slots: usize, tick: f64) -> Self {
+    pub(crate) fn of(
+        terms: &ServiceTerms,
+        operations: Vec<Operation>,
+        slots: usize,
+        tick: f64,
+    ) -> Self {
         let sums = vec![[[0.0; 2]; 2]; slots * MARKS];
         State {
             me: terms.me,
             routers: terms.routers.max(1),
             zone: terms.zone,
-            by_cell: operations.iter().any(|operation| operation.group == RepeatGroup::Cell),
+            by_cell: operations
+                .iter()
+                .any(|operation| operation.group == RepeatGroup::Cell),
             operations,
             list_asked: terms.list_asked,
             stage_shares: terms.stage_shares.clone(),
@@ -288,7 +295,11 @@
             keys_bound: terms.keys_bound,
             keys_warm: terms.keys_warm,
             beside: !terms.in_place,
-            dispute_weight: if terms.dispute_share > 0.0 { 1.0 / terms.dispute_share } else { 0.0 },
+            dispute_weight: if terms.dispute_share > 0.0 {
+                1.0 / terms.dispute_share
+            } else {
+                0.0
+            },
             drain_grace: terms.drain_grace,
             cold_share: terms.cold_share,
             cold_time: terms.cold_time,
@@ -310,7 +321,8 @@
     }
 
     pub(crate) fn earlier_lives(&self) -> bool {
-        self.news.is_none_or(|news| self.index.builds().any(|build| build < news.build))
+        self.news
+            .is_none_or(|news| self.index.builds().any(|build| build < news.build))
     }
 
     /// The part of its work that a host can do, by its start and the terms.
@@ -329,7 +341,13 @@
     }
 
     /// One mark's figures of an arm, of one slot or all.
-    pub(crate) fn figures(&self, sheet: &Sheet, slot: Option<usize>, mark: usize, arm: usize) -> [f64; 2] {
+    pub(crate) fn figures(
+        &self,
+        sheet: &Sheet,
+        slot: Option<usize>,
+        mark: usize,
+        arm: usize,
+    ) -> [f64; 2] {
         let places = (0..self.slots).filter(|s| slot.is_none_or(|only| only == *s));
         let cells = places.map(|s| sheet[s * MARKS + mark][arm]);
         cells.fold([0.0; 2], |sum, cell| [sum[0] + cell[0], sum[1] + cell[1]])
@@ -339,22 +357,40 @@
     pub(crate) fn message(&self, reply: bool, drag: f64) -> Vec<u8> {
         let build = self.news.map_or(BuildId(0), |news| news.build);
         let sums = self.sums.iter().flatten().flatten().copied().collect();
-        Message { reply, fresh: self.fresh, build, taken: self.taken.len() as f64, drag, sums }.encode()
+        Message {
+            reply,
+            fresh: self.fresh,
+            build,
+            taken: self.taken.len() as f64,
+            drag,
+            sums,
+        }
+        .encode()
     }
 
     /// What speaks for a vote, as the log tells it.
     pub(crate) fn reasons(&self, news: &StageNews, arms: [usize; 2]) -> String {
-        let good = |[up, down]: [f64; 2]| format!("{:.2}/{:.0}", up / (up + down).max(1.0), up + down);
-        let of_arms = |mark| arms.map(|arm| good(self.figures(&self.sight, None, mark, arm))).join(":");
+        let good =
+            |[up, down]: [f64; 2]| format!("{:.2}/{:.0}", up / (up + down).max(1.0), up + down);
+        let of_arms = |mark| {
+            arms.map(|arm| good(self.figures(&self.sight, None, mark, arm)))
+                .join(":")
+        };
         let (marks, drag) = ([0, 1, 2].map(of_arms).join(" "), self.shared_drag);
         let (wish, build, stage) = (self.wish, news.build.0, news.stage);
-        format!("vote {wish:?} build {build} stage {stage}, in time, no error, quick {marks}, drag {drag:.2}")
+        format!(
+            "vote {wish:?} build {build} stage {stage}, in time, no error, quick {marks}, drag {drag:.2}"
+        )
     }
 
     /// The list that was told is whole and counts from here on; the hosts that it may have changed.
     pub(crate) fn settle(&mut self, whole: bool, unknown: Health) -> Vec<HostId> {
         let staged = std::mem::take(&mut self.staged);
-        let changed: Vec<_> = if whole { self.hosts.keys().copied().collect() } else { staged };
+        let changed: Vec<_> = if whole {
+            self.hosts.keys().copied().collect()
+        } else {
+            staged
+        };
         for id in &changed {
             if let Some(host) = self.hosts.get_mut(id) {
                 host.settle(whole, self.set.revision, unknown);
@@ -370,21 +406,32 @@
 
     /// A host that has just started has its weight only as far as it carries it, whenever it was set.
     pub(crate) fn weighed(
-        &self, host: &HostEntry, now: f64, weight: &mut impl FnMut(HostId) -> f64,
+        &self,
+        host: &HostEntry,
+        now: f64,
+        weight: &mut impl FnMut(HostId) -> f64,
     ) -> Weighed {
-        Weighed { size: host.size, weight: weight(host.host), warmth: self.warmth(host, now) }
+        Weighed {
+            size: host.size,
+            weight: weight(host.host),
+            warmth: self.warmth(host, now),
+        }
     }
 
     /// All hosts in use, in their order, with their weights under a revision.
     pub(crate) fn all_weighed(&self, now: f64, set: &OperatorSet) -> Vec<Weighed> {
         let mut weight = set.in_order();
-        self.usable().map(|h| self.weighed(&h.entry, now, &mut weight)).collect()
+        self.usable()
+            .map(|h| self.weighed(&h.entry, now, &mut weight))
+            .collect()
     }
 
     pub(crate) fn weigh(&mut self, mut weighed: Vec<Weighed>) {
         put_in_force(&mut weighed, self.fall_multiple);
         let usable = self.hosts.values_mut().filter(|host| host.usable);
-        usable.zip(weighed).for_each(|(host, weighed)| host.weight = weighed.weight);
+        usable
+            .zip(weighed)
+            .for_each(|(host, weighed)| host.weight = weighed.weight);
         self.weighs = !self.set.weights.is_empty();
     }
 }
@@ -403,7 +450,9 @@
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![u8::from(self.reply), u8::from(self.fresh)];
         bytes.extend(self.build.0.to_le_bytes());
-        let figures = [self.taken, self.drag].into_iter().chain(self.sums.iter().copied());
+        let figures = [self.taken, self.drag]
+            .into_iter()
+            .chain(self.sums.iter().copied());
         figures.for_each(|figure| bytes.extend(short(figure).to_le_bytes()));
         bytes
     }
@@ -414,11 +463,25 @@
         let (body, rest) = body.as_chunks::<2>();
         let long = |bytes: &[u8; 2]| f32::from_bits(u32::from(u16::from_le_bytes(*bytes)) << 16);
         let mut figures = body.iter().map(|bytes| f64::from(long(bytes)));
-        let (taken, drag, sums) = (figures.next()?, figures.next()?, figures.collect::<Vec<_>>());
-        let plain = sums.iter().chain([&taken, &drag]).all(|f| f.is_finite() && *f >= 0.0);
+        let (taken, drag, sums) = (
+            figures.next()?,
+            figures.next()?,
+            figures.collect::<Vec<_>>(),
+        );
+        let plain = sums
+            .iter()
+            .chain([&taken, &drag])
+            .all(|f| f.is_finite() && *f >= 0.0);
         let (reply, fresh) = (*reply == 1, *fresh == 1);
         let build = BuildId(u16::from_le_bytes([*low, *high]));
-        (plain && rest.is_empty()).then_some(Message { reply, fresh, build, taken, drag, sums })
+        (plain && rest.is_empty()).then_some(Message {
+            reply,
+            fresh,
+            build,
+            taken,
+            drag,
+            sums,
+        })
     }
 }
 
--- a/standins/src/config.rs
+++ b/standins/src/config.rs
@@ -4,11 +4,15 @@
 
 pub fn list(rev: u32, all: bool, hosts: &[(&str, SocketAddr, &str)]) -> String {
     let target = |(uid, at, state): &(&str, SocketAddr, &str)| {
-        format!(r#"{{"uid":"{uid}","endpoint":"{at}","az":"a","model":"m","pod_group":0,"state":"{state}","#)
-            + r#""capacity_hint":1.0,"boot_ms":0,"build":7}"#
+        format!(
+            r#"{{"uid":"{uid}","endpoint":"{at}","az":"a","model":"m","pod_group":0,"state":"{state}","#
+        ) + r#""capacity_hint":1.0,"boot_ms":0,"build":7}"#
     };
     let targets: Vec<_> = hosts.iter().map(target).collect();
-    format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, targets.join(","))
+    format!(
+        r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#,
+        targets.join(",")
+    )
 }
 
 const SETTINGS: &str = r#"{"accounts":[],"discovery":"push","group_size":1,"me":0,"my_zone":"a","tick":5000,
--- a/terms/src/fields.rs
+++ b/terms/src/fields.rs
@@ -26,7 +26,10 @@
 
 impl<'a> Fields<'a> {
     pub fn new(name: &'a str) -> Self {
-        Fields { name, values: BTreeMap::new() }
+        Fields {
+            name,
+            values: BTreeMap::new(),
+        }
     }
 
     /// False where the name is empty or was there already.
@@ -45,11 +48,19 @@
     }
 
     fn flatten(&mut self, path: String, value: &Value) {
-        let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+        let below = |key: &str| {
+            if path.is_empty() {
+                key.to_owned()
+            } else {
+                format!("{path}.{key}")
+            }
+        };
         match value {
             _ if path.len() > PATH => {}
             Value::Null => {}
-            Value::Object(map) => map.iter().for_each(|(key, value)| self.flatten(below(key), value)),
+            Value::Object(map) => map
+                .iter()
+                .for_each(|(key, value)| self.flatten(below(key), value)),
             Value::Array(items) if items.iter().any(Value::is_object) => {
                 self.add(below("count"), items.len().to_string());
                 for (place, item) in items.iter().enumerate() {
@@ -65,7 +76,10 @@
     }
 
     pub fn maybe(&self, key: &str) -> Option<&str> {
-        self.values.get(key).map(Cow::as_ref).filter(|value| !value.is_empty())
+        self.values
+            .get(key)
+            .map(Cow::as_ref)
+            .filter(|value| !value.is_empty())
     }
 
     /// An error about one value: its path, what is wrong, what was given.
@@ -83,22 +97,39 @@
     /// One of these words, as what it stands for.
     pub fn one_of<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Result<T, String> {
         let text = self.text(key)?;
-        let found = words.iter().find(|(word, _)| *word == text).map(|(_, meaning)| *meaning);
-        let known = || words.iter().map(|(word, _)| *word).collect::<Vec<_>>().join(", ");
+        let found = words
+            .iter()
+            .find(|(word, _)| *word == text)
+            .map(|(_, meaning)| *meaning);
+        let known = || {
+            words
+                .iter()
+                .map(|(word, _)| *word)
+                .collect::<Vec<_>>()
+                .join(", ")
+        };
         found.ok_or_else(|| self.wrong(key, format_args!("is none of {}", known())))
     }
 
     fn read<T: FromStr>(&self, key: &str, value: &str, kind: &str) -> Result<T, String> {
-        value.parse().map_err(|_| self.wrong(key, format_args!("is {kind}")))
+        value
+            .parse()
+            .map_err(|_| self.wrong(key, format_args!("is {kind}")))
     }
 
     fn within<T: PartialOrd + Display>(
-        &self, key: &str, value: T, sense: &RangeInclusive<T>,
+        &self,
+        key: &str,
+        value: T,
+        sense: &RangeInclusive<T>,
     ) -> Result<T, String> {
         if sense.contains(&value) {
             return Ok(value);
         }
-        Err(self.wrong(key, format_args!("is not within {} and {}", sense.start(), sense.end())))
+        Err(self.wrong(
+            key,
+            format_args!("is not within {} and {}", sense.start(), sense.end()),
+        ))
     }
 
     pub fn whole<T: FromStr>(&self, key: &str) -> Result<T, String> {
@@ -107,7 +138,9 @@
 
     /// A whole number from 0 on.
     pub fn count<T: FromStr + PartialOrd + Display>(
-        &self, key: &str, sense: RangeInclusive<T>,
+        &self,
+        key: &str,
+        sense: RangeInclusive<T>,
     ) -> Result<T, String> {
         self.within(key, self.whole(key)?, &sense)
     }
@@ -145,12 +178,19 @@
     }
 
     pub fn yes_or_no(&self, key: &str) -> Result<bool, String> {
-        self.one_of(key, &[("true", true), ("1", true), ("false", false), ("0", false)])
+        self.one_of(
+            key,
+            &[("true", true), ("1", true), ("false", false), ("0", false)],
+        )
     }
 
     /// Numbers joined by commas; what is absent has none.
     pub fn numbers(&self, key: &str) -> Result<Vec<f64>, String> {
-        if self.maybe(key).is_some() { self.numbers_in(key, f64::MIN..=f64::MAX) } else { Ok(vec![]) }
+        if self.maybe(key).is_some() {
+            self.numbers_in(key, f64::MIN..=f64::MAX)
+        } else {
+            Ok(vec![])
+        }
     }
 
     /// Numbers joined by commas, at least one.
@@ -161,5 +201,7 @@
 }
 
 fn plain(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), str::to_owned)
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/terms/src/lib.rs
+++ b/terms/src/lib.rs
@@ -107,9 +107,16 @@
     /// A report whose values carry the names of the settings; what cannot be read is left out.
     pub fn load_by_name(text: &str) -> LoadReport {
         let mut report = LoadReport::default();
-        for (name, value) in text.split(',').filter_map(|part| part.trim().split_once('=')) {
+        for (name, value) in text
+            .split(',')
+            .filter_map(|part| part.trim().split_once('='))
+        {
             // Words such as "inf" are figures to the parser, though no load.
-            if let Some(value) = value.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0) {
+            if let Some(value) = value
+                .parse()
+                .ok()
+                .filter(|value: &f64| value.is_finite() && *value >= 0.0)
+            {
                 Self::put(&mut report, load_field(name), value);
             }
         }
@@ -151,8 +158,16 @@
         ByKey,
         Once,
     }
-    let effects = [("repeatable", Effect::Repeatable), ("by_key", Effect::ByKey), ("once", Effect::Once)];
-    let groups = [("all", RepeatGroup::All), ("zone", RepeatGroup::Zone), ("cell", RepeatGroup::Cell)];
+    let effects = [
+        ("repeatable", Effect::Repeatable),
+        ("by_key", Effect::ByKey),
+        ("once", Effect::Once),
+    ];
+    let groups = [
+        ("all", RepeatGroup::All),
+        ("zone", RepeatGroup::Zone),
+        ("cell", RepeatGroup::Cell),
+    ];
     let repeats = match fields.one_of(&key("effect"), &effects)? {
         Effect::Repeatable => Repeats::Idempotent,
         Effect::ByKey => Repeats::Fingerprinted {
@@ -164,7 +179,11 @@
     let stretch = key("aim_stretch");
     Ok(OperationTerms {
         slo_time: fields.time_in(&key("slo"), SOME_TIME)?,
-        slo_stretch: if fields.maybe(&stretch).is_some() { fields.number_in(&stretch, ANY)? } else { 0.0 },
+        slo_stretch: if fields.maybe(&stretch).is_some() {
+            fields.number_in(&stretch, ANY)?
+        } else {
+            0.0
+        },
         time_limit: fields.time_in(&key("give_up"), SOME_TIME)?,
         repeats,
         billed_value: fields.number_in(&key("credit"), ANY)?,
@@ -194,12 +213,16 @@
 
 /// The settings object as the terms of the decisions and the figures of the transport. What is missing, no such
 /// value or beyond all sense is refused by its path; keys that are not known are passed over.
-pub fn decode(fields: &Fields, zones: &mut Names) -> Result<(ServiceTerms, TransportTerms), String> {
+pub fn decode(
+    fields: &Fields,
+    zones: &mut Names,
+) -> Result<(ServiceTerms, TransportTerms), String> {
     let count: usize = fields.count("request_classes.count", 1..=OPERATIONS)?;
     let by_name = names(fields, "request_classes", count)?;
     let by_name = by_name.into_iter().zip((0..).map(OperationId)).collect();
-    let operations =
-        (0..count).map(|number| operation_terms(fields, number)).collect::<Result<Vec<_>, _>>()?;
+    let operations = (0..count)
+        .map(|number| operation_terms(fields, number))
+        .collect::<Result<Vec<_>, _>>()?;
     check_tenants(fields)?;
     let sizes = [
         ("off", Sizes::Untold),
@@ -207,9 +230,20 @@
         ("rough", Sizes::Rough),
         ("live", Sizes::Live),
     ];
-    let gates = [("any", Gate::Any), ("share", Gate::Share), ("timer", Gate::Clock)];
-    let reports = [("inline", Reports::Inline), ("on_probe", Reports::OnProbe), ("off", Reports::Off)];
-    let load_fields = fields.maybe("telemetry.fields").unwrap_or_default().split(',');
+    let gates = [
+        ("any", Gate::Any),
+        ("share", Gate::Share),
+        ("timer", Gate::Clock),
+    ];
+    let reports = [
+        ("inline", Reports::Inline),
+        ("on_probe", Reports::OnProbe),
+        ("off", Reports::Off),
+    ];
+    let load_fields = fields
+        .maybe("telemetry.fields")
+        .unwrap_or_default()
+        .split(',');
     let load_fields = load_fields.filter(|name| !name.is_empty()).map(load_field);
     let transport = TransportTerms {
         operations: by_name,
@@ -223,7 +257,11 @@
     let stage_shares = fields.numbers_in("extra.rings", SHARE)?;
     let stage_caps = fields.numbers_in("extra.most_shares", SHARE)?;
     if stage_caps.len() != stage_shares.len() {
-        let why = format!("has {} stages, extra.rings {}", stage_caps.len(), stage_shares.len());
+        let why = format!(
+            "has {} stages, extra.rings {}",
+            stage_caps.len(),
+            stage_shares.len()
+        );
         return Err(fields.wrong("extra.most_shares", why));
     }
     let rate = fields.number_in("extra.api_rate", ANY)?;
@@ -253,8 +291,12 @@
         guarded_stages: fields.whole("extra.guarded_stages")?,
         keys_bound: fields.yes_or_no("extra.no_return")?,
         // The one key of these that may be absent, by the pages.
-        keys_warm: fields.maybe("extra.warm_keys").is_some() && fields.yes_or_no("extra.warm_keys")?,
-        in_place: fields.one_of("extra.replace_mode", &[("in_place", true), ("beside", false)])?,
+        keys_warm: fields.maybe("extra.warm_keys").is_some()
+            && fields.yes_or_no("extra.warm_keys")?,
+        in_place: fields.one_of(
+            "extra.replace_mode",
+            &[("in_place", true), ("beside", false)],
+        )?,
         dispute_share: fields.number_in("extra.flag_share", SHARE)?,
         drain_grace: fields.time_in("guarantees.drain_grace", ANY_TIME)?,
         cold_share: fields.number_in("guarantees.cold_share", SOME_SHARE)?,
--- a/watch/src/form.rs
+++ b/watch/src/form.rs
@@ -71,7 +71,9 @@
             }
         };
         match parse_file(*kind, place, text, &mut candidate, &mut validation_errors) {
-            Ok(Ends { generation }) => generations.extend(generation.map(|generation| (*place, generation))),
+            Ok(Ends { generation }) => {
+                generations.extend(generation.map(|generation| (*place, generation)))
+            }
             Err(fault) => incomplete.push(fault),
         }
     }
@@ -87,10 +89,18 @@
         return Spoken::Wrong(validation_errors);
     };
     if let Some((place, other)) = generations.iter().find(|(_, other)| *other != generation) {
-        let what = format!("is of another generation than {first}, which names {}", shown(&generation));
+        let what = format!(
+            "is of another generation than {first}, which names {}",
+            shown(&generation)
+        );
         return Spoken::Apart(
-            Fault::new(format!("{place}: generation"), what, shown(other), "one generation for all files")
-                .into(),
+            Fault::new(
+                format!("{place}: generation"),
+                what,
+                shown(other),
+                "one generation for all files",
+            )
+            .into(),
         );
     }
     match tree {
@@ -105,9 +115,15 @@
         Ok(bytes) => str::from_utf8(bytes).map_err(|e| {
             // A character cut in two at the end is a file cut in two.
             let what = format!("is not UTF-8 from byte {}", e.valid_up_to());
-            Box::new((e.error_len().is_none(), Fault::new(place, what, "other bytes", "UTF-8")))
+            Box::new((
+                e.error_len().is_none(),
+                Fault::new(place, what, "other bytes", "UTF-8"),
+            ))
         }),
-        Err(why) => Err(Box::new((true, Fault::new(place, "cannot be read", &why.0, "a file of text")))),
+        Err(why) => Err(Box::new((
+            true,
+            Fault::new(place, "cannot be read", &why.0, "a file of text"),
+        ))),
     }
 }
 
@@ -119,28 +135,49 @@
         Err(why) => return Spoken::Wrong(why.1.into()),
     };
     let (mut found, mut validation_errors) = (vec![], Faults::default());
-    let read = parse_framed(Kind::Keys, place, text, &mut validation_errors, |body, validation_errors| {
-        parse_keys(place, body, &mut found, validation_errors)
-    });
+    let read = parse_framed(
+        Kind::Keys,
+        place,
+        text,
+        &mut validation_errors,
+        |body, validation_errors| parse_keys(place, body, &mut found, validation_errors),
+    );
     match read {
         Err(fault) => Spoken::Torn(fault.into()),
         Ok(_) if !validation_errors.is_empty() => Spoken::Wrong(validation_errors),
-        Ok(Ends { generation }) => {
-            Spoken::Whole(Keys { generation: generation.unwrap_or_default(), keys: found })
-        }
+        Ok(Ends { generation }) => Spoken::Whole(Keys {
+            generation: generation.unwrap_or_default(),
+            keys: found,
+        }),
     }
 }
 
-fn parse_keys(place: &str, body: &[Section], found: &mut Vec<Key>, validation_errors: &mut Faults) -> usize {
+fn parse_keys(
+    place: &str,
+    body: &[Section],
+    found: &mut Vec<Key>,
+    validation_errors: &mut Faults,
+) -> usize {
     for section in body {
         let at = format!("{place}:{}", section.line);
-        let Some(name) = section.name.strip_prefix("key ").map(str::trim).filter(|name| !name.is_empty())
+        let Some(name) = section
+            .name
+            .strip_prefix("key ")
+            .map(str::trim)
+            .filter(|name| !name.is_empty())
         else {
             validation_errors.push(unknown(&at, "section", &section.name, ["key NAME", END]));
             continue;
         };
-        ini::known_keys(place, section, &["ssh", "certificate", "rights"], validation_errors);
-        let Some(rights) = parse_rights(place, section, name, validation_errors) else { continue };
+        ini::known_keys(
+            place,
+            section,
+            &["ssh", "certificate", "rights"],
+            validation_errors,
+        );
+        let Some(rights) = parse_rights(place, section, name, validation_errors) else {
+            continue;
+        };
         let proofs = parse_proofs(place, section, name, validation_errors);
         if proofs.is_empty() && validation_errors.is_empty() {
             validation_errors.push(Fault::new(
@@ -155,7 +192,11 @@
                 let what = format!("is the key of {} too", other.name);
                 validation_errors.push(Fault::new(&at, what, name, "a key of its own"));
             }
-            found.push(Key { name: name.into(), proof, rights });
+            found.push(Key {
+                name: name.into(),
+                proof,
+                rights,
+            });
         }
     }
     body.len()
@@ -166,7 +207,10 @@
 }
 
 fn parse_rights(
-    place: &str, section: &Section, name: &str, validation_errors: &mut Faults,
+    place: &str,
+    section: &Section,
+    name: &str,
+    validation_errors: &mut Faults,
 ) -> Option<Rights> {
     let taken = "read, weights, routes, ring";
     let Some(key) = key_named(section, "rights") else {
@@ -185,16 +229,28 @@
 }
 
 /// By what the holder of a key proves who it is: a public key of SSH, the hash of a certificate, or both.
-fn parse_proofs(place: &str, section: &Section, name: &str, validation_errors: &mut Faults) -> Vec<Proof> {
+fn parse_proofs(
+    place: &str,
+    section: &Section,
+    name: &str,
+    validation_errors: &mut Faults,
+) -> Vec<Proof> {
     let mut proofs = vec![];
     if let Some(key) = key_named(section, "ssh") {
         let words: Vec<_> = key.value.split_whitespace().collect();
         match words.as_slice() {
-            [kind, text, ..] if text.len() > 16 => proofs.push(Proof::Ssh(format!("{kind} {text}"))),
+            [kind, text, ..] if text.len() > 16 => {
+                proofs.push(Proof::Ssh(format!("{kind} {text}")))
+            }
             _ => {
                 let path = format!("{place}:{}: [key {name}] ssh", key.line);
                 let taken = "a line as in id_ed25519.pub";
-                validation_errors.push(Fault::new(path, "is no public key", shown(&key.value), taken));
+                validation_errors.push(Fault::new(
+                    path,
+                    "is no public key",
+                    shown(&key.value),
+                    taken,
+                ));
             }
         }
     }
@@ -225,25 +281,48 @@
 
 /// Reads one file into the candidate. An error means that it is not whole, whatever else is wrong with it.
 fn parse_file(
-    kind: Kind, place: &str, text: &str, candidate: &mut Draft, validation_errors: &mut Faults,
+    kind: Kind,
+    place: &str,
+    text: &str,
+    candidate: &mut Draft,
+    validation_errors: &mut Faults,
 ) -> Result<Ends, Fault> {
-    parse_framed(kind, place, text, validation_errors, |body, validation_errors| match kind {
-        Kind::Weights => parse_weights(place, body, candidate, validation_errors),
-        Kind::Hosts | Kind::Keys => parse_hosts(place, body, candidate, validation_errors),
-    })
+    parse_framed(
+        kind,
+        place,
+        text,
+        validation_errors,
+        |body, validation_errors| match kind {
+            Kind::Weights => parse_weights(place, body, candidate, validation_errors),
+            Kind::Hosts | Kind::Keys => parse_hosts(place, body, candidate, validation_errors),
+        },
+    )
 }
 
 /// The head and the end that every file has; what stands between is read by its kind, and counted.
 fn parse_framed(
-    kind: Kind, place: &str, text: &str, validation_errors: &mut Faults,
+    kind: Kind,
+    place: &str,
+    text: &str,
+    validation_errors: &mut Faults,
     between: impl FnOnce(&[Section], &mut Faults) -> usize,
 ) -> Result<Ends, Fault> {
     if text.trim().is_empty() {
-        return Err(Fault::new(place, "is empty", "nothing", "a generation, entries and an [end]"));
+        return Err(Fault::new(
+            place,
+            "is empty",
+            "nothing",
+            "a generation, entries and an [end]",
+        ));
     }
     if !text.ends_with('\n') {
         let last = text.lines().next_back().unwrap_or_default();
-        return Err(Fault::new(place, "its last line has no end", shown(last), "a line feed behind [end]"));
+        return Err(Fault::new(
+            place,
+            "its last line has no end",
+            shown(last),
+            "a line feed behind [end]",
+        ));
     }
     // What is cut need not be INI any more; what is whole has its end.
     let sections = ini::sections(place, text)?;
@@ -262,23 +341,46 @@
     let Some((end, body)) = rest.split_last().filter(|(end, _)| end.name == END) else {
         if let Some(end) = rest.iter().find(|section| section.name == END) {
             let at = format!("{place}:{}", end.line);
-            return Err(Fault::new(at, "sections stand behind [end]", "more of them", "[end] last"));
+            return Err(Fault::new(
+                at,
+                "sections stand behind [end]",
+                "more of them",
+                "[end] last",
+            ));
         }
-        return Err(Fault::new(place, "has no [end]", "nothing", "[end] with the count and the generation"));
+        return Err(Fault::new(
+            place,
+            "has no [end]",
+            "nothing",
+            "[end] with the count and the generation",
+        ));
     };
     let count = between(body, validation_errors);
-    check_end(kind, place, end, count, generation.as_deref(), validation_errors)?;
+    check_end(
+        kind,
+        place,
+        end,
+        count,
+        generation.as_deref(),
+        validation_errors,
+    )?;
     Ok(Ends { generation })
 }
 
 fn parse_generation(place: &str, head: &Section, validation_errors: &mut Faults) -> Option<String> {
     ini::known_keys(place, head, &["generation"], validation_errors);
     let Some(key) = head.keys.iter().find(|key| key.name == "generation") else {
-        validation_errors.push(Fault::new(place, "names no generation", "nothing", "generation = NAME"));
+        validation_errors.push(Fault::new(
+            place,
+            "names no generation",
+            "nothing",
+            "generation = NAME",
+        ));
         return None;
     };
-    let plain =
-        !key.value.is_empty() && key.value.len() <= GENERATION_MOST && !key.value.contains(char::is_control);
+    let plain = !key.value.is_empty()
+        && key.value.len() <= GENERATION_MOST
+        && !key.value.contains(char::is_control);
     if !plain {
         let taken = format!("1 to {GENERATION_MOST} characters");
         validation_errors.push(Fault::new(
@@ -292,30 +394,55 @@
 }
 
 fn parse_hosts(
-    place: &str, body: &[Section], candidate: &mut Draft, validation_errors: &mut Faults,
+    place: &str,
+    body: &[Section],
+    candidate: &mut Draft,
+    validation_errors: &mut Faults,
 ) -> usize {
     let mut count = 0;
     for section in body {
         let at = format!("{place}:{}", section.line);
         if section.name == "guards" {
-            parse_leaves(place, section, validation_errors, Place::Guards, |key, leaf, at| {
-                candidate.set(at, Path::Guards(leaf), &key.value);
-            });
+            parse_leaves(
+                place,
+                section,
+                validation_errors,
+                Place::Guards,
+                |key, leaf, at| {
+                    candidate.set(at, Path::Guards(leaf), &key.value);
+                },
+            );
         } else if let Some(name) = section.name.strip_prefix("host ") {
             count += 1;
-            let Some(host) = candidate.host(&at, name.trim()) else { continue };
-            parse_leaves(place, section, validation_errors, Place::Host, |key, leaf, at| {
-                candidate.set_host(at, &host, leaf, &key.value);
-            });
+            let Some(host) = candidate.host(&at, name.trim()) else {
+                continue;
+            };
+            parse_leaves(
+                place,
+                section,
+                validation_errors,
+                Place::Host,
+                |key, leaf, at| {
+                    candidate.set_host(at, &host, leaf, &key.value);
+                },
+            );
         } else {
-            validation_errors.push(unknown(&at, "section", &section.name, ["host NAME", "guards", END]));
+            validation_errors.push(unknown(
+                &at,
+                "section",
+                &section.name,
+                ["host NAME", "guards", END],
+            ));
         }
     }
     count
 }
 
 fn parse_leaves(
-    place: &str, section: &Section, validation_errors: &mut Faults, of: Place,
+    place: &str,
+    section: &Section,
+    validation_errors: &mut Faults,
+    of: Place,
     mut set: impl FnMut(&ini::Key, Leaf, &str),
 ) {
     for key in &section.keys {
@@ -332,7 +459,10 @@
 }
 
 fn parse_weights(
-    place: &str, body: &[Section], candidate: &mut Draft, validation_errors: &mut Faults,
+    place: &str,
+    body: &[Section],
+    candidate: &mut Draft,
+    validation_errors: &mut Faults,
 ) -> usize {
     let mut count = 0;
     for section in body {
@@ -367,7 +497,11 @@
 
 /// The end says again what the head said, and how much stands between.
 fn check_end(
-    kind: Kind, place: &str, end: &Section, count: usize, generation: Option<&str>,
+    kind: Kind,
+    place: &str,
+    end: &Section,
+    count: usize,
+    generation: Option<&str>,
     validation_errors: &mut Faults,
 ) -> Result<(), Fault> {
     let counted = match kind {
@@ -384,13 +518,23 @@
     let said = key(counted, &count)?;
     if said.value.parse() != Ok(count) {
         let path = format!("{place}:{}: [end] {counted}", said.line);
-        return Err(Fault::new(path, format!("{count} stand in the file"), shown(&said.value), count));
+        return Err(Fault::new(
+            path,
+            format!("{count} stand in the file"),
+            shown(&said.value),
+            count,
+        ));
     }
     let named = key("generation", &generation.unwrap_or("that of the head"))?;
     if Some(named.value.as_str()) != generation {
         let path = format!("{place}:{}: [end] generation", named.line);
         let head = generation.unwrap_or_default();
-        return Err(Fault::new(path, "is not that of the head", shown(&named.value), shown(head)));
+        return Err(Fault::new(
+            path,
+            "is not that of the head",
+            shown(&named.value),
+            shown(head),
+        ));
     }
     Ok(())
 }
--- a/watch/src/ini.rs
+++ b/watch/src/ini.rs
@@ -31,11 +31,23 @@
 pub fn sections(place: &str, text: &str) -> Result<Vec<Section>, Fault> {
     if let Some(at) = text.find('\0') {
         let line = text[..at].matches('\n').count() + 1;
-        return Err(Fault::new(format!("{place}:{line}"), "holds a NUL", "a NUL", "text"));
+        return Err(Fault::new(
+            format!("{place}:{line}"),
+            "holds a NUL",
+            "a NUL",
+            "text",
+        ));
     }
-    let options = ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
+    let options = ParseOption {
+        enabled_quote: false,
+        enabled_escape: false,
+        ..ParseOption::default()
+    };
     let read = Ini::load_from_str_opt(text, options).map_err(|e| {
-        let found = text.lines().nth(e.line.saturating_sub(1)).unwrap_or_default();
+        let found = text
+            .lines()
+            .nth(e.line.saturating_sub(1))
+            .unwrap_or_default();
         Fault::new(
             format!("{place}:{}", e.line),
             format!("is no INI: {}", e.msg),
@@ -53,9 +65,17 @@
         let line = lines.section(&name);
         let keys = keys.iter().map(|(key, value)| {
             let (name, value) = (key.trim().to_owned(), value.trim().to_owned());
-            Key { line: lines.key(&name), name, value }
+            Key {
+                line: lines.key(&name),
+                name,
+                value,
+            }
+        });
+        all.push(Section {
+            line,
+            name,
+            keys: keys.collect(),
         });
-        all.push(Section { line, name, keys: keys.collect() });
     }
     Ok(all)
 }
@@ -68,12 +88,17 @@
 
 impl<'a> Lines<'a> {
     fn of(text: &'a str) -> Self {
-        Lines { text: text.lines().map(str::trim).collect(), at: 0 }
+        Lines {
+            text: text.lines().map(str::trim).collect(),
+            at: 0,
+        }
     }
 
     fn find(&mut self, is: impl Fn(&str) -> bool) -> usize {
         // Where the order is not that of the text, the search begins anew.
-        let found = (self.at..self.text.len()).chain(0..self.at).find(|line| is(self.text[*line]));
+        let found = (self.at..self.text.len())
+            .chain(0..self.at)
+            .find(|line| is(self.text[*line]));
         self.at = found.map_or(self.at, |line| line + 1);
         found.map_or(0, |line| line + 1)
     }
@@ -83,24 +108,36 @@
             return 1;
         }
         self.find(|line| {
-            line.strip_prefix('[').and_then(|rest| rest.split(']').next()).is_some_and(|is| is.trim() == name)
+            line.strip_prefix('[')
+                .and_then(|rest| rest.split(']').next())
+                .is_some_and(|is| is.trim() == name)
         })
     }
 
     fn key(&mut self, name: &str) -> usize {
-        self.find(|line| line.split(['=', ':']).next().is_some_and(|is| is.trim() == name))
+        self.find(|line| {
+            line.split(['=', ':'])
+                .next()
+                .is_some_and(|is| is.trim() == name)
+        })
     }
 }
 
 /// The known name that is nearest, for who mistyped one.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    let near = known.into_iter().map(|known| (strsim::damerau_levenshtein(name, known), known));
-    near.min_by_key(|(distance, _)| *distance).map(|(_, known)| known)
+    let near = known
+        .into_iter()
+        .map(|known| (strsim::damerau_levenshtein(name, known), known));
+    near.min_by_key(|(distance, _)| *distance)
+        .map(|(_, known)| known)
 }
 
 /// That a name is not known, and which may have been meant.
 pub fn unknown<'a>(
-    path: &str, what: &str, name: &str, known: impl IntoIterator<Item = &'a str> + Clone,
+    path: &str,
+    what: &str,
+    name: &str,
+    known: impl IntoIterator<Item = &'a str> + Clone,
 ) -> Fault {
     let names: Vec<_> = known.clone().into_iter().collect();
     let taken = match nearest(name, known) {
@@ -113,11 +150,24 @@
 /// Pushes a fault for each key that stands twice, or is not among these.
 pub fn known_keys(place: &str, section: &Section, known: &[&str], validation_errors: &mut Faults) {
     for (number, key) in section.keys.iter().enumerate() {
-        let path = format!("{place}:{}: [{}] {}", key.line, section.name, shown(&key.name));
+        let path = format!(
+            "{place}:{}: [{}] {}",
+            key.line,
+            section.name,
+            shown(&key.name)
+        );
         if !known.contains(&key.name.as_str()) {
             validation_errors.push(unknown(&path, "key", &key.name, known.iter().copied()));
-        } else if section.keys[..number].iter().any(|before| before.name == key.name) {
-            validation_errors.push(Fault::new(path, "stands twice", shown(&key.value), "each key once"));
+        } else if section.keys[..number]
+            .iter()
+            .any(|before| before.name == key.name)
+        {
+            validation_errors.push(Fault::new(
+                path,
+                "stands twice",
+                shown(&key.value),
+                "each key once",
+            ));
         }
     }
 }
