--- a/watch/src/notices.rs
+++ b/watch/src/notices.rs
@@ -17,7 +17,9 @@
 }
 
 fn identity(path: &Path) -> Option<(u64, u64)> {
-    fs::metadata(path).ok().map(|found| (found.dev(), found.ino()))
+    fs::metadata(path)
+        .ok()
+        .map(|found| (found.dev(), found.ino()))
 }
 
 impl Notices {
@@ -32,11 +34,16 @@
         let watcher = notify::recommended_watcher(told).ok();
         let mut folders = BTreeMap::new();
         for file in files {
-            let given =
-                file.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
+            let given = file
+                .parent()
+                .filter(|folder| !folder.as_os_str().is_empty())
+                .unwrap_or(Path::new("."));
             folders.insert(given.to_owned(), None);
             // A link's own folder tells when the link is swapped, the target's when the file is.
-            if let Some(folder) = fs::canonicalize(file).ok().and_then(|at| at.parent().map(Path::to_owned)) {
+            if let Some(folder) = fs::canonicalize(file)
+                .ok()
+                .and_then(|at| at.parent().map(Path::to_owned))
+            {
                 folders.insert(folder, None);
             }
         }
@@ -47,13 +54,16 @@
 
     /// Watches anew what is another folder now, or has come back. True where something was.
     pub fn renew(&mut self) -> bool {
-        let Some(watcher) = &mut self.watcher else { return false };
+        let Some(watcher) = &mut self.watcher else {
+            return false;
+        };
         let mut renewed = false;
         for (path, known) in &mut self.folders {
             let found = identity(path);
             if found != *known {
                 let _ = watcher.unwatch(path);
-                let watched = found.is_some() && watcher.watch(path, RecursiveMode::NonRecursive).is_ok();
+                let watched =
+                    found.is_some() && watcher.watch(path, RecursiveMode::NonRecursive).is_ok();
                 *known = found.filter(|_| watched);
                 renewed = true;
             }
--- a/watch/src/read.rs
+++ b/watch/src/read.rs
@@ -47,12 +47,17 @@
     let unread = |why: &dyn std::fmt::Display| Unread(why.to_string());
     // Looked at before it is opened, as opening a pipe can wait for ever or wake who writes to it.
     fits(&fs::metadata(path).map_err(|e| unread(&e))?, most)?;
-    let opened = OpenOptions::new().read(true).custom_flags(libc::O_NONBLOCK | libc::O_CLOEXEC).open(path);
+    let opened = OpenOptions::new()
+        .read(true)
+        .custom_flags(libc::O_NONBLOCK | libc::O_CLOEXEC)
+        .open(path);
     let file: File = opened.map_err(|e| unread(&e))?;
     let found = file.metadata().map_err(|e| unread(&e))?;
     fits(&found, most)?;
     let mut bytes = Vec::with_capacity(found.len().min(most as u64) as usize);
-    file.take(most as u64 + 1).read_to_end(&mut bytes).map_err(|e| unread(&e))?;
+    file.take(most as u64 + 1)
+        .read_to_end(&mut bytes)
+        .map_err(|e| unread(&e))?;
     if bytes.len() > most {
         return Err(Unread(format!("is longer than {most} bytes")));
     }
@@ -64,7 +69,10 @@
         return Err(Unread("is no file".into()));
     }
     if found.len() > most as u64 {
-        return Err(Unread(format!("has {} bytes, {most} at most are read", found.len())));
+        return Err(Unread(format!(
+            "has {} bytes, {most} at most are read",
+            found.len()
+        )));
     }
     Ok(())
 }
--- a/watch/src/settle.rs
+++ b/watch/src/settle.rs
@@ -19,7 +19,11 @@
     /// What was seen last has been dealt with.
     Still,
     /// Something has stirred: since when, when it last changed, and what it was then.
-    Stirred { since: f64, changed: f64, digest: u64 },
+    Stirred {
+        since: f64,
+        changed: f64,
+        digest: u64,
+    },
 }
 
 /// What to do with what was read.
@@ -46,7 +50,12 @@
 impl Settle {
     /// Before anything was read.
     pub fn new(patience: Patience) -> Self {
-        Settle { patience, state: State::Still, done: None, noticed: true }
+        Settle {
+            patience,
+            state: State::Still,
+            done: None,
+            noticed: true,
+        }
     }
 
     /// This is in force already.
@@ -67,16 +76,29 @@
     /// What was read now; what is offered counts as dealt with, what is tried only once it was whole.
     pub fn read(&mut self, now: f64, digest: u64) -> Step {
         self.noticed = false;
-        let Patience { settle, longest, apart, .. } = self.patience;
+        let Patience {
+            settle,
+            longest,
+            apart,
+            ..
+        } = self.patience;
         if self.done.is_some_and(|(done, _)| done == digest) && self.state == State::Still {
             return Step::Nothing;
         }
         let (since, changed) = match self.state {
-            State::Stirred { since, changed, digest: before } if before == digest => (since, changed),
+            State::Stirred {
+                since,
+                changed,
+                digest: before,
+            } if before == digest => (since, changed),
             State::Stirred { since, .. } => (since, now),
             State::Still => (now, now),
         };
-        self.state = State::Stirred { since, changed, digest };
+        self.state = State::Stirred {
+            since,
+            changed,
+            digest,
+        };
         let settled = now - changed >= settle;
         if settled && self.done.is_some_and(|(done, _)| done == digest) {
             // It went and came back before anybody took it.
@@ -98,7 +120,9 @@
 
     /// How long to sleep where no notice comes.
     pub fn next_look(&self, now: f64) -> f64 {
-        let soon = self.done.map_or(0.0, |(_, at)| at + self.patience.apart - now);
+        let soon = self
+            .done
+            .map_or(0.0, |(_, at)| at + self.patience.apart - now);
         match self.state {
             State::Still => self.patience.poll,
             State::Stirred { changed, .. } => {
--- a/watch/src/watch.rs
+++ b/watch/src/watch.rs
@@ -44,29 +44,44 @@
 }
 
 fn contents(watched: &Watched) -> Vec<Content> {
-    watched.files.iter().map(|path| read(path, watched.most)).collect()
+    watched
+        .files
+        .iter()
+        .map(|path| read(path, watched.most))
+        .collect()
 }
 
 /// What files of these kinds say together.
 pub fn spoken(files: &[(Kind, PathBuf)], contents: &[Content]) -> Spoken<Version> {
-    let places: Vec<_> = files.iter().map(|(_, path)| path.display().to_string()).collect();
+    let places: Vec<_> = files
+        .iter()
+        .map(|(_, path)| path.display().to_string())
+        .collect();
     let files = files.iter().zip(&places).zip(contents);
-    let files: Vec<_> = files.map(|(((kind, _), place), content)| (*kind, place.as_str(), content)).collect();
+    let files: Vec<_> = files
+        .map(|(((kind, _), place), content)| (*kind, place.as_str(), content))
+        .collect();
     version(&files)
 }
 
 /// Watches until nobody listens any more. `known` is the digest of what is in force already; `nudged` ends a
 /// sleep early, `alive` is called each time round.
 pub fn run<V>(
-    watched: &Watched, known: Option<u64>, (wake, nudged): (SyncSender<()>, &Receiver<()>), alive: impl Fn(),
-    says: impl Fn(&[Content]) -> Spoken<V>, mut tell: impl FnMut(Told<V>) -> bool,
+    watched: &Watched,
+    known: Option<u64>,
+    (wake, nudged): (SyncSender<()>, &Receiver<()>),
+    alive: impl Fn(),
+    says: impl Fn(&[Content]) -> Spoken<V>,
+    mut tell: impl FnMut(Told<V>) -> bool,
 ) {
     let started = Instant::now();
     let now = || started.elapsed().as_secs_f64();
     let paths = &watched.files;
     let mut notices = watched.notices.then(|| Notices::open(paths, wake));
     let mut settle = Settle::new(watched.patience);
-    known.into_iter().for_each(|digest| settle.dealt_with(now() - watched.patience.apart, digest));
+    known
+        .into_iter()
+        .for_each(|digest| settle.dealt_with(now() - watched.patience.apart, digest));
     let (mut marks, mut compared): (Vec<Option<Mark>>, f64) = (vec![], f64::MIN);
     loop {
         alive();
