--- a/watch/tests/versions.rs
+++ b/file-watch/tests/versions.rs
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use kestreltide_watch::form::{Kind, Spoken, Version, version};
-use kestreltide_watch::settle::{Patience, Settle, Step};
-use kestreltide_watch::watch::{Told, Watched, look, run, wakes};
+use kestreltide_file_watch::form::{Kind, Spoken, Version, version};
+use kestreltide_file_watch::settle::{Patience, Settle, Step};
+use kestreltide_file_watch::watch::{Told, Watched, look, run, wakes};
 use proptest::prelude::*;
 use rstest::rstest;
 use tempfile::TempDir;
@@ -204,7 +204,7 @@
 ) {
     let text = KEYS.replacen(is, becomes, 1);
     match (
-        kestreltide_watch::keys("keys.ini", &Ok(text.into_bytes())),
+        kestreltide_file_watch::keys("keys.ini", &Ok(text.into_bytes())),
         why,
     ) {
         (Spoken::Whole(keys), None) => {
@@ -260,12 +260,12 @@
         let ((nudge, nudged), (sender, told)) = (wakes(), channel());
         let wake = nudge.clone();
         let known = look(&watched, |contents| {
-            kestreltide_watch::spoken(&files, contents)
+            kestreltide_file_watch::spoken(&files, contents)
         })
         .1;
         thread::spawn(move || {
-            let says = |contents: &[kestreltide_watch::Content]| {
-                kestreltide_watch::spoken(&files, contents)
+            let says = |contents: &[kestreltide_file_watch::Content]| {
+                kestreltide_file_watch::spoken(&files, contents)
             };
             run(
                 &watched,
--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -1,10 +1,10 @@
 //! One update, replacement or deletion of a Set request as edits of the datastore.
 
-use kestreltide_model::NodeId;
-use kestreltide_model::data::{Instance, Step};
-use kestreltide_model::edit::{Edit, Op, at_path, of_json, one_of_json, values_of_json};
-use kestreltide_model::path::Pattern;
-use kestreltide_model::schema::NodeKind;
+use kestreltide_yang::NodeId;
+use kestreltide_yang::data::{Instance, Step};
+use kestreltide_yang::edit::{Edit, Op, at_path, of_json, one_of_json, values_of_json};
+use kestreltide_yang::path::Pattern;
+use kestreltide_yang::schema::NodeKind;
 use serde_json::Value as Json;
 use tonic::Status;
 
--- a/management/src/gnmi/encoding.rs
+++ b/management/src/gnmi/encoding.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use kestreltide_model::data::{Data, Instance};
-use kestreltide_model::schema::NodeKind;
-use kestreltide_model::{Content, NodeId, Schema, json};
+use kestreltide_yang::data::{Data, Instance};
+use kestreltide_yang::schema::NodeKind;
+use kestreltide_yang::{Content, NodeId, Schema, json};
 use serde_json::Value as Json;
 use tonic::Status;
 
@@ -147,7 +147,7 @@
 
 /// Numbers of 64 bits and decimals are text in JSON, and numbers in PROTO.
 fn proto_text(schema: &Schema, node: NodeId, text: &str) -> Value {
-    use kestreltide_model::types::Type;
+    use kestreltide_yang::types::Type;
     match &schema.node_of(node).kind {
         NodeKind::Leaf {
             of: Type::Whole { signed: true, .. },
--- a/management/src/gnmi/errors.rs
+++ b/management/src/gnmi/errors.rs
@@ -1,7 +1,7 @@
 //! Errors of the datastore and of requests as gRPC statuses.
 
 use kestreltide_datastore::desk::Refused;
-use kestreltide_model::edit::EditFault;
+use kestreltide_yang::edit::EditFault;
 use tonic::Status;
 
 pub(super) fn invalid_argument(path: &str, what: &str, given: &str, taken: &str) -> Status {
--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use kestreltide_model::Content;
-use kestreltide_model::data::{Data, Instance};
-use kestreltide_model::path::Pattern;
+use kestreltide_yang::Content;
+use kestreltide_yang::data::{Data, Instance};
+use kestreltide_yang::path::Pattern;
 use tonic::{Request, Response, Status};
 
 use super::encoding::{collect, encoding};
--- a/management/src/gnmi/mod.rs
+++ b/management/src/gnmi/mod.rs
@@ -22,8 +22,8 @@
 use std::sync::{Arc, Mutex};
 
 use kestreltide_datastore::desk::SessionId;
-use kestreltide_model::Schema;
-use kestreltide_model::bind::Bind;
+use kestreltide_yang::Schema;
+use kestreltide_yang::bind::Bind;
 use slog::Logger;
 use tokio::sync::watch;
 use tonic::{Request, Response, Status, Streaming};
@@ -63,7 +63,7 @@
 
 impl Service {
     fn models(&self) -> Vec<ModelData> {
-        let model = |module: &kestreltide_model::schema::Module| ModelData {
+        let model = |module: &kestreltide_yang::schema::Module| ModelData {
             name: module.name.clone(),
             organization: module.organization.clone(),
             version: module.revision.clone(),
--- a/management/src/gnmi/path_subscription.rs
+++ b/management/src/gnmi/path_subscription.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kestreltide_model::Schema;
-use kestreltide_model::data::Instance;
+use kestreltide_yang::Schema;
+use kestreltide_yang::data::Instance;
 use tokio::time::Instant;
 use tonic::Status;
 
--- a/management/src/gnmi/paths.rs
+++ b/management/src/gnmi/paths.rs
@@ -1,8 +1,8 @@
 //! Paths of gNMI to and from the model's patterns and instances.
 
-use kestreltide_model::Schema;
-use kestreltide_model::data::{Data, Instance, Step};
-use kestreltide_model::path::Pattern;
+use kestreltide_yang::Schema;
+use kestreltide_yang::data::{Data, Instance, Step};
+use kestreltide_yang::path::Pattern;
 use tonic::Status;
 
 use super::errors::invalid_argument;
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use kestreltide_model::bind::Bind;
+use kestreltide_yang::bind::Bind;
 use slog::{Logger, warn};
 use tokio::net::TcpListener;
 use tonic::transport::{Certificate, Identity, Server, ServerTlsConfig};
@@ -34,7 +34,7 @@
     listener: TcpListener,
     tls: Tls,
 ) -> Result<(), String> {
-    let schema = kestreltide_model::published()?;
+    let schema = kestreltide_yang::published()?;
     let bind = Arc::new(Bind::new(schema)?);
     let snapshot = {
         let (commit_service, bind) = (commit_service.clone(), bind.clone());
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -5,7 +5,7 @@
 use kestreltide_datastore::desk::Confirm;
 use kestreltide_datastore::store::Commit;
 use kestreltide_datastore::{Author, Candidate, Key, Source};
-use kestreltide_model::edit::{Op, apply};
+use kestreltide_yang::edit::{Op, apply};
 use tonic::{Request, Response, Status};
 
 use super::errors::{edit_errors_status, invalid_argument, refusal_status};
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -7,10 +7,10 @@
 
 use kestreltide_datastore::desk::Published;
 use kestreltide_datastore::view::View;
-use kestreltide_model::Schema;
-use kestreltide_model::bind::Bind;
-use kestreltide_model::data::{Data, Instance};
-use kestreltide_model::path::Pattern;
+use kestreltide_yang::Schema;
+use kestreltide_yang::bind::Bind;
+use kestreltide_yang::data::{Data, Instance};
+use kestreltide_yang::path::Pattern;
 use tokio::sync::watch;
 use tokio::time::sleep;
 
--- a/management/src/gnmi/stream.rs
+++ b/management/src/gnmi/stream.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kestreltide_datastore::Key;
-use kestreltide_model::Schema;
+use kestreltide_yang::Schema;
 use slog::{Logger, info};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -9,8 +9,8 @@
 
 use kestreltide_datastore::desk::{Refused, SessionId};
 use kestreltide_datastore::{Key, Proof, Rights};
-use kestreltide_model::bind::Bind;
-use kestreltide_model::{NodeId, Schema};
+use kestreltide_yang::bind::Bind;
+use kestreltide_yang::{NodeId, Schema};
 use russh::keys::{PrivateKey, PublicKey};
 use russh::server::{Auth, ChannelOpenHandle, Handler, Msg, Session as Ssh, VerifiedPublicKey};
 use russh::{Channel, ChannelId, ChannelOpenFailure, MethodKind, MethodSet};
@@ -45,7 +45,7 @@
 impl Shared {
     /// Reads the published model; an error says what is wrong with it.
     pub fn new(log: Logger, commit_service: Handle, limits: Limits) -> Result<Self, String> {
-        let schema = kestreltide_model::published()?;
+        let schema = kestreltide_yang::published()?;
         let bind = Arc::new(Bind::new(schema)?);
         Ok(Shared {
             log,
@@ -440,7 +440,7 @@
     shared: &Shared,
     told: &News,
     missed: u64,
-) -> Option<(f64, kestreltide_model::Data)> {
+) -> Option<(f64, kestreltide_yang::Data)> {
     let node = |name: &str| -> Option<NodeId> { shared.schema.notifications.get(name).copied() };
     Some(match told {
         News::Committed(record) => (
--- a/management/src/netconf/session/capabilities.rs
+++ b/management/src/netconf/session/capabilities.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use kestreltide_model::xml::escaped;
+use kestreltide_yang::xml::escaped;
 
 use super::Session;
 
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -2,7 +2,7 @@
 
 use kestreltide_datastore::Rights;
 use kestreltide_datastore::desk::Confirm;
-use kestreltide_model::xml::Element;
+use kestreltide_yang::xml::Element;
 
 use super::operations::text;
 use super::rpc_error::RpcError;
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -2,9 +2,9 @@
 
 use kestreltide_datastore::desk::Target;
 use kestreltide_datastore::{Candidate, Rights, Tree};
-use kestreltide_model::data::Instance;
-use kestreltide_model::edit::{Op, apply, of_xml};
-use kestreltide_model::xml::Element;
+use kestreltide_yang::data::Instance;
+use kestreltide_yang::edit::{Op, apply, of_xml};
+use kestreltide_yang::xml::Element;
 
 use super::operations::{target, text};
 use super::rpc_error::{RpcError, edit_error, xpath};
--- a/management/src/netconf/session/filter.rs
+++ b/management/src/netconf/session/filter.rs
@@ -1,7 +1,7 @@
 //! Filters of `get` and `get-config`: subtree (RFC 6241, section 6) and XPath.
 
-use kestreltide_model::path::{Filter, Pattern};
-use kestreltide_model::xml::Element;
+use kestreltide_yang::path::{Filter, Pattern};
+use kestreltide_yang::xml::Element;
 
 use super::Session;
 use super::capabilities::BASE;
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -18,9 +18,9 @@
 
 use kestreltide_datastore::desk::{Confirm, Refused, SessionId, Target};
 use kestreltide_datastore::{Author, Candidate, Rights, Source};
-use kestreltide_model::Schema;
-use kestreltide_model::bind::Bind;
-use kestreltide_model::xml::{self, Element, XmlLimits, escaped};
+use kestreltide_yang::Schema;
+use kestreltide_yang::bind::Bind;
+use kestreltide_yang::xml::{self, Element, XmlLimits, escaped};
 
 pub use self::capabilities::BASE;
 use self::capabilities::CAPABILITIES;
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -2,8 +2,8 @@
 
 use kestreltide_datastore::desk::{SessionId, Target};
 use kestreltide_datastore::{Candidate, Rights, Tree};
-use kestreltide_model::edit::Op;
-use kestreltide_model::xml::{Element, escaped};
+use kestreltide_yang::edit::Op;
+use kestreltide_yang::xml::{Element, escaped};
 
 use super::capabilities::{BASE, MONITORING, NOTIFICATIONS};
 use super::rpc_error::{RpcError, denied, unsupported};
--- a/management/src/netconf/session/reply.rs
+++ b/management/src/netconf/session/reply.rs
@@ -1,7 +1,7 @@
 //! Replies and notifications as XML.
 
-use kestreltide_model::Data;
-use kestreltide_model::xml;
+use kestreltide_yang::Data;
+use kestreltide_yang::xml;
 
 use super::Session;
 use super::capabilities::{BASE, NOTIFICATIONS};
@@ -29,7 +29,7 @@
 
     /// A notification as it goes out (RFC 5277, section 4).
     pub fn notification(&self, at: f64, data: &Data) -> String {
-        let at = kestreltide_model::bind::time(at);
+        let at = kestreltide_yang::bind::time(at);
         let mut out =
             format!("<notification xmlns=\"{NOTIFICATIONS}\"><eventTime>{at}</eventTime>");
         xml::write(self.schema, std::slice::from_ref(data), &mut out);
--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -4,9 +4,9 @@
 
 use kestreltide_datastore::desk::Refused;
 use kestreltide_datastore::{Fault, Path, Rights};
-use kestreltide_model::data::Instance;
-use kestreltide_model::edit::{EditFault, Tag};
-use kestreltide_model::xml::escaped;
+use kestreltide_yang::data::Instance;
+use kestreltide_yang::edit::{EditFault, Tag};
+use kestreltide_yang::xml::escaped;
 
 /// An rpc-error.
 #[derive(Clone, Debug, PartialEq)]
--- a/management/src/netconf/session/trial.rs
+++ b/management/src/netconf/session/trial.rs
@@ -1,9 +1,9 @@
 //! The model's own operations on the build on trial, each a commit of one edit.
 
 use kestreltide_datastore::{Candidate, Path, Rights};
-use kestreltide_model::data::Instance;
-use kestreltide_model::edit::of_xml;
-use kestreltide_model::xml::Element;
+use kestreltide_yang::data::Instance;
+use kestreltide_yang::edit::of_xml;
+use kestreltide_yang::xml::Element;
 
 use super::rpc_error::{RpcError, edit_error, validation_error};
 use super::{Asked, Session, Step};
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -4,9 +4,9 @@
 use kestreltide_datastore::desk::Published;
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::{Author, Fault, RevisionRecord, check};
-use kestreltide_model::bind::{Bind, decimal, time};
-use kestreltide_model::data::Under;
-use kestreltide_model::{Content, Data, NodeId, Schema};
+use kestreltide_yang::bind::{Bind, decimal, time};
+use kestreltide_yang::data::Under;
+use kestreltide_yang::{Content, Data, NodeId, Schema};
 
 /// Changes of one revision that are shown.
 const CHANGES: usize = 100;
--- a/management/tests/netconf.rs
+++ b/management/tests/netconf.rs
@@ -9,8 +9,8 @@
 use kestreltide_management::netconf::framing::{Frames, Framing, write};
 use kestreltide_management::netconf::session::{Asked, BASE, Session, Step};
 use kestreltide_management::{Handle, state};
-use kestreltide_model::bind::Bind;
-use kestreltide_model::{published, xml};
+use kestreltide_yang::bind::Bind;
+use kestreltide_yang::{published, xml};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/measure/src/capacity/fleet_run/net/hollow_router.rs
+++ b/measure/src/capacity/fleet_run/net/hollow_router.rs
@@ -10,7 +10,7 @@
 
 use kestreltide::interface::*;
 use kestreltide_router::protocol::{discovery, platform};
-use kestreltide_terms::{Fields, Names, decode};
+use kestreltide_settings::{Fields, Names, decode};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/measure/src/capacity/fleet_run/plan/tests.rs
+++ b/measure/src/capacity/fleet_run/plan/tests.rs
@@ -1,4 +1,4 @@
-use kestreltide_terms::{Fields, Names, decode};
+use kestreltide_settings::{Fields, Names, decode};
 
 use super::*;
 
--- a/measure/src/capacity/slopes/by_clients.rs
+++ b/measure/src/capacity/slopes/by_clients.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use kestreltide_standins::{Client, Program};
+use kestreltide_testkit::{Client, Program};
 
 use super::growth::{AtSize, By, Figure, Growth, Role, at_all_sizes, growths};
 use super::load::{Load, Shape};
--- a/measure/src/capacity/slopes/by_hosts.rs
+++ b/measure/src/capacity/slopes/by_hosts.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use kestreltide_standins::Program;
+use kestreltide_testkit::Program;
 
 use super::growth::{By, Figure, Growth, Role, at_all_sizes, growths};
 use super::load::{Load, Shape};
--- a/measure/src/capacity/slopes/by_routers.rs
+++ b/measure/src/capacity/slopes/by_routers.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::time::Instant;
 
-use kestreltide_standins::{PATIENCE, Program, config, list};
+use kestreltide_testkit::{PATIENCE, Program, config, list};
 use tempfile::TempDir;
 
 use crate::rig;
--- a/measure/src/capacity/slopes/by_routes.rs
+++ b/measure/src/capacity/slopes/by_routes.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-use kestreltide_standins::{Netconf, Office, Program};
+use kestreltide_testkit::{Netconf, Office, Program};
 
 use super::growth::{By, Figure, Growth, Role, at_all_sizes, growths};
 use super::load::{Load, Shape};
--- a/measure/src/capacity/slopes/files.rs
+++ b/measure/src/capacity/slopes/files.rs
@@ -8,7 +8,7 @@
 use std::process::Command;
 use std::time::Instant;
 
-use kestreltide_standins::Program;
+use kestreltide_testkit::Program;
 use tempfile::TempDir;
 
 use crate::rig;
--- a/measure/src/capacity/slopes/requests.rs
+++ b/measure/src/capacity/slopes/requests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use kestreltide_standins::{PATIENCE, Program};
+use kestreltide_testkit::{PATIENCE, Program};
 
 use super::load::Load;
 use super::site::{cpu_of, wait};
--- a/measure/src/capacity/slopes/site.rs
+++ b/measure/src/capacity/slopes/site.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use kestreltide_standins::{PATIENCE, Program, config, list, nobody};
+use kestreltide_testkit::{PATIENCE, Program, config, list, nobody};
 
 use crate::rig;
 
--- a/measure/src/demo.rs
+++ b/measure/src/demo.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use argh::FromArgs;
-use kestreltide_standins::{Discovery, Fleet, Host, Platform, Standing, config};
+use kestreltide_testkit::{Discovery, Fleet, Host, Platform, Standing, config};
 
 use crate::rig::{self, Clients};
 
--- a/measure/src/rig.rs
+++ b/measure/src/rig.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 use hdrhistogram::Histogram;
-use kestreltide_standins::{Client, Program, Seen, config, list, nobody};
+use kestreltide_testkit::{Client, Program, Seen, config, list, nobody};
 
 /// Set in the environment of a router under measurement.
 pub const AS_ROUTER: &str = "KESTRELTIDE_MEASURE_ROUTER";
--- a/measure/src/watched_files.rs
+++ b/measure/src/watched_files.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use argh::FromArgs;
-use kestreltide_standins::{Fleet, PATIENCE, Program};
+use kestreltide_testkit::{Fleet, PATIENCE, Program};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tempfile::TempDir;
--- a/router/src/fronts/keeper.rs
+++ b/router/src/fronts/keeper.rs
@@ -14,9 +14,9 @@
 use kestreltide_datastore::{
     Author, Candidate, Datastore, Facts, Fault, Faults, History, RuleTerms, Snapshot, Source, Tree,
 };
+use kestreltide_file_watch::form::{Spoken, Version};
+use kestreltide_file_watch::watch::{Told, look, spoken};
 use kestreltide_management::News;
-use kestreltide_watch::form::{Spoken, Version};
-use kestreltide_watch::watch::{Told, look, spoken};
 use slog::{Logger, info, warn};
 use tokio::sync::broadcast;
 
--- a/router/src/fronts/management.rs
+++ b/router/src/fronts/management.rs
@@ -7,10 +7,10 @@
 
 use arc_swap::ArcSwap;
 use kestreltide_datastore::Keys;
+use kestreltide_file_watch::form::{Spoken, keys};
+use kestreltide_file_watch::watch::{Told, Watched, look, wakes};
 use kestreltide_management::netconf::server::{Shared, serve as serve_netconf};
 use kestreltide_management::{Handle, Limits, gnmi, keys as russh_key};
-use kestreltide_watch::form::{Spoken, keys};
-use kestreltide_watch::watch::{Told, Watched, look, wakes};
 use slog::{Logger, error, info, warn};
 
 use super::supervise;
@@ -133,7 +133,7 @@
         let mut known = Some(digest);
         supervise(log.clone(), "keys", move || {
             let at = place(&watched);
-            let says = |contents: &[kestreltide_watch::Content]| match contents.first() {
+            let says = |contents: &[kestreltide_file_watch::Content]| match contents.first() {
                 Some(content) => keys(&at, content),
                 None => Spoken::Torn(Default::default()),
             };
@@ -156,7 +156,7 @@
                 }
                 true
             };
-            kestreltide_watch::run(
+            kestreltide_file_watch::run(
                 &watched,
                 known.take(),
                 (wake.clone(), &nudged),
--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -8,8 +8,8 @@
 
 use kestreltide::interface::{ServiceTerms, StageNews};
 use kestreltide_datastore::{Facts, Listed, RuleTerms, Snapshot};
+use kestreltide_file_watch::watch::{spoken, wakes};
 use kestreltide_management::Handle;
-use kestreltide_watch::watch::{spoken, wakes};
 use slog::Logger;
 
 use super::keeper::{Ask, Keeper, KeeperTerms};
@@ -124,10 +124,11 @@
             supervise(log.clone(), "watch", move || {
                 // After a death everything is told anew; what is in force already changes nothing.
                 let alive = || pulse.beat(clock.now());
-                let says =
-                    |contents: &[kestreltide_watch::Content]| spoken(&watching.files, contents);
+                let says = |contents: &[kestreltide_file_watch::Content]| {
+                    spoken(&watching.files, contents)
+                };
                 let tell = |told| tell.send(Ask::Files(told)).is_ok();
-                kestreltide_watch::run(
+                kestreltide_file_watch::run(
                     &watching.watched,
                     known.take(),
                     (waker.clone(), &nudged),
--- a/router/src/fronts/terms.rs
+++ b/router/src/fronts/terms.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 
 use kestreltide_datastore::History;
-use kestreltide_watch::form::Kind;
-use kestreltide_watch::watch::Watched;
+use kestreltide_file_watch::form::Kind;
+use kestreltide_file_watch::watch::Watched;
 
 /// Which files are watched, and who else lists hosts.
 #[derive(Clone, Debug, PartialEq)]
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -2,7 +2,7 @@
 
 use kestreltide::interface::ServiceTerms;
 use kestreltide_datastore::{MemoryTerms, Most};
-use kestreltide_terms::TransportTerms;
+use kestreltide_settings::TransportTerms;
 
 use crate::protocol::discovery::AnswerLimits;
 
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -6,8 +6,8 @@
 use argh::FromArgs;
 use kestreltide_datastore::{Author, Candidate, Datastore, Source};
 use kestreltide_datastore::{Facts, Faults, History, Most, RevisionRecord, RuleTerms, beyond};
-use kestreltide_watch::form::Spoken;
-use kestreltide_watch::watch::{look, spoken};
+use kestreltide_file_watch::form::Spoken;
+use kestreltide_file_watch::watch::{look, spoken};
 
 use super::config::{self, When};
 use super::operator;
@@ -61,10 +61,10 @@
 
 impl Models {
     pub(super) fn run(&self) -> Result<(), String> {
-        let schema = kestreltide_model::published()?;
+        let schema = kestreltide_yang::published()?;
         let Some(name) = &self.module else {
             (0..schema.modules.len())
-                .for_each(|module| println!("{}", kestreltide_model::tree::print(schema, module)));
+                .for_each(|module| println!("{}", kestreltide_yang::tree::print(schema, module)));
             return Ok(());
         };
         let known: Vec<_> = schema
--- a/router/src/program/config.rs
+++ b/router/src/program/config.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use kestreltide::interface::ServiceTerms;
-use kestreltide_terms::{Fields, Names, TransportTerms, decode};
+use kestreltide_settings::{Fields, Names, TransportTerms, decode};
 use serde::Deserialize;
 use serde::de::DeserializeSeed;
 use serde_json::Value;
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -8,10 +8,10 @@
 
 use kestreltide_datastore::draft::shown;
 use kestreltide_datastore::{Fault, Faults, History};
-use kestreltide_watch::form::Kind;
-use kestreltide_watch::ini::{self, Section};
-use kestreltide_watch::settle::Patience;
-use kestreltide_watch::watch::Watched;
+use kestreltide_file_watch::form::Kind;
+use kestreltide_file_watch::ini::{self, Section};
+use kestreltide_file_watch::settle::Patience;
+use kestreltide_file_watch::watch::Watched;
 
 use crate::fronts::{GnmiTerms, ManagementTerms, NetconfTerms, OperatorTerms, Watching};
 use crate::limits::Limits;
@@ -398,7 +398,8 @@
 /// Reads the file, and says of everything that is wrong what and where.
 pub fn load(path: &Path) -> Result<OperatorTerms, String> {
     let unread = |why: &dyn std::fmt::Display| format!("{}: cannot be read: {why}", path.display());
-    let bytes = kestreltide_watch::read::read(path, Limits::FILE).map_err(|why| unread(&why.0))?;
+    let bytes =
+        kestreltide_file_watch::read::read(path, Limits::FILE).map_err(|why| unread(&why.0))?;
     let text = String::from_utf8(bytes).map_err(|e| unread(&e))?;
     parse(path, &text).map_err(|faults| faults.to_string())
 }
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -20,7 +20,7 @@
 
 use kestreltide::choice::Router;
 use kestreltide::interface::*;
-use kestreltide_terms::TransportTerms;
+use kestreltide_settings::TransportTerms;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use slog::{Logger, info};
--- a/router/src/routing/send.rs
+++ b/router/src/routing/send.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use kestreltide::interface::*;
-use kestreltide_terms::{Reports, TransportTerms};
+use kestreltide_settings::{Reports, TransportTerms};
 use slog::{debug, warn};
 
 use super::{Due, HOSTS, Routing};
--- a/router/tests/clients.rs
+++ b/router/tests/clients.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use kestreltide_standins::*;
+use kestreltide_testkit::*;
 use rstest::rstest;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_kestreltide");
--- a/router/tests/discovery.rs
+++ b/router/tests/discovery.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use kestreltide_standins::*;
+use kestreltide_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_kestreltide");
 const READ: &str = "c=read,d=5000";
--- a/router/tests/full_size.rs
+++ b/router/tests/full_size.rs
@@ -13,7 +13,7 @@
 use std::{fs, thread};
 
 use kestreltide_router::protocol::discovery::{AnswerLimits, Chunks, response};
-use kestreltide_standins::*;
+use kestreltide_testkit::*;
 use rstest::rstest;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_kestreltide");
--- a/router/tests/operators.rs
+++ b/router/tests/operators.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use kestreltide_standins::*;
+use kestreltide_testkit::*;
 use rstest::rstest;
 use tempfile::TempDir;
 
--- a/router/tests/stories.rs
+++ b/router/tests/stories.rs
@@ -11,7 +11,7 @@
 use kestreltide_router::limits::RespLimits;
 use kestreltide_router::protocol::discovery::AnswerLimits;
 use kestreltide_router::protocol::{client, discovery, host, platform};
-use kestreltide_standins::*;
+use kestreltide_testkit::*;
 use rstest::rstest;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_kestreltide");
--- a/router/tests/upstream.rs
+++ b/router/tests/upstream.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use kestreltide_standins::*;
+use kestreltide_testkit::*;
 use rstest::rstest;
 use socket2::{Domain, Socket, Type};
 
--- a/terms/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings that are none: each is refused by its path, and nothing is put in the place of what is missing.
 
-use kestreltide_terms::{Fields, Names, decode};
+use kestreltide_settings::{Fields, Names, decode};
 use rstest::rstest;
 use serde_json::{Value, json};
 
--- a/benchlink/src/codec.rs
+++ b/simulator-adapter/src/codec.rs
@@ -5,7 +5,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use kestreltide::interface::*;
-use kestreltide_terms::{Fields, Names, TransportTerms, seconds};
+use kestreltide_settings::{Fields, Names, TransportTerms, seconds};
 
 use crate::fields::micros;
 
--- a/benchlink/src/fields.rs
+++ b/simulator-adapter/src/fields.rs
@@ -1,6 +1,6 @@
 //! One line of the wire: a name and `name=value` fields.
 
-use kestreltide_terms::Fields;
+use kestreltide_settings::Fields;
 
 const MICROS: f64 = 1e6;
 /// In microseconds: undoes the error of a division by a million, far below the wire's unit.
--- a/benchlink/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -13,7 +13,7 @@
 use codec::{decode_entry, decode_event, encode};
 use kestreltide::choice::Router;
 use kestreltide::interface::{Effect, Event, HostEntry, ListScope};
-use kestreltide_terms::{Fields, Names, TransportTerms, decode, seconds};
+use kestreltide_settings::{Fields, Names, TransportTerms, decode, seconds};
 
 struct Instance {
     router: Router,
@@ -185,7 +185,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("kestreltide-benchlink: {why}");
+            eprintln!("kestreltide-simulator-adapter: {why}");
             ExitCode::FAILURE
         }
     }
--- a/model/tests/model.rs
+++ b/yang/tests/model.rs
@@ -1,13 +1,13 @@
 //! Stories of the published models and of data by them.
 
 use kestreltide_datastore::{Path, Tree};
-use kestreltide_model::bind::{At, Bind};
-use kestreltide_model::data::{Content, Data, Instance, Under};
-use kestreltide_model::edit::{Edit, Op, Tag, apply, at_path, of_json, of_xml, one_of_json};
-use kestreltide_model::path::{Filter, Pattern};
-use kestreltide_model::schema::{NodeKind, Schema};
-use kestreltide_model::types::Type;
-use kestreltide_model::{MODULES, json, published, tree, xml, yang};
+use kestreltide_yang::bind::{At, Bind};
+use kestreltide_yang::data::{Content, Data, Instance, Under};
+use kestreltide_yang::edit::{Edit, Op, Tag, apply, at_path, of_json, of_xml, one_of_json};
+use kestreltide_yang::path::{Filter, Pattern};
+use kestreltide_yang::schema::{NodeKind, Schema};
+use kestreltide_yang::types::Type;
+use kestreltide_yang::{MODULES, json, published, tree, xml, yang};
 use proptest::prelude::*;
 use rstest::rstest;
 
