--- a/datastore/src/check.rs
+++ b/datastore/src/check.rs
@@ -62,21 +62,21 @@
     /// Names of the service's operations.
     pub operations: Vec<String>,
     pub routers: u32,
-    pub cold_share: f64,
-    pub cold_time: f64,
-    pub fall_multiple: f64,
+    pub slow_start_initial_fraction: f64,
+    pub slow_start_duration: f64,
+    pub overload_multiple: f64,
     pub most: Most,
 }
 
 impl RuleTerms {
-    pub fn new(terms: &ServiceTerms, operations: Vec<String>, most: Most) -> Self {
+    pub fn new(terms: &ServiceSettings, operations: Vec<String>, most: Most) -> Self {
         RuleTerms {
             most,
             operations,
             routers: terms.routers.max(1),
-            cold_share: terms.cold_share,
-            cold_time: terms.cold_time,
-            fall_multiple: terms.fall_multiple,
+            slow_start_initial_fraction: terms.slow_start_initial_fraction,
+            slow_start_duration: terms.slow_start_duration,
+            overload_multiple: terms.overload_multiple,
         }
     }
 }
@@ -85,12 +85,12 @@
     /// The part of its work that a host can do so long after its start.
     pub fn warmth(&self, started: Option<f64>, now: f64) -> f64 {
         let age = started.map_or(f64::INFINITY, |started| (now - started).max(0.0));
-        let part = if self.cold_time > 0.0 {
-            (age / self.cold_time).min(1.0)
+        let part = if self.slow_start_duration > 0.0 {
+            (age / self.slow_start_duration).min(1.0)
         } else {
             1.0
         };
-        self.cold_share + (1.0 - self.cold_share) * part
+        self.slow_start_initial_fraction + (1.0 - self.slow_start_initial_fraction) * part
     }
 }
 
@@ -102,7 +102,7 @@
     pub discovery: Option<Arc<[Listed]>>,
     /// Discovery has told its list, or is not asked.
     pub heard: bool,
-    pub news: Option<StageNews>,
+    pub news: Option<RolloutStatus>,
 }
 
 /// Processes that operators have drained, by name: when each had started, or was drained where nobody knows.
@@ -170,7 +170,7 @@
     /// The released build: the newest that is no trial any more, or every listed one before any news.
     fn released(&self, hosts: &BTreeMap<Arc<str>, Listed>) -> Vec<BuildId> {
         let builds: BTreeSet<_> = hosts.values().map(|host| host.build).collect();
-        let earlier = |news: &StageNews| builds.range(..news.build).next_back().copied();
+        let earlier = |news: &RolloutStatus| builds.range(..news.build).next_back().copied();
         match &self.facts.news {
             Some(news) if news.phase == Phase::Released => vec![news.build],
             Some(news) => earlier(news).into_iter().collect(),
@@ -406,7 +406,7 @@
 
 /// Rule 5: nothing is put to a build that the platform has taken back.
 fn builds_wanted(context: &Context, faults: &mut Faults) {
-    let gone = |news: &StageNews| matches!(news.phase, Phase::GoingBack | Phase::Withdrawn);
+    let gone = |news: &RolloutStatus| matches!(news.phase, Phase::RollingBack | Phase::RolledBack);
     let Some(news) = context.facts.news.filter(gone) else {
         return;
     };
@@ -467,7 +467,7 @@
     let trial = context
         .facts
         .news
-        .filter(|news| news.phase == Phase::OnTrial)
+        .filter(|news| news.phase == Phase::Canary)
         .map(|news| news.build);
     for build in context.released(&context.was).into_iter().chain(trial) {
         let of = |host: &Listed| host.build == build;
@@ -522,7 +522,7 @@
         return;
     }
     for (name, host) in names.iter().zip(&now).filter(|(_, host)| host.warmth < 1.0) {
-        let falls = terms.fall_multiple * host.warmth;
+        let falls = terms.overload_multiple * host.warmth;
         let share = narrow::share(host, &now);
         // A fair share is what every host gets without weights.
         if share <= falls.max(1.0) || earlier(name).is_some_and(|earlier| share <= GREW * earlier) {
@@ -539,9 +539,9 @@
             .get(name)
             .and_then(|host| host.started)
             .unwrap_or(context.facts.now);
-        let warm = ((share / terms.fall_multiple).min(1.0) - terms.cold_share)
-            / (1.0 - terms.cold_share).max(1e-9);
-        let passes = started + terms.cold_time * warm.clamp(0.0, 1.0);
+        let warm = ((share / terms.overload_multiple).min(1.0) - terms.slow_start_initial_fraction)
+            / (1.0 - terms.slow_start_initial_fraction).max(1e-9);
+        let passes = started + terms.slow_start_duration * warm.clamp(0.0, 1.0);
         let what = format!(
             "{who} would send the host {share:.2} times its fair share; it started {:.1} s ago, can do {:.2} of \
              its work and falls over at {falls:.2}",
@@ -643,7 +643,7 @@
             .is
             .values()
             .filter(serves)
-            .any(|host| route.pool.holds(&host.entry()));
+            .any(|host| route.pool.contains(&host.entry()));
         if !held {
             let what = "its pool would have no host of the released build in service";
             let fault = Fault::new(
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -27,7 +27,7 @@
 
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    pub set: Arc<OperatorSet>,
+    pub set: Arc<OperatorOverrides>,
     /// In ascending order of ids.
     pub hosts: Box<[Said]>,
     /// Of which hosts it says something else than the revision before, in ascending order.
@@ -77,10 +77,10 @@
             .collect();
         changed.sort();
         changed.dedup();
-        let set = Arc::new(OperatorSet {
+        let set = Arc::new(OperatorOverrides {
             revision,
             weights,
-            ring: ring(tree),
+            rollout: rollout_override(tree),
         });
         let routes = Arc::new(Routes::new(routes(tree)));
         let (follows, entries) = (old.revision(), Arc::default());
@@ -138,14 +138,14 @@
 }
 
 /// What operators ask of the build on trial, if they ask anything.
-fn ring(tree: &Tree) -> Option<RingWish> {
+fn rollout_override(tree: &Tree) -> Option<RolloutOverride> {
     let ring = &tree.ring;
     let build = BuildId(u16::try_from(ring.build?).ok()?);
-    let (hold, back) = (ring.hold == Some(true), ring.back == Some(true));
-    Some(RingWish {
+    let (hold, roll_back) = (ring.hold == Some(true), ring.back == Some(true));
+    Some(RolloutOverride {
         build,
         hold,
-        back,
+        roll_back,
         cap: ring.cap.unwrap_or(1.0),
     })
 }
--- a/datastore/src/view.rs
+++ b/datastore/src/view.rs
@@ -14,7 +14,7 @@
     pub succeeded: u64,
     pub throttled: u64,
     pub terminated: u64,
-    pub dispatches: u64,
+    pub attempts: u64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -24,7 +24,7 @@
     /// What discovery lists, also who is gone; `None` where it is not asked.
     pub discovery: Option<Arc<[Listed]>>,
     pub heard: bool,
-    pub news: Option<StageNews>,
+    pub news: Option<RolloutStatus>,
     /// In force in the loop.
     pub revision: Revision,
     /// Revisions that the loop took since the start, and its longest pause for one, in seconds.
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -13,10 +13,10 @@
 
 fn phase(phase: Phase) -> &'static str {
     match phase {
-        Phase::OnTrial => "on-trial",
-        Phase::GoingBack => "going-back",
+        Phase::Canary => "on-trial",
+        Phase::RollingBack => "going-back",
         Phase::Released => "released",
-        Phase::Withdrawn => "withdrawn",
+        Phase::RolledBack => "withdrawn",
     }
 }
 
@@ -59,7 +59,7 @@
             .put("throttled", of.throttled);
         counts
             .put("terminated", of.terminated)
-            .put("dispatches", of.dispatches);
+            .put("dispatches", of.attempts);
     });
     if let Some(news) = view.news {
         state.with("trial", |trial| {
--- a/measure/src/capacity/fleet_run/hollow/tests.rs
+++ b/measure/src/capacity/fleet_run/hollow/tests.rs
@@ -53,10 +53,10 @@
     out
 }
 
-fn standing(build: u16, phase: Phase) -> StageNews {
-    let verdict = Verdict::Succeeded;
-    StageNews {
-        verdict,
+fn standing(build: u16, phase: Phase) -> RolloutStatus {
+    let outcome = AttemptOutcome::Succeeded;
+    RolloutStatus {
+        outcome,
         build: BuildId(build),
         stage: 0,
         phase,
@@ -89,7 +89,7 @@
     router.input(
         AT_START,
         Input::List {
-            scope: ListScope::Whole,
+            scope: ListScope::Full,
             entries,
         },
         &mut out,
@@ -116,13 +116,13 @@
     for router in &mut routers {
         router.input(
             AT_START,
-            Input::Stage(standing(42, Phase::OnTrial)),
+            Input::Stage(standing(42, Phase::Canary)),
             &mut out,
         );
         router.input(
             AT_START,
             Input::List {
-                scope: ListScope::Whole,
+                scope: ListScope::Full,
                 entries: entries.clone(),
             },
             &mut out,
@@ -143,7 +143,8 @@
                         routers[1 - me].input(moment, input, &mut out);
                     }
                     Output::Vote {
-                        sense: Sense::Back, ..
+                        vote: Vote::RollBack,
+                        ..
                     } => back += 1,
                     _ => {}
                 }
--- a/measure/src/capacity/simulation/evidence/tests.rs
+++ b/measure/src/capacity/simulation/evidence/tests.rs
@@ -40,20 +40,20 @@
         100.0,
     )
     .news(100.0);
-    router.handle(100.0, Event::Stage(news), &mut effects);
+    router.handle(100.0, Event::RolloutStatusReceived(news), &mut effects);
     let alarm = effects.iter().find_map(|effect| match effect {
-        Effect::SetAlarm { key, .. } => Some(*key),
+        Effect::ScheduleTimer { key, .. } => Some(*key),
         _ => None,
     });
     router.handle(
         100.2,
-        Event::Alarm {
+        Event::TimerExpired {
             key: alarm.expect("a beat"),
         },
         &mut effects,
     );
     let payload = effects.iter().find_map(|effect| match effect {
-        Effect::Tell { payload, .. } => Some(payload),
+        Effect::SendGossip { payload, .. } => Some(payload),
         _ => None,
     });
     let told = Told::read(payload.expect("a message")).expect("a message");
--- a/measure/src/capacity/simulation/fleet/machines.rs
+++ b/measure/src/capacity/simulation/fleet/machines.rs
@@ -21,7 +21,7 @@
 impl Fleet {
     /// The build that the platform wants a machine to run.
     fn wanted(&self, machine: usize) -> BuildId {
-        let trial = self.platform.phase() == Phase::OnTrial;
+        let trial = self.platform.phase() == Phase::Canary;
         let part = (self.platform.share() * self.order.len() as f64).ceil() as usize;
         if trial && self.order[..part].contains(&machine) {
             self.platform.build()
@@ -86,8 +86,8 @@
                 let member = &mut self.members[router];
                 if member.up && member.following && member.place.region == region {
                     member.push_at = (self.now + member.push_lag).max(member.push_at + 1e-6);
-                    let event = Event::Hosts {
-                        scope: ListScope::Changes,
+                    let event = Event::EndpointList {
+                        scope: ListScope::Delta,
                         entries: entries.clone(),
                     };
                     let (at, incarnation) = (member.push_at, member.incarnation);
--- a/measure/src/capacity/simulation/fleet/mod.rs
+++ b/measure/src/capacity/simulation/fleet/mod.rs
@@ -103,11 +103,11 @@
     push_at: f64,
     news_at: f64,
     following: bool,
-    told: Option<StageNews>,
+    told: Option<RolloutStatus>,
     /// Rule 5 for this process of it, by what it was told.
     exposure: Exposure,
     /// Since when, and how many dispatches.
-    open: HashMap<InvId, (f64, u32)>,
+    open: HashMap<RequestId, (f64, u32)>,
 }
 
 enum Happening {
@@ -123,7 +123,7 @@
     News {
         router: usize,
         incarnation: u32,
-        news: StageNews,
+        news: RolloutStatus,
     },
     ListServed {
         router: usize,
@@ -134,12 +134,12 @@
         incarnation: u32,
         build: BuildId,
         stage: u32,
-        sense: Sense,
+        vote: Vote,
     },
     VoteAnswered {
         router: usize,
         incarnation: u32,
-        verdict: Verdict,
+        outcome: AttemptOutcome,
     },
     StartRouter {
         router: usize,
@@ -170,8 +170,8 @@
 struct Answered {
     router: usize,
     incarnation: u32,
-    inv: InvId,
-    dispatch: u32,
+    request: RequestId,
+    attempt: u32,
     host: HostId,
     sent: f64,
     time_out: f64,
@@ -189,14 +189,14 @@
     platform_everywhere: bool,
     platform: Platform,
     /// What each region was last told by the platform.
-    told: Vec<StageNews>,
+    told: Vec<RolloutStatus>,
     discovery: Vec<Discovery>,
     /// In which order machines get a new build.
     order: Vec<usize>,
     released: BuildId,
     newest: BuildId,
     qualities: HashMap<BuildId, Quality>,
-    set: Arc<OperatorSet>,
+    set: Arc<OperatorOverrides>,
     pub exposure: Exposure,
     /// The worst of one router, since the newest build was offered.
     pub worst_router: Worst,
@@ -217,8 +217,8 @@
         let cold = ColdTerms {
             share: settings::COLD_SHARE,
             time: settings::COLD_TIME,
-            fall_multiple: settings::FALL_MULTIPLE,
-            fall_time: settings::FALL_TIME,
+            overload_multiple: settings::FALL_MULTIPLE,
+            overload_duration: settings::FALL_TIME,
             fair: plan::REQUESTS_A_HOST,
         };
         let mut hosts = Hosts::new(cold);
@@ -353,13 +353,13 @@
                 incarnation,
                 build,
                 stage,
-                sense,
-            } => self.vote_arrives(router, incarnation, (build, stage, sense)),
+                vote,
+            } => self.vote_arrives(router, incarnation, (build, stage, vote)),
             Happening::VoteAnswered {
                 router,
                 incarnation,
-                verdict,
-            } => self.vote_answered(router, incarnation, verdict),
+                outcome,
+            } => self.vote_answered(router, incarnation, outcome),
             Happening::StartRouter { router } => self.start_router(router),
             Happening::RestartAny => {
                 let any = self.random.random_range(0..self.members.len());
@@ -388,7 +388,7 @@
     fn start_router(&mut self, router: usize) {
         let seed = self.random.random();
         let region = self.members[router].place.region;
-        let terms = ServiceTerms {
+        let terms = ServiceSettings {
             me: RouterId(router as u32),
             ..settings::service_terms(self.terms.routers, self.members[router].place.zone)
         };
@@ -403,16 +403,16 @@
         self.deliver(
             0.0,
             router,
-            Event::Hosts {
-                scope: ListScope::Remembered,
+            Event::EndpointList {
+                scope: ListScope::Cached,
                 entries,
             },
         );
         self.deliver(
             0.000_5,
             router,
-            Event::Operators {
-                set: self.set.clone(),
+            Event::OperatorOverridesApplied {
+                overrides: self.set.clone(),
                 entries: Arc::new([]),
             },
         );
@@ -452,12 +452,12 @@
     }
 
     /// Seconds later, by chance between these two, a router has this news; none overtakes another.
-    fn tell(&mut self, router: usize, news: StageNews, lag: [f64; 2]) {
+    fn tell(&mut self, router: usize, news: RolloutStatus, lag: [f64; 2]) {
         let lag = between(lag, &mut self.random);
         let member = &mut self.members[router];
         let at = (self.now + lag).max(member.news_at + 1e-6);
         member.news_at = at;
-        let news = StageNews {
+        let news = RolloutStatus {
             age: news.age + at - self.now,
             ..news
         };
@@ -507,7 +507,7 @@
             self.released = self.platform.build();
         }
         let gone =
-            self.platform.phase() == Phase::GoingBack && !self.hosts.runs(self.platform.build());
+            self.platform.phase() == Phase::RollingBack && !self.hosts.runs(self.platform.build());
         if gone {
             self.platform.withdrawn(self.now);
         }
@@ -530,7 +530,7 @@
     /// Routers that are up and were last told something else than the platform tells now.
     pub fn differing(&self) -> usize {
         let news = self.platform.news(self.now);
-        let same = |told: StageNews| {
+        let same = |told: RolloutStatus| {
             (told.build, told.stage, told.phase) == (news.build, news.stage, news.phase)
         };
         self.members
--- a/measure/src/capacity/simulation/hosts/tests.rs
+++ b/measure/src/capacity/simulation/hosts/tests.rs
@@ -7,8 +7,8 @@
 const TERMS: ColdTerms = ColdTerms {
     share: 0.5,
     time: 2.0,
-    fall_multiple: 3.0,
-    fall_time: 2.0,
+    overload_multiple: 3.0,
+    overload_duration: 2.0,
     fair: 1.0,
 };
 
@@ -23,7 +23,8 @@
     let (mut hosts, mut random) = one();
     let mut times = vec![];
     for _ in 0..20 {
-        let Answer::Served { after, error } = hosts.dispatch(HostId(0), 100.0, &mut random) else {
+        let Answer::Served { after, error } = hosts.start_attempt(HostId(0), 100.0, &mut random)
+        else {
             panic!()
         };
         assert!(!error);
@@ -31,7 +32,7 @@
     }
     assert!(times[..2].iter().all(|after| *after < 0.3), "{times:?}");
     assert!(times[18..].iter().all(|after| *after > 0.3), "{times:?}");
-    let later = hosts.dispatch(HostId(0), 110.0, &mut random);
+    let later = hosts.start_attempt(HostId(0), 110.0, &mut random);
     assert!(
         matches!(later, Answer::Served { after, .. } if after < 0.3),
         "{later:?}"
@@ -41,10 +42,10 @@
 #[test]
 fn what_comes_to_a_cold_host_is_held_against_what_it_bears() {
     let (mut hosts, mut random) = one();
-    (0..9).for_each(|_| _ = hosts.dispatch(HostId(0), 100.0, &mut random));
+    (0..9).for_each(|_| _ = hosts.start_attempt(HostId(0), 100.0, &mut random));
     assert_eq!(hosts.worst_cold, 0.0, "it is warm");
     let cold = hosts.start(0, NEW, GOOD, 100.0);
-    (0..3).for_each(|_| _ = hosts.dispatch(cold.host, 100.0, &mut random));
+    (0..3).for_each(|_| _ = hosts.start_attempt(cold.host, 100.0, &mut random));
     // Half warm, three times a dispatch a second for two seconds: three.
     assert_eq!(hosts.worst_cold, 1.0);
 }
@@ -57,12 +58,12 @@
     hosts.drain(HostId(0));
     assert_eq!(hosts.end(HostId(0)).state, HostState::Gone);
     assert_eq!(
-        hosts.dispatch(HostId(0), 101.0, &mut random),
+        hosts.start_attempt(HostId(0), 101.0, &mut random),
         Answer::Refused
     );
     assert_eq!(hosts.lose(0, 102.0).len(), 1, "only what ran");
     assert_eq!(
-        hosts.dispatch(next.host, 103.0, &mut random),
+        hosts.start_attempt(next.host, 103.0, &mut random),
         Answer::Silence
     );
     assert!(hosts.lost_since(next.host, 101.0) && !hosts.lost_since(next.host, 102.5));
--- a/measure/src/capacity/simulation/scenario/mod.rs
+++ b/measure/src/capacity/simulation/scenario/mod.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use kestreltide::interface::{Phase, Sense};
+use kestreltide::interface::{Phase, Vote};
 
 use super::exposure::Worst;
 use super::fleet::{Counts, Fleet, FleetTerms};
@@ -126,7 +126,7 @@
     /// Whether it went as its build deserves.
     pub fn is_right(&self, bad: bool) -> bool {
         let right = if bad {
-            Phase::GoingBack
+            Phase::RollingBack
         } else {
             Phase::Released
         };
@@ -281,12 +281,12 @@
             return;
         };
         let (platform, now) = (self.fleet.platform(), self.fleet.now);
-        let standing = [Sense::On, Sense::Back].map(|sense| platform.standing(sense, now));
+        let standing = [Vote::Promote, Vote::RollBack].map(|vote| platform.standing(vote, now));
         for (most, standing) in trial.standing.iter_mut().zip(standing) {
             *most = standing.max(*most);
         }
         match platform.phase() {
-            Phase::OnTrial => self.open = Some((trial, begun)),
+            Phase::Canary => self.open = Some((trial, begun)),
             phase => {
                 let decided = Some((phase, at - trial.offered));
                 self.close((trial, begun), decided);
@@ -320,7 +320,7 @@
         };
         let settled = matches!(
             self.fleet.platform().phase(),
-            Phase::Released | Phase::Withdrawn
+            Phase::Released | Phase::RolledBack
         );
         let free = self.open.is_none() && settled;
         let too_late = match when {
--- a/measure/src/fleet/tests.rs
+++ b/measure/src/fleet/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 const ONE: &str = "0.1 Dec 02 00:00:10.100 INFO starting, router: n0, version: 0.1.0\n\
-    Dec 02 00:00:11.500 INFO a vote is cast, router: n0, build: 8, stage: 0, sense: On\n\
+    Dec 02 00:00:11.500 INFO vote cast, router: n0, build: 8, stage: 0, vote: Promote\n\
     no line of ours\n\
     Dec 02 00:00:13.900 INFO state, router: n0, open: 1, counts: taken 8 told 4 ends: succeeded 7 timed_out 4\n";
 const TWO: &str = "Dec 02 00:00:10.000 INFO starting, router: n1\n\
-    Dec 02 00:00:12.500 INFO a vote is cast, router: n1, build: 8, stage: 0, sense: Back\n\
-    Dec 02 00:00:13.100 INFO a vote is cast, router: n1, build: 8, stage: 1, sense: None\n\
+    Dec 02 00:00:12.500 INFO vote cast, router: n1, build: 8, stage: 0, vote: RollBack\n\
+    Dec 02 00:00:13.100 INFO vote cast, router: n1, build: 8, stage: 1, vote: Abstain\n\
     Dec 02 00:00:12.000 WARN discovery does not answer, router: n1, why: no answer in time\n";
 
 #[test]
--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -6,7 +6,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use kestreltide::interface::{ServiceTerms, StageNews};
+use kestreltide::interface::{RolloutStatus, ServiceSettings};
 use kestreltide_datastore::{Facts, Listed, RuleTerms, Snapshot};
 use kestreltide_file_watch::watch::{spoken, wakes};
 use kestreltide_management::Handle;
@@ -57,7 +57,7 @@
     pub clock: Clock,
     pub limits: &'a Limits,
     pub router: &'a str,
-    pub terms: &'a ServiceTerms,
+    pub terms: &'a ServiceSettings,
     /// Names of the service's operations.
     pub operations: Vec<String>,
 }
@@ -72,7 +72,7 @@
         net: &mut Net,
         operators: &OperatorTerms,
         listed: Option<Vec<Listed>>,
-        news: Option<StageNews>,
+        news: Option<RolloutStatus>,
     ) -> Result<Option<Joined>, String> {
         if !operators.any() {
             return Ok(None);
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -1,8 +1,8 @@
 //! Every limit of the router: sizes, counts and times, filled once at start and handed down.
 
-use kestreltide::interface::ServiceTerms;
+use kestreltide::interface::ServiceSettings;
 use kestreltide_datastore::{MemoryTerms, Most};
-use kestreltide_settings::TransportTerms;
+use kestreltide_settings::TransportSettings;
 
 use crate::protocol::discovery::AnswerLimits;
 
@@ -249,8 +249,8 @@
         sockets: usize,
         memory_mb: usize,
         room: &Room,
-        terms: &ServiceTerms,
-        transport: &TransportTerms,
+        terms: &ServiceSettings,
+        transport: &TransportSettings,
     ) -> Self {
         let value = 64 * KIB;
         let message = value + 4 * KIB;
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -133,9 +133,9 @@
             return Ok(RuleTerms {
                 operations: vec![],
                 routers: 1,
-                cold_share: 1.0,
-                cold_time: 0.0,
-                fall_multiple: f64::MAX,
+                slow_start_initial_fraction: 1.0,
+                slow_start_duration: 0.0,
+                overload_multiple: f64::MAX,
                 most: Most::default(),
             });
         };
--- a/router/src/program/config.rs
+++ b/router/src/program/config.rs
@@ -5,8 +5,8 @@
 use std::io::Read;
 use std::net::SocketAddr;
 
-use kestreltide::interface::ServiceTerms;
-use kestreltide_settings::{Fields, Names, TransportTerms, decode};
+use kestreltide::interface::ServiceSettings;
+use kestreltide_settings::{Fields, Names, TransportSettings, decode};
 use serde::Deserialize;
 use serde::de::DeserializeSeed;
 use serde_json::Value;
@@ -66,8 +66,8 @@
     pub peers_all: Option<SocketAddr>,
     pub platform: Option<Platform>,
     pub known: Option<List<'a>>,
-    pub terms: ServiceTerms,
-    pub transport: TransportTerms,
+    pub terms: ServiceSettings,
+    pub transport: TransportSettings,
     /// What memory is left for the hosts that are listed.
     pub room: Room,
 }
@@ -241,8 +241,8 @@
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
     platform: bool,
-    terms: ServiceTerms,
-    transport: TransportTerms,
+    terms: ServiceSettings,
+    transport: TransportSettings,
 }
 
 impl Fixed {
--- a/router/src/protocol/client.rs
+++ b/router/src/protocol/client.rs
@@ -11,7 +11,7 @@
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command<'a> {
-    Invocation(Asked<'a>),
+    Request(Asked<'a>),
     Ping,
     /// A set-up command that many client libraries send, which changes nothing here.
     SetUp,
@@ -39,7 +39,7 @@
     };
     let name = words[0].to_ascii_uppercase();
     let command = match name.as_slice() {
-        IDEMPOTENT | OTHERS => Command::Invocation(asked(words, name == IDEMPOTENT, limits)?),
+        IDEMPOTENT | OTHERS => Command::Request(asked(words, name == IDEMPOTENT, limits)?),
         b"PING" => Command::Ping,
         b"CLIENT" | b"SELECT" => Command::SetUp,
         _ => Command::Unknown,
--- a/router/src/protocol/platform.rs
+++ b/router/src/protocol/platform.rs
@@ -2,7 +2,7 @@
 
 use std::borrow::Cow;
 
-use kestreltide::interface::{BuildId, Phase, Sense, StageNews, Verdict};
+use kestreltide::interface::{AttemptOutcome, BuildId, Phase, RolloutStatus, Vote};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -24,7 +24,7 @@
     },
     Error {
         call: u64,
-        verdict: Verdict,
+        outcome: AttemptOutcome,
     },
     Unknown,
 }
@@ -40,7 +40,7 @@
 }
 
 impl State {
-    pub fn news(&self, answers_vote: bool) -> StageNews {
+    pub fn news(&self, answers_vote: bool) -> RolloutStatus {
         let State {
             build,
             stage,
@@ -48,8 +48,8 @@
             cap,
             age,
         } = *self;
-        StageNews {
-            verdict: Verdict::Succeeded,
+        RolloutStatus {
+            outcome: AttemptOutcome::Succeeded,
             build,
             stage,
             phase,
@@ -100,10 +100,10 @@
 impl StateForm {
     pub fn state(&self) -> State {
         let phase = match self.progress {
-            Progress::Testing => Phase::OnTrial,
-            Progress::Recalling => Phase::GoingBack,
+            Progress::Testing => Phase::Canary,
+            Progress::Recalling => Phase::RollingBack,
             Progress::Live => Phase::Released,
-            Progress::Recalled => Phase::Withdrawn,
+            Progress::Recalled => Phase::RolledBack,
         };
         let (build, stage, cap) = (BuildId(self.image), self.ring, self.ceiling.clamp(0.0, 1.0));
         State {
@@ -144,12 +144,12 @@
 fn told(text: &str) -> Result<Told<'_>, Malformed> {
     let line: Line = parse(text)?;
     if let (Some(call), Some(error)) = (line.id, &line.error) {
-        let verdict = match error.message.as_ref() {
-            "too_many_calls" => Verdict::Full,
-            "out_of_date" => Verdict::Moot,
-            _ => Verdict::Error,
+        let outcome = match error.message.as_ref() {
+            "too_many_calls" => AttemptOutcome::Rejected,
+            "out_of_date" => AttemptOutcome::Irrelevant,
+            _ => AttemptOutcome::Error,
         };
-        return Ok(Told::Error { call, verdict });
+        return Ok(Told::Error { call, outcome });
     }
     if let (Some(call), Some(result)) = (line.id, line.result) {
         let state = result
@@ -189,12 +189,12 @@
     );
 }
 
-pub fn write_vote(out: &mut Vec<u8>, call: u64, build: BuildId, stage: u32, sense: Sense) {
-    let opinion = match sense {
-        Sense::None => "none",
-        Sense::On => "on",
-        Sense::Hold => "hold",
-        Sense::Back => "back",
+pub fn write_vote(out: &mut Vec<u8>, call: u64, build: BuildId, stage: u32, vote: Vote) {
+    let opinion = match vote {
+        Vote::Abstain => "none",
+        Vote::Promote => "on",
+        Vote::Hold => "hold",
+        Vote::RollBack => "back",
     };
     let params = format!(
         "{{\"image\":{},\"ring\":{stage},\"opinion\":\"{opinion}\"}}",
--- a/router/src/routing/admit.rs
+++ b/router/src/routing/admit.rs
@@ -24,7 +24,7 @@
 pub(super) struct Admitted {
     pub(super) client: SocketId,
     pub(super) kept: Kept,
-    pub(super) dispatches: u32,
+    pub(super) attempts: u32,
     /// The client is gone, which the decisions are still to hear.
     pub(super) left: bool,
 }
@@ -47,7 +47,7 @@
         }
         // The client's own id goes to hosts unchanged; here a number stands for it, which nobody can repeat.
         self.last_inv += 1;
-        let id = InvId(self.last_inv.to_string().into());
+        let id = RequestId(self.last_inv.to_string().into());
         self.held += kept.size();
         self.open_ids.insert(kept.id().into(), client);
         self.tally.taken += 1;
@@ -59,11 +59,11 @@
             Admitted {
                 client,
                 kept,
-                dispatches: 0,
+                attempts: 0,
                 left: false,
             },
         );
-        self.events.push_back(Event::Arrived(Invocation {
+        self.events.push_back(Event::RequestReceived(Request {
             id,
             operation,
             key,
@@ -75,8 +75,8 @@
     }
 
     /// The invocation owes no answer any more.
-    pub(super) fn release(&mut self, inv: &InvId) -> Option<Admitted> {
-        let admitted = self.admitted.remove(inv)?;
+    pub(super) fn release(&mut self, request: &RequestId) -> Option<Admitted> {
+        let admitted = self.admitted.remove(request)?;
         self.held -= admitted.kept.size();
         if !admitted.left {
             self.open_ids.remove(admitted.kept.id());
--- a/router/src/routing/book.rs
+++ b/router/src/routing/book.rs
@@ -170,15 +170,15 @@
     }
 }
 
-const VERDICTS: [(Verdict, &str); 8] = [
-    (Verdict::Succeeded, "succeeded"),
-    (Verdict::Error, "error"),
-    (Verdict::Full, "full"),
-    (Verdict::TimedOut, "timed_out"),
-    (Verdict::NoConnection, "no_connection"),
-    (Verdict::Reset, "reset"),
-    (Verdict::Recalled, "recalled"),
-    (Verdict::Moot, "moot"),
+const VERDICTS: [(AttemptOutcome, &str); 8] = [
+    (AttemptOutcome::Succeeded, "succeeded"),
+    (AttemptOutcome::Error, "error"),
+    (AttemptOutcome::Rejected, "full"),
+    (AttemptOutcome::TimedOut, "timed_out"),
+    (AttemptOutcome::NoConnection, "no_connection"),
+    (AttemptOutcome::Reset, "reset"),
+    (AttemptOutcome::Cancelled, "recalled"),
+    (AttemptOutcome::Irrelevant, "moot"),
 ];
 
 /// Counts since the state was last told.
@@ -193,7 +193,7 @@
     pub(super) terminated: u64,
     pub(super) left: u64,
     pub(super) malformed: u64,
-    pub(super) dispatches: u64,
+    pub(super) attempts: u64,
     pub(super) links: u64,
     /// What all routers share: calls to discovery, votes and those that did not count, messages between routers.
     pub(super) lists: u64,
@@ -218,12 +218,12 @@
             succeeded: before.succeeded + self.succeeded,
             throttled: before.throttled + self.throttled,
             terminated: before.terminated + self.terminated,
-            dispatches: before.dispatches + self.dispatches,
+            attempts: before.attempts + self.attempts,
         }
     }
 
-    pub(super) fn count(&mut self, verdict: Verdict) {
-        if let Some(place) = VERDICTS.iter().position(|(of, _)| *of == verdict) {
+    pub(super) fn count(&mut self, outcome: AttemptOutcome) {
+        if let Some(place) = VERDICTS.iter().position(|(of, _)| *of == outcome) {
             self.ends[place] += 1;
         }
     }
@@ -253,7 +253,7 @@
             ("terminated", self.terminated),
             ("left", self.left),
             ("malformed", self.malformed),
-            ("dispatches", self.dispatches),
+            ("dispatches", self.attempts),
             ("new_links", self.links),
             ("lists", self.lists),
             ("votes", self.votes),
--- a/router/src/routing/discovery.rs
+++ b/router/src/routing/discovery.rs
@@ -111,7 +111,7 @@
 impl Routing {
     /// What this router knew of the hosts before it was started.
     pub fn remember(&mut self, list: &List) {
-        self.take_list(list, ListScope::Remembered);
+        self.take_list(list, ListScope::Cached);
         // What has changed since then is asked for in one call, where a whole list and a watch are two: after a
         // mass restart discovery has as many to serve.
         self.discovery.rev = Some(list.rev).filter(|_| self.discovery.on_demand);
@@ -144,7 +144,7 @@
                 && self.discovery.on_demand
             {
                 self.discovery.following &= asked == Asked::Once;
-                self.events.push_back(Event::ListFailed);
+                self.events.push_back(Event::EndpointListFailed);
             }
         }
         self.watch_begin();
@@ -287,17 +287,17 @@
         }
         let list = discovery::list(&response.body)?;
         let scope = if list.all {
-            ListScope::Whole
+            ListScope::Full
         } else {
-            ListScope::Changes
+            ListScope::Delta
         };
         if self.discovery.rev.is_some_and(|rev| list.rev < rev) {
             if self.discovery.taken != call.taken {
                 // Another list came while this one was under way: it would bring back what has passed. On demand
                 // each call is answered, be it with nothing.
                 if self.discovery.on_demand {
-                    self.events.push_back(Event::Hosts {
-                        scope: ListScope::Changes,
+                    self.events.push_back(Event::EndpointList {
+                        scope: ListScope::Delta,
                         entries: [].into(),
                     });
                 }
@@ -328,7 +328,7 @@
     fn take_list(&mut self, list: &List, scope: ListScope) {
         self.discovery.told = true;
         self.finish_staging();
-        let whole = scope != ListScope::Changes;
+        let whole = scope != ListScope::Delta;
         let mut targets: Vec<_> = list.targets.iter().collect();
         if whole {
             self.tell_doubled(list);
@@ -372,7 +372,7 @@
         info!(self.log, "hosts"; "rev" => list.rev, "scope" => ?scope, "entries" => entries.len(),
             "running" => entries.iter().filter(|entry| entry.state == HostState::Running).count(),
             "youngest" => youngest);
-        self.events.push_back(Event::Hosts {
+        self.events.push_back(Event::EndpointList {
             scope,
             entries: entries.into(),
         });
@@ -492,7 +492,7 @@
         warn!(self.log, "discovery does not answer"; "why" => why.to_owned());
         if self.discovery.on_demand {
             self.discovery.following &= asked == Asked::Once;
-            return self.events.push_back(Event::ListFailed);
+            return self.events.push_back(Event::EndpointListFailed);
         }
         let now = self.clock.now();
         let stood = now - since >= self.limits.retry[1];
--- a/router/src/routing/fronts.rs
+++ b/router/src/routing/fronts.rs
@@ -168,7 +168,7 @@
         }
         let begun = self.clock.now();
         let to = (from + self.limits.staged).min(snapshot.entries.len());
-        self.route(Event::Staged {
+        self.route(Event::EndpointsStaged {
             entries: snapshot.entries.clone(),
             from,
             to,
@@ -193,8 +193,8 @@
         let entries = self.hosts.take(snapshot, staged);
         let count = snapshot.changed.len();
         self.close_unwanted();
-        self.route(Event::Operators {
-            set: snapshot.set.clone(),
+        self.route(Event::OperatorOverridesApplied {
+            overrides: snapshot.set.clone(),
             entries,
         });
         let (now, revision) = (self.clock.now(), snapshot.revision());
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -20,7 +20,7 @@
 
 use kestreltide::choice::Router;
 use kestreltide::interface::*;
-use kestreltide_settings::TransportTerms;
+use kestreltide_settings::TransportSettings;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use slog::{Logger, info};
@@ -70,7 +70,7 @@
 /// What is due at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Due {
-    Decisions(AlarmKey),
+    Decisions(TimerKey),
     /// The use of a connection to a host that has this number must be over.
     UseOver(SocketId, u64),
     /// By now the connection must be up and the command written.
@@ -102,8 +102,8 @@
 pub struct Routing {
     log: Logger,
     limits: Limits,
-    transport: TransportTerms,
-    repeats: Vec<Repeats>,
+    transport: TransportSettings,
+    idempotency: Vec<Idempotency>,
     clock: Clock,
     net: Net,
     decisions: Router,
@@ -118,7 +118,7 @@
     alarms: Alarms<Due>,
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
-    admitted: BTreeMap<InvId, Admitted>,
+    admitted: BTreeMap<RequestId, Admitted>,
     /// As clients named them, and who holds each.
     open_ids: BTreeMap<Box<[u8]>, SocketId>,
     held: usize,
@@ -129,7 +129,7 @@
     discovery: Discovery,
     platform: Option<Platform>,
     /// The newest build, as last told.
-    newest: Option<StageNews>,
+    newest: Option<RolloutStatus>,
     peers: Option<Peers>,
     /// Where other threads post, where there are any.
     fronts: Option<fronts::Fronts>,
@@ -154,17 +154,17 @@
         log: Logger,
         (limits, clock): (Limits, Clock),
         mut net: Net,
-        told: (ServiceTerms, TransportTerms),
+        told: (ServiceSettings, TransportSettings),
         parties: Parties,
         seed: u64,
     ) -> io::Result<Self> {
         let (now, (terms, transport)) = (clock.now(), told);
         let listener = Listener::open(&mut net, parties.listen, limits.backlog, LISTENER)?;
         let at = listener.address()?;
-        let repeats = terms.operations.iter().map(|o| o.repeats).collect();
-        let discovery = Discovery::new(parties.discovery, terms.list_asked, &limits);
+        let idempotency = terms.operations.iter().map(|o| o.idempotency).collect();
+        let discovery = Discovery::new(parties.discovery, terms.polls_endpoint_list, &limits);
         let platform = parties.platform.map(|at| Platform::new(at, &limits));
-        let peers = match parties.peer_listen.filter(|_| terms.may_tell) {
+        let peers = match parties.peer_listen.filter(|_| terms.may_gossip) {
             Some(at) => Some(Peers::open(
                 &mut net,
                 at,
@@ -204,7 +204,7 @@
             log,
             limits,
             transport,
-            repeats,
+            idempotency,
             clock,
             net,
             discovery,
@@ -318,7 +318,7 @@
 
     fn due(&mut self, due: Due) {
         match due {
-            Due::Decisions(key) => self.events.push_back(Event::Alarm { key }),
+            Due::Decisions(key) => self.events.push_back(Event::TimerExpired { key }),
             Due::UseOver(id, number) => self.use_over(id, number),
             Due::WriteOver(id, number) => self.write_over(id, number),
             Due::AcceptAgain => {
--- a/router/src/routing/peers.rs
+++ b/router/src/routing/peers.rs
@@ -73,7 +73,7 @@
             match known {
                 Some(from) => {
                     self.tally.heard_peers += 1;
-                    self.events.push_back(Event::Told {
+                    self.events.push_back(Event::GossipReceived {
                         from: *from,
                         payload: payload.to_vec(),
                     });
--- a/router/src/routing/platform.rs
+++ b/router/src/routing/platform.rs
@@ -13,15 +13,15 @@
 use crate::transport::{Fill, SocketId, Stream};
 
 /// A vote that has no answer yet.
-struct Vote {
+struct PendingVote {
     written: bool,
-    what: StageNews,
+    what: RolloutStatus,
 }
 
 pub(super) struct Platform {
     at: SocketAddr,
     stream: Option<Stream>,
-    votes: BTreeMap<u64, Vote>,
+    votes: BTreeMap<u64, PendingVote>,
     call: u64,
     /// When the last byte came, and where a line has begun and not ended, when the last of it.
     last: f64,
@@ -63,7 +63,7 @@
 
 impl Routing {
     /// What this router knew of the builds before it was started.
-    pub fn remember_state(&mut self, news: StageNews) {
+    pub fn remember_state(&mut self, news: RolloutStatus) {
         self.told_news(news);
         self.settle();
     }
@@ -106,13 +106,13 @@
         self.platform_begin();
     }
 
-    pub(super) fn cast(&mut self, build: BuildId, stage: u32, sense: Sense) {
+    pub(super) fn cast(&mut self, build: BuildId, stage: u32, vote: Vote) {
         let now = self.clock.now();
-        let what = StageNews {
-            verdict: Verdict::NoConnection,
+        let what = RolloutStatus {
+            outcome: AttemptOutcome::NoConnection,
             build,
             stage,
-            phase: Phase::OnTrial,
+            phase: Phase::Canary,
             cap: 0.0,
             age: 0.0,
             answers_vote: true,
@@ -121,21 +121,21 @@
         let open =
             |platform: &&mut Platform| platform.stream.is_some() && platform.votes.len() < most;
         let Some(platform) = self.platform.as_mut().filter(open) else {
-            return self.events.push_back(Event::Stage(what));
+            return self.events.push_back(Event::RolloutStatusReceived(what));
         };
         let call = platform.next_call();
         if let Some(stream) = &mut platform.stream {
-            platform::write_vote(stream.output(), call, build, stage, sense);
+            platform::write_vote(stream.output(), call, build, stage, vote);
         }
         platform.votes.insert(
             call,
-            Vote {
+            PendingVote {
                 written: false,
                 what,
             },
         );
         self.tally.votes += 1;
-        info!(self.log, "a vote is cast"; "build" => build.0, "stage" => stage, "sense" => ?sense);
+        info!(self.log, "vote cast"; "build" => build.0, "stage" => stage, "vote" => ?vote);
         self.set_due(now + self.limits.vote_time, Due::VoteOver(call));
         self.platform_ready();
     }
@@ -252,20 +252,23 @@
                     match state {
                         Some(state) => self.news(&state, true),
                         // An answer that cannot be read leaves open whether the vote counts.
-                        None => self.events.push_back(Event::Stage(unread(vote.what))),
+                        None => self
+                            .events
+                            .push_back(Event::RolloutStatusReceived(unread(vote.what))),
                     }
                 }
             }
-            Told::Error { call, verdict } => {
+            Told::Error { call, outcome } => {
                 if let Some(vote) = platform.votes.remove(&call) {
                     self.tally.votes_away += 1;
-                    debug!(self.log, "a vote does not count"; "verdict" => ?verdict);
-                    self.events.push_back(Event::Stage(StageNews {
-                        verdict,
-                        ..vote.what
-                    }));
+                    debug!(self.log, "a vote does not count"; "verdict" => ?outcome);
+                    self.events
+                        .push_back(Event::RolloutStatusReceived(RolloutStatus {
+                            outcome,
+                            ..vote.what
+                        }));
                 } else {
-                    warn!(self.log, "the platform refuses to be followed"; "verdict" => ?verdict);
+                    warn!(self.log, "the platform refuses to be followed"; "verdict" => ?outcome);
                 }
             }
             Told::Complaint {
@@ -276,7 +279,7 @@
                 let operation = self.transport.operations.get(operation.as_ref());
                 if let Some(operation) = operation.copied() {
                     let host = HostId::named(&host);
-                    self.events.push_back(Event::Disputed {
+                    self.events.push_back(Event::AnswerDisputed {
                         host,
                         operation,
                         age,
@@ -301,12 +304,12 @@
         self.told_news(state.news(answers_vote));
     }
 
-    fn told_news(&mut self, news: StageNews) {
+    fn told_news(&mut self, news: RolloutStatus) {
         self.newest = self
             .newest
             .filter(|newest| newest.build > news.build)
             .or(Some(news));
-        self.events.push_back(Event::Stage(news));
+        self.events.push_back(Event::RolloutStatusReceived(news));
         self.view_changed();
     }
 
@@ -340,7 +343,7 @@
             } else {
                 vote.what
             };
-            self.events.push_back(Event::Stage(what));
+            self.events.push_back(Event::RolloutStatusReceived(what));
         }
     }
 
@@ -365,7 +368,7 @@
             } else {
                 vote.what
             };
-            self.events.push_back(Event::Stage(what));
+            self.events.push_back(Event::RolloutStatusReceived(what));
         }
     }
 
@@ -375,9 +378,9 @@
     }
 }
 
-fn unread(what: StageNews) -> StageNews {
-    StageNews {
-        verdict: Verdict::TimedOut,
+fn unread(what: RolloutStatus) -> RolloutStatus {
+    RolloutStatus {
+        outcome: AttemptOutcome::TimedOut,
         ..what
     }
 }
--- a/router/src/routing/relay.rs
+++ b/router/src/routing/relay.rs
@@ -1,6 +1,6 @@
 //! Relay: answers go to clients, each client's in the order of its commands.
 
-use kestreltide::interface::InvId;
+use kestreltide::interface::RequestId;
 
 use super::Routing;
 use super::take_in::{Client, Waiting};
@@ -8,8 +8,8 @@
 
 impl Routing {
     /// The final answer to an invocation; what it held is let go. False where none was owed.
-    pub(super) fn answer(&mut self, inv: &InvId, write: impl FnOnce(&mut Vec<u8>)) -> bool {
-        let Some(admitted) = self.release(inv) else {
+    pub(super) fn answer(&mut self, request: &RequestId, write: impl FnOnce(&mut Vec<u8>)) -> bool {
+        let Some(admitted) = self.release(request) else {
             return false;
         };
         let id = admitted.client;
@@ -21,7 +21,7 @@
         let place = client
             .queue
             .iter()
-            .position(|waiting| matches!(waiting, Waiting::For(of) if of == inv));
+            .position(|waiting| matches!(waiting, Waiting::For(of) if of == request));
         match place {
             Some(0) => {
                 write(client.stream.output());
--- a/router/src/routing/send.rs
+++ b/router/src/routing/send.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use kestreltide::interface::*;
-use kestreltide_settings::{Reports, TransportTerms};
+use kestreltide_settings::{Reports, TransportSettings};
 use slog::{debug, warn};
 
 use super::{Due, HOSTS, Routing};
@@ -16,8 +16,8 @@
 
 /// A dispatch that is out.
 struct Out {
-    inv: InvId,
-    no: DispatchNo,
+    request: RequestId,
+    no: AttemptNumber,
 }
 
 enum Use {
@@ -47,54 +47,61 @@
     }
 
     /// The request whose command is not written whole, so that no host has begun it.
-    fn unwritten(&self) -> Option<&InvId> {
+    fn unwritten(&self) -> Option<&RequestId> {
         match &self.at_use {
-            Use::Dispatch(out) if !self.written => Some(&out.inv),
+            Use::Dispatch(out) if !self.written => Some(&out.request),
             _ => None,
         }
     }
 }
 
 impl Routing {
-    pub(super) fn send(&mut self, inv: InvId, host: HostId, time_out: f64, on: ConnectionTerms) {
+    pub(super) fn send(
+        &mut self,
+        request: RequestId,
+        host: HostId,
+        time_out: f64,
+        on: ConnectionRequirements,
+    ) {
         let now = self.clock.now();
-        let Some(admitted) = self.admitted.get_mut(&inv) else {
+        let Some(admitted) = self.admitted.get_mut(&request) else {
             return;
         };
-        let no = DispatchNo(admitted.dispatches);
-        admitted.dispatches += 1;
+        let no = AttemptNumber(admitted.attempts);
+        admitted.attempts += 1;
         let left = admitted.left;
-        self.tally.dispatches += 1;
+        self.tally.attempts += 1;
         // A first attempt follows the read that brought its request, which found no close.
-        if left || no.0 > 0 && self.is_client_gone(&inv) {
+        if left || no.0 > 0 && self.is_client_gone(&request) {
             // Decided before the decisions could hear that the client has left: nothing goes out any more.
             return self.ended(
-                Out { inv, no },
+                Out { request, no },
                 host,
-                Verdict::Moot,
+                AttemptOutcome::Irrelevant,
                 (0.0, 0.0),
                 LoadReport::default(),
             );
         }
         let Some(id) = self.link_to(host, now, on) else {
             return self.ended(
-                Out { inv, no },
+                Out { request, no },
                 host,
-                Verdict::NoConnection,
+                AttemptOutcome::NoConnection,
                 (0.0, 0.0),
                 LoadReport::default(),
             );
         };
         // As long as the router will wait, and never told as nothing.
         let millis = (time_out * MILLIS).ceil().max(1.0) as u64;
-        if let (Some(link), Some(admitted)) = (self.links.get_mut(&id), self.admitted.get(&inv)) {
+        if let (Some(link), Some(admitted)) = (self.links.get_mut(&id), self.admitted.get(&request))
+        {
             admitted.kept.write(link.stream.output(), millis);
         }
         self.begin_use(
             id,
-            Use::Dispatch(Out { inv, no }),
+            Use::Dispatch(Out { request, no }),
             now,
-            (time_out, on.written_within),
+            (time_out, on.write_within),
         );
     }
 
@@ -106,18 +113,18 @@
             .filter(|link| matches!(link.at_use, Use::Probe))
             .count();
         let room = probes < self.limits.probes;
-        let (longest, written_within) = (f64::INFINITY, self.limits.connect_time);
-        let any = ConnectionTerms {
-            unused_most: longest,
-            rested_least: 0.0,
-            resting_most: 1,
-            written_within,
+        let (longest, write_within) = (f64::INFINITY, self.limits.connect_time);
+        let any = ConnectionRequirements {
+            max_idle: longest,
+            min_rest: 0.0,
+            max_resting: 1,
+            write_within,
         };
         let Some(id) = room.then(|| self.link_to(host, now, any)).flatten() else {
             let load = LoadReport::default();
-            return self.events.push_back(Event::Probed {
+            return self.events.push_back(Event::HealthCheckFinished {
                 host,
-                verdict: Verdict::NoConnection,
+                outcome: AttemptOutcome::NoConnection,
                 took: 0.0,
                 load,
             });
@@ -125,12 +132,7 @@
         if let Some(link) = self.links.get_mut(&id) {
             host::write_probe(link.stream.output(), self.transport.reports != Reports::Off);
         }
-        self.begin_use(
-            id,
-            Use::Probe,
-            now,
-            (self.limits.probe_time, written_within),
-        );
+        self.begin_use(id, Use::Probe, now, (self.limits.probe_time, write_within));
     }
 
     fn begin_use(
@@ -138,7 +140,7 @@
         id: SocketId,
         at_use: Use,
         now: f64,
-        (time_out, written_within): (f64, f64),
+        (time_out, write_within): (f64, f64),
     ) {
         let Some(link) = self.links.get_mut(&id) else {
             return;
@@ -151,20 +153,17 @@
         self.write_link(id);
         // Connecting has its time, and what is decided has to be written while what it was decided by holds.
         if self.links.get(&id).is_some_and(|link| !link.written) {
-            let within = self.limits.connect_time.min(written_within);
+            let within = self.limits.connect_time.min(write_within);
             self.set_due(now + within, Due::WriteOver(id, number));
         }
     }
 
     /// The freshest connection that has rested for long enough and not been without use for too long, or a new
     /// one.
-    fn link_to(&mut self, host: HostId, now: f64, on: ConnectionTerms) -> Option<SocketId> {
-        while let Some((id, since)) = self
-            .pools
-            .take(host, now - on.rested_least, on.resting_most)
-        {
+    fn link_to(&mut self, host: HostId, now: f64, on: ConnectionRequirements) -> Option<SocketId> {
+        while let Some((id, since)) = self.pools.take(host, now - on.min_rest, on.max_resting) {
             // Its host may be closing it by now; what is written then is reset, and may not be repeated.
-            if now - since > on.unused_most.min(self.limits.idle_time) {
+            if now - since > on.max_idle.min(self.limits.idle_time) {
                 self.close_link(id);
                 self.close_idle(host);
                 break;
@@ -233,7 +232,7 @@
     pub(super) fn link_ready(&mut self, id: SocketId) {
         // What concerns hosts goes before what clients have done: a close may lie unread.
         let waits = self.links.get(&id).and_then(Link::unwritten).cloned();
-        if waits.is_some_and(|inv| self.is_client_gone(&inv)) || !self.write_link(id) {
+        if waits.is_some_and(|request| self.is_client_gone(&request)) || !self.write_link(id) {
             return;
         }
         loop {
@@ -274,7 +273,7 @@
                 self.tally.malformed += 1;
                 // It may have run, and what came of it came in time: an error of the host's, not a lost link.
                 // As a reset it would count as late, and a few spoilt answers would narrow what is kept open.
-                self.end_use(id, |_| Verdict::Error);
+                self.end_use(id, |_| AttemptOutcome::Error);
             }
         }
     }
@@ -295,7 +294,7 @@
                         Err(Malformed::new("an answer is too long"))
                     };
                 };
-                let (verdict, load) = match answer {
+                let (outcome, load) = match answer {
                     // No host has begun it.
                     Answer::Value { .. } if !link.written => {
                         return Err(Malformed::new(
@@ -303,25 +302,27 @@
                         ));
                     }
                     Answer::Value { value, load } => {
-                        self.relay_value(&out.inv, value);
-                        (Verdict::Succeeded, load)
+                        self.relay_value(&out.request, value);
+                        (AttemptOutcome::Succeeded, load)
                     }
-                    Answer::Error { load } => (Verdict::Error, load),
-                    Answer::Full { load } => (Verdict::Full, load),
+                    Answer::Error { load } => (AttemptOutcome::Error, load),
+                    Answer::Full { load } => (AttemptOutcome::Rejected, load),
                     Answer::Refused(line) => {
                         warn!(self.log, "a host refused the form of a command"; "line" => line.to_owned());
-                        (Verdict::Error, None)
+                        (AttemptOutcome::Error, None)
                     }
                 };
                 let load = load.filter(|_| self.transport.reports == Reports::Inline);
-                let load = load.map(TransportTerms::load_by_name).unwrap_or_default();
+                let load = load
+                    .map(TransportSettings::load_by_name)
+                    .unwrap_or_default();
                 self.ended(
                     Out {
-                        inv: out.inv.clone(),
+                        request: out.request.clone(),
                         no: out.no,
                     },
                     host,
-                    verdict,
+                    outcome,
                     (took, link.unused),
                     load,
                 );
@@ -336,15 +337,17 @@
                         Err(Malformed::new("an answer is too long"))
                     };
                 };
-                let verdict = if well {
-                    Verdict::Succeeded
+                let outcome = if well {
+                    AttemptOutcome::Succeeded
                 } else {
-                    Verdict::Error
+                    AttemptOutcome::Error
                 };
-                let load = load.map(TransportTerms::load_by_name).unwrap_or_default();
-                self.events.push_back(Event::Probed {
+                let load = load
+                    .map(TransportSettings::load_by_name)
+                    .unwrap_or_default();
+                self.events.push_back(Event::HealthCheckFinished {
                     host,
-                    verdict,
+                    outcome,
                     took,
                     load,
                 });
@@ -353,8 +356,8 @@
         }
     }
 
-    fn relay_value(&mut self, inv: &InvId, value: &[u8]) {
-        if self.answer(inv, |out| write_bulk(out, value)) {
+    fn relay_value(&mut self, request: &RequestId, value: &[u8]) {
+        if self.answer(request, |out| write_bulk(out, value)) {
             self.tally.succeeded += 1;
         }
     }
@@ -383,14 +386,14 @@
     /// how far its command had come.
     fn link_broke(&mut self, id: SocketId) {
         self.last_look(id);
-        let verdict = |written| {
+        let outcome = |written| {
             if written {
-                Verdict::Reset
+                AttemptOutcome::Reset
             } else {
-                Verdict::NoConnection
+                AttemptOutcome::NoConnection
             }
         };
-        self.end_use(id, verdict);
+        self.end_use(id, outcome);
     }
 
     /// Takes an answer that is here already, before what it answers is given up.
@@ -407,25 +410,25 @@
     }
 
     /// Gives up what a connection carries; giving up closes it.
-    fn end_use(&mut self, id: SocketId, verdict: impl Fn(bool) -> Verdict) {
+    fn end_use(&mut self, id: SocketId, outcome: impl Fn(bool) -> AttemptOutcome) {
         let Some(link) = self.links.remove(&id) else {
             return;
         };
-        let (verdict, host) = (verdict(link.written), link.host);
+        let (outcome, host) = (outcome(link.written), link.host);
         let took = self.clock.now() - link.since;
         match link.at_use {
             Use::Idle => self.pools.forget(host, id),
             Use::Dispatch(out) => self.ended(
                 out,
                 host,
-                verdict,
+                outcome,
                 (took, link.unused),
                 LoadReport::default(),
             ),
             Use::Probe => {
-                self.events.push_back(Event::Probed {
+                self.events.push_back(Event::HealthCheckFinished {
                     host,
-                    verdict,
+                    outcome,
                     took,
                     load: LoadReport::default(),
                 });
@@ -437,7 +440,11 @@
     /// Gives up the attempts whose clients are gone and whose command is not written whole, so that no host has begun
     /// them: a connection may come up long after its client has gone.
     pub(super) fn give_up_unwritten(&mut self) {
-        let gone = |inv: &InvId| self.admitted.get(inv).is_some_and(|admitted| admitted.left);
+        let gone = |request: &RequestId| {
+            self.admitted
+                .get(request)
+                .is_some_and(|admitted| admitted.left)
+        };
         let waits = |link: &Link| link.unwritten().is_some_and(gone);
         let given_up = self
             .links
@@ -445,7 +452,7 @@
             .filter(|(_, link)| waits(link))
             .map(|(id, _)| *id);
         for id in given_up.collect::<Vec<_>>() {
-            self.end_use(id, |_| Verdict::Moot);
+            self.end_use(id, |_| AttemptOutcome::Irrelevant);
         }
     }
 
@@ -464,7 +471,7 @@
                 .is_some_and(|l| !self.hosts.wanted(l.host, l.to))
         };
         for id in idle.into_iter().filter(unwanted).collect::<Vec<_>>() {
-            self.end_use(id, |_| Verdict::Moot);
+            self.end_use(id, |_| AttemptOutcome::Irrelevant);
         }
     }
 
@@ -478,9 +485,9 @@
             // A command whose last byte was never written has not been begun.
             self.end_use(id, |written| {
                 if written {
-                    Verdict::TimedOut
+                    AttemptOutcome::TimedOut
                 } else {
-                    Verdict::NoConnection
+                    AttemptOutcome::NoConnection
                 }
             });
         }
@@ -496,15 +503,15 @@
         }
     }
 
-    pub(super) fn recall(&mut self, inv: &InvId, no: DispatchNo) {
-        let of = |link: &Link| matches!(&link.at_use, Use::Dispatch(out) if out.inv == *inv && out.no == no);
+    pub(super) fn recall(&mut self, request: &RequestId, no: AttemptNumber) {
+        let of = |link: &Link| matches!(&link.at_use, Use::Dispatch(out) if out.request == *request && out.no == no);
         if let Some(id) = self
             .links
             .iter()
             .find(|(_, link)| of(link))
             .map(|(id, _)| *id)
         {
-            self.end_use(id, |_| Verdict::Recalled);
+            self.end_use(id, |_| AttemptOutcome::Cancelled);
         }
     }
 
@@ -512,19 +519,25 @@
         &mut self,
         out: Out,
         host: HostId,
-        verdict: Verdict,
+        outcome: AttemptOutcome,
         times: (f64, f64),
         load: LoadReport,
     ) {
-        self.tally.count(verdict);
-        let Out { inv, no: dispatch } = out;
-        let over = self.admitted.get(&inv).is_none_or(|admitted| admitted.left);
+        self.tally.count(outcome);
+        let Out {
+            request,
+            no: attempt,
+        } = out;
+        let over = self
+            .admitted
+            .get(&request)
+            .is_none_or(|admitted| admitted.left);
         let (took, unused) = (times.0, Some(times.1));
-        self.events.push_back(Event::Ended {
-            inv,
-            dispatch,
+        self.events.push_back(Event::AttemptFinished {
+            request,
+            attempt,
             host,
-            verdict,
+            outcome,
             over,
             took,
             load,
--- a/router/src/routing/shutdown.rs
+++ b/router/src/routing/shutdown.rs
@@ -302,10 +302,10 @@
         let open: Vec<_> = self
             .admitted
             .iter()
-            .map(|(inv, admitted)| (inv.clone(), admitted.dispatches))
+            .map(|(request, admitted)| (request.clone(), admitted.attempts))
             .collect();
-        for (inv, dispatches) in open {
-            self.answer(&inv, |out| match dispatches {
+        for (request, attempts) in open {
+            self.answer(&request, |out| match attempts {
                 // There is no room any more, and it has run nowhere.
                 0 => write_throttled(out, None),
                 _ => write_error(out, "ERR failed"),
--- a/router/src/routing/take_in.rs
+++ b/router/src/routing/take_in.rs
@@ -15,7 +15,7 @@
 
 /// A command that was taken: its answer is to come, or waits for those before it.
 pub(super) enum Waiting {
-    For(InvId),
+    For(RequestId),
     Answered(Vec<u8>),
 }
 
@@ -336,7 +336,7 @@
     /// What is to be done about a command whose last byte arrived at this time.
     fn step(&self, command: Command, arrived: Option<f64>) -> Result<Step, Malformed> {
         let asked = match command {
-            Command::Invocation(asked) => asked,
+            Command::Request(asked) => asked,
             Command::Ping if self.ready => return Ok(Step::Reply("PONG")),
             Command::Ping => return Ok(Step::Fail("ERR starting")),
             Command::SetUp => return Ok(Step::Reply("OK")),
@@ -344,12 +344,15 @@
         };
         let operation = self.transport.operations.get(asked.operation);
         let operation = *operation.ok_or_else(|| Malformed::new("the operation is not known"))?;
-        match self.repeats.get(operation.0) {
-            Some(Repeats::Idempotent) if asked.idempotent => {}
-            Some(Repeats::Fingerprinted { .. }) if !asked.idempotent && !asked.fingerprinted => {
+        match self.idempotency.get(operation.0) {
+            Some(Idempotency::Idempotent) if asked.idempotent => {}
+            Some(Idempotency::IdempotencyKey { .. })
+                if !asked.idempotent && !asked.fingerprinted =>
+            {
                 return Err(Malformed::new("no fingerprint (k)"));
             }
-            Some(Repeats::Fingerprinted { .. } | Repeats::SideEffecting) if !asked.idempotent => {}
+            Some(Idempotency::IdempotencyKey { .. } | Idempotency::NonIdempotent)
+                if !asked.idempotent => {}
             _ => return Err(Malformed::new("the command is not that of the operation")),
         }
         // Hosts know an invocation by its id: with another's, one would be answered for the other.
@@ -444,14 +447,14 @@
         };
         let waited = !client.queue.is_empty();
         for waiting in client.queue {
-            if let Waiting::For(inv) = waiting
-                && let Some(admitted) = self.admitted.get_mut(&inv)
+            if let Waiting::For(request) = waiting
+                && let Some(admitted) = self.admitted.get_mut(&request)
             {
                 admitted.left = true;
                 // Free at once: it may come again before the decisions have heard of this.
                 self.open_ids.remove(admitted.kept.id());
                 self.tally.left += 1;
-                self.events.push_back(Event::ClientLeft { inv });
+                self.events.push_back(Event::ClientDisconnected { request });
             }
         }
         client.stream.close(&self.net);
@@ -461,8 +464,8 @@
     }
 
     /// Whether the client of this request is gone, be it that its close is not read yet.
-    pub(super) fn is_client_gone(&mut self, inv: &InvId) -> bool {
-        let Some(admitted) = self.admitted.get(inv) else {
+    pub(super) fn is_client_gone(&mut self, request: &RequestId) -> bool {
+        let Some(admitted) = self.admitted.get(request) else {
             return false;
         };
         let (id, left) = (admitted.client, admitted.left);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -74,7 +74,7 @@
 
 /// What an adapter itself needs of the settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TransportTerms {
+pub struct TransportSettings {
     pub operations: BTreeMap<String, OperationId>,
     load_fields: Vec<LoadField>,
     pub reports: Reports,
@@ -85,10 +85,10 @@
     pub most_open: usize,
 }
 
-impl TransportTerms {
+impl TransportSettings {
     fn put(report: &mut LoadReport, field: LoadField, value: f64) {
         match field {
-            LoadField::Held => report.held = Some(value),
+            LoadField::Held => report.in_flight = Some(value),
             LoadField::Queued => report.queued = Some(value),
             LoadField::Busy => report.busy = Some(value),
             LoadField::ServiceMillis => report.service_time = Some(value / 1e3),
@@ -150,7 +150,7 @@
     Ok(names)
 }
 
-fn operation_terms(fields: &Fields, number: usize) -> Result<OperationTerms, String> {
+fn operation_terms(fields: &Fields, number: usize) -> Result<OperationSettings, String> {
     let key = |field: &str| format!("request_classes.{number}.{field}");
     #[derive(Clone, Copy)]
     enum Effect {
@@ -164,30 +164,30 @@
         ("once", Effect::Once),
     ];
     let groups = [
-        ("all", RepeatGroup::All),
-        ("zone", RepeatGroup::Zone),
-        ("cell", RepeatGroup::Cell),
+        ("all", IdempotencyScope::All),
+        ("zone", IdempotencyScope::Zone),
+        ("cell", IdempotencyScope::Cell),
     ];
-    let repeats = match fields.one_of(&key("effect"), &effects)? {
-        Effect::Repeatable => Repeats::Idempotent,
-        Effect::ByKey => Repeats::Fingerprinted {
-            group: fields.one_of(&key("group"), &groups)?,
+    let idempotency = match fields.one_of(&key("effect"), &effects)? {
+        Effect::Repeatable => Idempotency::Idempotent,
+        Effect::ByKey => Idempotency::IdempotencyKey {
+            scope: fields.one_of(&key("group"), &groups)?,
             window: fields.time_in(&key("window"), SOME_TIME)?,
         },
-        Effect::Once => Repeats::SideEffecting,
+        Effect::Once => Idempotency::NonIdempotent,
     };
     let stretch = key("aim_stretch");
-    Ok(OperationTerms {
-        slo_time: fields.time_in(&key("slo"), SOME_TIME)?,
-        slo_stretch: if fields.maybe(&stretch).is_some() {
+    Ok(OperationSettings {
+        latency_objective: fields.time_in(&key("slo"), SOME_TIME)?,
+        latency_objective_stretch: if fields.maybe(&stretch).is_some() {
             fields.number_in(&stretch, ANY)?
         } else {
             0.0
         },
         time_limit: fields.time_in(&key("give_up"), SOME_TIME)?,
-        repeats,
-        billed_value: fields.number_in(&key("credit"), ANY)?,
-        late_share: fields.number_in(&key("late_worth"), SHARE)?,
+        idempotency,
+        priority_weight: fields.number_in(&key("credit"), ANY)?,
+        late_value_fraction: fields.number_in(&key("late_worth"), SHARE)?,
         streamed: fields.yes_or_no(&key("stream"))?,
     })
 }
@@ -216,7 +216,7 @@
 pub fn decode(
     fields: &Fields,
     zones: &mut Names,
-) -> Result<(ServiceTerms, TransportTerms), String> {
+) -> Result<(ServiceSettings, TransportSettings), String> {
     let count: usize = fields.count("request_classes.count", 1..=OPERATIONS)?;
     let by_name = names(fields, "request_classes", count)?;
     let by_name = by_name.into_iter().zip((0..).map(OperationId)).collect();
@@ -225,7 +225,7 @@
         .collect::<Result<Vec<_>, _>>()?;
     check_tenants(fields)?;
     let sizes = [
-        ("off", Sizes::Untold),
+        ("off", Sizes::Unspecified),
         ("nominal", Sizes::Registered),
         ("rough", Sizes::Rough),
         ("live", Sizes::Live),
@@ -245,7 +245,7 @@
         .unwrap_or_default()
         .split(',');
     let load_fields = load_fields.filter(|name| !name.is_empty()).map(load_field);
-    let transport = TransportTerms {
+    let transport = TransportSettings {
         operations: by_name,
         load_fields: load_fields.collect(),
         reports: fields.one_of("telemetry.via", &reports)?,
@@ -265,21 +265,21 @@
         return Err(fields.wrong("extra.most_shares", why));
     }
     let rate = fields.number_in("extra.api_rate", ANY)?;
-    let terms = ServiceTerms {
+    let terms = ServiceSettings {
         me: RouterId(fields.count("me", 0..=routers - 1)?),
         routers,
         zone: Some(zones.zone(fields.text("my_zone")?)),
         operations,
-        billed_by_work: fields.one_of("worth_by", &[("work", true), ("request", false)])?,
-        list_asked: fields.one_of("discovery", &[("ask", true), ("push", false)])?,
-        ask_every: fields.time_in("guarantees.ask_every", SOME_TIME)?,
+        weighted_by_work: fields.one_of("worth_by", &[("work", true), ("request", false)])?,
+        polls_endpoint_list: fields.one_of("discovery", &[("ask", true), ("push", false)])?,
+        endpoint_poll_interval: fields.time_in("guarantees.ask_every", SOME_TIME)?,
         sizes: fields.one_of("weight_kind", &sizes)?,
         gate: fields.one_of("extra.gate_mode", &gates)?,
         votes_on: fields.count("extra.votes_to_go", 0..=ROUTERS)?,
         votes_back: fields.count("extra.back_votes", 0..=ROUTERS)?,
         votes_hold: fields.count("extra.stoppers", 0..=ROUTERS)?,
         bake: fields.time_in("extra.bake", ANY_TIME)?,
-        ballot_life: fields.time_in("extra.ballot_ttl", SOME_TIME)?,
+        vote_lifetime: fields.time_in("extra.ballot_ttl", SOME_TIME)?,
         vote_wait: fields.time_in("extra.vote_wait", SOME_TIME)?,
         // 0: the platform takes any number.
         vote_rate: if rate > 0.0 { rate } else { f64::INFINITY },
@@ -288,10 +288,10 @@
         exposure_window: fields.time_in("extra.counted_over", SOME_TIME)?,
         exposure_spare: fields.number_in("extra.spare_tries", ANY)?,
         exposure_by_operation: fields.one_of("extra.counts", &[("class", true), ("all", false)])?,
-        guarded_stages: fields.whole("extra.guarded_stages")?,
-        keys_bound: fields.yes_or_no("extra.no_return")?,
+        idempotent_only_stages: fields.whole("extra.guarded_stages")?,
+        sticky_keys: fields.yes_or_no("extra.no_return")?,
         // The one key of these that may be absent, by the pages.
-        keys_warm: fields.maybe("extra.warm_keys").is_some()
+        key_affinity: fields.maybe("extra.warm_keys").is_some()
             && fields.yes_or_no("extra.warm_keys")?,
         in_place: fields.one_of(
             "extra.replace_mode",
@@ -299,17 +299,17 @@
         )?,
         dispute_share: fields.number_in("extra.flag_share", SHARE)?,
         drain_grace: fields.time_in("guarantees.drain_grace", ANY_TIME)?,
-        cold_share: fields.number_in("guarantees.cold_share", SOME_SHARE)?,
-        cold_time: fields.time_in("guarantees.cold", ANY_TIME)?,
-        fall_multiple: fields.number_in("guarantees.fall_multiple", SOME)?,
-        fall_time: fields.time_in("guarantees.fall", ANY_TIME)?,
+        slow_start_initial_fraction: fields.number_in("guarantees.cold_share", SOME_SHARE)?,
+        slow_start_duration: fields.time_in("guarantees.cold", ANY_TIME)?,
+        overload_multiple: fields.number_in("guarantees.fall_multiple", SOME)?,
+        overload_duration: fields.time_in("guarantees.fall", ANY_TIME)?,
         may_probe: fields.yes_or_no("permissions.may_probe")?,
-        may_tell: fields.yes_or_no("permissions.peers")?,
-        may_recall: fields.yes_or_no("permissions.cancel")?,
-        may_copy: fields.yes_or_no("permissions.second_copies")?,
-        may_advise: fields.yes_or_no("permissions.retry_after")?,
-        longest_advice: fields.time_in("permissions.max_retry_after", ANY_TIME)?,
-        most_dispatches: fields.count("permissions.max_attempts", 1..=ROUTERS)?,
+        may_gossip: fields.yes_or_no("permissions.peers")?,
+        may_cancel_attempts: fields.yes_or_no("permissions.cancel")?,
+        may_hedge: fields.yes_or_no("permissions.second_copies")?,
+        may_send_retry_after: fields.yes_or_no("permissions.retry_after")?,
+        max_retry_after: fields.time_in("permissions.max_retry_after", ANY_TIME)?,
+        max_attempts: fields.count("permissions.max_attempts", 1..=ROUTERS)?,
         tick: fields.time_in("tick", SOME_TIME)?,
     };
     Ok((terms, transport))
--- a/simulator-adapter/src/codec.rs
+++ b/simulator-adapter/src/codec.rs
@@ -5,7 +5,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use kestreltide::interface::*;
-use kestreltide_settings::{Fields, Names, TransportTerms, seconds};
+use kestreltide_settings::{Fields, Names, TransportSettings, seconds};
 
 use crate::fields::micros;
 
@@ -29,16 +29,16 @@
     })
 }
 
-fn verdict(line: &Fields) -> Result<Verdict, String> {
+fn outcome(line: &Fields) -> Result<AttemptOutcome, String> {
     Ok(match line.whole::<u32>("verdict")? {
-        0 => Verdict::Succeeded,
-        1 => Verdict::Error,
-        2 => Verdict::Full,
-        3 => Verdict::TimedOut,
-        4 => Verdict::NoConnection,
-        5 => Verdict::Reset,
-        6 => Verdict::Recalled,
-        7 => Verdict::Moot,
+        0 => AttemptOutcome::Succeeded,
+        1 => AttemptOutcome::Error,
+        2 => AttemptOutcome::Rejected,
+        3 => AttemptOutcome::TimedOut,
+        4 => AttemptOutcome::NoConnection,
+        5 => AttemptOutcome::Reset,
+        6 => AttemptOutcome::Cancelled,
+        7 => AttemptOutcome::Irrelevant,
         other => return Err(format!("verdict {other} in {} is not known", line.name)),
     })
 }
@@ -52,10 +52,10 @@
     }
 }
 
-pub fn decode_event(line: &Fields, wire: &TransportTerms) -> Result<Event, String> {
-    let inv = || line.text("req").map(|id| InvId(id.into()));
+pub fn decode_event(line: &Fields, wire: &TransportSettings) -> Result<Event, String> {
+    let request = || line.text("req").map(|id| RequestId(id.into()));
     let host = || line.whole("host").map(HostId);
-    let dispatch = || line.whole("leg").map(DispatchNo);
+    let attempt = || line.whole("leg").map(AttemptNumber);
     let operation = || {
         let kind = line.text("kind")?;
         wire.operations
@@ -64,8 +64,8 @@
             .ok_or_else(|| format!("kind {kind} is not known"))
     };
     Ok(match line.name {
-        "JOB_IN" => Event::Arrived(Invocation {
-            id: inv()?,
+        "JOB_IN" => Event::RequestReceived(Request {
+            id: request()?,
             operation: operation()?,
             key: line.maybe("affinity").map(|key| KeyId(key.into())),
             time_left: line.time("time_budget")?,
@@ -73,44 +73,46 @@
             again: line.flag("retry")?,
             pool: None,
         }),
-        "UNDER_WAY" => Event::Streaming {
-            inv: inv()?,
-            dispatch: dispatch()?,
+        "UNDER_WAY" => Event::ResponseStarted {
+            request: request()?,
+            attempt: attempt()?,
             host: host()?,
         },
-        "ENDED" => Event::Ended {
-            inv: inv()?,
-            dispatch: dispatch()?,
+        "ENDED" => Event::AttemptFinished {
+            request: request()?,
+            attempt: attempt()?,
             host: host()?,
-            verdict: verdict(line)?,
+            outcome: outcome(line)?,
             over: line.flag("done_flag")?,
             took: line.time("cost_time")?,
             load: wire.load_in_order(&line.numbers("telemetry")?),
             unused: None,
         },
-        "HANGUP" => Event::ClientLeft { inv: inv()? },
-        "DUE" => Event::Alarm {
-            key: AlarmKey(line.whole("key_back")?),
+        "HANGUP" => Event::ClientDisconnected {
+            request: request()?,
         },
-        "PING_RESULT" => Event::Probed {
+        "DUE" => Event::TimerExpired {
+            key: TimerKey(line.whole("key_back")?),
+        },
+        "PING_RESULT" => Event::HealthCheckFinished {
             host: host()?,
-            verdict: verdict(line)?,
+            outcome: outcome(line)?,
             took: line.time("cost_time")?,
             load: wire.load_in_order(&line.numbers("telemetry")?),
         },
-        "PEER" => Event::Told {
+        "PEER" => Event::GossipReceived {
             from: RouterId(line.whole("src_peer")?),
             payload: payload(line)?,
         },
-        "PHASE_TOLD" => Event::Stage(StageNews {
-            verdict: verdict(line)?,
+        "PHASE_TOLD" => Event::RolloutStatusReceived(RolloutStatus {
+            outcome: outcome(line)?,
             build: BuildId(line.maybe_whole("rel")?.unwrap_or(0)),
             stage: line.maybe_whole("wave")?.unwrap_or(0),
             phase: match line.maybe_whole::<u32>("course")?.unwrap_or(0) {
-                0 => Phase::OnTrial,
-                1 => Phase::GoingBack,
+                0 => Phase::Canary,
+                1 => Phase::RollingBack,
                 2 => Phase::Released,
-                3 => Phase::Withdrawn,
+                3 => Phase::RolledBack,
                 other => return Err(format!("course {other} is not known")),
             },
             cap: if line.maybe("cap").is_some() {
@@ -121,15 +123,15 @@
             age: line.maybe_whole("behind")?.map_or(0.0, seconds),
             answers_vote: line.flag("sense")?,
         }),
-        "PERIOD_SUMS" => Event::Tally {
+        "PERIOD_SUMS" => Event::BuildMetrics {
             build: BuildId(line.whole("rel")?),
             operation: operation()?,
-            dispatches: line.number("samples")?,
+            attempts: line.number("samples")?,
             failed: line.number("bad")?,
             mean_time: line.maybe_whole("cost_time")?.map_or(0.0, seconds),
             age: line.time("behind")?,
         },
-        "DISPUTED" => Event::Disputed {
+        "DISPUTED" => Event::AnswerDisputed {
             host: host()?,
             operation: operation()?,
             age: line.time("behind")?,
@@ -141,8 +143,8 @@
 /// Adds one line to the reply.
 pub fn encode(effect: &Effect, who: &str, out: &mut String) {
     let written = match effect {
-        Effect::Dispatch {
-            inv,
+        Effect::StartAttempt {
+            request,
             host,
             time_out,
             ..
@@ -151,29 +153,31 @@
             writeln!(
                 out,
                 "FORWARD who={who} req={} patience={patience} host={}",
-                inv.0, host.0
+                request.0, host.0
             )
         }
-        Effect::Recall { inv, dispatch } => {
-            writeln!(out, "RECALL who={who} req={} leg={}", inv.0, dispatch.0)
+        Effect::CancelAttempt { request, attempt } => {
+            writeln!(out, "RECALL who={who} req={} leg={}", request.0, attempt.0)
         }
-        Effect::Throttle {
-            inv,
-            stay_away: None,
-        } => writeln!(out, "DECLINE who={who} req={}", inv.0),
-        Effect::Throttle {
-            inv,
-            stay_away: Some(time),
+        Effect::ShedRequest {
+            request,
+            retry_after: None,
+        } => writeln!(out, "DECLINE who={who} req={}", request.0),
+        Effect::ShedRequest {
+            request,
+            retry_after: Some(time),
         } => {
             writeln!(
                 out,
                 "DECLINE who={who} req={} stay_away={}",
-                inv.0,
+                request.0,
                 micros(*time)
             )
         }
-        Effect::Terminate { inv } => writeln!(out, "DROP_REQUEST who={who} req={}", inv.0),
-        Effect::SetAlarm { at, key } => {
+        Effect::FailRequest { request } => {
+            writeln!(out, "DROP_REQUEST who={who} req={}", request.0)
+        }
+        Effect::ScheduleTimer { at, key } => {
             writeln!(
                 out,
                 "DEFER who={who} instant={} key_back={}",
@@ -181,9 +185,9 @@
                 key.0
             )
         }
-        Effect::Probe { host } => writeln!(out, "POLL who={who} host={}", host.0),
-        Effect::CloseIdle { host } => writeln!(out, "LET_GO who={who} host={}", host.0),
-        Effect::Tell { to, payload } => {
+        Effect::StartHealthCheck { host } => writeln!(out, "POLL who={who} host={}", host.0),
+        Effect::CloseIdleConnections { host } => writeln!(out, "LET_GO who={who} host={}", host.0),
+        Effect::SendGossip { to, payload } => {
             let whom = to.map_or(-1, |router| i64::from(router.0));
             let bytes = if payload.is_empty() {
                 "-".into()
@@ -192,26 +196,24 @@
             };
             writeln!(out, "BROADCAST_TO who={who} whom={whom} payload={bytes}")
         }
-        Effect::Vote {
-            build,
-            stage,
-            sense,
-        } => {
-            let sense = match sense {
-                Sense::None => 0,
-                Sense::On => 1,
-                Sense::Hold => 2,
-                Sense::Back => 3,
+        Effect::CastVote { build, stage, vote } => {
+            let vote = match vote {
+                Vote::Abstain => 0,
+                Vote::Promote => 1,
+                Vote::Hold => 2,
+                Vote::RollBack => 3,
             };
             writeln!(
                 out,
-                "SAY_SO who={who} rel={} wave={stage} sense={sense}",
+                "SAY_SO who={who} rel={} wave={stage} sense={vote}",
                 build.0
             )
         }
-        Effect::Follow { on } => writeln!(out, "TAIL who={who} enable={}", u8::from(*on)),
-        Effect::FetchList => writeln!(out, "LOOKUP who={who}"),
-        Effect::Note { text } => {
+        Effect::SubscribeEndpointList { on } => {
+            writeln!(out, "TAIL who={who} enable={}", u8::from(*on))
+        }
+        Effect::FetchEndpointList => writeln!(out, "LOOKUP who={who}"),
+        Effect::WriteLog { text } => {
             writeln!(
                 out,
                 "JOURNAL_LINE who={who} reason_text={}",
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -13,11 +13,11 @@
 use codec::{decode_entry, decode_event, encode};
 use kestreltide::choice::Router;
 use kestreltide::interface::{Effect, Event, HostEntry, ListScope};
-use kestreltide_settings::{Fields, Names, TransportTerms, decode, seconds};
+use kestreltide_settings::{Fields, Names, TransportSettings, decode, seconds};
 
 struct Instance {
     router: Router,
-    wire: TransportTerms,
+    wire: TransportSettings,
 }
 
 /// What stays from one line to the next.
@@ -107,10 +107,10 @@
     fn event(&self, line: &Fields, who: &str) -> Result<Event, String> {
         if line.name == "MEMBERS" {
             let scope = match line.text("scope")? {
-                "diff" => ListScope::Changes,
-                "snapshot" => ListScope::Whole,
-                "disk" => ListScope::Remembered,
-                "error" => return Ok(Event::ListFailed),
+                "diff" => ListScope::Delta,
+                "snapshot" => ListScope::Full,
+                "disk" => ListScope::Cached,
+                "error" => return Ok(Event::EndpointListFailed),
                 other => return Err(format!("scope {other} is not known")),
             };
             let slot = line.whole("slot")?;
@@ -119,7 +119,7 @@
                 .get(&slot)
                 .ok_or_else(|| format!("list {slot} is not defined"))?
                 .clone();
-            return Ok(Event::Hosts { scope, entries });
+            return Ok(Event::EndpointList { scope, entries });
         }
         let instance = self.instances.get(who).ok_or("unknown instance")?;
         decode_event(line, &instance.wire)
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -93,12 +93,12 @@
 }
 
 /// What the merged figures say: the wish where votes move a build, where a clock does; None keeps the last.
-const WISHES: [(Look, Option<Sense>, Option<Sense>); 5] = [
-    (Look::Worse, Some(Sense::Back), Some(Sense::Back)),
-    (Look::Fine, Some(Sense::On), Some(Sense::None)),
-    (Look::Unclear, None, Some(Sense::Hold)),
-    (Look::Dragging, Some(Sense::None), Some(Sense::Hold)),
-    (Look::Starved, None, Some(Sense::None)),
+const WISHES: [(Look, Option<Vote>, Option<Vote>); 5] = [
+    (Look::Worse, Some(Vote::RollBack), Some(Vote::RollBack)),
+    (Look::Fine, Some(Vote::Promote), Some(Vote::Abstain)),
+    (Look::Unclear, None, Some(Vote::Hold)),
+    (Look::Dragging, Some(Vote::Abstain), Some(Vote::Hold)),
+    (Look::Starved, None, Some(Vote::Abstain)),
 ];
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -147,25 +147,25 @@
 }
 
 impl Router {
-    pub fn start(terms: ServiceTerms, seed: u64, now: f64) -> Self {
-        let earns = |o: &OperationTerms| {
-            o.billed_value
-                / if terms.billed_by_work {
+    pub fn start(terms: ServiceSettings, seed: u64, now: f64) -> Self {
+        let earns = |o: &OperationSettings| {
+            o.priority_weight
+                / if terms.weighted_by_work {
                     1.0
                 } else {
-                    o.slo_time
+                    o.latency_objective
                 }
         };
         let best = terms.operations.iter().map(earns).fold(0.0, f64::max);
         let operations = terms.operations.iter().map(|o| {
-            let (group, window) = match o.repeats {
-                Repeats::Idempotent => (RepeatGroup::All, f64::INFINITY),
-                Repeats::Fingerprinted { group, window } => (group, window),
-                Repeats::SideEffecting => (RepeatGroup::All, 0.0),
+            let (group, window) = match o.idempotency {
+                Idempotency::Idempotent => (IdempotencyScope::All, f64::INFINITY),
+                Idempotency::IdempotencyKey { scope, window } => (scope, window),
+                Idempotency::NonIdempotent => (IdempotencyScope::All, 0.0),
             };
-            let (lean, late_is_worthless) = (earns(o) < 0.5 * best, o.late_share <= 0.0);
+            let (lean, late_is_worthless) = (earns(o) < 0.5 * best, o.late_value_fraction <= 0.0);
             Operation {
-                slo: o.slo_time,
+                slo: o.latency_objective,
                 late_is_worthless,
                 lean,
                 group,
@@ -181,15 +181,16 @@
         (s.renew_every, s.even) = (
             RENEW_EVERY
                 .max(TURNS[2] * s.turn)
-                .min(0.8 * terms.ballot_life),
+                .min(0.8 * terms.vote_lifetime),
             1.0,
         );
         (s.ask_again, s.many, s.follow_wait) = (ASK_AGAIN, s.routers > FEW, REFOLLOW[0]);
-        s.call_spread = terms.ask_every * (1.0 - f64::from(FEW) / f64::from(s.routers)).max(0.0);
+        s.call_spread =
+            terms.endpoint_poll_interval * (1.0 - f64::from(FEW) / f64::from(s.routers)).max(0.0);
         s.haste = (terms.bake / BAKE[0]).clamp(BAKE[1], 1.0);
-        (s.cold_time, s.cold_spend) = (
-            s.cold_time.max(GUARD),
-            COLD_SPEND.min(0.5 * terms.fall_multiple),
+        (s.slow_start_duration, s.cold_spend) = (
+            s.slow_start_duration.max(GUARD),
+            COLD_SPEND.min(0.5 * terms.overload_multiple),
         );
         (s.pace, s.sending, s.asked, s.stage_since) = ((0.0, now), (0.0, now), (0.0, now), now);
         (s.share, s.shared_drag, s.further) = (1.0 / f64::from(s.routers), 1.0, FURTHER[1] / 2.0);
@@ -205,50 +206,60 @@
             self.set_alarm(first, Task::Gossip, effects);
             // Discovery serves all in turn, and calls that wait too long are lost, work and all: where a
             // large fleet restarts and asks at once, hardly any is served, again and again.
-            let wait = self.s.list_asked.then_some(self.s.call_spread);
+            let wait = self.s.polls_endpoint_list.then_some(self.s.call_spread);
             if let Some(spread) = wait.filter(|spread| *spread > 0.0) {
                 let at = now + spread * self.rng.random::<f64>();
                 self.set_alarm(at, Task::Follow, effects);
             } else {
-                effects.extend(wait.map(|_| Effect::Follow { on: true }));
+                effects.extend(wait.map(|_| Effect::SubscribeEndpointList { on: true }));
             }
         }
         match event {
-            Event::Hosts { scope, entries } => self.list(now, scope, &entries),
-            Event::Staged { entries, from, to } => {
+            Event::EndpointList { scope, entries } => self.list(now, scope, &entries),
+            Event::EndpointsStaged { entries, from, to } => {
                 self.stage_hosts(entries.get(from..to).unwrap_or_default())
             }
-            Event::Operators { set, entries } => {
-                self.s.set = set;
-                self.list(now, ListScope::Changes, &entries);
+            Event::OperatorOverridesApplied { overrides, entries } => {
+                self.s.set = overrides;
+                self.list(now, ListScope::Delta, &entries);
             }
-            Event::ListFailed if self.s.list_asked => {
+            Event::EndpointListFailed if self.s.polls_endpoint_list => {
                 // A subscription that broke would count as told; ask again soon, spread and slower each time.
                 let wait = self.s.follow_wait * (0.5 + self.rng.random::<f64>());
                 self.s.follow_wait =
                     (2.0 * self.s.follow_wait).min(REFOLLOW[1].max(self.s.call_spread));
                 self.set_alarm(now + wait, Task::Follow, effects);
             }
-            Event::Arrived(inv) => self.arrived(now, inv, effects),
-            Event::Ended {
-                inv,
-                dispatch,
-                verdict,
+            Event::RequestReceived(request) => self.arrived(now, request, effects),
+            Event::AttemptFinished {
+                request,
+                attempt,
+                outcome,
                 took,
                 over,
                 unused,
                 ..
-            } => self.ended(now, inv, dispatch.0, (verdict, took, over, unused), effects),
-            Event::ClientLeft { inv } | Event::Streaming { inv, .. } => self.close(&inv),
-            Event::Alarm { key } => match self.s.alarms.remove(&key.0) {
+            } => self.ended(
+                now,
+                request,
+                attempt.0,
+                (outcome, took, over, unused),
+                effects,
+            ),
+            Event::ClientDisconnected { request } | Event::ResponseStarted { request, .. } => {
+                self.close(&request)
+            }
+            Event::TimerExpired { key } => match self.s.alarms.remove(&key.0) {
                 Some(Task::Gossip) => self.beat(now, effects),
-                Some(Task::Follow) => effects.push(Effect::Follow { on: true }),
+                Some(Task::Follow) => effects.push(Effect::SubscribeEndpointList { on: true }),
                 Some(Task::Further(id)) => self.dispatch_or_end(now, &id, true, effects),
                 None => {}
             },
-            Event::Told { from, payload } => self.gossip_received(now, from, &payload, effects),
-            Event::Stage(news) => self.stage(now, news, effects),
-            Event::Disputed {
+            Event::GossipReceived { from, payload } => {
+                self.gossip_received(now, from, &payload, effects)
+            }
+            Event::RolloutStatusReceived(news) => self.stage(now, news, effects),
+            Event::AnswerDisputed {
                 host, operation, ..
             } => {
                 let Some(build) = self.s.hosts.get(&host).map(|h| h.entry.build) else {
@@ -256,16 +267,18 @@
                 };
                 self.score(build, operation.0, 1, false, self.s.dispute_weight);
             }
-            Event::ListFailed | Event::Tally { .. } | Event::Probed { .. } => {}
+            Event::EndpointListFailed
+            | Event::BuildMetrics { .. }
+            | Event::HealthCheckFinished { .. } => {}
         }
     }
 
     fn set_alarm(&mut self, at: f64, task: Task, effects: &mut Vec<Effect>) {
         self.s.next_alarm += 1;
         self.s.alarms.insert(self.s.next_alarm, task);
-        effects.push(Effect::SetAlarm {
+        effects.push(Effect::ScheduleTimer {
             at,
-            key: AlarmKey(self.s.next_alarm),
+            key: TimerKey(self.s.next_alarm),
         });
     }
 
@@ -286,7 +299,7 @@
         self.s.follow_wait = REFOLLOW[0];
         self.stage_hosts(entries);
         // Invocations of an earlier revision do not go to what came with a later one.
-        let changed = self.s.settle(scope != ListScope::Changes, UNKNOWN);
+        let changed = self.s.settle(scope != ListScope::Delta, UNKNOWN);
         self.index(now, changed);
         self.weigh(now);
         let all = self.s.index.sum(|_| true);
@@ -351,10 +364,10 @@
         match self.s.news {
             Some(news) if build < news.build => Phase::Released,
             Some(news) if build == news.build => news.phase,
-            Some(_) => Phase::OnTrial,
+            Some(_) => Phase::Canary,
             // Before any news, only the lowest listed build is known to be no later one.
             None if self.s.least_build.is_none_or(|least| build <= least) => Phase::Released,
-            None => Phase::Withdrawn,
+            None => Phase::RolledBack,
         }
     }
 
@@ -364,9 +377,9 @@
         let news = self.s.news.filter(|news| news.build == build);
         let (cap, stage) = news.map_or((self.s.first_cap, 0), |news| (news.cap, news.stage));
         let cap = self.s.asked_of(build).map_or(cap, |wish| cap.min(wish.cap));
-        let guarded =
-            stage < self.s.guarded_stages && self.s.operations[operation].window.is_finite();
-        if phase != Phase::OnTrial || cap <= 0.0 || guarded {
+        let guarded = stage < self.s.idempotent_only_stages
+            && self.s.operations[operation].window.is_finite();
+        if phase != Phase::Canary || cap <= 0.0 || guarded {
             return phase == Phase::Released;
         }
         let counts = |o: usize| !self.s.by_operation || o == operation;
@@ -383,7 +396,7 @@
             .iter()
             .filter(|(_, b, o)| *b == build && counts(*o))
             .count() as f64;
-        let new_key = new_key && self.s.keys_bound && cap < 1.0;
+        let new_key = new_key && self.s.sticky_keys && cap < 1.0;
         let (part, spare) = if new_key {
             (BOUND_ROOM[1], 0.5)
         } else {
@@ -392,23 +405,25 @@
         sent + 1.0 <= spare * self.s.spare + part * cap * taken as f64
     }
 
-    fn arrived(&mut self, now: f64, inv: Invocation, effects: &mut Vec<Effect>) {
-        let Some(operation) = self.s.operations.get(inv.operation.0) else {
-            return effects.push(Effect::Terminate { inv: inv.id });
+    fn arrived(&mut self, now: f64, request: Request, effects: &mut Vec<Effect>) {
+        let Some(operation) = self.s.operations.get(request.operation.0) else {
+            return effects.push(Effect::FailRequest {
+                request: request.id,
+            });
         };
-        let (limit, slo_at) = (now + inv.time_left, now + operation.slo);
-        let (operation, work) = (inv.operation.0, inv.work.unwrap_or(1.0).max(1e-6));
+        let (limit, slo_at) = (now + request.time_left, now + operation.slo);
+        let (operation, work) = (request.operation.0, request.work.unwrap_or(1.0).max(1e-6));
         self.s.taken.retain(|(at, ..)| now - at <= self.s.window);
         self.s.exposed.retain(|(at, ..)| now - at <= self.s.window);
         self.s.further = (self.s.further + FURTHER[0]).min(FURTHER[1]);
         let bound = self
             .s
-            .bound_to(&inv.key)
-            .is_some_and(|build| self.phase(build) == Phase::OnTrial);
+            .bound_to(&request.key)
+            .is_some_and(|build| self.phase(build) == Phase::Canary);
         self.s.taken.push_back((now, operation, bound));
-        let (key, again, sent) = (inv.key, inv.again, vec![]);
-        let (set, pool) = (self.s.set.clone(), inv.pool);
-        let record = Request {
+        let (key, again, sent) = (request.key, request.again, vec![]);
+        let (set, pool) = (self.s.set.clone(), request.pool);
+        let record = RequestState {
             operation,
             key,
             work,
@@ -420,41 +435,41 @@
             pool,
             set,
         };
-        self.s.requests.insert(inv.id.clone(), record);
+        self.s.requests.insert(request.id.clone(), record);
         self.s.asked = Self::rate(self.s.asked, now, 1.0);
-        self.dispatch_or_end(now, &inv.id, false, effects);
+        self.dispatch_or_end(now, &request.id, false, effects);
     }
 
     /// Rule 2: where the first dispatch went that may have run, and whether nothing may follow it any more.
-    fn trace(&self, now: f64, inv: &Request) -> (Option<HostEntry>, bool) {
-        let window = self.s.operations[inv.operation].window - 2.0 * self.s.tick;
-        let ran = inv.sent.iter().find(|s| s.out || s.may_have_run);
+    fn trace(&self, now: f64, request: &RequestState) -> (Option<HostEntry>, bool) {
+        let window = self.s.operations[request.operation].window - 2.0 * self.s.tick;
+        let ran = request.sent.iter().find(|s| s.out || s.may_have_run);
         (ran.map(|s| s.to), ran.is_some_and(|s| now - s.at >= window))
     }
 
     /// Sends the next dispatch; where there is none to send, the final answer goes out at once (rule 1).
-    fn dispatch_or_end(&mut self, now: f64, id: &InvId, copy: bool, effects: &mut Vec<Effect>) {
-        let Some(inv) = self.s.requests.get(id).filter(|inv| !inv.over) else {
+    fn dispatch_or_end(&mut self, now: f64, id: &RequestId, copy: bool, effects: &mut Vec<Effect>) {
+        let Some(request) = self.s.requests.get(id).filter(|request| !request.over) else {
             return;
         };
-        let operation = &self.s.operations[inv.operation];
-        let (ran, binding) = self.trace(now, inv);
-        let throttle = !binding && (ran.is_none() || operation.group == RepeatGroup::All);
+        let operation = &self.s.operations[request.operation];
+        let (ran, binding) = self.trace(now, request);
+        let throttle = !binding && (ran.is_none() || operation.group == IdempotencyScope::All);
         let (out, first) = (
-            inv.sent.iter().filter(|s| s.out).count(),
-            inv.sent.is_empty(),
+            request.sent.iter().filter(|s| s.out).count(),
+            request.sent.is_empty(),
         );
         let end = if operation.late_is_worthless {
-            inv.limit.min(inv.slo_at)
+            request.limit.min(request.slo_at)
         } else {
-            inv.limit
+            request.limit
         };
         let timely = end - now > 2.0 * self.s.tick;
         let paid = first || self.s.further >= 1.0;
-        let more = out == 0 || copy && self.s.may_copy && out == 1;
-        let more = more && inv.sent.len() < self.s.most_dispatches;
+        let more = out == 0 || copy && self.s.may_hedge && out == 1;
+        let more = more && request.sent.len() < self.s.max_attempts;
         // When tight, copies go first, and tries that come again (their SLO time is past); then lean ones.
-        let late = copy || inv.again && operation.late_is_worthless;
+        let late = copy || request.again && operation.late_is_worthless;
         let lean = if operation.lean { OPEN_PART[0] } else { 1.0 };
         let most =
             (self.s.open_most + self.s.open_most.sqrt()) * if late { OPEN_PART[1] } else { lean };
@@ -474,32 +489,41 @@
         }
         self.close(id);
         let wait = ADVICE * (1.0 + self.rng.random::<f64>());
-        let stay_away = self.s.advice.map(|most| wait.min(most));
-        let throttled = Effect::Throttle {
-            inv: id.clone(),
-            stay_away,
+        let retry_after = self.s.advice.map(|most| wait.min(most));
+        let throttled = Effect::ShedRequest {
+            request: id.clone(),
+            retry_after,
         };
         effects.push(if throttle {
             throttled
         } else {
-            Effect::Terminate { inv: id.clone() }
+            Effect::FailRequest {
+                request: id.clone(),
+            }
         });
     }
 
-    fn send(&mut self, now: f64, id: &InvId, host: HostId, end: f64, effects: &mut Vec<Effect>) {
-        let (Some(inv), Some(h)) = (self.s.requests.get_mut(id), self.s.hosts.get_mut(&host))
+    fn send(
+        &mut self,
+        now: f64,
+        id: &RequestId,
+        host: HostId,
+        end: f64,
+        effects: &mut Vec<Effect>,
+    ) {
+        let (Some(request), Some(h)) = (self.s.requests.get_mut(id), self.s.hosts.get_mut(&host))
         else {
             return;
         };
-        let operation = &self.s.operations[inv.operation];
-        let low = self.s.low.get(&(inv.operation, h.entry.kind, EARLIER));
-        let quick = low.map_or(0.1 * operation.slo, |low| low.quick * inv.work);
-        let wait = (FIRST_WAIT[0] * (inv.slo_at - now)).max(FIRST_WAIT[1] * quick);
+        let operation = &self.s.operations[request.operation];
+        let low = self.s.low.get(&(request.operation, h.entry.kind, EARLIER));
+        let quick = low.map_or(0.1 * operation.slo, |low| low.quick * request.work);
+        let wait = (FIRST_WAIT[0] * (request.slo_at - now)).max(FIRST_WAIT[1] * quick);
         let easy = self.s.further >= 1.0 && self.s.open as f64 <= OPEN_PART[1] * self.s.open_most;
         let planned =
-            easy && operation.window > wait && inv.sent.len() + 1 < self.s.most_dispatches;
-        let planned = planned && now + wait + quick < end.min(inv.slo_at);
-        let time_out = if planned && !self.s.may_copy {
+            easy && operation.window > wait && request.sent.len() + 1 < self.s.max_attempts;
+        let planned = planned && now + wait + quick < end.min(request.slo_at);
+        let time_out = if planned && !self.s.may_hedge {
             wait
         } else {
             end - now
@@ -507,22 +531,22 @@
         // Connections may be dropped unseen after some time without use: then an idle one is closed first.
         let unused = h.out.is_empty() && h.used > f64::MIN && now - h.used > UNUSED[0];
         let stale = self.s.lost[1] > LOST[1] + self.s.lost[0];
-        let unused_most = if stale { UNUSED[1] } else { f64::INFINITY };
+        let max_idle = if stale { UNUSED[1] } else { f64::INFINITY };
         // Rules 2, 3 and 5 hold when the last byte is written, not when it is decided: connecting takes time.
-        let ran = inv.sent.iter().find(|s| s.out || s.may_have_run);
+        let ran = request.sent.iter().find(|s| s.out || s.may_have_run);
         let left = ran.map_or(f64::INFINITY, |first| {
             operation.window - 2.0 * self.s.tick - (now - first.at)
         });
-        let written_within = left.min(WRITTEN * self.s.drain_grace).max(GUARD);
-        let on = ConnectionTerms {
-            unused_most,
-            rested_least: REST,
-            resting_most: RESTING,
-            written_within,
+        let write_within = left.min(WRITTEN * self.s.drain_grace).max(GUARD);
+        let connection = ConnectionRequirements {
+            max_idle,
+            min_rest: REST,
+            max_resting: RESTING,
+            write_within,
         };
-        effects.extend((unused && stale).then_some(Effect::CloseIdle { host }));
+        effects.extend((unused && stale).then_some(Effect::CloseIdleConnections { host }));
         let (scored, unused) = (h.health.ejected_until <= now, unused && !stale);
-        inv.sent.push(Attempt {
+        request.sent.push(Attempt {
             to: h.entry,
             at: now,
             out: true,
@@ -533,59 +557,60 @@
         h.out.push(now);
         h.used = now;
         self.s.sending = Self::rate(self.s.sending, now, 1.0);
-        let (build, operation) = (h.entry.build, inv.operation);
+        let (build, operation) = (h.entry.build, request.operation);
         self.s.open += 1;
         if self.phase(build) != Phase::Released {
             self.s.exposed.push_back((now, build, operation));
         }
-        effects.push(Effect::Dispatch {
-            inv: id.clone(),
+        effects.push(Effect::StartAttempt {
+            request: id.clone(),
             host,
             time_out,
-            on,
+            connection,
         });
-        if planned && self.s.may_copy {
+        if planned && self.s.may_hedge {
             self.set_alarm(now + wait, Task::Further(id.clone()), effects);
         }
     }
 
-    fn close(&mut self, id: &InvId) {
-        if let Some(inv) = self.s.requests.get_mut(id) {
-            inv.over = true;
-            if inv.sent.iter().all(|s| !s.out) {
+    fn close(&mut self, id: &RequestId) {
+        if let Some(request) = self.s.requests.get_mut(id) {
+            request.over = true;
+            if request.sent.iter().all(|s| !s.out) {
                 self.s.requests.remove(id);
             }
         }
     }
 
-    fn ended(&mut self, now: f64, id: InvId, no: u32, how: Outcome, effects: &mut Vec<Effect>) {
-        let Some(inv) = self.s.requests.get_mut(&id) else {
+    fn ended(&mut self, now: f64, id: RequestId, no: u32, how: Outcome, effects: &mut Vec<Effect>) {
+        let Some(request) = self.s.requests.get_mut(&id) else {
             return;
         };
-        let Some(sent) = inv.sent.get_mut(no as usize).filter(|s| s.out) else {
+        let Some(sent) = request.sent.get_mut(no as usize).filter(|s| s.out) else {
             return;
         };
-        let (verdict, took, over, unused) = how;
+        let (outcome, took, over, unused) = how;
         (sent.out, sent.unused) = (
             false,
             unused.map_or(sent.unused, |unused| unused > UNUSED[1]),
         );
         sent.may_have_run = !matches!(
-            verdict,
-            Verdict::Full | Verdict::NoConnection | Verdict::Moot
+            outcome,
+            AttemptOutcome::Rejected | AttemptOutcome::NoConnection | AttemptOutcome::Irrelevant
         );
-        let (sent, operation, work, key) = (*sent, inv.operation, inv.work, inv.key.clone());
+        let (sent, operation, work, key) =
+            (*sent, request.operation, request.work, request.key.clone());
         let (over, broke) = (
-            over || inv.over,
-            f64::from(u8::from(verdict == Verdict::Reset)),
+            over || request.over,
+            f64::from(u8::from(outcome == AttemptOutcome::Reset)),
         );
         (self.s.open, self.s.further) = (self.s.open - 1, self.s.further + broke);
-        self.learn(now, operation, sent, verdict, took, work);
+        self.learn(now, operation, sent, outcome, took, work);
         let (build, binds) = (
             sent.to.build,
-            verdict == Verdict::Succeeded && self.s.keys_bound,
+            outcome == AttemptOutcome::Succeeded && self.s.sticky_keys,
         );
-        if binds && matches!(self.phase(build), Phase::OnTrial | Phase::Released) {
+        if binds && matches!(self.phase(build), Phase::Canary | Phase::Released) {
             key.map(|key| {
                 self.s
                     .bound
@@ -606,7 +631,7 @@
         now: f64,
         operation: usize,
         sent: Attempt,
-        verdict: Verdict,
+        outcome: AttemptOutcome,
         took: f64,
         work: f64,
     ) {
@@ -646,13 +671,16 @@
         if let Some(place) = host.out.iter().position(|sent| *sent == at) {
             host.out.swap_remove(place);
         }
-        if matches!(verdict, Verdict::Recalled | Verdict::Moot) {
+        if matches!(
+            outcome,
+            AttemptOutcome::Cancelled | AttemptOutcome::Irrelevant
+        ) {
             return;
         }
-        let lost = matches!(verdict, Verdict::TimedOut | Verdict::Reset);
+        let lost = matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset);
         let share = &mut self.s.lost[usize::from(sent.unused)];
         *share += LOST[0] * (f64::from(u8::from(lost)) - *share);
-        let (served, health) = (verdict == Verdict::Succeeded, &mut host.health);
+        let (served, health) = (outcome == AttemptOutcome::Succeeded, &mut host.health);
         health.faults += HOST_WEIGHT * (f64::from(u8::from(!served)) - health.faults);
         let ratio = quick.map_or(health.pace, |quick| {
             (time * warmth / quick).clamp(0.2, 10.0)
@@ -674,8 +702,8 @@
         // Late answers shrink what this router keeps open, timely ones widen it while in use, errors and lost
         // connections neither; never below what keeps hosts busy: fewer open would not make slow ones quick.
         let broke = matches!(
-            verdict,
-            Verdict::Error | Verdict::Reset | Verdict::NoConnection
+            outcome,
+            AttemptOutcome::Error | AttemptOutcome::Reset | AttemptOutcome::NoConnection
         );
         if !sick && !broke && (late || self.s.open as f64 + 1.0 > 0.5 * self.s.open_most) {
             let fair = self.s.index.len() as f64 * self.s.share;
@@ -683,7 +711,7 @@
             self.s.open_most = (self.s.open_most + step).clamp(fair * OPEN[1], fair * OPEN[2]);
         }
         self.index(now, vec![to.host]);
-        let shows = served || verdict == Verdict::TimedOut;
+        let shows = served || outcome == AttemptOutcome::TimedOut;
         let arm = usize::from(self.phase(build) != Phase::Released);
         if shows && warmth >= 1.0 && !sick && !slower {
             let new = Low {
@@ -696,16 +724,22 @@
             low.quick *= (LOW_STEP * (LOW[0] - below(low.quick))).exp();
             low.least *= (LOW_STEP * (LOW[1] - below(low.least))).exp();
         }
-        if !scored || sick || matches!(verdict, Verdict::NoConnection | Verdict::Full) {
+        if !scored
+            || sick
+            || matches!(
+                outcome,
+                AttemptOutcome::NoConnection | AttemptOutcome::Rejected
+            )
+        {
             return;
         }
         // A cold host is late by nature: its late answers are no evidence, its errors are.
-        if !late || verdict == Verdict::Error || warmth >= 1.0 {
+        if !late || outcome == AttemptOutcome::Error || warmth >= 1.0 {
             self.score(build, operation, 0, !late, 1.0);
         }
         // A broken connection is its host's or its link's, not a build's own answer.
-        if verdict != Verdict::Reset {
-            self.score(build, operation, 1, verdict != Verdict::Error, 1.0);
+        if outcome != AttemptOutcome::Reset {
+            self.score(build, operation, 1, outcome != AttemptOutcome::Error, 1.0);
         }
         let quick = quick
             .filter(|_| shows)
@@ -747,9 +781,9 @@
     }
 
     /// Worked out once for each group of hosts, however many are of it.
-    fn wanted(&self, now: f64, inv: &Request) -> Wanted {
-        let ((first, _), bound) = (self.trace(now, inv), self.s.bound_to(&inv.key));
-        let repeats = self.s.operations[inv.operation].group;
+    fn wanted(&self, now: f64, request: &RequestState) -> Wanted {
+        let ((first, _), bound) = (self.trace(now, request), self.s.bound_to(&request.key));
+        let repeats = self.s.operations[request.operation].group;
         let (mut room, mut arms) = (None, vec![]);
         for group in self.s.index.groups() {
             let build = group.build;
@@ -758,40 +792,43 @@
             if room.is_none_or(|(of, _)| of != build) {
                 room = Some((
                     build,
-                    self.exposure_room(now, build, inv.operation, new_key),
+                    self.exposure_room(now, build, request.operation, new_key),
                 ));
             }
             let room = room.is_some_and(|(_, room)| room);
             let same = first.is_none_or(|first| match repeats {
-                RepeatGroup::All => true,
-                RepeatGroup::Zone => first.zone == group.zone,
-                RepeatGroup::Cell => Some(first.cell) == group.cell,
+                IdempotencyScope::All => true,
+                IdempotencyScope::Zone => first.zone == group.zone,
+                IdempotencyScope::Cell => Some(first.cell) == group.cell,
             });
             // Clients may come with too little time left: no work is begun that not even quick answers meet.
-            let low = self.s.low.get(&(inv.operation, group.kind, EARLIER));
+            let low = self.s.low.get(&(request.operation, group.kind, EARLIER));
             let least = low.map_or(0.0, |low| {
-                (low.least * inv.work).min(FIRST_WAIT[0] * (inv.slo_at - now))
+                (low.least * request.work).min(FIRST_WAIT[0] * (request.slo_at - now))
             });
-            let of_pool = inv
+            let of_pool = request
                 .pool
                 .as_ref()
-                .is_none_or(|pool| pool.spans(group.zone, group.kind));
-            if room && may_return && same && of_pool && now + least < inv.limit {
-                arms.push((*group, usize::from(self.phase(build) == Phase::OnTrial)));
+                .is_none_or(|pool| pool.may_contain(group.zone, group.kind));
+            if room && may_return && same && of_pool && now + least < request.limit {
+                arms.push((*group, usize::from(self.phase(build) == Phase::Canary)));
             }
         }
-        let tried = inv.sent.iter().map(|s| s.to.host).collect();
+        let tried = request.sent.iter().map(|s| s.to.host).collect();
         Wanted {
             arms,
             tried,
-            pool: inv.pool.clone(),
-            revision: inv.set.revision,
+            pool: request.pool.clone(),
+            revision: request.set.revision,
         }
     }
 
     fn candidate(&self, now: f64, wanted: &Wanted, h: &Host, weight: f64) -> Option<Candidate> {
         let arm = wanted.arm(&Group::of(&h.entry, self.s.by_cell))?;
-        let of_pool = wanted.pool.as_ref().is_none_or(|pool| pool.holds(&h.entry));
+        let of_pool = wanted
+            .pool
+            .as_ref()
+            .is_none_or(|pool| pool.contains(&h.entry));
         let (health, host) = (&h.health, h.entry.host);
         let doubtful = health.ejected_until > now || health.faults > FAULTY && !h.out.is_empty();
         let tier = if wanted.tried.contains(&host) {
@@ -846,18 +883,22 @@
         }
     }
 
-    fn choose(&mut self, now: f64, id: &InvId) -> Option<HostId> {
-        let inv = self.s.requests.get(id)?;
+    fn choose(&mut self, now: f64, id: &RequestId) -> Option<HostId> {
+        let request = self.s.requests.get(id)?;
         // An invocation is decided under the revision it came under; what was taken out since, is out.
-        let own = (inv.set.revision != self.s.set.revision).then(|| {
-            let mut weighed = self.s.all_weighed(now, &inv.set);
-            put_in_force(&mut weighed, self.s.fall_multiple);
+        let own = (request.set.revision != self.s.set.revision).then(|| {
+            let mut weighed = self.s.all_weighed(now, &request.set);
+            put_in_force(&mut weighed, self.s.overload_multiple);
             weighed
         });
         let hash = |key: &KeyId| key.0.bytes().fold(0, |h, b| mix(h ^ u64::from(b)));
         let (hash, wanted) = (
-            inv.key.as_ref().filter(|_| self.s.keys_warm).map(hash),
-            self.wanted(now, inv),
+            request
+                .key
+                .as_ref()
+                .filter(|_| self.s.key_affinity)
+                .map(hash),
+            self.wanted(now, request),
         );
         let mut open = self.candidates(now, &wanted, own);
         // Rule 4: of all routers a cold host gets by this draw its fair share of what succeeds, and no more.
@@ -875,17 +916,17 @@
         let of_trial = self
             .s
             .usable()
-            .filter(|h| self.phase(h.entry.build) == Phase::OnTrial);
+            .filter(|h| self.phase(h.entry.build) == Phase::Canary);
         let held = || of_trial.map(|h| h.out.len()).sum::<usize>() as f64;
         let (out, tight) = (self.s.open as f64, OPEN_PART[1] * self.s.open_most);
         let t = t.filter(|_| {
-            !self.s.keys_bound || out <= tight || held() <= 1.0 + LEAN * self.s.part * out
+            !self.s.sticky_keys || out <= tight || held() <= 1.0 + LEAN * self.s.part * out
         });
         let (Some(_), Some(_)) = (e, t) else {
             return e.or(t);
         };
         let mut floor = wt / (we + wt).max(GUARD);
-        if self.s.keys_bound {
+        if self.s.sticky_keys {
             let share = self.s.taken.iter().filter(|(.., bound)| *bound).count() as f64;
             let share = share / (self.s.taken.len() as f64).max(1.0);
             floor = if share > BOUND_ROOM[0] * floor {
@@ -986,10 +1027,7 @@
         if self.s.hosts.len() > self.s.index.len() {
             self.s.hosts.retain(|_, h| kept(h));
         }
-        let of_trial = self
-            .s
-            .index
-            .sum(|build| self.phase(build) == Phase::OnTrial);
+        let of_trial = self.s.index.sum(|build| self.phase(build) == Phase::Canary);
         let part = of_trial.share / self.s.index.sum(|_| true).share.max(GUARD);
         (self.s.part, self.s.trial_hosts) = (part, of_trial.hosts as f64);
         self.s.even = if part > 0.0 {
@@ -1011,13 +1049,13 @@
                 .for_each(|figure| *figure *= keep);
             trial.iter_mut().for_each(|figure| *figure *= fade);
         }
-        if !self.s.may_tell || self.s.routers == 1 {
+        if !self.s.may_gossip || self.s.routers == 1 {
             self.s.sight = self.s.sums.clone();
         } else if self.s.news.is_some() {
             let other = self.rng.random_range(0..self.s.routers - 1);
             let peer = RouterId(other + u32::from(other >= self.s.me.0));
             self.s.gossip_sent.insert(peer, self.s.sums.clone());
-            effects.push(Effect::Tell {
+            effects.push(Effect::SendGossip {
                 to: Some(peer),
                 payload: self.s.message(false, self.my_drag()),
             });
@@ -1051,7 +1089,7 @@
             Some(self.s.sums.clone())
         };
         if !told.reply {
-            effects.push(Effect::Tell {
+            effects.push(Effect::SendGossip {
                 to: Some(from),
                 payload: self.s.message(true, self.my_drag()),
             });
@@ -1069,10 +1107,13 @@
         }
     }
 
-    fn stage(&mut self, now: f64, news: StageNews, effects: &mut Vec<Effect>) {
+    fn stage(&mut self, now: f64, news: RolloutStatus, effects: &mut Vec<Effect>) {
         if news.answers_vote {
-            let counted = matches!(news.verdict, Verdict::Succeeded | Verdict::Moot);
-            let may_stand = counted || news.verdict == Verdict::TimedOut;
+            let counted = matches!(
+                news.outcome,
+                AttemptOutcome::Succeeded | AttemptOutcome::Irrelevant
+            );
+            let may_stand = counted || news.outcome == AttemptOutcome::TimedOut;
             self.s.stands = if may_stand {
                 self.s.ballot_sense
             } else {
@@ -1094,11 +1135,13 @@
             );
         }
         let old = self.s.news;
-        if news.verdict != Verdict::Succeeded || old.is_some_and(|old| old.build > news.build) {
+        if news.outcome != AttemptOutcome::Succeeded
+            || old.is_some_and(|old| old.build > news.build)
+        {
             return;
         }
         self.s.news = Some(news);
-        let gone = matches!(news.phase, Phase::GoingBack | Phase::Withdrawn);
+        let gone = matches!(news.phase, Phase::RollingBack | Phase::RolledBack);
         self.s
             .bound
             .retain(|_, build| !gone || *build != news.build);
@@ -1126,13 +1169,13 @@
                 .low
                 .values_mut()
                 .for_each(|low| low.before = old.map(|_| low.least));
-            self.s.fresh = old.is_none() && news.phase == Phase::OnTrial && news.age > GOSSIP_EVERY;
+            self.s.fresh = old.is_none() && news.phase == Phase::Canary && news.age > GOSSIP_EVERY;
         }
         if !same_build || old.is_some_and(|old| old.stage != news.stage || old.phase != news.phase)
         {
             self.s.drag_past = if same_build { self.s.shared_drag } else { 1.0 };
             (self.s.stage_since, self.s.held) = (now - news.age, 0.0);
-            (self.s.wish, self.s.wish_since) = (Sense::None, now);
+            (self.s.wish, self.s.wish_since) = (Vote::Abstain, now);
             self.vote(now, Push::News, effects);
         }
     }
@@ -1156,7 +1199,7 @@
             .then(|| 1.0 / (1.0 + (-1.702 * z).exp()))
     }
 
-    fn look(&mut self, now: f64, news: &StageNews) -> Look {
+    fn look(&mut self, now: f64, news: &RolloutStatus) -> Look {
         let live = self
             .s
             .heard
@@ -1174,7 +1217,7 @@
         let met = || of_trial().filter(|h| h.used > f64::MIN);
         let wide = met().filter(|h| h.health.faults > MARGINS[1]).count() * WIDE >= met().count();
         for mark in
-            (0..MARKS).filter(|mark| *mark == 1 || lives && (*mark == 0 || !self.s.keys_warm))
+            (0..MARKS).filter(|mark| *mark == 1 || lives && (*mark == 0 || !self.s.key_affinity))
         {
             let slots = (0..self.s.slots).filter(|_| mark != 2);
             let each = slots.filter_map(|slot| firm(Some(slot), mark, ENOUGH[1]));
@@ -1259,7 +1302,7 @@
     }
 
     fn my_drag(&self) -> f64 {
-        let on_trial = self.s.news.is_some_and(|news| news.phase == Phase::OnTrial);
+        let on_trial = self.s.news.is_some_and(|news| news.phase == Phase::Canary);
         self.drag(usize::from(on_trial && !self.s.earlier_lives()))
             .unwrap_or(1.0)
     }
@@ -1287,7 +1330,7 @@
     }
 
     fn judge(&mut self, now: f64, effects: &mut Vec<Effect>) {
-        let judged = |news: &StageNews| matches!(news.phase, Phase::OnTrial | Phase::Released);
+        let judged = |news: &RolloutStatus| matches!(news.phase, Phase::Canary | Phase::Released);
         let Some(news) = self.s.news.filter(judged) else {
             return;
         };
@@ -1303,9 +1346,9 @@
         let asked = self
             .s
             .asked_of(news.build)
-            .filter(|wish| wish.back || wish.hold && look != Look::Worse);
+            .filter(|wish| wish.roll_back || wish.hold && look != Look::Worse);
         let look = asked.map_or(look, |wish| {
-            if wish.back {
+            if wish.roll_back {
                 Look::Worse
             } else {
                 Look::Dragging
@@ -1314,10 +1357,10 @@
         let row = WISHES.iter().find(|row| row.0 == look);
         let of = |row: &(_, _, _)| if self.s.by_clock { row.2 } else { row.1 };
         let mut wish = row.and_then(of).unwrap_or(self.s.wish);
-        if wish == Sense::Hold && asked.is_none() {
+        if wish == Vote::Hold && asked.is_none() {
             self.s.held += GOSSIP_EVERY;
             wish = if self.s.held > HOLD_MOST {
-                Sense::None
+                Vote::Abstain
             } else {
                 wish
             };
@@ -1337,14 +1380,14 @@
         // calls for nothing fill the platform, and some of half the voters doubt at any time.
         let turn = TURNS[1] * self.s.turn;
         let open = self.s.ballot == Ballot::Asked && now - self.s.ballot_at < turn;
-        let nothing = [wish, self.s.stands] == [Sense::None; 2] && self.s.ballot != Ballot::Asked;
-        let firm = wish != Sense::None || now - self.s.wish_since >= turn.min(WITHDRAW);
+        let nothing = [wish, self.s.stands] == [Vote::Abstain; 2] && self.s.ballot != Ballot::Asked;
+        let firm = wish != Vote::Abstain || now - self.s.wish_since >= turn.min(WITHDRAW);
         let wait = if self.s.ballot == Ballot::Silent {
             self.s.ask_again
         } else {
             self.s.renew_every
         };
-        let changed = wish != self.s.ballot_sense && firm && (!open || wish == Sense::Back);
+        let changed = wish != self.s.ballot_sense && firm && (!open || wish == Vote::RollBack);
         let due = changed || now - self.s.ballot_at >= wait;
         if !nothing && due && (asked.is_some() || now - self.s.wish_since >= late) {
             self.vote(now, Push::Due, effects);
@@ -1360,18 +1403,18 @@
         };
         self.s.ballot = row.2;
         if push == Push::News {
-            (self.s.ballot_sense, self.s.stands) = (Sense::None, Sense::None);
+            (self.s.ballot_sense, self.s.stands) = (Vote::Abstain, Vote::Abstain);
         }
         if let (true, Some(news)) = (row.3, self.s.news) {
             let renewal = self.s.ballot_sense == self.s.wish;
             (self.s.ballot_sense, self.s.ballot_at) = (self.s.wish, now);
-            effects.push(Effect::Vote {
+            effects.push(Effect::CastVote {
                 build: news.build,
                 stage: news.stage,
-                sense: self.s.wish,
+                vote: self.s.wish,
             });
-            if !renewal && (self.s.wish == Sense::Back || self.s.rank < VOTERS) {
-                effects.push(Effect::Note {
+            if !renewal && (self.s.wish == Vote::RollBack || self.s.rank < VOTERS) {
+                effects.push(Effect::WriteLog {
                     text: self.s.reasons(&news, [EARLIER, TRIAL]),
                 });
             }
