--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,249 +1,335 @@
-//! Plain types between the decisions and whatever carries them: ids, events in, effects out, and the terms
-//! read at start. All times are seconds with fractions. Nothing here decides, and nothing knows a protocol.
+//! Plain types between the decisions and whatever carries them: identifiers, the events that go in, the effects
+//! that come out, and the settings read at start.
+//!
+//! All times are seconds as `f64`, durations and points in time alike; a point in time is counted from an origin
+//! that the carrier chooses once. Nothing here decides, and nothing here knows a wire protocol.
 
 use std::sync::Arc;
 
-/// An invocation, as its carrier names it; never used twice.
+/// Identifies a client's request, as its carrier names it; never reused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct InvId(pub Arc<str>);
+pub struct RequestId(pub Arc<str>);
 
-/// What an invocation concerns; invocations that share a key belong together.
+/// Identifies what a request concerns; requests that share a key belong together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub Arc<str>);
 
+/// Identifies a host by a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostId(pub u64);
 
 impl HostId {
-    /// The id of a host by its name (FNV-1a, 64 bits): the same at every router, in every thread and after
-    /// every start, without anybody having to hand out numbers.
+    /// Returns the id of the host with this name (FNV-1a, 64 bits).
+    ///
+    /// It is the same at every router, in every thread and after every start, and needs no registry.
     pub fn named(name: &str) -> Self {
-        HostId(named(name))
+        HostId(fnv1a(name))
     }
 }
 
-fn named(name: &str) -> u64 {
-    let hash = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, hash)
+/// Hashes a name by FNV-1a, 64 bits.
+fn fnv1a(name: &str) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    let add = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME);
+    name.bytes().fold(OFFSET_BASIS, add)
 }
 
-/// A build; a later one has a higher number.
+/// Identifies a build; a later build has a higher number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BuildId(pub u16);
 
-/// A router of this service, by its number among them.
+/// Identifies a router of this service, by its number among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouterId(pub u32);
 
-/// An operation, by its place in [`ServiceTerms::operations`].
+/// Identifies an operation by its place in [`ServiceSettings::operations`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperationId(pub usize);
 
+/// Identifies a zone by a hash of its name or by a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u64);
 
 impl ZoneId {
-    /// By its name, as [`HostId::named`].
+    /// Returns the id of the zone with this name, hashed as by [`HostId::named`].
     pub fn named(name: &str) -> Self {
-        ZoneId(named(name))
+        ZoneId(fnv1a(name))
     }
 }
 
+/// Identifies a cell: a group of hosts that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
 
-/// A kind of machine.
+/// Identifies a kind of machine by a hash of its name or by a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u64);
 
 impl KindId {
-    /// By its name, as [`HostId::named`].
+    /// Returns the id of the kind with this name, hashed as by [`HostId::named`].
     pub fn named(name: &str) -> Self {
-        KindId(named(name))
+        KindId(fnv1a(name))
     }
 }
 
-/// A set of operators' wishes in force, by its number; 0 before there was any.
+/// Numbers a committed revision of the operators' settings; 0 before there was any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision(pub u64);
 
-/// The place of a dispatch among those of its invocation, from 0.
+/// The place of an attempt among those of its request, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct DispatchNo(pub u32);
+pub struct AttemptNumber(pub u32);
 
-/// What a router gets back when an alarm that it set goes off.
+/// Identifies a timer: a router gets back the key that it scheduled the timer with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AlarmKey(pub u64);
+pub struct TimerKey(pub u64);
 
-/// Hosts that drop the repeats of a fingerprinted invocation together.
+/// The hosts that recognise an idempotency key together, so that a retry among them has no second effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatGroup {
+pub enum IdempotencyScope {
+    /// All hosts of the service.
     All,
+    /// The hosts of one zone.
     Zone,
+    /// The hosts of one cell.
     Cell,
 }
 
-/// Whether an operation may run again.
+/// Whether an operation may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeats {
+pub enum Idempotency {
+    /// It may run any number of times.
     Idempotent,
-    Fingerprinted { group: RepeatGroup, window: f64 },
-    SideEffecting,
+    /// Hosts drop a repeat that carries the same key.
+    IdempotencyKey {
+        /// The hosts that know the key.
+        scope: IdempotencyScope,
+        /// How long they know it, in seconds.
+        window: f64,
+    },
+    /// It must not run twice.
+    NonIdempotent,
 }
 
+/// The settings of one operation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OperationTerms {
-    pub slo_time: f64,
-    /// The SLO time grows by this many times the invocation's own work, never past the time limit.
-    pub slo_stretch: f64,
+pub struct OperationSettings {
+    /// The time, in seconds, in which an answer earns its full value.
+    pub latency_objective: f64,
+    /// The objective grows by this many times the request's own work, never past the time limit.
+    pub latency_objective_stretch: f64,
+    /// The time, in seconds, after which the client stops waiting.
     pub time_limit: f64,
-    pub repeats: Repeats,
-    pub billed_value: f64,
-    /// Share of the billed value that an answer after the SLO time still earns.
-    pub late_share: f64,
+    /// Whether it may be retried.
+    pub idempotency: Idempotency,
+    /// What an answer within the objective is worth, in the service's own unit.
+    pub priority_weight: f64,
+    /// The fraction of that value that an answer after the objective still earns.
+    pub late_value_fraction: f64,
+    /// Whether answers are streamed.
     pub streamed: bool,
 }
 
 /// What moves a build from stage to stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Gate {
+    /// A number of votes.
     Any,
+    /// A share of the routers' votes.
     Share,
+    /// A timer, unless votes stop it.
     Clock,
 }
 
-/// What the figures that the host list gives as sizes mean.
+/// What the sizes in the endpoint list mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sizes {
-    Untold,
+    /// They are not given.
+    Unspecified,
+    /// They are the registered capacity.
     Registered,
+    /// They are a rough estimate.
     Rough,
+    /// They follow the present capacity.
     Live,
 }
 
-/// The terms that a service hands its routers at start.
+/// The settings that a service hands its routers at start.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServiceTerms {
+pub struct ServiceSettings {
+    /// This router.
     pub me: RouterId,
+    /// How many routers the service has.
     pub routers: u32,
+    /// The zone of this router.
     pub zone: Option<ZoneId>,
-    pub operations: Vec<OperationTerms>,
-    /// The billed value counts for each unit of work, not for each invocation.
-    pub billed_by_work: bool,
-    /// The host list comes only when asked for.
-    pub list_asked: bool,
-    /// Without a subscription, a router counts as told after this time.
-    pub ask_every: f64,
+    /// The operations, by [`OperationId`].
+    pub operations: Vec<OperationSettings>,
+    /// The priority weight counts for each unit of work, not for each request.
+    pub weighted_by_work: bool,
+    /// The endpoint list comes only when it is polled.
+    pub polls_endpoint_list: bool,
+    /// Without a subscription, a router counts as notified of a change after this time, in seconds.
+    pub endpoint_poll_interval: f64,
+    /// What the sizes in the endpoint list mean.
     pub sizes: Sizes,
+    /// What moves a build from stage to stage.
     pub gate: Gate,
+    /// The votes that promote a build.
     pub votes_on: u32,
+    /// The votes that roll a build back.
     pub votes_back: u32,
+    /// The votes that hold a build.
     pub votes_hold: u32,
+    /// The shortest time of a stage, in seconds.
     pub bake: f64,
-    pub ballot_life: f64,
+    /// How long a vote counts, in seconds.
+    pub vote_lifetime: f64,
+    /// How long the platform may take to answer a vote, in seconds.
     pub vote_wait: f64,
-    /// Votes a second that the platform takes of all routers together, twice that in a burst.
+    /// Votes a second that the platform accepts from all routers together, twice that in a burst.
     pub vote_rate: f64,
+    /// The share of the machines that runs the canary, by stage.
     pub stage_shares: Vec<f64>,
+    /// The largest share of the requests that the canary may get, by stage.
     pub stage_caps: Vec<f64>,
+    /// The window over which exposure is counted, in seconds.
     pub exposure_window: f64,
+    /// The attempts that a canary may get beyond its cap in a window.
     pub exposure_spare: f64,
+    /// Exposure is counted for each operation by itself.
     pub exposure_by_operation: bool,
-    pub guarded_stages: u32,
-    /// A key that the trial build has answered goes to no earlier one.
-    pub keys_bound: bool,
-    /// Hosts work faster for keys met lately.
-    pub keys_warm: bool,
-    /// Earlier machines drain as soon as their successor runs.
+    /// The number of first stages in which a canary gets idempotent operations alone.
+    pub idempotent_only_stages: u32,
+    /// A key that the canary has answered goes to no earlier build.
+    pub sticky_keys: bool,
+    /// Hosts work faster for keys they have met lately.
+    pub key_affinity: bool,
+    /// The baseline's machines drain as soon as their successor runs.
     pub in_place: bool,
+    /// The fraction of wrong answers that is disputed later.
     pub dispute_share: f64,
+    /// How long after a host began to drain it may still get requests, in seconds.
     pub drain_grace: f64,
-    pub cold_share: f64,
-    pub cold_time: f64,
-    pub fall_multiple: f64,
-    pub fall_time: f64,
+    /// The fraction of its work that a host can do right after its start.
+    pub slow_start_initial_fraction: f64,
+    /// How long a host takes to warm up, in seconds.
+    pub slow_start_duration: f64,
+    /// The load, as a multiple of what a host that warms up can do, at which it falls over.
+    pub overload_multiple: f64,
+    /// How long such a load lasts before the host falls over, in seconds.
+    pub overload_duration: f64,
+    /// Health checks are allowed.
     pub may_probe: bool,
-    pub may_tell: bool,
-    pub may_recall: bool,
-    pub may_copy: bool,
-    pub may_advise: bool,
-    pub longest_advice: f64,
-    pub most_dispatches: u32,
-    /// The shortest time between two events that differ in time.
+    /// Gossip among routers is allowed.
+    pub may_gossip: bool,
+    /// Attempts may be cancelled.
+    pub may_cancel_attempts: bool,
+    /// Hedged requests are allowed.
+    pub may_hedge: bool,
+    /// Shed requests may carry a time to retry after.
+    pub may_send_retry_after: bool,
+    /// The longest such time, in seconds.
+    pub max_retry_after: f64,
+    /// The attempts that a request may have.
+    pub max_attempts: u32,
+    /// The shortest time between two events that differ in time, in seconds.
     pub tick: f64,
 }
 
+/// The state of a host in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
+    /// It takes requests.
     Running,
+    /// It is draining.
     Stopping,
+    /// It has left.
     Gone,
 }
 
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostEntry {
+    /// The host.
     pub host: HostId,
+    /// The build that it runs.
     pub build: BuildId,
+    /// Its zone.
     pub zone: ZoneId,
+    /// Its cell.
     pub cell: CellId,
+    /// Its kind of machine.
     pub kind: KindId,
+    /// Its capacity, 1 being a standard machine.
     pub size: f64,
     /// When it last started; `None` is long ago.
     pub started: Option<f64>,
+    /// Whether it takes requests.
     pub state: HostState,
 }
 
 impl HostEntry {
-    /// Whether both are of one process: an id may come back with another start or build.
+    /// Whether both entries are of one process: an id may come back with another start or build.
     pub fn same_process(&self, other: &HostEntry) -> bool {
         self.build == other.build && self.started == other.started
     }
 }
 
-/// The hosts that a route's invocations may use; an empty list is no condition. It narrows and never widens.
+/// The hosts that a route's requests may use; an empty list is no condition. It narrows and never widens.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
+    /// The zones of its hosts.
     pub zones: Vec<ZoneId>,
+    /// The kinds of its hosts.
     pub kinds: Vec<KindId>,
+    /// Its hosts, where they are named one by one.
     pub hosts: Vec<HostId>,
 }
 
 impl Pool {
-    pub fn holds(&self, host: &HostEntry) -> bool {
-        self.spans(host.zone, host.kind)
-            && (self.hosts.is_empty() || self.hosts.contains(&host.host))
+    /// Whether this host is in the pool.
+    pub fn contains(&self, host: &HostEntry) -> bool {
+        let named = self.hosts.is_empty() || self.hosts.contains(&host.host);
+        named && self.may_contain(host.zone, host.kind)
     }
 
-    /// Whether hosts of this zone and kind may be in it.
-    pub fn spans(&self, zone: ZoneId, kind: KindId) -> bool {
+    /// Whether hosts of this zone and kind may be in the pool.
+    pub fn may_contain(&self, zone: ZoneId, kind: KindId) -> bool {
         let in_zone = self.zones.is_empty() || self.zones.contains(&zone);
         in_zone && (self.kinds.is_empty() || self.kinds.contains(&kind))
     }
 }
 
-/// What operators ask of a build on trial. It can only hold it, take it back or show it to less.
+/// What operators ask of a canary. It can only hold it, roll it back or lower its cap.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RingWish {
+pub struct RolloutOverride {
+    /// The build that it is about.
     pub build: BuildId,
+    /// Do not promote it.
     pub hold: bool,
-    pub back: bool,
-    /// The cap is this at most.
+    /// Roll it back.
+    pub roll_back: bool,
+    /// The largest share of the requests that it may get.
     pub cap: f64,
 }
 
-/// What operators want weighed, as one whole. Weights are only a narrowing: they share out what the decisions
-/// let a host have.
+/// What operators have set, as of one revision. Weights only narrow: they share out what the decisions let a host
+/// have.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct OperatorSet {
+pub struct OperatorOverrides {
+    /// The revision that committed it.
     pub revision: Revision,
-    /// In ascending order of hosts; those that are not in it weigh 1.
+    /// In ascending order of hosts; hosts that are not listed weigh 1.
     pub weights: Box<[(HostId, f64)]>,
-    pub ring: Option<RingWish>,
+    /// What they ask of a canary.
+    pub rollout: Option<RolloutOverride>,
 }
 
-impl OperatorSet {
-    /// Tells the weights of hosts that are asked for in ascending order.
-    pub fn in_order(&self) -> impl FnMut(HostId) -> f64 {
+impl OperatorOverrides {
+    /// Returns a lookup of weights, to be called with hosts in ascending order.
+    pub fn weights_in_order(&self) -> impl FnMut(HostId) -> f64 {
         let mut left = &self.weights[..];
         move |host| {
             while let [(first, _), rest @ ..] = left
@@ -258,210 +344,322 @@
     }
 }
 
+/// What an endpoint list holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// Only the changed entries.
-    Changes,
-    /// The whole list.
-    Whole,
-    /// The whole list as this router had it last; it may be old.
-    Remembered,
+    Delta,
+    /// The full list.
+    Full,
+    /// The full list as this router had it last; it may be old.
+    Cached,
 }
 
-/// How a dispatch, a probe or a vote ended.
+/// How an attempt, a health check or a vote ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AttemptOutcome {
+    /// An answer came.
     Succeeded,
+    /// The host answered with an error.
     Error,
-    Full,
+    /// The host rejected it, with no effect.
+    Rejected,
+    /// No answer came in its time; it may have run.
     TimedOut,
+    /// No connection was made, so it has not run.
     NoConnection,
+    /// The connection was reset; it may have run.
     Reset,
-    Recalled,
-    Moot,
+    /// This router cancelled it.
+    Cancelled,
+    /// It did not matter any more.
+    Irrelevant,
 }
 
-/// A host's report on itself, as far as it was sent.
+/// A host's report on its own load, as far as it was sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    pub held: Option<f64>,
+    /// Requests in flight.
+    pub in_flight: Option<f64>,
+    /// Requests that wait in its queue.
     pub queued: Option<f64>,
+    /// The fraction of its capacity that is busy.
     pub busy: Option<f64>,
+    /// The time that a request takes, in seconds.
     pub service_time: Option<f64>,
 }
 
+/// The phase of a build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    OnTrial,
-    GoingBack,
+    /// It is the canary: part of the machines run it, under a cap.
+    Canary,
+    /// It is being rolled back.
+    RollingBack,
+    /// It is released to all machines.
     Released,
-    Withdrawn,
+    /// It has been rolled back.
+    RolledBack,
 }
 
+/// The state of a rollout, as the platform told it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StageNews {
+pub struct RolloutStatus {
     /// Other than `Succeeded`: the answer to a vote that did not count, or (timed out) may have.
-    pub verdict: Verdict,
+    pub outcome: AttemptOutcome,
+    /// The newest build.
     pub build: BuildId,
+    /// Its stage, from 0.
     pub stage: u32,
+    /// Its phase.
     pub phase: Phase,
+    /// The largest share of the requests that it may get.
     pub cap: f64,
-    /// Time since this state began.
+    /// The time since this state began, in seconds.
     pub age: f64,
+    /// Whether this is the answer to a vote of this router.
     pub answers_vote: bool,
 }
 
+/// A router's vote on a canary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Sense {
+pub enum Vote {
+    /// No vote, or a vote withdrawn.
     #[default]
-    None,
-    On,
+    Abstain,
+    /// To the next stage.
+    Promote,
+    /// Stay at this stage.
     Hold,
-    Back,
+    /// Back to the baseline.
+    RollBack,
 }
 
+/// A client's request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Invocation {
-    pub id: InvId,
+pub struct Request {
+    /// Its id.
+    pub id: RequestId,
+    /// The operation that it asks for.
     pub operation: OperationId,
+    /// What it concerns.
     pub key: Option<KeyId>,
-    /// Time before the client stops waiting for this try.
+    /// The time before the client stops waiting for this request, in seconds.
     pub time_left: f64,
     /// Expected work, rough, in seconds of a standard core.
     pub work: Option<f64>,
+    /// Whether the client sends it again after an earlier try.
     pub again: bool,
-    /// The hosts that are for it; none: all.
+    /// The hosts that may serve it; none: all.
     pub pool: Option<Arc<Pool>>,
 }
 
+/// What happens to a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    Hosts {
+    /// An endpoint list has come.
+    EndpointList {
+        /// What it holds.
         scope: ListScope,
+        /// Its entries.
         entries: Arc<[HostEntry]>,
     },
-    /// Part of a long list that is told ahead: nothing of it counts before the next `Operators` or `Hosts`.
-    Staged {
+    /// Part of a long list, handed over ahead: nothing of it counts before the next `OperatorOverridesApplied` or
+    /// `EndpointList`.
+    EndpointsStaged {
+        /// The whole list.
         entries: Arc<[HostEntry]>,
+        /// The first entry of this part.
         from: usize,
+        /// The end of this part, exclusive.
         to: usize,
     },
-    /// A revision is in force, with all that was staged for it and these entries.
-    Operators {
-        set: Arc<OperatorSet>,
+    /// A revision of the operators' settings is in force, with all that was staged for it and these entries.
+    OperatorOverridesApplied {
+        /// What operators have set.
+        overrides: Arc<OperatorOverrides>,
+        /// The changed entries.
         entries: Arc<[HostEntry]>,
     },
-    ListFailed,
-    Arrived(Invocation),
-    Streaming {
-        inv: InvId,
-        dispatch: DispatchNo,
+    /// The endpoint list could not be had, or its watch broke.
+    EndpointListFailed,
+    /// A client's request has come.
+    RequestReceived(Request),
+    /// A streamed answer has begun: the request is final.
+    ResponseStarted {
+        /// The request.
+        request: RequestId,
+        /// The attempt that is answered.
+        attempt: AttemptNumber,
+        /// Its host.
         host: HostId,
     },
-    Ended {
-        inv: InvId,
-        dispatch: DispatchNo,
+    /// An attempt has ended.
+    AttemptFinished {
+        /// The request.
+        request: RequestId,
+        /// Which of its attempts.
+        attempt: AttemptNumber,
+        /// Its host.
         host: HostId,
-        verdict: Verdict,
+        /// How it ended.
+        outcome: AttemptOutcome,
+        /// Whether the request has its final answer.
         over: bool,
+        /// The time that it took, in seconds.
         took: f64,
+        /// What the host reported with its answer.
         load: LoadReport,
-        /// How long its connection had been without use, where the carrier knows; 0 for a new one.
+        /// How long its connection had been idle, in seconds, where the carrier knows; 0 for a new one.
         unused: Option<f64>,
     },
-    ClientLeft {
-        inv: InvId,
+    /// The client has closed its connection.
+    ClientDisconnected {
+        /// Its request.
+        request: RequestId,
     },
-    Alarm {
-        key: AlarmKey,
+    /// A timer has expired.
+    TimerExpired {
+        /// The key that it was scheduled with.
+        key: TimerKey,
     },
-    Probed {
+    /// A health check has ended.
+    HealthCheckFinished {
+        /// The host.
         host: HostId,
-        verdict: Verdict,
+        /// How it ended.
+        outcome: AttemptOutcome,
+        /// The time that it took, in seconds.
         took: f64,
+        /// What the host reported.
         load: LoadReport,
     },
-    Told {
+    /// A peer's gossip message has come.
+    GossipReceived {
+        /// The peer.
         from: RouterId,
+        /// The message.
         payload: Vec<u8>,
     },
-    Stage(StageNews),
-    Tally {
+    /// The platform has told the state of the rollout, or answered a vote.
+    RolloutStatusReceived(RolloutStatus),
+    /// Figures of a build, as others measured them.
+    BuildMetrics {
+        /// The build.
         build: BuildId,
+        /// The operation.
         operation: OperationId,
-        dispatches: f64,
+        /// Attempts counted.
+        attempts: f64,
+        /// Attempts that failed.
         failed: f64,
+        /// Their mean time, in seconds.
         mean_time: f64,
+        /// How old the figures are, in seconds.
         age: f64,
     },
-    Disputed {
+    /// An answer that was given turned out to be wrong.
+    AnswerDisputed {
+        /// The host that gave it.
         host: HostId,
+        /// The operation.
         operation: OperationId,
+        /// How long ago it was given, in seconds.
         age: f64,
     },
 }
 
-/// On which connection a dispatch may go, and by when; times in seconds.
+/// On which connection an attempt may go, and by when; times in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ConnectionTerms {
-    /// On none that has been without use for longer.
-    pub unused_most: f64,
+pub struct ConnectionRequirements {
+    /// On none that has been idle for longer.
+    pub max_idle: f64,
     /// On none whose last answer came less than this ago: answers carry no id, and a second one that comes late
-    /// would be taken for this dispatch's own.
-    pub rested_least: f64,
+    /// would be taken for this attempt's own.
+    pub min_rest: f64,
     /// But where as many of a host's connections rest, the one that has rested for longest is used.
-    pub resting_most: usize,
+    pub max_resting: usize,
     /// What is not written to its last byte by then is given up, and has never run: it may be too late for a
-    /// repeat, or the host be draining by now.
-    pub written_within: f64,
+    /// retry, or the host may be draining by now.
+    pub write_within: f64,
 }
 
+/// What a router wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    Dispatch {
-        inv: InvId,
+    /// Forward a request to a host.
+    StartAttempt {
+        /// The request.
+        request: RequestId,
+        /// The host.
         host: HostId,
+        /// The time that the host has to answer, in seconds.
         time_out: f64,
-        on: ConnectionTerms,
+        /// The connection that it may use.
+        connection: ConnectionRequirements,
     },
-    Recall {
-        inv: InvId,
-        dispatch: DispatchNo,
+    /// Cancel an attempt.
+    CancelAttempt {
+        /// The request.
+        request: RequestId,
+        /// Which of its attempts.
+        attempt: AttemptNumber,
     },
-    /// A final answer: trying again is harmless, if wished not before `stay_away`.
-    Throttle {
-        inv: InvId,
-        stay_away: Option<f64>,
+    /// A final answer: the request had no effect and may be retried, not before `retry_after`.
+    ShedRequest {
+        /// The request.
+        request: RequestId,
+        /// The time to wait, in seconds.
+        retry_after: Option<f64>,
     },
-    /// A final answer that promises nothing.
-    Terminate {
-        inv: InvId,
+    /// A final answer that promises nothing about effects.
+    FailRequest {
+        /// The request.
+        request: RequestId,
     },
-    SetAlarm {
+    /// Schedule a timer.
+    ScheduleTimer {
+        /// When it expires.
         at: f64,
-        key: AlarmKey,
+        /// What comes back with it.
+        key: TimerKey,
     },
-    Probe {
+    /// Check the health of a host.
+    StartHealthCheck {
+        /// The host.
         host: HostId,
     },
-    CloseIdle {
+    /// Close the idle connections to a host.
+    CloseIdleConnections {
+        /// The host.
         host: HostId,
     },
-    /// To one router, or to all.
-    Tell {
+    /// Send a gossip message to one router, or to all.
+    SendGossip {
+        /// The router; none: all.
         to: Option<RouterId>,
+        /// The message.
         payload: Vec<u8>,
     },
-    Vote {
+    /// Vote on a canary at the platform.
+    CastVote {
+        /// The build.
         build: BuildId,
+        /// The stage that the vote is about.
         stage: u32,
-        sense: Sense,
+        /// The vote.
+        vote: Vote,
     },
-    Follow {
+    /// Subscribe to the endpoint list, or end the subscription.
+    SubscribeEndpointList {
+        /// Whether to subscribe.
         on: bool,
     },
-    FetchList,
-    Note {
+    /// Fetch the endpoint list once.
+    FetchEndpointList,
+    /// Write a line to the log.
+    WriteLog {
+        /// The line.
         text: String,
     },
 }
--- a/src/narrow.rs
+++ b/src/narrow.rs
@@ -22,11 +22,11 @@
 
 /// How many times its fair share a host may be given by weight alone: any number when warm, and before that
 /// what leaves room below the fall, but always the fair share itself.
-pub fn carried(warmth: f64, fall_multiple: f64) -> f64 {
+pub fn carried(warmth: f64, overload_multiple: f64) -> f64 {
     if warmth >= 1.0 {
         f64::INFINITY
     } else {
-        (HEADROOM * fall_multiple * warmth).max(1.0)
+        (HEADROOM * overload_multiple * warmth).max(1.0)
     }
 }
 
@@ -43,7 +43,7 @@
 
 /// Puts in each weight's place what it counts for, 1 being an even share: no cold host's exceeds what it may
 /// carry, measured by the level of all weights as they count themselves.
-pub fn put_in_force(hosts: &mut [Weighed], fall_multiple: f64) {
+pub fn put_in_force(hosts: &mut [Weighed], overload_multiple: f64) {
     let size: f64 = hosts.iter().map(|host| host.size).sum();
     let first = hosts.first().map_or(1.0, |host| host.weight);
     if size <= 0.0 || hosts.iter().all(|host| host.weight == first) {
@@ -57,8 +57,10 @@
         .fold(f64::INFINITY, f64::min);
     let warm = hosts.iter().filter(|host| host.warmth >= 1.0);
     let mut level = least.max(warm.map(|host| host.size * host.weight).sum::<f64>() / size);
-    let counts =
-        |host: &Weighed, level: f64| host.weight.min(level * carried(host.warmth, fall_multiple));
+    let counts = |host: &Weighed, level: f64| {
+        host.weight
+            .min(level * carried(host.warmth, overload_multiple))
+    };
     let mean = |level: f64| {
         hosts
             .iter()
--- a/src/record.rs
+++ b/src/record.rs
@@ -21,7 +21,7 @@
     pub(crate) late_is_worthless: bool,
     /// Earns less than half of what the best operation earns for its time.
     pub(crate) lean: bool,
-    pub(crate) group: RepeatGroup,
+    pub(crate) group: IdempotencyScope,
     /// How long a repeat is harmless: for ever where idempotent, never where side-effecting.
     pub(crate) window: f64,
 }
@@ -115,9 +115,9 @@
 
 /// How a dispatch ended, after which time, whether its invocation is over, and how long its connection had been
 /// without use.
-pub(crate) type Outcome = (Verdict, f64, bool, Option<f64>);
+pub(crate) type Outcome = (AttemptOutcome, f64, bool, Option<f64>);
 
-pub(crate) struct Request {
+pub(crate) struct RequestState {
     pub(crate) operation: usize,
     pub(crate) key: Option<KeyId>,
     pub(crate) work: f64,
@@ -128,7 +128,7 @@
     pub(crate) over: bool,
     pub(crate) pool: Option<Arc<Pool>>,
     /// What operators had set when it came.
-    pub(crate) set: Arc<OperatorSet>,
+    pub(crate) set: Arc<OperatorOverrides>,
 }
 
 /// Low quantiles of times, for each unit of expected work.
@@ -143,7 +143,7 @@
 pub(crate) enum Task {
     Gossip,
     Follow,
-    Further(InvId),
+    Further(RequestId),
 }
 
 /// What outcomes are scored by: kept the SLO time, had no plain error, was quick.
@@ -161,7 +161,7 @@
     pub(crate) many: bool,
     pub(crate) zone: Option<ZoneId>,
     pub(crate) operations: Vec<Operation>,
-    pub(crate) list_asked: bool,
+    pub(crate) polls_endpoint_list: bool,
     /// Over which all routers spread their first calls for a list; their later ones no closer than that at last.
     pub(crate) call_spread: f64,
     pub(crate) stage_shares: Vec<f64>,
@@ -176,27 +176,27 @@
     pub(crate) window: f64,
     pub(crate) spare: f64,
     pub(crate) by_operation: bool,
-    pub(crate) guarded_stages: u32,
-    pub(crate) keys_bound: bool,
-    pub(crate) keys_warm: bool,
+    pub(crate) idempotent_only_stages: u32,
+    pub(crate) sticky_keys: bool,
+    pub(crate) key_affinity: bool,
     /// The earlier machines stay beside the new ones until the release.
     pub(crate) beside: bool,
     pub(crate) dispute_weight: f64,
     pub(crate) drain_grace: f64,
-    pub(crate) cold_share: f64,
-    pub(crate) cold_time: f64,
+    pub(crate) slow_start_initial_fraction: f64,
+    pub(crate) slow_start_duration: f64,
     pub(crate) cold_spend: f64,
-    pub(crate) fall_multiple: f64,
-    pub(crate) may_tell: bool,
-    pub(crate) may_copy: bool,
+    pub(crate) overload_multiple: f64,
+    pub(crate) may_gossip: bool,
+    pub(crate) may_hedge: bool,
     pub(crate) advice: Option<f64>,
-    pub(crate) most_dispatches: usize,
+    pub(crate) max_attempts: usize,
     pub(crate) slots: usize,
     /// Some operation's repeats are dropped by the hosts of one cell.
     pub(crate) by_cell: bool,
     pub(crate) tick: f64,
     // Seen since.
-    pub(crate) set: Arc<OperatorSet>,
+    pub(crate) set: Arc<OperatorOverrides>,
     /// Some host's weight may be other than 1.
     pub(crate) weighs: bool,
     /// Boxed: lists of thousands are taken at once, and a map moves what it holds.
@@ -204,7 +204,7 @@
     pub(crate) index: HostIndex,
     /// What the list that is being told names.
     pub(crate) staged: Vec<HostId>,
-    pub(crate) requests: BTreeMap<InvId, Request>,
+    pub(crate) requests: BTreeMap<RequestId, RequestState>,
     pub(crate) alarms: BTreeMap<u64, Task>,
     pub(crate) next_alarm: u64,
     pub(crate) follow_wait: f64,
@@ -240,7 +240,7 @@
     pub(crate) exposed: VecDeque<(f64, BuildId, usize)>,
     pub(crate) bound: BTreeMap<KeyId, BuildId>,
     pub(crate) further: f64,
-    pub(crate) news: Option<StageNews>,
+    pub(crate) news: Option<RolloutStatus>,
     pub(crate) stage_since: f64,
     pub(crate) sums: Sheet,
     /// The mean of what peers told lately of this build.
@@ -254,13 +254,13 @@
     pub(crate) fresh: bool,
     /// State of the ballot, what it says, and since when.
     pub(crate) ballot: Ballot,
-    pub(crate) ballot_sense: Sense,
+    pub(crate) ballot_sense: Vote,
     /// What the platform was last known to have counted of this router.
-    pub(crate) stands: Sense,
+    pub(crate) stands: Vote,
     /// Time before a ballot that was not counted is cast again.
     pub(crate) ask_again: f64,
     pub(crate) ballot_at: f64,
-    pub(crate) wish: Sense,
+    pub(crate) wish: Vote,
     pub(crate) wish_since: f64,
     pub(crate) worse_since: f64,
     pub(crate) held: f64,
@@ -271,7 +271,7 @@
 impl State {
     /// What the terms say, and nothing seen yet.
     pub(crate) fn of(
-        terms: &ServiceTerms,
+        terms: &ServiceSettings,
         operations: Vec<Operation>,
         slots: usize,
         tick: f64,
@@ -283,17 +283,17 @@
             zone: terms.zone,
             by_cell: operations
                 .iter()
-                .any(|operation| operation.group == RepeatGroup::Cell),
+                .any(|operation| operation.group == IdempotencyScope::Cell),
             operations,
-            list_asked: terms.list_asked,
+            polls_endpoint_list: terms.polls_endpoint_list,
             stage_shares: terms.stage_shares.clone(),
             first_cap: terms.stage_caps.first().copied().unwrap_or(0.0),
             window: terms.exposure_window + tick,
             spare: terms.exposure_spare,
             by_operation: terms.exposure_by_operation,
-            guarded_stages: terms.guarded_stages,
-            keys_bound: terms.keys_bound,
-            keys_warm: terms.keys_warm,
+            idempotent_only_stages: terms.idempotent_only_stages,
+            sticky_keys: terms.sticky_keys,
+            key_affinity: terms.key_affinity,
             beside: !terms.in_place,
             dispute_weight: if terms.dispute_share > 0.0 {
                 1.0 / terms.dispute_share
@@ -301,13 +301,13 @@
                 0.0
             },
             drain_grace: terms.drain_grace,
-            cold_share: terms.cold_share,
-            cold_time: terms.cold_time,
-            fall_multiple: terms.fall_multiple,
-            may_tell: terms.may_tell,
-            may_copy: terms.may_copy,
-            advice: terms.may_advise.then_some(terms.longest_advice),
-            most_dispatches: terms.most_dispatches.max(1) as usize,
+            slow_start_initial_fraction: terms.slow_start_initial_fraction,
+            slow_start_duration: terms.slow_start_duration,
+            overload_multiple: terms.overload_multiple,
+            may_gossip: terms.may_gossip,
+            may_hedge: terms.may_hedge,
+            advice: terms.may_send_retry_after.then_some(terms.max_retry_after),
+            max_attempts: terms.max_attempts.max(1) as usize,
             slots,
             tick,
             sight: sums.clone(),
@@ -328,7 +328,9 @@
     /// The part of its work that a host can do, by its start and the terms.
     pub(crate) fn warmth(&self, host: &HostEntry, now: f64) -> f64 {
         let age = host.started.map_or(f64::INFINITY, |started| now - started);
-        self.cold_share + (1.0 - self.cold_share) * (age / self.cold_time).clamp(0.0, 1.0)
+        self.slow_start_initial_fraction
+            + (1.0 - self.slow_start_initial_fraction)
+                * (age / self.slow_start_duration).clamp(0.0, 1.0)
     }
 
     pub(crate) fn bound_to(&self, key: &Option<KeyId>) -> Option<BuildId> {
@@ -336,8 +338,8 @@
     }
 
     /// What operators ask of this build; they may hold it, take it back and show it to less, never more.
-    pub(crate) fn asked_of(&self, build: BuildId) -> Option<RingWish> {
-        self.set.ring.filter(|wish| wish.build == build)
+    pub(crate) fn asked_of(&self, build: BuildId) -> Option<RolloutOverride> {
+        self.set.rollout.filter(|wish| wish.build == build)
     }
 
     /// One mark's figures of an arm, of one slot or all.
@@ -369,7 +371,7 @@
     }
 
     /// What speaks for a vote, as the log tells it.
-    pub(crate) fn reasons(&self, news: &StageNews, arms: [usize; 2]) -> String {
+    pub(crate) fn reasons(&self, news: &RolloutStatus, arms: [usize; 2]) -> String {
         let good =
             |[up, down]: [f64; 2]| format!("{:.2}/{:.0}", up / (up + down).max(1.0), up + down);
         let of_arms = |mark| {
@@ -419,15 +421,15 @@
     }
 
     /// All hosts in use, in their order, with their weights under a revision.
-    pub(crate) fn all_weighed(&self, now: f64, set: &OperatorSet) -> Vec<Weighed> {
-        let mut weight = set.in_order();
+    pub(crate) fn all_weighed(&self, now: f64, set: &OperatorOverrides) -> Vec<Weighed> {
+        let mut weight = set.weights_in_order();
         self.usable()
             .map(|h| self.weighed(&h.entry, now, &mut weight))
             .collect()
     }
 
     pub(crate) fn weigh(&mut self, mut weighed: Vec<Weighed>) {
-        put_in_force(&mut weighed, self.fall_multiple);
+        put_in_force(&mut weighed, self.overload_multiple);
         let usable = self.hosts.values_mut().filter(|host| host.usable);
         usable
             .zip(weighed)
