--- a/benchlink/src/codec.rs
+++ b/benchlink/src/codec.rs
@@ -158,3 +158,6 @@
     };
     debug_assert!(written.is_ok());
 }
+
+#[cfg(test)]
+mod tests;
