--- a/router/tests/golden_wire.rs
+++ b/router/tests/golden_wire.rs
@@ -16,7 +16,7 @@
 use std::process::{Child, Stdio};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use golden::{Transcript, replace_one, router_command};
 use tempfile::TempDir;
@@ -784,7 +784,12 @@
     let fields = platform_fields(platform, &hosts);
     let router = Router::start(&configuration(silent_party(), &fields, SETTINGS));
     let mut back = String::new();
-    for request in 0..2000 {
+    let until = Instant::now() + PATIENCE;
+    for request in 0.. {
+        assert!(
+            Instant::now() < until,
+            "no vote back after {request} requests: {back}"
+        );
         router.ask(&["Q.DO", "key", &format!("id-{request}"), "c=switch,d=5000"]);
         back.extend(lines.try_iter());
         if back.contains("\"opinion\":\"back\"") {
