--- a/src/record.rs
+++ b/src/record.rs
@@ -379,9 +379,9 @@
                 .join(":")
         };
         let (marks, drag) = ([0, 1, 2].map(of_arms).join(" "), self.shared_drag);
-        let (wish, build, stage) = (self.wish, news.build.0, news.stage);
+        let (wish, build, stage) = (vote_word(self.wish), news.build.0, news.stage);
         format!(
-            "vote {wish:?} build {build} stage {stage}, in time, no error, quick {marks}, drag {drag:.2}"
+            "vote {wish} build {build} stage {stage}, in time, no error, quick {marks}, drag {drag:.2}"
         )
     }
 
@@ -438,6 +438,16 @@
     }
 }
 
+/// The word of a vote in the line that explains it; the simulator's journal holds it.
+fn vote_word(vote: Vote) -> &'static str {
+    match vote {
+        Vote::Abstain => "None",
+        Vote::Promote => "On",
+        Vote::Hold => "Hold",
+        Vote::RollBack => "Back",
+    }
+}
+
 /// What one router tells another: the build its figures are of, and the figures.
 pub(crate) struct Message {
     pub(crate) reply: bool,
