--- a/datastore/src/access.rs
+++ b/datastore/src/access.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-use crate::fault::Fault;
 use crate::tree::{Difference, Path};
+use crate::validation::ValidationError;
 
 /// What somebody may read and change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -46,11 +46,11 @@
     }
 
     /// The first change that is beyond these rights.
-    pub fn check(self, changes: &[Difference]) -> Result<(), Fault> {
+    pub fn check(self, changes: &[Difference]) -> Result<(), ValidationError> {
         let beyond = changes.iter().find(|change| !self.covers(&change.path).0);
         beyond.map_or(Ok(()), |change| {
             let needed = self.covers(&change.path).1;
-            Err(Fault::new(
+            Err(ValidationError::new(
                 &change.path,
                 "is beyond the rights of this key",
                 self,
--- a/datastore/src/check.rs
+++ b/datastore/src/check.rs
@@ -8,24 +8,24 @@
 use kestreltide::interface::*;
 use kestreltide::narrow::{self, Weighed};
 
-use crate::fault::{Fault, Faults, KEPT, Rule};
-use crate::merge::{Listed, merge};
+use crate::merge::{HostRecord, merge};
 use crate::snapshot::routes;
 use crate::tree::{AdminState, Difference, HostName, Leaf, Path, RouteSet, Tree, Value};
+use crate::validation::{KEPT, Rule, ValidationError, ValidationErrors};
 
 /// What a router keeps at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Most {
+pub struct Maximums {
     pub hosts: usize,
     pub routes: usize,
     /// Names of operations, zones, kinds and hosts in all routes together.
     pub route_names: usize,
-    pub memory: MemoryTerms,
+    pub memory: MemorySettings,
 }
 
 /// The memory that there is for all of these, and what each of them takes of it, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MemoryTerms {
+pub struct MemorySettings {
     pub most: usize,
     /// A host that counts, whoever lists it, and what operators say of one beside that.
     pub host: usize,
@@ -34,13 +34,13 @@
     pub route_name: usize,
 }
 
-impl Default for Most {
+impl Default for Maximums {
     fn default() -> Self {
-        let memory = MemoryTerms {
+        let memory = MemorySettings {
             most: usize::MAX,
-            ..MemoryTerms::default()
+            ..MemorySettings::default()
         };
-        Most {
+        Maximums {
             hosts: 16 * 1024,
             routes: 16 * 1024,
             route_names: 64 * 1024,
@@ -58,19 +58,19 @@
 
 /// What of the terms the checks go by.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RuleTerms {
+pub struct RuleSettings {
     /// Names of the service's operations.
     pub operations: Vec<String>,
     pub routers: u32,
     pub slow_start_initial_fraction: f64,
     pub slow_start_duration: f64,
     pub overload_multiple: f64,
-    pub most: Most,
+    pub most: Maximums,
 }
 
-impl RuleTerms {
-    pub fn new(terms: &ServiceSettings, operations: Vec<String>, most: Most) -> Self {
-        RuleTerms {
+impl RuleSettings {
+    pub fn new(terms: &ServiceSettings, operations: Vec<String>, most: Maximums) -> Self {
+        RuleSettings {
             most,
             operations,
             routers: terms.routers.max(1),
@@ -81,7 +81,7 @@
     }
 }
 
-impl RuleTerms {
+impl RuleSettings {
     /// The part of its work that a host can do so long after its start.
     pub fn warmth(&self, started: Option<f64>, now: f64) -> f64 {
         let age = started.map_or(f64::INFINITY, |started| (now - started).max(0.0));
@@ -99,7 +99,7 @@
 pub struct Facts {
     pub now: f64,
     /// What discovery lists; `None` where it is not asked.
-    pub discovery: Option<Arc<[Listed]>>,
+    pub discovery: Option<Arc<[HostRecord]>>,
     /// Discovery has told its list, or is not asked.
     pub heard: bool,
     pub news: Option<RolloutStatus>,
@@ -112,19 +112,19 @@
 
 /// Everything a check may look at.
 pub struct Context<'a> {
-    pub terms: &'a RuleTerms,
+    pub terms: &'a RuleSettings,
     pub facts: &'a Facts,
     pub old: &'a Tree,
     pub new: &'a Tree,
     pub drained: &'a Drained,
     /// All hosts as they count, before and after, in the order of names.
-    was: BTreeMap<Arc<str>, Listed>,
-    is: BTreeMap<Arc<str>, Listed>,
+    was: BTreeMap<Arc<str>, HostRecord>,
+    is: BTreeMap<Arc<str>, HostRecord>,
     changes: &'a [Difference],
 }
 
 /// All hosts as they count under a tree.
-pub fn merged(tree: &Tree, seen: &Seen, facts: &Facts) -> BTreeMap<Arc<str>, Listed> {
+pub fn merged(tree: &Tree, seen: &Seen, facts: &Facts) -> BTreeMap<Arc<str>, HostRecord> {
     let listed = facts.discovery.as_deref().unwrap_or_default();
     let mut all = BTreeMap::new();
     for told in listed {
@@ -147,7 +147,7 @@
 
 impl<'a> Context<'a> {
     pub fn new(
-        terms: &'a RuleTerms,
+        terms: &'a RuleSettings,
         facts: &'a Facts,
         (old, old_seen): (&'a Tree, &Seen),
         (new, new_seen): (&'a Tree, &Seen),
@@ -168,7 +168,7 @@
     }
 
     /// The released build: the newest that is no trial any more, or every listed one before any news.
-    fn released(&self, hosts: &BTreeMap<Arc<str>, Listed>) -> Vec<BuildId> {
+    fn released(&self, hosts: &BTreeMap<Arc<str>, HostRecord>) -> Vec<BuildId> {
         let builds: BTreeSet<_> = hosts.values().map(|host| host.build).collect();
         let earlier = |news: &RolloutStatus| builds.range(..news.build).next_back().copied();
         match &self.facts.news {
@@ -191,7 +191,7 @@
     fn weighed(
         &self,
         tree: &Tree,
-        hosts: &BTreeMap<Arc<str>, Listed>,
+        hosts: &BTreeMap<Arc<str>, HostRecord>,
     ) -> (Vec<Arc<str>>, Vec<Weighed>) {
         let serving = hosts.iter().filter(|(_, host)| host.serves());
         let weight = |name: &Arc<str>| {
@@ -214,7 +214,7 @@
     }
 }
 
-type Check = fn(&Context, &mut Faults);
+type Check = fn(&Context, &mut ValidationErrors);
 
 /// Every check, in the order in which their faults are shown.
 const CHECKS: [Check; 13] = [
@@ -234,24 +234,24 @@
 ];
 
 /// All faults of a candidate.
-pub fn check(context: &Context) -> Faults {
-    let mut faults = Faults::default();
+pub fn check(context: &Context) -> ValidationErrors {
+    let mut errors = ValidationErrors::default();
     if context.facts.discovery.is_some() && !context.facts.heard {
-        let fault = Fault::new(
+        let error = ValidationError::new(
             "hosts",
             "discovery has not told its list yet",
             "nothing",
             "a list",
         );
-        faults.push(fault.passing(context.facts.now + LOOK_AGAIN));
-        return faults;
+        errors.push(error.passing(context.facts.now + LOOK_AGAIN));
+        return errors;
     }
-    CHECKS.iter().for_each(|check| check(context, &mut faults));
-    faults
+    CHECKS.iter().for_each(|check| check(context, &mut errors));
+    errors
 }
 
 /// An entry of its own has all that an entry needs; what is no entry speaks of a host that is listed.
-fn entries_whole(context: &Context, faults: &mut Faults) {
+fn entries_whole(context: &Context, errors: &mut ValidationErrors) {
     let needed = [Leaf::Endpoint, Leaf::Zone, Leaf::Kind, Leaf::Build];
     let missing = context
         .new
@@ -261,21 +261,21 @@
     for (name, set) in missing {
         if needed.iter().all(|leaf| set.get(*leaf).is_none()) {
             let what = "no such host is listed, by discovery or here";
-            let fault = Fault::new(
+            let error = ValidationError::new(
                 format!("hosts/{name}"),
                 what,
                 "no entry",
                 "endpoint, zone, kind and build",
             );
-            faults.push(match context.facts.discovery {
+            errors.push(match context.facts.discovery {
                 // It may be listed yet.
-                Some(_) => fault.passing(context.facts.now + LOOK_AGAIN),
-                None => fault,
+                Some(_) => error.passing(context.facts.now + LOOK_AGAIN),
+                None => error,
             });
         } else {
             for leaf in needed.iter().filter(|leaf| set.get(**leaf).is_none()) {
                 let path = Path::Host(name.clone(), *leaf);
-                faults.push(Fault::new(
+                errors.push(ValidationError::new(
                     path,
                     "is missing in an entry",
                     "nothing",
@@ -287,7 +287,7 @@
 }
 
 /// What a tree has more of than a router keeps, where so many hosts are listed by it and by discovery together.
-pub fn beyond(tree: &Tree, listed: usize, most: &Most) -> Faults {
+pub fn beyond(tree: &Tree, listed: usize, most: &Maximums) -> ValidationErrors {
     let names = |route: &RouteSet| {
         let sets = [&route.operations, &route.zones, &route.kinds, &route.hosts];
         sets.into_iter().flatten().map(BTreeSet::len).sum::<usize>()
@@ -309,9 +309,14 @@
             most.route_names,
         ),
     ];
-    let mut faults = Faults::default();
+    let mut errors = ValidationErrors::default();
     for (path, what, found, most) in counts.into_iter().filter(|(.., found, most)| found > most) {
-        faults.push(Fault::new(path, what, found, format!("{most} at most")));
+        errors.push(ValidationError::new(
+            path,
+            what,
+            found,
+            format!("{most} at most"),
+        ));
     }
     let memory = &most.memory;
     let of_hosts = hosts * memory.host + tree.hosts.len() * memory.host_set;
@@ -327,29 +332,29 @@
             of_hosts + of_routes
         );
         let taken = format!("{} bytes at most", memory.most);
-        faults.push(Fault::new(
+        errors.push(ValidationError::new(
             path,
             "take more memory than the router has for them",
             given,
             taken,
         ));
     }
-    faults
+    errors
 }
 
-fn room_kept(context: &Context, faults: &mut Faults) {
-    faults.extend(beyond(context.new, context.is.len(), &context.terms.most).first);
+fn room_kept(context: &Context, errors: &mut ValidationErrors) {
+    errors.extend(beyond(context.new, context.is.len(), &context.terms.most).first);
 }
 
 /// One host an address, one number a name: else an answer, or what is known of it, would be another's.
-fn addresses_apart(context: &Context, faults: &mut Faults) {
-    let mut at: BTreeMap<SocketAddr, &Listed> = BTreeMap::new();
-    let mut numbers: BTreeMap<HostId, &Listed> = BTreeMap::new();
+fn addresses_apart(context: &Context, errors: &mut ValidationErrors) {
+    let mut at: BTreeMap<SocketAddr, &HostRecord> = BTreeMap::new();
+    let mut numbers: BTreeMap<HostId, &HostRecord> = BTreeMap::new();
     for host in context.is.values() {
         let other = numbers.insert(host.id(), host);
         if let Some(other) = other {
             let what = format!("its name leads to the same number as {}", other.name);
-            faults.push(Fault::new(
+            errors.push(ValidationError::new(
                 format!("hosts/{}", host.name),
                 what,
                 &host.name,
@@ -362,32 +367,32 @@
         if let Some(other) = at.insert(host.endpoint, host) {
             let path = format!("hosts/{}/endpoint", host.name);
             let what = format!("is the address of {} too", other.name);
-            faults.push(
-                Fault::new(path, what, host.endpoint, "an address of its own")
+            errors.push(
+                ValidationError::new(path, what, host.endpoint, "an address of its own")
                     .by(Rule::NoEffectTwice),
             );
         }
     }
 }
 
-fn starts_behind(context: &Context, faults: &mut Faults) {
+fn starts_behind(context: &Context, errors: &mut ValidationErrors) {
     let latest = context.facts.now + CLOCK_SPAN;
     for (name, set) in &context.new.hosts {
         if let Some(started) = set.started.filter(|started| *started > latest) {
             let what = format!("lies {:.1} s ahead", started - context.facts.now);
-            let fault = Fault::new(
+            let error = ValidationError::new(
                 Path::Host(name.clone(), Leaf::Started),
                 what,
                 started,
                 "a time that has been",
             );
-            faults.push(fault.passing(started));
+            errors.push(error.passing(started));
         }
     }
 }
 
 /// Rule 3: a host that was drained comes back as another process only.
-fn drained_stay_out(context: &Context, faults: &mut Faults) {
+fn drained_stay_out(context: &Context, errors: &mut ValidationErrors) {
     for (name, drained) in context.drained {
         let Some(host) = context.is.get(name.as_str()).filter(|host| host.serves()) else {
             continue;
@@ -399,13 +404,13 @@
                 .started
                 .map_or("no start".into(), |started| format!("started {started}"));
             let taken = format!("a start after {drained}, or the host left draining");
-            faults.push(Fault::new(path, what, given, taken).by(Rule::DrainsKept));
+            errors.push(ValidationError::new(path, what, given, taken).by(Rule::DrainsKept));
         }
     }
 }
 
 /// Rule 5: nothing is put to a build that the platform has taken back.
-fn builds_wanted(context: &Context, faults: &mut Faults) {
+fn builds_wanted(context: &Context, errors: &mut ValidationErrors) {
     let gone = |news: &RolloutStatus| matches!(news.phase, Phase::RollingBack | Phase::RolledBack);
     let Some(news) = context.facts.news.filter(gone) else {
         return;
@@ -421,32 +426,32 @@
             .is_some_and(|was| was.serves() && was.build == host.build);
         if !before {
             let what = "the platform has taken this build back";
-            let fault = Fault::new(
+            let error = ValidationError::new(
                 format!("hosts/{name}/build"),
                 what,
                 host.build.0,
                 "an earlier build",
             );
-            faults.push(fault.by(Rule::ExposureCapped));
+            errors.push(error.by(Rule::ExposureCapped));
         }
     }
 }
 
 /// A zone, the released build and the one on trial keep hosts in service.
-fn places_left(context: &Context, faults: &mut Faults) {
+fn places_left(context: &Context, errors: &mut ValidationErrors) {
     let (_, least_zone, least_build) = context.old.guards.in_force();
-    let count = |hosts: &BTreeMap<Arc<str>, Listed>, of: &dyn Fn(&Listed) -> bool| {
+    let count = |hosts: &BTreeMap<Arc<str>, HostRecord>, of: &dyn Fn(&HostRecord) -> bool| {
         hosts
             .values()
             .filter(|host| host.serves() && of(host))
             .count()
     };
-    let mut left = |path: &str, named: String, least: u32, of: &dyn Fn(&Listed) -> bool| {
+    let mut left = |path: &str, named: String, least: u32, of: &dyn Fn(&HostRecord) -> bool| {
         let (was, is) = (count(&context.was, of), count(&context.is, of));
         if is < was && is < least as usize {
             let given = format!("{is} of {was} left");
             let taken = format!("{least} at least, or a lower {path} set before");
-            faults.push(Fault::new(
+            errors.push(ValidationError::new(
                 "hosts",
                 format!("{named} would be left without hosts enough"),
                 given,
@@ -456,7 +461,7 @@
     };
     let zones: BTreeSet<_> = context.was.values().map(|host| host.zone.clone()).collect();
     for zone in zones {
-        let of = |host: &Listed| host.zone == zone;
+        let of = |host: &HostRecord| host.zone == zone;
         left(
             "guards/least-hosts-zone",
             format!("zone {zone}"),
@@ -470,7 +475,7 @@
         .filter(|news| news.phase == Phase::Canary)
         .map(|news| news.build);
     for build in context.released(&context.was).into_iter().chain(trial) {
-        let of = |host: &Listed| host.build == build;
+        let of = |host: &HostRecord| host.build == build;
         left(
             "guards/least-hosts-build",
             format!("build {}", build.0),
@@ -481,11 +486,11 @@
 }
 
 /// A list that lost most of its lines is an accident.
-fn removal_small(context: &Context, faults: &mut Faults) {
+fn removal_small(context: &Context, errors: &mut ValidationErrors) {
     let (most, ..) = context.old.guards.in_force();
     let before = context.was.values().filter(|host| host.serves());
     let (was, gone) = before.fold((0u32, 0u32), |(was, gone), host| {
-        let stays = context.is.get(&host.name).is_some_and(Listed::serves);
+        let stays = context.is.get(&host.name).is_some_and(HostRecord::serves);
         (was + 1, gone + u32::from(!stays))
     });
     let share = f64::from(gone) / f64::from(was.max(1));
@@ -494,7 +499,7 @@
         let given = format!("{gone} of {was}");
         let taken =
             format!("{most} of them at most, or a higher guards/largest-removal set before");
-        faults.push(Fault::new(
+        errors.push(ValidationError::new(
             "hosts",
             "too many are taken out of service at once",
             given,
@@ -506,7 +511,7 @@
 /// Rule 4. The service's traffic is reckoned as all that the hosts can do; a host's fair share of it is what it
 /// can do itself when warm, and its weight over the mean of all weights is how many times that it is sent by
 /// all routers together. Just started it can do its warmth of it, and falls at the fall multiple of that.
-fn cold_hosts_carried(context: &Context, faults: &mut Faults) {
+fn cold_hosts_carried(context: &Context, errors: &mut ValidationErrors) {
     if context.only_narrows() {
         // Nothing may hold up a drain; what it does to the others is guarded when weights are used.
         return;
@@ -553,13 +558,13 @@
             host.weight * falls.max(1.0) / share,
             passes - context.facts.now
         );
-        let fault = Fault::new(format!("hosts/{name}/weight"), what, host.weight, taken);
-        faults.push(fault.by(Rule::ColdHostsCarried).passing(passes));
+        let error = ValidationError::new(format!("hosts/{name}/weight"), what, host.weight, taken);
+        errors.push(error.by(Rule::ColdHostsCarried).passing(passes));
     }
 }
 
 /// A route speaks of what there is: operations of the service, hosts that are listed.
-fn routes_known(context: &Context, faults: &mut Faults) {
+fn routes_known(context: &Context, errors: &mut ValidationErrors) {
     let none = BTreeSet::new();
     for (name, route) in &context.new.routes {
         let known = |operation: &&Arc<str>| {
@@ -578,7 +583,12 @@
         {
             let path = Path::Route(name.clone(), Leaf::Operations);
             let taken = context.terms.operations.join(", ");
-            faults.push(Fault::new(path, "no such operation", operation, taken));
+            errors.push(ValidationError::new(
+                path,
+                "no such operation",
+                operation,
+                taken,
+            ));
         }
         let missing = |host: &&Arc<str>| !context.is.contains_key(*host);
         for host in route.hosts.as_ref().unwrap_or(&none).iter().filter(missing) {
@@ -589,7 +599,12 @@
             } else {
                 "no such host is listed"
             };
-            faults.push(Fault::new(path, what, host, "a host that is listed"));
+            errors.push(ValidationError::new(
+                path,
+                what,
+                host,
+                "a host that is listed",
+            ));
         }
         if *route
             == (RouteSet {
@@ -598,7 +613,7 @@
             })
         {
             let what = "says neither which invocations it is for nor which hosts they use";
-            faults.push(Fault::new(
+            errors.push(ValidationError::new(
                 format!("routes/{name}"),
                 what,
                 "nothing",
@@ -609,7 +624,7 @@
 }
 
 /// Which of two routes an invocation takes is never left to chance.
-fn routes_apart(context: &Context, faults: &mut Faults) {
+fn routes_apart(context: &Context, errors: &mut ValidationErrors) {
     let all = routes(context.new);
     // More than are shown need not be found.
     for (one, other) in kestreltide_routes::unordered(&all, KEPT) {
@@ -621,7 +636,7 @@
             .precedence
             .map_or("no precedence".into(), |given| given.to_string());
         let path = format!("routes/{}/precedence", one.name);
-        faults.push(Fault::new(
+        errors.push(ValidationError::new(
             path,
             what,
             given,
@@ -632,9 +647,9 @@
 
 /// A pool is never without a host of the released build while one is listed: its invocations could go nowhere, or
 /// to the trial alone.
-fn pools_served(context: &Context, faults: &mut Faults) {
+fn pools_served(context: &Context, errors: &mut ValidationErrors) {
     let released = context.released(&context.is);
-    let serves = |host: &&Listed| host.serves() && released.contains(&host.build);
+    let serves = |host: &&HostRecord| host.serves() && released.contains(&host.build);
     if !context.is.values().any(|host| serves(&host)) {
         return;
     }
@@ -646,19 +661,19 @@
             .any(|host| route.pool.contains(&host.entry()));
         if !held {
             let what = "its pool would have no host of the released build in service";
-            let fault = Fault::new(
+            let error = ValidationError::new(
                 format!("routes/{}", route.name),
                 what,
                 "no such host",
                 "at least one",
             );
-            faults.push(fault.by(Rule::ExposureCapped));
+            errors.push(error.by(Rule::ExposureCapped));
         }
     }
 }
 
 /// Rule 5: what is asked of a trial only ever shows it to less, and is of the build that it says.
-fn ring_known(context: &Context, faults: &mut Faults) {
+fn ring_known(context: &Context, errors: &mut ValidationErrors) {
     let ring = &context.new.ring;
     if context.old.ring == *ring {
         return;
@@ -667,7 +682,7 @@
     let news = context.facts.news;
     match (ring.build, news) {
         (None, _) if asks => {
-            faults.push(Fault::new(
+            errors.push(ValidationError::new(
                 "ring/build",
                 "does not say which build is meant",
                 "nothing",
@@ -677,7 +692,7 @@
         (Some(build), Some(news)) if asks => {
             if build != u32::from(news.build.0) {
                 let taken = format!("{}, the newest build", news.build.0);
-                faults.push(Fault::new(
+                errors.push(ValidationError::new(
                     "ring/build",
                     "is not the build that the platform tells of",
                     build,
@@ -686,17 +701,17 @@
             }
             if let Some(cap) = ring.cap.filter(|cap| *cap > news.cap) {
                 let taken = format!("{} at most, the cap told", news.cap);
-                let fault = Fault::new(
+                let error = ValidationError::new(
                     "ring/cap",
                     "would be raised, and can only be lowered",
                     cap,
                     taken,
                 );
-                faults.push(fault.by(Rule::ExposureCapped));
+                errors.push(error.by(Rule::ExposureCapped));
             }
         }
         (Some(build), None) if asks => {
-            faults.push(Fault::new(
+            errors.push(ValidationError::new(
                 "ring/build",
                 "the platform has told of no build",
                 build,
--- a/datastore/src/desk.rs
+++ b/datastore/src/commit_coordinator.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::check::Facts;
-use crate::fault::{Fault, Faults};
 use crate::store::{Author, Candidate, Commit, Datastore, InForce, Source};
+use crate::validation::{ValidationError, ValidationErrors};
 use kestreltide::interface::Revision;
 
 /// A session of some front, as the desk numbers them.
@@ -54,52 +54,52 @@
 
 /// Why the desk says no.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refused {
-    Faults(Faults),
+pub enum CommitError {
+    Invalid(ValidationErrors),
     /// Another session holds the lock.
     Locked(SessionId),
     /// Another's commit waits to be confirmed.
-    Waiting(Pending),
+    CommitPending(Pending),
     /// Nothing waits to be confirmed, or not by who asks.
-    NothingWaits,
+    NoPendingCommit,
     /// The lock is not held by who lets it go.
-    NotHeld,
+    LockNotHeld,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for CommitError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Faults(faults) => faults.fmt(f),
-            Refused::Locked(holder) => write!(f, "session {holder} holds the lock"),
-            Refused::Waiting(pending) => {
+            CommitError::Invalid(errors) => errors.fmt(f),
+            CommitError::Locked(holder) => write!(f, "session {holder} holds the lock"),
+            CommitError::CommitPending(pending) => {
                 write!(f, "a commit ({}) waits to be confirmed", pending.author)
             }
-            Refused::NothingWaits => {
+            CommitError::NoPendingCommit => {
                 f.write_str("no commit of this session or name waits to be confirmed")
             }
-            Refused::NotHeld => f.write_str("this session does not hold the lock"),
+            CommitError::LockNotHeld => f.write_str("this session does not hold the lock"),
         }
     }
 }
 
-impl From<Faults> for Refused {
-    fn from(faults: Faults) -> Self {
-        Refused::Faults(faults)
+impl From<ValidationErrors> for CommitError {
+    fn from(errors: ValidationErrors) -> Self {
+        CommitError::Invalid(errors)
     }
 }
 
 /// Who asks: a session, or none, as watched files have none.
-pub type Asker = Option<SessionId>;
+pub type CommitOwner = Option<SessionId>;
 
-pub struct Desk {
+pub struct CommitCoordinator {
     pub store: Datastore,
-    running: Asker,
-    candidate: Asker,
+    running: CommitOwner,
+    candidate: CommitOwner,
     pending: Option<Pending>,
     sessions: u32,
 }
 
-impl Desk {
+impl CommitCoordinator {
     /// After a restart a commit that was not confirmed is due to be undone at once.
     pub fn new(store: Datastore, pending: Option<Pending>) -> Self {
         let pending = pending.map(|pending| Pending {
@@ -108,7 +108,7 @@
             until: 0.0,
             ..pending
         });
-        Desk {
+        CommitCoordinator {
             store,
             running: None,
             candidate: None,
@@ -126,7 +126,7 @@
         self.pending.as_ref()
     }
 
-    pub fn holder(&self, target: Target) -> Asker {
+    pub fn holder(&self, target: Target) -> CommitOwner {
         match target {
             Target::Running => self.running,
             Target::Candidate => self.candidate,
@@ -134,16 +134,16 @@
     }
 
     /// A lock is not given while another holds it, or another's commit waits to be confirmed.
-    pub fn lock(&mut self, session: SessionId, target: Target) -> Result<(), Refused> {
+    pub fn lock(&mut self, session: SessionId, target: Target) -> Result<(), CommitError> {
         if let Some(holder) = self.holder(target) {
-            return Err(Refused::Locked(holder));
+            return Err(CommitError::Locked(holder));
         }
         if let Some(pending) = self
             .pending
             .as_ref()
             .filter(|pending| pending.session != Some(session))
         {
-            return Err(Refused::Waiting(pending.clone()));
+            return Err(CommitError::CommitPending(pending.clone()));
         }
         match target {
             Target::Running => self.running = Some(session),
@@ -152,9 +152,9 @@
         Ok(())
     }
 
-    pub fn unlock(&mut self, session: SessionId, target: Target) -> Result<(), Refused> {
+    pub fn unlock(&mut self, session: SessionId, target: Target) -> Result<(), CommitError> {
         if self.holder(target) != Some(session) {
-            return Err(Refused::NotHeld);
+            return Err(CommitError::LockNotHeld);
         }
         match target {
             Target::Running => self.running = None,
@@ -164,7 +164,7 @@
     }
 
     /// Whether somebody else's lock keeps who asks from committing.
-    fn kept_out(&self, asker: Asker) -> Option<SessionId> {
+    fn kept_out(&self, asker: CommitOwner) -> Option<SessionId> {
         let other = |holder: &SessionId| Some(*holder) != asker;
         self.running.filter(other).or(self.candidate.filter(other))
     }
@@ -173,20 +173,22 @@
     /// ordinary commit of theirs confirms it.
     pub fn commit(
         &mut self,
-        asker: Asker,
+        asker: CommitOwner,
         candidate: &Candidate,
         author: Author,
         confirm: Option<Confirm>,
         persist_id: Option<&str>,
         facts: &Facts,
-    ) -> Result<Commit, Refused> {
+    ) -> Result<Commit, CommitError> {
         if let Some(holder) = self.kept_out(asker) {
-            return Err(Refused::Locked(holder));
+            return Err(CommitError::Locked(holder));
         }
         let waited_for = self.waited_for(asker, persist_id);
         match &self.pending {
-            Some(pending) if !waited_for => return Err(Refused::Waiting(pending.clone())),
-            None if persist_id.is_some() => return Err(Refused::NothingWaits),
+            Some(pending) if !waited_for => {
+                return Err(CommitError::CommitPending(pending.clone()));
+            }
+            None if persist_id.is_some() => return Err(CommitError::NoPendingCommit),
             _ => {}
         }
         let before = self.store.in_force().revision;
@@ -206,7 +208,7 @@
         Ok(commit)
     }
 
-    fn waited_for(&self, asker: Asker, persist_id: Option<&str>) -> bool {
+    fn waited_for(&self, asker: CommitOwner, persist_id: Option<&str>) -> bool {
         self.pending
             .as_ref()
             .is_some_and(|pending| match (&pending.persist, persist_id) {
@@ -217,9 +219,13 @@
     }
 
     /// What was committed stays.
-    pub fn confirm(&mut self, asker: Asker, persist_id: Option<&str>) -> Result<(), Refused> {
+    pub fn confirm(
+        &mut self,
+        asker: CommitOwner,
+        persist_id: Option<&str>,
+    ) -> Result<(), CommitError> {
         if !self.waited_for(asker, persist_id) {
-            return Err(Refused::NothingWaits);
+            return Err(CommitError::NoPendingCommit);
         }
         self.pending = None;
         Ok(())
@@ -228,19 +234,23 @@
     /// What was committed is undone now.
     pub fn cancel(
         &mut self,
-        asker: Asker,
+        asker: CommitOwner,
         persist_id: Option<&str>,
         facts: &Facts,
-    ) -> Result<Commit, Refused> {
+    ) -> Result<Commit, CommitError> {
         if !self.waited_for(asker, persist_id) {
-            return Err(Refused::NothingWaits);
+            return Err(CommitError::NoPendingCommit);
         }
-        self.undo(facts).map_err(Refused::Faults)
+        self.undo(facts).map_err(CommitError::Invalid)
     }
 
     /// A session is over, however it ended: its locks are free, and what only it could confirm is undone.
-    pub fn ended(&mut self, session: SessionId, facts: &Facts) -> Option<Result<Commit, Faults>> {
-        let free = |holder: &mut Asker| *holder = holder.filter(|holder| *holder != session);
+    pub fn ended(
+        &mut self,
+        session: SessionId,
+        facts: &Facts,
+    ) -> Option<Result<Commit, ValidationErrors>> {
+        let free = |holder: &mut CommitOwner| *holder = holder.filter(|holder| *holder != session);
         free(&mut self.running);
         free(&mut self.candidate);
         let only_its =
@@ -257,12 +267,12 @@
     }
 
     /// Undoes what was not confirmed in time, whoever holds a lock.
-    pub fn tick(&mut self, facts: &Facts) -> Option<Result<Commit, Faults>> {
+    pub fn tick(&mut self, facts: &Facts) -> Option<Result<Commit, ValidationErrors>> {
         let late = self.due().is_some_and(|due| due <= facts.now);
         late.then(|| self.undo(facts))
     }
 
-    fn undo(&mut self, facts: &Facts) -> Result<Commit, Faults> {
+    fn undo(&mut self, facts: &Facts) -> Result<Commit, ValidationErrors> {
         let Some(pending) = self.pending.take() else {
             return Ok(Commit::Nothing);
         };
@@ -276,7 +286,7 @@
     }
 
     /// An author's candidate is checked as a commit would, and nothing is done.
-    pub fn validate(&self, candidate: &Candidate, facts: &Facts) -> Result<(), Faults> {
+    pub fn validate(&self, candidate: &Candidate, facts: &Facts) -> Result<(), ValidationErrors> {
         self.store.validate(candidate, facts)
     }
 }
@@ -287,15 +297,15 @@
     pub in_force: Arc<InForce>,
     /// The newest revisions, oldest first.
     pub history: Arc<[crate::store::RevisionRecord]>,
-    pub refusal: Option<Arc<crate::store::Refusal>>,
+    pub refusal: Option<Arc<crate::store::RejectedCommit>>,
     pub pending: Option<Pending>,
-    pub locks: [Asker; 2],
+    pub locks: [CommitOwner; 2],
 }
 
 /// How many of the newest revisions fronts read.
 const SHOWN: usize = 32;
 
-impl Desk {
+impl CommitCoordinator {
     pub fn publish(&self) -> Published {
         let mut history: Vec<_> = self.store.history().rev().take(SHOWN).cloned().collect();
         history.reverse();
@@ -310,10 +320,10 @@
 }
 
 /// The fault of a lock or a commit that waits, for a way in that knows only faults; it passes.
-pub fn as_faults(refused: Refused, again: f64) -> Faults {
+pub fn into_validation_errors(refused: CommitError, again: f64) -> ValidationErrors {
     match refused {
-        Refused::Faults(faults) => faults,
-        other => Fault::new("running", other.to_string(), "a commit", "the same later")
+        CommitError::Invalid(errors) => errors,
+        other => ValidationError::new("running", other.to_string(), "a commit", "the same later")
             .passing(again)
             .into(),
     }
--- a/datastore/src/lib.rs
+++ b/datastore/src/lib.rs
@@ -6,23 +6,25 @@
 
 pub mod access;
 pub mod check;
-pub mod desk;
-pub mod draft;
-pub mod fault;
+pub mod commit_coordinator;
 pub mod merge;
 pub mod snapshot;
 pub mod store;
 pub mod tree;
+pub mod tree_builder;
+pub mod validation;
 pub mod view;
 
 pub use access::{Key, Keys, Proof, Rights};
-pub use check::{Facts, MemoryTerms, Most, RuleTerms, beyond};
-pub use draft::Draft;
-pub use fault::{Fault, Faults, Rule};
-pub use merge::Listed;
+pub use check::{Facts, Maximums, MemorySettings, RuleSettings, beyond};
+pub use merge::HostRecord;
 pub use snapshot::Snapshot;
-pub use store::{Author, Candidate, Change, Datastore, History, Memory, RevisionRecord, Source};
+pub use store::{
+    Author, Candidate, Change, Datastore, DatastoreState, History, RevisionRecord, Source,
+};
 pub use tree::{
     AdminState, Guards, HostName, HostSet, Leaf, Path, Place, RingSet, RouteName, RouteSet, Tree,
     Value,
 };
+pub use tree_builder::TreeBuilder;
+pub use validation::{Rule, ValidationError, ValidationErrors};
--- a/datastore/src/merge.rs
+++ b/datastore/src/merge.rs
@@ -9,7 +9,7 @@
 
 /// Who is believed where both say something; where only one does, it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wins {
+pub enum Precedence {
     /// It sees the processes.
     Discovery,
     /// They know what they want of a machine.
@@ -21,28 +21,28 @@
 }
 
 /// Zone and cell stand with discovery as rule 2 rests on them: they say which hosts drop each other's repeats.
-pub const PRECEDENCE: [(Leaf, Wins); 9] = [
-    (Leaf::Endpoint, Wins::Discovery),
-    (Leaf::Zone, Wins::Discovery),
-    (Leaf::Cell, Wins::Discovery),
-    (Leaf::Kind, Wins::Discovery),
-    (Leaf::Size, Wins::Operators),
-    (Leaf::Build, Wins::Discovery),
-    (Leaf::Started, Wins::Later),
-    (Leaf::Weight, Wins::Operators),
-    (Leaf::State, Wins::Careful),
+pub const PRECEDENCE: [(Leaf, Precedence); 9] = [
+    (Leaf::Endpoint, Precedence::Discovery),
+    (Leaf::Zone, Precedence::Discovery),
+    (Leaf::Cell, Precedence::Discovery),
+    (Leaf::Kind, Precedence::Discovery),
+    (Leaf::Size, Precedence::Operators),
+    (Leaf::Build, Precedence::Discovery),
+    (Leaf::Started, Precedence::Later),
+    (Leaf::Weight, Precedence::Operators),
+    (Leaf::State, Precedence::Careful),
 ];
 
-pub fn wins(leaf: Leaf) -> Wins {
+pub fn wins(leaf: Leaf) -> Precedence {
     PRECEDENCE
         .iter()
         .find(|row| row.0 == leaf)
-        .map_or(Wins::Discovery, |row| row.1)
+        .map_or(Precedence::Discovery, |row| row.1)
 }
 
 /// A host as somebody lists it, whole.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct HostRecord {
     pub name: Arc<str>,
     pub endpoint: SocketAddr,
     pub zone: Arc<str>,
@@ -55,7 +55,7 @@
     pub state: HostState,
 }
 
-impl Listed {
+impl HostRecord {
     pub fn id(&self) -> HostId {
         HostId::named(&self.name)
     }
@@ -74,7 +74,7 @@
     }
 
     /// Another process, or the same elsewhere: an id and its address may come back.
-    pub fn moved(&self, new: &Listed) -> bool {
+    pub fn moved(&self, new: &HostRecord) -> bool {
         self.endpoint != new.endpoint || self.build != new.build || self.started != new.started
     }
 
@@ -108,8 +108,10 @@
     later: impl Fn(T, T) -> T,
 ) -> Option<T> {
     match (wins(leaf), discovery, operators) {
-        (Wins::Discovery, Some(said), _) | (Wins::Operators, _, Some(said)) => Some(said),
-        (Wins::Later | Wins::Careful, Some(a), Some(b)) => Some(later(a, b)),
+        (Precedence::Discovery, Some(said), _) | (Precedence::Operators, _, Some(said)) => {
+            Some(said)
+        }
+        (Precedence::Later | Precedence::Careful, Some(a), Some(b)) => Some(later(a, b)),
         (_, a, b) => a.or(b),
     }
 }
@@ -118,13 +120,13 @@
 /// machine is the careful guess. `None` where what there is makes no entry.
 pub fn merge(
     name: &HostName,
-    discovery: Option<&Listed>,
+    discovery: Option<&HostRecord>,
     set: Option<&HostSet>,
     since: Option<f64>,
-) -> Option<Listed> {
+) -> Option<HostRecord> {
     let nothing = HostSet::default();
     let set = set.unwrap_or(&nothing);
-    let told = |of: fn(&Listed) -> Arc<str>| discovery.map(of);
+    let told = |of: fn(&HostRecord) -> Arc<str>| discovery.map(of);
     let first = |a, _| a;
     let state = set.state.map(AdminState::host_state);
     let build = set
@@ -132,7 +134,7 @@
         .and_then(|build| u16::try_from(build).ok())
         .map(BuildId);
     let started = set.started.or(since.filter(|_| discovery.is_none()));
-    Some(Listed {
+    Some(HostRecord {
         name: discovery.map_or_else(|| name.shared(), |told| told.name.clone()),
         endpoint: pick(
             Leaf::Endpoint,
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -8,19 +8,19 @@
 use kestreltide_routes::{Match, Route, Routes};
 
 use crate::check::Seen;
-use crate::merge::{Listed, merge};
+use crate::merge::{HostRecord, merge};
 use crate::tree::{Difference, HostName, HostSet, Path, Tree};
 
 /// What a revision says of one host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Said {
+pub struct ConfiguredHost {
     pub host: HostId,
     pub name: HostName,
     pub set: HostSet,
     /// Since when it is listed, where nobody says when it started.
     pub since: Option<f64>,
     /// As it counts where discovery does not list it; `None` where that makes no entry.
-    pub alone: Option<Listed>,
+    pub alone: Option<HostRecord>,
     /// The same for the decisions.
     pub entry: Option<HostEntry>,
 }
@@ -29,7 +29,7 @@
 pub struct Snapshot {
     pub set: Arc<OperatorOverrides>,
     /// In ascending order of ids.
-    pub hosts: Box<[Said]>,
+    pub hosts: Box<[ConfiguredHost]>,
     /// Of which hosts it says something else than the revision before, in ascending order.
     pub changed: Box<[HostId]>,
     /// The same for the decisions, as it counts for hosts that discovery does not list.
@@ -52,8 +52,8 @@
         let said = tree.hosts.iter().map(|(name, set)| {
             let since = seen.get(name).copied();
             let alone = merge(name, None, Some(set), since);
-            let entry = alone.as_ref().map(Listed::entry);
-            Said {
+            let entry = alone.as_ref().map(HostRecord::entry);
+            ConfiguredHost {
                 host: HostId::named(name.as_str()),
                 name: name.clone(),
                 set: set.clone(),
@@ -62,7 +62,7 @@
                 entry,
             }
         });
-        let mut hosts: Box<[Said]> = said.collect();
+        let mut hosts: Box<[ConfiguredHost]> = said.collect();
         hosts.sort_by_key(|said| said.host);
         let weights = hosts
             .iter()
@@ -104,8 +104,8 @@
         &'a self,
         old: &'a Snapshot,
         hosts: &[HostId],
-        was: impl Fn(HostId) -> Option<Listed>,
-        is: impl Fn(HostId) -> Option<Listed>,
+        was: impl Fn(HostId) -> Option<HostRecord>,
+        is: impl Fn(HostId) -> Option<HostRecord>,
     ) -> Vec<HostEntry> {
         let mut entries = Vec::with_capacity(hosts.len());
         for host in hosts {
@@ -120,8 +120,8 @@
             }));
             // A weight is no part of it: most revisions change nothing else.
             let entry = is
-                .map(Listed::entry)
-                .filter(|entry| went.is_some() || was.map(Listed::entry) != Some(*entry));
+                .map(HostRecord::entry)
+                .filter(|entry| went.is_some() || was.map(HostRecord::entry) != Some(*entry));
             entries.extend(entry);
         }
         entries
@@ -131,7 +131,7 @@
         self.set.revision
     }
 
-    pub fn said(&self, host: HostId) -> Option<&Said> {
+    pub fn said(&self, host: HostId) -> Option<&ConfiguredHost> {
         let place = self.hosts.binary_search_by_key(&host, |said| said.host);
         place.ok().map(|place| &self.hosts[place])
     }
--- a/datastore/src/store.rs
+++ b/datastore/src/store.rs
@@ -8,10 +8,10 @@
 use kestreltide::interface::Revision;
 use serde::{Deserialize, Serialize};
 
-use crate::check::{Context, Drained, Facts, RuleTerms, Seen, check, merged};
-use crate::fault::{Fault, Faults};
+use crate::check::{Context, Drained, Facts, RuleSettings, Seen, check, merged};
 use crate::snapshot::Snapshot;
 use crate::tree::{AdminState, Difference, Tree};
+use crate::validation::{ValidationError, ValidationErrors};
 
 pub use crate::tree::Difference as Change;
 
@@ -71,12 +71,13 @@
 
 /// A candidate that was not taken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct RejectedCommit {
     pub at: f64,
     pub author: Author,
     /// The revision that stayed in force.
     pub stays: u64,
-    pub faults: Faults,
+    #[serde(rename = "faults")]
+    pub errors: ValidationErrors,
 }
 
 /// What is in force.
@@ -147,43 +148,43 @@
 
 /// What outlives the process: all that a start needs to go on where the last one ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Memory {
+pub struct DatastoreState {
     pub revision: u64,
     pub tree: Arc<Tree>,
     pub seen: Arc<Seen>,
     pub drained: Drained,
     pub history: VecDeque<RevisionRecord>,
-    pub refusals: VecDeque<Refusal>,
+    pub refusals: VecDeque<RejectedCommit>,
 }
 
 /// What a commit led to.
 #[derive(Clone, Debug)]
 pub enum Commit {
     /// It is in force as this.
-    Taken(Arc<Snapshot>),
+    Applied(Arc<Snapshot>),
     /// It would change nothing.
     Nothing,
 }
 
 pub struct Datastore {
-    terms: RuleTerms,
+    terms: RuleSettings,
     keep: History,
     in_force: Arc<InForce>,
     snapshot: Arc<Snapshot>,
     drained: Drained,
     history: VecDeque<RevisionRecord>,
-    refusals: VecDeque<Refusal>,
+    refusals: VecDeque<RejectedCommit>,
 }
 
 impl Datastore {
-    pub fn new(terms: RuleTerms, keep: History) -> Self {
-        Self::remembering(terms, keep, Memory::default())
+    pub fn new(terms: RuleSettings, keep: History) -> Self {
+        Self::remembering(terms, keep, DatastoreState::default())
     }
 
     /// As it was when this was remembered. Nothing is checked again: it was well then, and what has become
     /// dangerous since is guarded when it is used.
-    pub fn remembering(terms: RuleTerms, keep: History, memory: Memory) -> Self {
-        let Memory {
+    pub fn remembering(terms: RuleSettings, keep: History, memory: DatastoreState) -> Self {
+        let DatastoreState {
             revision,
             tree,
             seen,
@@ -216,13 +217,13 @@
         store
     }
 
-    pub fn memory(&self) -> Memory {
+    pub fn memory(&self) -> DatastoreState {
         let InForce {
             revision,
             tree,
             seen,
         } = &*self.in_force;
-        Memory {
+        DatastoreState {
             revision: revision.0,
             tree: tree.clone(),
             seen: seen.clone(),
@@ -240,7 +241,7 @@
         self.history.iter()
     }
 
-    pub fn refusals(&self) -> impl DoubleEndedIterator<Item = &Refusal> {
+    pub fn refusals(&self) -> impl DoubleEndedIterator<Item = &RejectedCommit> {
         self.refusals.iter()
     }
 
@@ -250,7 +251,7 @@
     }
 
     /// All that is wrong with a candidate as things stand, without committing it.
-    pub fn validate(&self, candidate: &Candidate, facts: &Facts) -> Result<(), Faults> {
+    pub fn validate(&self, candidate: &Candidate, facts: &Facts) -> Result<(), ValidationErrors> {
         self.weigh(candidate, facts).map(|_| ())
     }
 
@@ -260,12 +261,12 @@
         candidate: &Candidate,
         author: Author,
         facts: &Facts,
-    ) -> Result<Commit, Faults> {
+    ) -> Result<Commit, ValidationErrors> {
         let (tree, seen, changes) = match self.weigh(candidate, facts) {
             Ok(weighed) => weighed,
-            Err(faults) => {
-                self.refused(author, facts.now, faults.clone());
-                return Err(faults);
+            Err(errors) => {
+                self.refused(author, facts.now, errors.clone());
+                return Err(errors);
             }
         };
         if changes.is_empty() {
@@ -294,7 +295,7 @@
             changes: changes.into(),
         });
         self.forget();
-        Ok(Commit::Taken(snapshot))
+        Ok(Commit::Applied(snapshot))
     }
 
     /// An earlier revision again, as a new one: what has been committed since is undone.
@@ -303,13 +304,13 @@
         to: Revision,
         mut author: Author,
         facts: &Facts,
-    ) -> Result<Commit, Faults> {
+    ) -> Result<Commit, ValidationErrors> {
         author.source = Source::RolledBack(to.0);
         let tree = match self.tree_at(to) {
             Ok(tree) => tree,
-            Err(fault) => {
-                self.refused(author, facts.now, fault.clone().into());
-                return Err(fault.into());
+            Err(error) => {
+                self.refused(author, facts.now, error.clone().into());
+                return Err(error.into());
             }
         };
         let candidate = Candidate {
@@ -320,7 +321,7 @@
     }
 
     /// The tree as it was in a revision that history still holds.
-    pub fn tree_at(&self, at: Revision) -> Result<Tree, Fault> {
+    pub fn tree_at(&self, at: Revision) -> Result<Tree, ValidationError> {
         let oldest = self
             .history
             .front()
@@ -328,7 +329,7 @@
         let newest = self.in_force.revision.0;
         if !(oldest..=newest).contains(&at.0) {
             let taken = format!("{oldest} to {newest}");
-            return Err(Fault::new("revision", "is not held", at.0, taken));
+            return Err(ValidationError::new("revision", "is not held", at.0, taken));
         }
         let mut tree = (*self.in_force.tree).clone();
         for record in self
@@ -345,25 +346,25 @@
     }
 
     /// Remembers what never became a candidate, such as a file that cannot be read.
-    pub fn refuse(&mut self, author: Author, at: f64, faults: Faults) {
-        self.refused(author, at, faults);
+    pub fn refuse(&mut self, author: Author, at: f64, errors: ValidationErrors) {
+        self.refused(author, at, errors);
     }
 
-    fn refused(&mut self, author: Author, at: f64, faults: Faults) {
+    fn refused(&mut self, author: Author, at: f64, errors: ValidationErrors) {
         // The same again and again, as somebody tries, is one refusal.
         if let Some(last) = self
             .refusals
             .back_mut()
-            .filter(|last| last.author == author && last.faults == faults)
+            .filter(|last| last.author == author && last.errors == errors)
         {
             last.at = at;
             return;
         }
-        self.refusals.push_back(Refusal {
+        self.refusals.push_back(RejectedCommit {
             at,
             author,
             stays: self.in_force.revision.0,
-            faults,
+            errors,
         });
         self.forget();
     }
@@ -373,7 +374,7 @@
         &self,
         candidate: &Candidate,
         facts: &Facts,
-    ) -> Result<(Tree, Seen, Vec<Difference>), Faults> {
+    ) -> Result<(Tree, Seen, Vec<Difference>), ValidationErrors> {
         let head = &*self.in_force;
         let tree = if candidate.base.revision == head.revision {
             candidate.tree.clone()
@@ -407,24 +408,29 @@
     }
 
     /// A candidate of an earlier revision on top of what others committed since, where they changed other leaves.
-    fn rebased(&self, candidate: &Candidate) -> Result<Tree, Faults> {
+    fn rebased(&self, candidate: &Candidate) -> Result<Tree, ValidationErrors> {
         let mine = candidate.base.tree.differences(&candidate.tree);
         let theirs = candidate.base.tree.differences(&self.in_force.tree);
-        let mut faults = Faults::default();
+        let mut errors = ValidationErrors::default();
         for change in &mine {
             let Ok(place) = theirs.binary_search_by(|other| other.path.cmp(&change.path)) else {
                 continue;
             };
             let other = &theirs[place];
             if other.new != change.new {
-                faults.push(self.conflict(candidate, change, other));
+                errors.push(self.conflict(candidate, change, other));
             }
         }
-        faults.into_result()?;
+        errors.into_result()?;
         self.in_force.tree.patched(&mine, false)
     }
 
-    fn conflict(&self, candidate: &Candidate, mine: &Difference, theirs: &Difference) -> Fault {
+    fn conflict(
+        &self,
+        candidate: &Candidate,
+        mine: &Difference,
+        theirs: &Difference,
+    ) -> ValidationError {
         let by = self
             .history
             .iter()
@@ -449,7 +455,7 @@
                 .as_ref()
                 .map_or("nothing".into(), ToString::to_string)
         };
-        Fault::new(
+        ValidationError::new(
             &mine.path,
             what,
             text(mine),
--- a/datastore/src/tree.rs
+++ b/datastore/src/tree.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fault::{Fault, Faults};
+use crate::validation::{ValidationError, ValidationErrors};
 
 /// Characters of a name, of a host, a zone or a kind.
 const NAME_MOST: usize = 128;
@@ -429,10 +429,10 @@
 }
 
 impl FromStr for Path {
-    type Err = Fault;
+    type Err = ValidationError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
-        let unknown = |what: &str, takes: &str| Fault::new(text, what, text, takes);
+    fn from_str(text: &str) -> Result<Self, ValidationError> {
+        let unknown = |what: &str, takes: &str| ValidationError::new(text, what, text, takes);
         let leaf = |place: Place, name: &str| {
             let names = || {
                 Leaf::all_of(place)
@@ -621,7 +621,7 @@
     }
 
     /// Sets a leaf, or takes it away. A host or route of which nothing is set any more is no longer in the tree.
-    pub fn set(&mut self, path: &Path, value: Option<Value>) -> Result<(), Fault> {
+    pub fn set(&mut self, path: &Path, value: Option<Value>) -> Result<(), ValidationError> {
         let given = value.as_ref().map(Value::to_string).unwrap_or_default();
         let well = match path {
             Path::Host(host, leaf) => {
@@ -646,7 +646,7 @@
         if well {
             Ok(())
         } else {
-            Err(Fault::new(
+            Err(ValidationError::new(
                 path,
                 "is of another type",
                 given,
@@ -690,17 +690,21 @@
     }
 
     /// The tree after these changes, or before them.
-    pub fn patched(&self, differences: &[Difference], back: bool) -> Result<Tree, Faults> {
-        let (mut tree, mut faults) = (self.clone(), Faults::default());
+    pub fn patched(
+        &self,
+        differences: &[Difference],
+        back: bool,
+    ) -> Result<Tree, ValidationErrors> {
+        let (mut tree, mut errors) = (self.clone(), ValidationErrors::default());
         for difference in differences {
             let value = if back {
                 &difference.old
             } else {
                 &difference.new
             };
-            faults.extend(tree.set(&difference.path, value.clone()).err());
+            errors.extend(tree.set(&difference.path, value.clone()).err());
         }
-        faults.into_result().map(|()| tree)
+        errors.into_result().map(|()| tree)
     }
 }
 
--- a/datastore/src/draft.rs
+++ b/datastore/src/tree_builder.rs
@@ -3,27 +3,27 @@
 
 use std::collections::BTreeMap;
 
-use crate::fault::{Fault, Faults};
 use crate::tree::{HostName, Leaf, Path, Tree};
+use crate::validation::{ValidationError, ValidationErrors};
 
 /// What was read of one or several sources that belong together.
 #[derive(Clone, Debug, Default)]
-pub struct Draft {
+pub struct TreeBuilder {
     tree: Tree,
-    faults: Faults,
+    errors: ValidationErrors,
     /// Where each leaf was said first.
     said: BTreeMap<Path, String>,
     places: BTreeMap<HostName, String>,
 }
 
-impl Draft {
+impl TreeBuilder {
     /// A host's own section begins here; naming one id twice is an error, of which either could be meant.
     pub fn host(&mut self, place: &str, name: &str) -> Option<HostName> {
         let host: HostName = match name.parse() {
             Ok(host) => host,
             Err(why) => {
                 let takes = "up to 128 letters, digits and . _ : -";
-                self.fault(Fault::new(
+                self.error(ValidationError::new(
                     place,
                     format!("the host's name {why}"),
                     name,
@@ -33,7 +33,7 @@
             }
         };
         if let Some(first) = self.places.insert(host.clone(), place.into()) {
-            self.fault(Fault::new(
+            self.error(ValidationError::new(
                 place,
                 format!("{host} was named before, at {first}"),
                 name,
@@ -50,17 +50,17 @@
             Ok(value) => {
                 if let Some(first) = self.said.insert(path.clone(), place.into()) {
                     let what = format!("{path} was said before, at {first}");
-                    return self.fault(Fault::new(place, what, text, "each leaf once"));
+                    return self.error(ValidationError::new(place, what, text, "each leaf once"));
                 }
-                if let Err(fault) = self.tree.set(&path, Some(value)) {
-                    self.fault(Fault {
+                if let Err(error) = self.tree.set(&path, Some(value)) {
+                    self.error(ValidationError {
                         path: format!("{place}: {path}"),
-                        ..fault
+                        ..error
                     });
                 }
             }
             Err(why) => {
-                self.fault(Fault::new(
+                self.error(ValidationError::new(
                     format!("{place}: {path}"),
                     why,
                     shown(text),
@@ -75,13 +75,13 @@
         self.set(place, Path::Host(host.clone(), leaf), text);
     }
 
-    pub fn fault(&mut self, fault: Fault) {
-        self.faults.push(fault);
+    pub fn error(&mut self, error: ValidationError) {
+        self.errors.push(error);
     }
 
     /// The tree, or everything that was wrong.
-    pub fn finish(self) -> Result<Tree, Faults> {
-        self.faults.into_result().map(|()| self.tree)
+    pub fn finish(self) -> Result<Tree, ValidationErrors> {
+        self.errors.into_result().map(|()| self.tree)
     }
 }
 
--- a/datastore/src/fault.rs
+++ b/datastore/src/validation.rs
@@ -29,56 +29,59 @@
 
 /// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct ValidationError {
     /// Where: a leaf, or the place in a file.
     pub path: String,
-    pub what: String,
-    pub given: String,
-    pub taken: String,
+    #[serde(rename = "what")]
+    pub problem: String,
+    #[serde(rename = "given")]
+    pub found: String,
+    #[serde(rename = "taken")]
+    pub expected: String,
     /// The rule that is why, where one is.
     pub rule: Option<Rule>,
     /// When it may have passed by itself, in Unix seconds; `None`: never.
     pub passes_at: Option<f64>,
 }
 
-impl Fault {
+impl ValidationError {
     pub fn new(
         path: impl fmt::Display,
-        what: impl Into<String>,
-        given: impl fmt::Display,
-        taken: impl fmt::Display,
+        problem: impl Into<String>,
+        found: impl fmt::Display,
+        expected: impl fmt::Display,
     ) -> Self {
-        Fault {
+        ValidationError {
             path: path.to_string(),
-            what: what.into(),
-            given: given.to_string(),
-            taken: taken.to_string(),
+            problem: problem.into(),
+            found: found.to_string(),
+            expected: expected.to_string(),
             rule: None,
             passes_at: None,
         }
     }
 
     pub fn by(self, rule: Rule) -> Self {
-        Fault {
+        ValidationError {
             rule: Some(rule),
             ..self
         }
     }
 
     pub fn passing(self, at: f64) -> Self {
-        Fault {
+        ValidationError {
             passes_at: Some(at),
             ..self
         }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "{}: {} (given: {}; taken: {}",
-            self.path, self.what, self.given, self.taken
+            self.path, self.problem, self.found, self.expected
         )?;
         self.rule
             .iter()
@@ -89,8 +92,8 @@
 
 /// All that is wrong, of which so many are kept: a list of nothing but faults is no reason for a long log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Faults {
-    pub first: Vec<Fault>,
+pub struct ValidationErrors {
+    pub first: Vec<ValidationError>,
     /// How many more there were.
     pub more: usize,
     /// Whether each of them, kept or not, may pass by itself.
@@ -100,11 +103,11 @@
 /// Faults that are kept of one candidate.
 pub const KEPT: usize = 100;
 
-impl Faults {
-    pub fn push(&mut self, fault: Fault) {
-        self.all_pass = (self.is_empty() || self.all_pass) && fault.passes_at.is_some();
+impl ValidationErrors {
+    pub fn push(&mut self, error: ValidationError) {
+        self.all_pass = (self.is_empty() || self.all_pass) && error.passes_at.is_some();
         if self.first.len() < KEPT {
-            self.first.push(fault)
+            self.first.push(error)
         } else {
             self.more += 1
         }
@@ -116,34 +119,34 @@
 
     /// When all of it may have passed by itself; `None` where something never will.
     pub fn pass_at(&self) -> Option<f64> {
-        let times = self.first.iter().filter_map(|fault| fault.passes_at);
+        let times = self.first.iter().filter_map(|error| error.passes_at);
         self.all_pass.then(|| times.fold(f64::MIN, f64::max))
     }
 
-    pub fn into_result(self) -> Result<(), Faults> {
+    pub fn into_result(self) -> Result<(), ValidationErrors> {
         if self.is_empty() { Ok(()) } else { Err(self) }
     }
 }
 
-impl From<Fault> for Faults {
-    fn from(fault: Fault) -> Self {
-        let mut faults = Faults::default();
-        faults.push(fault);
-        faults
+impl From<ValidationError> for ValidationErrors {
+    fn from(error: ValidationError) -> Self {
+        let mut errors = ValidationErrors::default();
+        errors.push(error);
+        errors
     }
 }
 
-impl Extend<Fault> for Faults {
-    fn extend<I: IntoIterator<Item = Fault>>(&mut self, faults: I) {
-        faults.into_iter().for_each(|fault| self.push(fault));
+impl Extend<ValidationError> for ValidationErrors {
+    fn extend<I: IntoIterator<Item = ValidationError>>(&mut self, errors: I) {
+        errors.into_iter().for_each(|error| self.push(error));
     }
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for ValidationErrors {
     /// A line each.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, fault) in self.first.iter().enumerate() {
-            write!(f, "{}{fault}", if place == 0 { "" } else { "\n" })?;
+        for (place, error) in self.first.iter().enumerate() {
+            write!(f, "{}{error}", if place == 0 { "" } else { "\n" })?;
         }
         if self.more > 0 {
             write!(f, "\nand {} more", self.more)
--- a/datastore/src/view.rs
+++ b/datastore/src/view.rs
@@ -5,7 +5,7 @@
 use kestreltide::interface::*;
 
 use crate::check::Facts;
-use crate::merge::Listed;
+use crate::merge::HostRecord;
 
 /// Counts since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -22,7 +22,7 @@
     /// Unix time of this view.
     pub at: f64,
     /// What discovery lists, also who is gone; `None` where it is not asked.
-    pub discovery: Option<Arc<[Listed]>>,
+    pub discovery: Option<Arc<[HostRecord]>>,
     pub heard: bool,
     pub news: Option<RolloutStatus>,
     /// In force in the loop.
--- a/datastore/tests/desk.rs
+++ b/datastore/tests/commit_coordinator.rs
@@ -1,7 +1,9 @@
 //! Stories of the desk: locks, commits that are undone unless they are confirmed, and who is kept out.
 
 use kestreltide::interface::*;
-use kestreltide_datastore::desk::{Confirm, Desk, Refused, SessionId, Target};
+use kestreltide_datastore::commit_coordinator::{
+    CommitCoordinator, CommitError, Confirm, SessionId, Target,
+};
 use kestreltide_datastore::store::Commit;
 use kestreltide_datastore::*;
 use rstest::rstest;
@@ -25,16 +27,16 @@
 }
 
 /// A desk with one revision of four hosts, and two sessions at it.
-fn desk() -> (Desk, SessionId, SessionId) {
-    let rules = RuleTerms {
+fn desk() -> (CommitCoordinator, SessionId, SessionId) {
+    let rules = RuleSettings {
         operations: vec![],
         routers: 1,
         slow_start_initial_fraction: 0.4,
         slow_start_duration: 4.0,
         overload_multiple: 3.0,
-        most: Most::default(),
+        most: Maximums::default(),
     };
-    let mut desk = Desk::new(Datastore::new(rules, History::default()), None);
+    let mut desk = CommitCoordinator::new(Datastore::new(rules, History::default()), None);
     let mut candidate = Candidate::of(desk.store.in_force());
     for number in 0..4 {
         let leaves = [
@@ -68,13 +70,13 @@
         .expect("of its type");
 }
 
-fn edit(desk: &Desk, at: &str, text: &str) -> Candidate {
+fn edit(desk: &CommitCoordinator, at: &str, text: &str) -> Candidate {
     let mut candidate = Candidate::of(desk.store.in_force());
     put(&mut candidate, at, text);
     candidate
 }
 
-fn weight(desk: &Desk) -> Option<String> {
+fn weight(desk: &CommitCoordinator) -> Option<String> {
     let path = "hosts/h1/weight".parse().expect("a path");
     desk.store
         .in_force()
@@ -103,11 +105,11 @@
         assert_eq!(
             desk.commit(asker, &candidate, author("x"), None, None, &facts(0.0))
                 .err(),
-            Some(Refused::Locked(one))
+            Some(CommitError::Locked(one))
         );
     }
-    assert_eq!(desk.lock(two, target), Err(Refused::Locked(one)));
-    assert_eq!(desk.unlock(two, target), Err(Refused::NotHeld));
+    assert_eq!(desk.lock(two, target), Err(CommitError::Locked(one)));
+    assert_eq!(desk.unlock(two, target), Err(CommitError::LockNotHeld));
     desk.commit(Some(one), &candidate, author("x"), None, None, &facts(0.0))
         .expect("its own");
     desk.ended(one, &facts(1.0));
@@ -132,20 +134,23 @@
     .expect("well");
     assert_eq!(weight(&desk), Some("2".into()));
     assert!(
-        matches!(desk.lock(two, Target::Running), Err(Refused::Waiting(_))),
+        matches!(
+            desk.lock(two, Target::Running),
+            Err(CommitError::CommitPending(_))
+        ),
         "not while it waits"
     );
     let other = edit(&desk, "hosts/h2/weight", "2");
     for asker in [Some(two), None] {
         let refused = desk.commit(asker, &other, author("rui"), None, None, &facts(1.0));
         assert!(
-            matches!(refused, Err(Refused::Waiting(pending)) if pending.author == author("ana"))
+            matches!(refused, Err(CommitError::CommitPending(pending)) if pending.author == author("ana"))
         );
     }
     assert!(desk.tick(&facts(9.9)).is_none() && desk.due() == Some(NOW + 10.0));
     assert!(matches!(
         desk.tick(&facts(10.0)),
-        Some(Ok(Commit::Taken(_)))
+        Some(Ok(Commit::Applied(_)))
     ));
     assert_eq!(
         (weight(&desk), desk.store.in_force().revision, desk.due()),
@@ -183,7 +188,10 @@
     );
     desk.confirm(Some(one), None).expect("it is its own");
     assert!(desk.tick(&facts(100.0)).is_none());
-    assert_eq!(desk.confirm(Some(one), None), Err(Refused::NothingWaits));
+    assert_eq!(
+        desk.confirm(Some(one), None),
+        Err(CommitError::NoPendingCommit)
+    );
     assert_eq!(weight(&desk), Some("3".into()));
 }
 
@@ -208,10 +216,13 @@
     assert_eq!(desk.ended(one, &facts(1.0)).is_some(), undone);
     assert_eq!(weight(&desk).is_none(), undone);
     if let Some(name) = name {
-        assert_eq!(desk.confirm(Some(two), None), Err(Refused::NothingWaits));
+        assert_eq!(
+            desk.confirm(Some(two), None),
+            Err(CommitError::NoPendingCommit)
+        );
         assert_eq!(
             desk.confirm(Some(two), Some("day")),
-            Err(Refused::NothingWaits)
+            Err(CommitError::NoPendingCommit)
         );
         desk.cancel(Some(two), Some(name), &facts(2.0))
             .expect("by its name");
@@ -233,20 +244,21 @@
     )
     .expect("well");
     let text = serde_json::to_string(&desk.pending()).expect("a form");
-    let rules = RuleTerms {
+    let rules = RuleSettings {
         operations: vec![],
         routers: 1,
         slow_start_initial_fraction: 0.4,
         slow_start_duration: 4.0,
         overload_multiple: 3.0,
-        most: Most::default(),
+        most: Maximums::default(),
     };
     let store = Datastore::remembering(rules, History::default(), desk.store.memory());
-    let mut again = Desk::new(store, serde_json::from_str(&text).expect("it reads back"));
+    let mut again =
+        CommitCoordinator::new(store, serde_json::from_str(&text).expect("it reads back"));
     assert_eq!(weight(&again), Some("2".into()));
     assert!(matches!(
         again.tick(&facts(5.0)),
-        Some(Ok(Commit::Taken(_)))
+        Some(Ok(Commit::Applied(_)))
     ));
     assert_eq!(weight(&again), None);
 }
@@ -265,10 +277,10 @@
     )
     .expect("well");
     // Undoing the drain would take a draining host back in.
-    let Some(Err(faults)) = desk.tick(&facts(10.0)) else {
+    let Some(Err(errors)) = desk.tick(&facts(10.0)) else {
         panic!("it is refused")
     };
-    assert_eq!(faults.first[0].rule, Some(Rule::DrainsKept));
+    assert_eq!(errors.first[0].rule, Some(Rule::DrainsKept));
     assert!(desk.due().is_none() && desk.store.refusals().count() == 1);
 }
 
@@ -289,9 +301,9 @@
         ("routes/r/operation", "read", "routes"),
         ("ring/back", "true", "ring"),
     ] {
-        let fault = rights.check(&changes(at, text)).expect_err("beyond");
+        let error = rights.check(&changes(at, text)).expect_err("beyond");
         assert_eq!(
-            (fault.path.as_str(), fault.taken),
+            (error.path.as_str(), error.expected),
             (at, format!("the right {needed}"))
         );
     }
--- a/datastore/tests/commits.rs
+++ b/datastore/tests/commits.rs
@@ -4,22 +4,22 @@
 use std::sync::Arc;
 
 use kestreltide::interface::*;
-use kestreltide_datastore::store::{Commit, Refusal};
+use kestreltide_datastore::store::{Commit, RejectedCommit};
 use kestreltide_datastore::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
 const NOW: f64 = 1_000_000.0;
 
-fn rules() -> RuleTerms {
+fn rules() -> RuleSettings {
     let operations = vec!["read".into(), "set".into()];
-    RuleTerms {
+    RuleSettings {
         operations,
         routers: 4,
         slow_start_initial_fraction: 0.4,
         slow_start_duration: 4.0,
         overload_multiple: 3.0,
-        most: Most::default(),
+        most: Maximums::default(),
     }
 }
 
@@ -91,13 +91,13 @@
     store: &mut Datastore,
     edits: &[(&str, &str)],
     facts: &Facts,
-) -> Result<Commit, Faults> {
+) -> Result<Commit, ValidationErrors> {
     let mut candidate = Candidate::of(store.in_force());
     edit(&mut candidate.tree, edits);
     store.commit(&candidate, author("test"), facts)
 }
 
-fn refused(result: Result<Commit, Faults>) -> Vec<Fault> {
+fn refused(result: Result<Commit, ValidationErrors>) -> Vec<ValidationError> {
     result.expect_err("it is refused").first
 }
 
@@ -109,7 +109,7 @@
         &[("hosts/h1/weight", "2"), ("hosts/h3/state", "draining")],
         &facts(0.0),
     );
-    let Ok(Commit::Taken(snapshot)) = taken else {
+    let Ok(Commit::Applied(snapshot)) = taken else {
         panic!("taken: {taken:?}")
     };
     assert_eq!(snapshot.revision(), Revision(2));
@@ -141,8 +141,8 @@
         ("hosts/h0/started", "9000000"),
         ("hosts/h1/weight", "2"),
     ];
-    let faults = refused(try_edits(&mut store, &edits, &facts(0.0)));
-    let paths: BTreeSet<_> = faults.iter().map(|fault| fault.path.as_str()).collect();
+    let errors = refused(try_edits(&mut store, &edits, &facts(0.0)));
+    let paths: BTreeSet<_> = errors.iter().map(|error| error.path.as_str()).collect();
     let expected = [
         "hosts/h0/started",
         "hosts/new/build",
@@ -155,12 +155,12 @@
         (after.tree, after.revision, after.history.len()),
         (before.tree, before.revision, 1)
     );
-    let Some(Refusal { stays, faults, .. }) = store.refusals().next_back() else {
+    let Some(RejectedCommit { stays, errors, .. }) = store.refusals().next_back() else {
         panic!("it is remembered")
     };
-    assert_eq!((*stays, faults.first.len()), (1, 4));
+    assert_eq!((*stays, errors.first.len()), (1, 4));
     assert!(
-        faults.to_string().contains(
+        errors.to_string().contains(
             "hosts/nobody: no such host is listed, by discovery or here (given: no entry"
         )
     );
@@ -176,10 +176,10 @@
     #[case] why: &str,
 ) {
     let mut store = fleet(4);
-    let faults = refused(try_edits(&mut store, edits, &facts(0.0)));
+    let errors = refused(try_edits(&mut store, edits, &facts(0.0)));
     assert!(
-        faults.iter().any(|fault| fault.to_string().contains(why)),
-        "{faults:?}"
+        errors.iter().any(|error| error.to_string().contains(why)),
+        "{errors:?}"
     );
 }
 
@@ -214,22 +214,22 @@
     #[case] expected: Option<(&str, f64)>,
 ) {
     let mut store = fleet(40);
-    let rules = RuleTerms { routers, ..rules() };
+    let rules = RuleSettings { routers, ..rules() };
     try_edits(&mut store, &[("hosts/h0/started", "1000000")], &facts(0.0)).expect("a start");
     let mut store = Datastore::remembering(rules, History::default(), store.memory());
     let result = try_edits(&mut store, &[("hosts/h0/weight", weight)], &facts(0.1));
     let Some((who, later)) = expected else {
         return drop(result.expect("it carries that"));
     };
-    let faults = result.expect_err("it is refused");
-    let [fault] = faults.first.as_slice() else {
-        panic!("one fault: {faults}")
+    let errors = result.expect_err("it is refused");
+    let [error] = errors.first.as_slice() else {
+        panic!("one fault: {errors}")
     };
     assert!(
-        fault.what.starts_with(who) && fault.rule == Some(Rule::ColdHostsCarried),
-        "{fault}"
+        error.problem.starts_with(who) && error.rule == Some(Rule::ColdHostsCarried),
+        "{error}"
     );
-    let passes = faults.pass_at().expect("it passes by itself");
+    let passes = errors.pass_at().expect("it passes by itself");
     assert!((passes - NOW - later).abs() < 0.2, "{}", passes - NOW);
     try_edits(
         &mut store,
@@ -244,7 +244,8 @@
     let mut store = fleet(10);
     let mut candidate = Candidate::of(store.in_force());
     host(&mut candidate.tree, "new", 9000, "north", 41);
-    let Ok(Commit::Taken(snapshot)) = store.commit(&candidate, author("test"), &facts(0.0)) else {
+    let Ok(Commit::Applied(snapshot)) = store.commit(&candidate, author("test"), &facts(0.0))
+    else {
         panic!()
     };
     let entry = snapshot
@@ -271,9 +272,9 @@
 fn a_drained_host_comes_back_only_with_a_new_start(#[case] back: &[(&str, &str)]) {
     let mut store = fleet(4);
     try_edits(&mut store, &[("hosts/h1/state", "draining")], &facts(0.0)).expect("a drain");
-    let faults = refused(try_edits(&mut store, back, &facts(5.0)));
+    let errors = refused(try_edits(&mut store, back, &facts(5.0)));
     assert_eq!(
-        faults.iter().map(|fault| fault.rule).collect::<Vec<_>>(),
+        errors.iter().map(|error| error.rule).collect::<Vec<_>>(),
         [Some(Rule::DrainsKept)]
     );
     // Not by way of "out", nor after it has been left off the list, nor by a new memory.
@@ -347,11 +348,11 @@
         news: Some(news),
         ..facts(1.0)
     };
-    let faults = refused(try_edits(&mut store, &[("hosts/new/state", "out")], &facts));
+    let errors = refused(try_edits(&mut store, &[("hosts/new/state", "out")], &facts));
     assert!(
-        faults[0].what.contains("build 42 would be left"),
+        errors[0].problem.contains("build 42 would be left"),
         "{}",
-        faults[0]
+        errors[0]
     );
 }
 
@@ -373,19 +374,19 @@
     store
         .commit(&one, author("ana"), &facts(0.0))
         .expect("the first");
-    let faults = refused(store.commit(&two, author("rui"), &facts(0.3)));
-    let [fault] = faults.as_slice() else {
-        panic!("one leaf: {faults:?}")
+    let errors = refused(store.commit(&two, author("rui"), &facts(0.3)));
+    let [error] = errors.as_slice() else {
+        panic!("one leaf: {errors:?}")
     };
     assert_eq!(
-        (fault.path.as_str(), fault.given.as_str()),
+        (error.path.as_str(), error.found.as_str()),
         ("hosts/h1/weight", "3")
     );
     assert!(
-        fault
-            .what
+        error
+            .problem
             .contains("since revision 1 by revision 2 (files by ana, 1970-01-12T13:46:40.000Z)"),
-        "{fault}"
+        "{error}"
     );
     assert_eq!(
         store.in_force().tree.get(&path("hosts/h0/weight")),
@@ -414,9 +415,9 @@
     store
         .commit(&two, author("rui"), &facts(0.0))
         .expect("another leaf, and the same value");
-    let faults = refused(store.commit(&three, author("eva"), &facts(0.0)));
+    let errors = refused(store.commit(&three, author("eva"), &facts(0.0)));
     assert!(
-        faults[0].what.contains("zone south would be left"),
+        errors[0].problem.contains("zone south would be left"),
         "well alone, not with the running set"
     );
 }
@@ -444,8 +445,8 @@
         (last.author.source.clone(), last.changes.len()),
         (Source::RolledBack(2), 2)
     );
-    let fault = store.tree_at(Revision(9)).expect_err("it never was");
-    assert_eq!(fault.taken, "0 to 4");
+    let error = store.tree_at(Revision(9)).expect_err("it never was");
+    assert_eq!(error.expected, "0 to 4");
 }
 
 #[test]
@@ -496,11 +497,11 @@
         .expect("the oldest that is held");
 }
 
-fn listed(name: &str, port: u16, state: HostState) -> Listed {
+fn listed(name: &str, port: u16, state: HostState) -> HostRecord {
     let endpoint = ([127, 0, 0, 1], port).into();
     let (zone, kind): (Arc<str>, Arc<str>) = ("east".into(), "std".into());
     let (name, size, build, started) = (name.into(), 1.0, BuildId(41), Some(NOW - 500.0));
-    Listed {
+    HostRecord {
         name,
         endpoint,
         zone,
@@ -515,19 +516,19 @@
 
 /// Each field where both speak: what counts then.
 #[rstest]
-#[case::endpoint("hosts/d1/endpoint", "127.0.0.1:1", |host: &Listed| host.endpoint.port() == 8001)]
-#[case::zone("hosts/d1/zone", "north", |host: &Listed| &*host.zone == "east")]
-#[case::cell("hosts/d1/cell", "9", |host: &Listed| host.cell == 3)]
-#[case::build("hosts/d1/build", "9", |host: &Listed| host.build == BuildId(41))]
-#[case::size("hosts/d1/size", "9", |host: &Listed| host.size == 9.0)]
-#[case::an_earlier_start("hosts/d1/started", "9", |host: &Listed| host.started == Some(NOW - 500.0))]
-#[case::a_later_start("hosts/d1/started", "999990", |host: &Listed| host.started == Some(NOW - 10.0))]
-#[case::state("hosts/d1/state", "draining", |host: &Listed| host.state == HostState::Stopping)]
-#[case::state_of_one_that_is_gone("hosts/d2/state", "in-service", |host: &Listed| host.state == HostState::Gone)]
+#[case::endpoint("hosts/d1/endpoint", "127.0.0.1:1", |host: &HostRecord| host.endpoint.port() == 8001)]
+#[case::zone("hosts/d1/zone", "north", |host: &HostRecord| &*host.zone == "east")]
+#[case::cell("hosts/d1/cell", "9", |host: &HostRecord| host.cell == 3)]
+#[case::build("hosts/d1/build", "9", |host: &HostRecord| host.build == BuildId(41))]
+#[case::size("hosts/d1/size", "9", |host: &HostRecord| host.size == 9.0)]
+#[case::an_earlier_start("hosts/d1/started", "9", |host: &HostRecord| host.started == Some(NOW - 500.0))]
+#[case::a_later_start("hosts/d1/started", "999990", |host: &HostRecord| host.started == Some(NOW - 10.0))]
+#[case::state("hosts/d1/state", "draining", |host: &HostRecord| host.state == HostState::Stopping)]
+#[case::state_of_one_that_is_gone("hosts/d2/state", "in-service", |host: &HostRecord| host.state == HostState::Gone)]
 fn where_discovery_and_operators_disagree_a_table_says_who_wins(
     #[case] at: &str,
     #[case] text: &str,
-    #[case] holds: fn(&Listed) -> bool,
+    #[case] holds: fn(&HostRecord) -> bool,
 ) {
     let list = [
         listed("d1", 8001, HostState::Running),
@@ -552,8 +553,8 @@
         heard: false,
         ..facts(0.0)
     };
-    let faults = try_edits(&mut store, &[("hosts/d1/weight", "2")], &facts).expect_err("not yet");
-    assert!(faults.pass_at().is_some());
+    let errors = try_edits(&mut store, &[("hosts/d1/weight", "2")], &facts).expect_err("not yet");
+    assert!(errors.pass_at().is_some());
     let facts = Facts {
         discovery: Some([listed("d1", 8001, HostState::Running)].into()),
         heard: true,
@@ -563,39 +564,39 @@
 }
 
 /// So much memory, where a host takes 100 + 150 bytes and a name in a route one byte.
-fn bearing(most: usize) -> Most {
-    let memory = MemoryTerms {
+fn bearing(most: usize) -> Maximums {
+    let memory = MemorySettings {
         most,
         host: 100,
         host_set: 150,
         route: 0,
         route_name: 1,
     };
-    Most {
+    Maximums {
         memory,
-        ..Most::default()
+        ..Maximums::default()
     }
 }
 
 /// What a router keeps, and one more of each.
 #[rstest]
-#[case::all(Most { hosts: 4, routes: 2, route_names: 3, ..Most::default() }, None)]
-#[case::hosts(Most { hosts: 3, ..Most::default() }, Some("hosts: are more than a router keeps (given: 4; taken: 3 at most)"))]
-#[case::routes(Most { routes: 1, ..Most::default() }, Some("routes: are more than a router keeps (given: 2; taken: 1 at most)"))]
+#[case::all(Maximums { hosts: 4, routes: 2, route_names: 3, ..Maximums::default() }, None)]
+#[case::hosts(Maximums { hosts: 3, ..Maximums::default() }, Some("hosts: are more than a router keeps (given: 4; taken: 3 at most)"))]
+#[case::routes(Maximums { routes: 1, ..Maximums::default() }, Some("routes: are more than a router keeps (given: 2; taken: 1 at most)"))]
 #[case::memory_of_hosts(
     bearing(1000),
     Some(
         "hosts: take more memory than the router has for them (given: 1003 bytes for 4 hosts and 2 routes; taken: 1000 bytes at most)"
     )
 )]
-#[case::memory_of_routes(Most { memory: MemoryTerms { route: 500, ..bearing(1000).memory }, ..Most::default() }, Some("routes: take more memory than the router has for them (given: 2003 bytes for 4 hosts and 2 routes; taken: 1000 bytes at most)"))]
+#[case::memory_of_routes(Maximums { memory: MemorySettings { route: 500, ..bearing(1000).memory }, ..Maximums::default() }, Some("routes: take more memory than the router has for them (given: 2003 bytes for 4 hosts and 2 routes; taken: 1000 bytes at most)"))]
 #[case::memory_enough(bearing(1003), None)]
-#[case::names(Most { route_names: 2, ..Most::default() }, Some("routes: name more than a router keeps (given: 3; taken: 2 at most)"))]
+#[case::names(Maximums { route_names: 2, ..Maximums::default() }, Some("routes: name more than a router keeps (given: 3; taken: 2 at most)"))]
 fn what_is_more_than_a_router_keeps_is_refused_by_its_name(
-    #[case] most: Most,
+    #[case] most: Maximums,
     #[case] why: Option<&str>,
 ) {
-    let mut store = Datastore::new(RuleTerms { most, ..rules() }, History::default());
+    let mut store = Datastore::new(RuleSettings { most, ..rules() }, History::default());
     let mut candidate = Candidate::of(store.in_force());
     (0..4).for_each(|number| {
         host(
@@ -641,13 +642,13 @@
     #[case] text: &str,
     #[case] why: &str,
 ) {
-    let mut draft = Draft::default();
+    let mut draft = TreeBuilder::default();
     draft.set("hosts.ini:3", path(at), text);
-    let faults = draft.finish().expect_err("refused").first;
+    let errors = draft.finish().expect_err("refused").first;
     assert!(
-        faults[0].path.ends_with(at) && faults[0].what.contains(why),
+        errors[0].path.ends_with(at) && errors[0].problem.contains(why),
         "{}",
-        faults[0]
+        errors[0]
     );
 }
 
@@ -678,26 +679,26 @@
 fn a_host_that_a_route_needs_is_not_taken_away_under_it() {
     let mut store = fleet(4);
     try_edits(&mut store, &[("routes/r/host", "h1")], &facts(0.0)).expect("well");
-    let faults = refused(try_edits(
+    let errors = refused(try_edits(
         &mut store,
         &[("hosts/h1/state", "out")],
         &facts(0.0),
     ));
     assert!(
-        faults[0]
+        errors[0]
             .to_string()
             .starts_with("routes/r: its pool would have no host"),
         "{}",
-        faults[0]
+        errors[0]
     );
     let mut candidate = Candidate::of(store.in_force());
     candidate.tree.hosts.remove(&"h1".parse().expect("a name"));
-    let faults = refused(store.commit(&candidate, author("test"), &facts(0.0)));
+    let errors = refused(store.commit(&candidate, author("test"), &facts(0.0)));
     assert!(
-        faults[0]
-            .what
+        errors[0]
+            .problem
             .contains("refers to a host that would be listed no more"),
-        "{faults:?}"
+        "{errors:?}"
     );
 }
 
@@ -752,7 +753,7 @@
     .expect("2");
     let _ = try_edits(&mut store, &[("hosts/x/weight", "1")], &facts(1.0));
     let text = serde_json::to_string(&store.memory()).expect("it has a form");
-    let memory: Memory = serde_json::from_str(&text).expect("it reads back");
+    let memory: DatastoreState = serde_json::from_str(&text).expect("it reads back");
     assert_eq!(memory, store.memory());
     let again = Datastore::remembering(rules(), History::default(), memory);
     assert_eq!(*again.in_force().tree, *store.in_force().tree);
@@ -790,7 +791,7 @@
             }
             let before = (store.in_force().revision, store.in_force().tree.clone());
             match store.commit(&candidate, author("any"), &facts(number as f64)) {
-                Ok(Commit::Taken(snapshot)) => {
+                Ok(Commit::Applied(snapshot)) => {
                     prop_assert_eq!(snapshot.revision(), Revision(before.0.0 + 1));
                     let changes = &store.history().next_back().expect("a record").changes;
                     prop_assert_eq!(&before.1.patched(changes, false).expect("it applies"), &*store.in_force().tree);
--- a/file-watch/src/form.rs
+++ b/file-watch/src/form.rs
@@ -4,9 +4,10 @@
 
 use std::str;
 
-use kestreltide_datastore::draft::shown;
+use kestreltide_datastore::tree_builder::shown;
 use kestreltide_datastore::{
-    Draft, Fault, Faults, HostName, Key, Keys, Leaf, Path, Place, Proof, Rights, Tree,
+    HostName, Key, Keys, Leaf, Path, Place, Proof, Rights, Tree, TreeBuilder, ValidationError,
+    ValidationErrors,
 };
 
 use crate::ini::{self, Section, unknown};
@@ -42,11 +43,11 @@
     /// The files are whole, belong together and pass all checks.
     Whole(V),
     /// Each file is whole, but they do not belong together: one may still be written.
-    Apart(Faults),
+    Apart(ValidationErrors),
     /// Some file may still be written.
-    Torn(Faults),
+    Torn(ValidationErrors),
     /// Whole, and wrong.
-    Wrong(Faults),
+    Wrong(ValidationErrors),
 }
 
 struct Ends {
@@ -55,8 +56,11 @@
 
 /// What these files say together; `place` is how each is called in what is shown.
 pub fn version(files: &[(Kind, &str, &Content)]) -> Spoken<Version> {
-    let (mut candidate, mut incomplete, mut validation_errors) =
-        (Draft::default(), Faults::default(), Faults::default());
+    let (mut candidate, mut incomplete, mut validation_errors) = (
+        TreeBuilder::default(),
+        ValidationErrors::default(),
+        ValidationErrors::default(),
+    );
     let mut generations: Vec<(&str, String)> = vec![];
     for (kind, place, content) in files {
         let text = match text_of(place, content) {
@@ -74,7 +78,7 @@
             Ok(Ends { generation }) => {
                 generations.extend(generation.map(|generation| (*place, generation)))
             }
-            Err(fault) => incomplete.push(fault),
+            Err(error) => incomplete.push(error),
         }
     }
     if !incomplete.is_empty() {
@@ -94,7 +98,7 @@
             shown(&generation)
         );
         return Spoken::Apart(
-            Fault::new(
+            ValidationError::new(
                 format!("{place}: generation"),
                 what,
                 shown(other),
@@ -110,19 +114,19 @@
 }
 
 /// The text of a file; with an error, whether the file may only be torn.
-fn text_of<'a>(place: &str, content: &'a Content) -> Result<&'a str, Box<(bool, Fault)>> {
+fn text_of<'a>(place: &str, content: &'a Content) -> Result<&'a str, Box<(bool, ValidationError)>> {
     match content {
         Ok(bytes) => str::from_utf8(bytes).map_err(|e| {
             // A character cut in two at the end is a file cut in two.
             let what = format!("is not UTF-8 from byte {}", e.valid_up_to());
             Box::new((
                 e.error_len().is_none(),
-                Fault::new(place, what, "other bytes", "UTF-8"),
+                ValidationError::new(place, what, "other bytes", "UTF-8"),
             ))
         }),
         Err(why) => Err(Box::new((
             true,
-            Fault::new(place, "cannot be read", &why.0, "a file of text"),
+            ValidationError::new(place, "cannot be read", &why.0, "a file of text"),
         ))),
     }
 }
@@ -134,7 +138,7 @@
         Err(why) if why.0 => return Spoken::Torn(why.1.into()),
         Err(why) => return Spoken::Wrong(why.1.into()),
     };
-    let (mut found, mut validation_errors) = (vec![], Faults::default());
+    let (mut found, mut validation_errors) = (vec![], ValidationErrors::default());
     let read = parse_framed(
         Kind::Keys,
         place,
@@ -143,7 +147,7 @@
         |body, validation_errors| parse_keys(place, body, &mut found, validation_errors),
     );
     match read {
-        Err(fault) => Spoken::Torn(fault.into()),
+        Err(error) => Spoken::Torn(error.into()),
         Ok(_) if !validation_errors.is_empty() => Spoken::Wrong(validation_errors),
         Ok(Ends { generation }) => Spoken::Whole(Keys {
             generation: generation.unwrap_or_default(),
@@ -156,7 +160,7 @@
     place: &str,
     body: &[Section],
     found: &mut Vec<Key>,
-    validation_errors: &mut Faults,
+    validation_errors: &mut ValidationErrors,
 ) -> usize {
     for section in body {
         let at = format!("{place}:{}", section.line);
@@ -180,7 +184,7 @@
         };
         let proofs = parse_proofs(place, section, name, validation_errors);
         if proofs.is_empty() && validation_errors.is_empty() {
-            validation_errors.push(Fault::new(
+            validation_errors.push(ValidationError::new(
                 format!("{at}: [key {name}]"),
                 "has neither of both",
                 "nothing",
@@ -190,7 +194,7 @@
         for proof in proofs {
             if let Some(other) = found.iter().find(|key| key.proof == proof) {
                 let what = format!("is the key of {} too", other.name);
-                validation_errors.push(Fault::new(&at, what, name, "a key of its own"));
+                validation_errors.push(ValidationError::new(&at, what, name, "a key of its own"));
             }
             found.push(Key {
                 name: name.into(),
@@ -210,19 +214,19 @@
     place: &str,
     section: &Section,
     name: &str,
-    validation_errors: &mut Faults,
+    validation_errors: &mut ValidationErrors,
 ) -> Option<Rights> {
     let taken = "read, weights, routes, ring";
     let Some(key) = key_named(section, "rights") else {
         let path = format!("{place}:{}: [key {name}] rights", section.line);
-        validation_errors.push(Fault::new(path, "is missing", "nothing", taken));
+        validation_errors.push(ValidationError::new(path, "is missing", "nothing", taken));
         return None;
     };
     match Rights::parse(&key.value) {
         Ok(rights) => Some(rights),
         Err(why) => {
             let path = format!("{place}:{}: [key {name}] rights", key.line);
-            validation_errors.push(Fault::new(path, why, shown(&key.value), taken));
+            validation_errors.push(ValidationError::new(path, why, shown(&key.value), taken));
             None
         }
     }
@@ -233,7 +237,7 @@
     place: &str,
     section: &Section,
     name: &str,
-    validation_errors: &mut Faults,
+    validation_errors: &mut ValidationErrors,
 ) -> Vec<Proof> {
     let mut proofs = vec![];
     if let Some(key) = key_named(section, "ssh") {
@@ -245,7 +249,7 @@
             _ => {
                 let path = format!("{place}:{}: [key {name}] ssh", key.line);
                 let taken = "a line as in id_ed25519.pub";
-                validation_errors.push(Fault::new(
+                validation_errors.push(ValidationError::new(
                     path,
                     "is no public key",
                     shown(&key.value),
@@ -260,7 +264,12 @@
             None => {
                 let path = format!("{place}:{}: [key {name}] certificate", key.line);
                 let taken = "64 hexadecimal digits";
-                validation_errors.push(Fault::new(path, "is no SHA-256", shown(&key.value), taken));
+                validation_errors.push(ValidationError::new(
+                    path,
+                    "is no SHA-256",
+                    shown(&key.value),
+                    taken,
+                ));
             }
         }
     }
@@ -284,9 +293,9 @@
     kind: Kind,
     place: &str,
     text: &str,
-    candidate: &mut Draft,
-    validation_errors: &mut Faults,
-) -> Result<Ends, Fault> {
+    candidate: &mut TreeBuilder,
+    validation_errors: &mut ValidationErrors,
+) -> Result<Ends, ValidationError> {
     parse_framed(
         kind,
         place,
@@ -304,11 +313,11 @@
     kind: Kind,
     place: &str,
     text: &str,
-    validation_errors: &mut Faults,
-    between: impl FnOnce(&[Section], &mut Faults) -> usize,
-) -> Result<Ends, Fault> {
+    validation_errors: &mut ValidationErrors,
+    between: impl FnOnce(&[Section], &mut ValidationErrors) -> usize,
+) -> Result<Ends, ValidationError> {
     if text.trim().is_empty() {
-        return Err(Fault::new(
+        return Err(ValidationError::new(
             place,
             "is empty",
             "nothing",
@@ -317,7 +326,7 @@
     }
     if !text.ends_with('\n') {
         let last = text.lines().next_back().unwrap_or_default();
-        return Err(Fault::new(
+        return Err(ValidationError::new(
             place,
             "its last line has no end",
             shown(last),
@@ -329,7 +338,7 @@
     let (head, rest) = match sections.split_first() {
         Some((head, rest)) if head.name.is_empty() => (head, rest),
         _ => {
-            return Err(Fault::new(
+            return Err(ValidationError::new(
                 place,
                 "names no generation before its first section",
                 "nothing",
@@ -341,14 +350,14 @@
     let Some((end, body)) = rest.split_last().filter(|(end, _)| end.name == END) else {
         if let Some(end) = rest.iter().find(|section| section.name == END) {
             let at = format!("{place}:{}", end.line);
-            return Err(Fault::new(
+            return Err(ValidationError::new(
                 at,
                 "sections stand behind [end]",
                 "more of them",
                 "[end] last",
             ));
         }
-        return Err(Fault::new(
+        return Err(ValidationError::new(
             place,
             "has no [end]",
             "nothing",
@@ -367,10 +376,14 @@
     Ok(Ends { generation })
 }
 
-fn parse_generation(place: &str, head: &Section, validation_errors: &mut Faults) -> Option<String> {
+fn parse_generation(
+    place: &str,
+    head: &Section,
+    validation_errors: &mut ValidationErrors,
+) -> Option<String> {
     ini::known_keys(place, head, &["generation"], validation_errors);
     let Some(key) = head.keys.iter().find(|key| key.name == "generation") else {
-        validation_errors.push(Fault::new(
+        validation_errors.push(ValidationError::new(
             place,
             "names no generation",
             "nothing",
@@ -383,7 +396,7 @@
         && !key.value.contains(char::is_control);
     if !plain {
         let taken = format!("1 to {GENERATION_MOST} characters");
-        validation_errors.push(Fault::new(
+        validation_errors.push(ValidationError::new(
             format!("{place}:{}: generation", key.line),
             "is no name",
             shown(&key.value),
@@ -396,8 +409,8 @@
 fn parse_hosts(
     place: &str,
     body: &[Section],
-    candidate: &mut Draft,
-    validation_errors: &mut Faults,
+    candidate: &mut TreeBuilder,
+    validation_errors: &mut ValidationErrors,
 ) -> usize {
     let mut count = 0;
     for section in body {
@@ -441,7 +454,7 @@
 fn parse_leaves(
     place: &str,
     section: &Section,
-    validation_errors: &mut Faults,
+    validation_errors: &mut ValidationErrors,
     of: Place,
     mut set: impl FnMut(&ini::Key, Leaf, &str),
 ) {
@@ -461,8 +474,8 @@
 fn parse_weights(
     place: &str,
     body: &[Section],
-    candidate: &mut Draft,
-    validation_errors: &mut Faults,
+    candidate: &mut TreeBuilder,
+    validation_errors: &mut ValidationErrors,
 ) -> usize {
     let mut count = 0;
     for section in body {
@@ -482,7 +495,7 @@
                 Ok(host) => candidate.set_host(&at, &host, leaf, &key.value),
                 Err(why) => {
                     let what = format!("the host's name {why}");
-                    validation_errors.push(Fault::new(
+                    validation_errors.push(ValidationError::new(
                         at,
                         what,
                         shown(&key.name),
@@ -502,8 +515,8 @@
     end: &Section,
     count: usize,
     generation: Option<&str>,
-    validation_errors: &mut Faults,
-) -> Result<(), Fault> {
+    validation_errors: &mut ValidationErrors,
+) -> Result<(), ValidationError> {
     let counted = match kind {
         Kind::Hosts => "hosts",
         Kind::Weights => "entries",
@@ -513,12 +526,12 @@
     let key = |name: &str, taken: &dyn std::fmt::Display| {
         let path = format!("{place}:{}: [end] {name}", end.line);
         let found = end.keys.iter().find(|key| key.name == name);
-        found.ok_or_else(|| Fault::new(path, "is missing", "nothing", taken))
+        found.ok_or_else(|| ValidationError::new(path, "is missing", "nothing", taken))
     };
     let said = key(counted, &count)?;
     if said.value.parse() != Ok(count) {
         let path = format!("{place}:{}: [end] {counted}", said.line);
-        return Err(Fault::new(
+        return Err(ValidationError::new(
             path,
             format!("{count} stand in the file"),
             shown(&said.value),
@@ -529,7 +542,7 @@
     if Some(named.value.as_str()) != generation {
         let path = format!("{place}:{}: [end] generation", named.line);
         let head = generation.unwrap_or_default();
-        return Err(Fault::new(
+        return Err(ValidationError::new(
             path,
             "is not that of the head",
             shown(&named.value),
--- a/file-watch/src/ini.rs
+++ b/file-watch/src/ini.rs
@@ -2,8 +2,8 @@
 //! reading itself is rust-ini's; it does not tell lines, which are found again in the text.
 
 use ini::{Ini, ParseOption};
-use kestreltide_datastore::draft::shown;
-use kestreltide_datastore::{Fault, Faults};
+use kestreltide_datastore::tree_builder::shown;
+use kestreltide_datastore::{ValidationError, ValidationErrors};
 
 /// One key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,10 +28,10 @@
 }
 
 /// The sections of a text in their order, those of one name apart.
-pub fn sections(place: &str, text: &str) -> Result<Vec<Section>, Fault> {
+pub fn sections(place: &str, text: &str) -> Result<Vec<Section>, ValidationError> {
     if let Some(at) = text.find('\0') {
         let line = text[..at].matches('\n').count() + 1;
-        return Err(Fault::new(
+        return Err(ValidationError::new(
             format!("{place}:{line}"),
             "holds a NUL",
             "a NUL",
@@ -48,7 +48,7 @@
             .lines()
             .nth(e.line.saturating_sub(1))
             .unwrap_or_default();
-        Fault::new(
+        ValidationError::new(
             format!("{place}:{}", e.line),
             format!("is no INI: {}", e.msg),
             shown(found),
@@ -138,17 +138,22 @@
     what: &str,
     name: &str,
     known: impl IntoIterator<Item = &'a str> + Clone,
-) -> Fault {
+) -> ValidationError {
     let names: Vec<_> = known.clone().into_iter().collect();
     let taken = match nearest(name, known) {
         Some(near) => format!("{near}? All: {}", names.join(", ")),
         None => "nothing".into(),
     };
-    Fault::new(path, format!("no such {what}"), shown(name), taken)
+    ValidationError::new(path, format!("no such {what}"), shown(name), taken)
 }
 
 /// Pushes a fault for each key that stands twice, or is not among these.
-pub fn known_keys(place: &str, section: &Section, known: &[&str], validation_errors: &mut Faults) {
+pub fn known_keys(
+    place: &str,
+    section: &Section,
+    known: &[&str],
+    validation_errors: &mut ValidationErrors,
+) {
     for (number, key) in section.keys.iter().enumerate() {
         let path = format!(
             "{place}:{}: [{}] {}",
@@ -162,7 +167,7 @@
             .iter()
             .any(|before| before.name == key.name)
         {
-            validation_errors.push(Fault::new(
+            validation_errors.push(ValidationError::new(
                 path,
                 "stands twice",
                 shown(&key.value),
--- a/file-watch/src/watch.rs
+++ b/file-watch/src/watch.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
 use std::time::{Duration, Instant};
 
-use kestreltide_datastore::Faults;
+use kestreltide_datastore::ValidationErrors;
 
 use crate::form::{Kind, Spoken, Version, version};
 use crate::notices::Notices;
@@ -32,9 +32,9 @@
     /// A whole version.
     Version(V),
     /// It is not taken as it stands, and would not be later.
-    Refused(Faults),
+    Refused(ValidationErrors),
     /// It may become a version: its files do not belong together yet.
-    Held(Faults),
+    Held(ValidationErrors),
 }
 
 /// Reads everything now, as a start needs it.
@@ -124,8 +124,8 @@
         },
         Step::Offer => Some(match says() {
             Spoken::Whole(version) => Told::Version(version),
-            Spoken::Apart(faults) => Told::Held(faults),
-            Spoken::Torn(faults) | Spoken::Wrong(faults) => Told::Refused(faults),
+            Spoken::Apart(errors) => Told::Held(errors),
+            Spoken::Torn(errors) | Spoken::Wrong(errors) => Told::Refused(errors),
         }),
     }
 }
--- a/file-watch/tests/versions.rs
+++ b/file-watch/tests/versions.rs
@@ -86,10 +86,10 @@
 
 #[test]
 fn files_of_two_generations_are_none() {
-    let Spoken::Apart(faults) = spoken(&hosts("5", &["a"]), Some(&weights("4", &[]))) else {
+    let Spoken::Apart(errors) = spoken(&hosts("5", &["a"]), Some(&weights("4", &[]))) else {
         panic!("apart")
     };
-    let said = faults.to_string();
+    let said = errors.to_string();
     assert!(
         said.contains(
             "weights.ini: generation: is of another generation than hosts.ini, which names 5"
@@ -117,32 +117,32 @@
 #[case::nul(&hosts("5", &["a"]).replace("north", "no\0th"), "hosts.ini:5: holds a NUL")]
 #[case::no_ini(&hosts("5", &["a"]).replace("zone = north", "zone north"), "hosts.ini:")]
 fn a_file_that_is_not_well_is_told_by_line_and_reason(#[case] text: &str, #[case] why: &str) {
-    let (Spoken::Torn(faults) | Spoken::Wrong(faults)) = spoken(text, None) else {
+    let (Spoken::Torn(errors) | Spoken::Wrong(errors)) = spoken(text, None) else {
         panic!("not well")
     };
-    assert!(faults.to_string().contains(why), "{faults}");
+    assert!(errors.to_string().contains(why), "{errors}");
 }
 
 #[test]
 fn all_that_is_wrong_is_told_at_once() {
     let text = hosts("5", &["a", "b"]).replace("kind = std", "kinf = std\nsize = -1");
-    let Spoken::Wrong(faults) = spoken(&text, Some(&weights("5", &[("a", "x"), ("b/", "1")])))
+    let Spoken::Wrong(errors) = spoken(&text, Some(&weights("5", &[("a", "x"), ("b/", "1")])))
     else {
         panic!("wrong")
     };
-    assert_eq!(faults.first.len(), 6, "{faults}");
+    assert_eq!(errors.first.len(), 6, "{errors}");
 }
 
 #[test]
 fn what_is_not_utf8_is_no_version() {
     let mut bytes = hosts("5", &["a"]).into_bytes();
     bytes[40] = 0xff;
-    let Spoken::Wrong(faults) = version(&[(Kind::Hosts, "hosts.ini", &Ok(bytes))]) else {
+    let Spoken::Wrong(errors) = version(&[(Kind::Hosts, "hosts.ini", &Ok(bytes))]) else {
         panic!("wrong")
     };
     assert!(
-        faults.to_string().contains("is not UTF-8 from byte 40"),
-        "{faults}"
+        errors.to_string().contains("is not UTF-8 from byte 40"),
+        "{errors}"
     );
 }
 
@@ -213,8 +213,8 @@
             };
             assert!(key.name == "ana" && key.rights.weights && !key.rights.ring);
         }
-        (Spoken::Torn(faults) | Spoken::Wrong(faults), Some(why)) => {
-            assert!(faults.to_string().contains(why), "{faults}");
+        (Spoken::Torn(errors) | Spoken::Wrong(errors), Some(why)) => {
+            assert!(errors.to_string().contains(why), "{errors}");
         }
         (other, _) => panic!("{other:?}"),
     }
@@ -340,10 +340,10 @@
     replace(&path, &hosts("5", &["a", "b", "c", "d", "e", "g"]));
     assert_eq!(watch.version(), "5");
     fs::remove_file(&path).expect("deleted");
-    let Told::Refused(faults) = watch.next() else {
+    let Told::Refused(errors) = watch.next() else {
         panic!("it is gone")
     };
-    assert!(faults.to_string().contains("cannot be read"), "{faults}");
+    assert!(errors.to_string().contains("cannot be read"), "{errors}");
     replace(&path, &hosts("6", &["a"]));
     assert_eq!(watch.version(), "6");
 }
@@ -408,13 +408,13 @@
     make(&path);
     let since = Instant::now();
     loop {
-        let Told::Refused(faults) = watch.next() else {
+        let Told::Refused(errors) = watch.next() else {
             panic!("not a version")
         };
-        if faults.to_string().contains(why) {
+        if errors.to_string().contains(why) {
             break;
         }
-        assert!(since.elapsed() < PATIENCE, "{faults}");
+        assert!(since.elapsed() < PATIENCE, "{errors}");
     }
     if path.is_dir() {
         fs::remove_dir(&path)
--- a/management/src/commit_service.rs
+++ b/management/src/commit_service.rs
@@ -5,10 +5,14 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use kestreltide_datastore::desk::{Asker, Confirm, Published, Refused, SessionId, Target};
-use kestreltide_datastore::store::{Commit, Refusal};
+use kestreltide_datastore::commit_coordinator::{
+    CommitError, CommitOwner, Confirm, Published, SessionId, Target,
+};
+use kestreltide_datastore::store::{Commit, RejectedCommit};
 use kestreltide_datastore::view::View;
-use kestreltide_datastore::{Author, Candidate, Fault, Faults, Keys, RevisionRecord};
+use kestreltide_datastore::{
+    Author, Candidate, Keys, RevisionRecord, ValidationError, ValidationErrors,
+};
 use tokio::sync::{broadcast, oneshot};
 
 /// What a front asks of the commit service. Whoever asks waits for the reply; the commit service waits for nobody.
@@ -31,7 +35,7 @@
         /// The datastore to lock.
         target: Target,
         /// Refused where another session holds the lock.
-        reply: oneshot::Sender<Result<(), Refused>>,
+        reply: oneshot::Sender<Result<(), CommitError>>,
     },
     /// Releases a lock.
     Unlock {
@@ -40,41 +44,41 @@
         /// The datastore to unlock.
         target: Target,
         /// Refused where the session does not hold the lock.
-        reply: oneshot::Sender<Result<(), Refused>>,
+        reply: oneshot::Sender<Result<(), CommitError>>,
     },
     /// Checks a candidate without committing it.
     Validate {
         /// What to check.
         candidate: Candidate,
         /// Gets the validation errors, if any.
-        reply: oneshot::Sender<Result<(), Faults>>,
+        reply: oneshot::Sender<Result<(), ValidationErrors>>,
     },
     /// Checks a candidate and puts it in force.
     Commit(Box<CommitAsk>),
     /// Confirms the commit that waits for it.
     Confirm {
         /// Who confirms; none for a party without a session.
-        asker: Asker,
+        asker: CommitOwner,
         /// The id of the commit that waits, where whoever began it gave one.
         persist_id: Option<String>,
         /// Refused where nothing waits or another has to confirm it.
-        reply: oneshot::Sender<Result<(), Refused>>,
+        reply: oneshot::Sender<Result<(), CommitError>>,
     },
     /// Rolls back the commit that waits to be confirmed.
     Cancel {
         /// Who cancels; none for a party without a session.
-        asker: Asker,
+        asker: CommitOwner,
         /// The id of the commit that waits, where whoever began it gave one.
         persist_id: Option<String>,
         /// Refused where nothing waits or another has to confirm it.
-        reply: oneshot::Sender<Result<(), Refused>>,
+        reply: oneshot::Sender<Result<(), CommitError>>,
     },
     /// Somebody who may not has tried; it is remembered and told as any other refusal.
     Denied {
         /// Who tried.
         author: Author,
         /// Which right was missing, for which change.
-        fault: Fault,
+        error: ValidationError,
     },
 }
 
@@ -82,7 +86,7 @@
 #[derive(Debug)]
 pub struct CommitAsk {
     /// Who commits; none for a party without a session.
-    pub asker: Asker,
+    pub asker: CommitOwner,
     /// What to commit.
     pub candidate: Candidate,
     /// Whom the revision names as its author.
@@ -92,7 +96,7 @@
     /// The id of the commit that waits, where whoever began it gave one.
     pub persist_id: Option<String>,
     /// Gets the revision, or why there is none.
-    pub reply: oneshot::Sender<Result<Commit, Refused>>,
+    pub reply: oneshot::Sender<Result<Commit, CommitError>>,
 }
 
 /// What happened at the commit service.
@@ -101,7 +105,7 @@
     /// A revision is in force.
     Committed(Arc<RevisionRecord>),
     /// A candidate was refused.
-    Refused(Arc<Refusal>),
+    Rejected(Arc<RejectedCommit>),
 }
 
 /// What every front holds.
@@ -125,9 +129,9 @@
 const TAKEN: Duration = Duration::from_millis(50);
 
 /// That the commit service does not answer.
-pub fn busy() -> Refused {
-    Refused::Faults(
-        Fault::new(
+pub fn busy() -> CommitError {
+    CommitError::Invalid(
+        ValidationError::new(
             "running",
             "the desk has no room for one more question",
             "a question",
@@ -152,7 +156,7 @@
     }
 
     /// Locks a datastore for a session; refused where another holds the lock or nobody answers.
-    pub async fn lock(&self, session: SessionId, target: Target) -> Result<(), Refused> {
+    pub async fn lock(&self, session: SessionId, target: Target) -> Result<(), CommitError> {
         self.asked(|reply| Ask::Lock {
             session,
             target,
@@ -163,7 +167,7 @@
     }
 
     /// Releases a lock; refused where the session does not hold it or nobody answers.
-    pub async fn unlock(&self, session: SessionId, target: Target) -> Result<(), Refused> {
+    pub async fn unlock(&self, session: SessionId, target: Target) -> Result<(), CommitError> {
         self.asked(|reply| Ask::Unlock {
             session,
             target,
@@ -174,14 +178,18 @@
     }
 
     /// Checks a candidate; refused with its validation errors, or where nobody answers.
-    pub async fn validate(&self, candidate: Candidate) -> Result<(), Refused> {
+    pub async fn validate(&self, candidate: Candidate) -> Result<(), CommitError> {
         let answer = self.asked(|reply| Ask::Validate { candidate, reply }).await;
-        answer.map_or(Err(busy()), |answer| answer.map_err(Refused::Faults))
+        answer.map_or(Err(busy()), |answer| answer.map_err(CommitError::Invalid))
     }
 
     /// Confirms the commit that waits; refused where nothing waits, where another has to confirm it, or where nobody
     /// answers.
-    pub async fn confirm(&self, asker: Asker, persist_id: Option<String>) -> Result<(), Refused> {
+    pub async fn confirm(
+        &self,
+        asker: CommitOwner,
+        persist_id: Option<String>,
+    ) -> Result<(), CommitError> {
         self.asked(|reply| Ask::Confirm {
             asker,
             persist_id,
@@ -192,7 +200,11 @@
     }
 
     /// Rolls back the commit that waits; refused as a confirmation is.
-    pub async fn cancel(&self, asker: Asker, persist_id: Option<String>) -> Result<(), Refused> {
+    pub async fn cancel(
+        &self,
+        asker: CommitOwner,
+        persist_id: Option<String>,
+    ) -> Result<(), CommitError> {
         self.asked(|reply| Ask::Cancel {
             asker,
             persist_id,
@@ -206,12 +218,12 @@
     /// on it. A loop that does not come round in time is not waited for.
     pub async fn commit(
         &self,
-        asker: Asker,
+        asker: CommitOwner,
         candidate: Candidate,
         author: Author,
         confirm: Option<Confirm>,
         persist_id: Option<String>,
-    ) -> Result<Commit, Refused> {
+    ) -> Result<Commit, CommitError> {
         let make = |reply| {
             Ask::Commit(Box::new(CommitAsk {
                 asker,
@@ -223,7 +235,7 @@
             }))
         };
         let commit = self.asked(make).await.unwrap_or(Err(busy()))?;
-        if let Commit::Taken(snapshot) = &commit {
+        if let Commit::Applied(snapshot) = &commit {
             let until = Instant::now() + TAKEN;
             while self.in_force.load(Relaxed) < snapshot.revision().0 && Instant::now() < until {
                 tokio::time::sleep(Duration::from_millis(1)).await;
--- a/management/src/gnmi/confirmed_commit.rs
+++ b/management/src/gnmi/confirmed_commit.rs
@@ -3,7 +3,7 @@
 use std::sync::PoisonError;
 
 use kestreltide_datastore::Key;
-use kestreltide_datastore::desk::SessionId;
+use kestreltide_datastore::commit_coordinator::SessionId;
 use tonic::Status;
 
 use super::Service;
--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -133,12 +133,12 @@
             list,
         } = target;
         let json = self.json_of(shown, *node, value)?;
-        let mut faults = vec![];
+        let mut errors = vec![];
         let read = match (*node, *list) {
-            (Some(node), Some(_)) => values_of_json(self.schema, node, parent, &json, &mut faults),
+            (Some(node), Some(_)) => values_of_json(self.schema, node, parent, &json, &mut errors),
             (Some(node), None) => {
                 let json = with_keys(json, step);
-                one_of_json(self.schema, node, parent, &json, &mut faults)
+                one_of_json(self.schema, node, parent, &json, &mut errors)
                     .into_iter()
                     .collect()
             }
@@ -148,11 +148,11 @@
                 } else {
                     parent.below(step.clone())
                 };
-                of_json(self.schema, None, &here, &json, &mut faults)
+                of_json(self.schema, None, &here, &json, &mut errors)
             }
         };
-        if !faults.is_empty() {
-            return Err(edit_errors_status(&faults));
+        if !errors.is_empty() {
+            return Err(edit_errors_status(&errors));
         }
         if node.is_none() {
             return Ok(read);
--- a/management/src/gnmi/errors.rs
+++ b/management/src/gnmi/errors.rs
@@ -1,35 +1,37 @@
 //! Errors of the datastore and of requests as gRPC statuses.
 
-use kestreltide_datastore::desk::Refused;
-use kestreltide_yang::edit::EditFault;
+use kestreltide_datastore::commit_coordinator::CommitError;
+use kestreltide_yang::edit::EditError;
 use tonic::Status;
 
 pub(super) fn invalid_argument(path: &str, what: &str, given: &str, taken: &str) -> Status {
-    let given = kestreltide_datastore::draft::shown(given);
+    let given = kestreltide_datastore::tree_builder::shown(given);
     Status::invalid_argument(
-        kestreltide_datastore::Fault::new(path, what, given, taken).to_string(),
+        kestreltide_datastore::ValidationError::new(path, what, given, taken).to_string(),
     )
 }
 
-pub(super) fn edit_errors_status(faults: &[EditFault]) -> Status {
-    let all: Vec<_> = faults.iter().map(|fault| fault.fault.to_string()).collect();
+pub(super) fn edit_errors_status(errors: &[EditError]) -> Status {
+    let all: Vec<_> = errors.iter().map(|error| error.error.to_string()).collect();
     Status::invalid_argument(all.join("\n"))
 }
 
-pub(super) fn refusal_status(refused: &Refused) -> Status {
+pub(super) fn refusal_status(refused: &CommitError) -> Status {
     match refused {
         // Another's change of the same leaf, or a rule: the request is well, the time or the set is not.
-        Refused::Faults(faults)
-            if faults
+        CommitError::Invalid(errors)
+            if errors
                 .first
                 .iter()
-                .any(|fault| fault.what.starts_with("was changed since")) =>
+                .any(|error| error.problem.starts_with("was changed since")) =>
         {
             Status::aborted(refused.to_string())
         }
-        Refused::Faults(_) | Refused::NothingWaits | Refused::NotHeld => {
+        CommitError::Invalid(_) | CommitError::NoPendingCommit | CommitError::LockNotHeld => {
             Status::failed_precondition(refused.to_string())
         }
-        Refused::Locked(_) | Refused::Waiting(_) => Status::unavailable(refused.to_string()),
+        CommitError::Locked(_) | CommitError::CommitPending(_) => {
+            Status::unavailable(refused.to_string())
+        }
     }
 }
--- a/management/src/gnmi/mod.rs
+++ b/management/src/gnmi/mod.rs
@@ -21,7 +21,7 @@
 use std::sync::atomic::{AtomicU32, AtomicUsize};
 use std::sync::{Arc, Mutex};
 
-use kestreltide_datastore::desk::SessionId;
+use kestreltide_datastore::commit_coordinator::SessionId;
 use kestreltide_yang::Schema;
 use kestreltide_yang::bind::Bind;
 use slog::Logger;
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::Ordering::Relaxed;
 
-use kestreltide_datastore::desk::Confirm;
+use kestreltide_datastore::commit_coordinator::Confirm;
 use kestreltide_datastore::store::Commit;
 use kestreltide_datastore::{Author, Candidate, Key, Source};
 use kestreltide_yang::edit::{Op, apply};
@@ -37,12 +37,12 @@
         let mut candidate = Candidate::of(&published.in_force);
         let response = self.edit_candidate(&mut candidate, &asked)?;
         let author = self.next_author(&key);
-        if let Err(fault) = rights.check(&published.in_force.tree.differences(&candidate.tree)) {
+        if let Err(error) = rights.check(&published.in_force.tree.differences(&candidate.tree)) {
             (self.commit_service.ask)(crate::Ask::Denied {
                 author,
-                fault: fault.clone(),
+                error: error.clone(),
             });
-            return Err(Status::permission_denied(fault.to_string()));
+            return Err(Status::permission_denied(error.to_string()));
         }
         let session = if confirm.is_some() {
             self.confirming_session(&key).await
@@ -54,7 +54,7 @@
             .commit(session, candidate, author, confirm, None)
             .await
         {
-            Ok(Commit::Taken(_) | Commit::Nothing) => {
+            Ok(Commit::Applied(_) | Commit::Nothing) => {
                 let prefix = asked.prefix.clone();
                 Ok(Response::new(SetResponse {
                     prefix,
@@ -101,7 +101,7 @@
                 &edits,
                 Op::Merge,
             )
-            .map_err(|faults| edit_errors_status(&faults))?;
+            .map_err(|errors| edit_errors_status(&errors))?;
             response.push(UpdateResult {
                 path: Some(path),
                 op: told.into(),
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 use std::time::Duration;
 
-use kestreltide_datastore::desk::Published;
+use kestreltide_datastore::commit_coordinator::Published;
 use kestreltide_datastore::view::View;
 use kestreltide_yang::Schema;
 use kestreltide_yang::bind::Bind;
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use kestreltide_datastore::desk::{Refused, SessionId};
+use kestreltide_datastore::commit_coordinator::{CommitError, SessionId};
 use kestreltide_datastore::{Key, Proof, Rights};
 use kestreltide_yang::bind::Bind;
 use kestreltide_yang::{NodeId, Schema};
@@ -416,7 +416,7 @@
     id: SessionId,
     session: &Session,
     asked: &Asked,
-) -> Result<(), Refused> {
+) -> Result<(), CommitError> {
     let commit_service = &shared.commit_service;
     match asked.clone() {
         Asked::Lock(target) => commit_service.lock(id, target).await,
@@ -447,7 +447,7 @@
             record.at,
             state::committed(shared.schema, node("revision-committed")?, record, missed),
         ),
-        News::Refused(refusal) => (
+        News::Rejected(refusal) => (
             refusal.at,
             state::refused(shared.schema, node("candidate-refused")?, refusal),
         ),
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -1,7 +1,7 @@
 //! `commit`: of the session's candidate, at once or until it is confirmed, or as that confirmation.
 
 use kestreltide_datastore::Rights;
-use kestreltide_datastore::desk::Confirm;
+use kestreltide_datastore::commit_coordinator::Confirm;
 use kestreltide_yang::xml::Element;
 
 use super::operations::text;
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -1,6 +1,6 @@
 //! `edit-config`: edits of the session's candidate or of what runs, and whether the rights cover them.
 
-use kestreltide_datastore::desk::Target;
+use kestreltide_datastore::commit_coordinator::Target;
 use kestreltide_datastore::{Candidate, Rights, Tree};
 use kestreltide_yang::data::Instance;
 use kestreltide_yang::edit::{Op, apply, of_xml};
@@ -74,23 +74,23 @@
         config: &Element,
         default: Op,
     ) -> Result<(), Vec<RpcError>> {
-        let mut faults = vec![];
+        let mut errors = vec![];
         let edits = of_xml(
             self.schema,
             None,
             &Instance::default(),
             &config.children,
-            &mut faults,
+            &mut errors,
         );
-        if faults.is_empty() {
-            faults = apply(self.schema, &self.bind, tree, &edits, default)
+        if errors.is_empty() {
+            errors = apply(self.schema, &self.bind, tree, &edits, default)
                 .err()
                 .unwrap_or_default();
         }
-        if faults.is_empty() {
+        if errors.is_empty() {
             Ok(())
         } else {
-            Err(faults.iter().map(edit_error).collect())
+            Err(errors.iter().map(edit_error).collect())
         }
     }
 
@@ -142,15 +142,15 @@
         rights: Rights,
         commit_service: &Handle,
     ) -> Result<(), Vec<RpcError>> {
-        rights.check(&before.differences(after)).map_err(|fault| {
-            let path = fault.path.parse().ok().map(|path| xpath(&path));
+        rights.check(&before.differences(after)).map_err(|error| {
+            let path = error.path.parse().ok().map(|path| xpath(&path));
             (commit_service.ask)(crate::Ask::Denied {
                 author: self.author(),
-                fault: fault.clone(),
+                error: error.clone(),
             });
             vec![RpcError {
                 path,
-                ..RpcError::new("application", "access-denied", fault.to_string())
+                ..RpcError::new("application", "access-denied", error.to_string())
             }]
         })
     }
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -16,7 +16,7 @@
 
 use std::fmt::Write;
 
-use kestreltide_datastore::desk::{Confirm, Refused, SessionId, Target};
+use kestreltide_datastore::commit_coordinator::{CommitError, Confirm, SessionId, Target};
 use kestreltide_datastore::{Author, Candidate, Rights, Source};
 use kestreltide_yang::Schema;
 use kestreltide_yang::bind::Bind;
@@ -204,7 +204,7 @@
     }
 
     /// The commit service's answer to what was asked.
-    pub fn answered(&mut self, asked: &Asked, answer: Result<(), Refused>) -> String {
+    pub fn answered(&mut self, asked: &Asked, answer: Result<(), CommitError>) -> String {
         match answer {
             Ok(()) => {
                 if matches!(asked, Asked::Commit { .. } | Asked::Cancel { .. }) {
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -1,6 +1,6 @@
 //! Which operation an rpc asks for, and what each that needs no module of its own leads to.
 
-use kestreltide_datastore::desk::{SessionId, Target};
+use kestreltide_datastore::commit_coordinator::{SessionId, Target};
 use kestreltide_datastore::{Candidate, Rights, Tree};
 use kestreltide_yang::edit::Op;
 use kestreltide_yang::xml::{Element, escaped};
--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -2,10 +2,10 @@
 
 use std::fmt::Write;
 
-use kestreltide_datastore::desk::Refused;
-use kestreltide_datastore::{Fault, Path, Rights};
+use kestreltide_datastore::commit_coordinator::CommitError;
+use kestreltide_datastore::{Path, Rights, ValidationError};
 use kestreltide_yang::data::Instance;
-use kestreltide_yang::edit::{EditFault, Tag};
+use kestreltide_yang::edit::{EditError, Tag};
 use kestreltide_yang::xml::escaped;
 
 /// An rpc-error.
@@ -59,11 +59,11 @@
     }
 
     pub(super) fn invalid(path: &str, what: &str, given: &str, taken: &str) -> Self {
-        let given = kestreltide_datastore::draft::shown(given);
+        let given = kestreltide_datastore::tree_builder::shown(given);
         Self::new(
             "protocol",
             "invalid-value",
-            Fault::new(path, what, given, taken).to_string(),
+            ValidationError::new(path, what, given, taken).to_string(),
         )
     }
 
@@ -121,69 +121,69 @@
     out
 }
 
-pub(super) fn validation_error(fault: &Fault) -> RpcError {
-    let tag = if fault.what.contains("is missing") {
+pub(super) fn validation_error(error: &ValidationError) -> RpcError {
+    let tag = if error.problem.contains("is missing") {
         "data-missing"
     } else {
         "operation-failed"
     };
-    let path = fault.path.parse().ok().map(|path| xpath(&path));
+    let path = error.path.parse().ok().map(|path| xpath(&path));
     RpcError {
         path,
-        ..RpcError::new("application", tag, fault.to_string())
+        ..RpcError::new("application", tag, error.to_string())
     }
 }
 
-pub(super) fn edit_error(fault: &EditFault) -> RpcError {
-    let info = match fault.tag {
-        Tag::UnknownElement | Tag::MissingElement => vec![("bad-element", fault.about.clone())],
+pub(super) fn edit_error(error: &EditError) -> RpcError {
+    let info = match error.tag {
+        Tag::UnknownElement | Tag::MissingElement => vec![("bad-element", error.about.clone())],
         Tag::UnknownNamespace => {
             vec![
-                ("bad-element", fault.about.clone()),
-                ("bad-namespace", fault.fault.given.clone()),
+                ("bad-element", error.about.clone()),
+                ("bad-namespace", error.error.found.clone()),
             ]
         }
         Tag::UnknownAttribute | Tag::BadAttribute => {
             vec![
-                ("bad-attribute", fault.about.clone()),
-                ("bad-element", fault.about.clone()),
+                ("bad-attribute", error.about.clone()),
+                ("bad-element", error.about.clone()),
             ]
         }
         _ => vec![],
     };
-    let path = Some(instance(&fault.at)).filter(|path| !path.is_empty());
+    let path = Some(instance(&error.at)).filter(|path| !path.is_empty());
     RpcError {
         path,
         info,
         ..RpcError::new(
             "application",
-            &fault.tag.to_string(),
-            fault.fault.to_string(),
+            &error.tag.to_string(),
+            error.error.to_string(),
         )
     }
 }
 
-pub(super) fn refusal_errors(refused: &Refused) -> Vec<RpcError> {
+pub(super) fn refusal_errors(refused: &CommitError) -> Vec<RpcError> {
     match refused {
-        Refused::Faults(faults) => {
-            let mut errors: Vec<_> = faults.first.iter().map(validation_error).collect();
-            if faults.more > 0 {
+        CommitError::Invalid(invalid) => {
+            let mut errors: Vec<_> = invalid.first.iter().map(validation_error).collect();
+            if invalid.more > 0 {
                 errors.push(RpcError::new(
                     "application",
                     "operation-failed",
-                    format!("and {} more", faults.more),
+                    format!("and {} more", invalid.more),
                 ));
             }
             errors
         }
-        Refused::Locked(holder) => {
+        CommitError::Locked(holder) => {
             let error = RpcError::new("protocol", "lock-denied", refused.to_string());
             vec![RpcError {
                 info: vec![("session-id", holder.to_string())],
                 ..error
             }]
         }
-        Refused::Waiting(pending) => {
+        CommitError::CommitPending(pending) => {
             let error = RpcError::new("protocol", "in-use", refused.to_string());
             vec![RpcError {
                 info: vec![(
@@ -193,12 +193,12 @@
                 ..error
             }]
         }
-        Refused::NothingWaits => vec![RpcError::new(
+        CommitError::NoPendingCommit => vec![RpcError::new(
             "protocol",
             "invalid-value",
             refused.to_string(),
         )],
-        Refused::NotHeld => vec![RpcError::new(
+        CommitError::LockNotHeld => vec![RpcError::new(
             "protocol",
             "operation-failed",
             refused.to_string(),
--- a/management/src/netconf/session/trial.rs
+++ b/management/src/netconf/session/trial.rs
@@ -26,16 +26,16 @@
                 ..error
             }]);
         };
-        let mut faults = vec![];
+        let mut errors = vec![];
         let edits = of_xml(
             self.schema,
             Some(input),
             &Instance::default(),
             &of.children,
-            &mut faults,
+            &mut errors,
         );
-        if !faults.is_empty() {
-            return Err(faults.iter().map(edit_error).collect());
+        if !errors.is_empty() {
+            return Err(errors.iter().map(edit_error).collect());
         }
         let build = edits
             .iter()
@@ -53,10 +53,10 @@
                 "ring/back"
             };
             for (at, text) in [("ring/build", build.as_str()), (ask, "true")] {
-                let path: Path = at.parse().map_err(|fault| vec![validation_error(&fault)])?;
+                let path: Path = at.parse().map_err(|error| vec![validation_error(&error)])?;
                 self.bind
                     .set(&mut candidate.tree, &path, text)
-                    .map_err(|fault| vec![validation_error(&fault)])?;
+                    .map_err(|error| vec![validation_error(&error)])?;
             }
         }
         self.check_rights(&before, &candidate.tree, rights, commit_service)?;
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -1,9 +1,9 @@
 //! The router's own state as data of the model.
 
 use kestreltide::interface::{HostState, Phase};
-use kestreltide_datastore::desk::Published;
+use kestreltide_datastore::commit_coordinator::Published;
 use kestreltide_datastore::view::View;
-use kestreltide_datastore::{Author, Fault, RevisionRecord, check};
+use kestreltide_datastore::{Author, RevisionRecord, ValidationError, check};
 use kestreltide_yang::bind::{Bind, decimal, time};
 use kestreltide_yang::data::Under;
 use kestreltide_yang::{Content, Data, NodeId, Schema};
@@ -27,12 +27,14 @@
         .put("version", &author.version);
 }
 
-fn fault(under: &mut Under, fault: &Fault) {
+fn error(under: &mut Under, error: &ValidationError) {
     under
-        .put("path", &fault.path)
-        .put("what", &fault.what)
-        .put("given", &fault.given);
-    under.put("taken", &fault.taken).maybe("rule", fault.rule);
+        .put("path", &error.path)
+        .put("what", &error.problem)
+        .put("given", &error.found);
+    under
+        .put("taken", &error.expected)
+        .maybe("rule", error.rule);
 }
 
 fn changes(under: &mut Under, record: &RevisionRecord) {
@@ -103,10 +105,10 @@
                 .put("at", time(refusal.at))
                 .put("stays", refusal.stays);
             author(under, &refusal.author);
-            for (number, one) in refusal.faults.first.iter().enumerate() {
+            for (number, one) in refusal.errors.first.iter().enumerate() {
                 under.with("fault", |under| {
                     under.put("number", number);
-                    fault(under, one);
+                    error(under, one);
                 });
             }
         });
@@ -146,13 +148,13 @@
 pub fn refused(
     schema: &Schema,
     node: NodeId,
-    refusal: &kestreltide_datastore::store::Refusal,
+    refusal: &kestreltide_datastore::store::RejectedCommit,
 ) -> Data {
     let mut under = Under::new(schema, node);
     author(&mut under, &refusal.author);
     under.put("stays", refusal.stays);
-    for fault in &refusal.faults.first {
-        under.put("reason", fault);
+    for error in &refusal.errors.first {
+        under.put("reason", error);
     }
     under.data()
 }
--- a/management/tests/netconf.rs
+++ b/management/tests/netconf.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use kestreltide::interface::*;
-use kestreltide_datastore::desk::{Desk, SessionId};
+use kestreltide_datastore::commit_coordinator::{CommitCoordinator, SessionId};
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::*;
 use kestreltide_management::netconf::framing::{Frames, Framing, write};
@@ -24,22 +24,22 @@
 
 /// A desk with four hosts, and what fronts hold of it.
 struct Rig {
-    desk: Desk,
+    desk: CommitCoordinator,
     handle: Handle,
     now: f64,
 }
 
 impl Rig {
     fn new() -> Self {
-        let rules = RuleTerms {
+        let rules = RuleSettings {
             operations: vec!["read".into()],
             routers: 1,
             slow_start_initial_fraction: 0.4,
             slow_start_duration: 4.0,
             overload_multiple: 3.0,
-            most: Most::default(),
+            most: Maximums::default(),
         };
-        let mut desk = Desk::new(Datastore::new(rules, History::default()), None);
+        let mut desk = CommitCoordinator::new(Datastore::new(rules, History::default()), None);
         let mut candidate = Candidate::of(desk.store.in_force());
         for number in 0..4 {
             for (leaf, text) in [
@@ -124,7 +124,7 @@
         id: SessionId,
         author: Author,
         asked: &Asked,
-    ) -> Result<(), kestreltide_datastore::desk::Refused> {
+    ) -> Result<(), kestreltide_datastore::commit_coordinator::CommitError> {
         let facts = facts(self.now);
         match asked.clone() {
             Asked::Lock(target) => self.desk.lock(id, target),
--- a/router/src/fronts/keeper.rs
+++ b/router/src/fronts/keeper.rs
@@ -8,11 +8,14 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use kestreltide_datastore::desk::{Desk, Published, Refused, as_faults};
+use kestreltide_datastore::commit_coordinator::{
+    CommitCoordinator, CommitError, Published, into_validation_errors,
+};
 use kestreltide_datastore::store::{Commit, InForce};
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::{
-    Author, Candidate, Datastore, Facts, Fault, Faults, History, RuleTerms, Snapshot, Source, Tree,
+    Author, Candidate, Datastore, Facts, History, RuleSettings, Snapshot, Source, Tree,
+    ValidationError, ValidationErrors,
 };
 use kestreltide_file_watch::form::{Spoken, Version};
 use kestreltide_file_watch::watch::{Told, look, spoken};
@@ -31,7 +34,7 @@
     /// The watched files say this now.
     Files(Told<Version>),
     /// A front asks the desk.
-    Desk(kestreltide_management::Ask),
+    CommitCoordinator(kestreltide_management::Ask),
     /// What is not saved yet is saved, and the thread ends.
     Stop,
 }
@@ -39,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct KeeperTerms {
     pub router: String,
-    pub rules: RuleTerms,
+    pub rules: RuleSettings,
     pub history: History,
     pub folder: Option<PathBuf>,
 }
@@ -64,7 +67,7 @@
     log: Logger,
     clock: Clock,
     terms: KeeperTerms,
-    desk: Desk,
+    desk: CommitCoordinator,
     /// What fronts read of the desk, and where they are told what happens.
     published: Arc<ArcSwap<Published>>,
     news: broadcast::Sender<News>,
@@ -108,7 +111,7 @@
         };
         let store = Datastore::remembering(terms.rules.clone(), terms.history, remembered.memory);
         let base = store.in_force().clone();
-        let desk = Desk::new(store, remembered.pending);
+        let desk = CommitCoordinator::new(store, remembered.pending);
         let published = Arc::new(ArcSwap::from_pointee(desk.publish()));
         let told = (
             base.revision.0,
@@ -150,21 +153,21 @@
                 spoken(&watching.files, contents)
             });
             known = Some(digest);
-            let faults = match spoken {
+            let errors = match spoken {
                 Spoken::Whole(version) => self.offer(version, facts, false).err(),
-                Spoken::Apart(faults) | Spoken::Torn(faults) | Spoken::Wrong(faults) => {
-                    self.refused("", faults.clone());
-                    Some(faults)
+                Spoken::Apart(errors) | Spoken::Torn(errors) | Spoken::Wrong(errors) => {
+                    self.refused("", errors.clone());
+                    Some(errors)
                 }
             };
             let last_good = self.desk.store.in_force().revision.0 > 0;
             // What only waits for discovery's list is no reason not to start: discovery's hosts serve till then.
             let waits = watching.discovery
-                && faults
+                && errors
                     .as_ref()
-                    .is_some_and(|faults| faults.pass_at().is_some());
-            match faults {
-                Some(faults) if !last_good && !waits => return Err(faults.to_string()),
+                    .is_some_and(|errors| errors.pass_at().is_some());
+            match errors {
+                Some(errors) if !last_good && !waits => return Err(errors.to_string()),
                 Some(_) if last_good => {
                     warn!(self.log, "the start is with the last good revision, not with what the files say";
                         "revision" => self.desk.store.in_force().revision.0);
@@ -208,7 +211,7 @@
                 .and_then(|undone| self.undone(undone));
             let reply = match ask {
                 Some(Ask::Files(told)) => Served::only(self.told(told, &facts)),
-                Some(Ask::Desk(ask)) => self.asked(ask, &facts),
+                Some(Ask::CommitCoordinator(ask)) => self.asked(ask, &facts),
                 Some(Ask::Stop) | None => Served::only(self.try_again(&facts)),
             };
             let mut gone = false;
@@ -260,9 +263,9 @@
         let refusal = store.refusals().next_back();
         if refusal.is_some_and(|refusal| self.told.1 != Some(refusal.at)) {
             self.told.1 = refusal.map(|refusal| refusal.at);
-            refusal
-                .into_iter()
-                .for_each(|refusal| drop(self.news.send(News::Refused(Arc::new(refusal.clone())))));
+            refusal.into_iter().for_each(|refusal| {
+                drop(self.news.send(News::Rejected(Arc::new(refusal.clone()))))
+            });
         }
         let published = self.desk.publish();
         let before = self.published.load();
@@ -278,22 +281,22 @@
     }
 
     /// A commit that was not confirmed has been undone, or could not be.
-    fn undone(&mut self, undone: Result<Commit, Faults>) -> Option<Arc<Snapshot>> {
+    fn undone(&mut self, undone: Result<Commit, ValidationErrors>) -> Option<Arc<Snapshot>> {
         match undone {
             Ok(commit) => {
                 info!(self.log, "a commit that was not confirmed is undone";
                     "revision" => self.desk.store.in_force().revision.0);
-                if let Commit::Taken(snapshot) = commit {
+                if let Commit::Applied(snapshot) = commit {
                     Some(snapshot)
                 } else {
                     None
                 }
             }
-            Err(faults) => {
+            Err(errors) => {
                 self.tell(
                     "a commit that was not confirmed cannot be undone",
                     "",
-                    &faults,
+                    &errors,
                 );
                 None
             }
@@ -342,7 +345,7 @@
             } => {
                 let cancelled = self.desk.cancel(asker, persist_id.as_deref(), facts);
                 let taken = match &cancelled {
-                    Ok(Commit::Taken(snapshot)) => Some(snapshot.clone()),
+                    Ok(Commit::Applied(snapshot)) => Some(snapshot.clone()),
                     _ => None,
                 };
                 return Served {
@@ -350,14 +353,14 @@
                     reply: Some(Box::new(move || drop(reply.send(cancelled.map(|_| ()))))),
                 };
             }
-            Ask::Denied { author, fault } => {
-                let faults = fault.into();
+            Ask::Denied { author, error } => {
+                let errors = error.into();
                 self.tell(
                     "an edit is beyond the rights of who tries it",
                     &author.name,
-                    &faults,
+                    &errors,
                 );
-                self.desk.store.refuse(author, facts.now, faults);
+                self.desk.store.refuse(author, facts.now, errors);
             }
             Ask::Commit(ask) => {
                 let author = ask.author.clone();
@@ -370,18 +373,18 @@
                     facts,
                 );
                 match &committed {
-                    Ok(Commit::Taken(snapshot)) => {
+                    Ok(Commit::Applied(snapshot)) => {
                         info!(self.log, "a commit is taken"; "by" => %author, "revision" => snapshot.revision().0,
                             "changes" => self.desk.store.history().next_back().map_or(0, |record| record.changes.len()));
                     }
                     Ok(Commit::Nothing) => {}
-                    Err(Refused::Faults(faults)) => {
-                        let faults = faults.clone();
-                        self.tell("a commit is refused", &author.to_string(), &faults);
+                    Err(CommitError::Invalid(errors)) => {
+                        let errors = errors.clone();
+                        self.tell("a commit is refused", &author.to_string(), &errors);
                     }
                     Err(_) => {}
                 }
-                let taken = if let Ok(Commit::Taken(snapshot)) = &committed {
+                let taken = if let Ok(Commit::Applied(snapshot)) = &committed {
                     Some(snapshot.clone())
                 } else {
                     None
@@ -404,17 +407,17 @@
                 self.held = None;
                 self.offer(version, facts, false).ok().flatten()
             }
-            Told::Refused(faults) => {
+            Told::Refused(errors) => {
                 self.held = None;
-                self.refused("", faults);
+                self.refused("", errors);
                 None
             }
-            Told::Held(faults) => {
-                self.tell("files do not belong together yet", "", &faults);
+            Told::Held(errors) => {
+                self.tell("files do not belong together yet", "", &errors);
                 self.held = Some(Held {
                     since: facts.now,
                     author: author(""),
-                    faults,
+                    errors,
                 });
                 self.unsaved = true;
                 None
@@ -432,7 +435,7 @@
         let looked = self
             .candidate(&waiting.version)
             .and_then(|candidate| self.desk.validate(&candidate, facts));
-        match looked.err().and_then(|faults| faults.pass_at()) {
+        match looked.err().and_then(|errors| errors.pass_at()) {
             Some(at) => {
                 self.waiting = Some(Waiting {
                     again: at.max(facts.now + AGAIN),
@@ -445,11 +448,11 @@
         }
     }
 
-    fn candidate(&self, version: &Version) -> Result<Candidate, Faults> {
+    fn candidate(&self, version: &Version) -> Result<Candidate, ValidationErrors> {
         if version.generation == self.generation && version.tree != self.files {
             // Half of another version looks like this, too.
             let what = "is that of the version in force, and the content is another";
-            return Err(Fault::new(
+            return Err(ValidationError::new(
                 "generation",
                 what,
                 &version.generation,
@@ -471,13 +474,13 @@
         version: Version,
         facts: &Facts,
         quiet: bool,
-    ) -> Result<Option<Arc<Snapshot>>, Faults> {
+    ) -> Result<Option<Arc<Snapshot>>, ValidationErrors> {
         self.unsaved = true;
         let candidate = match self.candidate(&version) {
             Ok(candidate) => candidate,
-            Err(faults) => {
-                self.refused(&version.generation, faults.clone());
-                return Err(faults);
+            Err(errors) => {
+                self.refused(&version.generation, errors.clone());
+                return Err(errors);
             }
         };
         let committed = self.desk.commit(
@@ -489,10 +492,10 @@
             facts,
         );
         // A lock, or a commit that waits, passes: the files are what operators want all the same.
-        match committed.map_err(|refused| as_faults(refused, facts.now + AGAIN)) {
+        match committed.map_err(|refused| into_validation_errors(refused, facts.now + AGAIN)) {
             Ok(commit) => {
                 let snapshot = match commit {
-                    Commit::Taken(snapshot) => Some(snapshot),
+                    Commit::Applied(snapshot) => Some(snapshot),
                     Commit::Nothing => None,
                 };
                 info!(self.log, "the files are taken"; "generation" => &version.generation,
@@ -502,17 +505,17 @@
                 self.base = self.desk.store.in_force().clone();
                 Ok(snapshot)
             }
-            Err(faults) => {
-                match faults.pass_at() {
+            Err(errors) => {
+                match errors.pass_at() {
                     Some(at) => {
                         let again = at.max(facts.now + AGAIN);
                         let held = Held {
                             since: facts.now,
                             author: author(&version.generation),
-                            faults: faults.clone(),
+                            errors: errors.clone(),
                         };
                         if !quiet {
-                            self.tell("the files are held back", &version.generation, &faults);
+                            self.tell("the files are held back", &version.generation, &errors);
                         }
                         self.waiting = Some(Waiting {
                             version,
@@ -520,36 +523,36 @@
                             again,
                         });
                     }
-                    None => self.tell("the files are refused", &version.generation, &faults),
+                    None => self.tell("the files are refused", &version.generation, &errors),
                 }
-                Err(faults)
+                Err(errors)
             }
         }
     }
 
     /// Files that cannot be read as a version at all.
-    fn refused(&mut self, generation: &str, faults: Faults) {
-        self.tell("the files are refused", generation, &faults);
+    fn refused(&mut self, generation: &str, errors: ValidationErrors) {
+        self.tell("the files are refused", generation, &errors);
         self.desk
             .store
-            .refuse(author(generation), self.clock.now(), faults);
+            .refuse(author(generation), self.clock.now(), errors);
         self.unsaved = true;
     }
 
-    fn tell(&mut self, what: &'static str, generation: &str, faults: &Faults) {
+    fn tell(&mut self, what: &'static str, generation: &str, errors: &ValidationErrors) {
         let now = self.clock.now();
         if now - self.lines.0 >= 1.0 {
             self.lines = (now, 0);
         }
         self.lines.1 += 1;
         if self.lines.1 <= LINES {
-            let why = faults
+            let why = errors
                 .first
                 .first()
                 .map(ToString::to_string)
                 .unwrap_or_default();
             warn!(self.log, "{}", what; "generation" => generation, "why" => why,
-                "further" => faults.first.len().saturating_sub(1) + faults.more,
+                "further" => errors.first.len().saturating_sub(1) + errors.more,
                 "stays" => self.desk.store.in_force().revision.0);
         }
     }
--- a/router/src/fronts/management.rs
+++ b/router/src/fronts/management.rs
@@ -70,8 +70,8 @@
         });
         let found = match spoken {
             Spoken::Whole(keys) => keys,
-            Spoken::Apart(faults) | Spoken::Torn(faults) | Spoken::Wrong(faults) => {
-                return Err(faults.to_string());
+            Spoken::Apart(errors) | Spoken::Torn(errors) | Spoken::Wrong(errors) => {
+                return Err(errors.to_string());
             }
         };
         let netconf = match &terms.netconf {
@@ -145,8 +145,8 @@
                         found.store(Arc::new(keys));
                         info!(of_keys, "keys are taken"; "generation" => generation, "keys" => count);
                     }
-                    Told::Refused(faults) | Told::Held(faults) => {
-                        let why = faults
+                    Told::Refused(errors) | Told::Held(errors) => {
+                        let why = errors
                             .first
                             .first()
                             .map(ToString::to_string)
--- a/router/src/fronts/memory.rs
+++ b/router/src/fronts/memory.rs
@@ -5,8 +5,8 @@
 use std::io::{self, BufWriter, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-use kestreltide_datastore::desk::Pending;
-use kestreltide_datastore::{Author, Faults, Memory, Tree};
+use kestreltide_datastore::commit_coordinator::Pending;
+use kestreltide_datastore::{Author, DatastoreState, Tree, ValidationErrors};
 use serde::{Deserialize, Serialize};
 
 const NAME: &str = "revisions.json";
@@ -20,7 +20,8 @@
     /// Unix seconds.
     pub since: f64,
     pub author: Author,
-    pub faults: Faults,
+    #[serde(rename = "faults")]
+    pub errors: ValidationErrors,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -28,7 +29,7 @@
     pub router: String,
     /// Unix seconds.
     pub written: f64,
-    pub memory: Memory,
+    pub memory: DatastoreState,
     /// What the files said when a version of them was last taken.
     pub files: Tree,
     pub generation: String,
--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use kestreltide::interface::{RolloutStatus, ServiceSettings};
-use kestreltide_datastore::{Facts, Listed, RuleTerms, Snapshot};
+use kestreltide_datastore::{Facts, HostRecord, RuleSettings, Snapshot};
 use kestreltide_file_watch::watch::{spoken, wakes};
 use kestreltide_management::Handle;
 use slog::Logger;
@@ -71,7 +71,7 @@
         &self,
         net: &mut Net,
         operators: &OperatorTerms,
-        listed: Option<Vec<Listed>>,
+        listed: Option<Vec<HostRecord>>,
         news: Option<RolloutStatus>,
     ) -> Result<Option<Joined>, String> {
         if !operators.any() {
@@ -90,7 +90,7 @@
             .map(|terms| Opened::open(&log, terms))
             .transpose()?;
         let (open, of_loop) = FrontBox::open(net, self.limits.posted).map_err(failed)?;
-        let rules = RuleTerms::new(self.terms, self.operations.clone(), self.limits.operators);
+        let rules = RuleSettings::new(self.terms, self.operations.clone(), self.limits.operators);
         let terms = KeeperTerms {
             router: self.router.into(),
             rules,
@@ -143,7 +143,7 @@
         if let Some(opened) = opened {
             let ask = asks.clone();
             let desk = Handle {
-                ask: Arc::new(move |asked| ask.try_send(Ask::Desk(asked)).is_ok()),
+                ask: Arc::new(move |asked| ask.try_send(Ask::CommitCoordinator(asked)).is_ok()),
                 published,
                 view: of_loop.view.clone(),
                 in_force: of_loop.in_force.clone(),
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -1,7 +1,7 @@
 //! Every limit of the router: sizes, counts and times, filled once at start and handed down.
 
 use kestreltide::interface::ServiceSettings;
-use kestreltide_datastore::{MemoryTerms, Most};
+use kestreltide_datastore::{Maximums, MemorySettings};
 use kestreltide_settings::TransportSettings;
 
 use crate::protocol::discovery::AnswerLimits;
@@ -88,7 +88,7 @@
     /// Hosts that discovery lists.
     pub hosts: usize,
     /// What operators set.
-    pub operators: Most,
+    pub operators: Maximums,
     pub alarms: usize,
     pub votes: usize,
     pub probes: usize,
@@ -202,17 +202,17 @@
     }
 
     /// What operators may set.
-    pub fn operators(&self) -> Most {
-        let memory = MemoryTerms {
+    pub fn operators(&self) -> Maximums {
+        let memory = MemorySettings {
             most: self.left,
             host: HOST,
             host_set: HOST_SET,
             route: ROUTE,
             route_name: ROUTE_NAME,
         };
-        Most {
+        Maximums {
             memory,
-            ..Most::default()
+            ..Maximums::default()
         }
     }
 
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -5,7 +5,9 @@
 
 use argh::FromArgs;
 use kestreltide_datastore::{Author, Candidate, Datastore, Source};
-use kestreltide_datastore::{Facts, Faults, History, Most, RevisionRecord, RuleTerms, beyond};
+use kestreltide_datastore::{
+    Facts, History, Maximums, RevisionRecord, RuleSettings, ValidationErrors, beyond,
+};
 use kestreltide_file_watch::form::Spoken;
 use kestreltide_file_watch::watch::{look, spoken};
 
@@ -94,14 +96,14 @@
             .0
             {
                 Spoken::Whole(version) => version,
-                Spoken::Apart(faults) | Spoken::Torn(faults) | Spoken::Wrong(faults) => {
-                    return Err(faults.to_string());
+                Spoken::Apart(errors) | Spoken::Torn(errors) | Spoken::Wrong(errors) => {
+                    return Err(errors.to_string());
                 }
             };
             let rules = self.rules()?;
             beyond(&version.tree, 0, &rules.most)
                 .into_result()
-                .map_err(|faults| faults.to_string())?;
+                .map_err(|errors| errors.to_string())?;
             if !watching.discovery {
                 let mut store = Datastore::new(rules, History::default());
                 let mut candidate = Candidate::of(store.in_force());
@@ -118,7 +120,7 @@
                 };
                 store
                     .commit(&candidate, author, &facts)
-                    .map_err(|faults: Faults| faults.to_string())?;
+                    .map_err(|errors: ValidationErrors| errors.to_string())?;
             }
         }
         println!("{} is well", self.file.display());
@@ -128,21 +130,21 @@
 
 impl CheckOperator {
     /// As a router that starts with it would check it; without its configuration, as the most lenient one.
-    fn rules(&self) -> Result<RuleTerms, String> {
+    fn rules(&self) -> Result<RuleSettings, String> {
         let Some(config) = &self.config else {
-            return Ok(RuleTerms {
+            return Ok(RuleSettings {
                 operations: vec![],
                 routers: 1,
                 slow_start_initial_fraction: 1.0,
                 slow_start_duration: 0.0,
                 overload_multiple: f64::MAX,
-                most: Most::default(),
+                most: Maximums::default(),
             });
         };
         let text = config::load(Some(config.clone()))?;
         let told = config::read(&text, When::Start)?;
         let operations = told.transport.operations.keys().cloned().collect();
-        Ok(RuleTerms::new(
+        Ok(RuleSettings::new(
             &told.terms,
             operations,
             told.room.operators(),
@@ -212,14 +214,14 @@
         if let Some(Held {
             since,
             author,
-            faults,
+            errors,
         }) = &remembered.held
         {
             println!("held back since {}: {author}", time(*since));
-            faults
+            errors
                 .to_string()
                 .lines()
-                .for_each(|fault| println!("  {fault}"));
+                .for_each(|error| println!("  {error}"));
         }
         match memory.refusals.back() {
             Some(last) => {
@@ -229,10 +231,10 @@
                     last.author,
                     last.stays
                 );
-                last.faults
+                last.errors
                     .to_string()
                     .lines()
-                    .for_each(|fault| println!("  {fault}"));
+                    .for_each(|error| println!("  {error}"));
             }
             None => println!("nothing was refused"),
         }
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 
 use argh::FromArgs;
-use kestreltide_datastore::Listed;
+use kestreltide_datastore::HostRecord;
 use slog::{Logger, error, info, warn};
 
 use crate::fronts::{Fronts, Opening, OperatorTerms};
@@ -148,7 +148,7 @@
         .and_then(|platform| platform.news.as_ref());
     let news = news.map(|news| news.state().news(false));
     let of_fronts = known.as_ref().filter(|_| operators.any());
-    let listed: Option<Vec<Listed>> =
+    let listed: Option<Vec<HostRecord>> =
         of_fronts.map(|known| known.targets.iter().map(|t| t.listed()).collect());
     let operations = told.transport.operations.keys().cloned().collect();
     let (router, terms) = (&told.name, &told.terms);
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use kestreltide_datastore::draft::shown;
-use kestreltide_datastore::{Fault, Faults, History};
+use kestreltide_datastore::tree_builder::shown;
+use kestreltide_datastore::{History, ValidationError, ValidationErrors};
 use kestreltide_file_watch::form::Kind;
 use kestreltide_file_watch::ini::{self, Section};
 use kestreltide_file_watch::settle::Patience;
@@ -208,21 +208,21 @@
 }
 
 /// What a whole operator file says, or everything that is wrong with it.
-pub fn parse(place: &Path, text: &str) -> Result<OperatorTerms, Faults> {
+pub fn parse(place: &Path, text: &str) -> Result<OperatorTerms, ValidationErrors> {
     let (name, folder) = (
         place.display().to_string(),
         place.parent().unwrap_or(Path::new("")),
     );
     let read = ini::sections(&name, text)?;
-    let mut faults = Faults::default();
+    let mut errors = ValidationErrors::default();
     for (number, section) in read.iter().enumerate() {
-        known(&name, section, &mut faults);
+        known(&name, section, &mut errors);
         if let Some(first) = read[..number]
             .iter()
             .find(|first| first.name == section.name)
         {
             let path = format!("{name}:{}: [{}]", section.line, section.name);
-            faults.push(Fault::new(
+            errors.push(ValidationError::new(
                 path,
                 format!("stands at line {} too", first.line),
                 &section.name,
@@ -230,7 +230,7 @@
             ));
         }
     }
-    faults.into_result()?;
+    errors.into_result()?;
     let said = |section: &str, key: &str| {
         let section = read.iter().find(|read| read.name == section)?;
         section
@@ -261,7 +261,7 @@
         read.iter().find(|section| section.name == "watch"),
     );
     let management = read.iter().find(|section| section.name == "management");
-    let mut faults = Faults::default();
+    let mut errors = ValidationErrors::default();
     if let Some(section) = management {
         // A front that cannot prove itself, or let anybody in, is a mistake.
         let (netconf, gnmi) = (
@@ -280,20 +280,20 @@
             .filter(|(key, needed)| *needed && said("management", key).is_none())
         {
             let at = format!("{name}:{}: [management] {key}", section.line);
-            faults.push(Fault::new(at, "is missing", "nothing", "a path"));
+            errors.push(ValidationError::new(at, "is missing", "nothing", "a path"));
         }
     }
     if let Some(section) = watch {
         let at = format!("{name}:{}: [watch]", section.line);
         if files.is_empty() {
-            faults.push(Fault::new(
+            errors.push(ValidationError::new(
                 &at,
                 "names no file to watch",
                 "nothing",
                 "hosts, weights or both",
             ));
         } else if !discovery && said("watch", "hosts").is_none() {
-            faults.push(Fault::new(
+            errors.push(ValidationError::new(
                 at,
                 "nobody would list hosts",
                 "discovery = off",
@@ -301,7 +301,7 @@
             ));
         }
     }
-    faults.into_result()?;
+    errors.into_result()?;
     let settle = seconds("watch", "settle");
     let patience = Patience {
         settle,
@@ -360,7 +360,7 @@
     })
 }
 
-fn known(name: &str, section: &Section, faults: &mut Faults) {
+fn known(name: &str, section: &Section, errors: &mut ValidationErrors) {
     let keys: Vec<_> = ROWS
         .iter()
         .filter(|row| row.0 == section.name)
@@ -373,7 +373,7 @@
             .first()
             .map(|key| shown(&key.name))
             .unwrap_or_default();
-        return faults.push(Fault::new(
+        return errors.push(ValidationError::new(
             at,
             "a key stands before the first section",
             first,
@@ -381,16 +381,16 @@
         ));
     }
     if keys.is_empty() {
-        return faults.push(ini::unknown(&at, "section", &section.name, sections()));
+        return errors.push(ini::unknown(&at, "section", &section.name, sections()));
     }
-    ini::known_keys(name, section, &keys, faults);
+    ini::known_keys(name, section, &keys, errors);
     for key in &section.keys {
         let row = ROWS
             .iter()
             .find(|row| row.0 == section.name && row.1 == key.name);
         if let Some(Err((what, taken))) = row.map(|row| check(row.2, &key.value)) {
             let path = format!("{name}:{}: [{}] {}", key.line, section.name, key.name);
-            faults.push(Fault::new(path, what, shown(&key.value), taken));
+            errors.push(ValidationError::new(path, what, shown(&key.value), taken));
         }
     }
 }
@@ -401,7 +401,7 @@
     let bytes =
         kestreltide_file_watch::read::read(path, Limits::FILE).map_err(|why| unread(&why.0))?;
     let text = String::from_utf8(bytes).map_err(|e| unread(&e))?;
-    parse(path, &text).map_err(|faults| faults.to_string())
+    parse(path, &text).map_err(|errors| errors.to_string())
 }
 
 /// All keys with their values in force, as a file that says the same.
@@ -411,7 +411,7 @@
         load(path)?;
         let text = fs::read_to_string(path).map_err(|e| e.to_string())?;
         said =
-            ini::sections(&path.display().to_string(), &text).map_err(|fault| fault.to_string())?;
+            ini::sections(&path.display().to_string(), &text).map_err(|error| error.to_string())?;
     }
     let mut out = String::new();
     for section in sections() {
--- a/router/src/program/operator/tests.rs
+++ b/router/src/program/operator/tests.rs
@@ -64,18 +64,18 @@
 )]
 #[case::before("hosts = h\n", "a key stands before the first section")]
 fn what_is_wrong_is_told_with_its_line(#[case] text: &str, #[case] why: &str) {
-    let faults = parse(Path::new("o.ini"), text)
+    let errors = parse(Path::new("o.ini"), text)
         .expect_err("wrong")
         .to_string();
-    assert!(faults.contains(why), "{faults}");
+    assert!(errors.contains(why), "{errors}");
 }
 
 #[test]
 fn all_that_is_wrong_is_told_at_once() {
-    let faults = parse(
+    let errors = parse(
         Path::new("o.ini"),
         "[watch]\nhots = h\npoll = x\n[datastore]\nhistory = 0\n[x]\n",
     )
     .expect_err("wrong");
-    assert_eq!(faults.first.len(), 4, "{faults}");
+    assert_eq!(errors.first.len(), 4, "{errors}");
 }
--- a/router/src/protocol/discovery.rs
+++ b/router/src/protocol/discovery.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use kestreltide::interface::{BuildId, HostState};
-use kestreltide_datastore::Listed;
+use kestreltide_datastore::HostRecord;
 use serde::Deserialize;
 
 use super::{Malformed, Read};
@@ -51,8 +51,8 @@
         }
     }
 
-    pub fn listed(&self) -> Listed {
-        Listed {
+    pub fn listed(&self) -> HostRecord {
+        HostRecord {
             name: self.uid.as_ref().into(),
             endpoint: self.endpoint,
             zone: self.az.as_ref().into(),
--- a/router/src/routing/book.rs
+++ b/router/src/routing/book.rs
@@ -9,14 +9,14 @@
 use kestreltide::interface::*;
 use kestreltide_datastore::merge::merge;
 use kestreltide_datastore::view::Counts;
-use kestreltide_datastore::{Listed, Snapshot};
+use kestreltide_datastore::{HostRecord, Snapshot};
 use kestreltide_routes::Route;
 
 use crate::protocol::discovery::Target;
 
 /// Where hosts are: what discovery told last, under what operators have set.
 pub(super) struct Hosts {
-    told: BTreeMap<HostId, Listed>,
+    told: BTreeMap<HostId, HostRecord>,
     revision: Arc<Snapshot>,
     most: usize,
 }
@@ -47,11 +47,11 @@
     }
 
     /// A host as it counts, whoever lists it.
-    fn in_force(&self, host: HostId) -> Option<Cow<'_, Listed>> {
+    fn in_force(&self, host: HostId) -> Option<Cow<'_, HostRecord>> {
         self.under(&self.revision, host)
     }
 
-    fn under<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, Listed>> {
+    fn under<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, HostRecord>> {
         match (self.told.get(&host), revision.said(host)) {
             (Some(told), Some(said)) => {
                 merge(&said.name, Some(told), Some(&said.set), None).map(Cow::Owned)
@@ -157,7 +157,7 @@
     }
 
     /// All that discovery told and did not take back.
-    pub(super) fn told(&self) -> impl Iterator<Item = &Listed> {
+    pub(super) fn told(&self) -> impl Iterator<Item = &HostRecord> {
         self.told.values()
     }
 
--- a/yang/src/bind.rs
+++ b/yang/src/bind.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, UNIX_EPOCH};
 
-use kestreltide_datastore::{Fault, HostName, Leaf, Path, Place, RouteName, Tree, Value};
+use kestreltide_datastore::{HostName, Leaf, Path, Place, RouteName, Tree, ValidationError, Value};
 
 use crate::data::{Data, Step, Under};
 use crate::schema::{NodeId, NodeKind, Schema};
@@ -157,11 +157,11 @@
         }))
     }
 
-    pub fn set(&self, tree: &mut Tree, path: &Path, text: &str) -> Result<(), Fault> {
+    pub fn set(&self, tree: &mut Tree, path: &Path, text: &str) -> Result<(), ValidationError> {
         let leaf = path.leaf();
         let value = leaf
             .parse(text)
-            .map_err(|why| Fault::new(path, why, text, leaf.takes()))?;
+            .map_err(|why| ValidationError::new(path, why, text, leaf.takes()))?;
         tree.set(path, Some(value))
     }
 
--- a/yang/src/edit.rs
+++ b/yang/src/edit.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use kestreltide_datastore::{Fault, Tree};
+use kestreltide_datastore::{Tree, ValidationError};
 use serde_json::Value as Json;
 
 use crate::bind::{At, Bind};
@@ -81,15 +81,15 @@
 
 /// Why an edit cannot be carried out.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EditFault {
+pub struct EditError {
     pub tag: Tag,
     /// What the fault is about, where the tag needs it: an element's or attribute's name.
     pub about: String,
     pub at: Instance,
-    pub fault: Fault,
+    pub error: ValidationError,
 }
 
-impl EditFault {
+impl EditError {
     fn new(
         tag: Tag,
         about: &str,
@@ -98,11 +98,11 @@
         given: impl fmt::Display,
         taken: impl fmt::Display,
     ) -> Self {
-        EditFault {
+        EditError {
             tag,
             about: about.into(),
             at: at.clone(),
-            fault: Fault::new(at, what, given, taken),
+            error: ValidationError::new(at, what, given, taken),
         }
     }
 }
@@ -127,11 +127,11 @@
     parent: Option<NodeId>,
     at: &Instance,
     elements: &[Element],
-    faults: &mut Vec<EditFault>,
+    errors: &mut Vec<EditError>,
 ) -> Vec<Edit> {
     elements
         .iter()
-        .filter_map(|element| one_of_xml(schema, parent, at, element, faults))
+        .filter_map(|element| one_of_xml(schema, parent, at, element, errors))
         .collect()
 }
 
@@ -140,7 +140,7 @@
     parent: Option<NodeId>,
     at: &Instance,
     element: &Element,
-    faults: &mut Vec<EditFault>,
+    errors: &mut Vec<EditError>,
 ) -> Option<Edit> {
     let name = element.name.as_str();
     let named = schema
@@ -154,7 +154,7 @@
             .iter()
             .map(|id| schema.node_of(*id).name.clone())
             .collect();
-        faults.push(EditFault::new(
+        errors.push(EditError::new(
             Tag::UnknownElement,
             name,
             at,
@@ -167,7 +167,7 @@
     let namespace = &schema.module_of(node).namespace;
     if element.namespace != *namespace {
         let what = "is not of the namespace of its module";
-        faults.push(EditFault::new(
+        errors.push(EditError::new(
             Tag::UnknownNamespace,
             name,
             at,
@@ -181,7 +181,7 @@
     for (of, attribute, value) in &element.attributes {
         if of != NETCONF || attribute != "operation" {
             let what = "an attribute that is not known";
-            faults.push(EditFault::new(
+            errors.push(EditError::new(
                 Tag::UnknownAttribute,
                 attribute,
                 at,
@@ -194,7 +194,7 @@
         op = Op::of_element(value);
         if op.is_none() {
             let names: Vec<_> = OPS[..5].iter().map(|(name, _)| *name).collect();
-            faults.push(EditFault::new(
+            errors.push(EditError::new(
                 Tag::BadAttribute,
                 "operation",
                 at,
@@ -210,13 +210,13 @@
             .child(name)
             .map(|child| child.text.trim().to_owned())
     };
-    let step = step_of(schema, node, at, leaf, faults)?;
+    let step = step_of(schema, node, at, leaf, errors)?;
     let here = at.below(step.clone());
     match &schema.node_of(node).kind {
         NodeKind::Leaf { .. } | NodeKind::LeafList { .. } => {
             if !element.children.is_empty() {
                 let child = &element.children[0].name;
-                faults.push(EditFault::new(
+                errors.push(EditError::new(
                     Tag::UnknownElement,
                     child,
                     &here,
@@ -237,7 +237,7 @@
             let value = if goes {
                 None
             } else {
-                Some(canonical(schema, node, &here, text, faults)?)
+                Some(canonical(schema, node, &here, text, errors)?)
             };
             Some(Edit {
                 node,
@@ -249,7 +249,7 @@
         }
         _ => {
             if !element.text.trim().is_empty() {
-                faults.push(EditFault::new(
+                errors.push(EditError::new(
                     Tag::InvalidValue,
                     name,
                     &here,
@@ -258,7 +258,7 @@
                     "nodes",
                 ));
             }
-            let children = of_xml(schema, Some(node), &here, &element.children, faults);
+            let children = of_xml(schema, Some(node), &here, &element.children, errors);
             Some(Edit {
                 node,
                 op,
@@ -276,7 +276,7 @@
     node: NodeId,
     at: &Instance,
     value: impl Fn(&str) -> Option<String>,
-    faults: &mut Vec<EditFault>,
+    errors: &mut Vec<EditError>,
 ) -> Option<Step> {
     let name = schema.node_of(node).name.clone();
     let mut keys = Vec::new();
@@ -286,7 +286,7 @@
             keys: vec![],
         });
         let Some(text) = value(key) else {
-            faults.push(EditFault::new(
+            errors.push(EditError::new(
                 Tag::MissingElement,
                 key,
                 &here,
@@ -297,7 +297,7 @@
             return None;
         };
         let leaf = schema.child_named(node, key)?;
-        keys.push((key.clone(), canonical(schema, leaf, &here, &text, faults)?));
+        keys.push((key.clone(), canonical(schema, leaf, &here, &text, errors)?));
     }
     Some(Step { name, keys })
 }
@@ -307,7 +307,7 @@
     node: NodeId,
     at: &Instance,
     text: &str,
-    faults: &mut Vec<EditFault>,
+    errors: &mut Vec<EditError>,
 ) -> Option<String> {
     let (NodeKind::Leaf { of, .. } | NodeKind::LeafList { of }) = &schema.node_of(node).kind else {
         return None;
@@ -315,8 +315,8 @@
     match of.canonical(text) {
         Ok(value) => Some(value),
         Err(why) => {
-            let given = kestreltide_datastore::draft::shown(text);
-            faults.push(EditFault::new(
+            let given = kestreltide_datastore::tree_builder::shown(text);
+            errors.push(EditError::new(
                 Tag::InvalidValue,
                 &schema.node_of(node).name,
                 at,
@@ -335,10 +335,10 @@
     parent: Option<NodeId>,
     at: &Instance,
     object: &Json,
-    faults: &mut Vec<EditFault>,
+    errors: &mut Vec<EditError>,
 ) -> Vec<Edit> {
     let Json::Object(members) = object else {
-        faults.push(EditFault::new(
+        errors.push(EditError::new(
             Tag::InvalidValue,
             "",
             at,
@@ -368,7 +368,7 @@
                 .iter()
                 .map(|id| schema.node_of(*id).name.clone())
                 .collect();
-            faults.push(EditFault::new(
+            errors.push(EditError::new(
                 Tag::UnknownElement,
                 member,
                 at,
@@ -378,7 +378,7 @@
             ));
             continue;
         };
-        edits.extend(values_of_json(schema, node, at, value, faults));
+        edits.extend(values_of_json(schema, node, at, value, errors));
     }
     edits
 }
@@ -389,17 +389,17 @@
     node: NodeId,
     at: &Instance,
     value: &Json,
-    faults: &mut Vec<EditFault>,
+    errors: &mut Vec<EditError>,
 ) -> Vec<Edit> {
     let name = &schema.node_of(node).name;
     let kind = &schema.node_of(node).kind;
     match (kind, value) {
         (NodeKind::List { .. } | NodeKind::LeafList { .. }, Json::Array(items)) => items
             .iter()
-            .filter_map(|item| one_of_json(schema, node, at, item, faults))
+            .filter_map(|item| one_of_json(schema, node, at, item, errors))
             .collect(),
         (NodeKind::List { .. } | NodeKind::LeafList { .. }, other) => {
-            faults.push(EditFault::new(
+            errors.push(EditError::new(
                 Tag::InvalidValue,
                 name,
                 at,
@@ -409,7 +409,7 @@
             ));
             vec![]
         }
-        (_, value) => one_of_json(schema, node, at, value, faults)
+        (_, value) => one_of_json(schema, node, at, value, errors)
             .into_iter()
             .collect(),
     }
@@ -421,7 +421,7 @@
     node: NodeId,
     at: &Instance,
     value: &Json,
-    faults: &mut Vec<EditFault>,
+    errors: &mut Vec<EditError>,
 ) -> Option<Edit> {
     let name = schema.node_of(node).name.clone();
     if let NodeKind::Leaf { of, .. } | NodeKind::LeafList { of } = &schema.node_of(node).kind {
@@ -447,7 +447,7 @@
                 "as JSON's own"
             };
             let taken = format!("{}, {form}", of.takes());
-            faults.push(EditFault::new(
+            errors.push(EditError::new(
                 Tag::InvalidValue,
                 &name,
                 &here,
@@ -457,7 +457,7 @@
             ));
             return None;
         };
-        let value = canonical(schema, node, &here, &text, faults)?;
+        let value = canonical(schema, node, &here, &text, errors)?;
         return Some(Edit {
             node,
             op: None,
@@ -467,7 +467,7 @@
         });
     }
     let Json::Object(members) = value else {
-        faults.push(EditFault::new(
+        errors.push(EditError::new(
             Tag::InvalidValue,
             &name,
             at,
@@ -487,9 +487,9 @@
             _ => None,
         })
     };
-    let step = step_of(schema, node, at, leaf, faults)?;
+    let step = step_of(schema, node, at, leaf, errors)?;
     let here = at.below(step.clone());
-    let children = of_json(schema, Some(node), &here, value, faults);
+    let children = of_json(schema, Some(node), &here, value, errors);
     Some(Edit {
         node,
         op: None,
@@ -500,7 +500,7 @@
 }
 
 fn short(value: &Json) -> String {
-    kestreltide_datastore::draft::shown(&value.to_string())
+    kestreltide_datastore::tree_builder::shown(&value.to_string())
 }
 
 /// An edit of the instance at a path, with ways to it: what it takes is the last node's.
@@ -535,22 +535,22 @@
     tree: &mut Tree,
     edits: &[Edit],
     default: Op,
-) -> Result<(), Vec<EditFault>> {
-    let (mut edited, mut faults) = (tree.clone(), vec![]);
+) -> Result<(), Vec<EditError>> {
+    let (mut edited, mut errors) = (tree.clone(), vec![]);
     let mut work = Work {
         schema,
         bind,
         tree: &mut edited,
-        faults: &mut faults,
+        errors: &mut errors,
     };
     edits
         .iter()
         .for_each(|edit| work.edit(edit, default, &Instance::default(), &At::Nothing));
-    if faults.is_empty() {
+    if errors.is_empty() {
         *tree = edited;
         Ok(())
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
 
@@ -558,7 +558,7 @@
     schema: &'a Schema,
     bind: &'a Bind,
     tree: &'a mut Tree,
-    faults: &'a mut Vec<EditFault>,
+    errors: &'a mut Vec<EditError>,
 }
 
 impl Work<'_> {
@@ -571,7 +571,7 @@
         if keys.contains(&node.name) {
             if matches!(edit.op, Some(Op::Delete | Op::Remove)) {
                 let what = "is a key, and goes only with its entry";
-                self.fault(
+                self.error(
                     Tag::OperationNotSupported,
                     &node.name,
                     &here,
@@ -585,7 +585,7 @@
         let bound = match self.bind.at(parent, edit.node, &edit.step) {
             Ok(Some(bound)) => bound,
             Ok(None) => {
-                return self.fault(
+                return self.error(
                     Tag::InvalidValue,
                     &node.name,
                     &here,
@@ -595,7 +595,7 @@
                 );
             }
             Err(why) => {
-                return self.fault(
+                return self.error(
                     Tag::InvalidValue,
                     &node.name,
                     &here,
@@ -612,7 +612,7 @@
         };
         match op {
             Op::Create if there => {
-                return self.fault(
+                return self.error(
                     Tag::DataExists,
                     &node.name,
                     &here,
@@ -633,7 +633,7 @@
                 {
                     // Containers are always there.
                 } else {
-                    return self.fault(
+                    return self.error(
                         Tag::DataMissing,
                         &node.name,
                         &here,
@@ -654,12 +654,12 @@
             (At::Leaf(_) | At::Values(_), Op::Nothing) => {}
             (At::Leaf(path), _) => {
                 let text = edit.value.as_deref().unwrap_or_default();
-                if let Err(fault) = self.bind.set(self.tree, path, text) {
-                    self.faults.push(EditFault {
+                if let Err(error) = self.bind.set(self.tree, path, text) {
+                    self.errors.push(EditError {
                         tag: Tag::InvalidValue,
                         about: node.name.clone(),
                         at: here,
-                        fault,
+                        error,
                     });
                 }
             }
@@ -682,7 +682,7 @@
                     .iter()
                     .for_each(|child| self.edit(child, below, &here, &bound));
                 let entry = matches!(bound, At::Host(_) | At::Route(_));
-                if entry && below == Op::Merge && self.faults.is_empty() && !bound.exists(self.tree)
+                if entry && below == Op::Merge && self.errors.is_empty() && !bound.exists(self.tree)
                 {
                     let keys = self.schema.keys(edit.node);
                     let only_key = edit
@@ -690,7 +690,7 @@
                         .iter()
                         .all(|child| keys.contains(&child.step.name));
                     if only_key {
-                        self.fault(
+                        self.error(
                             Tag::MissingElement,
                             &node.name,
                             &here,
@@ -704,7 +704,7 @@
         }
     }
 
-    fn fault(
+    fn error(
         &mut self,
         tag: Tag,
         about: &str,
@@ -713,7 +713,7 @@
         given: &str,
         taken: &str,
     ) {
-        self.faults
-            .push(EditFault::new(tag, about, at, what, given, taken));
+        self.errors
+            .push(EditError::new(tag, about, at, what, given, taken));
     }
 }
--- a/yang/tests/model.rs
+++ b/yang/tests/model.rs
@@ -30,27 +30,27 @@
 fn edited(tree: &Tree, inner: &str, default: Op) -> Result<Tree, Vec<(Tag, String)>> {
     let text = format!("<config xmlns:nc='{NC}'><router xmlns='{NS}'>{inner}</router></config>");
     let element = xml::read(&text, &xml::XmlLimits::default()).expect("well formed");
-    let mut faults = vec![];
+    let mut errors = vec![];
     let edits = of_xml(
         schema(),
         None,
         &Instance::default(),
         &element.children,
-        &mut faults,
+        &mut errors,
     );
     let mut edited = tree.clone();
-    if faults.is_empty() {
-        faults = apply(schema(), &bind(), &mut edited, &edits, default)
+    if errors.is_empty() {
+        errors = apply(schema(), &bind(), &mut edited, &edits, default)
             .err()
             .unwrap_or_default();
     }
-    match faults.is_empty() {
+    match errors.is_empty() {
         true => Ok(edited),
         false => {
             assert_eq!(edited, *tree, "nothing is half done");
-            Err(faults
+            Err(errors
                 .into_iter()
-                .map(|fault| (fault.tag, fault.fault.to_string()))
+                .map(|error| (error.tag, error.error.to_string()))
                 .collect())
         }
     }
@@ -215,11 +215,11 @@
         4294967295u32
     );
     assert_eq!(value["kestreltide-router:router"]["ring"]["hold"], true);
-    let mut faults = vec![];
-    let edits = of_json(schema(), None, &Instance::default(), &value, &mut faults);
+    let mut errors = vec![];
+    let edits = of_json(schema(), None, &Instance::default(), &value, &mut errors);
     let mut again = Tree::default();
     apply(schema(), &bind, &mut again, &edits, Op::Merge).expect("well");
-    assert_eq!((again, faults.len()), (tree, 0));
+    assert_eq!((again, errors.len()), (tree, 0));
 }
 
 /// Edits below `<router>`, and the tag and reason that they are refused with.
@@ -311,10 +311,10 @@
     #[case] tag: Tag,
     #[case] why: &str,
 ) {
-    let faults = edited(&some(), inner, Op::Merge).expect_err("it is refused");
+    let errors = edited(&some(), inner, Op::Merge).expect_err("it is refused");
     assert!(
-        faults[0].0 == tag && faults[0].1.contains(why),
-        "{faults:?}"
+        errors[0].0 == tag && errors[0].1.contains(why),
+        "{errors:?}"
     );
 }
 
@@ -496,14 +496,14 @@
         .and_then(|pattern| pattern.instance(schema()))
         .expect("one instance");
     assert_eq!(at.to_string(), "/router/hosts/host[name='a']/weight");
-    let (node, mut faults) = (node.expect("a node"), vec![]);
+    let (node, mut errors) = (node.expect("a node"), vec![]);
     let parent = Instance(at.0[..3].to_vec());
     let edit = one_of_json(
         schema(),
         node,
         &parent,
         &serde_json::json!("7.5"),
-        &mut faults,
+        &mut errors,
     )
     .expect("a value");
     let edit = at_path(
@@ -613,10 +613,10 @@
         let data = bind().data(schema(), &tree);
         let element = xml::read(&format!("<c>{}</c>", as_xml(std::slice::from_ref(&data))), &xml::XmlLimits::default()).expect("well");
         let value = serde_json::Value::Object(json::members(schema(), &[data], None));
-        let mut faults = vec![];
-        let of_xml = of_xml(schema(), None, &Instance::default(), &element.children, &mut faults);
-        let of_json = of_json(schema(), None, &Instance::default(), &value, &mut faults);
-        prop_assert!(faults.is_empty());
+        let mut errors = vec![];
+        let of_xml = of_xml(schema(), None, &Instance::default(), &element.children, &mut errors);
+        let of_json = of_json(schema(), None, &Instance::default(), &value, &mut errors);
+        prop_assert!(errors.is_empty());
         for edits in [of_xml, of_json] {
             let mut read = Tree::default();
             prop_assert!(apply(schema(), &bind(), &mut read, &edits, Op::Merge).is_ok());
@@ -638,8 +638,8 @@
     fn any_elements_are_an_edit_or_a_fault(inner in "(<(hosts|host|name|weight|router|ring|hold|x)( operation='(merge|delete|x)')?/?>[a-z0-9.]{0,3}|</(hosts|host|name|weight|ring|hold)>){0,20}") {
         let text = format!("<c><router xmlns='{NS}'>{inner}</router></c>");
         if let Ok(element) = xml::read(&text, &xml::XmlLimits::default()) {
-            let mut faults = vec![];
-            let edits = of_xml(schema(), None, &Instance::default(), &element.children, &mut faults);
+            let mut errors = vec![];
+            let edits = of_xml(schema(), None, &Instance::default(), &element.children, &mut errors);
             let _ = apply(schema(), &bind(), &mut some(), &edits, Op::Merge);
         }
     }
