--- a/file-watch/src/settle.rs
+++ b/file-watch/src/debounce.rs
@@ -3,9 +3,9 @@
 
 /// What the waiting goes by, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Patience {
+pub struct DebounceSettings {
     /// Without a change for this time, files are taken for written.
-    pub settle: f64,
+    pub debounce: f64,
     /// Files that change all the time are looked at all the same after this time.
     pub longest: f64,
     /// Between looks where no notice comes.
@@ -39,18 +39,18 @@
 
 /// Decides when content has settled; all times in seconds on one clock.
 #[derive(Clone, Debug)]
-pub struct Settle {
-    patience: Patience,
+pub struct Debouncer {
+    patience: DebounceSettings,
     state: State,
     /// What was dealt with last, and when.
     done: Option<(u64, f64)>,
     noticed: bool,
 }
 
-impl Settle {
+impl Debouncer {
     /// Before anything was read.
-    pub fn new(patience: Patience) -> Self {
-        Settle {
+    pub fn new(patience: DebounceSettings) -> Self {
+        Debouncer {
             patience,
             state: State::Still,
             done: None,
@@ -76,8 +76,8 @@
     /// What was read now; what is offered counts as dealt with, what is tried only once it was whole.
     pub fn read(&mut self, now: f64, digest: u64) -> Step {
         self.noticed = false;
-        let Patience {
-            settle,
+        let DebounceSettings {
+            debounce,
             longest,
             apart,
             ..
@@ -99,7 +99,7 @@
             changed,
             digest,
         };
-        let settled = now - changed >= settle;
+        let settled = now - changed >= debounce;
         if settled && self.done.is_some_and(|(done, _)| done == digest) {
             // It went and came back before anybody took it.
             self.state = State::Still;
@@ -126,7 +126,7 @@
         match self.state {
             State::Still => self.patience.poll,
             State::Stirred { changed, .. } => {
-                let settled = changed + self.patience.settle - now;
+                let settled = changed + self.patience.debounce - now;
                 settled.max(soon).clamp(SHORTEST, self.patience.poll)
             }
         }
--- a/file-watch/src/notices.rs
+++ b/file-watch/src/notifier.rs
@@ -10,7 +10,7 @@
 use notify::{Event, RecommendedWatcher, RecursiveMode, Watcher};
 
 /// The watches on the folders of all files.
-pub struct Notices {
+pub struct FileNotifier {
     watcher: Option<RecommendedWatcher>,
     /// Which folder was found at each path when its watch began: another one needs another watch.
     folders: BTreeMap<PathBuf, Option<(u64, u64)>>,
@@ -22,7 +22,7 @@
         .map(|found| (found.dev(), found.ino()))
 }
 
-impl Notices {
+impl FileNotifier {
     /// Where the machine gives no notices, looks alone do.
     pub fn open(files: &[PathBuf], wake: SyncSender<()>) -> Self {
         let told = move |told: notify::Result<Event>| {
@@ -47,9 +47,9 @@
                 folders.insert(folder, None);
             }
         }
-        let mut notices = Notices { watcher, folders };
-        notices.renew();
-        notices
+        let mut notifier = FileNotifier { watcher, folders };
+        notifier.renew();
+        notifier
     }
 
     /// Watches anew what is another folder now, or has come back. True where something was.
--- a/file-watch/src/form.rs
+++ b/file-watch/src/parse.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::ini::{self, Section, unknown};
-use crate::read::Content;
+use crate::read_file::Content;
 
 /// Which file it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,9 +39,9 @@
 
 /// Why there is no version.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Spoken<V> {
+pub enum Parsed<V> {
     /// The files are whole, belong together and pass all checks.
-    Whole(V),
+    Complete(V),
     /// Each file is whole, but they do not belong together: one may still be written.
     Apart(ValidationErrors),
     /// Some file may still be written.
@@ -55,7 +55,7 @@
 }
 
 /// What these files say together; `place` is how each is called in what is shown.
-pub fn version(files: &[(Kind, &str, &Content)]) -> Spoken<Version> {
+pub fn version(files: &[(Kind, &str, &Content)]) -> Parsed<Version> {
     let (mut candidate, mut incomplete, mut validation_errors) = (
         TreeBuilder::default(),
         ValidationErrors::default(),
@@ -82,7 +82,7 @@
         }
     }
     if !incomplete.is_empty() {
-        return Spoken::Torn(incomplete);
+        return Parsed::Torn(incomplete);
     }
     let tree = candidate.finish();
     if let Err(found) = &tree {
@@ -90,14 +90,14 @@
         validation_errors.more += found.more;
     }
     let Some((first, generation)) = generations.first().cloned() else {
-        return Spoken::Wrong(validation_errors);
+        return Parsed::Wrong(validation_errors);
     };
     if let Some((place, other)) = generations.iter().find(|(_, other)| *other != generation) {
         let what = format!(
             "is of another generation than {first}, which names {}",
             shown(&generation)
         );
-        return Spoken::Apart(
+        return Parsed::Apart(
             ValidationError::new(
                 format!("{place}: generation"),
                 what,
@@ -108,8 +108,8 @@
         );
     }
     match tree {
-        Ok(tree) if validation_errors.is_empty() => Spoken::Whole(Version { generation, tree }),
-        _ => Spoken::Wrong(validation_errors),
+        Ok(tree) if validation_errors.is_empty() => Parsed::Complete(Version { generation, tree }),
+        _ => Parsed::Wrong(validation_errors),
     }
 }
 
@@ -132,11 +132,11 @@
 }
 
 /// Who may come in, as a file of keys says.
-pub fn keys(place: &str, content: &Content) -> Spoken<Keys> {
+pub fn keys(place: &str, content: &Content) -> Parsed<Keys> {
     let text = match text_of(place, content) {
         Ok(text) => text,
-        Err(why) if why.0 => return Spoken::Torn(why.1.into()),
-        Err(why) => return Spoken::Wrong(why.1.into()),
+        Err(why) if why.0 => return Parsed::Torn(why.1.into()),
+        Err(why) => return Parsed::Wrong(why.1.into()),
     };
     let (mut found, mut validation_errors) = (vec![], ValidationErrors::default());
     let read = parse_framed(
@@ -147,9 +147,9 @@
         |body, validation_errors| parse_keys(place, body, &mut found, validation_errors),
     );
     match read {
-        Err(error) => Spoken::Torn(error.into()),
-        Ok(_) if !validation_errors.is_empty() => Spoken::Wrong(validation_errors),
-        Ok(Ends { generation }) => Spoken::Whole(Keys {
+        Err(error) => Parsed::Torn(error.into()),
+        Ok(_) if !validation_errors.is_empty() => Parsed::Wrong(validation_errors),
+        Ok(Ends { generation }) => Parsed::Complete(Keys {
             generation: generation.unwrap_or_default(),
             keys: found,
         }),
--- a/file-watch/src/read.rs
+++ b/file-watch/src/read_file.rs
@@ -9,7 +9,7 @@
 
 /// What tells cheaply that a file may have changed. Times have grains, so that the same says little.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct FileStamp {
     device: u64,
     inode: u64,
     length: u64,
@@ -17,9 +17,9 @@
     written: (i64, i64),
 }
 
-impl Mark {
+impl FileStamp {
     fn of(found: &Metadata) -> Self {
-        Mark {
+        FileStamp {
             device: found.dev(),
             inode: found.ino(),
             length: found.len(),
@@ -30,21 +30,21 @@
 
     /// The mark of the file at a path; none where there is no file.
     pub fn at(path: &Path) -> Option<Self> {
-        fs::metadata(path).ok().map(|found| Mark::of(&found))
+        fs::metadata(path).ok().map(|found| FileStamp::of(&found))
     }
 }
 
 /// Why there is no content, in words.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Unread(pub String);
+pub struct ReadError(pub String);
 
 /// What a file held.
-pub type Content = Result<Vec<u8>, Unread>;
+pub type Content = Result<Vec<u8>, ReadError>;
 
 /// The whole file, of so many bytes at most. A file that changed meanwhile is read as far as it went: its ends
 /// tell that it is not whole.
 pub fn read(path: &Path, most: usize) -> Content {
-    let unread = |why: &dyn std::fmt::Display| Unread(why.to_string());
+    let unread = |why: &dyn std::fmt::Display| ReadError(why.to_string());
     // Looked at before it is opened, as opening a pipe can wait for ever or wake who writes to it.
     fits(&fs::metadata(path).map_err(|e| unread(&e))?, most)?;
     let opened = OpenOptions::new()
@@ -59,17 +59,17 @@
         .read_to_end(&mut bytes)
         .map_err(|e| unread(&e))?;
     if bytes.len() > most {
-        return Err(Unread(format!("is longer than {most} bytes")));
+        return Err(ReadError(format!("is longer than {most} bytes")));
     }
     Ok(bytes)
 }
 
-fn fits(found: &Metadata, most: usize) -> Result<(), Unread> {
+fn fits(found: &Metadata, most: usize) -> Result<(), ReadError> {
     if !found.is_file() {
-        return Err(Unread("is no file".into()));
+        return Err(ReadError("is no file".into()));
     }
     if found.len() > most as u64 {
-        return Err(Unread(format!(
+        return Err(ReadError(format!(
             "has {} bytes, {most} at most are read",
             found.len()
         )));
@@ -87,7 +87,7 @@
                 hasher.write_usize(bytes.len());
                 hasher.write(bytes);
             }
-            Err(Unread(why)) => {
+            Err(ReadError(why)) => {
                 hasher.write_u8(0);
                 hasher.write(why.as_bytes());
             }
--- a/file-watch/src/watch.rs
+++ b/file-watch/src/watch.rs
@@ -6,10 +6,10 @@
 
 use kestreltide_datastore::ValidationErrors;
 
-use crate::form::{Kind, Spoken, Version, version};
-use crate::notices::Notices;
-use crate::read::{Content, Mark, digest, read};
-use crate::settle::{Patience, Settle, Step};
+use crate::debounce::{DebounceSettings, Debouncer, Step};
+use crate::notifier::FileNotifier;
+use crate::parse::{Kind, Parsed, Version, version};
+use crate::read_file::{Content, FileStamp, digest, read};
 
 /// Which files, and how.
 #[derive(Clone, Debug, PartialEq)]
@@ -19,26 +19,29 @@
     /// Bytes of one file that are read at most.
     pub most: usize,
     /// How long changes settle and how far versions are apart.
-    pub patience: Patience,
+    pub patience: DebounceSettings,
     /// Seconds after which content is compared though nothing seems to have changed.
     pub compare: f64,
     /// Whether the machine is asked for notices; if not, looks alone find changes.
-    pub notices: bool,
+    pub notifier: bool,
 }
 
 /// What there is to tell.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told<V> {
+pub enum WatchEvent<V> {
     /// A whole version.
     Version(V),
     /// It is not taken as it stands, and would not be later.
-    Refused(ValidationErrors),
+    Rejected(ValidationErrors),
     /// It may become a version: its files do not belong together yet.
-    Held(ValidationErrors),
+    Pending(ValidationErrors),
 }
 
 /// Reads everything now, as a start needs it.
-pub fn look<V>(watched: &Watched, read: impl Fn(&[Content]) -> Spoken<V>) -> (Spoken<V>, u64) {
+pub fn poll_files<V>(
+    watched: &Watched,
+    read: impl Fn(&[Content]) -> Parsed<V>,
+) -> (Parsed<V>, u64) {
     let contents = contents(watched);
     (read(&contents), digest(&contents))
 }
@@ -52,7 +55,7 @@
 }
 
 /// What files of these kinds say together.
-pub fn spoken(files: &[(Kind, PathBuf)], contents: &[Content]) -> Spoken<Version> {
+pub fn parse_files(files: &[(Kind, PathBuf)], contents: &[Content]) -> Parsed<Version> {
     let places: Vec<_> = files
         .iter()
         .map(|(_, path)| path.display().to_string())
@@ -71,61 +74,61 @@
     known: Option<u64>,
     (wake, nudged): (SyncSender<()>, &Receiver<()>),
     alive: impl Fn(),
-    says: impl Fn(&[Content]) -> Spoken<V>,
-    mut tell: impl FnMut(Told<V>) -> bool,
+    says: impl Fn(&[Content]) -> Parsed<V>,
+    mut tell: impl FnMut(WatchEvent<V>) -> bool,
 ) {
     let started = Instant::now();
     let now = || started.elapsed().as_secs_f64();
     let paths = &watched.files;
-    let mut notices = watched.notices.then(|| Notices::open(paths, wake));
-    let mut settle = Settle::new(watched.patience);
+    let mut notifier = watched.notifier.then(|| FileNotifier::open(paths, wake));
+    let mut debounce = Debouncer::new(watched.patience);
     known
         .into_iter()
-        .for_each(|digest| settle.dealt_with(now() - watched.patience.apart, digest));
-    let (mut marks, mut compared): (Vec<Option<Mark>>, f64) = (vec![], f64::MIN);
+        .for_each(|digest| debounce.dealt_with(now() - watched.patience.apart, digest));
+    let (mut marks, mut compared): (Vec<Option<FileStamp>>, f64) = (vec![], f64::MIN);
     loop {
         alive();
-        let found: Vec<_> = paths.iter().map(|path| Mark::at(path)).collect();
+        let found: Vec<_> = paths.iter().map(|path| FileStamp::at(path)).collect();
         let due = now() - compared >= watched.compare;
-        if found != marks || due || settle.wants_content() {
+        if found != marks || due || debounce.wants_content() {
             // The marks from before the reading: what changes during it is seen again.
             marks = found;
             let contents = contents(watched);
             let number = digest(&contents);
             compared = now();
-            let step = settle.read(compared, number);
+            let step = debounce.read(compared, number);
             let told = what_to_tell(step, || says(&contents));
             if step == Step::Try && told.is_some() {
-                settle.dealt_with(compared, number);
+                debounce.dealt_with(compared, number);
             }
             if told.is_some_and(|told| !tell(told)) {
                 return;
             }
         }
-        let sleep = Duration::from_secs_f64(settle.next_look(now()));
+        let sleep = Duration::from_secs_f64(debounce.next_look(now()));
         match nudged.recv_timeout(sleep) {
-            Ok(()) => settle.notice(),
+            Ok(()) => debounce.notice(),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        if notices.as_mut().is_some_and(Notices::renew) {
-            settle.notice();
+        if notifier.as_mut().is_some_and(FileNotifier::renew) {
+            debounce.notice();
         }
     }
 }
 
 /// What a step leads to: a try tells only what is whole, an offer whatever there is.
-fn what_to_tell<V>(step: Step, says: impl FnOnce() -> Spoken<V>) -> Option<Told<V>> {
+fn what_to_tell<V>(step: Step, says: impl FnOnce() -> Parsed<V>) -> Option<WatchEvent<V>> {
     match step {
         Step::Nothing => None,
         Step::Try => match says() {
-            Spoken::Whole(version) => Some(Told::Version(version)),
+            Parsed::Complete(version) => Some(WatchEvent::Version(version)),
             _ => None,
         },
         Step::Offer => Some(match says() {
-            Spoken::Whole(version) => Told::Version(version),
-            Spoken::Apart(errors) => Told::Held(errors),
-            Spoken::Torn(errors) | Spoken::Wrong(errors) => Told::Refused(errors),
+            Parsed::Complete(version) => WatchEvent::Version(version),
+            Parsed::Apart(errors) => WatchEvent::Pending(errors),
+            Parsed::Torn(errors) | Parsed::Wrong(errors) => WatchEvent::Rejected(errors),
         }),
     }
 }
--- a/file-watch/tests/versions.rs
+++ b/file-watch/tests/versions.rs
@@ -9,15 +9,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use kestreltide_file_watch::form::{Kind, Spoken, Version, version};
-use kestreltide_file_watch::settle::{Patience, Settle, Step};
-use kestreltide_file_watch::watch::{Told, Watched, look, run, wakes};
+use kestreltide_file_watch::debounce::{DebounceSettings, Debouncer, Step};
+use kestreltide_file_watch::parse::{Kind, Parsed, Version, version};
+use kestreltide_file_watch::watch::{WatchEvent, Watched, poll_files, run, wakes};
 use proptest::prelude::*;
 use rstest::rstest;
 use tempfile::TempDir;
 
-const QUICK: Patience = Patience {
-    settle: 0.02,
+const QUICK: DebounceSettings = DebounceSettings {
+    debounce: 0.02,
     longest: 0.15,
     poll: 0.05,
     apart: 0.01,
@@ -49,7 +49,7 @@
     )
 }
 
-fn spoken(hosts: &str, weights: Option<&str>) -> Spoken<Version> {
+fn parse_files(hosts: &str, weights: Option<&str>) -> Parsed<Version> {
     let (hosts, weights) = (
         Ok(hosts.as_bytes().to_vec()),
         weights.map(|text| Ok(text.as_bytes().to_vec())),
@@ -63,16 +63,16 @@
     version(&files)
 }
 
-fn whole(spoken: Spoken<Version>) -> Version {
-    match spoken {
-        Spoken::Whole(version) => version,
+fn whole(parse_files: Parsed<Version>) -> Version {
+    match parse_files {
+        Parsed::Complete(version) => version,
         other => panic!("whole: {other:?}"),
     }
 }
 
 #[test]
 fn files_of_one_generation_are_one_version() {
-    let version = whole(spoken(
+    let version = whole(parse_files(
         &hosts("5", &["a", "b"]),
         Some(&weights("5", &[("b", "2.5")])),
     ));
@@ -86,7 +86,7 @@
 
 #[test]
 fn files_of_two_generations_are_none() {
-    let Spoken::Apart(errors) = spoken(&hosts("5", &["a"]), Some(&weights("4", &[]))) else {
+    let Parsed::Apart(errors) = parse_files(&hosts("5", &["a"]), Some(&weights("4", &[]))) else {
         panic!("apart")
     };
     let said = errors.to_string();
@@ -117,7 +117,7 @@
 #[case::nul(&hosts("5", &["a"]).replace("north", "no\0th"), "hosts.ini:5: holds a NUL")]
 #[case::no_ini(&hosts("5", &["a"]).replace("zone = north", "zone north"), "hosts.ini:")]
 fn a_file_that_is_not_well_is_told_by_line_and_reason(#[case] text: &str, #[case] why: &str) {
-    let (Spoken::Torn(errors) | Spoken::Wrong(errors)) = spoken(text, None) else {
+    let (Parsed::Torn(errors) | Parsed::Wrong(errors)) = parse_files(text, None) else {
         panic!("not well")
     };
     assert!(errors.to_string().contains(why), "{errors}");
@@ -126,7 +126,7 @@
 #[test]
 fn all_that_is_wrong_is_told_at_once() {
     let text = hosts("5", &["a", "b"]).replace("kind = std", "kinf = std\nsize = -1");
-    let Spoken::Wrong(errors) = spoken(&text, Some(&weights("5", &[("a", "x"), ("b/", "1")])))
+    let Parsed::Wrong(errors) = parse_files(&text, Some(&weights("5", &[("a", "x"), ("b/", "1")])))
     else {
         panic!("wrong")
     };
@@ -137,7 +137,7 @@
 fn what_is_not_utf8_is_no_version() {
     let mut bytes = hosts("5", &["a"]).into_bytes();
     bytes[40] = 0xff;
-    let Spoken::Wrong(errors) = version(&[(Kind::Hosts, "hosts.ini", &Ok(bytes))]) else {
+    let Parsed::Wrong(errors) = version(&[(Kind::Hosts, "hosts.ini", &Ok(bytes))]) else {
         panic!("wrong")
     };
     assert!(
@@ -154,17 +154,17 @@
         let names: Vec<_> = names.iter().map(String::as_str).collect();
         let (old, new) = (hosts("17", &names), hosts("18", &names[..few]));
         let at = (cut * old.len() as f64) as usize;
-        prop_assert!(!matches!(spoken(&old[..at], None), Spoken::Whole(_)), "cut at {}", at);
+        prop_assert!(!matches!(parse_files(&old[..at], None), Parsed::Complete(_)), "cut at {}", at);
         // Written over in place without cutting first, so far.
         let at = ((cut * new.len() as f64) as usize).max(15);
         let mixed = format!("{}{}", &new[..at], &old[at..]);
-        prop_assert!(!matches!(spoken(&mixed, None), Spoken::Whole(_)), "mixed at {}", at);
+        prop_assert!(!matches!(parse_files(&mixed, None), Parsed::Complete(_)), "mixed at {}", at);
     }
 
     /// Whatever stands in a file: an answer, and no panic.
     #[test]
     fn any_text_has_an_answer(text in "(\\[?(host|end|guards|weights)? ?[a-z]{0,3}\\]?( ?= ?[0-9.a-z]{0,4})?\r?\n?){0,20}") {
-        let _ = spoken(&text, Some(&text));
+        let _ = parse_files(&text, Some(&text));
     }
 
     #[test]
@@ -207,13 +207,13 @@
         kestreltide_file_watch::keys("keys.ini", &Ok(text.into_bytes())),
         why,
     ) {
-        (Spoken::Whole(keys), None) => {
+        (Parsed::Complete(keys), None) => {
             let [key] = keys.keys.as_slice() else {
                 panic!("one key: {keys:?}")
             };
             assert!(key.name == "ana" && key.rights.weights && !key.rights.ring);
         }
-        (Spoken::Torn(errors) | Spoken::Wrong(errors), Some(why)) => {
+        (Parsed::Torn(errors) | Parsed::Wrong(errors), Some(why)) => {
             assert!(errors.to_string().contains(why), "{errors}");
         }
         (other, _) => panic!("{other:?}"),
@@ -228,21 +228,21 @@
 #[case::it_came_back(&[(0.00, 1, Step::Nothing), (0.02, 1, Step::Offer), (0.10, 2, Step::Nothing), (0.11, 1, Step::Nothing), (0.14, 1, Step::Nothing)])]
 #[case::nothing_too_soon(&[(0.00, 1, Step::Nothing), (0.02, 1, Step::Offer), (0.021, 2, Step::Nothing), (0.029, 2, Step::Nothing), (0.042, 2, Step::Offer)])]
 fn content_is_offered_once_it_has_settled(#[case] seen: &[(f64, u64, Step)]) {
-    let mut settle = Settle::new(QUICK);
+    let mut debounce = Debouncer::new(QUICK);
     for (now, digest, step) in seen {
-        assert_eq!(settle.read(*now, *digest), *step, "at {now}");
+        assert_eq!(debounce.read(*now, *digest), *step, "at {now}");
     }
 }
 
 struct Watch {
     folder: TempDir,
-    told: Receiver<Told<Version>>,
+    told: Receiver<WatchEvent<Version>>,
     nudge: SyncSender<()>,
 }
 
 impl Watch {
     /// Watches `hosts.ini` at this place in a folder of its own, with notices or by looks alone.
-    fn start(notices: bool, place: &str, prepare: impl FnOnce(&Path)) -> Self {
+    fn start(notifier: bool, place: &str, prepare: impl FnOnce(&Path)) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         prepare(folder.path());
         let files = vec![(Kind::Hosts, folder.path().join(place))];
@@ -255,17 +255,17 @@
             most: 1 << 20,
             patience: QUICK,
             compare: 0.2,
-            notices,
+            notifier,
         };
         let ((nudge, nudged), (sender, told)) = (wakes(), channel());
         let wake = nudge.clone();
-        let known = look(&watched, |contents| {
-            kestreltide_file_watch::spoken(&files, contents)
+        let known = poll_files(&watched, |contents| {
+            kestreltide_file_watch::parse_files(&files, contents)
         })
         .1;
         thread::spawn(move || {
             let says = |contents: &[kestreltide_file_watch::Content]| {
-                kestreltide_file_watch::spoken(&files, contents)
+                kestreltide_file_watch::parse_files(&files, contents)
             };
             run(
                 &watched,
@@ -288,14 +288,14 @@
     }
 
     /// What is told next.
-    fn next(&self) -> Told<Version> {
+    fn next(&self) -> WatchEvent<Version> {
         self.told.recv_timeout(PATIENCE).expect("something is told")
     }
 
     /// The next version that is taken, whatever is refused before.
     fn version(&self) -> String {
         loop {
-            if let Told::Version(version) = self.next() {
+            if let WatchEvent::Version(version) = self.next() {
                 return version.generation;
             }
         }
@@ -312,8 +312,8 @@
 #[rstest]
 #[case::by_notices(true)]
 #[case::by_looks(false)]
-fn a_file_is_taken_however_it_is_replaced(#[case] notices: bool) {
-    let watch = Watch::start(notices, "hosts.ini", |folder| {
+fn a_file_is_taken_however_it_is_replaced(#[case] notifier: bool) {
+    let watch = Watch::start(notifier, "hosts.ini", |folder| {
         fs::write(folder.join("hosts.ini"), hosts("1", &["a"])).expect("written")
     });
     let path = watch.at("hosts.ini");
@@ -332,7 +332,7 @@
     }
     let told = watch.next();
     assert!(
-        matches!(told, Told::Refused(_)),
+        matches!(told, WatchEvent::Rejected(_)),
         "it had settled half-written: {told:?}"
     );
     assert_eq!(watch.version(), "4");
@@ -340,7 +340,7 @@
     replace(&path, &hosts("5", &["a", "b", "c", "d", "e", "g"]));
     assert_eq!(watch.version(), "5");
     fs::remove_file(&path).expect("deleted");
-    let Told::Refused(errors) = watch.next() else {
+    let WatchEvent::Rejected(errors) = watch.next() else {
         panic!("it is gone")
     };
     assert!(errors.to_string().contains("cannot be read"), "{errors}");
@@ -351,8 +351,8 @@
 #[rstest]
 #[case::by_notices(true)]
 #[case::by_looks(false)]
-fn a_link_whose_folder_is_swapped_is_followed(#[case] notices: bool) {
-    let watch = Watch::start(notices, "hosts.ini", |folder| {
+fn a_link_whose_folder_is_swapped_is_followed(#[case] notifier: bool) {
+    let watch = Watch::start(notifier, "hosts.ini", |folder| {
         for generation in ["1", "2"] {
             fs::create_dir(folder.join(generation)).expect("a folder");
             fs::write(
@@ -369,7 +369,7 @@
     assert_eq!(watch.version(), "2");
     // The folder behind the link goes away, and another comes to its place.
     fs::rename(watch.at("2"), watch.at("away")).expect("moved");
-    assert!(matches!(watch.next(), Told::Refused(_)));
+    assert!(matches!(watch.next(), WatchEvent::Rejected(_)));
     fs::create_dir(watch.at("2")).expect("a folder");
     fs::write(watch.at("2/hosts.ini"), hosts("3", &["a"])).expect("written");
     assert_eq!(watch.version(), "3");
@@ -384,7 +384,7 @@
         fs::write(folder.join("set/hosts.ini"), hosts("1", &["a"])).expect("written");
     });
     fs::rename(watch.at("set"), watch.at("away")).expect("moved");
-    assert!(matches!(watch.next(), Told::Refused(_)));
+    assert!(matches!(watch.next(), WatchEvent::Rejected(_)));
     replace(&watch.at("away/hosts.ini"), &hosts("2", &["a"]));
     fs::rename(watch.at("away"), watch.at("set")).expect("moved back");
     assert_eq!(watch.version(), "2");
@@ -408,7 +408,7 @@
     make(&path);
     let since = Instant::now();
     loop {
-        let Told::Refused(errors) = watch.next() else {
+        let WatchEvent::Rejected(errors) = watch.next() else {
             panic!("not a version")
         };
         if errors.to_string().contains(why) {
--- a/measure/src/capacity/slopes/by_routes.rs
+++ b/measure/src/capacity/slopes/by_routes.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-use kestreltide_testkit::{Netconf, Office, Program};
+use kestreltide_testkit::{Netconf, Program, TestCredentials};
 
 use super::growth::{By, Figure, Growth, Role, at_all_sizes, growths};
 use super::load::{Load, Shape};
@@ -99,20 +99,23 @@
 /// A router with a NETCONF front, of which the operator file and what is saved are in the office's folder.
 struct Managed {
     around: Around,
-    office: Office,
+    credentials: TestCredentials,
     operator: PathBuf,
 }
 
 impl Managed {
     fn new() -> Self {
-        let office = Office::new(&[(ENGINEER, "read, weights, routes, ring")]);
-        let operator = office.at("operator.ini");
-        let text = format!("[datastore]\nstate-directory = .\n{}", office.section());
+        let credentials = TestCredentials::new(&[(ENGINEER, "read, weights, routes, ring")]);
+        let operator = credentials.at("operator.ini");
+        let text = format!(
+            "[datastore]\nstate-directory = .\n{}",
+            credentials.section()
+        );
         fs::write(&operator, text)
             .unwrap_or_else(|e| panic!("{} cannot be written: {e}", operator.display()));
         Managed {
             around: Around::start(Plan::new(HOSTS, 1)),
-            office,
+            credentials,
             operator,
         }
     }
@@ -123,10 +126,10 @@
 
     fn commit(&self, program: &Program, edit: &str) {
         let at = program
-            .told_at("NETCONF is listened for")
+            .logged_address("NETCONF is listened for")
             .expect("the log tells the address");
         block_on(async {
-            let mut session = Netconf::open(self.office.engineer(ENGINEER), at)
+            let mut session = Netconf::open(self.credentials.management_client(ENGINEER), at)
                 .await
                 .expect("a session");
             for operation in [edit, "<commit/>"] {
@@ -173,7 +176,7 @@
     program.signal("TERM");
     program.lines_until("stopped");
     drop(program);
-    let saved = managed.office.at("revisions.json");
+    let saved = managed.credentials.at("revisions.json");
     measured.saved_bytes = fs::metadata(&saved).map_or(0, |of| of.len()) as f64;
     let (program, ready_ms) = managed.start();
     wait(0.5);
--- a/measure/src/capacity/slopes/site.rs
+++ b/measure/src/capacity/slopes/site.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use kestreltide_testkit::{PATIENCE, Program, config, list, nobody};
+use kestreltide_testkit::{PATIENCE, Program, config, list, unused_address};
 
 use crate::rig;
 
@@ -183,7 +183,7 @@
 
 /// A configuration of a router without discovery and platform, for one that engineers or files tell all.
 pub(super) fn config_alone() -> String {
-    settings(config(nobody(), &list(1, true, &[])), 0, 1)
+    settings(config(unused_address(), &list(1, true, &[])), 0, 1)
 }
 
 /// Processor time of a router while something is done, in seconds.
--- a/measure/src/rig.rs
+++ b/measure/src/rig.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 use hdrhistogram::Histogram;
-use kestreltide_testkit::{Client, Program, Seen, config, list, nobody};
+use kestreltide_testkit::{Client, Program, Seen, config, list, unused_address};
 
 /// Set in the environment of a router under measurement.
 pub const AS_ROUTER: &str = "KESTRELTIDE_MEASURE_ROUTER";
@@ -24,7 +24,7 @@
 
 /// A configuration without discovery or platform, with room for many connections.
 pub fn alone() -> String {
-    config(nobody(), &list(1, true, &[]))
+    config(unused_address(), &list(1, true, &[]))
         .replace("\"sockets\":256", "\"sockets\":2048")
         .replace("\"memory_mb\":64", "\"memory_mb\":512")
 }
--- a/router/src/fronts/keeper.rs
+++ b/router/src/fronts/keeper.rs
@@ -17,8 +17,8 @@
     Author, Candidate, Datastore, Facts, History, RuleSettings, Snapshot, Source, Tree,
     ValidationError, ValidationErrors,
 };
-use kestreltide_file_watch::form::{Spoken, Version};
-use kestreltide_file_watch::watch::{Told, look, spoken};
+use kestreltide_file_watch::parse::{Parsed, Version};
+use kestreltide_file_watch::watch::{WatchEvent, parse_files, poll_files};
 use kestreltide_management::News;
 use slog::{Logger, info, warn};
 use tokio::sync::broadcast;
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub enum Ask {
     /// The watched files say this now.
-    Files(Told<Version>),
+    Files(WatchEvent<Version>),
     /// A front asks the desk.
     CommitCoordinator(kestreltide_management::Ask),
     /// What is not saved yet is saved, and the thread ends.
@@ -149,13 +149,13 @@
     ) -> Result<(Option<Arc<Snapshot>>, Option<u64>), String> {
         let mut known = None;
         if let Some(watching) = watching {
-            let (spoken, digest) = look(&watching.watched, |contents| {
-                spoken(&watching.files, contents)
+            let (parse_files, digest) = poll_files(&watching.watched, |contents| {
+                parse_files(&watching.files, contents)
             });
             known = Some(digest);
-            let errors = match spoken {
-                Spoken::Whole(version) => self.offer(version, facts, false).err(),
-                Spoken::Apart(errors) | Spoken::Torn(errors) | Spoken::Wrong(errors) => {
+            let errors = match parse_files {
+                Parsed::Complete(version) => self.offer(version, facts, false).err(),
+                Parsed::Apart(errors) | Parsed::Torn(errors) | Parsed::Wrong(errors) => {
                     self.refused("", errors.clone());
                     Some(errors)
                 }
@@ -399,20 +399,20 @@
         Served::only(None)
     }
 
-    fn told(&mut self, told: Told<Version>, facts: &Facts) -> Option<Arc<Snapshot>> {
+    fn told(&mut self, told: WatchEvent<Version>, facts: &Facts) -> Option<Arc<Snapshot>> {
         // Whatever waited is no longer what the files say.
         self.waiting = None;
         match told {
-            Told::Version(version) => {
+            WatchEvent::Version(version) => {
                 self.held = None;
                 self.offer(version, facts, false).ok().flatten()
             }
-            Told::Refused(errors) => {
+            WatchEvent::Rejected(errors) => {
                 self.held = None;
                 self.refused("", errors);
                 None
             }
-            Told::Held(errors) => {
+            WatchEvent::Pending(errors) => {
                 self.tell("files do not belong together yet", "", &errors);
                 self.held = Some(Held {
                     since: facts.now,
--- a/router/src/fronts/management.rs
+++ b/router/src/fronts/management.rs
@@ -7,8 +7,8 @@
 
 use arc_swap::ArcSwap;
 use kestreltide_datastore::Keys;
-use kestreltide_file_watch::form::{Spoken, keys};
-use kestreltide_file_watch::watch::{Told, Watched, look, wakes};
+use kestreltide_file_watch::parse::{Parsed, keys};
+use kestreltide_file_watch::watch::{WatchEvent, Watched, poll_files, wakes};
 use kestreltide_management::netconf::server::{Shared, serve as serve_netconf};
 use kestreltide_management::{Handle, Limits, gnmi, keys as russh_key};
 use slog::{Logger, error, info, warn};
@@ -61,16 +61,16 @@
 impl Opened {
     pub fn open(log: &Logger, terms: &ManagementTerms) -> Result<Self, String> {
         let at = place(&terms.keys);
-        let (spoken, digest) = look(&terms.keys, |contents| {
+        let (parse_files, digest) = poll_files(&terms.keys, |contents| {
             contents
                 .first()
-                .map_or(Spoken::Torn(Default::default()), |content| {
+                .map_or(Parsed::Torn(Default::default()), |content| {
                     keys(&at, content)
                 })
         });
-        let found = match spoken {
-            Spoken::Whole(keys) => keys,
-            Spoken::Apart(errors) | Spoken::Torn(errors) | Spoken::Wrong(errors) => {
+        let found = match parse_files {
+            Parsed::Complete(keys) => keys,
+            Parsed::Apart(errors) | Parsed::Torn(errors) | Parsed::Wrong(errors) => {
                 return Err(errors.to_string());
             }
         };
@@ -135,17 +135,17 @@
             let at = place(&watched);
             let says = |contents: &[kestreltide_file_watch::Content]| match contents.first() {
                 Some(content) => keys(&at, content),
-                None => Spoken::Torn(Default::default()),
+                None => Parsed::Torn(Default::default()),
             };
-            let tell = |told: Told<Keys>| {
+            let tell = |told: WatchEvent<Keys>| {
                 match told {
-                    Told::Version(keys) => {
+                    WatchEvent::Version(keys) => {
                         // In this order: who reads the line finds them in force.
                         let (generation, count) = (keys.generation.clone(), keys.keys.len());
                         found.store(Arc::new(keys));
                         info!(of_keys, "keys are taken"; "generation" => generation, "keys" => count);
                     }
-                    Told::Refused(errors) | Told::Held(errors) => {
+                    WatchEvent::Rejected(errors) | WatchEvent::Pending(errors) => {
                         let why = errors
                             .first
                             .first()
--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -8,7 +8,7 @@
 
 use kestreltide::interface::{RolloutStatus, ServiceSettings};
 use kestreltide_datastore::{Facts, HostRecord, RuleSettings, Snapshot};
-use kestreltide_file_watch::watch::{spoken, wakes};
+use kestreltide_file_watch::watch::{parse_files, wakes};
 use kestreltide_management::Handle;
 use slog::Logger;
 
@@ -33,7 +33,7 @@
 
 impl Fronts {
     /// The watched files are looked at now, whatever notices say.
-    pub fn look(&self) {
+    pub fn poll_files(&self) {
         if let Some(wake) = &self.wake {
             let _ = wake.try_send(());
         }
@@ -125,7 +125,7 @@
                 // After a death everything is told anew; what is in force already changes nothing.
                 let alive = || pulse.beat(clock.now());
                 let says = |contents: &[kestreltide_file_watch::Content]| {
-                    spoken(&watching.files, contents)
+                    parse_files(&watching.files, contents)
                 };
                 let tell = |told| tell.send(Ask::Files(told)).is_ok();
                 kestreltide_file_watch::run(
--- a/router/src/fronts/terms.rs
+++ b/router/src/fronts/terms.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use kestreltide_datastore::History;
-use kestreltide_file_watch::form::Kind;
+use kestreltide_file_watch::parse::Kind;
 use kestreltide_file_watch::watch::Watched;
 
 /// Which files are watched, and who else lists hosts.
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -8,8 +8,8 @@
 use kestreltide_datastore::{
     Facts, History, Maximums, RevisionRecord, RuleSettings, ValidationErrors, beyond,
 };
-use kestreltide_file_watch::form::Spoken;
-use kestreltide_file_watch::watch::{look, spoken};
+use kestreltide_file_watch::parse::Parsed;
+use kestreltide_file_watch::watch::{parse_files, poll_files};
 
 use super::config::{self, When};
 use super::operator;
@@ -90,13 +90,13 @@
     pub(super) fn run(&self) -> Result<(), String> {
         let terms = operator::load(&self.file)?;
         if let Some(watching) = &terms.watching {
-            let version = match look(&watching.watched, |contents| {
-                spoken(&watching.files, contents)
+            let version = match poll_files(&watching.watched, |contents| {
+                parse_files(&watching.files, contents)
             })
             .0
             {
-                Spoken::Whole(version) => version,
-                Spoken::Apart(errors) | Spoken::Torn(errors) | Spoken::Wrong(errors) => {
+                Parsed::Complete(version) => version,
+                Parsed::Apart(errors) | Parsed::Torn(errors) | Parsed::Wrong(errors) => {
                     return Err(errors.to_string());
                 }
             };
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -188,7 +188,7 @@
                 if let Err(why) = reread(&log, &mut routing, serve, &fixed) {
                     warn!(log, "the configuration read again is not taken"; "why" => why);
                 }
-                fronts.iter().for_each(Fronts::look);
+                fronts.iter().for_each(Fronts::poll_files);
                 if self::operators(&serve.operator).as_ref() != Ok(&operators) {
                     warn!(
                         log,
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -8,9 +8,9 @@
 
 use kestreltide_datastore::tree_builder::shown;
 use kestreltide_datastore::{History, ValidationError, ValidationErrors};
-use kestreltide_file_watch::form::Kind;
+use kestreltide_file_watch::debounce::DebounceSettings;
 use kestreltide_file_watch::ini::{self, Section};
-use kestreltide_file_watch::settle::Patience;
+use kestreltide_file_watch::parse::Kind;
 use kestreltide_file_watch::watch::Watched;
 
 use crate::fronts::{GnmiTerms, ManagementTerms, NetconfTerms, OperatorTerms, Watching};
@@ -303,8 +303,8 @@
     }
     errors.into_result()?;
     let settle = seconds("watch", "settle");
-    let patience = Patience {
-        settle,
+    let patience = DebounceSettings {
+        debounce: settle,
         longest: LONGEST * settle,
         poll: seconds("watch", "poll"),
         apart: APART * settle,
@@ -319,7 +319,7 @@
         most: FILE_MOST,
         patience,
         compare,
-        notices,
+        notifier: notices,
     };
     let address = |key| said("management", key).and_then(|text| text.parse::<SocketAddr>().ok());
     let file = |key| path("management", key).unwrap_or_default();
@@ -398,8 +398,8 @@
 /// Reads the file, and says of everything that is wrong what and where.
 pub fn load(path: &Path) -> Result<OperatorTerms, String> {
     let unread = |why: &dyn std::fmt::Display| format!("{}: cannot be read: {why}", path.display());
-    let bytes =
-        kestreltide_file_watch::read::read(path, Limits::FILE).map_err(|why| unread(&why.0))?;
+    let bytes = kestreltide_file_watch::read_file::read(path, Limits::FILE)
+        .map_err(|why| unread(&why.0))?;
     let text = String::from_utf8(bytes).map_err(|e| unread(&e))?;
     parse(path, &text).map_err(|errors| errors.to_string())
 }
--- a/router/tests/clients.rs
+++ b/router/tests/clients.rs
@@ -161,12 +161,12 @@
 
 #[test]
 fn what_waits_for_its_connection_is_not_sent_once_its_client_is_gone() {
-    let mut door = Door::open();
-    door.shut();
-    let program = router_at(door.at, patient);
+    let mut listener = TestListener::open();
+    listener.shut();
+    let program = router_at(listener.at, patient);
     let mut gone = program.client();
     gone.send(&["Q.DO", "k", "gone", "c=switch,d=20000"]);
-    door.wait_for_knock();
+    listener.wait_for_connection();
     gone.leave();
     let mut stays = program.client();
     // Answered after the close has been read.
@@ -175,25 +175,25 @@
     thread::sleep(Duration::from_millis(100));
     stays.send(&["Q.DO", "k", "stays", "c=switch,d=20000"]);
     program.client().ask(&["PING"]);
-    door.reopen();
-    let host = door.accept();
+    listener.reopen();
+    let host = listener.accept();
     let read = words(&mut BufReader::new(&host)).map(|words| words[2].clone());
     assert_eq!(read.as_deref(), Some("stays"));
 }
 
 #[test]
 fn what_waits_for_its_connection_is_not_sent_once_its_client_is_gone_though_that_is_not_read_yet() {
-    let mut door = Door::open();
-    door.shut();
-    let program = router_at(door.at, patient);
+    let mut listener = TestListener::open();
+    listener.shut();
+    let program = router_at(listener.at, patient);
     let mut gone = program.client();
     gone.send(&["Q.DO", "k", "gone", "c=switch,d=20000"]);
-    door.wait_for_knock();
+    listener.wait_for_connection();
     program.freeze();
     gone.leave();
-    door.reopen();
+    listener.reopen();
     // The connection is up: the router learns of both in one wake, and what concerns hosts goes first.
-    let host = door.accept();
+    let host = listener.accept();
     program.signal("CONT");
     assert_eq!(words(&mut BufReader::new(&host)), None);
 }
@@ -206,7 +206,7 @@
     let ((met, seen), (release, wait)) = (channel(), channel::<()>());
     let ((met, wait), (answered, ended)) = ((Mutex::new(met), Mutex::new(wait)), channel());
     let answered = Mutex::new(answered);
-    let host = party(move |stream| {
+    let host = spawn_server(move |stream| {
         answer_each(stream.try_clone().expect("a second handle"), |words| {
             let _ = met.lock().expect("no panic before").send(words[2].clone());
             if words[2] != "gone" {
--- a/router/tests/discovery.rs
+++ b/router/tests/discovery.rs
@@ -31,13 +31,13 @@
 
 #[test]
 fn a_watch_whose_new_connection_does_not_come_up_is_opened_anew_soon() {
-    let mut door = Door::open();
+    let mut listener = TestListener::open();
     let (a, b) = (named("a"), named("b"));
     let program = Program::start(
         BINARY,
-        &config(door.at, &list(1, true, &[("a", a, "Ready")])),
+        &config(listener.at, &list(1, true, &[("a", a, "Ready")])),
     );
-    let stream = door.accept();
+    let stream = listener.accept();
     let mut reader = BufReader::new(&stream);
     assert!(question(&mut reader).is_some_and(|asked| !asked.contains("from=")));
     answer(
@@ -45,12 +45,12 @@
         &list(2, true, &[("a", a, "Ready"), ("b", b, "Ready")]),
     );
     assert!(question(&mut reader).is_some_and(|asked| asked.contains("from=2")));
-    door.shut();
+    listener.shut();
     drop(stream);
     // A whole wait of a watch, 6 s, would be lost on it, and what happens meanwhile counts as told.
     program.logged("the connection does not come up");
-    door.reopen();
-    let stream = door.accept();
+    listener.reopen();
+    let stream = listener.accept();
     assert!(question(&mut BufReader::new(&stream)).is_some_and(|asked| asked.contains("from=2")));
     answer(&stream, &list(3, false, &[("a", a, "Terminating")]));
     program.logged("rev: 3");
@@ -64,7 +64,7 @@
     let count = asked.clone();
     let (a, b) = (named("a"), named("b"));
     let (whole, changes) = (Mutex::new(0), list(3, false, &[]));
-    let at = party(move |stream| {
+    let at = spawn_server(move |stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         while let Some(asked) = question(&mut reader) {
             count.fetch_add(1, Relaxed);
@@ -91,7 +91,7 @@
     let (a, b) = (named("a"), named("b"));
     let asked = Arc::new(Mutex::new(vec![]));
     let seen = asked.clone();
-    let at = party(move |stream| {
+    let at = spawn_server(move |stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         while let Some(question) = question(&mut reader) {
             let watch = question.contains("from=2");
--- a/router/tests/full_size.rs
+++ b/router/tests/full_size.rs
@@ -167,7 +167,7 @@
 /// A discovery that writes the bytes it is told, and ends the connection where it is told to.
 fn torn_discovery(answers: Receiver<(String, bool)>) -> SocketAddr {
     let answers = std::sync::Mutex::new(answers);
-    party(move |stream: TcpStream| {
+    spawn_server(move |stream: TcpStream| {
         let mut lines = BufReader::new(stream.try_clone().expect("a second handle")).lines();
         while lines
             .by_ref()
@@ -324,7 +324,7 @@
 
 #[test]
 fn a_configuration_file_at_its_limit_is_read_and_one_byte_more_is_refused() {
-    let text = config(nobody(), &list(1, true, &[]));
+    let text = config(unused_address(), &list(1, true, &[]));
     checked(&padded(text.clone(), FILE)).expect("well");
     let why = checked(&padded(text, FILE + 1)).expect_err("refused");
     assert!(
@@ -346,7 +346,10 @@
     #[case] known: usize,
     #[case] tenants: usize,
 ) {
-    let text = config(nobody(), &hosts(1, true, nobody(), ready(0..known)));
+    let text = config(
+        unused_address(),
+        &hosts(1, true, unused_address(), ready(0..known)),
+    );
     checked(&with_memory(
         &with_tenants(&with_peers(&text, peers), tenants),
         memory_mb,
@@ -396,7 +399,10 @@
     #[case] field: &str,
     #[case] limit: &str,
 ) {
-    let text = config(nobody(), &hosts(1, true, nobody(), ready(0..known)));
+    let text = config(
+        unused_address(),
+        &hosts(1, true, unused_address(), ready(0..known)),
+    );
     let text = with_memory(&with_tenants(&with_peers(&text, peers), tenants), memory_mb);
     for verb in ["check-config", "serve"] {
         let done = Program::command(BINARY, verb, &text)
@@ -418,7 +424,7 @@
     #[case] items: String,
     #[case] field: &str,
 ) {
-    let text = config(nobody(), &list(1, true, &[]));
+    let text = config(unused_address(), &list(1, true, &[]));
     let with = format!("\"settings\":{{\"x\":[{}0],", items);
     let text = with_memory(&text.replace("\"settings\":{", &with), 16);
     let why = checked(&text).expect_err("refused");
@@ -436,7 +442,10 @@
     #[case] field: &str,
     #[case] length: usize,
 ) {
-    let text = config(nobody(), &list(1, true, &[("a", nobody(), "Ready")]));
+    let text = config(
+        unused_address(),
+        &list(1, true, &[("a", unused_address(), "Ready")]),
+    );
     let becomes = |length: usize| format!("\"{field}\":\"{}\"", "n".repeat(length));
     checked(&text.replace(is, &becomes(256))).expect("well");
     let why = checked(&text.replace(is, &becomes(length))).expect_err("refused");
@@ -513,7 +522,7 @@
     };
     let (lines, said) = channel::<String>();
     let said = std::sync::Mutex::new(said);
-    let at = party(move |stream| {
+    let at = spawn_server(move |stream| {
         while let Ok(line) = said.lock().expect("no panic before").recv() {
             if (&stream).write_all(line.as_bytes()).is_err() {
                 return;
@@ -544,7 +553,7 @@
 fn a_line_of_the_log_is_written_in_one_piece() {
     let (ours, theirs) = UnixDatagram::pair().expect("a pair");
     ours.set_read_timeout(Some(PATIENCE)).expect("a time");
-    let text = config(nobody(), &list(1, true, &[]));
+    let text = config(unused_address(), &list(1, true, &[]));
     let mut command = Program::command(BINARY, "serve", &text);
     command.stderr(Stdio::from(OwnedFd::from(theirs)));
     let mut child = command.spawn().expect("it runs");
@@ -604,7 +613,7 @@
     let mut command = std::process::Command::new(BINARY);
     command.arg("check-operator").arg(at("operator.ini"));
     if let Some(memory_mb) = memory_mb {
-        let text = with_memory(&config(nobody(), &list(1, true, &[])), memory_mb);
+        let text = with_memory(&config(unused_address(), &list(1, true, &[])), memory_mb);
         fs::write(at("config.json"), text).expect("a writable folder");
         command.arg("--config").arg(at("config.json"));
     }
--- a/router/tests/golden_wire.rs
+++ b/router/tests/golden_wire.rs
@@ -156,7 +156,7 @@
 }
 
 /// Serves each connection to an address in a thread of its own.
-fn party(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> SocketAddr {
+fn spawn_server(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -170,7 +170,7 @@
 
 /// Accepts connections, reads what comes and never answers.
 fn silent_party() -> SocketAddr {
-    party(|mut stream| {
+    spawn_server(|mut stream| {
         let _ = std::io::copy(&mut stream, &mut std::io::sink());
     })
 }
@@ -224,7 +224,7 @@
 /// A host that passes on each command it gets, and answers each with these bytes.
 fn recording_host(answer: &'static [u8]) -> (SocketAddr, Receiver<Vec<u8>>) {
     let (sender, commands) = channel();
-    let address = party(move |stream| serve_host(stream, answer, &sender));
+    let address = spawn_server(move |stream| serve_host(stream, answer, &sender));
     (address, commands)
 }
 
@@ -584,7 +584,7 @@
     transcript.record_bytes("router to client", &router.ask(&["PING"]));
 
     let (sender, taken) = channel();
-    let address = party(move |stream| serve_host(stream, b"", &sender));
+    let address = spawn_server(move |stream| serve_host(stream, b"", &sender));
     let hosts = [ListedHost {
         name: "a",
         address,
@@ -605,7 +605,7 @@
 /// Discovery that passes on each whole question, and answers with these lists in turn.
 fn recording_discovery(lists: Vec<String>) -> (SocketAddr, Receiver<Vec<u8>>) {
     let (sender, questions) = channel();
-    let address = party(move |mut stream| {
+    let address = spawn_server(move |mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         for list in &lists {
             let Some(question) = read_head(&mut reader) else {
@@ -681,7 +681,7 @@
 /// that this build is tested at the first stage.
 fn recording_platform(build: u16) -> (SocketAddr, Receiver<String>) {
     let (sender, lines) = channel();
-    let address = party(move |mut stream| {
+    let address = spawn_server(move |mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         let progress = format!(
             r#"{{"image":{build},"ring":0,"progress":"testing","ceiling":1.0,"lag_ms":0}}"#
--- a/router/tests/management.rs
+++ b/router/tests/management.rs
@@ -22,7 +22,7 @@
 
 /// A router with two tagged hosts by files, and engineers who reach it.
 struct Site {
-    office: Office,
+    credentials: TestCredentials,
     program: Program,
     netconf: SocketAddr,
     gnmi: SocketAddr,
@@ -47,19 +47,19 @@
     }
 
     fn with(engineers: &[(&str, &str)]) -> Self {
-        let office = Office::new(engineers);
+        let credentials = TestCredentials::new(engineers);
         let hosts = [named("of a"), named("of b")];
         let watch = "[datastore]\nstate-directory = .\n[watch]\nhosts = hosts.ini\ndiscovery = off\nsettle = 0.005\npoll = 0.02\n";
         fs::write(
-            office.at("operator.ini"),
-            format!("{watch}{}", office.section()),
+            credentials.at("operator.ini"),
+            format!("{watch}{}", credentials.section()),
         )
         .expect("written");
-        write_hosts(&office, "1", &hosts, "");
-        let program = start(&office);
+        write_hosts(&credentials, "1", &hosts, "");
+        let program = start(&credentials);
         let (netconf, gnmi) = addresses(&program);
         Site {
-            office,
+            credentials,
             program,
             netconf,
             gnmi,
@@ -68,23 +68,26 @@
     }
 
     fn restart(&mut self) {
-        self.program = start(&self.office);
+        self.program = start(&self.credentials);
         (self.netconf, self.gnmi) = addresses(&self.program);
     }
 
     async fn netconf(&self, name: &str) -> Netconf {
-        Netconf::open(self.office.engineer(name), self.netconf)
+        Netconf::open(self.credentials.management_client(name), self.netconf)
             .await
             .expect("let in")
     }
 
     async fn gnmi(&self, name: &str) -> g_nmi_client::GNmiClient<tonic::transport::Channel> {
-        self.office.gnmi(name, self.gnmi).await.expect("let in")
+        self.credentials
+            .gnmi(name, self.gnmi)
+            .await
+            .expect("let in")
     }
 
     /// Waits until the file that outlives the router holds this: how long a busy disk takes is not known.
     async fn remembers(&self, what: &str) {
-        let file = self.office.at("revisions.json");
+        let file = self.credentials.at("revisions.json");
         let until = Instant::now() + PATIENCE;
         while !fs::read_to_string(&file).is_ok_and(|text| text.contains(what)) {
             assert!(Instant::now() < until, "{what} is not remembered");
@@ -106,17 +109,22 @@
 }
 
 fn addresses(program: &Program) -> (SocketAddr, SocketAddr) {
-    let at = |what| program.told_at(what).expect("the line tells the address");
+    let at = |what| {
+        program
+            .logged_address(what)
+            .expect("the line tells the address")
+    };
     (at("NETCONF is listened for"), at("gNMI is listened for"))
 }
 
-fn start(office: &Office) -> Program {
-    let operator = office.at("operator.ini").display().to_string();
-    let text = config(nobody(), &list(1, true, &[])).replace("\"sockets\":256", "\"sockets\":1024");
+fn start(credentials: &TestCredentials) -> Program {
+    let operator = credentials.at("operator.ini").display().to_string();
+    let text = config(unused_address(), &list(1, true, &[]))
+        .replace("\"sockets\":256", "\"sockets\":1024");
     Program::start_with(BINARY, &text, &[("KESTRELTIDE_OPERATOR", operator)])
 }
 
-fn write_hosts(office: &Office, generation: &str, hosts: &[SocketAddr], more: &str) {
+fn write_hosts(credentials: &TestCredentials, generation: &str, hosts: &[SocketAddr], more: &str) {
     let loose = "[guards]\nlargest-removal = 1\nleast-hosts-zone = 0\nleast-hosts-build = 0\n";
     let entry = |(number, at): (usize, &SocketAddr)| {
         let name = ["a", "b"][number];
@@ -130,8 +138,8 @@
         "generation = {generation}\n{loose}{entries}[end]\nhosts = {}\ngeneration = {generation}\n",
         hosts.len()
     );
-    fs::write(office.at("new"), text)
-        .and_then(|()| fs::rename(office.at("new"), office.at("hosts.ini")))
+    fs::write(credentials.at("new"), text)
+        .and_then(|()| fs::rename(credentials.at("new"), credentials.at("hosts.ini")))
         .expect("replaced");
 }
 
@@ -318,7 +326,7 @@
             Code::NotFound
         );
         // A file that says another thing of the same leaf waits for nobody, and is refused with the leaf.
-        write_hosts(&site.office, "2", &site.hosts, "weight = 5\n");
+        write_hosts(&site.credentials, "2", &site.hosts, "weight = 5\n");
         let line = site.program.logged("the files are refused");
         assert!(
             line.contains(
@@ -523,7 +531,7 @@
             Code::Unavailable
         );
         // The file that changes meanwhile waits for the lock.
-        write_hosts(&site.office, "2", &site.hosts, "size = 2\n");
+        write_hosts(&site.credentials, "2", &site.hosts, "size = 2\n");
         assert!(
             site.program
                 .logged("the files are held back")
@@ -539,10 +547,10 @@
 #[test]
 fn only_known_keys_come_in_with_their_rights_and_go_with_them() {
     let site = Site::new();
-    let strangers = Office::new(&[("ana", ALL)]);
+    let strangers = TestCredentials::new(&[("ana", ALL)]);
     run(async {
         assert!(
-            Netconf::open(strangers.engineer("ana"), site.netconf)
+            Netconf::open(strangers.management_client("ana"), site.netconf)
                 .await
                 .is_err(),
             "the name, not the key"
@@ -577,10 +585,14 @@
             Code::PermissionDenied
         );
         // A file of keys that is not well changes nothing; one without eva and gil ends what they had.
-        fs::write(site.office.at("keys.ini"), "generation = 2\n[key ana]\n").expect("written");
+        fs::write(
+            site.credentials.at("keys.ini"),
+            "generation = 2\n[key ana]\n",
+        )
+        .expect("written");
         site.program.logged("the file of keys is refused");
         assert!(eva.rpc("<get/>").await.is_ok());
-        site.office.write_keys("3", &["ana", "rui"]);
+        site.credentials.write_keys("3", &["ana", "rui"]);
         site.program.logged("keys are taken");
         assert!(eva.rpc("<get/>").await.is_err());
         assert_eq!(
@@ -683,16 +695,16 @@
         let subscribe =
             "<create-subscription xmlns=\"urn:ietf:params:xml:ns:netconf:notification:1.0\"/>";
         assert!(ok(&netconf.rpc(subscribe).await));
-        let mut engineer = site.netconf("ana").await;
+        let mut management_client = site.netconf("ana").await;
         for number in 0..20 {
-            assert!(ok(&engineer
+            assert!(ok(&management_client
                 .rpc(&edit(
                     "running",
                     &weight("a", &format!("1.{:02}", number + 1))
                 ))
                 .await));
         }
-        let refused = engineer
+        let refused = management_client
             .rpc(&edit("running", &weight("x", "1")))
             .await
             .expect("a reply");
@@ -968,10 +980,10 @@
                 });
             }
         }
-        let mut engineer = site.netconf("rui").await;
+        let mut management_client = site.netconf("rui").await;
         let begun = Instant::now();
         for number in 0..60 {
-            assert!(ok(&engineer
+            assert!(ok(&management_client
                 .rpc(&edit(
                     "running",
                     &weight("a", &format!("1.{:02}", number + 1))
--- a/router/tests/operators.rs
+++ b/router/tests/operators.rs
@@ -82,7 +82,7 @@
     }
 
     fn alone(&self) -> Program {
-        self.program(nobody(), &list(1, true, &[]))
+        self.program(unused_address(), &list(1, true, &[]))
     }
 
     fn command(&self, words: &[&str]) -> (bool, String) {
@@ -302,7 +302,11 @@
         .replace("\"a\"", "\"b\"");
     fs::write(&remembered, text).expect("written");
     let operator = files.at("operator.ini");
-    let mut command = Program::command(BINARY, "serve", &config(nobody(), &list(1, true, &[])));
+    let mut command = Program::command(
+        BINARY,
+        "serve",
+        &config(unused_address(), &list(1, true, &[])),
+    );
     let done = command
         .env("KESTRELTIDE_OPERATOR", operator)
         .output()
@@ -318,8 +322,12 @@
 #[test]
 fn a_router_that_has_nothing_else_does_not_start_with_a_bad_file_and_names_the_field() {
     let files = Files::new(ALONE);
-    files.hosts("1", &[("a", nobody(), "weight = -1\n")]);
-    let mut command = Program::command(BINARY, "serve", &config(nobody(), &list(1, true, &[])));
+    files.hosts("1", &[("a", unused_address(), "weight = -1\n")]);
+    let mut command = Program::command(
+        BINARY,
+        "serve",
+        &config(unused_address(), &list(1, true, &[])),
+    );
     let done = command
         .env("KESTRELTIDE_OPERATOR", files.at("operator.ini"))
         .output()
@@ -431,7 +439,7 @@
             .count()
     };
     let known = list(1, true, &[("a", named("of a"), "Ready")]);
-    let plain = Program::start(BINARY, &config(nobody(), &known));
+    let plain = Program::start(BINARY, &config(unused_address(), &known));
     // The loop's own, and the log's.
     assert_eq!(threads(&plain), 2);
     let files = Files::new(ALONE);
--- a/router/tests/stories.rs
+++ b/router/tests/stories.rs
@@ -156,7 +156,7 @@
 
 #[test]
 fn a_host_that_cannot_be_reached_never_ran_anything() {
-    let (program, _lists) = router_with(&[("a", nobody(), "Ready")]);
+    let (program, _lists) = router_with(&[("a", unused_address(), "Ready")]);
     assert_eq!(program.client().ask(&["Q.DO", "k", "id", SWITCH]), "-BUSY");
 }
 
@@ -164,7 +164,7 @@
 fn a_host_with_an_impossible_address_costs_no_other_its_connections() {
     let opened = Arc::new(AtomicU32::new(0));
     let count = opened.clone();
-    let at = party(move |stream| {
+    let at = spawn_server(move |stream| {
         count.fetch_add(1, Relaxed);
         answer_each(stream, |_| value("well"));
     });
@@ -219,7 +219,7 @@
 fn connections_lost_unseen_after_some_time_without_use_are_hardly_used_any_more() {
     let lost = Arc::new(AtomicU32::new(0));
     let count = lost.clone();
-    let at = party(move |stream| {
+    let at = spawn_server(move |stream| {
         let last = Mutex::new(None);
         answer_each(stream, |words| {
             let last = last
@@ -251,7 +251,7 @@
 fn a_silent_host_is_given_up_in_time_and_its_connection_closed() {
     let (closed, seen) = channel();
     let closed = Mutex::new(closed);
-    let at = party(move |mut stream| {
+    let at = spawn_server(move |mut stream| {
         let mut all = vec![];
         let _ = stream.read_to_end(&mut all);
         let _ = closed.lock().expect("no panic before").send(all);
@@ -422,7 +422,7 @@
 fn an_answer_of_discovery_that_stalls_is_given_up_sooner_than_a_quiet_watch() {
     let (again, asked) = channel();
     let (again, first) = (Mutex::new(again), AtomicU32::new(0));
-    let at = party(move |mut stream| {
+    let at = spawn_server(move |mut stream| {
         if first.fetch_add(1, Relaxed) == 0 {
             let _ = std::io::Write::write_all(
                 &mut stream,
@@ -482,7 +482,7 @@
     let (asked, seen) = channel();
     let asked = Mutex::new(asked);
     let changes = list(2, false, &[("a", well().expect("a host"), "Ready")]);
-    let at = party(move |stream| {
+    let at = spawn_server(move |stream| {
         let mut lines = std::io::BufReader::new(&stream).lines();
         while let Some(Ok(first)) = lines.next() {
             if !lines
@@ -550,7 +550,7 @@
 fn fake_platform() -> (std::net::SocketAddr, std::sync::mpsc::Receiver<String>) {
     let (asked, seen) = channel();
     let asked = Mutex::new(asked);
-    let at = party(move |stream| {
+    let at = spawn_server(move |stream| {
         let first = std::io::BufReader::new(&stream)
             .lines()
             .next()
@@ -721,7 +721,7 @@
     let state = r#"{"jsonrpc":"2.0","method":"progress","params":{"image":8,"ring":0,"progress":"testing","#;
     let state = state.to_owned() + r#""ceiling":0.5,"lag_ms":0}}"#;
     let lines = Mutex::new(vec![state + "\n", "{nonsense}\n".to_owned()]);
-    let at = party(move |mut stream| {
+    let at = spawn_server(move |mut stream| {
         let line = lines.lock().expect("no panic before").pop();
         let _ = std::io::Write::write_all(&mut stream, line.unwrap_or_default().as_bytes());
         let _ = stream.read_to_end(&mut vec![]);
@@ -736,7 +736,7 @@
 
 #[test]
 fn a_line_of_the_platform_that_stalls_is_given_up_sooner_than_a_quiet_connection() {
-    let at = party(move |mut stream| {
+    let at = spawn_server(move |mut stream| {
         let _ = std::io::Write::write_all(&mut stream, b"{\"jsonrpc\":");
         let _ = stream.read_to_end(&mut vec![]);
     });
@@ -810,7 +810,7 @@
     #[case] becomes: &str,
     #[case] named: &str,
 ) {
-    let text = config(nobody(), &list(1, true, &[]));
+    let text = config(unused_address(), &list(1, true, &[]));
     assert!(text.contains(is));
     for verb in ["serve", "check-config"] {
         let done = Program::command(BINARY, verb, &text.replace(is, becomes))
--- a/router/tests/upstream.rs
+++ b/router/tests/upstream.rs
@@ -25,7 +25,7 @@
 fn gap_noting_host() -> (SocketAddr, Arc<Mutex<Vec<Duration>>>) {
     let gaps = Arc::new(Mutex::new(vec![]));
     let seen = gaps.clone();
-    let at = party(move |stream| {
+    let at = spawn_server(move |stream| {
         let answered = Mutex::new(None);
         answer_each(stream, |words| {
             let mut answered = answered.lock().expect("no panic before");
@@ -47,10 +47,10 @@
     #[case] list: &str,
     #[case] told: &str,
 ) {
-    let mut door = Door::open();
-    door.shut();
+    let mut listener = TestListener::open();
+    listener.shut();
     // By the settings a connection has longer to come up than a drained host may be sent to.
-    let program = router_at(door.at, |text| {
+    let program = router_at(listener.at, |text| {
         text.replace("\"connect_timeout\":250000", "\"connect_timeout\":4000000")
     });
     let asked = Instant::now();
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_repeat_that_cannot_be_written_within_its_window_is_given_up() {
-    let mut door = Door::open();
+    let mut listener = TestListener::open();
     let keyed = r#""effect":"by_key","group":"all","window":300000"#;
     let terms = |text: String| {
         let text = text
@@ -77,13 +77,13 @@
             .replace("\"drain_grace\":500000", "\"drain_grace\":9000000");
         text.replace("\"connect_timeout\":250000", "\"connect_timeout\":4000000")
     };
-    let program = router_at(door.at, terms);
+    let program = router_at(listener.at, terms);
     let mut client = program.client();
     let asked = Instant::now();
     client.send(&["Q.DO", "k", "id", "c=switch,d=5000,k=5c"]);
-    let first = door.accept();
+    let first = listener.accept();
     let read = words(&mut BufReader::new(&first));
-    door.shut();
+    listener.shut();
     assert!(read.is_some_and(|words| words[2] == "id"));
     // It may have run; the connection is gone, so that the repeat needs another.
     (&first)
@@ -154,7 +154,7 @@
 fn as_many_connections_rest_as_a_host_bears_and_no_more() {
     let opened = Arc::new(Mutex::new(0));
     let count = opened.clone();
-    let at = party(move |stream| {
+    let at = spawn_server(move |stream| {
         *count.lock().expect("no panic before") += 1;
         answer_each(stream, |words| value(&words[2]));
     });
@@ -215,7 +215,7 @@
     #[case] waits_millis: u32,
     #[case] told: &str,
 ) {
-    let at = party(move |stream| {
+    let at = spawn_server(move |stream| {
         answer_each(
             stream.try_clone().expect("a second handle"),
             |words| match words[2].as_str() {
--- a/testkit/src/discovery.rs
+++ b/testkit/src/discovery.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-use crate::party;
+use crate::spawn_server;
 
 /// The version and the whole list of it, and who waits for another.
 type Shared = Arc<(Mutex<(u32, String)>, Condvar)>;
@@ -33,7 +33,7 @@
     pub fn start(rev: u32, list: String) -> Self {
         let shared: Shared = Arc::new((Mutex::new((rev, list)), Condvar::new()));
         let known = shared.clone();
-        let at = party(move |stream| {
+        let at = spawn_server(move |stream| {
             let mut lines = BufReader::new(stream.try_clone().expect("a second handle")).lines();
             while let Some(Ok(first)) = lines.next() {
                 if !lines
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::{party, words};
+use crate::{spawn_server, words};
 
 /// What all hosts of a fleet have noted.
 #[derive(Default)]
@@ -76,7 +76,7 @@
                 ends: ends.clone(),
                 epoch,
             };
-            let at = party(move |stream| own.serve(stream));
+            let at = spawn_server(move |stream| own.serve(stream));
             Host {
                 name: name.into(),
                 tag,
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -5,25 +5,27 @@
 mod client;
 mod config;
 mod discovery;
-mod door;
-mod engineer;
 mod fleet;
 mod machine;
-mod party;
+mod management_client;
 mod platform;
 mod program;
+mod servers;
+mod test_listener;
 
 use std::time::Duration;
 
 pub use client::Client;
 pub use config::{config, list};
 pub use discovery::Discovery;
-pub use door::Door;
-pub use engineer::{Engineer, Netconf, Office, proto};
 pub use fleet::{Fleet, Host, Seen};
-pub use party::{answer_each, fake_discovery, fake_host, nobody, party, value, words};
+pub use management_client::{ManagementClient, Netconf, TestCredentials, proto};
 pub use platform::{Platform, Standing};
 pub use program::Program;
+pub use servers::{
+    answer_each, fake_discovery, fake_host, spawn_server, unused_address, value, words,
+};
+pub use test_listener::TestListener;
 
 /// What is waited for longer than this never comes.
 pub const PATIENCE: Duration = Duration::from_secs(20);
--- a/testkit/src/engineer.rs
+++ b/testkit/src/management_client.rs
@@ -30,7 +30,7 @@
 use proto::gnmi::g_nmi_client::GNmiClient;
 
 /// Somebody with a key and a certificate of their own.
-pub struct Engineer {
+pub struct ManagementClient {
     pub name: String,
     ssh: PrivateKey,
     certificate: String,
@@ -40,10 +40,10 @@
 }
 
 /// What a router and its engineers need to know each other.
-pub struct Office {
+pub struct TestCredentials {
     pub folder: TempDir,
     ca: String,
-    pub engineers: Vec<Engineer>,
+    pub engineers: Vec<ManagementClient>,
 }
 
 fn key() -> PrivateKey {
@@ -54,7 +54,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-impl Office {
+impl TestCredentials {
     /// Engineers by name, each with rights.
     pub fn new(engineers: &[(&str, &str)]) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
@@ -85,7 +85,7 @@
             let (certificate, private) = signed(name);
             let hash = hex(ring::digest::digest(&ring::digest::SHA256, certificate.der()).as_ref());
             let certificate = certificate.pem();
-            Engineer {
+            ManagementClient {
                 name: (*name).into(),
                 ssh: key(),
                 certificate,
@@ -94,20 +94,20 @@
                 rights: (*rights).into(),
             }
         });
-        let office = Office {
+        let credentials = TestCredentials {
             engineers: engineers.collect(),
             ca: ca.pem(),
             folder,
         };
-        office.write_keys(
+        credentials.write_keys(
             "1",
-            &office
+            &credentials
                 .engineers
                 .iter()
-                .map(|engineer| engineer.name.as_str())
+                .map(|management_client| management_client.name.as_str())
                 .collect::<Vec<_>>(),
         );
-        office
+        credentials
     }
 
     pub fn at(&self, name: &str) -> PathBuf {
@@ -117,15 +117,19 @@
     /// The file of keys, with only these of the engineers.
     pub fn write_keys(&self, generation: &str, names: &[&str]) {
         let mut text = format!("generation = {generation}\n");
-        for engineer in self
+        for management_client in self
             .engineers
             .iter()
-            .filter(|engineer| names.contains(&engineer.name.as_str()))
+            .filter(|management_client| names.contains(&management_client.name.as_str()))
         {
-            let ssh = engineer.ssh.public_key().to_openssh().expect("a form");
-            let Engineer {
+            let ssh = management_client
+                .ssh
+                .public_key()
+                .to_openssh()
+                .expect("a form");
+            let ManagementClient {
                 name, hash, rights, ..
-            } = engineer;
+            } = management_client;
             text +=
                 &format!("[key {name}]\nssh = {ssh}\ncertificate = {hash}\nrights = {rights}\n");
         }
@@ -139,10 +143,10 @@
          key = router.key\nclient-ca = ca.pem\nkeys = keys.ini\n"
     }
 
-    pub fn engineer(&self, name: &str) -> &Engineer {
+    pub fn management_client(&self, name: &str) -> &ManagementClient {
         self.engineers
             .iter()
-            .find(|engineer| engineer.name == name)
+            .find(|management_client| management_client.name == name)
             .expect("an engineer of this name")
     }
 
@@ -152,8 +156,8 @@
         name: &str,
         at: SocketAddr,
     ) -> Result<GNmiClient<Channel>, tonic::transport::Error> {
-        let engineer = self.engineer(name);
-        let identity = Identity::from_pem(&engineer.certificate, &engineer.key);
+        let management_client = self.management_client(name);
+        let identity = Identity::from_pem(&management_client.certificate, &management_client.key);
         let tls = ClientTlsConfig::new()
             .ca_certificate(Certificate::from_pem(&self.ca))
             .identity(identity)
@@ -201,13 +205,16 @@
 
 impl Netconf {
     /// An error where the server does not let this engineer in.
-    pub async fn open(engineer: &Engineer, at: SocketAddr) -> Result<Self, String> {
+    pub async fn open(
+        management_client: &ManagementClient,
+        at: SocketAddr,
+    ) -> Result<Self, String> {
         let mut ssh = connect(Arc::default(), at, Trusting)
             .await
             .map_err(|e| e.to_string())?;
-        let key = PrivateKeyWithHashAlg::new(Arc::new(engineer.ssh.clone()), None);
+        let key = PrivateKeyWithHashAlg::new(Arc::new(management_client.ssh.clone()), None);
         let entered = ssh
-            .authenticate_publickey(&engineer.name, key)
+            .authenticate_publickey(&management_client.name, key)
             .await
             .map_err(|e| e.to_string())?;
         if !entered.success() {
--- a/testkit/src/platform.rs
+++ b/testkit/src/platform.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 
-use crate::party;
+use crate::spawn_server;
 
 /// Where the build stands.
 #[derive(Clone, Debug, PartialEq)]
@@ -53,7 +53,7 @@
         }));
         let (shared, (cast, votes)) = (state.clone(), channel());
         let cast = Mutex::new(cast);
-        let at = party(move |stream| {
+        let at = spawn_server(move |stream| {
             let mut lines = BufReader::new(stream.try_clone().expect("a second handle")).lines();
             while let Some(Ok(line)) = lines.next() {
                 let Ok(call) = serde_json::from_str::<Value>(&line) else {
--- a/testkit/src/program.rs
+++ b/testkit/src/program.rs
@@ -90,7 +90,7 @@
     }
 
     /// The address that a line before `listening` told.
-    pub fn told_at(&self, what: &str) -> Option<SocketAddr> {
+    pub fn logged_address(&self, what: &str) -> Option<SocketAddr> {
         let line = self.began.iter().find(|line| line.contains(what))?;
         line.split("at: ")
             .nth(1)?
--- a/testkit/src/party.rs
+++ b/testkit/src/servers.rs
@@ -7,7 +7,7 @@
 use std::thread;
 
 /// A party that serves every connection in a thread of its own.
-pub fn party(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+pub fn spawn_server(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let at = listener.local_addr().expect("an address");
     let serve = Arc::new(serve);
@@ -21,7 +21,7 @@
 }
 
 /// An address at which nobody listens, nor will: all fakes keep to another one of the loopback range.
-pub fn nobody() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     let port = TcpListener::bind("127.0.0.1:0")
         .and_then(|listener| listener.local_addr())
         .expect("a free port");
@@ -51,7 +51,7 @@
 pub fn fake_host(
     answer: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
 ) -> SocketAddr {
-    party(move |stream| answer_each(stream, &answer))
+    spawn_server(move |stream| answer_each(stream, &answer))
 }
 
 /// Answers the commands of one connection, one after another.
@@ -73,7 +73,7 @@
 /// Discovery: each question takes the next of these answers, as long as there are any.
 pub fn fake_discovery(answers: Receiver<String>) -> SocketAddr {
     let answers = Mutex::new(answers);
-    party(move |stream| {
+    spawn_server(move |stream| {
         let mut lines = BufReader::new(stream.try_clone().expect("a second handle")).lines();
         while lines
             .by_ref()
--- a/testkit/src/door.rs
+++ b/testkit/src/test_listener.rs
@@ -10,7 +10,7 @@
 /// Shut once so many connections one after another have not come up.
 const REFUSED: usize = 2;
 
-pub struct Door {
+pub struct TestListener {
     socket: Socket,
     pub at: SocketAddr,
     /// The door's own connections, which fill what may wait while it is shut. Kept open, so that nobody else gets
@@ -20,7 +20,7 @@
     come: Vec<TcpStream>,
 }
 
-impl Door {
+impl TestListener {
     pub fn open() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket
@@ -33,7 +33,7 @@
             .ok()
             .and_then(|at| at.as_socket())
             .expect("an address");
-        Door {
+        TestListener {
             socket,
             at,
             own: vec![],
@@ -65,7 +65,7 @@
     }
 
     /// Waits until somebody tries to connect, while it is shut.
-    pub fn wait_for_knock(&self) {
+    pub fn wait_for_connection(&self) {
         machine::wait_for_attempt_to_connect(self.at);
     }
 
