--- a/datastore/src/access.rs
+++ b/datastore/src/access.rs
@@ -41,7 +41,7 @@
         match path {
             Path::Host(..) | Path::Guards(_) => (self.weights, "weights"),
             Path::Route(..) => (self.routes, "routes"),
-            Path::Ring(_) => (self.ring, "ring"),
+            Path::Rollout(_) => (self.ring, "ring"),
         }
     }
 
--- a/datastore/src/check.rs
+++ b/datastore/src/check.rs
@@ -9,9 +9,9 @@
 use kestreltide::narrow::{self, Weighed};
 
 use crate::merge::{HostRecord, merge};
-use crate::snapshot::routes;
-use crate::tree::{AdminState, Difference, HostName, Leaf, Path, RouteSet, Tree, Value};
-use crate::validation::{KEPT, Rule, ValidationError, ValidationErrors};
+use crate::snapshot::build_routes;
+use crate::tree::{AdminState, Difference, HostName, Leaf, Path, RouteConfig, Tree, Value};
+use crate::validation::{MAX_KEPT_ERRORS, Rule, ValidationError, ValidationErrors};
 
 /// What a router keeps at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,18 +26,18 @@
 /// The memory that there is for all of these, and what each of them takes of it, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemorySettings {
-    pub most: usize,
+    pub maximum: usize,
     /// A host that counts, whoever lists it, and what operators say of one beside that.
-    pub host: usize,
-    pub host_set: usize,
-    pub route: usize,
-    pub route_name: usize,
+    pub per_host: usize,
+    pub per_configured_host: usize,
+    pub per_route: usize,
+    pub per_route_name: usize,
 }
 
 impl Default for Maximums {
     fn default() -> Self {
         let memory = MemorySettings {
-            most: usize::MAX,
+            maximum: usize::MAX,
             ..MemorySettings::default()
         };
         Maximums {
@@ -65,13 +65,13 @@
     pub slow_start_initial_fraction: f64,
     pub slow_start_duration: f64,
     pub overload_multiple: f64,
-    pub most: Maximums,
+    pub maximums: Maximums,
 }
 
 impl RuleSettings {
     pub fn new(terms: &ServiceSettings, operations: Vec<String>, most: Maximums) -> Self {
         RuleSettings {
-            most,
+            maximums: most,
             operations,
             routers: terms.routers.max(1),
             slow_start_initial_fraction: terms.slow_start_initial_fraction,
@@ -83,7 +83,7 @@
 
 impl RuleSettings {
     /// The part of its work that a host can do so long after its start.
-    pub fn warmth(&self, started: Option<f64>, now: f64) -> f64 {
+    pub fn warm_up_fraction(&self, started: Option<f64>, now: f64) -> f64 {
         let age = started.map_or(f64::INFINITY, |started| (now - started).max(0.0));
         let part = if self.slow_start_duration > 0.0 {
             (age / self.slow_start_duration).min(1.0)
@@ -101,14 +101,14 @@
     /// What discovery lists; `None` where it is not asked.
     pub discovery: Option<Arc<[HostRecord]>>,
     /// Discovery has told its list, or is not asked.
-    pub heard: bool,
-    pub news: Option<RolloutStatus>,
+    pub discovery_received: bool,
+    pub rollout: Option<RolloutStatus>,
 }
 
 /// Processes that operators have drained, by name: when each had started, or was drained where nobody knows.
-pub type Drained = BTreeMap<HostName, f64>;
+pub type DrainedHosts = BTreeMap<HostName, f64>;
 /// Since when hosts are listed whose start nobody tells.
-pub type Seen = BTreeMap<HostName, f64>;
+pub type FirstListed = BTreeMap<HostName, f64>;
 
 /// Everything a check may look at.
 pub struct Context<'a> {
@@ -116,7 +116,7 @@
     pub facts: &'a Facts,
     pub old: &'a Tree,
     pub new: &'a Tree,
-    pub drained: &'a Drained,
+    pub drained: &'a DrainedHosts,
     /// All hosts as they count, before and after, in the order of names.
     was: BTreeMap<Arc<str>, HostRecord>,
     is: BTreeMap<Arc<str>, HostRecord>,
@@ -124,7 +124,7 @@
 }
 
 /// All hosts as they count under a tree.
-pub fn merged(tree: &Tree, seen: &Seen, facts: &Facts) -> BTreeMap<Arc<str>, HostRecord> {
+pub fn merged(tree: &Tree, seen: &FirstListed, facts: &Facts) -> BTreeMap<Arc<str>, HostRecord> {
     let listed = facts.discovery.as_deref().unwrap_or_default();
     let mut all = BTreeMap::new();
     for told in listed {
@@ -149,9 +149,9 @@
     pub fn new(
         terms: &'a RuleSettings,
         facts: &'a Facts,
-        (old, old_seen): (&'a Tree, &Seen),
-        (new, new_seen): (&'a Tree, &Seen),
-        drained: &'a Drained,
+        (old, old_seen): (&'a Tree, &FirstListed),
+        (new, new_seen): (&'a Tree, &FirstListed),
+        drained: &'a DrainedHosts,
         changes: &'a [Difference],
     ) -> Self {
         let (was, is) = (merged(old, old_seen, facts), merged(new, new_seen, facts));
@@ -171,7 +171,7 @@
     fn released(&self, hosts: &BTreeMap<Arc<str>, HostRecord>) -> Vec<BuildId> {
         let builds: BTreeSet<_> = hosts.values().map(|host| host.build).collect();
         let earlier = |news: &RolloutStatus| builds.range(..news.build).next_back().copied();
-        match &self.facts.news {
+        match &self.facts.rollout {
             Some(news) if news.phase == Phase::Released => vec![news.build],
             Some(news) => earlier(news).into_iter().collect(),
             None => builds.into_iter().collect(),
@@ -193,14 +193,14 @@
         tree: &Tree,
         hosts: &BTreeMap<Arc<str>, HostRecord>,
     ) -> (Vec<Arc<str>>, Vec<Weighed>) {
-        let serving = hosts.iter().filter(|(_, host)| host.serves());
+        let serving = hosts.iter().filter(|(_, host)| host.is_in_service());
         let weight = |name: &Arc<str>| {
             let name: Option<HostName> = name.parse().ok();
             name.and_then(|name| tree.hosts.get(&name)?.weight)
                 .unwrap_or(1.0)
         };
         let weighed = serving.map(|(name, host)| {
-            let warmth = self.terms.warmth(host.started, self.facts.now);
+            let warmth = self.terms.warm_up_fraction(host.started, self.facts.now);
             (
                 name.clone(),
                 Weighed {
@@ -236,14 +236,14 @@
 /// All faults of a candidate.
 pub fn check(context: &Context) -> ValidationErrors {
     let mut errors = ValidationErrors::default();
-    if context.facts.discovery.is_some() && !context.facts.heard {
+    if context.facts.discovery.is_some() && !context.facts.discovery_received {
         let error = ValidationError::new(
             "hosts",
             "discovery has not told its list yet",
             "nothing",
             "a list",
         );
-        errors.push(error.passing(context.facts.now + LOOK_AGAIN));
+        errors.push(error.with_retry_at(context.facts.now + LOOK_AGAIN));
         return errors;
     }
     CHECKS.iter().for_each(|check| check(context, &mut errors));
@@ -269,7 +269,7 @@
             );
             errors.push(match context.facts.discovery {
                 // It may be listed yet.
-                Some(_) => error.passing(context.facts.now + LOOK_AGAIN),
+                Some(_) => error.with_retry_at(context.facts.now + LOOK_AGAIN),
                 None => error,
             });
         } else {
@@ -279,7 +279,7 @@
                     path,
                     "is missing in an entry",
                     "nothing",
-                    leaf.takes(),
+                    leaf.expected_format(),
                 ));
             }
         }
@@ -287,8 +287,8 @@
 }
 
 /// What a tree has more of than a router keeps, where so many hosts are listed by it and by discovery together.
-pub fn beyond(tree: &Tree, listed: usize, most: &Maximums) -> ValidationErrors {
-    let names = |route: &RouteSet| {
+pub fn exceeded_maximums(tree: &Tree, listed: usize, most: &Maximums) -> ValidationErrors {
+    let names = |route: &RouteConfig| {
         let sets = [&route.operations, &route.zones, &route.kinds, &route.hosts];
         sets.into_iter().flatten().map(BTreeSet::len).sum::<usize>()
     };
@@ -319,9 +319,9 @@
         ));
     }
     let memory = &most.memory;
-    let of_hosts = hosts * memory.host + tree.hosts.len() * memory.host_set;
-    let of_routes = routes * memory.route + names * memory.route_name;
-    if of_hosts + of_routes > memory.most {
+    let of_hosts = hosts * memory.per_host + tree.hosts.len() * memory.per_configured_host;
+    let of_routes = routes * memory.per_route + names * memory.per_route_name;
+    if of_hosts + of_routes > memory.maximum {
         let path = if of_hosts >= of_routes {
             "hosts"
         } else {
@@ -331,7 +331,7 @@
             "{} bytes for {hosts} hosts and {routes} routes",
             of_hosts + of_routes
         );
-        let taken = format!("{} bytes at most", memory.most);
+        let taken = format!("{} bytes at most", memory.maximum);
         errors.push(ValidationError::new(
             path,
             "take more memory than the router has for them",
@@ -343,7 +343,7 @@
 }
 
 fn room_kept(context: &Context, errors: &mut ValidationErrors) {
-    errors.extend(beyond(context.new, context.is.len(), &context.terms.most).first);
+    errors.extend(exceeded_maximums(context.new, context.is.len(), &context.terms.maximums).first);
 }
 
 /// One host an address, one number a name: else an answer, or what is known of it, would be another's.
@@ -369,7 +369,7 @@
             let what = format!("is the address of {} too", other.name);
             errors.push(
                 ValidationError::new(path, what, host.endpoint, "an address of its own")
-                    .by(Rule::NoEffectTwice),
+                    .with_rule(Rule::NoEffectTwice),
             );
         }
     }
@@ -386,7 +386,7 @@
                 started,
                 "a time that has been",
             );
-            errors.push(error.passing(started));
+            errors.push(error.with_retry_at(started));
         }
     }
 }
@@ -394,7 +394,11 @@
 /// Rule 3: a host that was drained comes back as another process only.
 fn drained_stay_out(context: &Context, errors: &mut ValidationErrors) {
     for (name, drained) in context.drained {
-        let Some(host) = context.is.get(name.as_str()).filter(|host| host.serves()) else {
+        let Some(host) = context
+            .is
+            .get(name.as_str())
+            .filter(|host| host.is_in_service())
+        else {
             continue;
         };
         if host.started.is_none_or(|started| started <= *drained) {
@@ -404,7 +408,7 @@
                 .started
                 .map_or("no start".into(), |started| format!("started {started}"));
             let taken = format!("a start after {drained}, or the host left draining");
-            errors.push(ValidationError::new(path, what, given, taken).by(Rule::DrainsKept));
+            errors.push(ValidationError::new(path, what, given, taken).with_rule(Rule::DrainsKept));
         }
     }
 }
@@ -412,18 +416,18 @@
 /// Rule 5: nothing is put to a build that the platform has taken back.
 fn builds_wanted(context: &Context, errors: &mut ValidationErrors) {
     let gone = |news: &RolloutStatus| matches!(news.phase, Phase::RollingBack | Phase::RolledBack);
-    let Some(news) = context.facts.news.filter(gone) else {
+    let Some(news) = context.facts.rollout.filter(gone) else {
         return;
     };
     for (name, host) in context
         .is
         .iter()
-        .filter(|(_, host)| host.serves() && host.build == news.build)
+        .filter(|(_, host)| host.is_in_service() && host.build == news.build)
     {
         let before = context
             .was
             .get(name)
-            .is_some_and(|was| was.serves() && was.build == host.build);
+            .is_some_and(|was| was.is_in_service() && was.build == host.build);
         if !before {
             let what = "the platform has taken this build back";
             let error = ValidationError::new(
@@ -432,7 +436,7 @@
                 host.build.0,
                 "an earlier build",
             );
-            errors.push(error.by(Rule::ExposureCapped));
+            errors.push(error.with_rule(Rule::ExposureCapped));
         }
     }
 }
@@ -443,7 +447,7 @@
     let count = |hosts: &BTreeMap<Arc<str>, HostRecord>, of: &dyn Fn(&HostRecord) -> bool| {
         hosts
             .values()
-            .filter(|host| host.serves() && of(host))
+            .filter(|host| host.is_in_service() && of(host))
             .count()
     };
     let mut left = |path: &str, named: String, least: u32, of: &dyn Fn(&HostRecord) -> bool| {
@@ -471,7 +475,7 @@
     }
     let trial = context
         .facts
-        .news
+        .rollout
         .filter(|news| news.phase == Phase::Canary)
         .map(|news| news.build);
     for build in context.released(&context.was).into_iter().chain(trial) {
@@ -488,9 +492,12 @@
 /// A list that lost most of its lines is an accident.
 fn removal_small(context: &Context, errors: &mut ValidationErrors) {
     let (most, ..) = context.old.guards.in_force();
-    let before = context.was.values().filter(|host| host.serves());
+    let before = context.was.values().filter(|host| host.is_in_service());
     let (was, gone) = before.fold((0u32, 0u32), |(was, gone), host| {
-        let stays = context.is.get(&host.name).is_some_and(HostRecord::serves);
+        let stays = context
+            .is
+            .get(&host.name)
+            .is_some_and(HostRecord::is_in_service);
         (was + 1, gone + u32::from(!stays))
     });
     let share = f64::from(gone) / f64::from(was.max(1));
@@ -559,7 +566,7 @@
             passes - context.facts.now
         );
         let error = ValidationError::new(format!("hosts/{name}/weight"), what, host.weight, taken);
-        errors.push(error.by(Rule::ColdHostsCarried).passing(passes));
+        errors.push(error.with_rule(Rule::WarmUpRespected).with_retry_at(passes));
     }
 }
 
@@ -607,9 +614,9 @@
             ));
         }
         if *route
-            == (RouteSet {
+            == (RouteConfig {
                 precedence: route.precedence,
-                ..RouteSet::default()
+                ..RouteConfig::default()
             })
         {
             let what = "says neither which invocations it is for nor which hosts they use";
@@ -625,9 +632,9 @@
 
 /// Which of two routes an invocation takes is never left to chance.
 fn routes_apart(context: &Context, errors: &mut ValidationErrors) {
-    let all = routes(context.new);
+    let all = build_routes(context.new);
     // More than are shown need not be found.
-    for (one, other) in kestreltide_routes::unordered(&all, KEPT) {
+    for (one, other) in kestreltide_routes::unordered(&all, MAX_KEPT_ERRORS) {
         let what = format!(
             "overlaps with route {} and nothing says which goes first",
             other.name
@@ -649,11 +656,11 @@
 /// to the trial alone.
 fn pools_served(context: &Context, errors: &mut ValidationErrors) {
     let released = context.released(&context.is);
-    let serves = |host: &&HostRecord| host.serves() && released.contains(&host.build);
+    let serves = |host: &&HostRecord| host.is_in_service() && released.contains(&host.build);
     if !context.is.values().any(|host| serves(&host)) {
         return;
     }
-    for route in routes(context.new) {
+    for route in build_routes(context.new) {
         let held = context
             .is
             .values()
@@ -667,19 +674,19 @@
                 "no such host",
                 "at least one",
             );
-            errors.push(error.by(Rule::ExposureCapped));
+            errors.push(error.with_rule(Rule::ExposureCapped));
         }
     }
 }
 
 /// Rule 5: what is asked of a trial only ever shows it to less, and is of the build that it says.
 fn ring_known(context: &Context, errors: &mut ValidationErrors) {
-    let ring = &context.new.ring;
-    if context.old.ring == *ring {
+    let ring = &context.new.rollout;
+    if context.old.rollout == *ring {
         return;
     }
-    let asks = ring.hold == Some(true) || ring.back == Some(true) || ring.cap.is_some();
-    let news = context.facts.news;
+    let asks = ring.hold == Some(true) || ring.roll_back == Some(true) || ring.cap.is_some();
+    let news = context.facts.rollout;
     match (ring.build, news) {
         (None, _) if asks => {
             errors.push(ValidationError::new(
@@ -707,7 +714,7 @@
                     cap,
                     taken,
                 );
-                errors.push(error.by(Rule::ExposureCapped));
+                errors.push(error.with_rule(Rule::ExposureCapped));
             }
         }
         (Some(build), None) if asks => {
--- a/datastore/src/commit_coordinator.rs
+++ b/datastore/src/commit_coordinator.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::check::Facts;
-use crate::store::{Author, Candidate, Commit, Datastore, InForce, Source};
+use crate::store::{Author, Candidate, CommitOutcome, Datastore, InForce, Source};
 use crate::validation::{ValidationError, ValidationErrors};
 use kestreltide::interface::Revision;
 
@@ -32,23 +32,26 @@
 
 /// A commit is undone unless it is confirmed in this time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Confirm {
+pub struct ConfirmedCommit {
     /// Seconds.
-    pub within: f64,
+    pub timeout: f64,
     /// By this name also another session may confirm it, and it outlives its own.
-    pub persist: Option<String>,
+    pub persist_id: Option<String>,
 }
 
 /// A commit that waits to be confirmed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pending {
+pub struct PendingCommit {
     /// The revision that comes back.
-    pub to: u64,
+    #[serde(rename = "to")]
+    pub rolls_back_to: u64,
     /// Unix seconds.
-    pub until: f64,
+    #[serde(rename = "until")]
+    pub expires_at: f64,
     /// None after a restart: nobody of then is there any more.
     pub session: Option<SessionId>,
-    pub persist: Option<String>,
+    #[serde(rename = "persist")]
+    pub persist_id: Option<String>,
     pub author: Author,
 }
 
@@ -59,7 +62,7 @@
     /// Another session holds the lock.
     Locked(SessionId),
     /// Another's commit waits to be confirmed.
-    CommitPending(Pending),
+    CommitPending(PendingCommit),
     /// Nothing waits to be confirmed, or not by who asks.
     NoPendingCommit,
     /// The lock is not held by who lets it go.
@@ -95,17 +98,17 @@
     pub store: Datastore,
     running: CommitOwner,
     candidate: CommitOwner,
-    pending: Option<Pending>,
+    pending: Option<PendingCommit>,
     sessions: u32,
 }
 
 impl CommitCoordinator {
     /// After a restart a commit that was not confirmed is due to be undone at once.
-    pub fn new(store: Datastore, pending: Option<Pending>) -> Self {
-        let pending = pending.map(|pending| Pending {
+    pub fn new(store: Datastore, pending: Option<PendingCommit>) -> Self {
+        let pending = pending.map(|pending| PendingCommit {
             session: None,
-            persist: None,
-            until: 0.0,
+            persist_id: None,
+            expires_at: 0.0,
             ..pending
         });
         CommitCoordinator {
@@ -117,16 +120,16 @@
         }
     }
 
-    pub fn open(&mut self) -> SessionId {
+    pub fn open_session(&mut self) -> SessionId {
         self.sessions += 1;
         SessionId(self.sessions)
     }
 
-    pub fn pending(&self) -> Option<&Pending> {
+    pub fn pending(&self) -> Option<&PendingCommit> {
         self.pending.as_ref()
     }
 
-    pub fn holder(&self, target: Target) -> CommitOwner {
+    pub fn lock_holder(&self, target: Target) -> CommitOwner {
         match target {
             Target::Running => self.running,
             Target::Candidate => self.candidate,
@@ -135,7 +138,7 @@
 
     /// A lock is not given while another holds it, or another's commit waits to be confirmed.
     pub fn lock(&mut self, session: SessionId, target: Target) -> Result<(), CommitError> {
-        if let Some(holder) = self.holder(target) {
+        if let Some(holder) = self.lock_holder(target) {
             return Err(CommitError::Locked(holder));
         }
         if let Some(pending) = self
@@ -153,7 +156,7 @@
     }
 
     pub fn unlock(&mut self, session: SessionId, target: Target) -> Result<(), CommitError> {
-        if self.holder(target) != Some(session) {
+        if self.lock_holder(target) != Some(session) {
             return Err(CommitError::LockNotHeld);
         }
         match target {
@@ -176,10 +179,10 @@
         asker: CommitOwner,
         candidate: &Candidate,
         author: Author,
-        confirm: Option<Confirm>,
+        confirm: Option<ConfirmedCommit>,
         persist_id: Option<&str>,
         facts: &Facts,
-    ) -> Result<Commit, CommitError> {
+    ) -> Result<CommitOutcome, CommitError> {
         if let Some(holder) = self.kept_out(asker) {
             return Err(CommitError::Locked(holder));
         }
@@ -195,13 +198,16 @@
         let commit = self.store.commit(candidate, author.clone(), facts)?;
         self.pending = confirm.map(|confirm| {
             // What comes back is what stood before the first of them.
-            let to = self.pending.as_ref().map_or(before.0, |pending| pending.to);
-            let until = facts.now + confirm.within;
-            Pending {
-                to,
-                until,
+            let to = self
+                .pending
+                .as_ref()
+                .map_or(before.0, |pending| pending.rolls_back_to);
+            let until = facts.now + confirm.timeout;
+            PendingCommit {
+                rolls_back_to: to,
+                expires_at: until,
                 session: asker,
-                persist: confirm.persist,
+                persist_id: confirm.persist_id,
                 author,
             }
         });
@@ -211,7 +217,7 @@
     fn waited_for(&self, asker: CommitOwner, persist_id: Option<&str>) -> bool {
         self.pending
             .as_ref()
-            .is_some_and(|pending| match (&pending.persist, persist_id) {
+            .is_some_and(|pending| match (&pending.persist_id, persist_id) {
                 (Some(name), Some(said)) => name == said,
                 (None, None) => pending.session.is_some() && pending.session == asker,
                 _ => false,
@@ -237,7 +243,7 @@
         asker: CommitOwner,
         persist_id: Option<&str>,
         facts: &Facts,
-    ) -> Result<Commit, CommitError> {
+    ) -> Result<CommitOutcome, CommitError> {
         if !self.waited_for(asker, persist_id) {
             return Err(CommitError::NoPendingCommit);
         }
@@ -245,16 +251,17 @@
     }
 
     /// A session is over, however it ended: its locks are free, and what only it could confirm is undone.
-    pub fn ended(
+    pub fn close_session(
         &mut self,
         session: SessionId,
         facts: &Facts,
-    ) -> Option<Result<Commit, ValidationErrors>> {
+    ) -> Option<Result<CommitOutcome, ValidationErrors>> {
         let free = |holder: &mut CommitOwner| *holder = holder.filter(|holder| *holder != session);
         free(&mut self.running);
         free(&mut self.candidate);
-        let only_its =
-            |pending: &Pending| pending.session == Some(session) && pending.persist.is_none();
+        let only_its = |pending: &PendingCommit| {
+            pending.session == Some(session) && pending.persist_id.is_none()
+        };
         self.pending
             .as_ref()
             .is_some_and(only_its)
@@ -262,19 +269,22 @@
     }
 
     /// When the desk has something to do by itself.
-    pub fn due(&self) -> Option<f64> {
-        self.pending.as_ref().map(|pending| pending.until)
+    pub fn next_expiry(&self) -> Option<f64> {
+        self.pending.as_ref().map(|pending| pending.expires_at)
     }
 
     /// Undoes what was not confirmed in time, whoever holds a lock.
-    pub fn tick(&mut self, facts: &Facts) -> Option<Result<Commit, ValidationErrors>> {
-        let late = self.due().is_some_and(|due| due <= facts.now);
+    pub fn expire_pending(
+        &mut self,
+        facts: &Facts,
+    ) -> Option<Result<CommitOutcome, ValidationErrors>> {
+        let late = self.next_expiry().is_some_and(|due| due <= facts.now);
         late.then(|| self.undo(facts))
     }
 
-    fn undo(&mut self, facts: &Facts) -> Result<Commit, ValidationErrors> {
+    fn undo(&mut self, facts: &Facts) -> Result<CommitOutcome, ValidationErrors> {
         let Some(pending) = self.pending.take() else {
-            return Ok(Commit::Nothing);
+            return Ok(CommitOutcome::Unchanged);
         };
         let author = Author {
             source: Source::Management,
@@ -282,7 +292,8 @@
             ..pending.author
         };
         // The rules go before the promise: what would break one now is not brought back, and somebody is told.
-        self.store.roll_back(Revision(pending.to), author, facts)
+        self.store
+            .roll_back(Revision(pending.rolls_back_to), author, facts)
     }
 
     /// An author's candidate is checked as a commit would, and nothing is done.
@@ -293,12 +304,12 @@
 
 /// What fronts read of the desk, as one whole.
 #[derive(Clone, Debug, Default)]
-pub struct Published {
+pub struct CoordinatorStatus {
     pub in_force: Arc<InForce>,
     /// The newest revisions, oldest first.
     pub history: Arc<[crate::store::RevisionRecord]>,
-    pub refusal: Option<Arc<crate::store::RejectedCommit>>,
-    pub pending: Option<Pending>,
+    pub last_rejection: Option<Arc<crate::store::RejectedCommit>>,
+    pub pending: Option<PendingCommit>,
     pub locks: [CommitOwner; 2],
 }
 
@@ -306,13 +317,13 @@
 const SHOWN: usize = 32;
 
 impl CommitCoordinator {
-    pub fn publish(&self) -> Published {
+    pub fn status(&self) -> CoordinatorStatus {
         let mut history: Vec<_> = self.store.history().rev().take(SHOWN).cloned().collect();
         history.reverse();
-        Published {
+        CoordinatorStatus {
             in_force: self.store.in_force().clone(),
             history: history.into(),
-            refusal: self.store.refusals().next_back().cloned().map(Arc::new),
+            last_rejection: self.store.rejections().next_back().cloned().map(Arc::new),
             pending: self.pending.clone(),
             locks: [self.running, self.candidate],
         }
@@ -324,7 +335,7 @@
     match refused {
         CommitError::Invalid(errors) => errors,
         other => ValidationError::new("running", other.to_string(), "a commit", "the same later")
-            .passing(again)
+            .with_retry_at(again)
             .into(),
     }
 }
--- a/datastore/src/lib.rs
+++ b/datastore/src/lib.rs
@@ -16,15 +16,15 @@
 pub mod view;
 
 pub use access::{Key, Keys, Proof, Rights};
-pub use check::{Facts, Maximums, MemorySettings, RuleSettings, beyond};
+pub use check::{Facts, Maximums, MemorySettings, RuleSettings, exceeded_maximums};
 pub use merge::HostRecord;
 pub use snapshot::Snapshot;
 pub use store::{
-    Author, Candidate, Change, Datastore, DatastoreState, History, RevisionRecord, Source,
+    Author, Candidate, Change, Datastore, DatastoreState, HistoryLimits, RevisionRecord, Source,
 };
 pub use tree::{
-    AdminState, Guards, HostName, HostSet, Leaf, Path, Place, RingSet, RouteName, RouteSet, Tree,
-    Value,
+    AdminState, Container, Guards, HostConfig, HostName, Leaf, Path, RolloutConfig, RouteConfig,
+    RouteName, Tree, Value,
 };
 pub use tree_builder::TreeBuilder;
 pub use validation::{Rule, ValidationError, ValidationErrors};
--- a/datastore/src/merge.rs
+++ b/datastore/src/merge.rs
@@ -5,7 +5,7 @@
 
 use kestreltide::interface::*;
 
-use crate::tree::{AdminState, HostName, HostSet, Leaf};
+use crate::tree::{AdminState, HostConfig, HostName, Leaf};
 
 /// Who is believed where both say something; where only one does, it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,9 +15,9 @@
     /// They know what they want of a machine.
     Operators,
     /// Whichever says the later time.
-    Later,
+    LaterTime,
     /// Whichever lets less go to the host.
-    Careful,
+    MostRestrictive,
 }
 
 /// Zone and cell stand with discovery as rule 2 rests on them: they say which hosts drop each other's repeats.
@@ -28,12 +28,12 @@
     (Leaf::Kind, Precedence::Discovery),
     (Leaf::Size, Precedence::Operators),
     (Leaf::Build, Precedence::Discovery),
-    (Leaf::Started, Precedence::Later),
+    (Leaf::Started, Precedence::LaterTime),
     (Leaf::Weight, Precedence::Operators),
-    (Leaf::State, Precedence::Careful),
+    (Leaf::State, Precedence::MostRestrictive),
 ];
 
-pub fn wins(leaf: Leaf) -> Precedence {
+pub fn precedence_of(leaf: Leaf) -> Precedence {
     PRECEDENCE
         .iter()
         .find(|row| row.0 == leaf)
@@ -74,11 +74,11 @@
     }
 
     /// Another process, or the same elsewhere: an id and its address may come back.
-    pub fn moved(&self, new: &HostRecord) -> bool {
+    pub fn is_replaced_by(&self, new: &HostRecord) -> bool {
         self.endpoint != new.endpoint || self.build != new.build || self.started != new.started
     }
 
-    pub fn serves(&self) -> bool {
+    pub fn is_in_service(&self) -> bool {
         self.state == HostState::Running
     }
 }
@@ -107,11 +107,13 @@
     operators: Option<T>,
     later: impl Fn(T, T) -> T,
 ) -> Option<T> {
-    match (wins(leaf), discovery, operators) {
+    match (precedence_of(leaf), discovery, operators) {
         (Precedence::Discovery, Some(said), _) | (Precedence::Operators, _, Some(said)) => {
             Some(said)
         }
-        (Precedence::Later | Precedence::Careful, Some(a), Some(b)) => Some(later(a, b)),
+        (Precedence::LaterTime | Precedence::MostRestrictive, Some(a), Some(b)) => {
+            Some(later(a, b))
+        }
         (_, a, b) => a.or(b),
     }
 }
@@ -121,10 +123,10 @@
 pub fn merge(
     name: &HostName,
     discovery: Option<&HostRecord>,
-    set: Option<&HostSet>,
+    set: Option<&HostConfig>,
     since: Option<f64>,
 ) -> Option<HostRecord> {
-    let nothing = HostSet::default();
+    let nothing = HostConfig::default();
     let set = set.unwrap_or(&nothing);
     let told = |of: fn(&HostRecord) -> Arc<str>| discovery.map(of);
     let first = |a, _| a;
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -7,27 +7,27 @@
 use kestreltide::interface::*;
 use kestreltide_routes::{Match, Route, Routes};
 
-use crate::check::Seen;
+use crate::check::FirstListed;
 use crate::merge::{HostRecord, merge};
-use crate::tree::{Difference, HostName, HostSet, Path, Tree};
+use crate::tree::{Difference, HostConfig, HostName, Path, Tree};
 
 /// What a revision says of one host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfiguredHost {
     pub host: HostId,
     pub name: HostName,
-    pub set: HostSet,
+    pub config: HostConfig,
     /// Since when it is listed, where nobody says when it started.
-    pub since: Option<f64>,
+    pub first_listed: Option<f64>,
     /// As it counts where discovery does not list it; `None` where that makes no entry.
-    pub alone: Option<HostRecord>,
+    pub standalone: Option<HostRecord>,
     /// The same for the decisions.
     pub entry: Option<HostEntry>,
 }
 
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    pub set: Arc<OperatorOverrides>,
+    pub overrides: Arc<OperatorOverrides>,
     /// In ascending order of ids.
     pub hosts: Box<[ConfiguredHost]>,
     /// Of which hosts it says something else than the revision before, in ascending order.
@@ -35,10 +35,10 @@
     /// The same for the decisions, as it counts for hosts that discovery does not list.
     pub entries: Arc<[HostEntry]>,
     /// The revision that the changes are from.
-    pub follows: Revision,
+    pub changed_since: Revision,
     pub routes: Arc<Routes>,
     /// When it was committed.
-    pub at: f64,
+    pub committed_at: f64,
 }
 
 impl Snapshot {
@@ -46,7 +46,7 @@
         old: &Snapshot,
         revision: Revision,
         at: f64,
-        (tree, seen): (&Tree, &Seen),
+        (tree, seen): (&Tree, &FirstListed),
         changes: &[Difference],
     ) -> Self {
         let said = tree.hosts.iter().map(|(name, set)| {
@@ -56,9 +56,9 @@
             ConfiguredHost {
                 host: HostId::named(name.as_str()),
                 name: name.clone(),
-                set: set.clone(),
-                since,
-                alone,
+                config: set.clone(),
+                first_listed: since,
+                standalone: alone,
                 entry,
             }
         });
@@ -66,13 +66,13 @@
         hosts.sort_by_key(|said| said.host);
         let weights = hosts
             .iter()
-            .filter_map(|said| Some((said.host, said.set.weight?)));
+            .filter_map(|said| Some((said.host, said.config.weight?)));
         let weights = weights.filter(|(_, weight)| *weight != 1.0).collect();
         let mut changed: Vec<_> = changes
             .iter()
             .filter_map(|change| match &change.path {
                 Path::Host(name, _) => Some(HostId::named(name.as_str())),
-                Path::Guards(_) | Path::Route(..) | Path::Ring(_) => None,
+                Path::Guards(_) | Path::Route(..) | Path::Rollout(_) => None,
             })
             .collect();
         changed.sort();
@@ -82,25 +82,25 @@
             weights,
             rollout: rollout_override(tree),
         });
-        let routes = Arc::new(Routes::new(routes(tree)));
+        let routes = Arc::new(Routes::new(build_routes(tree)));
         let (follows, entries) = (old.revision(), Arc::default());
         let mut new = Snapshot {
-            set,
+            overrides: set,
             hosts,
             changed: changed.into(),
             entries,
-            follows,
+            changed_since: follows,
             routes,
-            at,
+            committed_at: at,
         };
         let none = |_: HostId| None;
-        new.entries = new.changes(old, &new.changed, none, none).into();
+        new.entries = new.host_changes(old, &new.changed, none, none).into();
         new
     }
 
     /// What the decisions are told of hosts that may have changed. `was` and `is` say how those count that
     /// discovery lists too; `None` where it does not.
-    pub fn changes<'a>(
+    pub fn host_changes<'a>(
         &'a self,
         old: &'a Snapshot,
         hosts: &[HostId],
@@ -110,10 +110,14 @@
         let mut entries = Vec::with_capacity(hosts.len());
         for host in hosts {
             let (was, is) = (was(*host), is(*host));
-            let was = was.as_ref().or_else(|| old.said(*host)?.alone.as_ref());
-            let is = is.as_ref().or_else(|| self.said(*host)?.alone.as_ref());
+            let was = was
+                .as_ref()
+                .or_else(|| old.configured(*host)?.standalone.as_ref());
+            let is = is
+                .as_ref()
+                .or_else(|| self.configured(*host)?.standalone.as_ref());
             // What stood there before goes first: another machine under the same id begins anew.
-            let went = was.filter(|was| is.is_none_or(|is| was.moved(is)));
+            let went = was.filter(|was| is.is_none_or(|is| was.is_replaced_by(is)));
             entries.extend(went.map(|was| HostEntry {
                 state: HostState::Gone,
                 ..was.entry()
@@ -128,10 +132,10 @@
     }
 
     pub fn revision(&self) -> Revision {
-        self.set.revision
+        self.overrides.revision
     }
 
-    pub fn said(&self, host: HostId) -> Option<&ConfiguredHost> {
+    pub fn configured(&self, host: HostId) -> Option<&ConfiguredHost> {
         let place = self.hosts.binary_search_by_key(&host, |said| said.host);
         place.ok().map(|place| &self.hosts[place])
     }
@@ -139,9 +143,9 @@
 
 /// What operators ask of the build on trial, if they ask anything.
 fn rollout_override(tree: &Tree) -> Option<RolloutOverride> {
-    let ring = &tree.ring;
+    let ring = &tree.rollout;
     let build = BuildId(u16::try_from(ring.build?).ok()?);
-    let (hold, roll_back) = (ring.hold == Some(true), ring.back == Some(true));
+    let (hold, roll_back) = (ring.hold == Some(true), ring.roll_back == Some(true));
     Some(RolloutOverride {
         build,
         hold,
@@ -151,7 +155,7 @@
 }
 
 /// The routes of a tree, each with its pool.
-pub fn routes(tree: &Tree) -> Vec<Route> {
+pub fn build_routes(tree: &Tree) -> Vec<Route> {
     let routes = tree.routes.iter().map(|(name, set)| {
         let named = |names: &Option<BTreeSet<Arc<str>>>| names.clone().unwrap_or_default();
         let pool = Pool {
--- a/datastore/src/store.rs
+++ b/datastore/src/store.rs
@@ -8,7 +8,7 @@
 use kestreltide::interface::Revision;
 use serde::{Deserialize, Serialize};
 
-use crate::check::{Context, Drained, Facts, RuleSettings, Seen, check, merged};
+use crate::check::{Context, DrainedHosts, Facts, FirstListed, RuleSettings, check, merged};
 use crate::snapshot::Snapshot;
 use crate::tree::{AdminState, Difference, Tree};
 use crate::validation::{ValidationError, ValidationErrors};
@@ -75,7 +75,8 @@
     pub at: f64,
     pub author: Author,
     /// The revision that stayed in force.
-    pub stays: u64,
+    #[serde(rename = "stays")]
+    pub revision: u64,
     #[serde(rename = "faults")]
     pub errors: ValidationErrors,
 }
@@ -85,13 +86,13 @@
 pub struct InForce {
     pub revision: Revision,
     pub tree: Arc<Tree>,
-    seen: Arc<Seen>,
+    first_listed: Arc<FirstListed>,
 }
 
 impl InForce {
     /// Since when hosts are listed whose start nobody tells.
-    pub fn seen(&self) -> &Seen {
-        &self.seen
+    pub fn first_listed(&self) -> &FirstListed {
+        &self.first_listed
     }
 }
 
@@ -103,7 +104,7 @@
 }
 
 impl Candidate {
-    pub fn of(base: &Arc<InForce>) -> Self {
+    pub fn new(base: &Arc<InForce>) -> Self {
         Candidate {
             base: base.clone(),
             tree: (*base.tree).clone(),
@@ -119,28 +120,28 @@
         &self.base.tree
     }
 
-    pub fn based_on(&self) -> Revision {
+    pub fn base_revision(&self) -> Revision {
         self.base.revision
     }
 }
 
 /// How much of the past is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct History {
+pub struct HistoryLimits {
     pub revisions: usize,
     /// Changed leaves of all kept revisions together.
     pub changes: usize,
-    pub refusals: usize,
+    pub rejections: usize,
     /// Drained processes that are remembered.
     pub drained: usize,
 }
 
-impl Default for History {
+impl Default for HistoryLimits {
     fn default() -> Self {
-        History {
+        HistoryLimits {
             revisions: 1000,
             changes: 10_000,
-            refusals: 16,
+            rejections: 16,
             drained: 64 * 1024,
         }
     }
@@ -151,46 +152,48 @@
 pub struct DatastoreState {
     pub revision: u64,
     pub tree: Arc<Tree>,
-    pub seen: Arc<Seen>,
-    pub drained: Drained,
+    #[serde(rename = "seen")]
+    pub first_listed: Arc<FirstListed>,
+    pub drained: DrainedHosts,
     pub history: VecDeque<RevisionRecord>,
-    pub refusals: VecDeque<RejectedCommit>,
+    #[serde(rename = "refusals")]
+    pub rejections: VecDeque<RejectedCommit>,
 }
 
 /// What a commit led to.
 #[derive(Clone, Debug)]
-pub enum Commit {
+pub enum CommitOutcome {
     /// It is in force as this.
     Applied(Arc<Snapshot>),
     /// It would change nothing.
-    Nothing,
+    Unchanged,
 }
 
 pub struct Datastore {
     terms: RuleSettings,
-    keep: History,
+    keep: HistoryLimits,
     in_force: Arc<InForce>,
     snapshot: Arc<Snapshot>,
-    drained: Drained,
+    drained: DrainedHosts,
     history: VecDeque<RevisionRecord>,
-    refusals: VecDeque<RejectedCommit>,
+    rejections: VecDeque<RejectedCommit>,
 }
 
 impl Datastore {
-    pub fn new(terms: RuleSettings, keep: History) -> Self {
-        Self::remembering(terms, keep, DatastoreState::default())
+    pub fn new(terms: RuleSettings, keep: HistoryLimits) -> Self {
+        Self::from_state(terms, keep, DatastoreState::default())
     }
 
     /// As it was when this was remembered. Nothing is checked again: it was well then, and what has become
     /// dangerous since is guarded when it is used.
-    pub fn remembering(terms: RuleSettings, keep: History, memory: DatastoreState) -> Self {
+    pub fn from_state(terms: RuleSettings, keep: HistoryLimits, memory: DatastoreState) -> Self {
         let DatastoreState {
             revision,
             tree,
-            seen,
+            first_listed: seen,
             drained,
             history,
-            refusals,
+            rejections: refusals,
         } = memory;
         let changes = Tree::default().differences(&tree);
         let (nothing, at) = (
@@ -202,7 +205,7 @@
         let in_force = Arc::new(InForce {
             revision: Revision(revision),
             tree,
-            seen,
+            first_listed: seen,
         });
         let mut store = Datastore {
             terms,
@@ -211,25 +214,25 @@
             snapshot,
             drained,
             history,
-            refusals,
+            rejections: refusals,
         };
         store.forget();
         store
     }
 
-    pub fn memory(&self) -> DatastoreState {
+    pub fn state(&self) -> DatastoreState {
         let InForce {
             revision,
             tree,
-            seen,
+            first_listed: seen,
         } = &*self.in_force;
         DatastoreState {
             revision: revision.0,
             tree: tree.clone(),
-            seen: seen.clone(),
+            first_listed: seen.clone(),
             drained: self.drained.clone(),
             history: self.history.clone(),
-            refusals: self.refusals.clone(),
+            rejections: self.rejections.clone(),
         }
     }
 
@@ -241,8 +244,8 @@
         self.history.iter()
     }
 
-    pub fn refusals(&self) -> impl DoubleEndedIterator<Item = &RejectedCommit> {
-        self.refusals.iter()
+    pub fn rejections(&self) -> impl DoubleEndedIterator<Item = &RejectedCommit> {
+        self.rejections.iter()
     }
 
     /// What is in force, whole, for a loop that has nothing of it yet.
@@ -261,7 +264,7 @@
         candidate: &Candidate,
         author: Author,
         facts: &Facts,
-    ) -> Result<Commit, ValidationErrors> {
+    ) -> Result<CommitOutcome, ValidationErrors> {
         let (tree, seen, changes) = match self.weigh(candidate, facts) {
             Ok(weighed) => weighed,
             Err(errors) => {
@@ -270,7 +273,7 @@
             }
         };
         if changes.is_empty() {
-            return Ok(Commit::Nothing);
+            return Ok(CommitOutcome::Unchanged);
         }
         let revision = Revision(self.in_force.revision.0 + 1);
         let snapshot = Arc::new(Snapshot::new(
@@ -285,7 +288,7 @@
         self.in_force = Arc::new(InForce {
             revision,
             tree: Arc::new(tree),
-            seen: Arc::new(seen),
+            first_listed: Arc::new(seen),
         });
         self.history.push_back(RevisionRecord {
             number: revision.0,
@@ -295,7 +298,7 @@
             changes: changes.into(),
         });
         self.forget();
-        Ok(Commit::Applied(snapshot))
+        Ok(CommitOutcome::Applied(snapshot))
     }
 
     /// An earlier revision again, as a new one: what has been committed since is undone.
@@ -304,7 +307,7 @@
         to: Revision,
         mut author: Author,
         facts: &Facts,
-    ) -> Result<Commit, ValidationErrors> {
+    ) -> Result<CommitOutcome, ValidationErrors> {
         author.source = Source::RolledBack(to.0);
         let tree = match self.tree_at(to) {
             Ok(tree) => tree,
@@ -346,24 +349,24 @@
     }
 
     /// Remembers what never became a candidate, such as a file that cannot be read.
-    pub fn refuse(&mut self, author: Author, at: f64, errors: ValidationErrors) {
+    pub fn record_rejection(&mut self, author: Author, at: f64, errors: ValidationErrors) {
         self.refused(author, at, errors);
     }
 
     fn refused(&mut self, author: Author, at: f64, errors: ValidationErrors) {
         // The same again and again, as somebody tries, is one refusal.
         if let Some(last) = self
-            .refusals
+            .rejections
             .back_mut()
             .filter(|last| last.author == author && last.errors == errors)
         {
             last.at = at;
             return;
         }
-        self.refusals.push_back(RejectedCommit {
+        self.rejections.push_back(RejectedCommit {
             at,
             author,
-            stays: self.in_force.revision.0,
+            revision: self.in_force.revision.0,
             errors,
         });
         self.forget();
@@ -374,7 +377,7 @@
         &self,
         candidate: &Candidate,
         facts: &Facts,
-    ) -> Result<(Tree, Seen, Vec<Difference>), ValidationErrors> {
+    ) -> Result<(Tree, FirstListed, Vec<Difference>), ValidationErrors> {
         let head = &*self.in_force;
         let tree = if candidate.base.revision == head.revision {
             candidate.tree.clone()
@@ -382,7 +385,7 @@
             self.rebased(candidate)?
         };
         let changes = head.tree.differences(&tree);
-        let mut seen = Seen::new();
+        let mut seen = FirstListed::new();
         if head.revision > Revision(0) {
             // Who is listed anew and says no start may have just started.
             let unsaid = tree
@@ -394,14 +397,14 @@
                 let same = before
                     .is_some_and(|old| (old.endpoint, old.build) == (set.endpoint, set.build));
                 let since = if same {
-                    head.seen.get(name).copied()
+                    head.first_listed.get(name).copied()
                 } else {
                     Some(facts.now)
                 };
                 seen.extend(since.map(|since| (name.clone(), since)));
             }
         }
-        let (old, new) = ((&*head.tree, &*head.seen), (&tree, &seen));
+        let (old, new) = ((&*head.tree, &*head.first_listed), (&tree, &seen));
         let context = Context::new(&self.terms, facts, old, new, &self.drained, &changes);
         check(&context).into_result()?;
         Ok((tree, seen, changes))
@@ -464,7 +467,7 @@
     }
 
     /// Remembers whom operators drain, by the process that it was.
-    fn note_drained(&mut self, tree: &Tree, seen: &Seen, facts: &Facts) {
+    fn note_drained(&mut self, tree: &Tree, seen: &FirstListed, facts: &Facts) {
         let draining = |state| state == Some(AdminState::Draining);
         if !tree.hosts.values().any(|set| draining(set.state)) {
             return;
@@ -481,8 +484,8 @@
     }
 
     fn forget(&mut self) {
-        while self.refusals.len() > self.keep.refusals {
-            self.refusals.pop_front();
+        while self.rejections.len() > self.keep.rejections {
+            self.rejections.pop_front();
         }
         let mut changes: usize = self.history.iter().map(|record| record.changes.len()).sum();
         // The newest stays whatever its size.
--- a/datastore/src/tree.rs
+++ b/datastore/src/tree.rs
@@ -124,135 +124,139 @@
     Weight,
     State,
     LargestRemoval,
-    LeastHostsZone,
-    LeastHostsBuild,
+    #[serde(rename = "least-hosts-zone")]
+    MinHostsPerZone,
+    #[serde(rename = "least-hosts-build")]
+    MinHostsPerBuild,
     Precedence,
     Operations,
     KeyPrefix,
     Zones,
     Kinds,
     Hosts,
-    RingBuild,
+    #[serde(rename = "ring-build")]
+    RolloutBuild,
     Hold,
-    Back,
+    #[serde(rename = "back")]
+    RollBack,
     Cap,
 }
 
 /// What a leaf is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Container {
     Host,
     Guards,
     Route,
-    Ring,
+    Rollout,
 }
 
 const NAMED: &str = "a name of letters, digits and . _ : -";
 const NAMES: &str = "names of letters, digits and . _ : -";
 
 /// What each leaf is of, its name there, and what it takes.
-const LEAVES: [(Leaf, Place, &str, &str); 22] = [
+const LEAVES: [(Leaf, Container, &str, &str); 22] = [
     (
         Leaf::Endpoint,
-        Place::Host,
+        Container::Host,
         "endpoint",
         "an address and port, such as 10.1.0.18:6379",
     ),
-    (Leaf::Zone, Place::Host, "zone", NAMED),
+    (Leaf::Zone, Container::Host, "zone", NAMED),
     (
         Leaf::Cell,
-        Place::Host,
+        Container::Host,
         "cell",
         "a whole number from 0 to 4294967295",
     ),
-    (Leaf::Kind, Place::Host, "kind", NAMED),
+    (Leaf::Kind, Container::Host, "kind", NAMED),
     (
         Leaf::Size,
-        Place::Host,
+        Container::Host,
         "size",
         "a number over 0, at most 1000000, 1 for a usual host",
     ),
     (
         Leaf::Build,
-        Place::Host,
+        Container::Host,
         "build",
         "a whole number from 0 to 65535",
     ),
     (
         Leaf::Started,
-        Place::Host,
+        Container::Host,
         "started",
         "a time such as 2026-12-01T03:00:00Z, or seconds since 1970",
     ),
     (
         Leaf::Weight,
-        Place::Host,
+        Container::Host,
         "weight",
         "a number from 0.01 to 100, 1 for an even share",
     ),
     (
         Leaf::State,
-        Place::Host,
+        Container::Host,
         "state",
         "in-service, draining or out",
     ),
     (
         Leaf::LargestRemoval,
-        Place::Guards,
+        Container::Guards,
         "largest-removal",
         "a share from 0 to 1 of the hosts in service",
     ),
     (
-        Leaf::LeastHostsZone,
-        Place::Guards,
+        Leaf::MinHostsPerZone,
+        Container::Guards,
         "least-hosts-zone",
         "a whole number from 0 to 16384",
     ),
     (
-        Leaf::LeastHostsBuild,
-        Place::Guards,
+        Leaf::MinHostsPerBuild,
+        Container::Guards,
         "least-hosts-build",
         "a whole number from 0 to 16384",
     ),
     (
         Leaf::Precedence,
-        Place::Route,
+        Container::Route,
         "precedence",
         "a whole number from 0 to 4294967295, lower first",
     ),
     (
         Leaf::Operations,
-        Place::Route,
+        Container::Route,
         "operation",
         "names of the service's operations",
     ),
     (
         Leaf::KeyPrefix,
-        Place::Route,
+        Container::Route,
         "key-prefix",
         "up to 128 characters",
     ),
-    (Leaf::Zones, Place::Route, "zone", NAMES),
-    (Leaf::Kinds, Place::Route, "kind", NAMES),
-    (Leaf::Hosts, Place::Route, "host", NAMES),
+    (Leaf::Zones, Container::Route, "zone", NAMES),
+    (Leaf::Kinds, Container::Route, "kind", NAMES),
+    (Leaf::Hosts, Container::Route, "host", NAMES),
     (
-        Leaf::RingBuild,
-        Place::Ring,
+        Leaf::RolloutBuild,
+        Container::Rollout,
         "build",
         "the number of the build on trial",
     ),
-    (Leaf::Hold, Place::Ring, "hold", "true or false"),
-    (Leaf::Back, Place::Ring, "back", "true or false"),
+    (Leaf::Hold, Container::Rollout, "hold", "true or false"),
+    (Leaf::RollBack, Container::Rollout, "back", "true or false"),
     (
         Leaf::Cap,
-        Place::Ring,
+        Container::Rollout,
         "cap",
         "a share from 0 to 1, at most the cap told",
     ),
 ];
 
 impl Leaf {
-    fn row(self) -> &'static (Leaf, Place, &'static str, &'static str) {
+    fn row(self) -> &'static (Leaf, Container, &'static str, &'static str) {
         // The table has them in the order of their numbers; a story walks all of them.
         &LEAVES[self as usize]
     }
@@ -262,19 +266,19 @@
     }
 
     /// What the leaf takes, in words.
-    pub fn takes(self) -> &'static str {
+    pub fn expected_format(self) -> &'static str {
         self.row().3
     }
 
-    pub fn place(self) -> Place {
+    pub fn container(self) -> Container {
         self.row().1
     }
 
-    pub fn named(place: Place, name: &str) -> Option<Leaf> {
+    pub fn by_name(place: Container, name: &str) -> Option<Leaf> {
         Leaf::all_of(place).find(|leaf| leaf.name() == name)
     }
 
-    pub fn all_of(place: Place) -> impl Iterator<Item = Leaf> {
+    pub fn all_of(place: Container) -> impl Iterator<Item = Leaf> {
         LEAVES
             .iter()
             .filter(move |row| row.1 == place)
@@ -282,11 +286,11 @@
     }
 
     pub fn of_host(name: &str) -> Option<Leaf> {
-        Leaf::named(Place::Host, name)
+        Leaf::by_name(Container::Host, name)
     }
 
     pub fn of_guards(name: &str) -> Option<Leaf> {
-        Leaf::named(Place::Guards, name)
+        Leaf::by_name(Container::Guards, name)
     }
 
     /// The value that a text says; why it says none.
@@ -298,7 +302,7 @@
             Err(_) => Err("is no number".into()),
         };
         let whole = |most: u32| match text.parse::<u32>() {
-            Ok(number) if number <= most => Ok(Value::Whole(number)),
+            Ok(number) if number <= most => Ok(Value::Integer(number)),
             Ok(_) => Err("is out of range".to_owned()),
             Err(_) => Err("is no whole number in range".into()),
         };
@@ -324,9 +328,9 @@
                 state.ok_or_else(|| "is no administrative state".into())
             }
             Leaf::LargestRemoval | Leaf::Cap => number(0.0, 1.0),
-            Leaf::LeastHostsZone | Leaf::LeastHostsBuild => whole(16 * 1024),
+            Leaf::MinHostsPerZone | Leaf::MinHostsPerBuild => whole(16 * 1024),
             Leaf::Precedence => whole(u32::MAX),
-            Leaf::RingBuild => whole(u32::from(u16::MAX)),
+            Leaf::RolloutBuild => whole(u32::from(u16::MAX)),
             Leaf::Operations | Leaf::Zones | Leaf::Kinds | Leaf::Hosts => {
                 let words = text.split([',', ' ']).filter(|word| !word.is_empty());
                 words.map(name).collect::<Result<_, _>>().map(Value::Names)
@@ -336,9 +340,9 @@
                 _ if text.chars().any(char::is_control) => Err("has control characters".into()),
                 _ => Ok(Value::Text(text.into())),
             },
-            Leaf::Hold | Leaf::Back => match text {
-                "true" => Ok(Value::Flag(true)),
-                "false" => Ok(Value::Flag(false)),
+            Leaf::Hold | Leaf::RollBack => match text {
+                "true" => Ok(Value::Boolean(true)),
+                "false" => Ok(Value::Boolean(false)),
                 _ => Err("is neither true nor false".into()),
             },
         }
@@ -373,10 +377,12 @@
 pub enum Value {
     Address(SocketAddr),
     Text(Arc<str>),
-    Whole(u32),
+    #[serde(rename = "Whole")]
+    Integer(u32),
     Number(f64),
     State(AdminState),
-    Flag(bool),
+    #[serde(rename = "Flag")]
+    Boolean(bool),
     /// In no order.
     Names(BTreeSet<Arc<str>>),
 }
@@ -386,10 +392,10 @@
         match self {
             Value::Address(at) => at.fmt(f),
             Value::Text(text) => text.fmt(f),
-            Value::Whole(number) => number.fmt(f),
+            Value::Integer(number) => number.fmt(f),
             Value::Number(number) => number.fmt(f),
             Value::State(state) => state.fmt(f),
-            Value::Flag(flag) => flag.fmt(f),
+            Value::Boolean(flag) => flag.fmt(f),
             Value::Names(names) => {
                 let names: Vec<&str> = names.iter().map(|name| &**name).collect();
                 f.write_str(&names.join(" "))
@@ -404,15 +410,17 @@
     Host(HostName, Leaf),
     Guards(Leaf),
     Route(RouteName, Leaf),
-    Ring(Leaf),
+    #[serde(rename = "Ring")]
+    Rollout(Leaf),
 }
 
 impl Path {
     pub fn leaf(&self) -> Leaf {
         match self {
-            Path::Host(_, leaf) | Path::Guards(leaf) | Path::Route(_, leaf) | Path::Ring(leaf) => {
-                *leaf
-            }
+            Path::Host(_, leaf)
+            | Path::Guards(leaf)
+            | Path::Route(_, leaf)
+            | Path::Rollout(leaf) => *leaf,
         }
     }
 }
@@ -423,7 +431,7 @@
             Path::Host(host, leaf) => write!(f, "hosts/{host}/{}", leaf.name()),
             Path::Guards(leaf) => write!(f, "guards/{}", leaf.name()),
             Path::Route(route, leaf) => write!(f, "routes/{route}/{}", leaf.name()),
-            Path::Ring(leaf) => write!(f, "ring/{}", leaf.name()),
+            Path::Rollout(leaf) => write!(f, "ring/{}", leaf.name()),
         }
     }
 }
@@ -433,28 +441,28 @@
 
     fn from_str(text: &str) -> Result<Self, ValidationError> {
         let unknown = |what: &str, takes: &str| ValidationError::new(text, what, text, takes);
-        let leaf = |place: Place, name: &str| {
+        let leaf = |place: Container, name: &str| {
             let names = || {
                 Leaf::all_of(place)
                     .map(Leaf::name)
                     .collect::<Vec<_>>()
                     .join(", ")
             };
-            Leaf::named(place, name).ok_or_else(|| unknown("no such leaf", &names()))
+            Leaf::by_name(place, name).ok_or_else(|| unknown("no such leaf", &names()))
         };
         let well = |why: String| unknown(&format!("the name {why}"), NAMED);
         let parts: Vec<_> = text.trim_start_matches('/').split('/').collect();
         match parts.as_slice() {
             ["hosts", host, name] => Ok(Path::Host(
                 host.parse().map_err(well)?,
-                leaf(Place::Host, name)?,
+                leaf(Container::Host, name)?,
             )),
             ["routes", route, name] => Ok(Path::Route(
                 route.parse().map_err(well)?,
-                leaf(Place::Route, name)?,
+                leaf(Container::Route, name)?,
             )),
-            ["guards", name] => Ok(Path::Guards(leaf(Place::Guards, name)?)),
-            ["ring", name] => Ok(Path::Ring(leaf(Place::Ring, name)?)),
+            ["guards", name] => Ok(Path::Guards(leaf(Container::Guards, name)?)),
+            ["ring", name] => Ok(Path::Rollout(leaf(Container::Rollout, name)?)),
             _ => Err(unknown(
                 "no such path",
                 "hosts/NAME/LEAF, routes/NAME/LEAF, guards/LEAF or ring/LEAF",
@@ -490,7 +498,7 @@
 /// What is set of one host. With an endpoint it is an entry of its own; without one it says more of a host that
 /// discovery lists.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct HostSet {
+pub struct HostConfig {
     pub endpoint: Option<SocketAddr>,
     pub zone: Option<Arc<str>>,
     pub cell: Option<u32>,
@@ -502,13 +510,13 @@
     pub state: Option<AdminState>,
 }
 
-leaves!(HostSet {
+leaves!(HostConfig {
     Endpoint => endpoint: Address,
     Zone => zone: Text,
-    Cell => cell: Whole,
+    Cell => cell: Integer,
     Kind => kind: Text,
     Size => size: Number,
-    Build => build: Whole,
+    Build => build: Integer,
     Started => started: Number,
     Weight => weight: Number,
     State => state: State,
@@ -516,7 +524,7 @@
 
 /// What is set of one route: which invocations it is for, and which hosts they may use.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RouteSet {
+pub struct RouteConfig {
     /// Lower goes first.
     pub precedence: Option<u32>,
     pub operations: Option<BTreeSet<Arc<str>>>,
@@ -526,8 +534,8 @@
     pub hosts: Option<BTreeSet<Arc<str>>>,
 }
 
-leaves!(RouteSet {
-    Precedence => precedence: Whole,
+leaves!(RouteConfig {
+    Precedence => precedence: Integer,
     Operations => operations: Names,
     KeyPrefix => key_prefix: Text,
     Zones => zones: Names,
@@ -537,14 +545,20 @@
 
 /// What operators ask of the build on trial.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RingSet {
+pub struct RolloutConfig {
     pub build: Option<u32>,
     pub hold: Option<bool>,
-    pub back: Option<bool>,
+    #[serde(rename = "back")]
+    pub roll_back: Option<bool>,
     pub cap: Option<f64>,
 }
 
-leaves!(RingSet { RingBuild => build: Whole, Hold => hold: Flag, Back => back: Flag, Cap => cap: Number });
+leaves!(RolloutConfig {
+    RolloutBuild => build: Integer,
+    Hold => hold: Boolean,
+    RollBack => roll_back: Boolean,
+    Cap => cap: Number,
+});
 
 /// What a single change may do at most; unset ones are as in [`Guards::IN_FORCE`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -552,9 +566,11 @@
     /// Share of the hosts in service that one revision may take out.
     pub largest_removal: Option<f64>,
     /// Hosts that a revision leaves in service in each zone that it takes some from.
-    pub least_hosts_zone: Option<u32>,
+    #[serde(rename = "least_hosts_zone")]
+    pub min_hosts_per_zone: Option<u32>,
     /// The same for the build that is released, and the one on trial.
-    pub least_hosts_build: Option<u32>,
+    #[serde(rename = "least_hosts_build")]
+    pub min_hosts_per_build: Option<u32>,
 }
 
 impl Guards {
@@ -564,8 +580,8 @@
     pub fn in_force(&self) -> (f64, u32, u32) {
         let (removal, zone, build) = Self::IN_FORCE;
         let least = (
-            self.least_hosts_zone.unwrap_or(zone),
-            self.least_hosts_build.unwrap_or(build),
+            self.min_hosts_per_zone.unwrap_or(zone),
+            self.min_hosts_per_build.unwrap_or(build),
         );
         (self.largest_removal.unwrap_or(removal), least.0, least.1)
     }
@@ -573,8 +589,8 @@
 
 leaves!(Guards {
     LargestRemoval => largest_removal: Number,
-    LeastHostsZone => least_hosts_zone: Whole,
-    LeastHostsBuild => least_hosts_build: Whole,
+    MinHostsPerZone => min_hosts_per_zone: Integer,
+    MinHostsPerBuild => min_hosts_per_build: Integer,
 });
 
 /// A leaf that differs: what it was, and what it is.
@@ -602,12 +618,13 @@
 /// All that operators have set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tree {
-    pub hosts: BTreeMap<HostName, HostSet>,
+    pub hosts: BTreeMap<HostName, HostConfig>,
     pub guards: Guards,
     #[serde(default)]
-    pub routes: BTreeMap<RouteName, RouteSet>,
+    pub routes: BTreeMap<RouteName, RouteConfig>,
     #[serde(default)]
-    pub ring: RingSet,
+    #[serde(rename = "ring")]
+    pub rollout: RolloutConfig,
 }
 
 impl Tree {
@@ -616,7 +633,7 @@
             Path::Host(host, leaf) => self.hosts.get(host)?.get(*leaf),
             Path::Guards(leaf) => self.guards.get(*leaf),
             Path::Route(route, leaf) => self.routes.get(route)?.get(*leaf),
-            Path::Ring(leaf) => self.ring.get(*leaf),
+            Path::Rollout(leaf) => self.rollout.get(*leaf),
         }
     }
 
@@ -627,7 +644,7 @@
             Path::Host(host, leaf) => {
                 let set = self.hosts.entry(host.clone()).or_default();
                 let well = set.set(*leaf, value);
-                if *set == HostSet::default() {
+                if *set == HostConfig::default() {
                     self.hosts.remove(host);
                 }
                 well
@@ -635,13 +652,13 @@
             Path::Route(route, leaf) => {
                 let set = self.routes.entry(route.clone()).or_default();
                 let well = set.set(*leaf, value);
-                if *set == RouteSet::default() {
+                if *set == RouteConfig::default() {
                     self.routes.remove(route);
                 }
                 well
             }
             Path::Guards(leaf) => self.guards.set(*leaf, value),
-            Path::Ring(leaf) => self.ring.set(*leaf, value),
+            Path::Rollout(leaf) => self.rollout.set(*leaf, value),
         };
         if well {
             Ok(())
@@ -650,7 +667,7 @@
                 path,
                 "is of another type",
                 given,
-                path.leaf().takes(),
+                path.leaf().expected_format(),
             ))
         }
     }
@@ -660,30 +677,30 @@
         let mut found = Vec::new();
         both(&self.hosts, &new.hosts, |name, old, new| {
             differ(
-                Place::Host,
+                Container::Host,
                 |leaf| (old.get(leaf), new.get(leaf)),
                 |leaf| Path::Host(name.clone(), leaf),
                 &mut found,
             );
         });
         differ(
-            Place::Guards,
+            Container::Guards,
             |leaf| (self.guards.get(leaf), new.guards.get(leaf)),
             Path::Guards,
             &mut found,
         );
         both(&self.routes, &new.routes, |name, old, new| {
             differ(
-                Place::Route,
+                Container::Route,
                 |leaf| (old.get(leaf), new.get(leaf)),
                 |leaf| Path::Route(name.clone(), leaf),
                 &mut found,
             );
         });
         differ(
-            Place::Ring,
-            |leaf| (self.ring.get(leaf), new.ring.get(leaf)),
-            Path::Ring,
+            Container::Rollout,
+            |leaf| (self.rollout.get(leaf), new.rollout.get(leaf)),
+            Path::Rollout,
             &mut found,
         );
         found
@@ -745,7 +762,7 @@
 }
 
 fn differ(
-    place: Place,
+    place: Container,
     values: impl Fn(Leaf) -> (Option<Value>, Option<Value>),
     path: impl Fn(Leaf) -> Path,
     found: &mut Vec<Difference>,
--- a/datastore/src/tree_builder.rs
+++ b/datastore/src/tree_builder.rs
@@ -18,7 +18,7 @@
 
 impl TreeBuilder {
     /// A host's own section begins here; naming one id twice is an error, of which either could be meant.
-    pub fn host(&mut self, place: &str, name: &str) -> Option<HostName> {
+    pub fn begin_host(&mut self, place: &str, name: &str) -> Option<HostName> {
         let host: HostName = match name.parse() {
             Ok(host) => host,
             Err(why) => {
@@ -63,8 +63,8 @@
                 self.error(ValidationError::new(
                     format!("{place}: {path}"),
                     why,
-                    shown(text),
-                    leaf.takes(),
+                    printable(text),
+                    leaf.expected_format(),
                 ));
             }
         }
@@ -86,7 +86,7 @@
 }
 
 /// A text as it may be shown: nobody's terminal or log is at the mercy of a file.
-pub fn shown(text: &str) -> String {
+pub fn printable(text: &str) -> String {
     const MOST: usize = 80;
     let plain = |c: char| if c.is_control() { '\u{fffd}' } else { c };
     let mut short: String = text.chars().take(MOST).map(plain).collect();
--- a/datastore/src/validation.rs
+++ b/datastore/src/validation.rs
@@ -11,7 +11,8 @@
     OneAnswer,
     NoEffectTwice,
     DrainsKept,
-    ColdHostsCarried,
+    #[serde(rename = "ColdHostsCarried")]
+    WarmUpRespected,
     ExposureCapped,
 }
 
@@ -21,7 +22,7 @@
             Rule::OneAnswer => "rule 1, one final answer in time",
             Rule::NoEffectTwice => "rule 2, no effect twice",
             Rule::DrainsKept => "rule 3, drains are kept",
-            Rule::ColdHostsCarried => "rule 4, no cold host is pushed over",
+            Rule::WarmUpRespected => "rule 4, no cold host is pushed over",
             Rule::ExposureCapped => "rule 5, exposure within the cap",
         })
     }
@@ -41,7 +42,8 @@
     /// The rule that is why, where one is.
     pub rule: Option<Rule>,
     /// When it may have passed by itself, in Unix seconds; `None`: never.
-    pub passes_at: Option<f64>,
+    #[serde(rename = "passes_at")]
+    pub retry_at: Option<f64>,
 }
 
 impl ValidationError {
@@ -57,20 +59,20 @@
             found: found.to_string(),
             expected: expected.to_string(),
             rule: None,
-            passes_at: None,
+            retry_at: None,
         }
     }
 
-    pub fn by(self, rule: Rule) -> Self {
+    pub fn with_rule(self, rule: Rule) -> Self {
         ValidationError {
             rule: Some(rule),
             ..self
         }
     }
 
-    pub fn passing(self, at: f64) -> Self {
+    pub fn with_retry_at(self, at: f64) -> Self {
         ValidationError {
-            passes_at: Some(at),
+            retry_at: Some(at),
             ..self
         }
     }
@@ -97,16 +99,17 @@
     /// How many more there were.
     pub more: usize,
     /// Whether each of them, kept or not, may pass by itself.
-    all_pass: bool,
+    #[serde(rename = "all_pass")]
+    all_retryable: bool,
 }
 
 /// Faults that are kept of one candidate.
-pub const KEPT: usize = 100;
+pub const MAX_KEPT_ERRORS: usize = 100;
 
 impl ValidationErrors {
     pub fn push(&mut self, error: ValidationError) {
-        self.all_pass = (self.is_empty() || self.all_pass) && error.passes_at.is_some();
-        if self.first.len() < KEPT {
+        self.all_retryable = (self.is_empty() || self.all_retryable) && error.retry_at.is_some();
+        if self.first.len() < MAX_KEPT_ERRORS {
             self.first.push(error)
         } else {
             self.more += 1
@@ -118,9 +121,9 @@
     }
 
     /// When all of it may have passed by itself; `None` where something never will.
-    pub fn pass_at(&self) -> Option<f64> {
-        let times = self.first.iter().filter_map(|error| error.passes_at);
-        self.all_pass.then(|| times.fold(f64::MIN, f64::max))
+    pub fn retry_at(&self) -> Option<f64> {
+        let times = self.first.iter().filter_map(|error| error.retry_at);
+        self.all_retryable.then(|| times.fold(f64::MIN, f64::max))
     }
 
     pub fn into_result(self) -> Result<(), ValidationErrors> {
--- a/datastore/src/view.rs
+++ b/datastore/src/view.rs
@@ -9,11 +9,11 @@
 
 /// Counts since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
-    pub taken: u64,
+pub struct RequestCounts {
+    pub admitted: u64,
     pub succeeded: u64,
-    pub throttled: u64,
-    pub terminated: u64,
+    pub shed: u64,
+    pub failed: u64,
     pub attempts: u64,
 }
 
@@ -23,33 +23,33 @@
     pub at: f64,
     /// What discovery lists, also who is gone; `None` where it is not asked.
     pub discovery: Option<Arc<[HostRecord]>>,
-    pub heard: bool,
-    pub news: Option<RolloutStatus>,
+    pub discovery_received: bool,
+    pub rollout: Option<RolloutStatus>,
     /// In force in the loop.
     pub revision: Revision,
     /// Revisions that the loop took since the start, and its longest pause for one, in seconds.
-    pub taken: u64,
-    pub longest_pause: f64,
+    pub revisions_applied: u64,
+    pub longest_apply_time: f64,
     /// Open invocations, clients and connections to hosts.
-    pub open: usize,
+    pub requests_in_flight: usize,
     pub clients: usize,
-    pub links: usize,
-    pub counts: Counts,
+    pub upstream_connections: usize,
+    pub counts: RequestCounts,
 }
 
 impl View {
     pub fn facts(&self, now: f64) -> Facts {
         let View {
             discovery,
-            heard,
-            news,
+            discovery_received: heard,
+            rollout: news,
             ..
         } = self;
         Facts {
             now,
             discovery: discovery.clone(),
-            heard: *heard,
-            news: *news,
+            discovery_received: *heard,
+            rollout: *news,
         }
     }
 }
--- a/datastore/tests/commit_coordinator.rs
+++ b/datastore/tests/commit_coordinator.rs
@@ -2,9 +2,9 @@
 
 use kestreltide::interface::*;
 use kestreltide_datastore::commit_coordinator::{
-    CommitCoordinator, CommitError, Confirm, SessionId, Target,
+    CommitCoordinator, CommitError, ConfirmedCommit, SessionId, Target,
 };
-use kestreltide_datastore::store::Commit;
+use kestreltide_datastore::store::CommitOutcome;
 use kestreltide_datastore::*;
 use rstest::rstest;
 
@@ -13,7 +13,7 @@
 fn facts(at: f64) -> Facts {
     Facts {
         now: NOW + at,
-        heard: true,
+        discovery_received: true,
         ..Facts::default()
     }
 }
@@ -34,10 +34,10 @@
         slow_start_initial_fraction: 0.4,
         slow_start_duration: 4.0,
         overload_multiple: 3.0,
-        most: Maximums::default(),
+        maximums: Maximums::default(),
     };
-    let mut desk = CommitCoordinator::new(Datastore::new(rules, History::default()), None);
-    let mut candidate = Candidate::of(desk.store.in_force());
+    let mut desk = CommitCoordinator::new(Datastore::new(rules, HistoryLimits::default()), None);
+    let mut candidate = Candidate::new(desk.store.in_force());
     for number in 0..4 {
         let leaves = [
             ("endpoint", format!("127.0.0.1:{}", 7000 + number)),
@@ -58,7 +58,7 @@
         &facts(-100.0),
     )
     .expect("well");
-    let (one, two) = (desk.open(), desk.open());
+    let (one, two) = (desk.open_session(), desk.open_session());
     (desk, one, two)
 }
 
@@ -71,7 +71,7 @@
 }
 
 fn edit(desk: &CommitCoordinator, at: &str, text: &str) -> Candidate {
-    let mut candidate = Candidate::of(desk.store.in_force());
+    let mut candidate = Candidate::new(desk.store.in_force());
     put(&mut candidate, at, text);
     candidate
 }
@@ -85,10 +85,10 @@
         .map(|value| value.to_string())
 }
 
-fn confirm(within: f64, persist: Option<&str>) -> Option<Confirm> {
-    Some(Confirm {
-        within,
-        persist: persist.map(str::to_owned),
+fn confirm(within: f64, persist: Option<&str>) -> Option<ConfirmedCommit> {
+    Some(ConfirmedCommit {
+        timeout: within,
+        persist_id: persist.map(str::to_owned),
     })
 }
 
@@ -112,7 +112,7 @@
     assert_eq!(desk.unlock(two, target), Err(CommitError::LockNotHeld));
     desk.commit(Some(one), &candidate, author("x"), None, None, &facts(0.0))
         .expect("its own");
-    desk.ended(one, &facts(1.0));
+    desk.close_session(one, &facts(1.0));
     desk.lock(two, target).expect("free again");
     desk.unlock(two, target).expect("held");
 }
@@ -147,13 +147,17 @@
             matches!(refused, Err(CommitError::CommitPending(pending)) if pending.author == author("ana"))
         );
     }
-    assert!(desk.tick(&facts(9.9)).is_none() && desk.due() == Some(NOW + 10.0));
+    assert!(desk.expire_pending(&facts(9.9)).is_none() && desk.next_expiry() == Some(NOW + 10.0));
     assert!(matches!(
-        desk.tick(&facts(10.0)),
-        Some(Ok(Commit::Applied(_)))
+        desk.expire_pending(&facts(10.0)),
+        Some(Ok(CommitOutcome::Applied(_)))
     ));
     assert_eq!(
-        (weight(&desk), desk.store.in_force().revision, desk.due()),
+        (
+            weight(&desk),
+            desk.store.in_force().revision,
+            desk.next_expiry()
+        ),
         (None, Revision(3), None)
     );
 }
@@ -183,11 +187,12 @@
     )
     .expect("well");
     assert_eq!(
-        desk.pending().map(|pending| (pending.to, pending.until)),
+        desk.pending()
+            .map(|pending| (pending.rolls_back_to, pending.expires_at)),
         Some((1, NOW + 15.0))
     );
     desk.confirm(Some(one), None).expect("it is its own");
-    assert!(desk.tick(&facts(100.0)).is_none());
+    assert!(desk.expire_pending(&facts(100.0)).is_none());
     assert_eq!(
         desk.confirm(Some(one), None),
         Err(CommitError::NoPendingCommit)
@@ -213,7 +218,7 @@
         &facts(0.0),
     )
     .expect("well");
-    assert_eq!(desk.ended(one, &facts(1.0)).is_some(), undone);
+    assert_eq!(desk.close_session(one, &facts(1.0)).is_some(), undone);
     assert_eq!(weight(&desk).is_none(), undone);
     if let Some(name) = name {
         assert_eq!(
@@ -250,15 +255,15 @@
         slow_start_initial_fraction: 0.4,
         slow_start_duration: 4.0,
         overload_multiple: 3.0,
-        most: Maximums::default(),
+        maximums: Maximums::default(),
     };
-    let store = Datastore::remembering(rules, History::default(), desk.store.memory());
+    let store = Datastore::from_state(rules, HistoryLimits::default(), desk.store.state());
     let mut again =
         CommitCoordinator::new(store, serde_json::from_str(&text).expect("it reads back"));
     assert_eq!(weight(&again), Some("2".into()));
     assert!(matches!(
-        again.tick(&facts(5.0)),
-        Some(Ok(Commit::Applied(_)))
+        again.expire_pending(&facts(5.0)),
+        Some(Ok(CommitOutcome::Applied(_)))
     ));
     assert_eq!(weight(&again), None);
 }
@@ -277,11 +282,11 @@
     )
     .expect("well");
     // Undoing the drain would take a draining host back in.
-    let Some(Err(errors)) = desk.tick(&facts(10.0)) else {
+    let Some(Err(errors)) = desk.expire_pending(&facts(10.0)) else {
         panic!("it is refused")
     };
     assert_eq!(errors.first[0].rule, Some(Rule::DrainsKept));
-    assert!(desk.due().is_none() && desk.store.refusals().count() == 1);
+    assert!(desk.next_expiry().is_none() && desk.store.rejections().count() == 1);
 }
 
 #[test]
--- a/datastore/tests/commits.rs
+++ b/datastore/tests/commits.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use kestreltide::interface::*;
-use kestreltide_datastore::store::{Commit, RejectedCommit};
+use kestreltide_datastore::store::{CommitOutcome, RejectedCommit};
 use kestreltide_datastore::*;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -19,14 +19,14 @@
         slow_start_initial_fraction: 0.4,
         slow_start_duration: 4.0,
         overload_multiple: 3.0,
-        most: Maximums::default(),
+        maximums: Maximums::default(),
     }
 }
 
 fn facts(at: f64) -> Facts {
     Facts {
         now: NOW + at,
-        heard: true,
+        discovery_received: true,
         ..Facts::default()
     }
 }
@@ -69,8 +69,8 @@
 
 /// A store with so many hosts in two zones, as its first revision, taken long ago.
 fn fleet(hosts: u16) -> Datastore {
-    let mut store = Datastore::new(rules(), History::default());
-    let mut candidate = Candidate::of(store.in_force());
+    let mut store = Datastore::new(rules(), HistoryLimits::default());
+    let mut candidate = Candidate::new(store.in_force());
     for number in 0..hosts {
         let zone = if number % 2 == 0 { "north" } else { "south" };
         host(
@@ -91,13 +91,13 @@
     store: &mut Datastore,
     edits: &[(&str, &str)],
     facts: &Facts,
-) -> Result<Commit, ValidationErrors> {
-    let mut candidate = Candidate::of(store.in_force());
+) -> Result<CommitOutcome, ValidationErrors> {
+    let mut candidate = Candidate::new(store.in_force());
     edit(&mut candidate.tree, edits);
     store.commit(&candidate, author("test"), facts)
 }
 
-fn refused(result: Result<Commit, ValidationErrors>) -> Vec<ValidationError> {
+fn refused(result: Result<CommitOutcome, ValidationErrors>) -> Vec<ValidationError> {
     result.expect_err("it is refused").first
 }
 
@@ -109,7 +109,7 @@
         &[("hosts/h1/weight", "2"), ("hosts/h3/state", "draining")],
         &facts(0.0),
     );
-    let Ok(Commit::Applied(snapshot)) = taken else {
+    let Ok(CommitOutcome::Applied(snapshot)) = taken else {
         panic!("taken: {taken:?}")
     };
     assert_eq!(snapshot.revision(), Revision(2));
@@ -117,15 +117,15 @@
     let mut changed = vec![named("h1"), named("h3")];
     changed.sort();
     assert_eq!(*snapshot.changed, changed);
-    assert_eq!(*snapshot.set.weights, [(named("h1"), 2.0)]);
+    assert_eq!(*snapshot.overrides.weights, [(named("h1"), 2.0)]);
     let state = snapshot
-        .said(named("h3"))
+        .configured(named("h3"))
         .and_then(|said| said.entry)
         .map(|entry| entry.state);
     assert_eq!(state, Some(HostState::Stopping));
     let again = try_edits(&mut store, &[("hosts/h1/weight", "2")], &facts(0.0));
     assert!(
-        matches!(again, Ok(Commit::Nothing)),
+        matches!(again, Ok(CommitOutcome::Unchanged)),
         "nothing changes, and no number is used up"
     );
 }
@@ -133,7 +133,7 @@
 #[test]
 fn all_faults_of_a_candidate_are_told_and_nothing_of_it_stays() {
     let mut store = fleet(4);
-    let before = store.memory();
+    let before = store.state();
     let edits = [
         ("hosts/new/endpoint", "127.0.0.1:7001"),
         ("hosts/new/zone", "north"),
@@ -150,12 +150,17 @@
         "hosts/nobody",
     ];
     assert_eq!(paths, expected.into_iter().collect());
-    let after = store.memory();
+    let after = store.state();
     assert_eq!(
         (after.tree, after.revision, after.history.len()),
         (before.tree, before.revision, 1)
     );
-    let Some(RejectedCommit { stays, errors, .. }) = store.refusals().next_back() else {
+    let Some(RejectedCommit {
+        revision: stays,
+        errors,
+        ..
+    }) = store.rejections().next_back()
+    else {
         panic!("it is remembered")
     };
     assert_eq!((*stays, errors.first.len()), (1, 4));
@@ -216,7 +221,7 @@
     let mut store = fleet(40);
     let rules = RuleSettings { routers, ..rules() };
     try_edits(&mut store, &[("hosts/h0/started", "1000000")], &facts(0.0)).expect("a start");
-    let mut store = Datastore::remembering(rules, History::default(), store.memory());
+    let mut store = Datastore::from_state(rules, HistoryLimits::default(), store.state());
     let result = try_edits(&mut store, &[("hosts/h0/weight", weight)], &facts(0.1));
     let Some((who, later)) = expected else {
         return drop(result.expect("it carries that"));
@@ -226,10 +231,10 @@
         panic!("one fault: {errors}")
     };
     assert!(
-        error.problem.starts_with(who) && error.rule == Some(Rule::ColdHostsCarried),
+        error.problem.starts_with(who) && error.rule == Some(Rule::WarmUpRespected),
         "{error}"
     );
-    let passes = errors.pass_at().expect("it passes by itself");
+    let passes = errors.retry_at().expect("it passes by itself");
     assert!((passes - NOW - later).abs() < 0.2, "{}", passes - NOW);
     try_edits(
         &mut store,
@@ -242,14 +247,15 @@
 #[test]
 fn a_host_listed_anew_without_a_start_counts_as_just_started() {
     let mut store = fleet(10);
-    let mut candidate = Candidate::of(store.in_force());
+    let mut candidate = Candidate::new(store.in_force());
     host(&mut candidate.tree, "new", 9000, "north", 41);
-    let Ok(Commit::Applied(snapshot)) = store.commit(&candidate, author("test"), &facts(0.0))
+    let Ok(CommitOutcome::Applied(snapshot)) =
+        store.commit(&candidate, author("test"), &facts(0.0))
     else {
         panic!()
     };
     let entry = snapshot
-        .said(HostId::named("new"))
+        .configured(HostId::named("new"))
         .and_then(|said| said.entry);
     assert_eq!(entry.and_then(|entry| entry.started), Some(NOW));
     assert!(try_edits(&mut store, &[("hosts/new/weight", "30")], &facts(0.5)).is_err());
@@ -279,7 +285,7 @@
     );
     // Not by way of "out", nor after it has been left off the list, nor by a new memory.
     try_edits(&mut store, &[("hosts/h1/state", "out")], &facts(6.0)).expect("out");
-    let mut store = Datastore::remembering(rules(), History::default(), store.memory());
+    let mut store = Datastore::from_state(rules(), HistoryLimits::default(), store.state());
     assert!(try_edits(&mut store, back, &facts(7.0)).is_err());
     let new = [
         ("hosts/h1/state", "in-service"),
@@ -314,10 +320,10 @@
         age: 1.0,
         answers_vote: false,
     };
-    let mut candidate = Candidate::of(store.in_force());
+    let mut candidate = Candidate::new(store.in_force());
     host(&mut candidate.tree, "new", 9000, "north", 42);
     let facts = Facts {
-        news: Some(news),
+        rollout: Some(news),
         ..facts(0.0)
     };
     assert_eq!(
@@ -329,7 +335,7 @@
 #[test]
 fn the_build_on_trial_and_the_released_one_keep_hosts() {
     let mut store = fleet(4);
-    let mut candidate = Candidate::of(store.in_force());
+    let mut candidate = Candidate::new(store.in_force());
     host(&mut candidate.tree, "new", 9000, "north", 42);
     store
         .commit(&candidate, author("test"), &facts(0.0))
@@ -345,7 +351,7 @@
         answers_vote: false,
     };
     let facts = Facts {
-        news: Some(news),
+        rollout: Some(news),
         ..facts(1.0)
     };
     let errors = refused(try_edits(&mut store, &[("hosts/new/state", "out")], &facts));
@@ -360,8 +366,8 @@
 fn of_two_who_change_one_leaf_the_second_is_told_who_was_first() {
     let mut store = fleet(4);
     let (mut one, mut two) = (
-        Candidate::of(store.in_force()),
-        Candidate::of(store.in_force()),
+        Candidate::new(store.in_force()),
+        Candidate::new(store.in_force()),
     );
     edit(
         &mut one.tree,
@@ -399,8 +405,8 @@
 fn who_changes_other_leaves_is_taken_on_top_and_checked_with_what_is_there() {
     let mut store = fleet(4);
     let (mut one, mut two) = (
-        Candidate::of(store.in_force()),
-        Candidate::of(store.in_force()),
+        Candidate::new(store.in_force()),
+        Candidate::new(store.in_force()),
     );
     let mut three = two.clone();
     edit(&mut one.tree, &[("hosts/h1/state", "out")]);
@@ -452,13 +458,13 @@
 #[test]
 fn history_is_bounded_by_revisions_and_by_what_they_changed() {
     let mut store = fleet(10);
-    let keep = History {
+    let keep = HistoryLimits {
         revisions: 20,
         changes: 60,
-        refusals: 4,
+        rejections: 4,
         drained: 8,
     };
-    store = Datastore::remembering(rules(), keep, store.memory());
+    store = Datastore::from_state(rules(), keep, store.state());
     for number in 0..100u32 {
         let edits: Vec<_> = (0..8)
             .map(|host| {
@@ -486,7 +492,7 @@
             .sum::<usize>()
             <= 60
     );
-    assert!(store.history().count() <= 7 && store.refusals().count() <= 4);
+    assert!(store.history().count() <= 7 && store.rejections().count() <= 4);
     let oldest = store
         .history()
         .next()
@@ -540,24 +546,24 @@
     };
     let mut tree = Tree::default();
     edit(&mut tree, &[(at, text)]);
-    let all = check::merged(&tree, &check::Seen::new(), &facts);
+    let all = check::merged(&tree, &check::FirstListed::new(), &facts);
     let name = at.split('/').nth(1).expect("a host");
     assert!(holds(&all[name]), "{:?}", all[name]);
 }
 
 #[test]
 fn what_waits_for_discovery_is_held_and_not_refused_for_good() {
-    let mut store = Datastore::new(rules(), History::default());
+    let mut store = Datastore::new(rules(), HistoryLimits::default());
     let facts = Facts {
         discovery: Some([].into()),
-        heard: false,
+        discovery_received: false,
         ..facts(0.0)
     };
     let errors = try_edits(&mut store, &[("hosts/d1/weight", "2")], &facts).expect_err("not yet");
-    assert!(errors.pass_at().is_some());
+    assert!(errors.retry_at().is_some());
     let facts = Facts {
         discovery: Some([listed("d1", 8001, HostState::Running)].into()),
-        heard: true,
+        discovery_received: true,
         ..facts
     };
     try_edits(&mut store, &[("hosts/d1/weight", "2")], &facts).expect("discovery lists it");
@@ -566,11 +572,11 @@
 /// So much memory, where a host takes 100 + 150 bytes and a name in a route one byte.
 fn bearing(most: usize) -> Maximums {
     let memory = MemorySettings {
-        most,
-        host: 100,
-        host_set: 150,
-        route: 0,
-        route_name: 1,
+        maximum: most,
+        per_host: 100,
+        per_configured_host: 150,
+        per_route: 0,
+        per_route_name: 1,
     };
     Maximums {
         memory,
@@ -589,15 +595,21 @@
         "hosts: take more memory than the router has for them (given: 1003 bytes for 4 hosts and 2 routes; taken: 1000 bytes at most)"
     )
 )]
-#[case::memory_of_routes(Maximums { memory: MemorySettings { route: 500, ..bearing(1000).memory }, ..Maximums::default() }, Some("routes: take more memory than the router has for them (given: 2003 bytes for 4 hosts and 2 routes; taken: 1000 bytes at most)"))]
+#[case::memory_of_routes(Maximums { memory: MemorySettings { per_route: 500, ..bearing(1000).memory }, ..Maximums::default() }, Some("routes: take more memory than the router has for them (given: 2003 bytes for 4 hosts and 2 routes; taken: 1000 bytes at most)"))]
 #[case::memory_enough(bearing(1003), None)]
 #[case::names(Maximums { route_names: 2, ..Maximums::default() }, Some("routes: name more than a router keeps (given: 3; taken: 2 at most)"))]
 fn what_is_more_than_a_router_keeps_is_refused_by_its_name(
     #[case] most: Maximums,
     #[case] why: Option<&str>,
 ) {
-    let mut store = Datastore::new(RuleSettings { most, ..rules() }, History::default());
-    let mut candidate = Candidate::of(store.in_force());
+    let mut store = Datastore::new(
+        RuleSettings {
+            maximums: most,
+            ..rules()
+        },
+        HistoryLimits::default(),
+    );
+    let mut candidate = Candidate::new(store.in_force());
     (0..4).for_each(|number| {
         host(
             &mut candidate.tree,
@@ -691,7 +703,7 @@
         "{}",
         errors[0]
     );
-    let mut candidate = Candidate::of(store.in_force());
+    let mut candidate = Candidate::new(store.in_force());
     candidate.tree.hosts.remove(&"h1".parse().expect("a name"));
     let errors = refused(store.commit(&candidate, author("test"), &facts(0.0)));
     assert!(
@@ -723,7 +735,7 @@
         answers_vote: false,
     };
     let facts = Facts {
-        news: Some(news),
+        rollout: Some(news),
         ..facts(0.0)
     };
     let mut store = fleet(4);
@@ -733,7 +745,7 @@
     }
     // A wish of a build that has passed is in nobody's way.
     let later = Facts {
-        news: Some(RolloutStatus {
+        rollout: Some(RolloutStatus {
             build: BuildId(43),
             ..news
         }),
@@ -752,10 +764,10 @@
     )
     .expect("2");
     let _ = try_edits(&mut store, &[("hosts/x/weight", "1")], &facts(1.0));
-    let text = serde_json::to_string(&store.memory()).expect("it has a form");
+    let text = serde_json::to_string(&store.state()).expect("it has a form");
     let memory: DatastoreState = serde_json::from_str(&text).expect("it reads back");
-    assert_eq!(memory, store.memory());
-    let again = Datastore::remembering(rules(), History::default(), memory);
+    assert_eq!(memory, store.state());
+    let again = Datastore::from_state(rules(), HistoryLimits::default(), memory);
     assert_eq!(*again.in_force().tree, *store.in_force().tree);
     assert_eq!(again.snapshot().hosts.len(), 6);
 }
@@ -785,13 +797,13 @@
         let mut trees = vec![(store.in_force().revision, store.in_force().tree.clone())];
         for (number, (edits, back)) in tries.iter().enumerate() {
             let base = &bases[bases.len().saturating_sub(1 + back)];
-            let mut candidate = Candidate::of(base);
+            let mut candidate = Candidate::new(base);
             for (at, text) in edits {
                 edit(&mut candidate.tree, &[(at, text)]);
             }
             let before = (store.in_force().revision, store.in_force().tree.clone());
             match store.commit(&candidate, author("any"), &facts(number as f64)) {
-                Ok(Commit::Applied(snapshot)) => {
+                Ok(CommitOutcome::Applied(snapshot)) => {
                     prop_assert_eq!(snapshot.revision(), Revision(before.0.0 + 1));
                     let changes = &store.history().next_back().expect("a record").changes;
                     prop_assert_eq!(&before.1.patched(changes, false).expect("it applies"), &*store.in_force().tree);
@@ -799,7 +811,7 @@
                     bases.push(store.in_force().clone());
                     trees.push((store.in_force().revision, store.in_force().tree.clone()));
                 }
-                Ok(Commit::Nothing) | Err(_) => {
+                Ok(CommitOutcome::Unchanged) | Err(_) => {
                     prop_assert_eq!(before, (store.in_force().revision, store.in_force().tree.clone()));
                 }
             }
--- a/file-watch/src/debounce.rs
+++ b/file-watch/src/debounce.rs
@@ -5,21 +5,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DebounceSettings {
     /// Without a change for this time, files are taken for written.
-    pub debounce: f64,
+    pub quiet_period: f64,
     /// Files that change all the time are looked at all the same after this time.
-    pub longest: f64,
+    pub max_delay: f64,
     /// Between looks where no notice comes.
-    pub poll: f64,
+    pub poll_interval: f64,
     /// Between versions that are offered: who flaps is followed no faster.
-    pub apart: f64,
+    pub min_interval: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     /// What was seen last has been dealt with.
-    Still,
+    Settled,
     /// Something has stirred: since when, when it last changed, and what it was then.
-    Stirred {
+    Changing {
         since: f64,
         changed: f64,
         digest: u64,
@@ -28,11 +28,11 @@
 
 /// What to do with what was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum DebounceAction {
     /// Wait: nothing is new, or it has not settled.
-    Nothing,
+    Wait,
     /// It may be offered if it is whole by its ends; if not, it may still be written.
-    Try,
+    OfferIfComplete,
     /// It has settled: if it is not whole now, that is how it was meant.
     Offer,
 }
@@ -52,49 +52,49 @@
     pub fn new(patience: DebounceSettings) -> Self {
         Debouncer {
             patience,
-            state: State::Still,
+            state: State::Settled,
             done: None,
             noticed: true,
         }
     }
 
     /// This is in force already.
-    pub fn dealt_with(&mut self, now: f64, digest: u64) {
-        (self.state, self.done) = (State::Still, Some((digest, now)));
+    pub fn mark_handled(&mut self, now: f64, digest: u64) {
+        (self.state, self.done) = (State::Settled, Some((digest, now)));
     }
 
     /// Something may have changed.
-    pub fn notice(&mut self) {
+    pub fn mark_changed(&mut self) {
         self.noticed = true;
     }
 
     /// Whether the content is to be read though its mark is as it was.
-    pub fn wants_content(&self) -> bool {
-        self.noticed || self.state != State::Still
+    pub fn needs_read(&self) -> bool {
+        self.noticed || self.state != State::Settled
     }
 
     /// What was read now; what is offered counts as dealt with, what is tried only once it was whole.
-    pub fn read(&mut self, now: f64, digest: u64) -> Step {
+    pub fn observe(&mut self, now: f64, digest: u64) -> DebounceAction {
         self.noticed = false;
         let DebounceSettings {
-            debounce,
-            longest,
-            apart,
+            quiet_period: debounce,
+            max_delay: longest,
+            min_interval: apart,
             ..
         } = self.patience;
-        if self.done.is_some_and(|(done, _)| done == digest) && self.state == State::Still {
-            return Step::Nothing;
+        if self.done.is_some_and(|(done, _)| done == digest) && self.state == State::Settled {
+            return DebounceAction::Wait;
         }
         let (since, changed) = match self.state {
-            State::Stirred {
+            State::Changing {
                 since,
                 changed,
                 digest: before,
             } if before == digest => (since, changed),
-            State::Stirred { since, .. } => (since, now),
-            State::Still => (now, now),
+            State::Changing { since, .. } => (since, now),
+            State::Settled => (now, now),
         };
-        self.state = State::Stirred {
+        self.state = State::Changing {
             since,
             changed,
             digest,
@@ -102,32 +102,34 @@
         let settled = now - changed >= debounce;
         if settled && self.done.is_some_and(|(done, _)| done == digest) {
             // It went and came back before anybody took it.
-            self.state = State::Still;
-            return Step::Nothing;
+            self.state = State::Settled;
+            return DebounceAction::Wait;
         }
         let late = now - since >= longest;
         let soon = self.done.is_some_and(|(_, at)| now - at < apart);
         match () {
-            () if soon => Step::Nothing,
+            () if soon => DebounceAction::Wait,
             () if settled => {
-                self.dealt_with(now, digest);
-                Step::Offer
+                self.mark_handled(now, digest);
+                DebounceAction::Offer
             }
-            () if late => Step::Try,
-            () => Step::Nothing,
+            () if late => DebounceAction::OfferIfComplete,
+            () => DebounceAction::Wait,
         }
     }
 
     /// How long to sleep where no notice comes.
-    pub fn next_look(&self, now: f64) -> f64 {
+    pub fn next_poll_delay(&self, now: f64) -> f64 {
         let soon = self
             .done
-            .map_or(0.0, |(_, at)| at + self.patience.apart - now);
+            .map_or(0.0, |(_, at)| at + self.patience.min_interval - now);
         match self.state {
-            State::Still => self.patience.poll,
-            State::Stirred { changed, .. } => {
-                let settled = changed + self.patience.debounce - now;
-                settled.max(soon).clamp(SHORTEST, self.patience.poll)
+            State::Settled => self.patience.poll_interval,
+            State::Changing { changed, .. } => {
+                let settled = changed + self.patience.quiet_period - now;
+                settled
+                    .max(soon)
+                    .clamp(SHORTEST, self.patience.poll_interval)
             }
         }
     }
--- a/file-watch/src/ini.rs
+++ b/file-watch/src/ini.rs
@@ -2,7 +2,7 @@
 //! reading itself is rust-ini's; it does not tell lines, which are found again in the text.
 
 use ini::{Ini, ParseOption};
-use kestreltide_datastore::tree_builder::shown;
+use kestreltide_datastore::tree_builder::printable;
 use kestreltide_datastore::{ValidationError, ValidationErrors};
 
 /// One key with its value.
@@ -51,7 +51,7 @@
         ValidationError::new(
             format!("{place}:{}", e.line),
             format!("is no INI: {}", e.msg),
-            shown(found),
+            printable(found),
             "[section] or key = value",
         )
     })?;
@@ -133,7 +133,7 @@
 }
 
 /// That a name is not known, and which may have been meant.
-pub fn unknown<'a>(
+pub fn unknown_name<'a>(
     path: &str,
     what: &str,
     name: &str,
@@ -144,11 +144,11 @@
         Some(near) => format!("{near}? All: {}", names.join(", ")),
         None => "nothing".into(),
     };
-    ValidationError::new(path, format!("no such {what}"), shown(name), taken)
+    ValidationError::new(path, format!("no such {what}"), printable(name), taken)
 }
 
 /// Pushes a fault for each key that stands twice, or is not among these.
-pub fn known_keys(
+pub fn check_keys(
     place: &str,
     section: &Section,
     known: &[&str],
@@ -159,10 +159,10 @@
             "{place}:{}: [{}] {}",
             key.line,
             section.name,
-            shown(&key.name)
+            printable(&key.name)
         );
         if !known.contains(&key.name.as_str()) {
-            validation_errors.push(unknown(&path, "key", &key.name, known.iter().copied()));
+            validation_errors.push(unknown_name(&path, "key", &key.name, known.iter().copied()));
         } else if section.keys[..number]
             .iter()
             .any(|before| before.name == key.name)
@@ -170,7 +170,7 @@
             validation_errors.push(ValidationError::new(
                 path,
                 "stands twice",
-                shown(&key.value),
+                printable(&key.value),
                 "each key once",
             ));
         }
--- a/file-watch/src/lib.rs
+++ b/file-watch/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod read_file;
 pub mod watch;
 
-pub use debounce::{DebounceSettings, Debouncer, Step};
-pub use parse::{Kind, Parsed, Version, keys, version};
+pub use debounce::{DebounceAction, DebounceSettings, Debouncer};
+pub use parse::{FileKind, Parsed, Version, parse_keys, parse_version};
 pub use read_file::{Content, ReadError};
-pub use watch::{WatchEvent, Watched, parse_files, poll_files, run};
+pub use watch::{WatchEvent, WatchSettings, parse_files, poll_files, run};
--- a/file-watch/src/notifier.rs
+++ b/file-watch/src/notifier.rs
@@ -48,12 +48,12 @@
             }
         }
         let mut notifier = FileNotifier { watcher, folders };
-        notifier.renew();
+        notifier.renew_watches();
         notifier
     }
 
     /// Watches anew what is another folder now, or has come back. True where something was.
-    pub fn renew(&mut self) -> bool {
+    pub fn renew_watches(&mut self) -> bool {
         let Some(watcher) = &mut self.watcher else {
             return false;
         };
@@ -72,7 +72,7 @@
     }
 
     /// Whether notices come at all.
-    pub fn come(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.watcher.is_some() && self.folders.values().any(Option::is_some)
     }
 }
--- a/file-watch/src/parse.rs
+++ b/file-watch/src/parse.rs
@@ -4,18 +4,18 @@
 
 use std::str;
 
-use kestreltide_datastore::tree_builder::shown;
+use kestreltide_datastore::tree_builder::printable;
 use kestreltide_datastore::{
-    HostName, Key, Keys, Leaf, Path, Place, Proof, Rights, Tree, TreeBuilder, ValidationError,
+    Container, HostName, Key, Keys, Leaf, Path, Proof, Rights, Tree, TreeBuilder, ValidationError,
     ValidationErrors,
 };
 
-use crate::ini::{self, Section, unknown};
+use crate::ini::{self, Section, unknown_name};
 use crate::read_file::Content;
 
 /// Which file it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FileKind {
     /// `[host NAME]` with the leaves of each, and `[guards]`.
     Hosts,
     /// `[weights]` and `[states]`, by hosts' names.
@@ -43,11 +43,11 @@
     /// The files are whole, belong together and pass all checks.
     Complete(V),
     /// Each file is whole, but they do not belong together: one may still be written.
-    Apart(ValidationErrors),
+    Mismatched(ValidationErrors),
     /// Some file may still be written.
-    Torn(ValidationErrors),
+    Incomplete(ValidationErrors),
     /// Whole, and wrong.
-    Wrong(ValidationErrors),
+    Invalid(ValidationErrors),
 }
 
 struct Ends {
@@ -55,7 +55,7 @@
 }
 
 /// What these files say together; `place` is how each is called in what is shown.
-pub fn version(files: &[(Kind, &str, &Content)]) -> Parsed<Version> {
+pub fn parse_version(files: &[(FileKind, &str, &Content)]) -> Parsed<Version> {
     let (mut candidate, mut incomplete, mut validation_errors) = (
         TreeBuilder::default(),
         ValidationErrors::default(),
@@ -82,7 +82,7 @@
         }
     }
     if !incomplete.is_empty() {
-        return Parsed::Torn(incomplete);
+        return Parsed::Incomplete(incomplete);
     }
     let tree = candidate.finish();
     if let Err(found) = &tree {
@@ -90,18 +90,18 @@
         validation_errors.more += found.more;
     }
     let Some((first, generation)) = generations.first().cloned() else {
-        return Parsed::Wrong(validation_errors);
+        return Parsed::Invalid(validation_errors);
     };
     if let Some((place, other)) = generations.iter().find(|(_, other)| *other != generation) {
         let what = format!(
             "is of another generation than {first}, which names {}",
-            shown(&generation)
+            printable(&generation)
         );
-        return Parsed::Apart(
+        return Parsed::Mismatched(
             ValidationError::new(
                 format!("{place}: generation"),
                 what,
-                shown(other),
+                printable(other),
                 "one generation for all files",
             )
             .into(),
@@ -109,7 +109,7 @@
     }
     match tree {
         Ok(tree) if validation_errors.is_empty() => Parsed::Complete(Version { generation, tree }),
-        _ => Parsed::Wrong(validation_errors),
+        _ => Parsed::Invalid(validation_errors),
     }
 }
 
@@ -132,23 +132,23 @@
 }
 
 /// Who may come in, as a file of keys says.
-pub fn keys(place: &str, content: &Content) -> Parsed<Keys> {
+pub fn parse_keys(place: &str, content: &Content) -> Parsed<Keys> {
     let text = match text_of(place, content) {
         Ok(text) => text,
-        Err(why) if why.0 => return Parsed::Torn(why.1.into()),
-        Err(why) => return Parsed::Wrong(why.1.into()),
+        Err(why) if why.0 => return Parsed::Incomplete(why.1.into()),
+        Err(why) => return Parsed::Invalid(why.1.into()),
     };
     let (mut found, mut validation_errors) = (vec![], ValidationErrors::default());
     let read = parse_framed(
-        Kind::Keys,
+        FileKind::Keys,
         place,
         text,
         &mut validation_errors,
-        |body, validation_errors| parse_keys(place, body, &mut found, validation_errors),
+        |body, validation_errors| parse_key_sections(place, body, &mut found, validation_errors),
     );
     match read {
-        Err(error) => Parsed::Torn(error.into()),
-        Ok(_) if !validation_errors.is_empty() => Parsed::Wrong(validation_errors),
+        Err(error) => Parsed::Incomplete(error.into()),
+        Ok(_) if !validation_errors.is_empty() => Parsed::Invalid(validation_errors),
         Ok(Ends { generation }) => Parsed::Complete(Keys {
             generation: generation.unwrap_or_default(),
             keys: found,
@@ -156,7 +156,7 @@
     }
 }
 
-fn parse_keys(
+fn parse_key_sections(
     place: &str,
     body: &[Section],
     found: &mut Vec<Key>,
@@ -170,10 +170,15 @@
             .map(str::trim)
             .filter(|name| !name.is_empty())
         else {
-            validation_errors.push(unknown(&at, "section", &section.name, ["key NAME", END]));
+            validation_errors.push(unknown_name(
+                &at,
+                "section",
+                &section.name,
+                ["key NAME", END],
+            ));
             continue;
         };
-        ini::known_keys(
+        ini::check_keys(
             place,
             section,
             &["ssh", "certificate", "rights"],
@@ -226,7 +231,12 @@
         Ok(rights) => Some(rights),
         Err(why) => {
             let path = format!("{place}:{}: [key {name}] rights", key.line);
-            validation_errors.push(ValidationError::new(path, why, shown(&key.value), taken));
+            validation_errors.push(ValidationError::new(
+                path,
+                why,
+                printable(&key.value),
+                taken,
+            ));
             None
         }
     }
@@ -252,7 +262,7 @@
                 validation_errors.push(ValidationError::new(
                     path,
                     "is no public key",
-                    shown(&key.value),
+                    printable(&key.value),
                     taken,
                 ));
             }
@@ -267,7 +277,7 @@
                 validation_errors.push(ValidationError::new(
                     path,
                     "is no SHA-256",
-                    shown(&key.value),
+                    printable(&key.value),
                     taken,
                 ));
             }
@@ -290,7 +300,7 @@
 
 /// Reads one file into the candidate. An error means that it is not whole, whatever else is wrong with it.
 fn parse_file(
-    kind: Kind,
+    kind: FileKind,
     place: &str,
     text: &str,
     candidate: &mut TreeBuilder,
@@ -302,15 +312,17 @@
         text,
         validation_errors,
         |body, validation_errors| match kind {
-            Kind::Weights => parse_weights(place, body, candidate, validation_errors),
-            Kind::Hosts | Kind::Keys => parse_hosts(place, body, candidate, validation_errors),
+            FileKind::Weights => parse_weights(place, body, candidate, validation_errors),
+            FileKind::Hosts | FileKind::Keys => {
+                parse_hosts(place, body, candidate, validation_errors)
+            }
         },
     )
 }
 
 /// The head and the end that every file has; what stands between is read by its kind, and counted.
 fn parse_framed(
-    kind: Kind,
+    kind: FileKind,
     place: &str,
     text: &str,
     validation_errors: &mut ValidationErrors,
@@ -329,7 +341,7 @@
         return Err(ValidationError::new(
             place,
             "its last line has no end",
-            shown(last),
+            printable(last),
             "a line feed behind [end]",
         ));
     }
@@ -381,7 +393,7 @@
     head: &Section,
     validation_errors: &mut ValidationErrors,
 ) -> Option<String> {
-    ini::known_keys(place, head, &["generation"], validation_errors);
+    ini::check_keys(place, head, &["generation"], validation_errors);
     let Some(key) = head.keys.iter().find(|key| key.name == "generation") else {
         validation_errors.push(ValidationError::new(
             place,
@@ -399,7 +411,7 @@
         validation_errors.push(ValidationError::new(
             format!("{place}:{}: generation", key.line),
             "is no name",
-            shown(&key.value),
+            printable(&key.value),
             taken,
         ));
     }
@@ -420,27 +432,27 @@
                 place,
                 section,
                 validation_errors,
-                Place::Guards,
+                Container::Guards,
                 |key, leaf, at| {
                     candidate.set(at, Path::Guards(leaf), &key.value);
                 },
             );
         } else if let Some(name) = section.name.strip_prefix("host ") {
             count += 1;
-            let Some(host) = candidate.host(&at, name.trim()) else {
+            let Some(host) = candidate.begin_host(&at, name.trim()) else {
                 continue;
             };
             parse_leaves(
                 place,
                 section,
                 validation_errors,
-                Place::Host,
+                Container::Host,
                 |key, leaf, at| {
                     candidate.set_host(at, &host, leaf, &key.value);
                 },
             );
         } else {
-            validation_errors.push(unknown(
+            validation_errors.push(unknown_name(
                 &at,
                 "section",
                 &section.name,
@@ -455,17 +467,17 @@
     place: &str,
     section: &Section,
     validation_errors: &mut ValidationErrors,
-    of: Place,
+    of: Container,
     mut set: impl FnMut(&ini::Key, Leaf, &str),
 ) {
     for key in &section.keys {
         let at = format!("{place}:{}", key.line);
-        match Leaf::named(of, &key.name) {
+        match Leaf::by_name(of, &key.name) {
             Some(leaf) => set(key, leaf, &at),
             None => {
                 let known: Vec<_> = Leaf::all_of(of).map(Leaf::name).collect();
-                let path = format!("{at}: [{}] {}", section.name, shown(&key.name));
-                validation_errors.push(unknown(&path, "key", &key.name, known));
+                let path = format!("{at}: [{}] {}", section.name, printable(&key.name));
+                validation_errors.push(unknown_name(&path, "key", &key.name, known));
             }
         }
     }
@@ -484,7 +496,12 @@
             "weights" => Leaf::Weight,
             "states" => Leaf::State,
             other => {
-                validation_errors.push(unknown(&at, "section", other, ["weights", "states", END]));
+                validation_errors.push(unknown_name(
+                    &at,
+                    "section",
+                    other,
+                    ["weights", "states", END],
+                ));
                 continue;
             }
         };
@@ -498,7 +515,7 @@
                     validation_errors.push(ValidationError::new(
                         at,
                         what,
-                        shown(&key.name),
+                        printable(&key.name),
                         "letters, digits and . _ : -",
                     ));
                 }
@@ -510,7 +527,7 @@
 
 /// The end says again what the head said, and how much stands between.
 fn check_end(
-    kind: Kind,
+    kind: FileKind,
     place: &str,
     end: &Section,
     count: usize,
@@ -518,11 +535,11 @@
     validation_errors: &mut ValidationErrors,
 ) -> Result<(), ValidationError> {
     let counted = match kind {
-        Kind::Hosts => "hosts",
-        Kind::Weights => "entries",
-        Kind::Keys => "keys",
+        FileKind::Hosts => "hosts",
+        FileKind::Weights => "entries",
+        FileKind::Keys => "keys",
     };
-    ini::known_keys(place, end, &[counted, "generation"], validation_errors);
+    ini::check_keys(place, end, &[counted, "generation"], validation_errors);
     let key = |name: &str, taken: &dyn std::fmt::Display| {
         let path = format!("{place}:{}: [end] {name}", end.line);
         let found = end.keys.iter().find(|key| key.name == name);
@@ -534,7 +551,7 @@
         return Err(ValidationError::new(
             path,
             format!("{count} stand in the file"),
-            shown(&said.value),
+            printable(&said.value),
             count,
         ));
     }
@@ -545,8 +562,8 @@
         return Err(ValidationError::new(
             path,
             "is not that of the head",
-            shown(&named.value),
-            shown(head),
+            printable(&named.value),
+            printable(head),
         ));
     }
     Ok(())
--- a/file-watch/src/watch.rs
+++ b/file-watch/src/watch.rs
@@ -6,24 +6,24 @@
 
 use kestreltide_datastore::ValidationErrors;
 
-use crate::debounce::{DebounceSettings, Debouncer, Step};
+use crate::debounce::{DebounceAction, DebounceSettings, Debouncer};
 use crate::notifier::FileNotifier;
-use crate::parse::{Kind, Parsed, Version, version};
+use crate::parse::{FileKind, Parsed, Version, parse_version};
 use crate::read_file::{Content, FileStamp, digest, read};
 
 /// Which files, and how.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Watched {
+pub struct WatchSettings {
     /// The paths of the files, in the order in which their contents are handed on.
     pub files: Vec<PathBuf>,
     /// Bytes of one file that are read at most.
-    pub most: usize,
+    pub max_file_size: usize,
     /// How long changes settle and how far versions are apart.
-    pub patience: DebounceSettings,
+    pub debounce: DebounceSettings,
     /// Seconds after which content is compared though nothing seems to have changed.
-    pub compare: f64,
+    pub compare_interval: f64,
     /// Whether the machine is asked for notices; if not, looks alone find changes.
-    pub notifier: bool,
+    pub use_notifier: bool,
 }
 
 /// What there is to tell.
@@ -39,23 +39,23 @@
 
 /// Reads everything now, as a start needs it.
 pub fn poll_files<V>(
-    watched: &Watched,
+    watched: &WatchSettings,
     read: impl Fn(&[Content]) -> Parsed<V>,
 ) -> (Parsed<V>, u64) {
     let contents = contents(watched);
     (read(&contents), digest(&contents))
 }
 
-fn contents(watched: &Watched) -> Vec<Content> {
+fn contents(watched: &WatchSettings) -> Vec<Content> {
     watched
         .files
         .iter()
-        .map(|path| read(path, watched.most))
+        .map(|path| read(path, watched.max_file_size))
         .collect()
 }
 
 /// What files of these kinds say together.
-pub fn parse_files(files: &[(Kind, PathBuf)], contents: &[Content]) -> Parsed<Version> {
+pub fn parse_files(files: &[(FileKind, PathBuf)], contents: &[Content]) -> Parsed<Version> {
     let places: Vec<_> = files
         .iter()
         .map(|(_, path)| path.display().to_string())
@@ -64,13 +64,13 @@
     let files: Vec<_> = files
         .map(|(((kind, _), place), content)| (*kind, place.as_str(), content))
         .collect();
-    version(&files)
+    parse_version(&files)
 }
 
 /// Watches until nobody listens any more. `known` is the digest of what is in force already; `nudged` ends a
 /// sleep early, `alive` is called each time round.
 pub fn run<V>(
-    watched: &Watched,
+    watched: &WatchSettings,
     known: Option<u64>,
     (wake, nudged): (SyncSender<()>, &Receiver<()>),
     alive: impl Fn(),
@@ -80,65 +80,70 @@
     let started = Instant::now();
     let now = || started.elapsed().as_secs_f64();
     let paths = &watched.files;
-    let mut notifier = watched.notifier.then(|| FileNotifier::open(paths, wake));
-    let mut debounce = Debouncer::new(watched.patience);
+    let mut notifier = watched
+        .use_notifier
+        .then(|| FileNotifier::open(paths, wake));
+    let mut debounce = Debouncer::new(watched.debounce);
     known
         .into_iter()
-        .for_each(|digest| debounce.dealt_with(now() - watched.patience.apart, digest));
+        .for_each(|digest| debounce.mark_handled(now() - watched.debounce.min_interval, digest));
     let (mut marks, mut compared): (Vec<Option<FileStamp>>, f64) = (vec![], f64::MIN);
     loop {
         alive();
         let found: Vec<_> = paths.iter().map(|path| FileStamp::at(path)).collect();
-        let due = now() - compared >= watched.compare;
-        if found != marks || due || debounce.wants_content() {
+        let due = now() - compared >= watched.compare_interval;
+        if found != marks || due || debounce.needs_read() {
             // The marks from before the reading: what changes during it is seen again.
             marks = found;
             let contents = contents(watched);
             let number = digest(&contents);
             compared = now();
-            let step = debounce.read(compared, number);
+            let step = debounce.observe(compared, number);
             let told = what_to_tell(step, || says(&contents));
-            if step == Step::Try && told.is_some() {
-                debounce.dealt_with(compared, number);
+            if step == DebounceAction::OfferIfComplete && told.is_some() {
+                debounce.mark_handled(compared, number);
             }
             if told.is_some_and(|told| !tell(told)) {
                 return;
             }
         }
-        let sleep = Duration::from_secs_f64(debounce.next_look(now()));
+        let sleep = Duration::from_secs_f64(debounce.next_poll_delay(now()));
         match nudged.recv_timeout(sleep) {
-            Ok(()) => debounce.notice(),
+            Ok(()) => debounce.mark_changed(),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        if notifier.as_mut().is_some_and(FileNotifier::renew) {
-            debounce.notice();
+        if notifier.as_mut().is_some_and(FileNotifier::renew_watches) {
+            debounce.mark_changed();
         }
     }
 }
 
 /// What a step leads to: a try tells only what is whole, an offer whatever there is.
-fn what_to_tell<V>(step: Step, says: impl FnOnce() -> Parsed<V>) -> Option<WatchEvent<V>> {
+fn what_to_tell<V>(
+    step: DebounceAction,
+    says: impl FnOnce() -> Parsed<V>,
+) -> Option<WatchEvent<V>> {
     match step {
-        Step::Nothing => None,
-        Step::Try => match says() {
+        DebounceAction::Wait => None,
+        DebounceAction::OfferIfComplete => match says() {
             Parsed::Complete(version) => Some(WatchEvent::Version(version)),
             _ => None,
         },
-        Step::Offer => Some(match says() {
+        DebounceAction::Offer => Some(match says() {
             Parsed::Complete(version) => WatchEvent::Version(version),
-            Parsed::Apart(errors) => WatchEvent::Pending(errors),
-            Parsed::Torn(errors) | Parsed::Wrong(errors) => WatchEvent::Rejected(errors),
+            Parsed::Mismatched(errors) => WatchEvent::Pending(errors),
+            Parsed::Incomplete(errors) | Parsed::Invalid(errors) => WatchEvent::Rejected(errors),
         }),
     }
 }
 
 /// A channel by which notices and others wake the thread: one that waits says all.
-pub fn wakes() -> (SyncSender<()>, Receiver<()>) {
+pub fn wake_channel() -> (SyncSender<()>, Receiver<()>) {
     sync_channel(1)
 }
 
 /// Whether a path can be watched at all by its folder.
-pub fn folder(path: &Path) -> Option<&Path> {
+pub fn watchable_folder(path: &Path) -> Option<&Path> {
     path.parent().filter(|folder| folder.is_dir())
 }
--- a/file-watch/tests/versions.rs
+++ b/file-watch/tests/versions.rs
@@ -9,18 +9,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use kestreltide_file_watch::debounce::{DebounceSettings, Debouncer, Step};
-use kestreltide_file_watch::parse::{Kind, Parsed, Version, version};
-use kestreltide_file_watch::watch::{WatchEvent, Watched, poll_files, run, wakes};
+use kestreltide_file_watch::debounce::{DebounceAction, DebounceSettings, Debouncer};
+use kestreltide_file_watch::parse::{FileKind, Parsed, Version, parse_version};
+use kestreltide_file_watch::watch::{WatchEvent, WatchSettings, poll_files, run, wake_channel};
 use proptest::prelude::*;
 use rstest::rstest;
 use tempfile::TempDir;
 
 const QUICK: DebounceSettings = DebounceSettings {
-    debounce: 0.02,
-    longest: 0.15,
-    poll: 0.05,
-    apart: 0.01,
+    quiet_period: 0.02,
+    max_delay: 0.15,
+    poll_interval: 0.05,
+    min_interval: 0.01,
 };
 const PATIENCE: Duration = Duration::from_secs(10);
 
@@ -54,13 +54,13 @@
         Ok(hosts.as_bytes().to_vec()),
         weights.map(|text| Ok(text.as_bytes().to_vec())),
     );
-    let mut files = vec![(Kind::Hosts, "hosts.ini", &hosts)];
+    let mut files = vec![(FileKind::Hosts, "hosts.ini", &hosts)];
     files.extend(
         weights
             .iter()
-            .map(|text| (Kind::Weights, "weights.ini", text)),
+            .map(|text| (FileKind::Weights, "weights.ini", text)),
     );
-    version(&files)
+    parse_version(&files)
 }
 
 fn whole(parse_files: Parsed<Version>) -> Version {
@@ -86,7 +86,8 @@
 
 #[test]
 fn files_of_two_generations_are_none() {
-    let Parsed::Apart(errors) = parse_files(&hosts("5", &["a"]), Some(&weights("4", &[]))) else {
+    let Parsed::Mismatched(errors) = parse_files(&hosts("5", &["a"]), Some(&weights("4", &[])))
+    else {
         panic!("apart")
     };
     let said = errors.to_string();
@@ -117,7 +118,7 @@
 #[case::nul(&hosts("5", &["a"]).replace("north", "no\0th"), "hosts.ini:5: holds a NUL")]
 #[case::no_ini(&hosts("5", &["a"]).replace("zone = north", "zone north"), "hosts.ini:")]
 fn a_file_that_is_not_well_is_told_by_line_and_reason(#[case] text: &str, #[case] why: &str) {
-    let (Parsed::Torn(errors) | Parsed::Wrong(errors)) = parse_files(text, None) else {
+    let (Parsed::Incomplete(errors) | Parsed::Invalid(errors)) = parse_files(text, None) else {
         panic!("not well")
     };
     assert!(errors.to_string().contains(why), "{errors}");
@@ -126,7 +127,8 @@
 #[test]
 fn all_that_is_wrong_is_told_at_once() {
     let text = hosts("5", &["a", "b"]).replace("kind = std", "kinf = std\nsize = -1");
-    let Parsed::Wrong(errors) = parse_files(&text, Some(&weights("5", &[("a", "x"), ("b/", "1")])))
+    let Parsed::Invalid(errors) =
+        parse_files(&text, Some(&weights("5", &[("a", "x"), ("b/", "1")])))
     else {
         panic!("wrong")
     };
@@ -137,7 +139,8 @@
 fn what_is_not_utf8_is_no_version() {
     let mut bytes = hosts("5", &["a"]).into_bytes();
     bytes[40] = 0xff;
-    let Parsed::Wrong(errors) = version(&[(Kind::Hosts, "hosts.ini", &Ok(bytes))]) else {
+    let Parsed::Invalid(errors) = parse_version(&[(FileKind::Hosts, "hosts.ini", &Ok(bytes))])
+    else {
         panic!("wrong")
     };
     assert!(
@@ -169,7 +172,7 @@
 
     #[test]
     fn any_bytes_have_an_answer(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let _ = version(&[(Kind::Hosts, "h", &Ok(bytes.clone())), (Kind::Weights, "w", &Ok(bytes))]);
+        let _ = parse_version(&[(FileKind::Hosts, "h", &Ok(bytes.clone())), (FileKind::Weights, "w", &Ok(bytes))]);
     }
 }
 
@@ -204,7 +207,7 @@
 ) {
     let text = KEYS.replacen(is, becomes, 1);
     match (
-        kestreltide_file_watch::keys("keys.ini", &Ok(text.into_bytes())),
+        kestreltide_file_watch::parse_keys("keys.ini", &Ok(text.into_bytes())),
         why,
     ) {
         (Parsed::Complete(keys), None) => {
@@ -213,7 +216,7 @@
             };
             assert!(key.name == "ana" && key.rights.weights && !key.rights.ring);
         }
-        (Parsed::Torn(errors) | Parsed::Wrong(errors), Some(why)) => {
+        (Parsed::Incomplete(errors) | Parsed::Invalid(errors), Some(why)) => {
             assert!(errors.to_string().contains(why), "{errors}");
         }
         (other, _) => panic!("{other:?}"),
@@ -222,15 +225,15 @@
 
 /// Times and contents that are seen, and what is done with each.
 #[rstest]
-#[case::it_settles(&[(0.00, 1, Step::Nothing), (0.01, 1, Step::Nothing), (0.02, 1, Step::Offer), (0.03, 1, Step::Nothing)])]
-#[case::it_is_still_written(&[(0.00, 1, Step::Nothing), (0.015, 2, Step::Nothing), (0.03, 2, Step::Nothing), (0.036, 2, Step::Offer)])]
-#[case::it_never_rests(&[(0.00, 1, Step::Nothing), (0.05, 2, Step::Nothing), (0.10, 1, Step::Nothing), (0.15, 2, Step::Try)])]
-#[case::it_came_back(&[(0.00, 1, Step::Nothing), (0.02, 1, Step::Offer), (0.10, 2, Step::Nothing), (0.11, 1, Step::Nothing), (0.14, 1, Step::Nothing)])]
-#[case::nothing_too_soon(&[(0.00, 1, Step::Nothing), (0.02, 1, Step::Offer), (0.021, 2, Step::Nothing), (0.029, 2, Step::Nothing), (0.042, 2, Step::Offer)])]
-fn content_is_offered_once_it_has_settled(#[case] seen: &[(f64, u64, Step)]) {
+#[case::it_settles(&[(0.00, 1, DebounceAction::Wait), (0.01, 1, DebounceAction::Wait), (0.02, 1, DebounceAction::Offer), (0.03, 1, DebounceAction::Wait)])]
+#[case::it_is_still_written(&[(0.00, 1, DebounceAction::Wait), (0.015, 2, DebounceAction::Wait), (0.03, 2, DebounceAction::Wait), (0.036, 2, DebounceAction::Offer)])]
+#[case::it_never_rests(&[(0.00, 1, DebounceAction::Wait), (0.05, 2, DebounceAction::Wait), (0.10, 1, DebounceAction::Wait), (0.15, 2, DebounceAction::OfferIfComplete)])]
+#[case::it_came_back(&[(0.00, 1, DebounceAction::Wait), (0.02, 1, DebounceAction::Offer), (0.10, 2, DebounceAction::Wait), (0.11, 1, DebounceAction::Wait), (0.14, 1, DebounceAction::Wait)])]
+#[case::nothing_too_soon(&[(0.00, 1, DebounceAction::Wait), (0.02, 1, DebounceAction::Offer), (0.021, 2, DebounceAction::Wait), (0.029, 2, DebounceAction::Wait), (0.042, 2, DebounceAction::Offer)])]
+fn content_is_offered_once_it_has_settled(#[case] seen: &[(f64, u64, DebounceAction)]) {
     let mut debounce = Debouncer::new(QUICK);
     for (now, digest, step) in seen {
-        assert_eq!(debounce.read(*now, *digest), *step, "at {now}");
+        assert_eq!(debounce.observe(*now, *digest), *step, "at {now}");
     }
 }
 
@@ -245,19 +248,19 @@
     fn start(notifier: bool, place: &str, prepare: impl FnOnce(&Path)) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         prepare(folder.path());
-        let files = vec![(Kind::Hosts, folder.path().join(place))];
+        let files = vec![(FileKind::Hosts, folder.path().join(place))];
         let paths = files
             .iter()
-            .map(|(_, path): &(Kind, PathBuf)| path.clone())
+            .map(|(_, path): &(FileKind, PathBuf)| path.clone())
             .collect();
-        let watched = Watched {
+        let watched = WatchSettings {
             files: paths,
-            most: 1 << 20,
-            patience: QUICK,
-            compare: 0.2,
-            notifier,
+            max_file_size: 1 << 20,
+            debounce: QUICK,
+            compare_interval: 0.2,
+            use_notifier: notifier,
         };
-        let ((nudge, nudged), (sender, told)) = (wakes(), channel());
+        let ((nudge, nudged), (sender, told)) = (wake_channel(), channel());
         let wake = nudge.clone();
         let known = poll_files(&watched, |contents| {
             kestreltide_file_watch::parse_files(&files, contents)
--- a/management/src/commit_service.rs
+++ b/management/src/commit_service.rs
@@ -6,9 +6,9 @@
 
 use arc_swap::ArcSwap;
 use kestreltide_datastore::commit_coordinator::{
-    CommitError, CommitOwner, Confirm, Published, SessionId, Target,
+    CommitError, CommitOwner, ConfirmedCommit, CoordinatorStatus, SessionId, Target,
 };
-use kestreltide_datastore::store::{Commit, RejectedCommit};
+use kestreltide_datastore::store::{CommitOutcome, RejectedCommit};
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::{
     Author, Candidate, Keys, RevisionRecord, ValidationError, ValidationErrors,
@@ -92,11 +92,11 @@
     /// Whom the revision names as its author.
     pub author: Author,
     /// Within which time the commit has to be confirmed; none: it stays.
-    pub confirm: Option<Confirm>,
+    pub confirm: Option<ConfirmedCommit>,
     /// The id of the commit that waits, where whoever began it gave one.
     pub persist_id: Option<String>,
     /// Gets the revision, or why there is none.
-    pub reply: oneshot::Sender<Result<Commit, CommitError>>,
+    pub reply: oneshot::Sender<Result<CommitOutcome, CommitError>>,
 }
 
 /// What happened at the commit service.
@@ -114,7 +114,7 @@
     /// False where the commit service has no room for one more question, or is gone.
     pub ask: Arc<dyn Fn(Ask) -> bool + Send + Sync>,
     /// What is in force, its history and what waits.
-    pub published: Arc<ArcSwap<Published>>,
+    pub published: Arc<ArcSwap<CoordinatorStatus>>,
     /// The state of the router as it showed it last.
     pub view: Arc<ArcSwap<View>>,
     /// The revision that the loop has in force.
@@ -221,9 +221,9 @@
         asker: CommitOwner,
         candidate: Candidate,
         author: Author,
-        confirm: Option<Confirm>,
+        confirm: Option<ConfirmedCommit>,
         persist_id: Option<String>,
-    ) -> Result<Commit, CommitError> {
+    ) -> Result<CommitOutcome, CommitError> {
         let make = |reply| {
             Ask::Commit(Box::new(CommitAsk {
                 asker,
@@ -235,7 +235,7 @@
             }))
         };
         let commit = self.asked(make).await.unwrap_or(Err(busy()))?;
-        if let Commit::Applied(snapshot) = &commit {
+        if let CommitOutcome::Applied(snapshot) = &commit {
             let until = Instant::now() + TAKEN;
             while self.in_force.load(Relaxed) < snapshot.revision().0 && Instant::now() < until {
                 tokio::time::sleep(Duration::from_millis(1)).await;
--- a/management/src/gnmi/errors.rs
+++ b/management/src/gnmi/errors.rs
@@ -5,7 +5,7 @@
 use tonic::Status;
 
 pub(super) fn invalid_argument(path: &str, what: &str, given: &str, taken: &str) -> Status {
-    let given = kestreltide_datastore::tree_builder::shown(given);
+    let given = kestreltide_datastore::tree_builder::printable(given);
     Status::invalid_argument(
         kestreltide_datastore::ValidationError::new(path, what, given, taken).to_string(),
     )
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -2,8 +2,8 @@
 
 use std::sync::atomic::Ordering::Relaxed;
 
-use kestreltide_datastore::commit_coordinator::Confirm;
-use kestreltide_datastore::store::Commit;
+use kestreltide_datastore::commit_coordinator::ConfirmedCommit;
+use kestreltide_datastore::store::CommitOutcome;
 use kestreltide_datastore::{Author, Candidate, Key, Source};
 use kestreltide_yang::edit::{Op, apply};
 use tonic::{Request, Response, Status};
@@ -34,7 +34,7 @@
             None => None,
         };
         let published = self.commit_service.published.load_full();
-        let mut candidate = Candidate::of(&published.in_force);
+        let mut candidate = Candidate::new(&published.in_force);
         let response = self.edit_candidate(&mut candidate, &asked)?;
         let author = self.next_author(&key);
         if let Err(error) = rights.check(&published.in_force.tree.differences(&candidate.tree)) {
@@ -54,7 +54,7 @@
             .commit(session, candidate, author, confirm, None)
             .await
         {
-            Ok(Commit::Applied(_) | Commit::Nothing) => {
+            Ok(CommitOutcome::Applied(_) | CommitOutcome::Unchanged) => {
                 let prefix = asked.prefix.clone();
                 Ok(Response::new(SetResponse {
                     prefix,
@@ -140,7 +140,7 @@
 }
 
 /// Within which time a commit wants to be confirmed, and by which id.
-fn confirm_of(said: &CommitExt) -> Result<Confirm, Status> {
+fn confirm_of(said: &CommitExt) -> Result<ConfirmedCommit, Status> {
     let said_time = match &said.action {
         Some(Action::Commit(request)) => request.rollback_duration.as_ref(),
         _ => None,
@@ -156,9 +156,9 @@
             "an id, 0.1 to 86400 seconds",
         ));
     }
-    Ok(Confirm {
-        within,
-        persist: Some(said.id.clone()),
+    Ok(ConfirmedCommit {
+        timeout: within,
+        persist_id: Some(said.id.clone()),
     })
 }
 
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 use std::time::Duration;
 
-use kestreltide_datastore::commit_coordinator::Published;
+use kestreltide_datastore::commit_coordinator::CoordinatorStatus;
 use kestreltide_datastore::view::View;
 use kestreltide_yang::Schema;
 use kestreltide_yang::bind::Bind;
@@ -128,7 +128,7 @@
     bind: Arc<Bind>,
     commit_service: Handle,
 ) -> watch::Receiver<Arc<Snapshot>> {
-    let snapshot = move |number, view: &Arc<View>, published: &Arc<Published>| {
+    let snapshot = move |number, view: &Arc<View>, published: &Arc<CoordinatorStatus>| {
         let (bind, view, published) = (bind.clone(), view.clone(), published.clone());
         Arc::new(Snapshot::new(
             number,
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -1,7 +1,7 @@
 //! `commit`: of the session's candidate, at once or until it is confirmed, or as that confirmation.
 
 use kestreltide_datastore::Rights;
-use kestreltide_datastore::commit_coordinator::Confirm;
+use kestreltide_datastore::commit_coordinator::ConfirmedCommit;
 use kestreltide_yang::xml::Element;
 
 use super::operations::text;
@@ -41,9 +41,9 @@
                         &taken,
                     )]
                 };
-                Some(Confirm {
-                    within: within.ok_or_else(wrong)?,
-                    persist: text(of, "persist"),
+                Some(ConfirmedCommit {
+                    timeout: within.ok_or_else(wrong)?,
+                    persist_id: text(of, "persist"),
                 })
             }
         };
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -64,7 +64,7 @@
 impl Session {
     pub(super) fn candidate(&mut self, commit_service: &Handle) -> &mut Candidate {
         self.candidate
-            .get_or_insert_with(|| Candidate::of(&commit_service.published.load().in_force))
+            .get_or_insert_with(|| Candidate::new(&commit_service.published.load().in_force))
     }
 
     /// Edits a tree by a `config` element, whole or not at all.
@@ -106,7 +106,7 @@
             .child("config")
             .ok_or_else(|| vec![RpcError::missing("config")])?;
         let mut candidate = match target {
-            Target::Running => Candidate::of(&commit_service.published.load().in_force),
+            Target::Running => Candidate::new(&commit_service.published.load().in_force),
             Target::Candidate => self.candidate(commit_service).clone(),
         };
         let before = candidate.tree.clone();
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -16,7 +16,7 @@
 
 use std::fmt::Write;
 
-use kestreltide_datastore::commit_coordinator::{CommitError, Confirm, SessionId, Target};
+use kestreltide_datastore::commit_coordinator::{CommitError, ConfirmedCommit, SessionId, Target};
 use kestreltide_datastore::{Author, Candidate, Rights, Source};
 use kestreltide_yang::Schema;
 use kestreltide_yang::bind::Bind;
@@ -41,7 +41,7 @@
         /// What to commit.
         candidate: Candidate,
         /// Within which time it has to be confirmed; none: it stays.
-        confirm: Option<Confirm>,
+        confirm: Option<ConfirmedCommit>,
         /// The id of the commit that waits, where whoever began it gave one.
         persist_id: Option<String>,
     },
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -98,13 +98,13 @@
             .ok_or_else(|| vec![RpcError::missing("source")])?;
         let candidate = match source.child("config") {
             Some(config) => {
-                let mut candidate = Candidate::of(&commit_service.published.load().in_force);
+                let mut candidate = Candidate::new(&commit_service.published.load().in_force);
                 candidate.tree = Tree::default();
                 self.edited(&mut candidate.tree, config, Op::Merge)?;
                 candidate
             }
             None => match target(of, "source")? {
-                Target::Running => Candidate::of(&commit_service.published.load().in_force),
+                Target::Running => Candidate::new(&commit_service.published.load().in_force),
                 Target::Candidate => self.candidate(commit_service).clone(),
             },
         };
--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -59,7 +59,7 @@
     }
 
     pub(super) fn invalid(path: &str, what: &str, given: &str, taken: &str) -> Self {
-        let given = kestreltide_datastore::tree_builder::shown(given);
+        let given = kestreltide_datastore::tree_builder::printable(given);
         Self::new(
             "protocol",
             "invalid-value",
@@ -106,7 +106,7 @@
             format!("/kr:router/kr:routes/kr:route[kr:name='{name}']/kr:{leaf}")
         }
         Path::Guards(_) => format!("/kr:router/kr:guards/kr:{leaf}"),
-        Path::Ring(_) => format!("/kr:router/kr:ring/kr:{leaf}"),
+        Path::Rollout(_) => format!("/kr:router/kr:ring/kr:{leaf}"),
     }
 }
 
--- a/management/src/netconf/session/trial.rs
+++ b/management/src/netconf/session/trial.rs
@@ -41,10 +41,10 @@
             .iter()
             .find(|edit| edit.step.name == "build")
             .and_then(|edit| edit.value.clone());
-        let mut candidate = Candidate::of(&commit_service.published.load().in_force);
+        let mut candidate = Candidate::new(&commit_service.published.load().in_force);
         let before = candidate.tree.clone();
         if of.name == "let-trial-go" {
-            candidate.tree.ring = Default::default();
+            candidate.tree.rollout = Default::default();
         } else {
             let build = build.ok_or_else(|| vec![RpcError::missing("build")])?;
             let ask = if of.name == "hold-trial" {
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -1,7 +1,7 @@
 //! The router's own state as data of the model.
 
 use kestreltide::interface::{HostState, Phase};
-use kestreltide_datastore::commit_coordinator::Published;
+use kestreltide_datastore::commit_coordinator::CoordinatorStatus;
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::{Author, RevisionRecord, ValidationError, check};
 use kestreltide_yang::bind::{Bind, decimal, time};
@@ -44,26 +44,28 @@
 }
 
 /// What the router knows and did.
-pub fn state(schema: &Schema, view: &View, published: &Published) -> Option<Data> {
+pub fn state(schema: &Schema, view: &View, published: &CoordinatorStatus) -> Option<Data> {
     let mut state = Under::new(schema, schema.at(&["router", "state"])?);
     state
         .put("revision", published.in_force.revision.0)
-        .put("revisions-taken", view.taken);
+        .put("revisions-taken", view.revisions_applied);
     state
-        .put("longest-pause", decimal(view.longest_pause))
-        .put("open-invocations", view.open);
-    state.put("clients", view.clients).put("links", view.links);
+        .put("longest-pause", decimal(view.longest_apply_time))
+        .put("open-invocations", view.requests_in_flight);
+    state
+        .put("clients", view.clients)
+        .put("links", view.upstream_connections);
     state.with("counts", |counts| {
         let of = &view.counts;
         counts
-            .put("taken", of.taken)
+            .put("taken", of.admitted)
             .put("succeeded", of.succeeded)
-            .put("throttled", of.throttled);
+            .put("throttled", of.shed);
         counts
-            .put("terminated", of.terminated)
+            .put("terminated", of.failed)
             .put("dispatches", of.attempts);
     });
-    if let Some(news) = view.news {
+    if let Some(news) = view.rollout {
         state.with("trial", |trial| {
             trial
                 .put("build", news.build.0)
@@ -73,7 +75,11 @@
         });
     }
     let tree = &published.in_force.tree;
-    let all = check::merged(tree, published.in_force.seen(), &view.facts(view.at));
+    let all = check::merged(
+        tree,
+        published.in_force.first_listed(),
+        &view.facts(view.at),
+    );
     let listed = view.discovery.as_deref().unwrap_or_default();
     for host in all.values() {
         state.with("host", |under| {
@@ -99,11 +105,11 @@
             changes(under, record);
         });
     }
-    if let Some(refusal) = &published.refusal {
+    if let Some(refusal) = &published.last_rejection {
         state.with("last-refusal", |under| {
             under
                 .put("at", time(refusal.at))
-                .put("stays", refusal.stays);
+                .put("stays", refusal.revision);
             author(under, &refusal.author);
             for (number, one) in refusal.errors.first.iter().enumerate() {
                 under.with("fault", |under| {
@@ -122,7 +128,7 @@
 }
 
 /// Everything: what operators set, and the router's own state.
-pub fn all(schema: &Schema, bind: &Bind, view: &View, published: &Published) -> Data {
+pub fn all(schema: &Schema, bind: &Bind, view: &View, published: &CoordinatorStatus) -> Data {
     let mut router = bind.data(schema, &published.in_force.tree);
     if let (Content::Inner(children), Some(state)) =
         (&mut router.content, state(schema, view, published))
@@ -152,7 +158,7 @@
 ) -> Data {
     let mut under = Under::new(schema, node);
     author(&mut under, &refusal.author);
-    under.put("stays", refusal.stays);
+    under.put("stays", refusal.revision);
     for error in &refusal.errors.first {
         under.put("reason", error);
     }
--- a/management/tests/netconf.rs
+++ b/management/tests/netconf.rs
@@ -37,10 +37,11 @@
             slow_start_initial_fraction: 0.4,
             slow_start_duration: 4.0,
             overload_multiple: 3.0,
-            most: Maximums::default(),
+            maximums: Maximums::default(),
         };
-        let mut desk = CommitCoordinator::new(Datastore::new(rules, History::default()), None);
-        let mut candidate = Candidate::of(desk.store.in_force());
+        let mut desk =
+            CommitCoordinator::new(Datastore::new(rules, HistoryLimits::default()), None);
+        let mut candidate = Candidate::new(desk.store.in_force());
         for number in 0..4 {
             for (leaf, text) in [
                 ("endpoint", format!("127.0.0.1:{}", 7000 + number)),
@@ -64,9 +65,9 @@
             .expect("well");
         let handle = Handle {
             ask: Arc::new(|_| true),
-            published: Arc::new(arc_swap::ArcSwap::from_pointee(desk.publish())),
+            published: Arc::new(arc_swap::ArcSwap::from_pointee(desk.status())),
             view: Arc::new(arc_swap::ArcSwap::from_pointee(View {
-                heard: true,
+                discovery_received: true,
                 ..View::default()
             })),
             in_force: Arc::default(),
@@ -83,7 +84,7 @@
     fn session(&mut self) -> Session {
         let schema = published().expect("well");
         let bind = Arc::new(Bind::new(schema).expect("well"));
-        let mut session = Session::new(self.desk.open(), "ana", schema, bind);
+        let mut session = Session::new(self.desk.open_session(), "ana", schema, bind);
         assert!(
             session
                 .hello()
@@ -113,7 +114,7 @@
             Step::Over(why) => panic!("over: {why}"),
             Step::Ask(asked) => {
                 let answer = self.ask(session.id, session.asked_by(), &asked);
-                self.handle.published.store(Arc::new(self.desk.publish()));
+                self.handle.published.store(Arc::new(self.desk.status()));
                 session.answered(&asked, answer)
             }
         }
@@ -155,8 +156,8 @@
 
     fn tick(&mut self, now: f64) {
         self.now = now;
-        self.desk.tick(&facts(now));
-        self.handle.published.store(Arc::new(self.desk.publish()));
+        self.desk.expire_pending(&facts(now));
+        self.handle.published.store(Arc::new(self.desk.status()));
     }
 
     fn weight(&self, host: &str) -> Option<String> {
@@ -183,8 +184,8 @@
     };
     Facts {
         now: NOW + at,
-        heard: true,
-        news: Some(news),
+        discovery_received: true,
+        rollout: Some(news),
         ..Facts::default()
     }
 }
@@ -387,7 +388,7 @@
         reply.contains("<error-tag>lock-denied</error-tag>"),
         "{reply}"
     );
-    rig.desk.ended(one.id, &facts(1.0));
+    rig.desk.close_session(one.id, &facts(1.0));
     assert!(ok(&rig.rpc(&mut two, &edit("running", &weight("h1", "2")))));
 }
 
@@ -526,7 +527,7 @@
     let mut rig = Rig::new();
     let schema = published().expect("well");
     let mut session = Session::new(
-        rig.desk.open(),
+        rig.desk.open_session(),
         "ana",
         schema,
         Arc::new(Bind::new(schema).expect("well")),
--- a/router/src/fronts/keeper.rs
+++ b/router/src/fronts/keeper.rs
@@ -9,12 +9,12 @@
 
 use arc_swap::ArcSwap;
 use kestreltide_datastore::commit_coordinator::{
-    CommitCoordinator, CommitError, Published, into_validation_errors,
+    CommitCoordinator, CommitError, CoordinatorStatus, into_validation_errors,
 };
-use kestreltide_datastore::store::{Commit, InForce};
+use kestreltide_datastore::store::{CommitOutcome, InForce};
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::{
-    Author, Candidate, Datastore, Facts, History, RuleSettings, Snapshot, Source, Tree,
+    Author, Candidate, Datastore, Facts, HistoryLimits, RuleSettings, Snapshot, Source, Tree,
     ValidationError, ValidationErrors,
 };
 use kestreltide_file_watch::parse::{Parsed, Version};
@@ -43,7 +43,7 @@
 pub struct KeeperTerms {
     pub router: String,
     pub rules: RuleSettings,
-    pub history: History,
+    pub history: HistoryLimits,
     pub folder: Option<PathBuf>,
 }
 
@@ -69,7 +69,7 @@
     terms: KeeperTerms,
     desk: CommitCoordinator,
     /// What fronts read of the desk, and where they are told what happens.
-    published: Arc<ArcSwap<Published>>,
+    published: Arc<ArcSwap<CoordinatorStatus>>,
     news: broadcast::Sender<News>,
     /// The newest of both that was told.
     told: (u64, Option<f64>),
@@ -109,13 +109,16 @@
                 Remembered::default()
             }
         };
-        let store = Datastore::remembering(terms.rules.clone(), terms.history, remembered.memory);
+        let store = Datastore::from_state(terms.rules.clone(), terms.history, remembered.memory);
         let base = store.in_force().clone();
         let desk = CommitCoordinator::new(store, remembered.pending);
-        let published = Arc::new(ArcSwap::from_pointee(desk.publish()));
+        let published = Arc::new(ArcSwap::from_pointee(desk.status()));
         let told = (
             base.revision.0,
-            desk.store.refusals().next_back().map(|refusal| refusal.at),
+            desk.store
+                .rejections()
+                .next_back()
+                .map(|refusal| refusal.at),
         );
         let (files, waiting, held) = (remembered.files, None, None);
         let (unsaved, saved, unsaved_told, lines) = (true, 0.0, false, (0.0, 0));
@@ -155,7 +158,9 @@
             known = Some(digest);
             let errors = match parse_files {
                 Parsed::Complete(version) => self.offer(version, facts, false).err(),
-                Parsed::Apart(errors) | Parsed::Torn(errors) | Parsed::Wrong(errors) => {
+                Parsed::Mismatched(errors)
+                | Parsed::Incomplete(errors)
+                | Parsed::Invalid(errors) => {
                     self.refused("", errors.clone());
                     Some(errors)
                 }
@@ -165,7 +170,7 @@
             let waits = watching.discovery
                 && errors
                     .as_ref()
-                    .is_some_and(|errors| errors.pass_at().is_some());
+                    .is_some_and(|errors| errors.retry_at().is_some());
             match errors {
                 Some(errors) if !last_good && !waits => return Err(errors.to_string()),
                 Some(_) if last_good => {
@@ -196,7 +201,7 @@
                 .as_ref()
                 .map(|waiting| waiting.again)
                 .into_iter()
-                .chain(self.desk.due());
+                .chain(self.desk.next_expiry());
             let due = due.fold(now + ROUND, f64::min) - now;
             let sleep = Duration::from_secs_f64(due.clamp(0.0, ROUND));
             let ask = match asked.recv_timeout(sleep) {
@@ -207,7 +212,7 @@
             let facts = view.load().facts(self.clock.now());
             let undone = self
                 .desk
-                .tick(&facts)
+                .expire_pending(&facts)
                 .and_then(|undone| self.undone(undone));
             let reply = match ask {
                 Some(Ask::Files(told)) => Served::only(self.told(told, &facts)),
@@ -243,7 +248,7 @@
     }
 
     /// What fronts hold to reach this thread.
-    pub fn published(&self) -> (Arc<ArcSwap<Published>>, broadcast::Sender<News>) {
+    pub fn published(&self) -> (Arc<ArcSwap<CoordinatorStatus>>, broadcast::Sender<News>) {
         (self.published.clone(), self.news.clone())
     }
 
@@ -260,20 +265,20 @@
             self.told.0 = record.number;
             let _ = self.news.send(News::Committed(Arc::new(record)));
         }
-        let refusal = store.refusals().next_back();
+        let refusal = store.rejections().next_back();
         if refusal.is_some_and(|refusal| self.told.1 != Some(refusal.at)) {
             self.told.1 = refusal.map(|refusal| refusal.at);
             refusal.into_iter().for_each(|refusal| {
                 drop(self.news.send(News::Rejected(Arc::new(refusal.clone()))))
             });
         }
-        let published = self.desk.publish();
+        let published = self.desk.status();
         let before = self.published.load();
         let same = before.in_force.revision == published.in_force.revision
             && before.pending == published.pending
             && before.locks == published.locks
-            && before.refusal.as_ref().map(|refusal| refusal.at)
-                == published.refusal.as_ref().map(|refusal| refusal.at);
+            && before.last_rejection.as_ref().map(|refusal| refusal.at)
+                == published.last_rejection.as_ref().map(|refusal| refusal.at);
         if !same {
             self.unsaved = true;
             self.published.store(Arc::new(published));
@@ -281,12 +286,12 @@
     }
 
     /// A commit that was not confirmed has been undone, or could not be.
-    fn undone(&mut self, undone: Result<Commit, ValidationErrors>) -> Option<Arc<Snapshot>> {
+    fn undone(&mut self, undone: Result<CommitOutcome, ValidationErrors>) -> Option<Arc<Snapshot>> {
         match undone {
             Ok(commit) => {
                 info!(self.log, "a commit that was not confirmed is undone";
                     "revision" => self.desk.store.in_force().revision.0);
-                if let Commit::Applied(snapshot) = commit {
+                if let CommitOutcome::Applied(snapshot) = commit {
                     Some(snapshot)
                 } else {
                     None
@@ -308,10 +313,10 @@
         use kestreltide_management::Ask;
         match ask {
             Ask::Open { reply } => {
-                let _ = reply.send(self.desk.open());
+                let _ = reply.send(self.desk.open_session());
             }
             Ask::Ended { session } => {
-                let undone = self.desk.ended(session, facts);
+                let undone = self.desk.close_session(session, facts);
                 return Served::only(undone.and_then(|undone| self.undone(undone)));
             }
             Ask::Lock {
@@ -345,7 +350,7 @@
             } => {
                 let cancelled = self.desk.cancel(asker, persist_id.as_deref(), facts);
                 let taken = match &cancelled {
-                    Ok(Commit::Applied(snapshot)) => Some(snapshot.clone()),
+                    Ok(CommitOutcome::Applied(snapshot)) => Some(snapshot.clone()),
                     _ => None,
                 };
                 return Served {
@@ -360,7 +365,7 @@
                     &author.name,
                     &errors,
                 );
-                self.desk.store.refuse(author, facts.now, errors);
+                self.desk.store.record_rejection(author, facts.now, errors);
             }
             Ask::Commit(ask) => {
                 let author = ask.author.clone();
@@ -373,18 +378,18 @@
                     facts,
                 );
                 match &committed {
-                    Ok(Commit::Applied(snapshot)) => {
+                    Ok(CommitOutcome::Applied(snapshot)) => {
                         info!(self.log, "a commit is taken"; "by" => %author, "revision" => snapshot.revision().0,
                             "changes" => self.desk.store.history().next_back().map_or(0, |record| record.changes.len()));
                     }
-                    Ok(Commit::Nothing) => {}
+                    Ok(CommitOutcome::Unchanged) => {}
                     Err(CommitError::Invalid(errors)) => {
                         let errors = errors.clone();
                         self.tell("a commit is refused", &author.to_string(), &errors);
                     }
                     Err(_) => {}
                 }
-                let taken = if let Ok(Commit::Applied(snapshot)) = &committed {
+                let taken = if let Ok(CommitOutcome::Applied(snapshot)) = &committed {
                     Some(snapshot.clone())
                 } else {
                     None
@@ -435,7 +440,7 @@
         let looked = self
             .candidate(&waiting.version)
             .and_then(|candidate| self.desk.validate(&candidate, facts));
-        match looked.err().and_then(|errors| errors.pass_at()) {
+        match looked.err().and_then(|errors| errors.retry_at()) {
             Some(at) => {
                 self.waiting = Some(Waiting {
                     again: at.max(facts.now + AGAIN),
@@ -460,7 +465,7 @@
             )
             .into());
         }
-        let mut candidate = Candidate::of(&self.base);
+        let mut candidate = Candidate::new(&self.base);
         candidate.tree = candidate
             .tree
             .patched(&self.files.differences(&version.tree), false)?;
@@ -495,8 +500,8 @@
         match committed.map_err(|refused| into_validation_errors(refused, facts.now + AGAIN)) {
             Ok(commit) => {
                 let snapshot = match commit {
-                    Commit::Applied(snapshot) => Some(snapshot),
-                    Commit::Nothing => None,
+                    CommitOutcome::Applied(snapshot) => Some(snapshot),
+                    CommitOutcome::Unchanged => None,
                 };
                 info!(self.log, "the files are taken"; "generation" => &version.generation,
                     "revision" => self.desk.store.in_force().revision.0,
@@ -506,7 +511,7 @@
                 Ok(snapshot)
             }
             Err(errors) => {
-                match errors.pass_at() {
+                match errors.retry_at() {
                     Some(at) => {
                         let again = at.max(facts.now + AGAIN);
                         let held = Held {
@@ -535,7 +540,7 @@
         self.tell("the files are refused", generation, &errors);
         self.desk
             .store
-            .refuse(author(generation), self.clock.now(), errors);
+            .record_rejection(author(generation), self.clock.now(), errors);
         self.unsaved = true;
     }
 
@@ -576,13 +581,13 @@
         let remembered = Remembered {
             router: self.terms.router.clone(),
             written: now,
-            memory: self.desk.store.memory(),
+            memory: self.desk.store.state(),
             files: self.files.clone(),
             generation: self.generation.clone(),
             held,
             pending: self.desk.pending().cloned(),
-            taken: view.map_or(0, |view| view.taken),
-            longest_pause: view.map_or(0.0, |view| view.longest_pause),
+            taken: view.map_or(0, |view| view.revisions_applied),
+            longest_pause: view.map_or(0.0, |view| view.longest_apply_time),
         };
         match memory::save(folder, &remembered) {
             Ok(()) => (self.unsaved, self.unsaved_told) = (false, false),
--- a/router/src/fronts/management.rs
+++ b/router/src/fronts/management.rs
@@ -7,8 +7,8 @@
 
 use arc_swap::ArcSwap;
 use kestreltide_datastore::Keys;
-use kestreltide_file_watch::parse::{Parsed, keys};
-use kestreltide_file_watch::watch::{WatchEvent, Watched, poll_files, wakes};
+use kestreltide_file_watch::parse::{Parsed, parse_keys};
+use kestreltide_file_watch::watch::{WatchEvent, WatchSettings, poll_files, wake_channel};
 use kestreltide_management::netconf::server::{Shared, serve as serve_netconf};
 use kestreltide_management::{Handle, Limits, gnmi, keys as russh_key};
 use slog::{Logger, error, info, warn};
@@ -23,7 +23,7 @@
     netconf: Option<(TcpListener, russh_key::PrivateKey)>,
     gnmi: Option<(TcpListener, Files)>,
     pub keys: Arc<ArcSwap<Keys>>,
-    watched: Watched,
+    watched: WatchSettings,
     digest: u64,
 }
 
@@ -51,7 +51,7 @@
     })
 }
 
-fn place(watched: &Watched) -> String {
+fn place(watched: &WatchSettings) -> String {
     watched
         .files
         .first()
@@ -64,13 +64,13 @@
         let (parse_files, digest) = poll_files(&terms.keys, |contents| {
             contents
                 .first()
-                .map_or(Parsed::Torn(Default::default()), |content| {
-                    keys(&at, content)
+                .map_or(Parsed::Incomplete(Default::default()), |content| {
+                    parse_keys(&at, content)
                 })
         });
         let found = match parse_files {
             Parsed::Complete(keys) => keys,
-            Parsed::Apart(errors) | Parsed::Torn(errors) | Parsed::Wrong(errors) => {
+            Parsed::Mismatched(errors) | Parsed::Incomplete(errors) | Parsed::Invalid(errors) => {
                 return Err(errors.to_string());
             }
         };
@@ -129,13 +129,13 @@
             watched,
             digest,
         } = self;
-        let ((wake, nudged), of_log, of_keys) = (wakes(), log.clone(), log.clone());
+        let ((wake, nudged), of_log, of_keys) = (wake_channel(), log.clone(), log.clone());
         let mut known = Some(digest);
         supervise(log.clone(), "keys", move || {
             let at = place(&watched);
             let says = |contents: &[kestreltide_file_watch::Content]| match contents.first() {
-                Some(content) => keys(&at, content),
-                None => Parsed::Torn(Default::default()),
+                Some(content) => parse_keys(&at, content),
+                None => Parsed::Incomplete(Default::default()),
             };
             let tell = |told: WatchEvent<Keys>| {
                 match told {
--- a/router/src/fronts/memory.rs
+++ b/router/src/fronts/memory.rs
@@ -5,7 +5,7 @@
 use std::io::{self, BufWriter, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-use kestreltide_datastore::commit_coordinator::Pending;
+use kestreltide_datastore::commit_coordinator::PendingCommit;
 use kestreltide_datastore::{Author, DatastoreState, Tree, ValidationErrors};
 use serde::{Deserialize, Serialize};
 
@@ -36,7 +36,7 @@
     pub held: Option<Held>,
     /// A commit that waits to be confirmed: a start undoes it.
     #[serde(default)]
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingCommit>,
     /// Revisions that the loop took, and its longest pause for one, in seconds, since the program's start.
     pub taken: u64,
     pub longest_pause: f64,
--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -8,7 +8,7 @@
 
 use kestreltide::interface::{RolloutStatus, ServiceSettings};
 use kestreltide_datastore::{Facts, HostRecord, RuleSettings, Snapshot};
-use kestreltide_file_watch::watch::{parse_files, wakes};
+use kestreltide_file_watch::watch::{parse_files, wake_channel};
 use kestreltide_management::Handle;
 use slog::Logger;
 
@@ -103,8 +103,8 @@
         let facts = Facts {
             now: clock.now(),
             discovery,
-            heard,
-            news,
+            discovery_received: heard,
+            rollout: news,
         };
         let (first, known) = keeper.begin(watching.as_ref(), &facts)?;
         let (asks, asked) = sync_channel(self.limits.asked);
@@ -117,7 +117,8 @@
         let keeper = keeper.map_err(failed)?;
         let mut wake = None;
         if let Some(watching) = watching {
-            let ((waker, nudged), tell, pulse) = (wakes(), asks.clone(), Pulse::new("watch"));
+            let ((waker, nudged), tell, pulse) =
+                (wake_channel(), asks.clone(), Pulse::new("watch"));
             wake = Some(waker.clone());
             pulses.push(pulse.clone());
             let mut known = known;
--- a/router/src/fronts/terms.rs
+++ b/router/src/fronts/terms.rs
@@ -3,15 +3,15 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use kestreltide_datastore::History;
-use kestreltide_file_watch::parse::Kind;
-use kestreltide_file_watch::watch::Watched;
+use kestreltide_datastore::HistoryLimits;
+use kestreltide_file_watch::parse::FileKind;
+use kestreltide_file_watch::watch::WatchSettings;
 
 /// Which files are watched, and who else lists hosts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Watching {
-    pub files: Vec<(Kind, PathBuf)>,
-    pub watched: Watched,
+    pub files: Vec<(FileKind, PathBuf)>,
+    pub watched: WatchSettings,
     /// Whether discovery is asked too.
     pub discovery: bool,
 }
@@ -22,7 +22,7 @@
     pub netconf: Option<NetconfTerms>,
     pub gnmi: Option<GnmiTerms>,
     /// The file of keys, watched as all files are.
-    pub keys: Watched,
+    pub keys: WatchSettings,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorTerms {
     pub folder: Option<PathBuf>,
-    pub history: History,
+    pub history: HistoryLimits,
     pub watching: Option<Watching>,
     pub management: Option<ManagementTerms>,
 }
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -204,11 +204,11 @@
     /// What operators may set.
     pub fn operators(&self) -> Maximums {
         let memory = MemorySettings {
-            most: self.left,
-            host: HOST,
-            host_set: HOST_SET,
-            route: ROUTE,
-            route_name: ROUTE_NAME,
+            maximum: self.left,
+            per_host: HOST,
+            per_configured_host: HOST_SET,
+            per_route: ROUTE,
+            per_route_name: ROUTE_NAME,
         };
         Maximums {
             memory,
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -6,7 +6,8 @@
 use argh::FromArgs;
 use kestreltide_datastore::{Author, Candidate, Datastore, Source};
 use kestreltide_datastore::{
-    Facts, History, Maximums, RevisionRecord, RuleSettings, ValidationErrors, beyond,
+    Facts, HistoryLimits, Maximums, RevisionRecord, RuleSettings, ValidationErrors,
+    exceeded_maximums,
 };
 use kestreltide_file_watch::parse::Parsed;
 use kestreltide_file_watch::watch::{parse_files, poll_files};
@@ -96,17 +97,19 @@
             .0
             {
                 Parsed::Complete(version) => version,
-                Parsed::Apart(errors) | Parsed::Torn(errors) | Parsed::Wrong(errors) => {
+                Parsed::Mismatched(errors)
+                | Parsed::Incomplete(errors)
+                | Parsed::Invalid(errors) => {
                     return Err(errors.to_string());
                 }
             };
             let rules = self.rules()?;
-            beyond(&version.tree, 0, &rules.most)
+            exceeded_maximums(&version.tree, 0, &rules.maximums)
                 .into_result()
                 .map_err(|errors| errors.to_string())?;
             if !watching.discovery {
-                let mut store = Datastore::new(rules, History::default());
-                let mut candidate = Candidate::of(store.in_force());
+                let mut store = Datastore::new(rules, HistoryLimits::default());
+                let mut candidate = Candidate::new(store.in_force());
                 candidate.tree = version.tree;
                 let author = Author {
                     source: Source::Files,
@@ -115,7 +118,7 @@
                 };
                 let facts = Facts {
                     now: now(),
-                    heard: true,
+                    discovery_received: true,
                     ..Facts::default()
                 };
                 store
@@ -138,7 +141,7 @@
                 slow_start_initial_fraction: 1.0,
                 slow_start_duration: 0.0,
                 overload_multiple: f64::MAX,
-                most: Maximums::default(),
+                maximums: Maximums::default(),
             });
         };
         let text = config::load(Some(config.clone()))?;
@@ -223,13 +226,13 @@
                 .lines()
                 .for_each(|error| println!("  {error}"));
         }
-        match memory.refusals.back() {
+        match memory.rejections.back() {
             Some(last) => {
                 println!(
                     "last refused {}: {}; revision {} stayed",
                     time(last.at),
                     last.author,
-                    last.stays
+                    last.revision
                 );
                 last.errors
                     .to_string()
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use kestreltide_datastore::tree_builder::shown;
-use kestreltide_datastore::{History, ValidationError, ValidationErrors};
+use kestreltide_datastore::tree_builder::printable;
+use kestreltide_datastore::{HistoryLimits, ValidationError, ValidationErrors};
 use kestreltide_file_watch::debounce::DebounceSettings;
 use kestreltide_file_watch::ini::{self, Section};
-use kestreltide_file_watch::parse::Kind;
-use kestreltide_file_watch::watch::Watched;
+use kestreltide_file_watch::parse::FileKind;
+use kestreltide_file_watch::watch::WatchSettings;
 
 use crate::fronts::{GnmiTerms, ManagementTerms, NetconfTerms, OperatorTerms, Watching};
 use crate::limits::Limits;
@@ -249,8 +249,8 @@
     let path = |section, key| said(section, key).map(|path| folder.join(path));
     let seconds = |section, key| text(section, key).parse().unwrap_or(0.0);
     let files = [
-        (Kind::Hosts, path("watch", "hosts")),
-        (Kind::Weights, path("watch", "weights")),
+        (FileKind::Hosts, path("watch", "hosts")),
+        (FileKind::Weights, path("watch", "weights")),
     ];
     let files: Vec<_> = files
         .into_iter()
@@ -304,22 +304,22 @@
     errors.into_result()?;
     let settle = seconds("watch", "settle");
     let patience = DebounceSettings {
-        debounce: settle,
-        longest: LONGEST * settle,
-        poll: seconds("watch", "poll"),
-        apart: APART * settle,
+        quiet_period: settle,
+        max_delay: LONGEST * settle,
+        poll_interval: seconds("watch", "poll"),
+        min_interval: APART * settle,
     };
     let (compare, notices) = (
         seconds("watch", "compare"),
         text("watch", "notices") == "on",
     );
     let paths = files.iter().map(|(_, path)| path.clone()).collect();
-    let watched = Watched {
+    let watched = WatchSettings {
         files: paths,
-        most: FILE_MOST,
-        patience,
-        compare,
-        notifier: notices,
+        max_file_size: FILE_MOST,
+        debounce: patience,
+        compare_interval: compare,
+        use_notifier: notices,
     };
     let address = |key| said("management", key).and_then(|text| text.parse::<SocketAddr>().ok());
     let file = |key| path("management", key).unwrap_or_default();
@@ -333,7 +333,7 @@
         key: file("key"),
         client_ca: file("client-ca"),
     });
-    let keys = Watched {
+    let keys = WatchSettings {
         files: vec![file("keys")],
         ..watched.clone()
     };
@@ -344,12 +344,12 @@
     });
     let revisions = text("datastore", "history")
         .parse()
-        .unwrap_or(History::default().revisions);
+        .unwrap_or(HistoryLimits::default().revisions);
     Ok(OperatorTerms {
         folder: path("datastore", "state-directory"),
-        history: History {
+        history: HistoryLimits {
             revisions,
-            ..History::default()
+            ..HistoryLimits::default()
         },
         management,
         watching: watch.map(|_| Watching {
@@ -371,7 +371,7 @@
         let first = section
             .keys
             .first()
-            .map(|key| shown(&key.name))
+            .map(|key| printable(&key.name))
             .unwrap_or_default();
         return errors.push(ValidationError::new(
             at,
@@ -381,16 +381,21 @@
         ));
     }
     if keys.is_empty() {
-        return errors.push(ini::unknown(&at, "section", &section.name, sections()));
+        return errors.push(ini::unknown_name(&at, "section", &section.name, sections()));
     }
-    ini::known_keys(name, section, &keys, errors);
+    ini::check_keys(name, section, &keys, errors);
     for key in &section.keys {
         let row = ROWS
             .iter()
             .find(|row| row.0 == section.name && row.1 == key.name);
         if let Some(Err((what, taken))) = row.map(|row| check(row.2, &key.value)) {
             let path = format!("{name}:{}: [{}] {}", key.line, section.name, key.name);
-            errors.push(ValidationError::new(path, what, shown(&key.value), taken));
+            errors.push(ValidationError::new(
+                path,
+                what,
+                printable(&key.value),
+                taken,
+            ));
         }
     }
 }
--- a/router/src/program/operator/tests.rs
+++ b/router/src/program/operator/tests.rs
@@ -10,7 +10,7 @@
         assert_eq!(
             parse(Path::new("operator.ini"), text).expect("well"),
             OperatorTerms {
-                history: History::default(),
+                history: HistoryLimits::default(),
                 ..OperatorTerms::default()
             }
         );
--- a/router/src/routing/book.rs
+++ b/router/src/routing/book.rs
@@ -8,7 +8,7 @@
 
 use kestreltide::interface::*;
 use kestreltide_datastore::merge::merge;
-use kestreltide_datastore::view::Counts;
+use kestreltide_datastore::view::RequestCounts;
 use kestreltide_datastore::{HostRecord, Snapshot};
 use kestreltide_routes::Route;
 
@@ -52,12 +52,12 @@
     }
 
     fn under<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, HostRecord>> {
-        match (self.told.get(&host), revision.said(host)) {
+        match (self.told.get(&host), revision.configured(host)) {
             (Some(told), Some(said)) => {
-                merge(&said.name, Some(told), Some(&said.set), None).map(Cow::Owned)
+                merge(&said.name, Some(told), Some(&said.config), None).map(Cow::Owned)
             }
             (Some(told), None) => Some(Cow::Borrowed(told)),
-            (None, said) => said?.alone.as_ref().map(Cow::Borrowed),
+            (None, said) => said?.standalone.as_ref().map(Cow::Borrowed),
         }
     }
 
@@ -73,7 +73,7 @@
     /// Whether a connection to this host at this address may be used again.
     pub(super) fn wanted(&self, host: HostId, at: SocketAddr) -> bool {
         self.in_force(host)
-            .is_some_and(|host| host.serves() && host.endpoint == at)
+            .is_some_and(|host| host.is_in_service() && host.endpoint == at)
     }
 
     /// Notes one entry of discovery's list; None where there is no room for one more host.
@@ -85,10 +85,10 @@
         let old = self.in_force(host).map(Cow::into_owned);
         self.told.insert(host, target.listed());
         let new = self.in_force(host)?;
-        let moved = old.is_some_and(|old| old.moved(&new));
+        let moved = old.is_some_and(|old| old.is_replaced_by(&new));
         Some(Noted {
             entry: new.entry(),
-            drop_idle: moved || !new.serves(),
+            drop_idle: moved || !new.is_in_service(),
         })
     }
 
@@ -119,13 +119,13 @@
     /// Whether a revision's own entries are all that it changes: discovery lists nobody, so that they are worked
     /// out already and can be told ahead.
     pub(super) fn can_stage(&self, new: &Snapshot) -> bool {
-        new.follows == self.revision.revision() && self.told.is_empty()
+        new.changed_since == self.revision.revision() && self.told.is_empty()
     }
 
     /// Takes a revision; the entries that it changes, where what was staged for it has been told or not.
     pub(super) fn take(&mut self, new: &Arc<Snapshot>, staged: bool) -> Arc<[HostEntry]> {
         let old = std::mem::replace(&mut self.revision, new.clone());
-        let follows = new.follows == old.revision();
+        let follows = new.changed_since == old.revision();
         if staged {
             return Arc::default();
         }
@@ -147,7 +147,7 @@
             self.told.get(&host)?;
             self.under(revision, host).map(Cow::into_owned)
         };
-        new.changes(
+        new.host_changes(
             &old,
             &hosts,
             |host| told(&old, host),
@@ -163,7 +163,7 @@
 
     pub(super) fn forget_gone(&mut self, using: &BTreeSet<HostId>) {
         // Who is gone stays gone though operators still list it, until discovery says otherwise.
-        let said = |host: &HostId| self.revision.said(*host).is_some();
+        let said = |host: &HostId| self.revision.configured(*host).is_some();
         self.told.retain(|host, told| {
             told.state != HostState::Gone || using.contains(host) || said(host)
         });
@@ -206,18 +206,18 @@
     second: (f64, u64),
     ends: [u64; VERDICTS.len()],
     /// Of what was told before.
-    before: Counts,
+    before: RequestCounts,
 }
 
 impl Tally {
     /// Counts since the program's start.
-    pub(super) fn all(&self) -> Counts {
+    pub(super) fn all(&self) -> RequestCounts {
         let before = &self.before;
-        Counts {
-            taken: before.taken + self.taken,
+        RequestCounts {
+            admitted: before.admitted + self.taken,
             succeeded: before.succeeded + self.succeeded,
-            throttled: before.throttled + self.throttled,
-            terminated: before.terminated + self.terminated,
+            shed: before.shed + self.throttled,
+            failed: before.failed + self.terminated,
             attempts: before.attempts + self.attempts,
         }
     }
--- a/router/src/routing/fronts.rs
+++ b/router/src/routing/fronts.rs
@@ -194,7 +194,7 @@
         let count = snapshot.changed.len();
         self.close_unwanted();
         self.route(Event::OperatorOverridesApplied {
-            overrides: snapshot.set.clone(),
+            overrides: snapshot.overrides.clone(),
             entries,
         });
         let (now, revision) = (self.clock.now(), snapshot.revision());
@@ -208,7 +208,7 @@
         fronts.longest_pause = fronts.longest_pause.max(pause);
         info!(self.log, "a revision is in force"; "revision" => revision.0, "changed" => count,
             "hosts" => self.hosts.len(), "pause_ms" => format!("{:.3}", 1e3 * pause),
-            "since_commit_ms" => format!("{:.1}", 1e3 * (now - snapshot.at)));
+            "since_commit_ms" => format!("{:.1}", 1e3 * (now - snapshot.committed_at)));
         self.view_changed();
         self.settle();
     }
@@ -231,14 +231,14 @@
         let view = View {
             at: self.clock.now(),
             discovery: asked.then(|| self.hosts.told().cloned().collect()),
-            heard: self.discovery.has_told(),
-            news: self.newest,
+            discovery_received: self.discovery.has_told(),
+            rollout: self.newest,
             revision: fronts.revision,
-            taken: fronts.taken,
-            longest_pause: fronts.longest_pause,
-            open: self.admitted.len(),
+            revisions_applied: fronts.taken,
+            longest_apply_time: fronts.longest_pause,
+            requests_in_flight: self.admitted.len(),
             clients: self.clients.len(),
-            links: self.links.len(),
+            upstream_connections: self.links.len(),
             counts: self.tally.all(),
         };
         fronts.open.view.store(Arc::new(view));
--- a/yang/src/bind.rs
+++ b/yang/src/bind.rs
@@ -4,17 +4,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, UNIX_EPOCH};
 
-use kestreltide_datastore::{HostName, Leaf, Path, Place, RouteName, Tree, ValidationError, Value};
+use kestreltide_datastore::{
+    Container, HostName, Leaf, Path, RouteName, Tree, ValidationError, Value,
+};
 
 use crate::data::{Data, Step, Under};
 use crate::schema::{NodeId, NodeKind, Schema};
 
 /// Where each place's leaves stand in the schema.
-const PLACES: [(Place, &[&str]); 4] = [
-    (Place::Host, &["router", "hosts", "host"]),
-    (Place::Guards, &["router", "guards"]),
-    (Place::Route, &["router", "routes", "route"]),
-    (Place::Ring, &["router", "ring"]),
+const PLACES: [(Container, &[&str]); 4] = [
+    (Container::Host, &["router", "hosts", "host"]),
+    (Container::Guards, &["router", "guards"]),
+    (Container::Route, &["router", "routes", "route"]),
+    (Container::Rollout, &["router", "ring"]),
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +58,7 @@
             At::Guards => tree.guards != Default::default(),
             At::Routes => !tree.routes.is_empty(),
             At::Route(name) => tree.routes.contains_key(name),
-            At::Ring => tree.ring != Default::default(),
+            At::Ring => tree.rollout != Default::default(),
             At::Leaf(path) | At::Values(path) => tree.get(path).is_some(),
         }
     }
@@ -69,7 +71,7 @@
             At::Guards => tree.guards = Default::default(),
             At::Routes => tree.routes.clear(),
             At::Route(name) => drop(tree.routes.remove(name)),
-            At::Ring => tree.ring = Default::default(),
+            At::Ring => tree.rollout = Default::default(),
             // Nothing is of every type.
             At::Leaf(path) | At::Values(path) => drop(tree.set(path, None)),
         }
@@ -153,7 +155,7 @@
             }
             (Bound::Leaf(leaf), At::Route(name)) => At::Leaf(Path::Route(name.clone(), leaf)),
             (Bound::Leaf(leaf), At::Guards) => At::Leaf(Path::Guards(leaf)),
-            (Bound::Leaf(leaf), _) => At::Leaf(Path::Ring(leaf)),
+            (Bound::Leaf(leaf), _) => At::Leaf(Path::Rollout(leaf)),
         }))
     }
 
@@ -161,7 +163,7 @@
         let leaf = path.leaf();
         let value = leaf
             .parse(text)
-            .map_err(|why| ValidationError::new(path, why, text, leaf.takes()))?;
+            .map_err(|why| ValidationError::new(path, why, text, leaf.expected_format()))?;
         tree.set(path, Some(value))
     }
 
@@ -199,14 +201,14 @@
                 for (name, set) in &tree.hosts {
                     hosts.with("host", |host| {
                         host.put("name", name);
-                        leaves(host, Place::Host, |leaf| set.get(leaf));
+                        leaves(host, Container::Host, |leaf| set.get(leaf));
                     });
                 }
             });
         }
         if tree.guards != Default::default() {
             router.with("guards", |guards| {
-                leaves(guards, Place::Guards, |leaf| tree.guards.get(leaf))
+                leaves(guards, Container::Guards, |leaf| tree.guards.get(leaf))
             });
         }
         if !tree.routes.is_empty() {
@@ -214,14 +216,14 @@
                 for (name, set) in &tree.routes {
                     routes.with("route", |route| {
                         route.put("name", name);
-                        leaves(route, Place::Route, |leaf| set.get(leaf));
+                        leaves(route, Container::Route, |leaf| set.get(leaf));
                     });
                 }
             });
         }
-        if tree.ring != Default::default() {
+        if tree.rollout != Default::default() {
             router.with("ring", |ring| {
-                leaves(ring, Place::Ring, |leaf| tree.ring.get(leaf))
+                leaves(ring, Container::Rollout, |leaf| tree.rollout.get(leaf))
             });
         }
         router.data()
@@ -235,7 +237,7 @@
     )
 }
 
-fn leaves(under: &mut Under, of: Place, value: impl Fn(Leaf) -> Option<Value>) {
+fn leaves(under: &mut Under, of: Container, value: impl Fn(Leaf) -> Option<Value>) {
     for leaf in Leaf::all_of(of) {
         match value(leaf) {
             Some(Value::Names(names)) => names.iter().for_each(|name| {
--- a/yang/src/edit.rs
+++ b/yang/src/edit.rs
@@ -315,7 +315,7 @@
     match of.canonical(text) {
         Ok(value) => Some(value),
         Err(why) => {
-            let given = kestreltide_datastore::tree_builder::shown(text);
+            let given = kestreltide_datastore::tree_builder::printable(text);
             errors.push(EditError::new(
                 Tag::InvalidValue,
                 &schema.node_of(node).name,
@@ -500,7 +500,7 @@
 }
 
 fn short(value: &Json) -> String {
-    kestreltide_datastore::tree_builder::shown(&value.to_string())
+    kestreltide_datastore::tree_builder::printable(&value.to_string())
 }
 
 /// An edit of the instance at a path, with ways to it: what it takes is the last node's.
