--- a/management/src/commit_service.rs
+++ b/management/src/commit_service.rs
@@ -17,7 +17,7 @@
 
 /// What a front asks of the commit service. Whoever asks waits for the reply; the commit service waits for nobody.
 #[derive(Debug)]
-pub enum Ask {
+pub enum CommitServiceRequest {
     /// Opens a session, which may hold locks and commits that wait to be confirmed.
     Open {
         /// Gets the id of the session.
@@ -54,11 +54,11 @@
         reply: oneshot::Sender<Result<(), ValidationErrors>>,
     },
     /// Checks a candidate and puts it in force.
-    Commit(Box<CommitAsk>),
+    Commit(Box<CommitRequest>),
     /// Confirms the commit that waits for it.
     Confirm {
         /// Who confirms; none for a party without a session.
-        asker: CommitOwner,
+        requester: CommitOwner,
         /// The id of the commit that waits, where whoever began it gave one.
         persist_id: Option<String>,
         /// Refused where nothing waits or another has to confirm it.
@@ -67,7 +67,7 @@
     /// Rolls back the commit that waits to be confirmed.
     Cancel {
         /// Who cancels; none for a party without a session.
-        asker: CommitOwner,
+        requester: CommitOwner,
         /// The id of the commit that waits, where whoever began it gave one.
         persist_id: Option<String>,
         /// Refused where nothing waits or another has to confirm it.
@@ -84,9 +84,9 @@
 
 /// A candidate to commit.
 #[derive(Debug)]
-pub struct CommitAsk {
+pub struct CommitRequest {
     /// Who commits; none for a party without a session.
-    pub asker: CommitOwner,
+    pub requester: CommitOwner,
     /// What to commit.
     pub candidate: Candidate,
     /// Whom the revision names as its author.
@@ -101,7 +101,7 @@
 
 /// What happened at the commit service.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum Notification {
     /// A revision is in force.
     Committed(Arc<RevisionRecord>),
     /// A candidate was refused.
@@ -110,9 +110,9 @@
 
 /// What every front holds.
 #[derive(Clone)]
-pub struct Handle {
+pub struct CommitServiceHandle {
     /// False where the commit service has no room for one more question, or is gone.
-    pub ask: Arc<dyn Fn(Ask) -> bool + Send + Sync>,
+    pub submit: Arc<dyn Fn(CommitServiceRequest) -> bool + Send + Sync>,
     /// What is in force, its history and what waits.
     pub published: Arc<ArcSwap<Published>>,
     /// The state of the router as it showed it last.
@@ -120,7 +120,7 @@
     /// The revision that the loop has in force.
     pub in_force: Arc<AtomicU64>,
     /// Commits and refusals, to all who subscribe.
-    pub news: broadcast::Sender<News>,
+    pub notifications: broadcast::Sender<Notification>,
     /// Who may come in, with which rights.
     pub keys: Arc<ArcSwap<Keys>>,
 }
@@ -141,10 +141,13 @@
     )
 }
 
-impl Handle {
-    async fn asked<T>(&self, make: impl FnOnce(oneshot::Sender<T>) -> Ask) -> Option<T> {
+impl CommitServiceHandle {
+    async fn request<T>(
+        &self,
+        make: impl FnOnce(oneshot::Sender<T>) -> CommitServiceRequest,
+    ) -> Option<T> {
         let (reply, answer) = oneshot::channel();
-        if !(self.ask)(make(reply)) {
+        if !(self.submit)(make(reply)) {
             return None;
         }
         answer.await.ok()
@@ -152,12 +155,13 @@
 
     /// Opens a session; none where the commit service does not answer.
     pub async fn open(&self) -> Option<SessionId> {
-        self.asked(|reply| Ask::Open { reply }).await
+        self.request(|reply| CommitServiceRequest::Open { reply })
+            .await
     }
 
     /// Locks a datastore for a session; refused where another holds the lock or nobody answers.
     pub async fn lock(&self, session: SessionId, target: Target) -> Result<(), CommitError> {
-        self.asked(|reply| Ask::Lock {
+        self.request(|reply| CommitServiceRequest::Lock {
             session,
             target,
             reply,
@@ -168,7 +172,7 @@
 
     /// Releases a lock; refused where the session does not hold it or nobody answers.
     pub async fn unlock(&self, session: SessionId, target: Target) -> Result<(), CommitError> {
-        self.asked(|reply| Ask::Unlock {
+        self.request(|reply| CommitServiceRequest::Unlock {
             session,
             target,
             reply,
@@ -179,7 +183,9 @@
 
     /// Checks a candidate; refused with its validation errors, or where nobody answers.
     pub async fn validate(&self, candidate: Candidate) -> Result<(), CommitError> {
-        let answer = self.asked(|reply| Ask::Validate { candidate, reply }).await;
+        let answer = self
+            .request(|reply| CommitServiceRequest::Validate { candidate, reply })
+            .await;
         answer.map_or(Err(busy()), |answer| answer.map_err(CommitError::Invalid))
     }
 
@@ -187,11 +193,11 @@
     /// answers.
     pub async fn confirm(
         &self,
-        asker: CommitOwner,
+        requester: CommitOwner,
         persist_id: Option<String>,
     ) -> Result<(), CommitError> {
-        self.asked(|reply| Ask::Confirm {
-            asker,
+        self.request(|reply| CommitServiceRequest::Confirm {
+            requester,
             persist_id,
             reply,
         })
@@ -202,11 +208,11 @@
     /// Rolls back the commit that waits; refused as a confirmation is.
     pub async fn cancel(
         &self,
-        asker: CommitOwner,
+        requester: CommitOwner,
         persist_id: Option<String>,
     ) -> Result<(), CommitError> {
-        self.asked(|reply| Ask::Cancel {
-            asker,
+        self.request(|reply| CommitServiceRequest::Cancel {
+            requester,
             persist_id,
             reply,
         })
@@ -218,15 +224,15 @@
     /// on it. A loop that does not come round in time is not waited for.
     pub async fn commit(
         &self,
-        asker: CommitOwner,
+        requester: CommitOwner,
         candidate: Candidate,
         author: Author,
         confirm: Option<Confirm>,
         persist_id: Option<String>,
     ) -> Result<Commit, CommitError> {
         let make = |reply| {
-            Ask::Commit(Box::new(CommitAsk {
-                asker,
+            CommitServiceRequest::Commit(Box::new(CommitRequest {
+                requester,
                 candidate,
                 author,
                 confirm,
@@ -234,7 +240,7 @@
                 reply,
             }))
         };
-        let commit = self.asked(make).await.unwrap_or(Err(busy()))?;
+        let commit = self.request(make).await.unwrap_or(Err(busy()))?;
         if let Commit::Applied(snapshot) = &commit {
             let until = Instant::now() + TAKEN;
             while self.in_force.load(Relaxed) < snapshot.revision().0 && Instant::now() < until {
--- a/management/src/gnmi/mod.rs
+++ b/management/src/gnmi/mod.rs
@@ -32,7 +32,7 @@
 use self::snapshot::Snapshot;
 use self::subscribe::Responses;
 use crate::Limits;
-use crate::commit_service::Handle;
+use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::g_nmi_server::GNmi;
 use crate::proto::gnmi::{
     CapabilityRequest, CapabilityResponse, Encoding, GetRequest, GetResponse, ModelData,
@@ -44,7 +44,7 @@
 /// The gNMI service, shared by all connections.
 pub struct Service {
     log: Logger,
-    commit_service: Handle,
+    commit_service: CommitServiceHandle,
     limits: Limits,
     schema: &'static Schema,
     bind: Arc<Bind>,
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -13,7 +13,7 @@
 use super::connections::accept_connections;
 use super::snapshot::follow_published;
 use crate::Limits;
-use crate::commit_service::Handle;
+use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::g_nmi_server::GNmiServer;
 
 /// What TLS needs, in PEM.
@@ -29,7 +29,7 @@
 /// Serves until the listener fails for good.
 pub async fn serve(
     log: Logger,
-    commit_service: Handle,
+    commit_service: CommitServiceHandle,
     limits: Limits,
     listener: TcpListener,
     tls: Tls,
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -38,7 +38,7 @@
         let response = self.edit_candidate(&mut candidate, &asked)?;
         let author = self.next_author(&key);
         if let Err(error) = rights.check(&published.in_force.tree.differences(&candidate.tree)) {
-            (self.commit_service.ask)(crate::Ask::Denied {
+            (self.commit_service.submit)(crate::CommitServiceRequest::Denied {
                 author,
                 error: error.clone(),
             });
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -16,7 +16,7 @@
 
 use super::encoding::collect;
 use super::paths::{path_of, select};
-use crate::commit_service::Handle;
+use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::{Encoding, Path, TypedValue};
 use crate::state;
 
@@ -126,7 +126,7 @@
 pub(super) fn follow_published(
     schema: &'static Schema,
     bind: Arc<Bind>,
-    commit_service: Handle,
+    commit_service: CommitServiceHandle,
 ) -> watch::Receiver<Arc<Snapshot>> {
     let snapshot = move |number, view: &Arc<View>, published: &Arc<Published>| {
         let (bind, view, published) = (bind.clone(), view.clone(), published.clone());
--- a/management/src/gnmi/stream.rs
+++ b/management/src/gnmi/stream.rs
@@ -16,7 +16,7 @@
 use super::nanos;
 use super::path_subscription::PathSubscription;
 use super::snapshot::Snapshot;
-use crate::commit_service::Handle;
+use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::subscribe_request::Request as Asked;
 use crate::proto::gnmi::subscribe_response::Response as Told;
 use crate::proto::gnmi::subscription_list::Mode;
@@ -26,7 +26,7 @@
 pub(super) struct StreamContext {
     pub(super) schema: &'static Schema,
     pub(super) snapshot: watch::Receiver<Arc<Snapshot>>,
-    pub(super) commit_service: Handle,
+    pub(super) commit_service: CommitServiceHandle,
     pub(super) log: Logger,
 }
 
--- a/management/src/lib.rs
+++ b/management/src/lib.rs
@@ -20,7 +20,7 @@
     }
 }
 
-pub use commit_service::{Ask, Handle, News};
+pub use commit_service::{CommitServiceHandle, CommitServiceRequest, Notification};
 pub use russh::keys;
 
 /// What sessions may hold. Sizes in bytes, times in seconds.
@@ -39,7 +39,7 @@
     /// Keepalive messages in a row that may stay without an answer.
     pub missed: usize,
     /// Notifications that wait for one session.
-    pub news: usize,
+    pub notifications: usize,
     /// Requests and streams of one gNMI connection.
     pub streams: u32,
     /// The least time between samples.
@@ -55,7 +55,7 @@
             enter: 10.0,
             alive: 10.0,
             missed: 3,
-            news: 1024,
+            notifications: 1024,
             streams: 32,
             sample: 0.05,
         }
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -22,8 +22,8 @@
 use tokio::time::{interval, sleep, timeout};
 
 use super::framing::{Frames, Framing, write};
-use super::session::{Asked, Session, Step};
-use crate::commit_service::{Handle, News};
+use super::session::{DatastoreOperation, Session, Step};
+use crate::commit_service::{CommitServiceHandle, Notification};
 use crate::{Limits, state};
 
 /// All that sessions share.
@@ -31,7 +31,7 @@
     /// The log of the front.
     pub log: Logger,
     /// The way to the commit service.
-    pub commit_service: Handle,
+    pub commit_service: CommitServiceHandle,
     /// What sessions may hold.
     pub limits: Limits,
     /// The published model.
@@ -44,7 +44,11 @@
 
 impl Shared {
     /// Reads the published model; an error says what is wrong with it.
-    pub fn new(log: Logger, commit_service: Handle, limits: Limits) -> Result<Self, String> {
+    pub fn new(
+        log: Logger,
+        commit_service: CommitServiceHandle,
+        limits: Limits,
+    ) -> Result<Self, String> {
         let schema = kestreltide_yang::published()?;
         let bind = Arc::new(Bind::new(schema)?);
         Ok(Shared {
@@ -240,7 +244,7 @@
     }
     shared.with_sessions(|sessions| sessions.remove(&id));
     // Its locks are let go, and what only it could confirm is undone.
-    (shared.commit_service.ask)(crate::Ask::Ended { session: id });
+    (shared.commit_service.submit)(crate::CommitServiceRequest::Ended { session: id });
 }
 
 /// Exchanges messages over a channel until something ends the session; says what.
@@ -278,7 +282,7 @@
     frames: Frames,
     writing: W,
     /// Commits and refusals, once the client has subscribed to them.
-    news: Option<broadcast::Receiver<News>>,
+    news: Option<broadcast::Receiver<Notification>>,
     /// Notifications that were lost since the last that was sent.
     missed: u64,
 }
@@ -333,7 +337,7 @@
     }
 
     /// Sends a notification of what happened; what was lost before it is counted and told with the next.
-    async fn send_news(&mut self, told: Result<News, RecvError>) -> Result<(), Over> {
+    async fn send_news(&mut self, told: Result<Notification, RecvError>) -> Result<(), Over> {
         let data = match told {
             Ok(told) => notification(self.shared, &told, std::mem::take(&mut self.missed)),
             Err(RecvError::Lagged(count)) => {
@@ -372,7 +376,7 @@
             Step::Close(reply) => (reply, Some("it closed")),
             Step::Over(why) => return Err(why),
             Step::Subscribe(reply) => {
-                self.news = Some(self.shared.commit_service.news.subscribe());
+                self.news = Some(self.shared.commit_service.notifications.subscribe());
                 (reply, None)
             }
             Step::Kill(other, reply) => {
@@ -382,7 +386,7 @@
                 found.inspect(|killed| killed.notify_one());
                 (reply, None)
             }
-            Step::Ask(asked) => {
+            Step::Perform(asked) => {
                 let answer = ask_commit_service(self.shared, self.id, &self.session, &asked).await;
                 (self.session.answered(&asked, answer), None)
             }
@@ -404,7 +408,9 @@
 }
 
 /// The next of what happened; never comes where nobody has subscribed.
-async fn next_news(news: &mut Option<broadcast::Receiver<News>>) -> Result<News, RecvError> {
+async fn next_news(
+    news: &mut Option<broadcast::Receiver<Notification>>,
+) -> Result<Notification, RecvError> {
     match news {
         Some(news) => news.recv().await,
         None => std::future::pending().await,
@@ -415,14 +421,14 @@
     shared: &Shared,
     id: SessionId,
     session: &Session,
-    asked: &Asked,
+    asked: &DatastoreOperation,
 ) -> Result<(), CommitError> {
     let commit_service = &shared.commit_service;
     match asked.clone() {
-        Asked::Lock(target) => commit_service.lock(id, target).await,
-        Asked::Unlock(target) => commit_service.unlock(id, target).await,
-        Asked::Validate(candidate) => commit_service.validate(candidate).await,
-        Asked::Commit {
+        DatastoreOperation::Lock(target) => commit_service.lock(id, target).await,
+        DatastoreOperation::Unlock(target) => commit_service.unlock(id, target).await,
+        DatastoreOperation::Validate(candidate) => commit_service.validate(candidate).await,
+        DatastoreOperation::Commit {
             candidate,
             confirm,
             persist_id,
@@ -430,24 +436,28 @@
             .commit(Some(id), candidate, session.asked_by(), confirm, persist_id)
             .await
             .map(|_| ()),
-        Asked::Confirm { persist_id } => commit_service.confirm(Some(id), persist_id).await,
-        Asked::Cancel { persist_id } => commit_service.cancel(Some(id), persist_id).await,
+        DatastoreOperation::Confirm { persist_id } => {
+            commit_service.confirm(Some(id), persist_id).await
+        }
+        DatastoreOperation::Cancel { persist_id } => {
+            commit_service.cancel(Some(id), persist_id).await
+        }
     }
 }
 
 /// What happened, as a notification and when; none where the model has no such.
 fn notification(
     shared: &Shared,
-    told: &News,
+    told: &Notification,
     missed: u64,
 ) -> Option<(f64, kestreltide_yang::Data)> {
     let node = |name: &str| -> Option<NodeId> { shared.schema.notifications.get(name).copied() };
     Some(match told {
-        News::Committed(record) => (
+        Notification::Committed(record) => (
             record.at,
             state::committed(shared.schema, node("revision-committed")?, record, missed),
         ),
-        News::Rejected(refusal) => (
+        Notification::Rejected(refusal) => (
             refusal.at,
             state::refused(shared.schema, node("candidate-refused")?, refusal),
         ),
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -6,8 +6,8 @@
 
 use super::operations::text;
 use super::rpc_error::RpcError;
-use super::{Asked, Session, Step};
-use crate::commit_service::Handle;
+use super::{DatastoreOperation, Session, Step};
+use crate::commit_service::CommitServiceHandle;
 
 /// Seconds: how long a commit waits to be confirmed where nothing is said (RFC 6241, section 8.4.5.1), and at most.
 const CONFIRM: [f64; 2] = [600.0, 86_400.0];
@@ -17,7 +17,7 @@
         &mut self,
         of: &Element,
         rights: Rights,
-        commit_service: &Handle,
+        commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
         let persist_id = text(of, "persist-id");
         let confirm = match of.child("confirmed") {
@@ -54,7 +54,7 @@
             .is_some_and(|candidate| !candidate.is_unchanged());
         // Without anything to commit it confirms, where something waits for that.
         if !changed && confirm.is_none() && (published.pending.is_some() || persist_id.is_some()) {
-            return Ok(Step::Ask(Asked::Confirm { persist_id }));
+            return Ok(Step::Perform(DatastoreOperation::Confirm { persist_id }));
         }
         let candidate = self.candidate(commit_service).clone();
         self.check_rights(
@@ -63,7 +63,7 @@
             rights,
             commit_service,
         )?;
-        Ok(Step::Ask(Asked::Commit {
+        Ok(Step::Perform(DatastoreOperation::Commit {
             candidate,
             confirm,
             persist_id,
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -8,8 +8,8 @@
 
 use super::operations::{target, text};
 use super::rpc_error::{RpcError, edit_error, xpath};
-use super::{Asked, Session, Step};
-use crate::commit_service::Handle;
+use super::{DatastoreOperation, Session, Step};
+use crate::commit_service::CommitServiceHandle;
 
 /// How an edit-config is done.
 struct EditOptions {
@@ -62,7 +62,7 @@
 }
 
 impl Session {
-    pub(super) fn candidate(&mut self, commit_service: &Handle) -> &mut Candidate {
+    pub(super) fn candidate(&mut self, commit_service: &CommitServiceHandle) -> &mut Candidate {
         self.candidate
             .get_or_insert_with(|| Candidate::of(&commit_service.published.load().in_force))
     }
@@ -98,7 +98,7 @@
         &mut self,
         of: &Element,
         rights: Rights,
-        commit_service: &Handle,
+        commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
         let target = target(of, "target")?;
         let options = EditOptions::of(of)?;
@@ -119,10 +119,10 @@
         self.edited(&mut candidate.tree, config, by_default)?;
         self.check_rights(&before, &candidate.tree, rights, commit_service)?;
         if options.test_only {
-            return Ok(Step::Ask(Asked::Validate(candidate)));
+            return Ok(Step::Perform(DatastoreOperation::Validate(candidate)));
         }
         match target {
-            Target::Running => Ok(Step::Ask(Asked::Commit {
+            Target::Running => Ok(Step::Perform(DatastoreOperation::Commit {
                 candidate,
                 confirm: None,
                 persist_id: None,
@@ -140,11 +140,11 @@
         before: &Tree,
         after: &Tree,
         rights: Rights,
-        commit_service: &Handle,
+        commit_service: &CommitServiceHandle,
     ) -> Result<(), Vec<RpcError>> {
         rights.check(&before.differences(after)).map_err(|error| {
             let path = error.path.parse().ok().map(|path| xpath(&path));
-            (commit_service.ask)(crate::Ask::Denied {
+            (commit_service.submit)(crate::CommitServiceRequest::Denied {
                 author: self.author(),
                 error: error.clone(),
             });
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -25,11 +25,11 @@
 pub use self::capabilities::BASE;
 use self::capabilities::CAPABILITIES;
 use self::rpc_error::{RpcError, refusal_errors};
-use crate::commit_service::Handle;
+use crate::commit_service::CommitServiceHandle;
 
 /// What the commit service is asked for a message.
 #[derive(Clone, Debug)]
-pub enum Asked {
+pub enum DatastoreOperation {
     /// Lock a datastore.
     Lock(Target),
     /// Release the lock of a datastore.
@@ -62,8 +62,8 @@
 pub enum Step {
     /// Send the reply; an empty one is not sent.
     Reply(String),
-    /// Ask, and give the answer to [`Session::answered`].
-    Ask(Asked),
+    /// Perform it, and give the answer to [`Session::answered`].
+    Perform(DatastoreOperation),
     /// The reply, then the session is over.
     Close(String),
     /// Another session is to be ended; the reply.
@@ -130,7 +130,12 @@
     }
 
     /// What a message leads to.
-    pub fn message(&mut self, bytes: &[u8], rights: Rights, commit_service: &Handle) -> Step {
+    pub fn message(
+        &mut self,
+        bytes: &[u8],
+        rights: Rights,
+        commit_service: &CommitServiceHandle,
+    ) -> Step {
         let Ok(text) = std::str::from_utf8(bytes) else {
             return self.malformed("is not UTF-8");
         };
@@ -204,10 +209,17 @@
     }
 
     /// The commit service's answer to what was asked.
-    pub fn answered(&mut self, asked: &Asked, answer: Result<(), CommitError>) -> String {
+    pub fn answered(
+        &mut self,
+        asked: &DatastoreOperation,
+        answer: Result<(), CommitError>,
+    ) -> String {
         match answer {
             Ok(()) => {
-                if matches!(asked, Asked::Commit { .. } | Asked::Cancel { .. }) {
+                if matches!(
+                    asked,
+                    DatastoreOperation::Commit { .. } | DatastoreOperation::Cancel { .. }
+                ) {
                     self.candidate = None;
                 }
                 self.ok()
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -7,8 +7,8 @@
 
 use super::capabilities::{BASE, MONITORING, NOTIFICATIONS};
 use super::rpc_error::{RpcError, denied, unsupported};
-use super::{Asked, Session, Step};
-use crate::commit_service::Handle;
+use super::{DatastoreOperation, Session, Step};
+use crate::commit_service::CommitServiceHandle;
 use crate::state;
 
 impl Session {
@@ -16,7 +16,7 @@
         &mut self,
         of: &Element,
         rights: Rights,
-        commit_service: &Handle,
+        commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
         let own = self
             .schema
@@ -37,11 +37,15 @@
                 "delete-config",
                 "edit-config with delete",
             )]),
-            (BASE, "lock") => Ok(Step::Ask(Asked::Lock(target(of, "target")?))),
-            (BASE, "unlock") => Ok(Step::Ask(Asked::Unlock(target(of, "target")?))),
+            (BASE, "lock") => Ok(Step::Perform(DatastoreOperation::Lock(target(
+                of, "target",
+            )?))),
+            (BASE, "unlock") => Ok(Step::Perform(DatastoreOperation::Unlock(target(
+                of, "target",
+            )?))),
             (BASE, "validate") => self.validate(of, commit_service),
             (BASE, "commit") => self.commit(of, rights, commit_service),
-            (BASE, "cancel-commit") => Ok(Step::Ask(Asked::Cancel {
+            (BASE, "cancel-commit") => Ok(Step::Perform(DatastoreOperation::Cancel {
                 persist_id: text(of, "persist-id"),
             })),
             (BASE, "discard-changes") => {
@@ -67,7 +71,7 @@
         &mut self,
         of: &Element,
         rights: Rights,
-        commit_service: &Handle,
+        commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
         if !rights.read {
             return Err(vec![denied("reading", rights)]);
@@ -92,7 +96,11 @@
         Ok(Step::Reply(self.data(&filter.prune(self.schema, &[data]))))
     }
 
-    fn validate(&mut self, of: &Element, commit_service: &Handle) -> Result<Step, Vec<RpcError>> {
+    fn validate(
+        &mut self,
+        of: &Element,
+        commit_service: &CommitServiceHandle,
+    ) -> Result<Step, Vec<RpcError>> {
         let source = of
             .child("source")
             .ok_or_else(|| vec![RpcError::missing("source")])?;
@@ -108,7 +116,7 @@
                 Target::Candidate => self.candidate(commit_service).clone(),
             },
         };
-        Ok(Step::Ask(Asked::Validate(candidate)))
+        Ok(Step::Perform(DatastoreOperation::Validate(candidate)))
     }
 
     fn kill_session(&self, of: &Element) -> Result<Step, Vec<RpcError>> {
--- a/management/src/netconf/session/trial.rs
+++ b/management/src/netconf/session/trial.rs
@@ -6,8 +6,8 @@
 use kestreltide_yang::xml::Element;
 
 use super::rpc_error::{RpcError, edit_error, validation_error};
-use super::{Asked, Session, Step};
-use crate::commit_service::Handle;
+use super::{DatastoreOperation, Session, Step};
+use crate::commit_service::CommitServiceHandle;
 
 impl Session {
     /// The model's own operations: what is asked of the build on trial.
@@ -16,7 +16,7 @@
         of: &Element,
         name: &str,
         rights: Rights,
-        commit_service: &Handle,
+        commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
         let Some(input) = self.schema.rpcs.get(&of.name).copied() else {
             let known: Vec<_> = self.schema.rpcs.keys().map(String::as_str).collect();
@@ -60,7 +60,7 @@
             }
         }
         self.check_rights(&before, &candidate.tree, rights, commit_service)?;
-        Ok(Step::Ask(Asked::Commit {
+        Ok(Step::Perform(DatastoreOperation::Commit {
             candidate,
             confirm: None,
             persist_id: None,
--- a/management/tests/netconf.rs
+++ b/management/tests/netconf.rs
@@ -7,8 +7,8 @@
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::*;
 use kestreltide_management::netconf::framing::{Frames, Framing, write};
-use kestreltide_management::netconf::session::{Asked, BASE, Session, Step};
-use kestreltide_management::{Handle, state};
+use kestreltide_management::netconf::session::{BASE, DatastoreOperation, Session, Step};
+use kestreltide_management::{CommitServiceHandle, state};
 use kestreltide_yang::bind::Bind;
 use kestreltide_yang::{published, xml};
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
 /// A desk with four hosts, and what fronts hold of it.
 struct Rig {
     desk: CommitCoordinator,
-    handle: Handle,
+    handle: CommitServiceHandle,
     now: f64,
 }
 
@@ -62,15 +62,15 @@
         };
         desk.commit(None, &candidate, author, None, None, &facts(-100.0))
             .expect("well");
-        let handle = Handle {
-            ask: Arc::new(|_| true),
+        let handle = CommitServiceHandle {
+            submit: Arc::new(|_| true),
             published: Arc::new(arc_swap::ArcSwap::from_pointee(desk.publish())),
             view: Arc::new(arc_swap::ArcSwap::from_pointee(View {
                 heard: true,
                 ..View::default()
             })),
             in_force: Arc::default(),
-            news: tokio::sync::broadcast::channel(4).0,
+            notifications: tokio::sync::broadcast::channel(4).0,
             keys: Arc::default(),
         };
         Rig {
@@ -111,7 +111,7 @@
             | Step::Kill(_, reply)
             | Step::Subscribe(reply) => reply,
             Step::Over(why) => panic!("over: {why}"),
-            Step::Ask(asked) => {
+            Step::Perform(asked) => {
                 let answer = self.ask(session.id, session.asked_by(), &asked);
                 self.handle.published.store(Arc::new(self.desk.publish()));
                 session.answered(&asked, answer)
@@ -123,14 +123,16 @@
         &mut self,
         id: SessionId,
         author: Author,
-        asked: &Asked,
+        asked: &DatastoreOperation,
     ) -> Result<(), kestreltide_datastore::commit_coordinator::CommitError> {
         let facts = facts(self.now);
         match asked.clone() {
-            Asked::Lock(target) => self.desk.lock(id, target),
-            Asked::Unlock(target) => self.desk.unlock(id, target),
-            Asked::Validate(candidate) => Ok(self.desk.validate(&candidate, &facts)?),
-            Asked::Commit {
+            DatastoreOperation::Lock(target) => self.desk.lock(id, target),
+            DatastoreOperation::Unlock(target) => self.desk.unlock(id, target),
+            DatastoreOperation::Validate(candidate) => {
+                Ok(self.desk.validate(&candidate, &facts)?)
+            }
+            DatastoreOperation::Commit {
                 candidate,
                 confirm,
                 persist_id,
@@ -145,8 +147,10 @@
                     &facts,
                 )
                 .map(|_| ()),
-            Asked::Confirm { persist_id } => self.desk.confirm(Some(id), persist_id.as_deref()),
-            Asked::Cancel { persist_id } => self
+            DatastoreOperation::Confirm { persist_id } => {
+                self.desk.confirm(Some(id), persist_id.as_deref())
+            }
+            DatastoreOperation::Cancel { persist_id } => self
                 .desk
                 .cancel(Some(id), persist_id.as_deref(), &facts)
                 .map(|_| ()),
--- a/router/src/fronts/keeper.rs
+++ b/router/src/fronts/keeper.rs
@@ -19,7 +19,7 @@
 };
 use kestreltide_file_watch::parse::{Parsed, Version};
 use kestreltide_file_watch::watch::{WatchEvent, parse_files, poll_files};
-use kestreltide_management::News;
+use kestreltide_management::Notification;
 use slog::{Logger, info, warn};
 use tokio::sync::broadcast;
 
@@ -34,7 +34,7 @@
     /// The watched files say this now.
     Files(WatchEvent<Version>),
     /// A front asks the desk.
-    CommitCoordinator(kestreltide_management::Ask),
+    CommitCoordinator(kestreltide_management::CommitServiceRequest),
     /// What is not saved yet is saved, and the thread ends.
     Stop,
 }
@@ -70,7 +70,7 @@
     desk: CommitCoordinator,
     /// What fronts read of the desk, and where they are told what happens.
     published: Arc<ArcSwap<Published>>,
-    news: broadcast::Sender<News>,
+    news: broadcast::Sender<Notification>,
     /// The newest of both that was told.
     told: (u64, Option<f64>),
     /// What the files said when they were last taken, and what was in force then.
@@ -243,7 +243,7 @@
     }
 
     /// What fronts hold to reach this thread.
-    pub fn published(&self) -> (Arc<ArcSwap<Published>>, broadcast::Sender<News>) {
+    pub fn published(&self) -> (Arc<ArcSwap<Published>>, broadcast::Sender<Notification>) {
         (self.published.clone(), self.news.clone())
     }
 
@@ -258,13 +258,16 @@
             .collect();
         for record in new.into_iter().rev() {
             self.told.0 = record.number;
-            let _ = self.news.send(News::Committed(Arc::new(record)));
+            let _ = self.news.send(Notification::Committed(Arc::new(record)));
         }
         let refusal = store.refusals().next_back();
         if refusal.is_some_and(|refusal| self.told.1 != Some(refusal.at)) {
             self.told.1 = refusal.map(|refusal| refusal.at);
             refusal.into_iter().for_each(|refusal| {
-                drop(self.news.send(News::Rejected(Arc::new(refusal.clone()))))
+                drop(
+                    self.news
+                        .send(Notification::Rejected(Arc::new(refusal.clone()))),
+                )
             });
         }
         let published = self.desk.publish();
@@ -304,46 +307,50 @@
     }
 
     /// A front's question; who does not wait for the answer any more gets none.
-    fn asked(&mut self, ask: kestreltide_management::Ask, facts: &Facts) -> Served {
-        use kestreltide_management::Ask;
+    fn asked(
+        &mut self,
+        ask: kestreltide_management::CommitServiceRequest,
+        facts: &Facts,
+    ) -> Served {
+        use kestreltide_management::CommitServiceRequest;
         match ask {
-            Ask::Open { reply } => {
+            CommitServiceRequest::Open { reply } => {
                 let _ = reply.send(self.desk.open());
             }
-            Ask::Ended { session } => {
+            CommitServiceRequest::Ended { session } => {
                 let undone = self.desk.ended(session, facts);
                 return Served::only(undone.and_then(|undone| self.undone(undone)));
             }
-            Ask::Lock {
+            CommitServiceRequest::Lock {
                 session,
                 target,
                 reply,
             } => {
                 let _ = reply.send(self.desk.lock(session, target));
             }
-            Ask::Unlock {
+            CommitServiceRequest::Unlock {
                 session,
                 target,
                 reply,
             } => {
                 let _ = reply.send(self.desk.unlock(session, target));
             }
-            Ask::Validate { candidate, reply } => {
+            CommitServiceRequest::Validate { candidate, reply } => {
                 let _ = reply.send(self.desk.validate(&candidate, facts));
             }
-            Ask::Confirm {
-                asker,
+            CommitServiceRequest::Confirm {
+                requester,
                 persist_id,
                 reply,
             } => {
-                let _ = reply.send(self.desk.confirm(asker, persist_id.as_deref()));
+                let _ = reply.send(self.desk.confirm(requester, persist_id.as_deref()));
             }
-            Ask::Cancel {
-                asker,
+            CommitServiceRequest::Cancel {
+                requester,
                 persist_id,
                 reply,
             } => {
-                let cancelled = self.desk.cancel(asker, persist_id.as_deref(), facts);
+                let cancelled = self.desk.cancel(requester, persist_id.as_deref(), facts);
                 let taken = match &cancelled {
                     Ok(Commit::Applied(snapshot)) => Some(snapshot.clone()),
                     _ => None,
@@ -353,7 +360,7 @@
                     reply: Some(Box::new(move || drop(reply.send(cancelled.map(|_| ()))))),
                 };
             }
-            Ask::Denied { author, error } => {
+            CommitServiceRequest::Denied { author, error } => {
                 let errors = error.into();
                 self.tell(
                     "an edit is beyond the rights of who tries it",
@@ -362,10 +369,10 @@
                 );
                 self.desk.store.refuse(author, facts.now, errors);
             }
-            Ask::Commit(ask) => {
+            CommitServiceRequest::Commit(ask) => {
                 let author = ask.author.clone();
                 let committed = self.desk.commit(
-                    ask.asker,
+                    ask.requester,
                     &ask.candidate,
                     ask.author,
                     ask.confirm,
--- a/router/src/fronts/management.rs
+++ b/router/src/fronts/management.rs
@@ -10,7 +10,7 @@
 use kestreltide_file_watch::parse::{Parsed, keys};
 use kestreltide_file_watch::watch::{WatchEvent, Watched, poll_files, wakes};
 use kestreltide_management::netconf::server::{Shared, serve as serve_netconf};
-use kestreltide_management::{Handle, Limits, gnmi, keys as russh_key};
+use kestreltide_management::{CommitServiceHandle, Limits, gnmi, keys as russh_key};
 use slog::{Logger, error, info, warn};
 
 use super::supervise;
@@ -119,7 +119,7 @@
         self,
         log: &Logger,
         clock: Clock,
-        desk: Handle,
+        desk: CommitServiceHandle,
         pulse: Pulse,
     ) -> std::io::Result<()> {
         let Opened {
@@ -184,7 +184,7 @@
 async fn run(
     log: &Logger,
     clock: Clock,
-    desk: &Handle,
+    desk: &CommitServiceHandle,
     pulse: &Pulse,
     netconf: &Option<(TcpListener, russh_key::PrivateKey)>,
     gnmi: &Option<(TcpListener, Files)>,
--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -9,7 +9,7 @@
 use kestreltide::interface::{RolloutStatus, ServiceSettings};
 use kestreltide_datastore::{Facts, HostRecord, RuleSettings, Snapshot};
 use kestreltide_file_watch::watch::{parse_files, wakes};
-use kestreltide_management::Handle;
+use kestreltide_management::CommitServiceHandle;
 use slog::Logger;
 
 use super::keeper::{Ask, Keeper, KeeperTerms};
@@ -142,12 +142,12 @@
         }
         if let Some(opened) = opened {
             let ask = asks.clone();
-            let desk = Handle {
-                ask: Arc::new(move |asked| ask.try_send(Ask::CommitCoordinator(asked)).is_ok()),
+            let desk = CommitServiceHandle {
+                submit: Arc::new(move |asked| ask.try_send(Ask::CommitCoordinator(asked)).is_ok()),
                 published,
                 view: of_loop.view.clone(),
                 in_force: of_loop.in_force.clone(),
-                news: told,
+                notifications: told,
                 keys: opened.keys.clone(),
             };
             let pulse = Pulse::new("management");
