--- a/datastore/src/check.rs
+++ b/datastore/src/check.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use kestreltide::interface::*;
-use kestreltide::narrow::{self, Weighed};
+use kestreltide::operator_weights::{self, EffectiveWeight};
 
 use crate::fault::{Fault, Faults, KEPT, Rule};
 use crate::merge::{Listed, merge};
@@ -192,7 +192,7 @@
         &self,
         tree: &Tree,
         hosts: &BTreeMap<Arc<str>, Listed>,
-    ) -> (Vec<Arc<str>>, Vec<Weighed>) {
+    ) -> (Vec<Arc<str>>, Vec<EffectiveWeight>) {
         let serving = hosts.iter().filter(|(_, host)| host.serves());
         let weight = |name: &Arc<str>| {
             let name: Option<HostName> = name.parse().ok();
@@ -203,10 +203,10 @@
             let warmth = self.terms.warmth(host.started, self.facts.now);
             (
                 name.clone(),
-                Weighed {
+                EffectiveWeight {
                     size: host.size,
                     weight: weight(name),
-                    warmth,
+                    warm_up_fraction: warmth,
                 },
             )
         });
@@ -516,14 +516,18 @@
     let (names_before, before) = context.weighed(context.old, &context.was);
     let earlier = |name: &Arc<str>| {
         let place = names_before.binary_search(name).ok()?;
-        Some(narrow::share(&before[place], &before))
+        Some(operator_weights::relative_share(&before[place], &before))
     };
     if now.iter().all(|host| host.weight == 1.0) {
         return;
     }
-    for (name, host) in names.iter().zip(&now).filter(|(_, host)| host.warmth < 1.0) {
-        let falls = terms.overload_multiple * host.warmth;
-        let share = narrow::share(host, &now);
+    for (name, host) in names
+        .iter()
+        .zip(&now)
+        .filter(|(_, host)| host.warm_up_fraction < 1.0)
+    {
+        let falls = terms.overload_multiple * host.warm_up_fraction;
+        let share = operator_weights::relative_share(host, &now);
         // A fair share is what every host gets without weights.
         if share <= falls.max(1.0) || earlier(name).is_some_and(|earlier| share <= GREW * earlier) {
             continue;
@@ -546,7 +550,7 @@
             "{who} would send the host {share:.2} times its fair share; it started {:.1} s ago, can do {:.2} of \
              its work and falls over at {falls:.2}",
             context.facts.now - started,
-            host.warmth
+            host.warm_up_fraction
         );
         let taken = format!(
             "a weight of {:.3} at most, or the same {:.1} s later",
--- a/measure/src/capacity/fleet_run/hollow.rs
+++ b/measure/src/capacity/fleet_run/hollow.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-use kestreltide::choice::Router;
+use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 use kestreltide_router::transport::Alarms;
 use rand::{RngExt, SeedableRng};
--- a/measure/src/capacity/simulation/evidence/tests.rs
+++ b/measure/src/capacity/simulation/evidence/tests.rs
@@ -28,7 +28,7 @@
 /// The decision module's own message is read as this module expects it.
 #[test]
 fn a_message_of_the_decision_module_is_read() {
-    use kestreltide::choice::Router;
+    use kestreltide::decisions::Router;
     use kestreltide::interface::*;
     let mut effects = vec![];
     let terms = super::super::settings::service_terms(8, 0);
--- a/measure/src/capacity/simulation/fleet/mod.rs
+++ b/measure/src/capacity/simulation/fleet/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use kestreltide::choice::Router;
+use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/measure/src/capacity/slopes/decisions.rs
+++ b/measure/src/capacity/slopes/decisions.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use kestreltide::choice::Router;
+use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -18,7 +18,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use kestreltide::choice::Router;
+use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 use kestreltide_settings::TransportSettings;
 use rand::SeedableRng;
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use codec::{decode_entry, decode_event, encode};
-use kestreltide::choice::Router;
+use kestreltide::decisions::Router;
 use kestreltide::interface::{Effect, Event, HostEntry, ListScope};
 use kestreltide_settings::{Fields, Names, TransportSettings, decode, seconds};
 
--- a/src/candidates.rs
+++ b/src/candidates.rs
@@ -1,5 +1,5 @@
 //! The hosts that a request may go to. Hosts that stand out are listed one by one; all others are counted by arm,
-//! as the index keeps them. Records only: which host may be chosen, and in which tier, is decided in `choice.rs`.
+//! as the index keeps them. Records only: which host may be chosen, and in which tier, is decided in `decisions`.
 
 use std::sync::Arc;
 
--- a/src/choice.rs
+++ b/src/decisions/mod.rs
@@ -12,7 +12,7 @@
 use crate::candidates::{Candidate, Candidates, Sum, Wanted};
 use crate::host_index::{Group, Indexed};
 use crate::interface::*;
-use crate::narrow::{Weighed, put_in_force};
+use crate::operator_weights::{EffectiveWeight, apply_weights};
 use crate::rankings::first_two;
 use crate::record::*;
 
@@ -849,7 +849,12 @@
         })
     }
 
-    fn candidates(&self, now: f64, wanted: &Wanted, own: Option<Vec<Weighed>>) -> Candidates {
+    fn candidates(
+        &self,
+        now: f64,
+        wanted: &Wanted,
+        own: Option<Vec<EffectiveWeight>>,
+    ) -> Candidates {
         let of = |h: &Host| self.candidate(now, wanted, h, h.weight);
         let of_id = |id: &HostId| self.s.hosts.get(id).and_then(|h| of(h));
         let named = wanted
@@ -888,7 +893,7 @@
         // An invocation is decided under the revision it came under; what was taken out since, is out.
         let own = (request.set.revision != self.s.set.revision).then(|| {
             let mut weighed = self.s.all_weighed(now, &request.set);
-            put_in_force(&mut weighed, self.s.overload_multiple);
+            apply_weights(&mut weighed, self.s.overload_multiple);
             weighed
         });
         let hash = |key: &KeyId| key.0.bytes().fold(0, |h, b| mix(h ^ u64::from(b)));
--- a/src/host_index.rs
+++ b/src/host_index.rs
@@ -1,6 +1,6 @@
 //! An index of the hosts in use, kept up to date by what happens to each host, so that a request need not look at
 //! all of them. Hosts that a request cannot tell apart form a [`Group`]; those that stand out (warming up, ejected
-//! or failing) are listed one by one. Records only: what stands out is decided in `choice.rs`.
+//! or failing) are listed one by one. Records only: what stands out is decided in `decisions`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/narrow.rs
+++ b/src/operator_weights.rs
@@ -12,26 +12,26 @@
 
 /// One host's part in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weighed {
+pub struct EffectiveWeight {
     pub size: f64,
     /// As operators set it.
     pub weight: f64,
     /// The part of its work that it can do by now; 1 once it is warm.
-    pub warmth: f64,
+    pub warm_up_fraction: f64,
 }
 
 /// How many times its fair share a host may be given by weight alone: any number when warm, and before that
 /// what leaves room below the fall, but always the fair share itself.
-pub fn carried(warmth: f64, overload_multiple: f64) -> f64 {
-    if warmth >= 1.0 {
+pub fn max_relative_share(warm_up_fraction: f64, overload_multiple: f64) -> f64 {
+    if warm_up_fraction >= 1.0 {
         f64::INFINITY
     } else {
-        (HEADROOM * overload_multiple * warmth).max(1.0)
+        (HEADROOM * overload_multiple * warm_up_fraction).max(1.0)
     }
 }
 
 /// How many times its fair share a host gets by its weight among others, as the weights stand.
-pub fn share(host: &Weighed, among: &[Weighed]) -> f64 {
+pub fn relative_share(host: &EffectiveWeight, among: &[EffectiveWeight]) -> f64 {
     let size: f64 = among.iter().map(|other| other.size).sum();
     let weights: f64 = among.iter().map(|other| other.size * other.weight).sum();
     if weights > 0.0 && size > 0.0 {
@@ -43,7 +43,7 @@
 
 /// Puts in each weight's place what it counts for, 1 being an even share: no cold host's exceeds what it may
 /// carry, measured by the level of all weights as they count themselves.
-pub fn put_in_force(hosts: &mut [Weighed], overload_multiple: f64) {
+pub fn apply_weights(hosts: &mut [EffectiveWeight], overload_multiple: f64) {
     let size: f64 = hosts.iter().map(|host| host.size).sum();
     let first = hosts.first().map_or(1.0, |host| host.weight);
     if size <= 0.0 || hosts.iter().all(|host| host.weight == first) {
@@ -55,11 +55,11 @@
         .iter()
         .map(|host| host.weight)
         .fold(f64::INFINITY, f64::min);
-    let warm = hosts.iter().filter(|host| host.warmth >= 1.0);
+    let warm = hosts.iter().filter(|host| host.warm_up_fraction >= 1.0);
     let mut level = least.max(warm.map(|host| host.size * host.weight).sum::<f64>() / size);
-    let counts = |host: &Weighed, level: f64| {
+    let counts = |host: &EffectiveWeight, level: f64| {
         host.weight
-            .min(level * carried(host.warmth, overload_multiple))
+            .min(level * max_relative_share(host.warm_up_fraction, overload_multiple))
     };
     let mean = |level: f64| {
         hosts
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,12 +1,12 @@
 //! What a router keeps between events, and the plain form of what routers tell each other. Records only:
-//! every decision, table and tuned value is in `choice.rs`.
+//! every decision, table and tuned value is in `decisions`.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 use crate::host_index::HostIndex;
 use crate::interface::*;
-use crate::narrow::{Weighed, put_in_force};
+use crate::operator_weights::{EffectiveWeight, apply_weights};
 
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) enum Ballot {
@@ -412,24 +412,24 @@
         host: &HostEntry,
         now: f64,
         weight: &mut impl FnMut(HostId) -> f64,
-    ) -> Weighed {
-        Weighed {
+    ) -> EffectiveWeight {
+        EffectiveWeight {
             size: host.size,
             weight: weight(host.host),
-            warmth: self.warmth(host, now),
+            warm_up_fraction: self.warmth(host, now),
         }
     }
 
     /// All hosts in use, in their order, with their weights under a revision.
-    pub(crate) fn all_weighed(&self, now: f64, set: &OperatorOverrides) -> Vec<Weighed> {
+    pub(crate) fn all_weighed(&self, now: f64, set: &OperatorOverrides) -> Vec<EffectiveWeight> {
         let mut weight = set.weights_in_order();
         self.usable()
             .map(|h| self.weighed(&h.entry, now, &mut weight))
             .collect()
     }
 
-    pub(crate) fn weigh(&mut self, mut weighed: Vec<Weighed>) {
-        put_in_force(&mut weighed, self.overload_multiple);
+    pub(crate) fn weigh(&mut self, mut weighed: Vec<EffectiveWeight>) {
+        apply_weights(&mut weighed, self.overload_multiple);
         let usable = self.hosts.values_mut().filter(|host| host.usable);
         usable
             .zip(weighed)
--- a/tests/fake/fleet.rs
+++ b/tests/fake/fleet.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-use kestreltide::choice::Router;
+use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -6,7 +6,7 @@
 pub mod fleet;
 pub mod regions;
 
-use kestreltide::choice::Router;
+use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 
 pub const OLD: BuildId = BuildId(7);
--- a/tests/golden_gossip.rs
+++ b/tests/golden_gossip.rs
@@ -12,7 +12,7 @@
 use std::{env, fs};
 
 use fake::{NEW, OLD, host, news, sent_to, terms};
-use kestreltide::choice::Router;
+use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 
 const REGENERATE: &str = "KESTRELTIDE_REGENERATE_GOLDEN";
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -3,7 +3,7 @@
 mod fake;
 
 use fake::*;
-use kestreltide::choice::Router;
+use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 use rstest::rstest;
 
--- a/tests/weights.rs
+++ b/tests/weights.rs
@@ -8,7 +8,9 @@
 
 use fake::*;
 use kestreltide::interface::*;
-use kestreltide::narrow::{Weighed, carried, put_in_force, share};
+use kestreltide::operator_weights::{
+    EffectiveWeight, apply_weights, max_relative_share, relative_share,
+};
 use rstest::rstest;
 
 fn set(revision: u64, weights: &[(u64, f64)]) -> Arc<OperatorOverrides> {
@@ -199,17 +201,17 @@
     assert!(light * 4 < even, "{light} {even}");
 }
 
-fn in_force(hosts: &[Weighed], overload_multiple: f64) -> Vec<f64> {
+fn in_force(hosts: &[EffectiveWeight], overload_multiple: f64) -> Vec<f64> {
     let mut hosts = hosts.to_vec();
-    put_in_force(&mut hosts, overload_multiple);
+    apply_weights(&mut hosts, overload_multiple);
     hosts.into_iter().map(|host| host.weight).collect()
 }
 
-fn weighed(weight: f64, warmth: f64) -> Weighed {
-    Weighed {
+fn weighed(weight: f64, warmth: f64) -> EffectiveWeight {
+    EffectiveWeight {
         size: 1.0,
         weight,
-        warmth,
+        warm_up_fraction: warmth,
     }
 }
 
@@ -220,18 +222,20 @@
 #[case::others_light_and_cold(vec![weighed(1.0, 0.4), weighed(0.01, 0.4), weighed(0.01, 0.4), weighed(1.0, 1.0)])]
 #[case::all_cold(vec![weighed(9.0, 0.4), weighed(1.0, 0.5), weighed(0.1, 0.6)])]
 #[case::many_heavy([vec![weighed(100.0, 0.4); 10], vec![weighed(1.0, 1.0); 90]].concat())]
-fn no_cold_host_counts_for_more_than_it_carries(#[case] hosts: Vec<Weighed>) {
+fn no_cold_host_counts_for_more_than_it_carries(#[case] hosts: Vec<EffectiveWeight>) {
     let count = in_force(&hosts, 3.0);
     let mean = count.iter().sum::<f64>() / count.len() as f64;
     assert!((mean - 1.0).abs() < 1e-9, "an even share is 1: {mean}");
     for (host, count) in hosts.iter().zip(&count) {
         assert!(
-            *count <= carried(host.warmth, 3.0) + 1e-9,
+            *count <= max_relative_share(host.warm_up_fraction, 3.0) + 1e-9,
             "{count} of {host:?}"
         );
         assert!(
-            *count <= share(host, &hosts).max(carried(host.warmth, 3.0)) + 1e-9
-                || host.warmth >= 1.0
+            *count
+                <= relative_share(host, &hosts).max(max_relative_share(host.warm_up_fraction, 3.0))
+                    + 1e-9
+                || host.warm_up_fraction >= 1.0
         );
     }
 }
