--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use kestreltide::interface::{RolloutStatus, ServiceSettings};
-use kestreltide_datastore::{Facts, Listed, RuleTerms, Snapshot};
-use kestreltide_file_watch::watch::{spoken, wakes};
+use kestreltide_datastore::{Facts, HostRecord, RuleSettings, Snapshot};
+use kestreltide_file_watch::watch::{parse_files, wakes};
 use kestreltide_management::Handle;
 use slog::Logger;
 
@@ -33,7 +33,7 @@
 
 impl Fronts {
     /// The watched files are looked at now, whatever notices say.
-    pub fn look(&self) {
+    pub fn poll_files(&self) {
         if let Some(wake) = &self.wake {
             let _ = wake.try_send(());
         }
@@ -71,7 +71,7 @@
         &self,
         net: &mut Net,
         operators: &OperatorTerms,
-        listed: Option<Vec<Listed>>,
+        listed: Option<Vec<HostRecord>>,
         news: Option<RolloutStatus>,
     ) -> Result<Option<Joined>, String> {
         if !operators.any() {
@@ -90,7 +90,7 @@
             .map(|terms| Opened::open(&log, terms))
             .transpose()?;
         let (open, of_loop) = FrontBox::open(net, self.limits.posted).map_err(failed)?;
-        let rules = RuleTerms::new(self.terms, self.operations.clone(), self.limits.operators);
+        let rules = RuleSettings::new(self.terms, self.operations.clone(), self.limits.operators);
         let terms = KeeperTerms {
             router: self.router.into(),
             rules,
@@ -125,7 +125,7 @@
                 // After a death everything is told anew; what is in force already changes nothing.
                 let alive = || pulse.beat(clock.now());
                 let says = |contents: &[kestreltide_file_watch::Content]| {
-                    spoken(&watching.files, contents)
+                    parse_files(&watching.files, contents)
                 };
                 let tell = |told| tell.send(Ask::Files(told)).is_ok();
                 kestreltide_file_watch::run(
@@ -143,7 +143,7 @@
         if let Some(opened) = opened {
             let ask = asks.clone();
             let desk = Handle {
-                ask: Arc::new(move |asked| ask.try_send(Ask::Desk(asked)).is_ok()),
+                ask: Arc::new(move |asked| ask.try_send(Ask::CommitCoordinator(asked)).is_ok()),
                 published,
                 view: of_loop.view.clone(),
                 in_force: of_loop.in_force.clone(),
