--- a/src/candidates.rs
+++ b/src/candidates.rs
@@ -7,7 +7,7 @@
 use crate::interface::{HostId, Pool, Revision};
 
 /// What a request asks of a host.
-pub(crate) struct Wanted {
+pub(crate) struct Requirements {
     /// The groups that are for it, in their order, and the arm of each.
     pub(crate) arms: Vec<(Group, usize)>,
     /// Hosts that it has been sent to.
@@ -17,7 +17,7 @@
     pub(crate) revision: Revision,
 }
 
-impl Wanted {
+impl Requirements {
     pub(crate) fn arm(&self, group: &Group) -> Option<usize> {
         let place = self.arms.binary_search_by(|(of, _)| of.cmp(group)).ok()?;
         Some(self.arms[place].1)
--- a/src/host_index.rs
+++ b/src/host_index.rs
@@ -4,9 +4,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::candidates::{Sum, Wanted};
+use crate::candidates::{Requirements, Sum};
 use crate::interface::{BuildId, CellId, HostEntry, HostId, KindId, ZoneId};
-use crate::rankings::Rankings;
+use crate::rendezvous::RendezvousRankings;
 
 /// More changed hosts than this at once are not followed one by one in the rankings, which are filled anew.
 const FOLLOWED_AT_ONCE: usize = 64;
@@ -45,8 +45,8 @@
     /// Neither warming up nor ejected nor failing: until something happens to it, it stays so.
     pub(crate) settled: bool,
     /// The share of its attempts that came to nothing, and its relative slowdown.
-    pub(crate) faults: f64,
-    pub(crate) pace: f64,
+    pub(crate) failure_rate: f64,
+    pub(crate) slowdown: f64,
 }
 
 impl Indexed {
@@ -69,23 +69,23 @@
 pub(crate) struct BuildSums {
     pub(crate) hosts: usize,
     pub(crate) size: f64,
-    pub(crate) faults: f64,
-    pub(crate) pace: f64,
+    pub(crate) failure_rate: f64,
+    pub(crate) slowdown: f64,
 }
 
 impl BuildSums {
     fn add(&mut self, host: &Indexed) {
         self.hosts += 1;
         self.size += host.size;
-        self.faults += host.faults;
-        self.pace += host.pace;
+        self.failure_rate += host.failure_rate;
+        self.slowdown += host.slowdown;
     }
 
     fn subtract(&mut self, host: &Indexed) {
         self.hosts -= 1;
         self.size -= host.size;
-        self.faults -= host.faults;
-        self.pace -= host.pace;
+        self.failure_rate -= host.failure_rate;
+        self.slowdown -= host.slowdown;
     }
 
     /// The sums without one host, where it is of them.
@@ -103,7 +103,7 @@
     groups: BTreeMap<Group, Members>,
     builds: BTreeMap<BuildId, BuildSums>,
     unsettled: BTreeSet<HostId>,
-    rankings: Rankings,
+    rankings: RendezvousRankings,
 }
 
 impl HostIndex {
@@ -121,7 +121,7 @@
 
     /// By arm, the settled hosts that a request may go to with the sum of size times weight, but for those that it has
     /// tried; and the latter, where they are settled.
-    pub(crate) fn settled(&self, wanted: &Wanted) -> ([Sum; 2], Vec<HostId>) {
+    pub(crate) fn settled(&self, wanted: &Requirements) -> ([Sum; 2], Vec<HostId>) {
         let mut sums = [Sum::default(); 2];
         for (group, arm) in &wanted.arms {
             let Some(members) = self.groups.get(group) else {
@@ -195,7 +195,7 @@
 
     /// The two hosts of these groups, given in their order, that a hash with this salt places first among those
     /// accepted.
-    pub(crate) fn first_two(
+    pub(crate) fn highest_two(
         &mut self,
         salt: u64,
         groups: &[Group],
@@ -208,12 +208,12 @@
         for build in builds {
             let members = || self.members(|group| group.build == build);
             let ranked = rankings
-                .first_two(salt, build, members, &accepts)
+                .highest_two(salt, build, members, &accepts)
                 .unwrap_or_else(|| {
                     let of_request =
                         |group: &Group| group.build == build && groups.binary_search(group).is_ok();
                     let accepted = self.members(of_request).filter(|(host, _)| accepts(*host));
-                    crate::rankings::first_two(salt, accepted)
+                    crate::rendezvous::highest_two(salt, accepted)
                 });
             found.extend(ranked);
         }
--- a/src/host_index/tests.rs
+++ b/src/host_index/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::interface::Revision;
-use crate::record::mix;
+use crate::router_state::hash_mix;
 
 fn group(build: u16, zone: u64) -> Group {
     Group {
@@ -20,8 +20,8 @@
         size: 1.0,
         weight: 1.0,
         settled,
-        faults: 0.25,
-        pace: 1.5,
+        failure_rate: 0.25,
+        slowdown: 1.5,
     }
 }
 
@@ -34,17 +34,17 @@
             true,
         )
     };
-    index.update((0..count).map(|id| (HostId(mix(id)), Some(of(id)))));
+    index.update((0..count).map(|id| (HostId(hash_mix(id)), Some(of(id)))));
     index
 }
 
 /// A request that may go to all of them, and has been sent to these.
-fn wanted(tried: Vec<HostId>) -> Wanted {
+fn wanted(tried: Vec<HostId>) -> Requirements {
     let arms = [(7, 0), (8, 1)].into_iter();
     let arms = arms
         .flat_map(|(build, arm)| [0, 1].map(|zone| (group(build, zone), arm)))
         .collect();
-    Wanted {
+    Requirements {
         arms,
         tried,
         pool: None,
@@ -58,7 +58,7 @@
     let mut index = filled(100);
     let mut plain: BTreeMap<HostId, Indexed> = index.hosts.clone();
     for _ in 0..3000 {
-        let host = HostId(mix(random.random_range(0..120)));
+        let host = HostId(hash_mix(random.random_range(0..120)));
         let of = indexed(
             group(random.random_range(7..9), random.random_range(0..2)),
             random.random(),
@@ -88,14 +88,14 @@
         let of_build = plain.values().filter(|of| of.group.build == BuildId(8));
         let sum = index.build(BuildId(8));
         assert_eq!(sum.hosts, of_build.clone().count());
-        assert!((sum.faults - of_build.map(|of| of.faults).sum::<f64>()).abs() < 1e-9);
+        assert!((sum.failure_rate - of_build.map(|of| of.failure_rate).sum::<f64>()).abs() < 1e-9);
     }
 }
 
 #[test]
 fn who_was_tried_is_not_counted_and_is_named() {
     let mut index = filled(40);
-    let (tried, ejected) = (HostId(mix(3)), HostId(mix(5)));
+    let (tried, ejected) = (HostId(hash_mix(3)), HostId(hash_mix(5)));
     index.update([(ejected, Some(indexed(group(8, 0), false)))].into_iter());
     let (sums, named) = index.settled(&wanted(vec![tried, ejected, HostId(1), tried]));
     assert_eq!(sums.map(|sum| sum.hosts), [20, 18]);
@@ -108,10 +108,10 @@
     let (zone, hosts) = (group(7, 1), filled(2000).hosts);
     for salt in 0..200 {
         let accepts = |host: HostId| hosts.get(&host).is_some_and(|of| of.group == zone);
-        let found = index.first_two(salt, &[zone], accepts);
+        let found = index.highest_two(salt, &[zone], accepts);
         assert_eq!(found.len(), 2, "a quarter of the hosts are of it");
         let all = index.members(|group| *group == zone);
-        assert_eq!(found, crate::rankings::first_two(salt, all));
+        assert_eq!(found, crate::rendezvous::highest_two(salt, all));
     }
 }
 
@@ -119,10 +119,10 @@
 fn groups_and_builds_without_hosts_are_forgotten() {
     let mut index = filled(100);
     assert_eq!(index.groups().count(), 4);
-    index.update((0..100).map(|id| (HostId(mix(id)), None)));
+    index.update((0..100).map(|id| (HostId(hash_mix(id)), None)));
     assert_eq!(
         (index.len(), index.groups().count(), index.builds().count()),
         (0, 0, 0)
     );
-    assert!(index.first_two(1, &[group(7, 0)], |_| true).is_empty());
+    assert!(index.highest_two(1, &[group(7, 0)], |_| true).is_empty());
 }
--- a/src/rankings.rs
+++ b/src/rendezvous.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use crate::interface::{BuildId, HostId};
-use crate::record::mix;
+use crate::router_state::hash_mix;
 
 /// How many of the first places a ranking remembers when it is filled. It bounds cost and memory, and changes no answer.
 const REMEMBERED: usize = 32;
@@ -14,11 +14,11 @@
 
 /// A host's place for one salt; the least of such draws is a host's with a chance in proportion to its weight.
 fn place(salt: u64, host: HostId, weight: f64) -> f64 {
-    -(-(mix(salt ^ host.0) as f64) / 2f64.powi(64)).ln_1p() / weight
+    -(-(hash_mix(salt ^ host.0) as f64) / 2f64.powi(64)).ln_1p() / weight
 }
 
 /// The two first hosts with their places, by a look at all of them.
-pub(crate) fn first_two(
+pub(crate) fn highest_two(
     salt: u64,
     hosts: impl Iterator<Item = (HostId, f64)>,
 ) -> Vec<(f64, HostId)> {
@@ -95,18 +95,18 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Rankings {
+pub(crate) struct RendezvousRankings {
     by_salt: BTreeMap<(u64, BuildId), Ranking>,
 }
 
-impl Rankings {
+impl RendezvousRankings {
     pub(crate) fn clear(&mut self) {
         self.by_salt.clear();
     }
 
     /// The first two accepted hosts of a build with their places, fewer where the build has no more; none where what
     /// is remembered does not tell.
-    pub(crate) fn first_two<M: Iterator<Item = (HostId, f64)>>(
+    pub(crate) fn highest_two<M: Iterator<Item = (HostId, f64)>>(
         &mut self,
         salt: u64,
         build: BuildId,
--- a/src/record.rs
+++ b/src/router_state.rs
@@ -9,18 +9,18 @@
 use crate::operator_weights::{EffectiveWeight, apply_weights};
 
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) enum Ballot {
+pub(crate) enum VoteState {
     #[default]
-    Silent,
-    Asked,
-    Stands,
+    NoVote,
+    Pending,
+    Counted,
 }
 
 pub(crate) struct Operation {
-    pub(crate) slo: f64,
+    pub(crate) latency_objective: f64,
     pub(crate) late_is_worthless: bool,
     /// Earns less than half of what the best operation earns for its time.
-    pub(crate) lean: bool,
+    pub(crate) low_priority: bool,
     pub(crate) group: IdempotencyScope,
     /// How long a repeat is harmless: for ever where idempotent, never where side-effecting.
     pub(crate) window: f64,
@@ -28,9 +28,9 @@
 
 /// What a host's outcomes say of it; a restart, or a new machine under a used id, begins afresh.
 #[derive(Clone, Copy)]
-pub(crate) struct Health {
-    pub(crate) faults: f64,
-    pub(crate) pace: f64,
+pub(crate) struct HostHealth {
+    pub(crate) failure_rate: f64,
+    pub(crate) slowdown: f64,
     pub(crate) ejected_until: f64,
     pub(crate) ejected_for: f64,
 }
@@ -42,20 +42,20 @@
     /// Send times of the dispatches that are out, and of the last of all.
     pub(crate) out: Vec<f64>,
     pub(crate) used: f64,
-    pub(crate) health: Health,
+    pub(crate) health: HostHealth,
     /// The revision that it came with, or came back with.
     pub(crate) since: Revision,
     /// What the list that is being told changes about it.
-    pub(crate) next: Next,
+    pub(crate) next: StagedChange,
     /// What its weight counts for now, 1 being an even share.
     pub(crate) weight: f64,
 }
 
 /// What becomes of a host when the list that is being told is whole.
 #[derive(Clone, Default, PartialEq)]
-pub(crate) enum Next {
+pub(crate) enum StagedChange {
     #[default]
-    Unsaid,
+    Unchanged,
     Comes,
     Goes,
     /// It stays, with another entry, or begins anew at another place.
@@ -64,26 +64,26 @@
 
 impl Host {
     /// Notes an entry of a list that is being told; nothing of it counts yet.
-    pub(crate) fn stage(&mut self, entry: &HostEntry, unknown: Health) {
+    pub(crate) fn stage(&mut self, entry: &HostEntry, unknown: HostHealth) {
         let runs = entry.state == HostState::Running;
-        let left = self.next == Next::Goes;
+        let left = self.next == StagedChange::Goes;
         self.next = match (self.usable, runs) {
-            (_, false) => Next::Goes,
-            (true, true) => Next::Changes(Box::new((*entry, left))),
+            (_, false) => StagedChange::Goes,
+            (true, true) => StagedChange::Changes(Box::new((*entry, left))),
             (false, true) => {
                 self.replace(entry, unknown);
-                Next::Comes
+                StagedChange::Comes
             }
         };
     }
 
     /// The list is whole: what was noted counts from here on, in a whole list also that nothing was.
-    pub(crate) fn settle(&mut self, whole: bool, now: Revision, unknown: Health) {
+    pub(crate) fn settle(&mut self, whole: bool, now: Revision, unknown: HostHealth) {
         match std::mem::take(&mut self.next) {
-            Next::Unsaid => self.usable &= !whole,
-            Next::Goes => self.usable = false,
-            Next::Comes => (self.usable, self.since) = (true, now),
-            Next::Changes(change) => {
+            StagedChange::Unchanged => self.usable &= !whole,
+            StagedChange::Goes => self.usable = false,
+            StagedChange::Comes => (self.usable, self.since) = (true, now),
+            StagedChange::Changes(change) => {
                 let (entry, anew) = *change;
                 if anew || !self.entry.same_process(&entry) {
                     self.since = now;
@@ -94,7 +94,7 @@
     }
 
     /// Another process begins afresh: nothing is known of it yet.
-    fn replace(&mut self, entry: &HostEntry, unknown: Health) {
+    fn replace(&mut self, entry: &HostEntry, unknown: HostHealth) {
         if !self.entry.same_process(entry) {
             (self.health, self.out) = (unknown, vec![]);
         }
@@ -115,24 +115,24 @@
 
 /// How a dispatch ended, after which time, whether its invocation is over, and how long its connection had been
 /// without use.
-pub(crate) type Outcome = (AttemptOutcome, f64, bool, Option<f64>);
+pub(crate) type FinishedAttempt = (AttemptOutcome, f64, bool, Option<f64>);
 
-pub(crate) struct RequestState {
+pub(crate) struct TrackedRequest {
     pub(crate) operation: usize,
     pub(crate) key: Option<KeyId>,
     pub(crate) work: f64,
     pub(crate) again: bool,
-    pub(crate) slo_at: f64,
+    pub(crate) objective_at: f64,
     pub(crate) limit: f64,
     pub(crate) sent: Vec<Attempt>,
     pub(crate) over: bool,
     pub(crate) pool: Option<Arc<Pool>>,
     /// What operators had set when it came.
-    pub(crate) set: Arc<OperatorOverrides>,
+    pub(crate) overrides: Arc<OperatorOverrides>,
 }
 
 /// Low quantiles of times, for each unit of expected work.
-pub(crate) struct Low {
+pub(crate) struct LatencyBaseline {
     /// Divides quick answers from others.
     pub(crate) quick: f64,
     /// Shows slowness but hardly queues, now and before the trial.
@@ -140,17 +140,17 @@
     pub(crate) before: Option<f64>,
 }
 
-pub(crate) enum Task {
+pub(crate) enum TimerEvent {
     Gossip,
-    Follow,
-    Further(RequestId),
+    Subscribe,
+    Hedge(RequestId),
 }
 
 /// What outcomes are scored by: kept the SLO time, had no plain error, was quick.
-pub(crate) const MARKS: usize = 3;
+pub(crate) const SIGNALS: usize = 3;
 
 /// For each slot and mark, for each arm: what alpha and beta have above Beta(1, 1).
-pub(crate) type Sheet = Vec<[[f64; 2]; 2]>;
+pub(crate) type Evidence = Vec<[[f64; 2]; 2]>;
 
 #[derive(Default)]
 pub(crate) struct State {
@@ -158,114 +158,114 @@
     pub(crate) me: RouterId,
     pub(crate) routers: u32,
     /// So many routers that what they do at once is not borne.
-    pub(crate) many: bool,
+    pub(crate) is_large_fleet: bool,
     pub(crate) zone: Option<ZoneId>,
     pub(crate) operations: Vec<Operation>,
     pub(crate) polls_endpoint_list: bool,
     /// Over which all routers spread their first calls for a list; their later ones no closer than that at last.
-    pub(crate) call_spread: f64,
+    pub(crate) poll_spread: f64,
     pub(crate) stage_shares: Vec<f64>,
-    pub(crate) by_clock: bool,
+    pub(crate) clock_gated: bool,
     pub(crate) voters: u32,
     pub(crate) renew_every: f64,
     /// Time in which the platform takes a vote of each voter.
-    pub(crate) turn: f64,
+    pub(crate) vote_turn: f64,
     /// How short the stages are, of those that the times of drags are for.
-    pub(crate) haste: f64,
+    pub(crate) bake_scale: f64,
     pub(crate) first_cap: f64,
-    pub(crate) window: f64,
-    pub(crate) spare: f64,
-    pub(crate) by_operation: bool,
+    pub(crate) exposure_window: f64,
+    pub(crate) exposure_spare: f64,
+    pub(crate) exposure_by_operation: bool,
     pub(crate) idempotent_only_stages: u32,
     pub(crate) sticky_keys: bool,
     pub(crate) key_affinity: bool,
     /// The earlier machines stay beside the new ones until the release.
-    pub(crate) beside: bool,
+    pub(crate) baseline_stays: bool,
     pub(crate) dispute_weight: f64,
     pub(crate) drain_grace: f64,
     pub(crate) slow_start_initial_fraction: f64,
     pub(crate) slow_start_duration: f64,
-    pub(crate) cold_spend: f64,
+    pub(crate) slow_start_allowance: f64,
     pub(crate) overload_multiple: f64,
     pub(crate) may_gossip: bool,
     pub(crate) may_hedge: bool,
-    pub(crate) advice: Option<f64>,
+    pub(crate) max_retry_after: Option<f64>,
     pub(crate) max_attempts: usize,
-    pub(crate) slots: usize,
+    pub(crate) signal_slots: usize,
     /// Some operation's repeats are dropped by the hosts of one cell.
-    pub(crate) by_cell: bool,
+    pub(crate) idempotency_by_cell: bool,
     pub(crate) tick: f64,
     // Seen since.
-    pub(crate) set: Arc<OperatorOverrides>,
+    pub(crate) overrides: Arc<OperatorOverrides>,
     /// Some host's weight may be other than 1.
-    pub(crate) weighs: bool,
+    pub(crate) weights_in_force: bool,
     /// Boxed: lists of thousands are taken at once, and a map moves what it holds.
     pub(crate) hosts: BTreeMap<HostId, Box<Host>>,
     pub(crate) index: HostIndex,
     /// What the list that is being told names.
     pub(crate) staged: Vec<HostId>,
-    pub(crate) requests: BTreeMap<RequestId, RequestState>,
-    pub(crate) alarms: BTreeMap<u64, Task>,
-    pub(crate) next_alarm: u64,
-    pub(crate) follow_wait: f64,
+    pub(crate) requests: BTreeMap<RequestId, TrackedRequest>,
+    pub(crate) timers: BTreeMap<u64, TimerEvent>,
+    pub(crate) last_timer: u64,
+    pub(crate) subscribe_backoff: f64,
     /// The lowest build that is listed.
-    pub(crate) least_build: Option<BuildId>,
+    pub(crate) lowest_build: Option<BuildId>,
     /// The largest size that was ever listed at once.
-    pub(crate) fleet: f64,
+    pub(crate) largest_fleet: f64,
     /// Succeeded dispatches a second, and all, fading, as of a time.
-    pub(crate) pace: (f64, f64),
-    pub(crate) sending: (f64, f64),
+    pub(crate) success_rate: (f64, f64),
+    pub(crate) attempt_rate: (f64, f64),
     /// Invocations taken a second, fading, as of a time.
-    pub(crate) asked: (f64, f64),
+    pub(crate) offered_rate: (f64, f64),
     /// Of all traffic, this router's share; how much slower hosts are than before, as all see it.
-    pub(crate) share: f64,
+    pub(crate) traffic_share: f64,
     /// Share of dispatches lost, on connections in use or new, and on others.
-    pub(crate) lost: [f64; 2],
-    pub(crate) shared_drag: f64,
-    pub(crate) open: usize,
-    pub(crate) open_most: f64,
+    pub(crate) lost_fractions: [f64; 2],
+    pub(crate) shared_slowdown: f64,
+    pub(crate) in_flight: usize,
+    pub(crate) in_flight_limit: f64,
     /// By operation, kind of machine and arm.
-    pub(crate) low: BTreeMap<(usize, KindId, usize), Low>,
-    pub(crate) drag_since: f64,
+    pub(crate) latency_baselines: BTreeMap<(usize, KindId, usize), LatencyBaseline>,
+    pub(crate) slowdown_since: f64,
     /// The drag is more than the trial's part of the machines explains.
-    pub(crate) drag_other: bool,
-    pub(crate) part: f64,
-    pub(crate) trial_hosts: f64,
+    pub(crate) slowdown_unrelated: bool,
+    pub(crate) canary_share: f64,
+    pub(crate) canary_hosts: f64,
     /// The drag when the stage before ended.
-    pub(crate) drag_past: f64,
+    pub(crate) previous_slowdown: f64,
     /// The share in time, as good as it was lately, before or during the trial.
-    pub(crate) kept_best: f64,
+    pub(crate) best_in_time: f64,
     /// Invocations taken (and whether bound to the trial) and dispatches at trials, in the exposure window.
-    pub(crate) taken: VecDeque<(f64, usize, bool)>,
-    pub(crate) exposed: VecDeque<(f64, BuildId, usize)>,
-    pub(crate) bound: BTreeMap<KeyId, BuildId>,
-    pub(crate) further: f64,
-    pub(crate) news: Option<RolloutStatus>,
+    pub(crate) admitted: VecDeque<(f64, usize, bool)>,
+    pub(crate) canary_attempts: VecDeque<(f64, BuildId, usize)>,
+    pub(crate) sticky_builds: BTreeMap<KeyId, BuildId>,
+    pub(crate) retry_budget: f64,
+    pub(crate) rollout: Option<RolloutStatus>,
     pub(crate) stage_since: f64,
-    pub(crate) sums: Sheet,
+    pub(crate) evidence: Evidence,
     /// The mean of what peers told lately of this build.
-    pub(crate) sight: Sheet,
+    pub(crate) merged_evidence: Evidence,
     /// What an outcome of the earlier arm weighs.
-    pub(crate) even: f64,
+    pub(crate) baseline_weight: f64,
     /// The figures as last sent to a peer, and what it last told.
-    pub(crate) gossip_sent: BTreeMap<RouterId, Sheet>,
+    pub(crate) gossip_sent: BTreeMap<RouterId, Evidence>,
     /// When, the invocations it took in a window, the drag it sees.
-    pub(crate) heard: BTreeMap<RouterId, (f64, f64, f64)>,
-    pub(crate) fresh: bool,
+    pub(crate) last_heard: BTreeMap<RouterId, (f64, f64, f64)>,
+    pub(crate) is_fresh: bool,
     /// State of the ballot, what it says, and since when.
-    pub(crate) ballot: Ballot,
-    pub(crate) ballot_sense: Vote,
+    pub(crate) vote_state: VoteState,
+    pub(crate) cast_vote: Vote,
     /// What the platform was last known to have counted of this router.
-    pub(crate) stands: Vote,
+    pub(crate) counted_vote: Vote,
     /// Time before a ballot that was not counted is cast again.
-    pub(crate) ask_again: f64,
-    pub(crate) ballot_at: f64,
-    pub(crate) wish: Vote,
-    pub(crate) wish_since: f64,
+    pub(crate) recast_after: f64,
+    pub(crate) cast_at: f64,
+    pub(crate) desired_vote: Vote,
+    pub(crate) desired_since: f64,
     pub(crate) worse_since: f64,
-    pub(crate) held: f64,
+    pub(crate) hold_time: f64,
     /// How many routers the hash names before this one.
-    pub(crate) rank: u32,
+    pub(crate) voter_rank: u32,
 }
 
 impl State {
@@ -276,25 +276,25 @@
         slots: usize,
         tick: f64,
     ) -> Self {
-        let sums = vec![[[0.0; 2]; 2]; slots * MARKS];
+        let sums = vec![[[0.0; 2]; 2]; slots * SIGNALS];
         State {
             me: terms.me,
             routers: terms.routers.max(1),
             zone: terms.zone,
-            by_cell: operations
+            idempotency_by_cell: operations
                 .iter()
                 .any(|operation| operation.group == IdempotencyScope::Cell),
             operations,
             polls_endpoint_list: terms.polls_endpoint_list,
             stage_shares: terms.stage_shares.clone(),
             first_cap: terms.stage_caps.first().copied().unwrap_or(0.0),
-            window: terms.exposure_window + tick,
-            spare: terms.exposure_spare,
-            by_operation: terms.exposure_by_operation,
+            exposure_window: terms.exposure_window + tick,
+            exposure_spare: terms.exposure_spare,
+            exposure_by_operation: terms.exposure_by_operation,
             idempotent_only_stages: terms.idempotent_only_stages,
             sticky_keys: terms.sticky_keys,
             key_affinity: terms.key_affinity,
-            beside: !terms.in_place,
+            baseline_stays: !terms.in_place,
             dispute_weight: if terms.dispute_share > 0.0 {
                 1.0 / terms.dispute_share
             } else {
@@ -306,12 +306,12 @@
             overload_multiple: terms.overload_multiple,
             may_gossip: terms.may_gossip,
             may_hedge: terms.may_hedge,
-            advice: terms.may_send_retry_after.then_some(terms.max_retry_after),
+            max_retry_after: terms.may_send_retry_after.then_some(terms.max_retry_after),
             max_attempts: terms.max_attempts.max(1) as usize,
-            slots,
+            signal_slots: slots,
             tick,
-            sight: sums.clone(),
-            sums,
+            merged_evidence: sums.clone(),
+            evidence: sums,
             ..State::default()
         }
     }
@@ -320,50 +320,52 @@
         self.hosts.values().map(|h| &**h).filter(|h| h.usable)
     }
 
-    pub(crate) fn earlier_lives(&self) -> bool {
-        self.news
+    pub(crate) fn baseline_is_listed(&self) -> bool {
+        self.rollout
             .is_none_or(|news| self.index.builds().any(|build| build < news.build))
     }
 
     /// The part of its work that a host can do, by its start and the terms.
-    pub(crate) fn warmth(&self, host: &HostEntry, now: f64) -> f64 {
+    pub(crate) fn warm_up_fraction(&self, host: &HostEntry, now: f64) -> f64 {
         let age = host.started.map_or(f64::INFINITY, |started| now - started);
         self.slow_start_initial_fraction
             + (1.0 - self.slow_start_initial_fraction)
                 * (age / self.slow_start_duration).clamp(0.0, 1.0)
     }
 
-    pub(crate) fn bound_to(&self, key: &Option<KeyId>) -> Option<BuildId> {
-        key.as_ref().and_then(|key| self.bound.get(key)).copied()
+    pub(crate) fn sticky_build(&self, key: &Option<KeyId>) -> Option<BuildId> {
+        key.as_ref()
+            .and_then(|key| self.sticky_builds.get(key))
+            .copied()
     }
 
     /// What operators ask of this build; they may hold it, take it back and show it to less, never more.
-    pub(crate) fn asked_of(&self, build: BuildId) -> Option<RolloutOverride> {
-        self.set.rollout.filter(|wish| wish.build == build)
+    pub(crate) fn override_of(&self, build: BuildId) -> Option<RolloutOverride> {
+        self.overrides.rollout.filter(|wish| wish.build == build)
     }
 
     /// One mark's figures of an arm, of one slot or all.
     pub(crate) fn figures(
         &self,
-        sheet: &Sheet,
+        sheet: &Evidence,
         slot: Option<usize>,
         mark: usize,
         arm: usize,
     ) -> [f64; 2] {
-        let places = (0..self.slots).filter(|s| slot.is_none_or(|only| only == *s));
-        let cells = places.map(|s| sheet[s * MARKS + mark][arm]);
+        let places = (0..self.signal_slots).filter(|s| slot.is_none_or(|only| only == *s));
+        let cells = places.map(|s| sheet[s * SIGNALS + mark][arm]);
         cells.fold([0.0; 2], |sum, cell| [sum[0] + cell[0], sum[1] + cell[1]])
     }
 
     /// What this router tells a peer: its figures of the newest build, and the drag it sees.
     pub(crate) fn message(&self, reply: bool, drag: f64) -> Vec<u8> {
-        let build = self.news.map_or(BuildId(0), |news| news.build);
-        let sums = self.sums.iter().flatten().flatten().copied().collect();
+        let build = self.rollout.map_or(BuildId(0), |news| news.build);
+        let sums = self.evidence.iter().flatten().flatten().copied().collect();
         Message {
             reply,
-            fresh: self.fresh,
+            fresh: self.is_fresh,
             build,
-            taken: self.taken.len() as f64,
+            taken: self.admitted.len() as f64,
             drag,
             sums,
         }
@@ -375,18 +377,18 @@
         let good =
             |[up, down]: [f64; 2]| format!("{:.2}/{:.0}", up / (up + down).max(1.0), up + down);
         let of_arms = |mark| {
-            arms.map(|arm| good(self.figures(&self.sight, None, mark, arm)))
+            arms.map(|arm| good(self.figures(&self.merged_evidence, None, mark, arm)))
                 .join(":")
         };
-        let (marks, drag) = ([0, 1, 2].map(of_arms).join(" "), self.shared_drag);
-        let (wish, build, stage) = (vote_word(self.wish), news.build.0, news.stage);
+        let (marks, drag) = ([0, 1, 2].map(of_arms).join(" "), self.shared_slowdown);
+        let (wish, build, stage) = (vote_word(self.desired_vote), news.build.0, news.stage);
         format!(
             "vote {wish} build {build} stage {stage}, in time, no error, quick {marks}, drag {drag:.2}"
         )
     }
 
     /// The list that was told is whole and counts from here on; the hosts that it may have changed.
-    pub(crate) fn settle(&mut self, whole: bool, unknown: Health) -> Vec<HostId> {
+    pub(crate) fn commit_staged(&mut self, whole: bool, unknown: HostHealth) -> Vec<HostId> {
         let staged = std::mem::take(&mut self.staged);
         let changed: Vec<_> = if whole {
             self.hosts.keys().copied().collect()
@@ -395,19 +397,19 @@
         };
         for id in &changed {
             if let Some(host) = self.hosts.get_mut(id) {
-                host.settle(whole, self.set.revision, unknown);
+                host.settle(whole, self.overrides.revision, unknown);
             }
         }
         changed
     }
 
     /// Whether weights are set, or were until now.
-    pub(crate) fn weighs(&self) -> bool {
-        self.weighs || !self.set.weights.is_empty()
+    pub(crate) fn weights_in_force(&self) -> bool {
+        self.weights_in_force || !self.overrides.weights.is_empty()
     }
 
     /// A host that has just started has its weight only as far as it carries it, whenever it was set.
-    pub(crate) fn weighed(
+    pub(crate) fn effective_weight(
         &self,
         host: &HostEntry,
         now: f64,
@@ -416,25 +418,29 @@
         EffectiveWeight {
             size: host.size,
             weight: weight(host.host),
-            warm_up_fraction: self.warmth(host, now),
+            warm_up_fraction: self.warm_up_fraction(host, now),
         }
     }
 
     /// All hosts in use, in their order, with their weights under a revision.
-    pub(crate) fn all_weighed(&self, now: f64, set: &OperatorOverrides) -> Vec<EffectiveWeight> {
-        let mut weight = set.weights_in_order();
+    pub(crate) fn effective_weights(
+        &self,
+        now: f64,
+        overrides: &OperatorOverrides,
+    ) -> Vec<EffectiveWeight> {
+        let mut weight = overrides.weights_in_order();
         self.usable()
-            .map(|h| self.weighed(&h.entry, now, &mut weight))
+            .map(|h| self.effective_weight(&h.entry, now, &mut weight))
             .collect()
     }
 
-    pub(crate) fn weigh(&mut self, mut weighed: Vec<EffectiveWeight>) {
+    pub(crate) fn apply_weights(&mut self, mut weighed: Vec<EffectiveWeight>) {
         apply_weights(&mut weighed, self.overload_multiple);
         let usable = self.hosts.values_mut().filter(|host| host.usable);
         usable
             .zip(weighed)
             .for_each(|(host, weighed)| host.weight = weighed.weight);
-        self.weighs = !self.set.weights.is_empty();
+        self.weights_in_force = !self.overrides.weights.is_empty();
     }
 }
 
@@ -503,7 +509,7 @@
 }
 
 /// A fixed hash, the same on every machine.
-pub(crate) fn mix(value: u64) -> u64 {
+pub(crate) fn hash_mix(value: u64) -> u64 {
     let mut z = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
