--- a/datastore/src/tree/tests.rs
+++ b/datastore/src/tree/leaf/tests.rs
@@ -1,4 +1,4 @@
-//! What only `tree` itself can see.
+//! What only `leaf` itself can see.
 
 use super::*;
 
