--- /dev/null
+++ b/datastore/src/check/drains.rs
@@ -0,0 +1,37 @@
+//! Rule 3: a drained host comes back as another process only.
+
+use std::collections::BTreeMap;
+
+use super::Context;
+use crate::tree::{HostName, Leaf, Path};
+use crate::validation::{Rule, ValidationError, ValidationErrors};
+
+/// The hosts that operators have drained: when the drained process had started, or when it was drained where no start
+/// is known (Unix seconds).
+pub type DrainedHosts = BTreeMap<HostName, f64>;
+
+/// No host that was drained is in service with the same process.
+pub(super) fn check_drained_hosts_stay_out(context: &Context, errors: &mut ValidationErrors) {
+    for (name, drained_process) in context.drained {
+        let host = context.after.hosts.get(name.as_str());
+        let Some(host) = host.filter(|host| host.is_in_service()) else {
+            continue;
+        };
+        let restarted = host
+            .started
+            .is_some_and(|started| started > *drained_process);
+        if restarted {
+            continue;
+        }
+        let found = host
+            .started
+            .map_or("no start".into(), |started| format!("started {started}"));
+        let error = ValidationError::new(
+            Path::Host(name.clone(), Leaf::State),
+            "it was drained and has not started anew since",
+            found,
+            format!("a start after {drained_process}, or the host left draining"),
+        );
+        errors.push(error.with_rule(Rule::DrainsKept));
+    }
+}
--- /dev/null
+++ b/datastore/src/check/rollout.rs
@@ -0,0 +1,60 @@
+//! Rule 5: overrides of a rollout only narrow the exposure of the canary, and name the build that they are about.
+
+use kestreltide::interface::RolloutStatus;
+
+use super::Context;
+use crate::tree::RolloutConfig;
+use crate::validation::{Rule, ValidationError, ValidationErrors};
+
+/// A changed override is of the newest build and does not raise its cap.
+pub(super) fn check_overrides(context: &Context, errors: &mut ValidationErrors) {
+    let config = &context.after.tree.rollout;
+    if context.before.tree.rollout == *config || !overrides_anything(config) {
+        return;
+    }
+    match (config.build, &context.facts.rollout) {
+        (None, _) => errors.push(ValidationError::new(
+            "ring/build",
+            "does not say which build is meant",
+            "nothing",
+            "the build on trial",
+        )),
+        (Some(build), None) => errors.push(ValidationError::new(
+            "ring/build",
+            "the platform has told of no build",
+            build,
+            "a build on trial",
+        )),
+        (Some(build), Some(rollout)) => {
+            errors.extend(other_build(build, rollout));
+            errors.extend(raised_cap(config, rollout));
+        }
+    }
+}
+
+fn overrides_anything(config: &RolloutConfig) -> bool {
+    config.hold == Some(true) || config.roll_back == Some(true) || config.cap.is_some()
+}
+
+fn other_build(build: u32, rollout: &RolloutStatus) -> Option<ValidationError> {
+    if build == u32::from(rollout.build.0) {
+        return None;
+    }
+    Some(ValidationError::new(
+        "ring/build",
+        "is not the build that the platform tells of",
+        build,
+        format!("{}, the newest build", rollout.build.0),
+    ))
+}
+
+fn raised_cap(config: &RolloutConfig, rollout: &RolloutStatus) -> Option<ValidationError> {
+    let cap = config.cap.filter(|cap| *cap > rollout.cap)?;
+    let error = ValidationError::new(
+        "ring/cap",
+        "would be raised, and can only be lowered",
+        cap,
+        format!("{} at most, the cap told", rollout.cap),
+    );
+    Some(error.with_rule(Rule::ExposureCapped))
+}
--- /dev/null
+++ b/datastore/src/check/routes.rs
@@ -0,0 +1,119 @@
+//! Checks of routes: what they refer to exists, their order is clear, and their pools keep hosts.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+use super::Context;
+use crate::host_record::HostRecord;
+use crate::route_table::build_routes;
+use crate::tree::{Leaf, Path, RouteConfig, RouteName};
+use crate::validation::{MAX_KEPT_ERRORS, Rule, ValidationError, ValidationErrors};
+
+/// A route refers to operations of the service and to listed hosts, and sets more than a precedence.
+pub(super) fn check_references(context: &Context, errors: &mut ValidationErrors) {
+    for (name, route) in &context.after.tree.routes {
+        errors.extend(unknown_operations(context, name, route));
+        errors.extend(unknown_hosts(context, name, route));
+        if is_empty(route) {
+            errors.push(ValidationError::new(
+                format!("routes/{name}"),
+                "says neither which invocations it is for nor which hosts they use",
+                "nothing",
+                "operation, key-prefix, zone, kind or host",
+            ));
+        }
+    }
+}
+
+fn names_in(names: &Option<BTreeSet<Arc<str>>>) -> impl Iterator<Item = &Arc<str>> {
+    names.iter().flatten()
+}
+
+fn unknown_operations(
+    context: &Context,
+    name: &RouteName,
+    route: &RouteConfig,
+) -> Vec<ValidationError> {
+    let known = &context.settings.operations;
+    names_in(&route.operations)
+        .filter(|operation| !known.iter().any(|known| **known == ***operation))
+        .map(|operation| {
+            let path = Path::Route(name.clone(), Leaf::Operations);
+            ValidationError::new(path, "no such operation", operation, known.join(", "))
+        })
+        .collect()
+}
+
+fn unknown_hosts(context: &Context, name: &RouteName, route: &RouteConfig) -> Vec<ValidationError> {
+    names_in(&route.hosts)
+        .filter(|host| !context.after.hosts.contains_key(*host))
+        .map(|host| {
+            let problem = if context.before.hosts.contains_key(host) {
+                "refers to a host that would be listed no more"
+            } else {
+                "no such host is listed"
+            };
+            let path = Path::Route(name.clone(), Leaf::Hosts);
+            ValidationError::new(path, problem, host, "a host that is listed")
+        })
+        .collect()
+}
+
+/// Whether a route sets nothing besides its precedence.
+fn is_empty(route: &RouteConfig) -> bool {
+    let only_precedence = RouteConfig {
+        precedence: route.precedence,
+        ..RouteConfig::default()
+    };
+    *route == only_precedence
+}
+
+/// Which of two overlapping routes a request takes is always set.
+pub(super) fn check_precedence_is_clear(context: &Context, errors: &mut ValidationErrors) {
+    let routes = build_routes(context.after.tree);
+    // More pairs than errors are shown need not be found.
+    for (route, other) in kestreltide_routes::unordered(&routes, MAX_KEPT_ERRORS) {
+        let found = route
+            .precedence
+            .map_or("no precedence".into(), |precedence| precedence.to_string());
+        errors.push(ValidationError::new(
+            format!("routes/{}/precedence", route.name),
+            format!(
+                "overlaps with route {} and nothing says which goes first",
+                other.name
+            ),
+            found,
+            "a precedence for each, not the same",
+        ));
+    }
+}
+
+/// Every pool has a host of the released build in service while one is listed: otherwise its requests could go nowhere,
+/// or to the canary alone.
+pub(super) fn check_pools_keep_hosts(context: &Context, errors: &mut ValidationErrors) {
+    let released = context.released_builds(&context.after);
+    let serving: Vec<&HostRecord> = context
+        .after
+        .hosts
+        .values()
+        .filter(|host| host.is_in_service() && released.contains(&host.build))
+        .collect();
+    if serving.is_empty() {
+        return;
+    }
+    for route in build_routes(context.after.tree) {
+        if serving
+            .iter()
+            .any(|host| route.pool.contains(&host.entry()))
+        {
+            continue;
+        }
+        let error = ValidationError::new(
+            format!("routes/{}", route.name),
+            "its pool would have no host of the released build in service",
+            "no such host",
+            "at least one",
+        );
+        errors.push(error.with_rule(Rule::ExposureCapped));
+    }
+}
--- a/datastore/src/commit_coordinator.rs
+++ b/datastore/src/commit_coordinator.rs
@@ -1,17 +1,27 @@
-//! The desk at which all fronts ask: locks, commits, and commits that are undone unless they are confirmed (RFC
-//! 6241, sections 7.5 and 8.4). Free of I/O; the keeper's thread gives it time and what the router knows.
+//! Coordinates the commits of all management interfaces: locks, commits, and confirmed commits that are rolled back
+//! unless they are confirmed in time (RFC 6241, sections 7.5 and 8.4).
+//!
+//! Free of I/O: the datastore's thread hands in the time and what the router knows.
 
 use std::fmt;
 use std::sync::Arc;
 
+use kestreltide::interface::Revision;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-use crate::check::Facts;
-use crate::store::{Author, Candidate, CommitOutcome, Datastore, InForce, Source};
+use crate::candidate::{Candidate, InForce};
+use crate::facts::Facts;
+use crate::revision::{Author, RejectedCommit, RevisionRecord, Source};
+use crate::store::{CommitOutcome, Datastore};
 use crate::validation::{ValidationError, ValidationErrors};
-use kestreltide::interface::Revision;
 
-/// A session of some front, as the desk numbers them.
+/// How many of the newest revisions a status shows.
+const SHOWN_REVISIONS: usize = 32;
+/// The version that the author of a roll-back of an unconfirmed commit has.
+const NOT_CONFIRMED: &str = "not confirmed";
+
+/// A session of a management interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId(pub u32);
 
@@ -21,89 +31,118 @@
     }
 }
 
-/// What a lock keeps others from.
+/// The datastore that a lock is of. Either lock keeps others from committing: each session has a candidate of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// Committing.
+    /// The running datastore.
     Running,
-    /// The same here: each session has a candidate of its own.
+    /// The candidate datastore.
     Candidate,
 }
 
-/// A commit is undone unless it is confirmed in this time.
+/// Who asks: a session, or none, as watched files have none.
+pub type CommitOwner = Option<SessionId>;
+
+/// The sessions that hold the locks.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Locks {
+    /// The holder of the lock of the running datastore.
+    pub running: Option<SessionId>,
+    /// The holder of the lock of the candidate datastore.
+    pub candidate: Option<SessionId>,
+}
+
+impl Locks {
+    /// The holder of a lock.
+    pub fn holder(&self, target: Target) -> Option<SessionId> {
+        match target {
+            Target::Running => self.running,
+            Target::Candidate => self.candidate,
+        }
+    }
+
+    fn set_holder(&mut self, target: Target, holder: Option<SessionId>) {
+        match target {
+            Target::Running => self.running = holder,
+            Target::Candidate => self.candidate = holder,
+        }
+    }
+
+    fn release_all(&mut self, session: SessionId) {
+        for target in [Target::Running, Target::Candidate] {
+            if self.holder(target) == Some(session) {
+                self.set_holder(target, None);
+            }
+        }
+    }
+
+    /// A session other than the one that asks which holds a lock.
+    fn held_by_other(&self, asker: CommitOwner) -> Option<SessionId> {
+        let is_other = |holder: &SessionId| Some(*holder) != asker;
+        self.running
+            .filter(is_other)
+            .or(self.candidate.filter(is_other))
+    }
+}
+
+/// A commit that is rolled back unless it is confirmed in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfirmedCommit {
     /// Seconds.
     pub timeout: f64,
-    /// By this name also another session may confirm it, and it outlives its own.
+    /// By this id another session may confirm it too, and it outlives its own.
     pub persist_id: Option<String>,
 }
 
 /// A commit that waits to be confirmed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PendingCommit {
-    /// The revision that comes back.
+    /// The revision that it is rolled back to.
     #[serde(rename = "to")]
     pub rolls_back_to: u64,
     /// Unix seconds.
     #[serde(rename = "until")]
     pub expires_at: f64,
-    /// None after a restart: nobody of then is there any more.
+    /// The session that may confirm it; `None` after a restart, which ends all sessions.
     pub session: Option<SessionId>,
+    /// The id by which any session may confirm it.
     #[serde(rename = "persist")]
     pub persist_id: Option<String>,
+    /// Who committed it.
     pub author: Author,
 }
 
-/// Why the desk says no.
-#[derive(Clone, Debug, PartialEq)]
+/// Why a request is rejected.
+#[derive(Clone, Debug, PartialEq, Error)]
 pub enum CommitError {
-    Invalid(ValidationErrors),
+    /// The candidate is not valid.
+    #[error(transparent)]
+    Invalid(#[from] ValidationErrors),
     /// Another session holds the lock.
+    #[error("session {0} holds the lock")]
     Locked(SessionId),
     /// Another's commit waits to be confirmed.
+    #[error("a commit ({}) waits to be confirmed", .0.author)]
     CommitPending(PendingCommit),
-    /// Nothing waits to be confirmed, or not by who asks.
+    /// No commit waits to be confirmed, or not by who asks.
+    #[error("no commit of this session or name waits to be confirmed")]
     NoPendingCommit,
-    /// The lock is not held by who lets it go.
+    /// The session does not hold the lock that it releases.
+    #[error("this session does not hold the lock")]
     LockNotHeld,
 }
 
-impl fmt::Display for CommitError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            CommitError::Invalid(errors) => errors.fmt(f),
-            CommitError::Locked(holder) => write!(f, "session {holder} holds the lock"),
-            CommitError::CommitPending(pending) => {
-                write!(f, "a commit ({}) waits to be confirmed", pending.author)
-            }
-            CommitError::NoPendingCommit => {
-                f.write_str("no commit of this session or name waits to be confirmed")
-            }
-            CommitError::LockNotHeld => f.write_str("this session does not hold the lock"),
-        }
-    }
-}
-
-impl From<ValidationErrors> for CommitError {
-    fn from(errors: ValidationErrors) -> Self {
-        CommitError::Invalid(errors)
-    }
-}
-
-/// Who asks: a session, or none, as watched files have none.
-pub type CommitOwner = Option<SessionId>;
-
+/// The datastore with its locks and the commit that waits to be confirmed.
 pub struct CommitCoordinator {
+    /// The datastore.
     pub store: Datastore,
-    running: CommitOwner,
-    candidate: CommitOwner,
+    locks: Locks,
     pending: Option<PendingCommit>,
     sessions: u32,
 }
 
 impl CommitCoordinator {
-    /// After a restart a commit that was not confirmed is due to be undone at once.
+    /// `pending` is the commit that waited to be confirmed when the program ended: it is rolled back at once.
     pub fn new(store: Datastore, pending: Option<PendingCommit>) -> Self {
         let pending = pending.map(|pending| PendingCommit {
             session: None,
@@ -113,67 +152,66 @@
         });
         CommitCoordinator {
             store,
-            running: None,
-            candidate: None,
+            locks: Locks::default(),
             pending,
             sessions: 0,
         }
     }
 
+    /// Opens a session.
     pub fn open_session(&mut self) -> SessionId {
         self.sessions += 1;
         SessionId(self.sessions)
     }
 
+    /// The commit that waits to be confirmed.
     pub fn pending(&self) -> Option<&PendingCommit> {
         self.pending.as_ref()
     }
 
+    /// The session that holds a lock.
     pub fn lock_holder(&self, target: Target) -> CommitOwner {
-        match target {
-            Target::Running => self.running,
-            Target::Candidate => self.candidate,
-        }
+        self.locks.holder(target)
     }
 
-    /// A lock is not given while another holds it, or another's commit waits to be confirmed.
+    /// Locks a datastore for a session.
+    ///
+    /// # Errors
+    ///
+    /// A session holds the lock, or another's commit waits to be confirmed.
     pub fn lock(&mut self, session: SessionId, target: Target) -> Result<(), CommitError> {
-        if let Some(holder) = self.lock_holder(target) {
+        if let Some(holder) = self.locks.holder(target) {
             return Err(CommitError::Locked(holder));
         }
-        if let Some(pending) = self
-            .pending
-            .as_ref()
-            .filter(|pending| pending.session != Some(session))
-        {
-            return Err(CommitError::CommitPending(pending.clone()));
-        }
-        match target {
-            Target::Running => self.running = Some(session),
-            Target::Candidate => self.candidate = Some(session),
+        if let Some(pending) = &self.pending {
+            if pending.session != Some(session) {
+                return Err(CommitError::CommitPending(pending.clone()));
+            }
         }
+        self.locks.set_holder(target, Some(session));
         Ok(())
     }
 
+    /// Releases a lock.
+    ///
+    /// # Errors
+    ///
+    /// The session does not hold it.
     pub fn unlock(&mut self, session: SessionId, target: Target) -> Result<(), CommitError> {
-        if self.lock_holder(target) != Some(session) {
+        if self.locks.holder(target) != Some(session) {
             return Err(CommitError::LockNotHeld);
         }
-        match target {
-            Target::Running => self.running = None,
-            Target::Candidate => self.candidate = None,
-        }
+        self.locks.set_holder(target, None);
         Ok(())
     }
 
-    /// Whether somebody else's lock keeps who asks from committing.
-    fn kept_out(&self, asker: CommitOwner) -> Option<SessionId> {
-        let other = |holder: &SessionId| Some(*holder) != asker;
-        self.running.filter(other).or(self.candidate.filter(other))
-    }
-
-    /// Commits a candidate. While a commit waits to be confirmed only those that it waits for may commit, and an
+    /// Commits a candidate. While a commit waits to be confirmed only those that may confirm it may commit, and an
     /// ordinary commit of theirs confirms it.
+    ///
+    /// # Errors
+    ///
+    /// Another session holds a lock, another's commit waits, none waits under `persist_id`, or the candidate is not
+    /// valid.
     pub fn commit(
         &mut self,
         asker: CommitOwner,
@@ -183,159 +221,167 @@
         persist_id: Option<&str>,
         facts: &Facts,
     ) -> Result<CommitOutcome, CommitError> {
-        if let Some(holder) = self.kept_out(asker) {
+        if let Some(holder) = self.locks.held_by_other(asker) {
             return Err(CommitError::Locked(holder));
         }
-        let waited_for = self.waited_for(asker, persist_id);
+        let may_confirm = self.may_confirm(asker, persist_id);
         match &self.pending {
-            Some(pending) if !waited_for => {
+            Some(pending) if !may_confirm => {
                 return Err(CommitError::CommitPending(pending.clone()));
             }
             None if persist_id.is_some() => return Err(CommitError::NoPendingCommit),
             _ => {}
         }
-        let before = self.store.in_force().revision;
-        let commit = self.store.commit(candidate, author.clone(), facts)?;
-        self.pending = confirm.map(|confirm| {
-            // What comes back is what stood before the first of them.
-            let to = self
-                .pending
-                .as_ref()
-                .map_or(before.0, |pending| pending.rolls_back_to);
-            let until = facts.now + confirm.timeout;
-            PendingCommit {
-                rolls_back_to: to,
-                expires_at: until,
-                session: asker,
-                persist_id: confirm.persist_id,
-                author,
-            }
+        let revision_before = self.store.in_force().revision.0;
+        let outcome = self.store.commit(candidate, author.clone(), facts)?;
+        // Of several confirmed commits the first tells what is rolled back to.
+        let rolls_back_to = self
+            .pending
+            .as_ref()
+            .map_or(revision_before, |pending| pending.rolls_back_to);
+        self.pending = confirm.map(|confirm| PendingCommit {
+            rolls_back_to,
+            expires_at: facts.now + confirm.timeout,
+            session: asker,
+            persist_id: confirm.persist_id,
+            author,
         });
-        Ok(commit)
+        Ok(outcome)
     }
 
-    fn waited_for(&self, asker: CommitOwner, persist_id: Option<&str>) -> bool {
-        self.pending
-            .as_ref()
-            .is_some_and(|pending| match (&pending.persist_id, persist_id) {
-                (Some(name), Some(said)) => name == said,
-                (None, None) => pending.session.is_some() && pending.session == asker,
-                _ => false,
-            })
+    fn may_confirm(&self, asker: CommitOwner, persist_id: Option<&str>) -> bool {
+        let Some(pending) = &self.pending else {
+            return false;
+        };
+        match (&pending.persist_id, persist_id) {
+            (Some(expected), Some(given)) => expected == given,
+            (None, None) => pending.session.is_some() && pending.session == asker,
+            _ => false,
+        }
     }
 
-    /// What was committed stays.
+    /// Confirms the commit that waits.
+    ///
+    /// # Errors
+    ///
+    /// None waits that may be confirmed by who asks.
     pub fn confirm(
         &mut self,
         asker: CommitOwner,
         persist_id: Option<&str>,
     ) -> Result<(), CommitError> {
-        if !self.waited_for(asker, persist_id) {
+        if !self.may_confirm(asker, persist_id) {
             return Err(CommitError::NoPendingCommit);
         }
         self.pending = None;
         Ok(())
     }
 
-    /// What was committed is undone now.
+    /// Rolls back the commit that waits.
+    ///
+    /// # Errors
+    ///
+    /// None waits that may be cancelled by who asks, or the tree of before is not valid any more.
     pub fn cancel(
         &mut self,
         asker: CommitOwner,
         persist_id: Option<&str>,
         facts: &Facts,
     ) -> Result<CommitOutcome, CommitError> {
-        if !self.waited_for(asker, persist_id) {
+        if !self.may_confirm(asker, persist_id) {
             return Err(CommitError::NoPendingCommit);
         }
-        self.undo(facts).map_err(CommitError::Invalid)
+        self.roll_back_pending(facts).map_err(CommitError::Invalid)
     }
 
-    /// A session is over, however it ended: its locks are free, and what only it could confirm is undone.
+    /// Closes a session, however it ended: its locks are released, and a commit that only it could confirm is rolled
+    /// back. `None` where no commit was.
     pub fn close_session(
         &mut self,
         session: SessionId,
         facts: &Facts,
     ) -> Option<Result<CommitOutcome, ValidationErrors>> {
-        let free = |holder: &mut CommitOwner| *holder = holder.filter(|holder| *holder != session);
-        free(&mut self.running);
-        free(&mut self.candidate);
-        let only_its = |pending: &PendingCommit| {
-            pending.session == Some(session) && pending.persist_id.is_none()
-        };
-        self.pending
-            .as_ref()
-            .is_some_and(only_its)
-            .then(|| self.undo(facts))
+        self.locks.release_all(session);
+        let pending = self.pending.as_ref()?;
+        let only_its = pending.session == Some(session) && pending.persist_id.is_none();
+        only_its.then(|| self.roll_back_pending(facts))
     }
 
-    /// When the desk has something to do by itself.
+    /// When the commit that waits expires, in Unix seconds.
     pub fn next_expiry(&self) -> Option<f64> {
         self.pending.as_ref().map(|pending| pending.expires_at)
     }
 
-    /// Undoes what was not confirmed in time, whoever holds a lock.
+    /// Rolls back a commit that was not confirmed in time, whoever holds a lock. `None` where none has expired.
     pub fn expire_pending(
         &mut self,
         facts: &Facts,
     ) -> Option<Result<CommitOutcome, ValidationErrors>> {
-        let late = self.next_expiry().is_some_and(|due| due <= facts.now);
-        late.then(|| self.undo(facts))
+        let is_expired = self.next_expiry().is_some_and(|at| at <= facts.now);
+        is_expired.then(|| self.roll_back_pending(facts))
     }
 
-    fn undo(&mut self, facts: &Facts) -> Result<CommitOutcome, ValidationErrors> {
+    fn roll_back_pending(&mut self, facts: &Facts) -> Result<CommitOutcome, ValidationErrors> {
         let Some(pending) = self.pending.take() else {
             return Ok(CommitOutcome::Unchanged);
         };
         let author = Author {
             source: Source::Management,
-            version: "not confirmed".into(),
+            version: NOT_CONFIRMED.into(),
             ..pending.author
         };
-        // The rules go before the promise: what would break one now is not brought back, and somebody is told.
+        // The rules go before the promise to roll back: a tree that would break one now stays away, and the rejection
+        // is recorded.
         self.store
             .roll_back(Revision(pending.rolls_back_to), author, facts)
     }
 
-    /// An author's candidate is checked as a commit would, and nothing is done.
+    /// Checks a candidate as a commit would.
+    ///
+    /// # Errors
+    ///
+    /// All that is wrong with it.
     pub fn validate(&self, candidate: &Candidate, facts: &Facts) -> Result<(), ValidationErrors> {
         self.store.validate(candidate, facts)
     }
-}
-
-/// What fronts read of the desk, as one whole.
-#[derive(Clone, Debug, Default)]
-pub struct CoordinatorStatus {
-    pub in_force: Arc<InForce>,
-    /// The newest revisions, oldest first.
-    pub history: Arc<[crate::store::RevisionRecord]>,
-    pub last_rejection: Option<Arc<crate::store::RejectedCommit>>,
-    pub pending: Option<PendingCommit>,
-    pub locks: [CommitOwner; 2],
-}
 
-/// How many of the newest revisions fronts read.
-const SHOWN: usize = 32;
-
-impl CommitCoordinator {
+    /// The status for the management interfaces.
     pub fn status(&self) -> CoordinatorStatus {
-        let mut history: Vec<_> = self.store.history().rev().take(SHOWN).cloned().collect();
+        let newest = self.store.history().rev().take(SHOWN_REVISIONS);
+        let mut history: Vec<_> = newest.cloned().collect();
         history.reverse();
         CoordinatorStatus {
             in_force: self.store.in_force().clone(),
             history: history.into(),
             last_rejection: self.store.rejections().next_back().cloned().map(Arc::new),
             pending: self.pending.clone(),
-            locks: [self.running, self.candidate],
+            locks: self.locks,
         }
     }
 }
 
-/// The fault of a lock or a commit that waits, for a way in that knows only faults; it passes.
-pub fn into_validation_errors(refused: CommitError, again: f64) -> ValidationErrors {
-    match refused {
+/// What management interfaces read of the coordinator, at one time.
+#[derive(Clone, Debug, Default)]
+pub struct CoordinatorStatus {
+    /// The revision in force.
+    pub in_force: Arc<InForce>,
+    /// The newest revisions, oldest first.
+    pub history: Arc<[RevisionRecord]>,
+    /// The candidate that was rejected last.
+    pub last_rejection: Option<Arc<RejectedCommit>>,
+    /// The commit that waits to be confirmed.
+    pub pending: Option<PendingCommit>,
+    /// The locks.
+    pub locks: Locks,
+}
+
+/// A rejection for a caller that knows only validation errors; a lock or a commit that waits may be gone by `retry_at`
+/// (Unix seconds).
+pub fn into_validation_errors(error: CommitError, retry_at: f64) -> ValidationErrors {
+    match error {
         CommitError::Invalid(errors) => errors,
-        other => ValidationError::new("running", other.to_string(), "a commit", "the same later")
-            .with_retry_at(again)
+        other => ValidationError::new("running", other, "a commit", "the same later")
+            .with_retry_at(retry_at)
             .into(),
     }
 }
--- a/datastore/src/lib.rs
+++ b/datastore/src/lib.rs
@@ -1,13 +1,21 @@
-//! What operators set of a running router, as one typed tree with one way in: a candidate is checked whole
-//! against the terms and the rules and committed whole as a revision, or refused whole with every fault that
-//! it has. Files, and later management protocols and the command line, are only ways to bring a candidate.
+//! The datastore of what operators set of a running router: one typed tree with one way in.
 //!
-//! Free of I/O: time, what the router knows of hosts and builds, and who asks are handed in.
+//! A candidate is checked as a whole against the service's settings and rules. It is committed as a revision, or
+//! rejected with everything that is wrong with it. Watched files, management protocols and the command line are only
+//! ways to bring a candidate.
+//!
+//! Free of I/O: the time, what the router knows of hosts and builds, and who asks are arguments.
 
 pub mod access;
-pub mod check;
+mod candidate;
+mod check;
 pub mod commit_coordinator;
+mod facts;
+mod host_record;
 pub mod merge;
+mod revision;
+mod route_table;
+mod settings;
 pub mod snapshot;
 pub mod store;
 pub mod tree;
@@ -15,16 +23,19 @@
 pub mod validation;
 pub mod view;
 
-pub use access::{Key, Keys, Proof, Rights};
-pub use check::{Facts, Maximums, MemorySettings, RuleSettings, exceeded_maximums};
-pub use merge::HostRecord;
+pub use access::{Key, Keys, Proof, Rights, RightsError};
+pub use candidate::{Candidate, InForce};
+pub use check::{DrainedHosts, exceeded_maximums};
+pub use facts::Facts;
+pub use host_record::HostRecord;
+pub use merge::FirstListed;
+pub use revision::{Author, RejectedCommit, RevisionRecord, Source};
+pub use settings::{Maximums, MemorySettings, RuleSettings};
 pub use snapshot::Snapshot;
-pub use store::{
-    Author, Candidate, Change, Datastore, DatastoreState, HistoryLimits, RevisionRecord, Source,
-};
+pub use store::{CommitOutcome, Datastore, DatastoreState, HistoryLimits};
 pub use tree::{
-    AdminState, Container, Guards, HostConfig, HostName, Leaf, Path, RolloutConfig, RouteConfig,
-    RouteName, Tree, Value,
+    AdminState, Container, Difference, Guards, HostConfig, HostName, Leaf, NameError, Path,
+    RolloutConfig, RouteConfig, RouteName, Tree, Value, ValueError,
 };
 pub use tree_builder::TreeBuilder;
 pub use validation::{Rule, ValidationError, ValidationErrors};
--- a/datastore/src/merge.rs
+++ b/datastore/src/merge.rs
@@ -1,90 +1,47 @@
-//! Where the list of discovery and what operators set both speak of a host: who wins, field by field.
+//! Where discovery and operators both list a host: whose value counts, leaf by leaf.
 
-use std::net::SocketAddr;
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use kestreltide::interface::*;
+use kestreltide::interface::{BuildId, HostState};
 
-use crate::tree::{AdminState, HostConfig, HostName, Leaf};
+use crate::host_record::HostRecord;
+use crate::tree::{AdminState, HostConfig, HostName, Leaf, Tree};
 
-/// Who is believed where both say something; where only one does, it is.
+/// When operators first listed each host of which no start is known, in Unix seconds.
+pub type FirstListed = BTreeMap<HostName, f64>;
+
+/// The size of a host where nobody gives one.
+const DEFAULT_SIZE: f64 = 1.0;
+/// The cell of a host where nobody gives one.
+const DEFAULT_CELL: u32 = 0;
+
+/// Whose value counts where both give one; where only one does, that one counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
-    /// It sees the processes.
+    /// Discovery's: it observes the processes.
     Discovery,
-    /// They know what they want of a machine.
+    /// The operators': they know what they want of a machine.
     Operators,
-    /// Whichever says the later time.
+    /// The later time.
     LaterTime,
-    /// Whichever lets less go to the host.
+    /// The one that lets less traffic go to the host.
     MostRestrictive,
 }
 
-/// Zone and cell stand with discovery as rule 2 rests on them: they say which hosts drop each other's repeats.
-pub const PRECEDENCE: [(Leaf, Precedence); 9] = [
-    (Leaf::Endpoint, Precedence::Discovery),
-    (Leaf::Zone, Precedence::Discovery),
-    (Leaf::Cell, Precedence::Discovery),
-    (Leaf::Kind, Precedence::Discovery),
-    (Leaf::Size, Precedence::Operators),
-    (Leaf::Build, Precedence::Discovery),
-    (Leaf::Started, Precedence::LaterTime),
-    (Leaf::Weight, Precedence::Operators),
-    (Leaf::State, Precedence::MostRestrictive),
-];
-
+/// Whose value of a leaf counts. Zone and cell are discovery's as rule 2 rests on them: they tell which hosts drop each
+/// other's repeated requests.
 pub fn precedence_of(leaf: Leaf) -> Precedence {
-    PRECEDENCE
-        .iter()
-        .find(|row| row.0 == leaf)
-        .map_or(Precedence::Discovery, |row| row.1)
-}
-
-/// A host as somebody lists it, whole.
-#[derive(Clone, Debug, PartialEq)]
-pub struct HostRecord {
-    pub name: Arc<str>,
-    pub endpoint: SocketAddr,
-    pub zone: Arc<str>,
-    pub cell: u32,
-    pub kind: Arc<str>,
-    pub size: f64,
-    pub build: BuildId,
-    /// `None`: long ago.
-    pub started: Option<f64>,
-    pub state: HostState,
-}
-
-impl HostRecord {
-    pub fn id(&self) -> HostId {
-        HostId::named(&self.name)
-    }
-
-    pub fn entry(&self) -> HostEntry {
-        HostEntry {
-            host: self.id(),
-            build: self.build,
-            zone: ZoneId::named(&self.zone),
-            cell: CellId(self.cell),
-            kind: KindId::named(&self.kind),
-            size: self.size,
-            started: self.started,
-            state: self.state,
-        }
-    }
-
-    /// Another process, or the same elsewhere: an id and its address may come back.
-    pub fn is_replaced_by(&self, new: &HostRecord) -> bool {
-        self.endpoint != new.endpoint || self.build != new.build || self.started != new.started
-    }
-
-    pub fn is_in_service(&self) -> bool {
-        self.state == HostState::Running
+    match leaf {
+        Leaf::Size | Leaf::Weight => Precedence::Operators,
+        Leaf::Started => Precedence::LaterTime,
+        Leaf::State => Precedence::MostRestrictive,
+        _ => Precedence::Discovery,
     }
 }
 
 impl AdminState {
-    /// What it is to the decisions: nothing new goes to a host that drains or is out.
+    /// The state for the decisions: nothing new goes to a host that is draining or out.
     pub fn host_state(self) -> HostState {
         match self {
             AdminState::InService => HostState::Running,
@@ -93,7 +50,8 @@
     }
 }
 
-fn care(state: HostState) -> u8 {
+/// How little may go to a host in this state: higher is less.
+fn restriction(state: HostState) -> u8 {
     match state {
         HostState::Running => 0,
         HostState::Stopping => 1,
@@ -101,95 +59,130 @@
     }
 }
 
+fn more_restrictive(first: HostState, second: HostState) -> HostState {
+    if restriction(first) >= restriction(second) {
+        first
+    } else {
+        second
+    }
+}
+
+/// The value of a leaf that counts; `combine` decides where its precedence compares the values.
 fn pick<T>(
     leaf: Leaf,
     discovery: Option<T>,
     operators: Option<T>,
-    later: impl Fn(T, T) -> T,
+    combine: impl Fn(T, T) -> T,
 ) -> Option<T> {
     match (precedence_of(leaf), discovery, operators) {
-        (Precedence::Discovery, Some(said), _) | (Precedence::Operators, _, Some(said)) => {
-            Some(said)
+        (Precedence::Discovery, Some(value), _) | (Precedence::Operators, _, Some(value)) => {
+            Some(value)
         }
-        (Precedence::LaterTime | Precedence::MostRestrictive, Some(a), Some(b)) => {
-            Some(later(a, b))
+        (Precedence::LaterTime | Precedence::MostRestrictive, Some(first), Some(second)) => {
+            Some(combine(first, second))
         }
-        (_, a, b) => a.or(b),
+        (_, first, second) => first.or(second),
     }
 }
 
-/// The host as it counts. `since` is when operators listed it first, where nobody says when it started: a new
-/// machine is the careful guess. `None` where what there is makes no entry.
+/// The value of a leaf whose precedence is discovery's or the operators'.
+fn pick_either<T>(leaf: Leaf, discovery: Option<T>, operators: Option<T>) -> Option<T> {
+    pick(leaf, discovery, operators, |first, _| first)
+}
+
+/// The host as it counts; `None` where all that is known of it makes no complete entry.
+///
+/// `first_listed` is when operators listed it first (Unix seconds), where no start is known: that it has just started
+/// is the careful guess.
 pub fn merge(
     name: &HostName,
     discovery: Option<&HostRecord>,
-    set: Option<&HostConfig>,
-    since: Option<f64>,
+    config: Option<&HostConfig>,
+    first_listed: Option<f64>,
 ) -> Option<HostRecord> {
-    let nothing = HostConfig::default();
-    let set = set.unwrap_or(&nothing);
-    let told = |of: fn(&HostRecord) -> Arc<str>| discovery.map(of);
-    let first = |a, _| a;
-    let state = set.state.map(AdminState::host_state);
-    let build = set
+    let unset = HostConfig::default();
+    let config = config.unwrap_or(&unset);
+    let configured_build = config
         .build
         .and_then(|build| u16::try_from(build).ok())
         .map(BuildId);
-    let started = set.started.or(since.filter(|_| discovery.is_none()));
+    let configured_start = config
+        .started
+        .or(first_listed.filter(|_| discovery.is_none()));
     Some(HostRecord {
-        name: discovery.map_or_else(|| name.shared(), |told| told.name.clone()),
-        endpoint: pick(
+        name: discovery.map_or_else(|| name.shared(), |host| host.name.clone()),
+        endpoint: pick_either(
             Leaf::Endpoint,
-            discovery.map(|told| told.endpoint),
-            set.endpoint,
-            first,
+            discovery.map(|host| host.endpoint),
+            config.endpoint,
         )?,
-        zone: pick(
+        zone: pick_either(
             Leaf::Zone,
-            told(|told| told.zone.clone()),
-            set.zone.clone(),
-            |a, _| a,
+            discovery.map(|host| host.zone.clone()),
+            config.zone.clone(),
         )?,
-        cell: pick(
-            Leaf::Cell,
-            discovery.map(|told| told.cell),
-            set.cell,
-            |a, _| a,
-        )
-        .unwrap_or(0),
-        kind: pick(
+        cell: pick_either(Leaf::Cell, discovery.map(|host| host.cell), config.cell)
+            .unwrap_or(DEFAULT_CELL),
+        kind: pick_either(
             Leaf::Kind,
-            told(|told| told.kind.clone()),
-            set.kind.clone(),
-            |a, _| a,
+            discovery.map(|host| host.kind.clone()),
+            config.kind.clone(),
         )?,
-        size: pick(
-            Leaf::Size,
-            discovery.map(|told| told.size),
-            set.size,
-            |a, _| a,
-        )
-        .unwrap_or(1.0),
-        build: pick(
+        size: pick_either(Leaf::Size, discovery.map(|host| host.size), config.size)
+            .unwrap_or(DEFAULT_SIZE),
+        build: pick_either(
             Leaf::Build,
-            discovery.map(|told| told.build),
-            build,
-            |a, _| a,
+            discovery.map(|host| host.build),
+            configured_build,
         )?,
         started: pick(
             Leaf::Started,
-            discovery.and_then(|told| told.started),
-            started,
+            discovery.and_then(|host| host.started),
+            configured_start,
             f64::max,
         ),
         state: pick(
             Leaf::State,
-            discovery.map(|told| told.state),
-            state,
-            |a, b| {
-                if care(a) >= care(b) { a } else { b }
-            },
+            discovery.map(|host| host.state),
+            config.state.map(AdminState::host_state),
+            more_restrictive,
         )
         .unwrap_or(HostState::Running),
     })
 }
+
+/// All hosts as they count under a tree, by name.
+pub fn merge_all(
+    tree: &Tree,
+    first_listed: &FirstListed,
+    discovery: Option<&[HostRecord]>,
+) -> BTreeMap<Arc<str>, HostRecord> {
+    let mut hosts = BTreeMap::new();
+    for listed in discovery.unwrap_or_default() {
+        if let Some(host) = merge_listed(tree, listed) {
+            hosts.insert(listed.name.clone(), host);
+        }
+    }
+    for (name, config) in &tree.hosts {
+        if hosts.contains_key(name.as_str()) {
+            continue;
+        }
+        if let Some(host) = merge(name, None, Some(config), first_listed.get(name).copied()) {
+            hosts.insert(name.shared(), host);
+        }
+    }
+    hosts
+}
+
+/// A host of discovery with what operators set of it.
+fn merge_listed(tree: &Tree, listed: &HostRecord) -> Option<HostRecord> {
+    let name: Option<HostName> = listed.name.parse().ok();
+    let configured = name.and_then(|name| {
+        let config = tree.hosts.get(&name)?;
+        Some((name, config))
+    });
+    match configured {
+        Some((name, config)) => merge(&name, Some(listed), Some(config), None),
+        None => Some(listed.clone()),
+    }
+}
--- /dev/null
+++ b/datastore/src/route_table.rs
@@ -0,0 +1,42 @@
+//! The routes of a tree in the form in which requests are matched.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+use kestreltide::interface::{HostId, KindId, Pool, ZoneId};
+use kestreltide_routes::{Match, Route};
+
+use crate::tree::{RouteConfig, RouteName, Tree};
+
+/// The routes of a tree, each with its pool, in the order of their names.
+pub fn build_routes(tree: &Tree) -> Vec<Route> {
+    tree.routes
+        .iter()
+        .map(|(name, config)| build_route(name, config))
+        .collect()
+}
+
+fn build_route(name: &RouteName, config: &RouteConfig) -> Route {
+    let matches = Match {
+        operations: config.operations.clone().unwrap_or_default(),
+        key_prefix: config.key_prefix.clone().unwrap_or_default(),
+    };
+    Route {
+        name: name.shared(),
+        precedence: config.precedence,
+        of: matches,
+        pool: Arc::new(build_pool(config)),
+    }
+}
+
+fn build_pool(config: &RouteConfig) -> Pool {
+    Pool {
+        zones: names_of(&config.zones).map(ZoneId::named).collect(),
+        kinds: names_of(&config.kinds).map(KindId::named).collect(),
+        hosts: names_of(&config.hosts).map(HostId::named).collect(),
+    }
+}
+
+fn names_of(names: &Option<BTreeSet<Arc<str>>>) -> impl Iterator<Item = &str> {
+    names.iter().flatten().map(|name| &**name)
+}
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -1,187 +1,203 @@
-//! A revision as the router's loop takes it: immutable, and worked out beforehand as far as the loop need not
-//! know it. What depends on discovery's latest word is merged where that word is known, in the loop.
+//! A revision as the router's event loop takes it: immutable, and computed in advance as far as possible.
+//!
+//! What depends on the latest list of discovery is merged where that list is known, in the event loop.
 
-use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use kestreltide::interface::*;
-use kestreltide_routes::{Match, Route, Routes};
+use kestreltide::interface::{
+    BuildId, HostEntry, HostId, HostState, OperatorOverrides, Revision, RolloutOverride,
+};
+use kestreltide_routes::Routes;
 
-use crate::check::FirstListed;
-use crate::merge::{HostRecord, merge};
+use crate::host_record::HostRecord;
+use crate::merge::{FirstListed, merge};
+use crate::route_table::build_routes;
 use crate::tree::{Difference, HostConfig, HostName, Path, Tree};
 
-/// What a revision says of one host.
+/// What a revision sets of one host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfiguredHost {
+    /// The id that the decisions know it by.
     pub host: HostId,
+    /// Its name.
     pub name: HostName,
+    /// What is set.
     pub config: HostConfig,
-    /// Since when it is listed, where nobody says when it started.
+    /// When it was first listed, where no start is known (Unix seconds).
     pub first_listed: Option<f64>,
-    /// As it counts where discovery does not list it; `None` where that makes no entry.
+    /// As it counts where discovery does not list it; `None` where that makes no complete entry.
     pub standalone: Option<HostRecord>,
     /// The same for the decisions.
     pub entry: Option<HostEntry>,
 }
 
+impl ConfiguredHost {
+    fn new(name: &HostName, config: &HostConfig, first_listed: Option<f64>) -> Self {
+        let standalone = merge(name, None, Some(config), first_listed);
+        let entry = standalone.as_ref().map(HostRecord::entry);
+        ConfiguredHost {
+            host: HostId::named(name.as_str()),
+            name: name.clone(),
+            config: config.clone(),
+            first_listed,
+            standalone,
+            entry,
+        }
+    }
+}
+
+/// A revision, with its changes from the revision before.
 #[derive(Debug, Default)]
 pub struct Snapshot {
+    /// Weights and rollout override, for the decisions.
     pub overrides: Arc<OperatorOverrides>,
     /// In ascending order of ids.
     pub hosts: Box<[ConfiguredHost]>,
-    /// Of which hosts it says something else than the revision before, in ascending order.
+    /// The hosts that are set otherwise than in the revision before, in ascending order of ids.
     pub changed: Box<[HostId]>,
-    /// The same for the decisions, as it counts for hosts that discovery does not list.
+    /// Those hosts for the decisions, as they count where discovery does not list them.
     pub entries: Arc<[HostEntry]>,
-    /// The revision that the changes are from.
+    /// The revision before.
     pub changed_since: Revision,
+    /// The routes.
     pub routes: Arc<Routes>,
-    /// When it was committed.
+    /// When it was committed, in Unix seconds.
     pub committed_at: f64,
 }
 
 impl Snapshot {
+    /// The snapshot of a tree that was committed as `revision`; `differences` are its changes from `previous`.
     pub fn new(
-        old: &Snapshot,
+        previous: &Snapshot,
         revision: Revision,
-        at: f64,
-        (tree, seen): (&Tree, &FirstListed),
-        changes: &[Difference],
+        committed_at: f64,
+        tree: &Tree,
+        first_listed: &FirstListed,
+        differences: &[Difference],
     ) -> Self {
-        let said = tree.hosts.iter().map(|(name, set)| {
-            let since = seen.get(name).copied();
-            let alone = merge(name, None, Some(set), since);
-            let entry = alone.as_ref().map(HostRecord::entry);
-            ConfiguredHost {
-                host: HostId::named(name.as_str()),
-                name: name.clone(),
-                config: set.clone(),
-                first_listed: since,
-                standalone: alone,
-                entry,
-            }
-        });
-        let mut hosts: Box<[ConfiguredHost]> = said.collect();
-        hosts.sort_by_key(|said| said.host);
-        let weights = hosts
-            .iter()
-            .filter_map(|said| Some((said.host, said.config.weight?)));
-        let weights = weights.filter(|(_, weight)| *weight != 1.0).collect();
-        let mut changed: Vec<_> = changes
-            .iter()
-            .filter_map(|change| match &change.path {
-                Path::Host(name, _) => Some(HostId::named(name.as_str())),
-                Path::Guards(_) | Path::Route(..) | Path::Rollout(_) => None,
-            })
-            .collect();
-        changed.sort();
-        changed.dedup();
-        let set = Arc::new(OperatorOverrides {
+        let hosts = configured_hosts(tree, first_listed);
+        let overrides = OperatorOverrides {
             revision,
-            weights,
+            weights: weights_of(&hosts),
             rollout: rollout_override(tree),
-        });
-        let routes = Arc::new(Routes::new(build_routes(tree)));
-        let (follows, entries) = (old.revision(), Arc::default());
-        let mut new = Snapshot {
-            overrides: set,
+        };
+        let mut snapshot = Snapshot {
+            overrides: Arc::new(overrides),
             hosts,
-            changed: changed.into(),
-            entries,
-            changed_since: follows,
-            routes,
-            committed_at: at,
+            changed: changed_hosts(differences),
+            entries: Arc::default(),
+            changed_since: previous.revision(),
+            routes: Arc::new(Routes::new(build_routes(tree))),
+            committed_at,
         };
-        let none = |_: HostId| None;
-        new.entries = new.host_changes(old, &new.changed, none, none).into();
-        new
+        let not_listed = |_: HostId| None;
+        snapshot.entries = snapshot
+            .host_changes(previous, &snapshot.changed, not_listed, not_listed)
+            .into();
+        snapshot
     }
 
-    /// What the decisions are told of hosts that may have changed. `was` and `is` say how those count that
-    /// discovery lists too; `None` where it does not.
+    /// The entries that the decisions are given of hosts that may have changed since `previous`. `before` and `after`
+    /// give those hosts that discovery lists too as they counted and count; `None` for any other.
     pub fn host_changes<'a>(
         &'a self,
-        old: &'a Snapshot,
+        previous: &'a Snapshot,
         hosts: &[HostId],
-        was: impl Fn(HostId) -> Option<HostRecord>,
-        is: impl Fn(HostId) -> Option<HostRecord>,
+        before: impl Fn(HostId) -> Option<HostRecord>,
+        after: impl Fn(HostId) -> Option<HostRecord>,
     ) -> Vec<HostEntry> {
         let mut entries = Vec::with_capacity(hosts.len());
         for host in hosts {
-            let (was, is) = (was(*host), is(*host));
-            let was = was
+            let before = before(*host);
+            let after = after(*host);
+            let before = before
                 .as_ref()
-                .or_else(|| old.configured(*host)?.standalone.as_ref());
-            let is = is
+                .or_else(|| previous.configured(*host)?.standalone.as_ref());
+            let after = after
                 .as_ref()
                 .or_else(|| self.configured(*host)?.standalone.as_ref());
-            // What stood there before goes first: another machine under the same id begins anew.
-            let went = was.filter(|was| is.is_none_or(|is| was.is_replaced_by(is)));
-            entries.extend(went.map(|was| HostEntry {
-                state: HostState::Gone,
-                ..was.entry()
-            }));
-            // A weight is no part of it: most revisions change nothing else.
-            let entry = is
-                .map(HostRecord::entry)
-                .filter(|entry| went.is_some() || was.map(HostRecord::entry) != Some(*entry));
-            entries.extend(entry);
+            entries.extend(entry_changes(before, after));
         }
         entries
     }
 
+    /// The number of the revision.
     pub fn revision(&self) -> Revision {
         self.overrides.revision
     }
 
+    /// What is set of a host, if anything.
     pub fn configured(&self, host: HostId) -> Option<&ConfiguredHost> {
-        let place = self.hosts.binary_search_by_key(&host, |said| said.host);
-        place.ok().map(|place| &self.hosts[place])
+        let position = self
+            .hosts
+            .binary_search_by_key(&host, |configured| configured.host);
+        position.ok().map(|position| &self.hosts[position])
     }
 }
 
-/// What operators ask of the build on trial, if they ask anything.
+/// The entries that lead from one state of a host to another.
+fn entry_changes(
+    before: Option<&HostRecord>,
+    after: Option<&HostRecord>,
+) -> impl Iterator<Item = HostEntry> {
+    // A replaced process is gone first: another machine under the same id begins anew.
+    let replaced = before.filter(|before| after.is_none_or(|after| before.is_replaced_by(after)));
+    let gone = replaced.map(|before| HostEntry {
+        state: HostState::Gone,
+        ..before.entry()
+    });
+    // A weight is no part of an entry, so that most revisions change none.
+    let entry_before = before.map(HostRecord::entry);
+    let entry_after = after
+        .map(HostRecord::entry)
+        .filter(|entry| replaced.is_some() || entry_before != Some(*entry));
+    gone.into_iter().chain(entry_after)
+}
+
+/// The hosts of a tree in ascending order of ids.
+fn configured_hosts(tree: &Tree, first_listed: &FirstListed) -> Box<[ConfiguredHost]> {
+    let mut hosts: Box<[ConfiguredHost]> = tree
+        .hosts
+        .iter()
+        .map(|(name, config)| ConfiguredHost::new(name, config, first_listed.get(name).copied()))
+        .collect();
+    hosts.sort_by_key(|configured| configured.host);
+    hosts
+}
+
+/// The weights other than 1, in ascending order of ids.
+fn weights_of(hosts: &[ConfiguredHost]) -> Box<[(HostId, f64)]> {
+    hosts
+        .iter()
+        .filter_map(|configured| Some((configured.host, configured.config.weight?)))
+        .filter(|(_, weight)| *weight != 1.0)
+        .collect()
+}
+
+/// The hosts of which a leaf changed, in ascending order of ids.
+fn changed_hosts(differences: &[Difference]) -> Box<[HostId]> {
+    let mut changed: Vec<HostId> = differences
+        .iter()
+        .filter_map(|difference| match &difference.path {
+            Path::Host(name, _) => Some(HostId::named(name.as_str())),
+            Path::Guards(_) | Path::Route(..) | Path::Rollout(_) => None,
+        })
+        .collect();
+    changed.sort();
+    changed.dedup();
+    changed.into()
+}
+
+/// The override of the canary's rollout, where one is set.
 fn rollout_override(tree: &Tree) -> Option<RolloutOverride> {
-    let ring = &tree.rollout;
-    let build = BuildId(u16::try_from(ring.build?).ok()?);
-    let (hold, roll_back) = (ring.hold == Some(true), ring.roll_back == Some(true));
+    /// The cap where none is set: no limit.
+    const NO_CAP: f64 = 1.0;
+    let config = &tree.rollout;
+    let build = u16::try_from(config.build?).ok()?;
     Some(RolloutOverride {
-        build,
-        hold,
-        roll_back,
-        cap: ring.cap.unwrap_or(1.0),
+        build: BuildId(build),
+        hold: config.hold == Some(true),
+        roll_back: config.roll_back == Some(true),
+        cap: config.cap.unwrap_or(NO_CAP),
     })
 }
-
-/// The routes of a tree, each with its pool.
-pub fn build_routes(tree: &Tree) -> Vec<Route> {
-    let routes = tree.routes.iter().map(|(name, set)| {
-        let named = |names: &Option<BTreeSet<Arc<str>>>| names.clone().unwrap_or_default();
-        let pool = Pool {
-            zones: named(&set.zones)
-                .iter()
-                .map(|zone| ZoneId::named(zone))
-                .collect(),
-            kinds: named(&set.kinds)
-                .iter()
-                .map(|kind| KindId::named(kind))
-                .collect(),
-            hosts: named(&set.hosts)
-                .iter()
-                .map(|host| HostId::named(host))
-                .collect(),
-        };
-        let of = Match {
-            operations: named(&set.operations),
-            key_prefix: set.key_prefix.clone().unwrap_or_default(),
-        };
-        Route {
-            name: name.shared(),
-            precedence: set.precedence,
-            of,
-            pool: Arc::new(pool),
-        }
-    });
-    routes.collect()
-}
--- a/datastore/src/store.rs
+++ b/datastore/src/store.rs
@@ -1,138 +1,35 @@
-//! The running tree, its revisions and their history. A commit takes a candidate whole or not at all: nothing
-//! of the datastore changes before every check has passed.
+//! The running tree, its revisions and their history.
+//!
+//! A commit applies a candidate completely or not at all: nothing of the datastore changes before every check has
+//! passed.
 
 use std::collections::VecDeque;
-use std::fmt;
 use std::sync::Arc;
+use std::time::{Duration, UNIX_EPOCH};
 
 use kestreltide::interface::Revision;
 use serde::{Deserialize, Serialize};
 
-use crate::check::{Context, DrainedHosts, Facts, FirstListed, RuleSettings, check, merged};
+use crate::candidate::{Candidate, InForce};
+use crate::check::{Context, DrainedHosts, HostsOfTree, check};
+use crate::facts::Facts;
+use crate::merge::{FirstListed, merge_all};
+use crate::revision::{Author, RejectedCommit, RevisionRecord, Source};
+use crate::settings::RuleSettings;
 use crate::snapshot::Snapshot;
-use crate::tree::{AdminState, Difference, Tree};
+use crate::tree::{AdminState, Difference, HostConfig, Tree};
 use crate::validation::{ValidationError, ValidationErrors};
 
-pub use crate::tree::Difference as Change;
-
-/// By which way a change came.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Source {
-    Files,
-    Management,
-    CommandLine,
-    /// An earlier revision again.
-    RolledBack(u64),
-}
-
-impl fmt::Display for Source {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Source::Files => f.write_str("files"),
-            Source::Management => f.write_str("management"),
-            Source::CommandLine => f.write_str("command line"),
-            Source::RolledBack(to) => write!(f, "rolled back to {to}"),
-        }
-    }
-}
-
-/// Who wants a change, as they named themselves.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Author {
-    pub source: Source,
-    pub name: String,
-    /// How its author numbers this version, where it does.
-    pub version: String,
-}
-
-impl fmt::Display for Author {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} by {}", self.source, self.name)?;
-        if self.version.is_empty() {
-            Ok(())
-        } else {
-            write!(f, ", version {}", self.version)
-        }
-    }
-}
-
-/// One revision as history keeps it.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RevisionRecord {
-    pub number: u64,
-    /// That it was made from; smaller than the one before it where others committed meanwhile.
-    pub based_on: u64,
-    /// Unix seconds.
-    pub at: f64,
-    pub author: Author,
-    pub changes: Arc<[Difference]>,
-}
-
-/// A candidate that was not taken.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RejectedCommit {
-    pub at: f64,
-    pub author: Author,
-    /// The revision that stayed in force.
-    #[serde(rename = "stays")]
-    pub revision: u64,
-    #[serde(rename = "faults")]
-    pub errors: ValidationErrors,
-}
-
-/// What is in force.
-#[derive(Debug, Default)]
-pub struct InForce {
-    pub revision: Revision,
-    pub tree: Arc<Tree>,
-    first_listed: Arc<FirstListed>,
-}
-
-impl InForce {
-    /// Since when hosts are listed whose start nobody tells.
-    pub fn first_listed(&self) -> &FirstListed {
-        &self.first_listed
-    }
-}
-
-/// What somebody wants in force, and the revision it was made from.
-#[derive(Clone, Debug)]
-pub struct Candidate {
-    base: Arc<InForce>,
-    pub tree: Tree,
-}
-
-impl Candidate {
-    pub fn new(base: &Arc<InForce>) -> Self {
-        Candidate {
-            base: base.clone(),
-            tree: (*base.tree).clone(),
-        }
-    }
-
-    /// Whether it is still what it was made from.
-    pub fn is_unchanged(&self) -> bool {
-        *self.base.tree == self.tree
-    }
-
-    pub fn base_tree(&self) -> &Tree {
-        &self.base.tree
-    }
-
-    pub fn base_revision(&self) -> Revision {
-        self.base.revision
-    }
-}
-
 /// How much of the past is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HistoryLimits {
+    /// Revisions.
     pub revisions: usize,
     /// Changed leaves of all kept revisions together.
     pub changes: usize,
+    /// Rejected commits.
     pub rejections: usize,
-    /// Drained processes that are remembered.
+    /// Drained hosts.
     pub drained: usize,
 }
 
@@ -147,15 +44,21 @@
     }
 }
 
-/// What outlives the process: all that a start needs to go on where the last one ended.
+/// The state that is persisted: all that a start needs to go on where the last one ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DatastoreState {
+    /// The revision in force.
     pub revision: u64,
+    /// Its tree.
     pub tree: Arc<Tree>,
+    /// When hosts were first listed of which no start is known.
     #[serde(rename = "seen")]
     pub first_listed: Arc<FirstListed>,
+    /// The hosts that operators have drained.
     pub drained: DrainedHosts,
+    /// The newest revisions, oldest first.
     pub history: VecDeque<RevisionRecord>,
+    /// The newest rejected commits, oldest first.
     #[serde(rename = "refusals")]
     pub rejections: VecDeque<RejectedCommit>,
 }
@@ -163,15 +66,23 @@
 /// What a commit led to.
 #[derive(Clone, Debug)]
 pub enum CommitOutcome {
-    /// It is in force as this.
+    /// It is in force as this revision.
     Applied(Arc<Snapshot>),
     /// It would change nothing.
     Unchanged,
 }
 
+/// A checked candidate on top of the revision in force.
+struct CheckedCandidate {
+    tree: Tree,
+    first_listed: FirstListed,
+    differences: Vec<Difference>,
+}
+
+/// The running tree, its history, and the checks that a candidate passes.
 pub struct Datastore {
-    terms: RuleSettings,
-    keep: HistoryLimits,
+    settings: RuleSettings,
+    limits: HistoryLimits,
     in_force: Arc<InForce>,
     snapshot: Arc<Snapshot>,
     drained: DrainedHosts,
@@ -180,128 +91,154 @@
 }
 
 impl Datastore {
-    pub fn new(terms: RuleSettings, keep: HistoryLimits) -> Self {
-        Self::from_state(terms, keep, DatastoreState::default())
+    /// An empty datastore.
+    pub fn new(settings: RuleSettings, limits: HistoryLimits) -> Self {
+        Self::from_state(settings, limits, DatastoreState::default())
     }
 
-    /// As it was when this was remembered. Nothing is checked again: it was well then, and what has become
-    /// dangerous since is guarded when it is used.
-    pub fn from_state(terms: RuleSettings, keep: HistoryLimits, memory: DatastoreState) -> Self {
-        let DatastoreState {
+    /// The datastore as it was persisted. Nothing is checked again: it was valid then, and what has become dangerous
+    /// since is guarded when it is used.
+    pub fn from_state(
+        settings: RuleSettings,
+        limits: HistoryLimits,
+        state: DatastoreState,
+    ) -> Self {
+        let revision = Revision(state.revision);
+        let differences = Tree::default().differences(&state.tree);
+        let committed_at = state.history.back().map_or(0.0, |last| last.at);
+        let snapshot = Snapshot::new(
+            &Snapshot::default(),
             revision,
-            tree,
-            first_listed: seen,
-            drained,
-            history,
-            rejections: refusals,
-        } = memory;
-        let changes = Tree::default().differences(&tree);
-        let (nothing, at) = (
-            Snapshot::default(),
-            history.back().map_or(0.0, |last| last.at),
+            committed_at,
+            &state.tree,
+            &state.first_listed,
+            &differences,
         );
-        let snapshot =
-            Snapshot::new(&nothing, Revision(revision), at, (&tree, &seen), &changes).into();
-        let in_force = Arc::new(InForce {
-            revision: Revision(revision),
-            tree,
-            first_listed: seen,
-        });
+        let in_force = InForce {
+            revision,
+            tree: state.tree,
+            first_listed: state.first_listed,
+        };
         let mut store = Datastore {
-            terms,
-            keep,
-            in_force,
-            snapshot,
-            drained,
-            history,
-            rejections: refusals,
+            settings,
+            limits,
+            in_force: Arc::new(in_force),
+            snapshot: Arc::new(snapshot),
+            drained: state.drained,
+            history: state.history,
+            rejections: state.rejections,
         };
-        store.forget();
+        store.trim_history();
         store
     }
 
+    /// The state to persist.
     pub fn state(&self) -> DatastoreState {
-        let InForce {
-            revision,
-            tree,
-            first_listed: seen,
-        } = &*self.in_force;
         DatastoreState {
-            revision: revision.0,
-            tree: tree.clone(),
-            first_listed: seen.clone(),
+            revision: self.in_force.revision.0,
+            tree: self.in_force.tree.clone(),
+            first_listed: self.in_force.first_listed.clone(),
             drained: self.drained.clone(),
             history: self.history.clone(),
             rejections: self.rejections.clone(),
         }
     }
 
+    /// The revision in force.
     pub fn in_force(&self) -> &Arc<InForce> {
         &self.in_force
     }
 
+    /// The kept revisions, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &RevisionRecord> {
         self.history.iter()
     }
 
+    /// The kept rejected commits, oldest first.
     pub fn rejections(&self) -> impl DoubleEndedIterator<Item = &RejectedCommit> {
         self.rejections.iter()
     }
 
-    /// What is in force, whole, for a loop that has nothing of it yet.
+    /// The revision in force for an event loop that has none yet.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
 
-    /// All that is wrong with a candidate as things stand, without committing it.
+    /// Checks a candidate without committing it.
+    ///
+    /// # Errors
+    ///
+    /// All that is wrong with the candidate as things stand.
     pub fn validate(&self, candidate: &Candidate, facts: &Facts) -> Result<(), ValidationErrors> {
-        self.weigh(candidate, facts).map(|_| ())
+        self.check_candidate(candidate, facts).map(|_| ())
     }
 
-    /// Takes a candidate whole, or refuses it whole and says why; a refusal is remembered.
+    /// Commits a candidate as a new revision.
+    ///
+    /// # Errors
+    ///
+    /// All that is wrong with the candidate; nothing of it is applied, and the rejection is recorded.
     pub fn commit(
         &mut self,
         candidate: &Candidate,
         author: Author,
         facts: &Facts,
     ) -> Result<CommitOutcome, ValidationErrors> {
-        let (tree, seen, changes) = match self.weigh(candidate, facts) {
-            Ok(weighed) => weighed,
+        let checked = match self.check_candidate(candidate, facts) {
+            Ok(checked) => checked,
             Err(errors) => {
-                self.refused(author, facts.now, errors.clone());
+                self.record_rejection(author, facts.now, errors.clone());
                 return Err(errors);
             }
         };
-        if changes.is_empty() {
+        if checked.differences.is_empty() {
             return Ok(CommitOutcome::Unchanged);
         }
+        let based_on = candidate.base_revision();
+        Ok(CommitOutcome::Applied(
+            self.apply(checked, based_on, author, facts),
+        ))
+    }
+
+    /// Puts a checked candidate in force.
+    fn apply(
+        &mut self,
+        checked: CheckedCandidate,
+        based_on: Revision,
+        author: Author,
+        facts: &Facts,
+    ) -> Arc<Snapshot> {
         let revision = Revision(self.in_force.revision.0 + 1);
-        let snapshot = Arc::new(Snapshot::new(
+        self.snapshot = Arc::new(Snapshot::new(
             &self.snapshot,
             revision,
             facts.now,
-            (&tree, &seen),
-            &changes,
+            &checked.tree,
+            &checked.first_listed,
+            &checked.differences,
         ));
-        self.snapshot = snapshot.clone();
-        self.note_drained(&tree, &seen, facts);
+        self.record_drained_hosts(&checked.tree, &checked.first_listed, facts);
         self.in_force = Arc::new(InForce {
             revision,
-            tree: Arc::new(tree),
-            first_listed: Arc::new(seen),
+            tree: Arc::new(checked.tree),
+            first_listed: Arc::new(checked.first_listed),
         });
         self.history.push_back(RevisionRecord {
             number: revision.0,
-            based_on: candidate.base.revision.0,
+            based_on: based_on.0,
             at: facts.now,
             author,
-            changes: changes.into(),
+            changes: checked.differences.into(),
         });
-        self.forget();
-        Ok(CommitOutcome::Applied(snapshot))
+        self.trim_history();
+        self.snapshot.clone()
     }
 
-    /// An earlier revision again, as a new one: what has been committed since is undone.
+    /// Commits the tree of an earlier revision as a new one: what has been committed since is undone.
+    ///
+    /// # Errors
+    ///
+    /// The revision is no longer kept, or its tree is not valid any more; the rejection is recorded.
     pub fn roll_back(
         &mut self,
         to: Revision,
@@ -309,38 +246,44 @@
         facts: &Facts,
     ) -> Result<CommitOutcome, ValidationErrors> {
         author.source = Source::RolledBack(to.0);
-        let tree = match self.tree_at(to) {
+        let mut candidate = Candidate::new(&self.in_force);
+        candidate.tree = match self.tree_at(to) {
             Ok(tree) => tree,
             Err(error) => {
-                self.refused(author, facts.now, error.clone().into());
-                return Err(error.into());
+                let errors = ValidationErrors::from(error);
+                self.record_rejection(author, facts.now, errors.clone());
+                return Err(errors);
             }
         };
-        let candidate = Candidate {
-            base: self.in_force.clone(),
-            tree,
-        };
         self.commit(&candidate, author, facts)
     }
 
-    /// The tree as it was in a revision that history still holds.
-    pub fn tree_at(&self, at: Revision) -> Result<Tree, ValidationError> {
+    /// The tree of a revision that history still keeps.
+    ///
+    /// # Errors
+    ///
+    /// The revision is not kept.
+    pub fn tree_at(&self, revision: Revision) -> Result<Tree, ValidationError> {
+        let newest = self.in_force.revision.0;
         let oldest = self
             .history
             .front()
-            .map_or(self.in_force.revision.0, |first| first.number - 1);
-        let newest = self.in_force.revision.0;
-        if !(oldest..=newest).contains(&at.0) {
-            let taken = format!("{oldest} to {newest}");
-            return Err(ValidationError::new("revision", "is not held", at.0, taken));
+            .map_or(newest, |first| first.number - 1);
+        if !(oldest..=newest).contains(&revision.0) {
+            return Err(ValidationError::new(
+                "revision",
+                "is not held",
+                revision.0,
+                format!("{oldest} to {newest}"),
+            ));
         }
         let mut tree = (*self.in_force.tree).clone();
-        for record in self
+        let later = self
             .history
             .iter()
             .rev()
-            .take_while(|record| record.number > at.0)
-        {
+            .take_while(|record| record.number > revision.0);
+        for record in later {
             for change in record.changes.iter() {
                 tree.set(&change.path, change.old.clone())?;
             }
@@ -348,18 +291,13 @@
         Ok(tree)
     }
 
-    /// Remembers what never became a candidate, such as a file that cannot be read.
+    /// Records a rejection, also of what never became a candidate, such as a file that cannot be read. `at` is in Unix
+    /// seconds.
     pub fn record_rejection(&mut self, author: Author, at: f64, errors: ValidationErrors) {
-        self.refused(author, at, errors);
-    }
-
-    fn refused(&mut self, author: Author, at: f64, errors: ValidationErrors) {
-        // The same again and again, as somebody tries, is one refusal.
-        if let Some(last) = self
-            .rejections
-            .back_mut()
-            .filter(|last| last.author == author && last.errors == errors)
-        {
+        // Repeated attempts count as one rejection.
+        let last = self.rejections.back_mut();
+        let repeated = last.filter(|last| last.author == author && last.errors == errors);
+        if let Some(last) = repeated {
             last.at = at;
             return;
         }
@@ -369,142 +307,157 @@
             revision: self.in_force.revision.0,
             errors,
         });
-        self.forget();
+        self.trim_history();
     }
 
-    /// The tree that a candidate comes to on what is in force now, and what it changes.
-    fn weigh(
+    /// Puts a candidate on top of the revision in force and checks it.
+    fn check_candidate(
         &self,
         candidate: &Candidate,
         facts: &Facts,
-    ) -> Result<(Tree, FirstListed, Vec<Difference>), ValidationErrors> {
-        let head = &*self.in_force;
-        let tree = if candidate.base.revision == head.revision {
+    ) -> Result<CheckedCandidate, ValidationErrors> {
+        let in_force = &*self.in_force;
+        let tree = if candidate.base_revision() == in_force.revision {
             candidate.tree.clone()
         } else {
-            self.rebased(candidate)?
+            self.rebase(candidate)?
+        };
+        let differences = in_force.tree.differences(&tree);
+        let first_listed = self.first_listed_hosts(&tree, facts);
+        let context = Context {
+            settings: &self.settings,
+            facts,
+            before: HostsOfTree::new(&in_force.tree, &in_force.first_listed, facts),
+            after: HostsOfTree::new(&tree, &first_listed, facts),
+            drained: &self.drained,
+            differences: &differences,
         };
-        let changes = head.tree.differences(&tree);
-        let mut seen = FirstListed::new();
-        if head.revision > Revision(0) {
-            // Who is listed anew and says no start may have just started.
-            let unsaid = tree
-                .hosts
-                .iter()
-                .filter(|(_, set)| set.endpoint.is_some() && set.started.is_none());
-            for (name, set) in unsaid {
-                let before = head.tree.hosts.get(name);
-                let same = before
-                    .is_some_and(|old| (old.endpoint, old.build) == (set.endpoint, set.build));
-                let since = if same {
-                    head.first_listed.get(name).copied()
-                } else {
-                    Some(facts.now)
-                };
-                seen.extend(since.map(|since| (name.clone(), since)));
+        check(&context).into_result()?;
+        Ok(CheckedCandidate {
+            tree,
+            first_listed,
+            differences,
+        })
+    }
+
+    /// When the hosts of a tree were first listed that have no start. One that is listed anew may have just started;
+    /// those of the first revision are taken to have run before.
+    fn first_listed_hosts(&self, tree: &Tree, facts: &Facts) -> FirstListed {
+        let in_force = &*self.in_force;
+        if in_force.revision == Revision(0) {
+            return FirstListed::new();
+        }
+        let is_same_process = |before: &HostConfig, after: &HostConfig| {
+            before.endpoint == after.endpoint && before.build == after.build
+        };
+        let mut first_listed = FirstListed::new();
+        for (name, config) in &tree.hosts {
+            if config.endpoint.is_none() || config.started.is_some() {
+                continue;
             }
+            let before = in_force.tree.hosts.get(name);
+            let since = if before.is_some_and(|before| is_same_process(before, config)) {
+                in_force.first_listed.get(name).copied()
+            } else {
+                Some(facts.now)
+            };
+            first_listed.extend(since.map(|since| (name.clone(), since)));
         }
-        let (old, new) = ((&*head.tree, &*head.first_listed), (&tree, &seen));
-        let context = Context::new(&self.terms, facts, old, new, &self.drained, &changes);
-        check(&context).into_result()?;
-        Ok((tree, seen, changes))
+        first_listed
     }
 
-    /// A candidate of an earlier revision on top of what others committed since, where they changed other leaves.
-    fn rebased(&self, candidate: &Candidate) -> Result<Tree, ValidationErrors> {
-        let mine = candidate.base.tree.differences(&candidate.tree);
-        let theirs = candidate.base.tree.differences(&self.in_force.tree);
+    /// Puts a candidate of an earlier revision on top of what others committed since, where they changed other leaves.
+    fn rebase(&self, candidate: &Candidate) -> Result<Tree, ValidationErrors> {
+        let ours = candidate.base_tree().differences(&candidate.tree);
+        let theirs = candidate.base_tree().differences(&self.in_force.tree);
         let mut errors = ValidationErrors::default();
-        for change in &mine {
-            let Ok(place) = theirs.binary_search_by(|other| other.path.cmp(&change.path)) else {
+        for change in &ours {
+            let Ok(position) = theirs.binary_search_by(|other| other.path.cmp(&change.path)) else {
                 continue;
             };
-            let other = &theirs[place];
+            let other = &theirs[position];
             if other.new != change.new {
                 errors.push(self.conflict(candidate, change, other));
             }
         }
         errors.into_result()?;
-        self.in_force.tree.patched(&mine, false)
+        self.in_force.tree.with_changes(&ours)
     }
 
+    /// The error of a candidate that changes a leaf which was changed since.
     fn conflict(
         &self,
         candidate: &Candidate,
-        mine: &Difference,
+        ours: &Difference,
         theirs: &Difference,
     ) -> ValidationError {
-        let by = self
-            .history
-            .iter()
-            .rev()
-            .find(|r| r.changes.iter().any(|change| change.path == mine.path));
-        let who = by.map_or("somebody".into(), |r| {
-            let at = std::time::UNIX_EPOCH + std::time::Duration::from_secs_f64(r.at.max(0.0));
+        let changed_path =
+            |record: &&RevisionRecord| record.changes.iter().any(|change| change.path == ours.path);
+        let last = self.history.iter().rev().find(changed_path);
+        let changed_by = last.map_or("somebody".into(), |record| {
+            let at = UNIX_EPOCH + Duration::from_secs_f64(record.at.max(0.0));
             format!(
                 "revision {} ({}, {})",
-                r.number,
-                r.author,
+                record.number,
+                record.author,
                 humantime::format_rfc3339_millis(at)
             )
         });
-        let what = format!(
-            "was changed since revision {} by {who}",
-            candidate.base.revision.0
-        );
-        let text = |change: &Difference| {
-            change
-                .new
-                .as_ref()
-                .map_or("nothing".into(), ToString::to_string)
-        };
         ValidationError::new(
-            &mine.path,
-            what,
-            text(mine),
-            format!("{}, or a candidate made from it", text(theirs)),
+            &ours.path,
+            format!(
+                "was changed since revision {} by {changed_by}",
+                candidate.base_revision().0
+            ),
+            ours.new_text(),
+            format!("{}, or a candidate made from it", theirs.new_text()),
         )
     }
 
-    /// Remembers whom operators drain, by the process that it was.
-    fn note_drained(&mut self, tree: &Tree, seen: &FirstListed, facts: &Facts) {
-        let draining = |state| state == Some(AdminState::Draining);
-        if !tree.hosts.values().any(|set| draining(set.state)) {
+    /// Records which process of each host operators drain.
+    fn record_drained_hosts(&mut self, tree: &Tree, first_listed: &FirstListed, facts: &Facts) {
+        let is_draining = |config: &HostConfig| config.state == Some(AdminState::Draining);
+        if !tree.hosts.values().any(is_draining) {
             return;
         }
-        let all = merged(tree, seen, facts);
-        for (name, _) in tree.hosts.iter().filter(|(_, set)| draining(set.state)) {
-            let started = all.get(name.as_str()).and_then(|host| host.started);
-            let at = self.drained.get(name).copied();
-            // A start that nobody told lies before the drain.
-            let process = started.unwrap_or(at.unwrap_or(facts.now));
-            self.drained
-                .insert(name.clone(), at.map_or(process, |at| at.max(process)));
+        let hosts = merge_all(tree, first_listed, facts.discovery.as_deref());
+        for (name, _) in tree.hosts.iter().filter(|(_, config)| is_draining(config)) {
+            let started = hosts.get(name.as_str()).and_then(|host| host.started);
+            let recorded = self.drained.get(name).copied();
+            // A start that is not known lies before the drain.
+            let process = started.unwrap_or(recorded.unwrap_or(facts.now));
+            let latest = recorded.map_or(process, |recorded| recorded.max(process));
+            self.drained.insert(name.clone(), latest);
         }
     }
 
-    fn forget(&mut self) {
-        while self.rejections.len() > self.keep.rejections {
+    /// Drops the oldest of all that exceeds the limits.
+    fn trim_history(&mut self) {
+        while self.rejections.len() > self.limits.rejections {
             self.rejections.pop_front();
         }
         let mut changes: usize = self.history.iter().map(|record| record.changes.len()).sum();
-        // The newest stays whatever its size.
+        // The newest revision is kept whatever its size.
         while self.history.len() > 1
-            && (self.history.len() > self.keep.revisions || changes > self.keep.changes)
+            && (self.history.len() > self.limits.revisions || changes > self.limits.changes)
         {
-            changes -= self
-                .history
-                .pop_front()
-                .map_or(0, |record| record.changes.len());
+            let dropped = self.history.pop_front();
+            changes -= dropped.map_or(0, |record| record.changes.len());
         }
-        while self.drained.len() > self.keep.drained {
-            // The one whose process is oldest is least likely to be meant again.
-            let oldest = self
-                .drained
-                .iter()
-                .min_by(|a, b| a.1.total_cmp(b.1))
-                .map(|(name, _)| name.clone());
-            oldest.map(|name| self.drained.remove(&name));
+        while self.drained.len() > self.limits.drained {
+            self.drop_oldest_drained_host();
+        }
+    }
+
+    /// The one whose process is oldest is the least likely to be listed again.
+    fn drop_oldest_drained_host(&mut self) {
+        let oldest = self
+            .drained
+            .iter()
+            .min_by(|first, second| first.1.total_cmp(second.1))
+            .map(|(name, _)| name.clone());
+        if let Some(name) = oldest {
+            self.drained.remove(&name);
         }
     }
 }
--- a/datastore/src/tree/difference.rs
+++ b/datastore/src/tree/difference.rs
@@ -6,82 +6,131 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::Tree;
 use super::leaf::{Container, Leaf};
 use super::path::Path;
 use super::value::Value;
 
-/// A leaf that differs: what it was, and what it is.
+/// A leaf that differs between two trees.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
+    /// Where it stands.
     pub path: Path,
+    /// What it was; `None`: not set.
     pub old: Option<Value>,
+    /// What it is; `None`: not set.
     pub new: Option<Value>,
 }
 
+impl Difference {
+    /// The old value as text.
+    pub fn old_text(&self) -> String {
+        text_of(&self.old)
+    }
+
+    /// The new value as text.
+    pub fn new_text(&self) -> String {
+        text_of(&self.new)
+    }
+}
+
+fn text_of(value: &Option<Value>) -> String {
+    value.as_ref().map_or("nothing".into(), Value::to_string)
+}
+
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let text =
-            |value: &Option<Value>| value.as_ref().map_or("nothing".into(), Value::to_string);
         write!(
             f,
             "{}: {} -> {}",
             self.path,
-            text(&self.old),
-            text(&self.new)
+            self.old_text(),
+            self.new_text()
         )
     }
 }
 
-/// Walks two maps by their keys, where what stands there differs.
-pub(super) fn both<K: Ord, V: Default + PartialEq>(
+/// The leaves that differ between two trees, in the order of their paths.
+pub(super) fn between(old: &Tree, new: &Tree) -> Vec<Difference> {
+    let mut found = Vec::new();
+    for_each_changed(&old.hosts, &new.hosts, |name, old, new| {
+        add_leaves(
+            &mut found,
+            Container::Host,
+            |leaf| Path::Host(name.clone(), leaf),
+            |leaf| old.get(leaf),
+            |leaf| new.get(leaf),
+        );
+    });
+    add_leaves(
+        &mut found,
+        Container::Guards,
+        Path::Guards,
+        |leaf| old.guards.get(leaf),
+        |leaf| new.guards.get(leaf),
+    );
+    for_each_changed(&old.routes, &new.routes, |name, old, new| {
+        add_leaves(
+            &mut found,
+            Container::Route,
+            |leaf| Path::Route(name.clone(), leaf),
+            |leaf| old.get(leaf),
+            |leaf| new.get(leaf),
+        );
+    });
+    add_leaves(
+        &mut found,
+        Container::Rollout,
+        Path::Rollout,
+        |leaf| old.rollout.get(leaf),
+        |leaf| new.rollout.get(leaf),
+    );
+    found
+}
+
+/// Adds the leaves of a container that differ.
+fn add_leaves(
+    found: &mut Vec<Difference>,
+    container: Container,
+    path: impl Fn(Leaf) -> Path,
+    old: impl Fn(Leaf) -> Option<Value>,
+    new: impl Fn(Leaf) -> Option<Value>,
+) {
+    for leaf in Leaf::all_of(container) {
+        let old = old(leaf);
+        let new = new(leaf);
+        if old != new {
+            let path = path(leaf);
+            found.push(Difference { path, old, new });
+        }
+    }
+}
+
+/// Walks two maps in the order of their keys and visits those whose values differ; a missing value is the default.
+fn for_each_changed<K: Ord, V: Default + PartialEq>(
     old: &BTreeMap<K, V>,
     new: &BTreeMap<K, V>,
-    mut differs: impl FnMut(&K, &V, &V),
+    mut visit: impl FnMut(&K, &V, &V),
 ) {
-    let nothing = V::default();
-    let (mut olds, mut news) = (old.iter().peekable(), new.iter().peekable());
+    let unset = V::default();
+    let mut old_entries = old.iter().peekable();
+    let mut new_entries = new.iter().peekable();
     loop {
-        let order = match (olds.peek(), news.peek()) {
-            (Some((a, _)), Some((b, _))) => a.cmp(b),
+        let order = match (old_entries.peek(), new_entries.peek()) {
+            (Some((old_key, _)), Some((new_key, _))) => old_key.cmp(new_key),
             (Some(_), None) => Ordering::Less,
             (None, Some(_)) => Ordering::Greater,
             (None, None) => return,
         };
-        let old = if order == Ordering::Greater {
-            None
-        } else {
-            olds.next()
+        let old_entry = old_entries.next_if(|_| order != Ordering::Greater);
+        let new_entry = new_entries.next_if(|_| order != Ordering::Less);
+        let Some((key, _)) = old_entry.or(new_entry) else {
+            return;
         };
-        let new = if order == Ordering::Less {
-            None
-        } else {
-            news.next()
-        };
-        let Some((key, _)) = old.or(new) else { return };
-        let (old, new) = (
-            old.map_or(&nothing, |old| old.1),
-            new.map_or(&nothing, |new| new.1),
-        );
-        if old != new {
-            differs(key, old, new);
-        }
-    }
-}
-
-pub(super) fn differ(
-    place: Container,
-    values: impl Fn(Leaf) -> (Option<Value>, Option<Value>),
-    path: impl Fn(Leaf) -> Path,
-    found: &mut Vec<Difference>,
-) {
-    for leaf in Leaf::all_of(place) {
-        let (old, new) = values(leaf);
-        if old != new {
-            found.push(Difference {
-                path: path(leaf),
-                old,
-                new,
-            });
+        let old_value = old_entry.map_or(&unset, |(_, value)| value);
+        let new_value = new_entry.map_or(&unset, |(_, value)| value);
+        if old_value != new_value {
+            visit(key, old_value, new_value);
         }
     }
 }
--- a/datastore/src/tree/leaf.rs
+++ b/datastore/src/tree/leaf.rs
@@ -2,185 +2,265 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A leaf of a host, the guards, a route or the ring, in the order in which they are shown.
+/// A leaf of a host, the guards, a route or the rollout, in the order in which they are shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Leaf {
+    /// Where a host accepts connections.
     Endpoint,
+    /// A host's zone.
     Zone,
+    /// A host's cell in its zone.
     Cell,
+    /// A host's kind of machine.
     Kind,
+    /// A host's capacity.
     Size,
+    /// The build that a host runs.
     Build,
+    /// The start of a host's process.
     Started,
+    /// A host's weight.
     Weight,
+    /// A host's administrative state.
     State,
+    /// The guard of removals.
     LargestRemoval,
+    /// The guard of zones.
     #[serde(rename = "least-hosts-zone")]
     MinHostsPerZone,
+    /// The guard of builds.
     #[serde(rename = "least-hosts-build")]
     MinHostsPerBuild,
+    /// A route's precedence.
     Precedence,
+    /// A route's operations.
     Operations,
+    /// A route's prefix of keys.
     KeyPrefix,
+    /// The zones of a route's pool.
     Zones,
+    /// The kinds of machine of a route's pool.
     Kinds,
+    /// The hosts of a route's pool.
     Hosts,
+    /// The canary that an override is about.
     #[serde(rename = "ring-build")]
     RolloutBuild,
+    /// Whether the canary is held.
     Hold,
+    /// Whether the canary is rolled back.
     #[serde(rename = "back")]
     RollBack,
+    /// The canary's largest share of the requests.
     Cap,
 }
 
-/// What a leaf is of.
+/// What leaves are of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Container {
+    /// A host.
     Host,
+    /// The guards.
     Guards,
+    /// A route.
     Route,
+    /// The override of a rollout.
     Rollout,
 }
 
-pub(super) const NAMED: &str = "a name of letters, digits and . _ : -";
-const NAMES: &str = "names of letters, digits and . _ : -";
+/// The format of a name.
+pub(super) const NAME_FORMAT: &str = "a name of letters, digits and . _ : -";
+/// The format of a list of names.
+const NAMES_FORMAT: &str = "names of letters, digits and . _ : -";
 
-/// What each leaf is of, its name there, and what it takes.
-const LEAVES: [(Leaf, Container, &str, &str); 22] = [
-    (
-        Leaf::Endpoint,
-        Container::Host,
-        "endpoint",
-        "an address and port, such as 10.1.0.18:6379",
-    ),
-    (Leaf::Zone, Container::Host, "zone", NAMED),
-    (
-        Leaf::Cell,
-        Container::Host,
-        "cell",
-        "a whole number from 0 to 4294967295",
-    ),
-    (Leaf::Kind, Container::Host, "kind", NAMED),
-    (
-        Leaf::Size,
-        Container::Host,
-        "size",
-        "a number over 0, at most 1000000, 1 for a usual host",
-    ),
-    (
-        Leaf::Build,
-        Container::Host,
-        "build",
-        "a whole number from 0 to 65535",
-    ),
-    (
-        Leaf::Started,
-        Container::Host,
-        "started",
-        "a time such as 2026-12-01T03:00:00Z, or seconds since 1970",
-    ),
-    (
-        Leaf::Weight,
-        Container::Host,
-        "weight",
-        "a number from 0.01 to 100, 1 for an even share",
-    ),
-    (
-        Leaf::State,
-        Container::Host,
-        "state",
-        "in-service, draining or out",
-    ),
-    (
-        Leaf::LargestRemoval,
-        Container::Guards,
-        "largest-removal",
-        "a share from 0 to 1 of the hosts in service",
-    ),
-    (
-        Leaf::MinHostsPerZone,
-        Container::Guards,
-        "least-hosts-zone",
-        "a whole number from 0 to 16384",
-    ),
-    (
-        Leaf::MinHostsPerBuild,
-        Container::Guards,
-        "least-hosts-build",
-        "a whole number from 0 to 16384",
-    ),
-    (
-        Leaf::Precedence,
-        Container::Route,
-        "precedence",
-        "a whole number from 0 to 4294967295, lower first",
-    ),
-    (
-        Leaf::Operations,
-        Container::Route,
-        "operation",
-        "names of the service's operations",
-    ),
-    (
-        Leaf::KeyPrefix,
-        Container::Route,
-        "key-prefix",
-        "up to 128 characters",
-    ),
-    (Leaf::Zones, Container::Route, "zone", NAMES),
-    (Leaf::Kinds, Container::Route, "kind", NAMES),
-    (Leaf::Hosts, Container::Route, "host", NAMES),
-    (
-        Leaf::RolloutBuild,
-        Container::Rollout,
-        "build",
-        "the number of the build on trial",
-    ),
-    (Leaf::Hold, Container::Rollout, "hold", "true or false"),
-    (Leaf::RollBack, Container::Rollout, "back", "true or false"),
-    (
-        Leaf::Cap,
-        Container::Rollout,
-        "cap",
-        "a share from 0 to 1, at most the cap told",
-    ),
+/// What there is to say of a leaf.
+struct Description {
+    leaf: Leaf,
+    /// What it is of.
+    container: Container,
+    /// Its name there.
+    name: &'static str,
+    /// What it takes, in words.
+    expected_format: &'static str,
+}
+
+/// All leaves, in the order of their declaration: [`Leaf::description`] looks them up by it.
+const LEAVES: [Description; 22] = [
+    Description {
+        leaf: Leaf::Endpoint,
+        container: Container::Host,
+        name: "endpoint",
+        expected_format: "an address and port, such as 10.1.0.18:6379",
+    },
+    Description {
+        leaf: Leaf::Zone,
+        container: Container::Host,
+        name: "zone",
+        expected_format: NAME_FORMAT,
+    },
+    Description {
+        leaf: Leaf::Cell,
+        container: Container::Host,
+        name: "cell",
+        expected_format: "a whole number from 0 to 4294967295",
+    },
+    Description {
+        leaf: Leaf::Kind,
+        container: Container::Host,
+        name: "kind",
+        expected_format: NAME_FORMAT,
+    },
+    Description {
+        leaf: Leaf::Size,
+        container: Container::Host,
+        name: "size",
+        expected_format: "a number over 0, at most 1000000, 1 for a usual host",
+    },
+    Description {
+        leaf: Leaf::Build,
+        container: Container::Host,
+        name: "build",
+        expected_format: "a whole number from 0 to 65535",
+    },
+    Description {
+        leaf: Leaf::Started,
+        container: Container::Host,
+        name: "started",
+        expected_format: "a time such as 2026-12-01T03:00:00Z, or seconds since 1970",
+    },
+    Description {
+        leaf: Leaf::Weight,
+        container: Container::Host,
+        name: "weight",
+        expected_format: "a number from 0.01 to 100, 1 for an even share",
+    },
+    Description {
+        leaf: Leaf::State,
+        container: Container::Host,
+        name: "state",
+        expected_format: "in-service, draining or out",
+    },
+    Description {
+        leaf: Leaf::LargestRemoval,
+        container: Container::Guards,
+        name: "largest-removal",
+        expected_format: "a share from 0 to 1 of the hosts in service",
+    },
+    Description {
+        leaf: Leaf::MinHostsPerZone,
+        container: Container::Guards,
+        name: "least-hosts-zone",
+        expected_format: "a whole number from 0 to 16384",
+    },
+    Description {
+        leaf: Leaf::MinHostsPerBuild,
+        container: Container::Guards,
+        name: "least-hosts-build",
+        expected_format: "a whole number from 0 to 16384",
+    },
+    Description {
+        leaf: Leaf::Precedence,
+        container: Container::Route,
+        name: "precedence",
+        expected_format: "a whole number from 0 to 4294967295, lower first",
+    },
+    Description {
+        leaf: Leaf::Operations,
+        container: Container::Route,
+        name: "operation",
+        expected_format: "names of the service's operations",
+    },
+    Description {
+        leaf: Leaf::KeyPrefix,
+        container: Container::Route,
+        name: "key-prefix",
+        expected_format: "up to 128 characters",
+    },
+    Description {
+        leaf: Leaf::Zones,
+        container: Container::Route,
+        name: "zone",
+        expected_format: NAMES_FORMAT,
+    },
+    Description {
+        leaf: Leaf::Kinds,
+        container: Container::Route,
+        name: "kind",
+        expected_format: NAMES_FORMAT,
+    },
+    Description {
+        leaf: Leaf::Hosts,
+        container: Container::Route,
+        name: "host",
+        expected_format: NAMES_FORMAT,
+    },
+    Description {
+        leaf: Leaf::RolloutBuild,
+        container: Container::Rollout,
+        name: "build",
+        expected_format: "the number of the build on trial",
+    },
+    Description {
+        leaf: Leaf::Hold,
+        container: Container::Rollout,
+        name: "hold",
+        expected_format: "true or false",
+    },
+    Description {
+        leaf: Leaf::RollBack,
+        container: Container::Rollout,
+        name: "back",
+        expected_format: "true or false",
+    },
+    Description {
+        leaf: Leaf::Cap,
+        container: Container::Rollout,
+        name: "cap",
+        expected_format: "a share from 0 to 1, at most the cap told",
+    },
 ];
 
 impl Leaf {
-    fn row(self) -> &'static (Leaf, Container, &'static str, &'static str) {
-        // The table has them in the order of their numbers; a story walks all of them.
+    fn description(self) -> &'static Description {
+        // A test checks that the table is in the order of the declaration.
         &LEAVES[self as usize]
     }
 
+    /// Its name in its container.
     pub fn name(self) -> &'static str {
-        self.row().2
+        self.description().name
     }
 
-    /// What the leaf takes, in words.
+    /// What it takes, in words.
     pub fn expected_format(self) -> &'static str {
-        self.row().3
+        self.description().expected_format
     }
 
+    /// What it is of.
     pub fn container(self) -> Container {
-        self.row().1
+        self.description().container
     }
 
-    pub fn by_name(place: Container, name: &str) -> Option<Leaf> {
-        Leaf::all_of(place).find(|leaf| leaf.name() == name)
+    /// The leaf of a container with this name.
+    pub fn by_name(container: Container, name: &str) -> Option<Leaf> {
+        Leaf::all_of(container).find(|leaf| leaf.name() == name)
     }
 
-    pub fn all_of(place: Container) -> impl Iterator<Item = Leaf> {
+    /// The leaves of a container, in the order in which they are shown.
+    pub fn all_of(container: Container) -> impl Iterator<Item = Leaf> {
         LEAVES
             .iter()
-            .filter(move |row| row.1 == place)
-            .map(|row| row.0)
+            .filter(move |description| description.container == container)
+            .map(|description| description.leaf)
     }
 
+    /// The leaf of a host with this name.
     pub fn of_host(name: &str) -> Option<Leaf> {
         Leaf::by_name(Container::Host, name)
     }
 
+    /// The guard with this name.
     pub fn of_guards(name: &str) -> Option<Leaf> {
         Leaf::by_name(Container::Guards, name)
     }
--- a/datastore/src/tree/mod.rs
+++ b/datastore/src/tree/mod.rs
@@ -1,5 +1,6 @@
-//! The typed tree of what operators set: hosts (entries, weights, administrative states) and guards. Every
-//! value stands at a leaf with a path; two trees differ by leaves, and a change is a list of them.
+//! The typed tree of what operators set: hosts, guards, routes and the override of a rollout.
+//!
+//! Every value stands at a leaf with a path; two trees differ by leaves, and a change is a list of them.
 
 mod config;
 mod difference;
@@ -12,29 +13,33 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use self::config::{Guards, HostConfig, RolloutConfig, RouteConfig};
+pub use self::config::{EffectiveGuards, Guards, HostConfig, RolloutConfig, RouteConfig};
 pub use self::difference::Difference;
 pub use self::leaf::{Container, Leaf};
-pub use self::names::{HostName, RouteName};
+pub use self::names::{HostName, NameError, RouteName};
 pub use self::path::Path;
-pub use self::value::{AdminState, Value, WEIGHTS};
+pub use self::value::{AdminState, MAX_WEIGHT, MIN_WEIGHT, Value, ValueError};
 
-use self::difference::{both, differ};
 use crate::validation::{ValidationError, ValidationErrors};
 
 /// All that operators have set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tree {
+    /// What is set of each host.
     pub hosts: BTreeMap<HostName, HostConfig>,
+    /// What a single change may do at most.
     pub guards: Guards,
+    /// What is set of each route.
     #[serde(default)]
     pub routes: BTreeMap<RouteName, RouteConfig>,
+    /// What is asked of the canary's rollout.
     #[serde(default)]
     #[serde(rename = "ring")]
     pub rollout: RolloutConfig,
 }
 
 impl Tree {
+    /// The value of a leaf, where it is set.
     pub fn get(&self, path: &Path) -> Option<Value> {
         match path {
             Path::Host(host, leaf) => self.hosts.get(host)?.get(*leaf),
@@ -44,36 +49,41 @@
         }
     }
 
-    /// Sets a leaf, or takes it away. A host or route of which nothing is set any more is no longer in the tree.
+    /// Sets a leaf, or removes it where there is no value. A host or route of which nothing is set any more is no
+    /// longer in the tree.
+    ///
+    /// # Errors
+    ///
+    /// The value is not of the leaf's type.
     pub fn set(&mut self, path: &Path, value: Option<Value>) -> Result<(), ValidationError> {
-        let given = value.as_ref().map(Value::to_string).unwrap_or_default();
-        let well = match path {
+        let found = value.as_ref().map(Value::to_string).unwrap_or_default();
+        let is_of_type = match path {
             Path::Host(host, leaf) => {
-                let set = self.hosts.entry(host.clone()).or_default();
-                let well = set.set(*leaf, value);
-                if *set == HostConfig::default() {
+                let config = self.hosts.entry(host.clone()).or_default();
+                let is_of_type = config.set(*leaf, value);
+                if *config == HostConfig::default() {
                     self.hosts.remove(host);
                 }
-                well
+                is_of_type
             }
             Path::Route(route, leaf) => {
-                let set = self.routes.entry(route.clone()).or_default();
-                let well = set.set(*leaf, value);
-                if *set == RouteConfig::default() {
+                let config = self.routes.entry(route.clone()).or_default();
+                let is_of_type = config.set(*leaf, value);
+                if *config == RouteConfig::default() {
                     self.routes.remove(route);
                 }
-                well
+                is_of_type
             }
             Path::Guards(leaf) => self.guards.set(*leaf, value),
             Path::Rollout(leaf) => self.rollout.set(*leaf, value),
         };
-        if well {
+        if is_of_type {
             Ok(())
         } else {
             Err(ValidationError::new(
                 path,
                 "is of another type",
-                given,
+                found,
                 path.leaf().expected_format(),
             ))
         }
@@ -81,52 +91,35 @@
 
     /// The leaves that differ, in the order of their paths.
     pub fn differences(&self, new: &Tree) -> Vec<Difference> {
-        let mut found = Vec::new();
-        both(&self.hosts, &new.hosts, |name, old, new| {
-            differ(
-                Container::Host,
-                |leaf| (old.get(leaf), new.get(leaf)),
-                |leaf| Path::Host(name.clone(), leaf),
-                &mut found,
-            );
-        });
-        differ(
-            Container::Guards,
-            |leaf| (self.guards.get(leaf), new.guards.get(leaf)),
-            Path::Guards,
-            &mut found,
-        );
-        both(&self.routes, &new.routes, |name, old, new| {
-            differ(
-                Container::Route,
-                |leaf| (old.get(leaf), new.get(leaf)),
-                |leaf| Path::Route(name.clone(), leaf),
-                &mut found,
-            );
-        });
-        differ(
-            Container::Rollout,
-            |leaf| (self.rollout.get(leaf), new.rollout.get(leaf)),
-            Path::Rollout,
-            &mut found,
-        );
-        found
+        difference::between(self, new)
     }
 
-    /// The tree after these changes, or before them.
-    pub fn patched(
+    /// The tree after these changes.
+    ///
+    /// # Errors
+    ///
+    /// The values that are not of their leaf's type.
+    pub fn with_changes(&self, changes: &[Difference]) -> Result<Tree, ValidationErrors> {
+        self.with_values(changes.iter().map(|change| (&change.path, &change.new)))
+    }
+
+    /// The tree before these changes.
+    ///
+    /// # Errors
+    ///
+    /// The values that are not of their leaf's type.
+    pub fn without_changes(&self, changes: &[Difference]) -> Result<Tree, ValidationErrors> {
+        self.with_values(changes.iter().map(|change| (&change.path, &change.old)))
+    }
+
+    fn with_values<'a>(
         &self,
-        differences: &[Difference],
-        back: bool,
+        values: impl Iterator<Item = (&'a Path, &'a Option<Value>)>,
     ) -> Result<Tree, ValidationErrors> {
-        let (mut tree, mut errors) = (self.clone(), ValidationErrors::default());
-        for difference in differences {
-            let value = if back {
-                &difference.old
-            } else {
-                &difference.new
-            };
-            errors.extend(tree.set(&difference.path, value.clone()).err());
+        let mut tree = self.clone();
+        let mut errors = ValidationErrors::default();
+        for (path, value) in values {
+            errors.extend(tree.set(path, value.clone()).err());
         }
         errors.into_result().map(|()| tree)
     }
--- a/datastore/src/tree/path.rs
+++ b/datastore/src/tree/path.rs
@@ -5,21 +5,26 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::leaf::{Container, Leaf, NAMED};
-use super::names::{HostName, RouteName};
+use super::leaf::{Container, Leaf, NAME_FORMAT};
+use super::names::{HostName, NameError, RouteName};
 use crate::validation::ValidationError;
 
 /// Where a leaf stands.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Path {
+    /// A leaf of a host.
     Host(HostName, Leaf),
+    /// A guard.
     Guards(Leaf),
+    /// A leaf of a route.
     Route(RouteName, Leaf),
+    /// A leaf of the override of a rollout.
     #[serde(rename = "Ring")]
     Rollout(Leaf),
 }
 
 impl Path {
+    /// The leaf that stands there.
     pub fn leaf(&self) -> Leaf {
         match self {
             Path::Host(_, leaf)
@@ -45,25 +50,21 @@
     type Err = ValidationError;
 
     fn from_str(text: &str) -> Result<Self, ValidationError> {
-        let unknown = |what: &str, takes: &str| ValidationError::new(text, what, text, takes);
-        let leaf = |place: Container, name: &str| {
-            let names = || {
-                Leaf::all_of(place)
-                    .map(Leaf::name)
-                    .collect::<Vec<_>>()
-                    .join(", ")
-            };
-            Leaf::by_name(place, name).ok_or_else(|| unknown("no such leaf", &names()))
+        let unknown =
+            |problem: &str, expected: &str| ValidationError::new(text, problem, text, expected);
+        let leaf = |container: Container, name: &str| {
+            Leaf::by_name(container, name)
+                .ok_or_else(|| unknown("no such leaf", &names_of_leaves(container)))
         };
-        let well = |why: String| unknown(&format!("the name {why}"), NAMED);
+        let invalid_name = |why: NameError| unknown(&format!("the name {why}"), NAME_FORMAT);
         let parts: Vec<_> = text.trim_start_matches('/').split('/').collect();
         match parts.as_slice() {
             ["hosts", host, name] => Ok(Path::Host(
-                host.parse().map_err(well)?,
+                host.parse().map_err(invalid_name)?,
                 leaf(Container::Host, name)?,
             )),
             ["routes", route, name] => Ok(Path::Route(
-                route.parse().map_err(well)?,
+                route.parse().map_err(invalid_name)?,
                 leaf(Container::Route, name)?,
             )),
             ["guards", name] => Ok(Path::Guards(leaf(Container::Guards, name)?)),
@@ -75,3 +76,8 @@
         }
     }
 }
+
+fn names_of_leaves(container: Container) -> String {
+    let names: Vec<&str> = Leaf::all_of(container).map(Leaf::name).collect();
+    names.join(", ")
+}
--- a/datastore/src/tree_builder.rs
+++ b/datastore/src/tree_builder.rs
@@ -1,38 +1,42 @@
-//! A tree as it is being written down by somebody: text by text, with every fault kept and none hidden by
-//! another.
+//! Builds a tree leaf by leaf from text, and keeps every error on the way.
 
 use std::collections::BTreeMap;
 
 use crate::tree::{HostName, Leaf, Path, Tree};
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// What was read of one or several sources that belong together.
+/// Characters of a text that are shown, at most.
+const MAX_PRINTED: usize = 80;
+/// Shown in place of a control character.
+const REPLACEMENT: char = '\u{fffd}';
+
+/// The tree that one or several sources give together, and what is wrong with them.
 #[derive(Clone, Debug, Default)]
 pub struct TreeBuilder {
     tree: Tree,
     errors: ValidationErrors,
-    /// Where each leaf was said first.
-    said: BTreeMap<Path, String>,
-    places: BTreeMap<HostName, String>,
+    /// Where each leaf was set first.
+    leaf_places: BTreeMap<Path, String>,
+    /// Where each host's section was first.
+    host_places: BTreeMap<HostName, String>,
 }
 
 impl TreeBuilder {
-    /// A host's own section begins here; naming one id twice is an error, of which either could be meant.
+    /// Begins a host's own section. Two sections of one name are an error, as either could be meant.
     pub fn begin_host(&mut self, place: &str, name: &str) -> Option<HostName> {
         let host: HostName = match name.parse() {
             Ok(host) => host,
             Err(why) => {
-                let takes = "up to 128 letters, digits and . _ : -";
                 self.error(ValidationError::new(
                     place,
                     format!("the host's name {why}"),
                     name,
-                    takes,
+                    "up to 128 letters, digits and . _ : -",
                 ));
                 return None;
             }
         };
-        if let Some(first) = self.places.insert(host.clone(), place.into()) {
+        if let Some(first) = self.host_places.insert(host.clone(), place.into()) {
             self.error(ValidationError::new(
                 place,
                 format!("{host} was named before, at {first}"),
@@ -43,55 +47,66 @@
         Some(host)
     }
 
-    /// A leaf and its text; where it stands is for those who read what is wrong.
+    /// Sets a leaf from text; `place` is where the text stands, for those who read the errors.
     pub fn set(&mut self, place: &str, path: Path, text: &str) {
         let leaf = path.leaf();
-        match leaf.parse(text) {
-            Ok(value) => {
-                if let Some(first) = self.said.insert(path.clone(), place.into()) {
-                    let what = format!("{path} was said before, at {first}");
-                    return self.error(ValidationError::new(place, what, text, "each leaf once"));
-                }
-                if let Err(error) = self.tree.set(&path, Some(value)) {
-                    self.error(ValidationError {
-                        path: format!("{place}: {path}"),
-                        ..error
-                    });
-                }
-            }
+        let value = match leaf.parse(text) {
+            Ok(value) => value,
             Err(why) => {
-                self.error(ValidationError::new(
+                return self.error(ValidationError::new(
                     format!("{place}: {path}"),
                     why,
                     printable(text),
                     leaf.expected_format(),
                 ));
             }
+        };
+        if let Some(first) = self.leaf_places.insert(path.clone(), place.into()) {
+            return self.error(ValidationError::new(
+                place,
+                format!("{path} was said before, at {first}"),
+                text,
+                "each leaf once",
+            ));
+        }
+        if let Err(error) = self.tree.set(&path, Some(value)) {
+            self.error(ValidationError {
+                path: format!("{place}: {path}"),
+                ..error
+            });
         }
     }
 
-    /// A host's leaf by its name.
+    /// Sets a leaf of a host from text.
     pub fn set_host(&mut self, place: &str, host: &HostName, leaf: Leaf, text: &str) {
         self.set(place, Path::Host(host.clone(), leaf), text);
     }
 
+    /// Adds an error.
     pub fn error(&mut self, error: ValidationError) {
         self.errors.push(error);
     }
 
-    /// The tree, or everything that was wrong.
+    /// The tree.
+    ///
+    /// # Errors
+    ///
+    /// Everything that was wrong.
     pub fn finish(self) -> Result<Tree, ValidationErrors> {
         self.errors.into_result().map(|()| self.tree)
     }
 }
 
-/// A text as it may be shown: nobody's terminal or log is at the mercy of a file.
+/// A text as it may be shown: shortened, and without control characters that a terminal or a log would obey.
 pub fn printable(text: &str) -> String {
-    const MOST: usize = 80;
-    let plain = |c: char| if c.is_control() { '\u{fffd}' } else { c };
-    let mut short: String = text.chars().take(MOST).map(plain).collect();
-    if text.chars().nth(MOST).is_some() {
-        short.push_str("...");
+    let replace_control = |c: char| if c.is_control() { REPLACEMENT } else { c };
+    let mut printed: String = text
+        .chars()
+        .take(MAX_PRINTED)
+        .map(replace_control)
+        .collect();
+    if text.chars().nth(MAX_PRINTED).is_some() {
+        printed.push_str("...");
     }
-    short
+    printed
 }
--- a/datastore/tests/commit_coordinator.rs
+++ b/datastore/tests/commit_coordinator.rs
@@ -1,10 +1,10 @@
 //! Stories of the desk: locks, commits that are undone unless they are confirmed, and who is kept out.
 
 use kestreltide::interface::*;
+use kestreltide_datastore::CommitOutcome;
 use kestreltide_datastore::commit_coordinator::{
     CommitCoordinator, CommitError, ConfirmedCommit, SessionId, Target,
 };
-use kestreltide_datastore::store::CommitOutcome;
 use kestreltide_datastore::*;
 use rstest::rstest;
 
--- a/management/src/commit_service.rs
+++ b/management/src/commit_service.rs
@@ -8,11 +8,11 @@
 use kestreltide_datastore::commit_coordinator::{
     CommitError, CommitOwner, ConfirmedCommit, CoordinatorStatus, SessionId, Target,
 };
-use kestreltide_datastore::store::{CommitOutcome, RejectedCommit};
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::{
     Author, Candidate, Keys, RevisionRecord, ValidationError, ValidationErrors,
 };
+use kestreltide_datastore::{CommitOutcome, RejectedCommit};
 use tokio::sync::{broadcast, oneshot};
 
 /// What a front asks of the commit service. Whoever asks waits for the reply; the commit service waits for nobody.
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -2,8 +2,8 @@
 
 use std::sync::atomic::Ordering::Relaxed;
 
+use kestreltide_datastore::CommitOutcome;
 use kestreltide_datastore::commit_coordinator::ConfirmedCommit;
-use kestreltide_datastore::store::CommitOutcome;
 use kestreltide_datastore::{Author, Candidate, Key, Source};
 use kestreltide_yang::edit::{Op, apply};
 use tonic::{Request, Response, Status};
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -3,7 +3,7 @@
 use kestreltide::interface::{HostState, Phase};
 use kestreltide_datastore::commit_coordinator::CoordinatorStatus;
 use kestreltide_datastore::view::View;
-use kestreltide_datastore::{Author, RevisionRecord, ValidationError, check};
+use kestreltide_datastore::{Author, RevisionRecord, ValidationError, merge};
 use kestreltide_yang::bind::{Bind, decimal, time};
 use kestreltide_yang::data::Under;
 use kestreltide_yang::{Content, Data, NodeId, Schema};
@@ -75,10 +75,10 @@
         });
     }
     let tree = &published.in_force.tree;
-    let all = check::merged(
+    let all = merge::merge_all(
         tree,
         published.in_force.first_listed(),
-        &view.facts(view.at),
+        view.discovery.as_deref(),
     );
     let listed = view.discovery.as_deref().unwrap_or_default();
     for host in all.values() {
@@ -154,7 +154,7 @@
 pub fn refused(
     schema: &Schema,
     node: NodeId,
-    refusal: &kestreltide_datastore::store::RejectedCommit,
+    refusal: &kestreltide_datastore::RejectedCommit,
 ) -> Data {
     let mut under = Under::new(schema, node);
     author(&mut under, &refusal.author);
--- a/router/src/fronts/keeper.rs
+++ b/router/src/fronts/keeper.rs
@@ -11,12 +11,12 @@
 use kestreltide_datastore::commit_coordinator::{
     CommitCoordinator, CommitError, CoordinatorStatus, into_validation_errors,
 };
-use kestreltide_datastore::store::{CommitOutcome, InForce};
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::{
     Author, Candidate, Datastore, Facts, HistoryLimits, RuleSettings, Snapshot, Source, Tree,
     ValidationError, ValidationErrors,
 };
+use kestreltide_datastore::{CommitOutcome, InForce};
 use kestreltide_file_watch::parse::{Parsed, Version};
 use kestreltide_file_watch::watch::{WatchEvent, parse_files, poll_files};
 use kestreltide_management::Notification;
@@ -480,7 +480,7 @@
         let mut candidate = Candidate::new(&self.base);
         candidate.tree = candidate
             .tree
-            .patched(&self.files.differences(&version.tree), false)?;
+            .with_changes(&self.files.differences(&version.tree))?;
         Ok(candidate)
     }
 
--- a/yang/src/bind.rs
+++ b/yang/src/bind.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, UNIX_EPOCH};
 
 use kestreltide_datastore::{
-    Container, HostName, Leaf, Path, RouteName, Tree, ValidationError, Value,
+    Container, HostName, Leaf, NameError, Path, RouteName, Tree, ValidationError, Value,
 };
 
 use crate::data::{Data, Step, Under};
@@ -142,12 +142,12 @@
             (Bound::Host, _) => At::Host(
                 key()
                     .parse()
-                    .map_err(|why: String| format!("the name {why}"))?,
+                    .map_err(|why: NameError| format!("the name {why}"))?,
             ),
             (Bound::Route, _) => At::Route(
                 key()
                     .parse()
-                    .map_err(|why: String| format!("the name {why}"))?,
+                    .map_err(|why: NameError| format!("the name {why}"))?,
             ),
             (Bound::Leaf(leaf), At::Host(name)) => At::Leaf(Path::Host(name.clone(), leaf)),
             (Bound::Leaf(leaf), At::Route(name)) if listed(leaf) => {
--- a/yang/src/edit.rs
+++ b/yang/src/edit.rs
@@ -94,7 +94,7 @@
         tag: Tag,
         about: &str,
         at: &Instance,
-        what: impl Into<String>,
+        what: impl fmt::Display,
         given: impl fmt::Display,
         taken: impl fmt::Display,
     ) -> Self {
