--- a/router/src/fronts/keeper.rs
+++ b/router/src/management_threads/datastore_thread.rs
@@ -23,24 +23,24 @@
 use slog::{Logger, info, warn};
 use tokio::sync::broadcast;
 
-use super::memory::{self, Held, Remembered};
-use super::terms::Watching;
+use super::persistence::{self, PendingVersion, PersistedState};
+use super::settings::FileWatchSettings;
 use crate::routing::{Notice, Pulse};
 use crate::transport::{Clock, Post};
 
 /// What is asked of the keeper.
 #[derive(Debug)]
-pub enum Ask {
+pub enum DatastoreRequest {
     /// The watched files say this now.
-    Files(WatchEvent<Version>),
+    WatchedFiles(WatchEvent<Version>),
     /// A front asks the desk.
-    CommitCoordinator(kestreltide_management::Ask),
+    Management(kestreltide_management::Ask),
     /// What is not saved yet is saved, and the thread ends.
     Stop,
 }
 
 #[derive(Clone, Debug)]
-pub struct KeeperTerms {
+pub struct DatastoreThreadSettings {
     pub router: String,
     pub rules: RuleSettings,
     pub history: History,
@@ -59,14 +59,14 @@
 /// A version of the files that is wanted and not in force.
 struct Waiting {
     version: Version,
-    held: Held,
+    held: PendingVersion,
     again: f64,
 }
 
-pub struct Keeper {
+pub struct DatastoreThread {
     log: Logger,
     clock: Clock,
-    terms: KeeperTerms,
+    terms: DatastoreThreadSettings,
     desk: CommitCoordinator,
     /// What fronts read of the desk, and where they are told what happens.
     published: Arc<ArcSwap<Published>>,
@@ -79,7 +79,7 @@
     base: Arc<InForce>,
     waiting: Option<Waiting>,
     /// Files that do not belong together yet.
-    held: Option<Held>,
+    held: Option<PendingVersion>,
     /// Something is not saved; when the last saving was.
     unsaved: bool,
     saved: f64,
@@ -89,24 +89,28 @@
     posted: VecDeque<Arc<Snapshot>>,
 }
 
-impl Keeper {
+impl DatastoreThread {
     /// Goes on from what was remembered, if anything was.
-    pub fn start(log: Logger, clock: Clock, terms: KeeperTerms) -> Result<Self, String> {
-        let remembered = match terms.folder.as_deref().map(memory::load) {
-            None | Some(Ok(None)) => Remembered::default(),
+    pub fn start(
+        log: Logger,
+        clock: Clock,
+        terms: DatastoreThreadSettings,
+    ) -> Result<Self, String> {
+        let remembered = match terms.folder.as_deref().map(persistence::load) {
+            None | Some(Ok(None)) => PersistedState::default(),
             Some(Ok(Some(remembered))) => {
                 info!(log, "the last good revision is remembered"; "revision" => remembered.memory.revision);
                 remembered
             }
             Some(Err(why)) => {
-                let aside = terms.folder.as_deref().map(memory::put_aside);
+                let aside = terms.folder.as_deref().map(persistence::quarantine);
                 let aside = match aside {
                     Some(Ok(at)) => at.display().to_string(),
                     Some(Err(e)) => return Err(format!("{why}; it cannot be put aside: {e}")),
                     None => String::new(),
                 };
                 warn!(log, "what was remembered cannot be used"; "why" => why, "put_aside" => aside);
-                Remembered::default()
+                PersistedState::default()
             }
         };
         let store = Datastore::remembering(terms.rules.clone(), terms.history, remembered.memory);
@@ -119,7 +123,7 @@
         );
         let (files, waiting, held) = (remembered.files, None, None);
         let (unsaved, saved, unsaved_told, lines) = (true, 0.0, false, (0.0, 0));
-        Ok(Keeper {
+        Ok(DatastoreThread {
             log,
             clock,
             terms,
@@ -144,7 +148,7 @@
     /// there is neither.
     pub fn begin(
         &mut self,
-        watching: Option<&Watching>,
+        watching: Option<&FileWatchSettings>,
         facts: &Facts,
     ) -> Result<(Option<Arc<Snapshot>>, Option<u64>), String> {
         let mut known = None;
@@ -183,7 +187,7 @@
     /// Serves what is asked until it is told to stop or nobody is left.
     pub fn run(
         &mut self,
-        asked: &Receiver<Ask>,
+        asked: &Receiver<DatastoreRequest>,
         view: &ArcSwap<View>,
         post: &Post<Notice>,
         pulse: &Pulse,
@@ -200,7 +204,7 @@
             let due = due.fold(now + ROUND, f64::min) - now;
             let sleep = Duration::from_secs_f64(due.clamp(0.0, ROUND));
             let ask = match asked.recv_timeout(sleep) {
-                Ok(Ask::Stop) | Err(RecvTimeoutError::Disconnected) => break,
+                Ok(DatastoreRequest::Stop) | Err(RecvTimeoutError::Disconnected) => break,
                 Ok(ask) => Some(ask),
                 Err(RecvTimeoutError::Timeout) => None,
             };
@@ -210,9 +214,9 @@
                 .tick(&facts)
                 .and_then(|undone| self.undone(undone));
             let reply = match ask {
-                Some(Ask::Files(told)) => Served::only(self.told(told, &facts)),
-                Some(Ask::CommitCoordinator(ask)) => self.asked(ask, &facts),
-                Some(Ask::Stop) | None => Served::only(self.try_again(&facts)),
+                Some(DatastoreRequest::WatchedFiles(told)) => Served::only(self.told(told, &facts)),
+                Some(DatastoreRequest::Management(ask)) => self.asked(ask, &facts),
+                Some(DatastoreRequest::Stop) | None => Served::only(self.try_again(&facts)),
             };
             let mut gone = false;
             for snapshot in undone.into_iter().chain(reply.taken.clone()) {
@@ -414,7 +418,7 @@
             }
             WatchEvent::Pending(errors) => {
                 self.tell("files do not belong together yet", "", &errors);
-                self.held = Some(Held {
+                self.held = Some(PendingVersion {
                     since: facts.now,
                     author: author(""),
                     errors,
@@ -509,7 +513,7 @@
                 match errors.pass_at() {
                     Some(at) => {
                         let again = at.max(facts.now + AGAIN);
-                        let held = Held {
+                        let held = PendingVersion {
                             since: facts.now,
                             author: author(&version.generation),
                             errors: errors.clone(),
@@ -573,7 +577,7 @@
             .as_ref()
             .map(|waiting| waiting.held.clone())
             .or_else(|| self.held.clone());
-        let remembered = Remembered {
+        let remembered = PersistedState {
             router: self.terms.router.clone(),
             written: now,
             memory: self.desk.store.memory(),
@@ -584,7 +588,7 @@
             taken: view.map_or(0, |view| view.taken),
             longest_pause: view.map_or(0.0, |view| view.longest_pause),
         };
-        match memory::save(folder, &remembered) {
+        match persistence::save(folder, &remembered) {
             Ok(()) => (self.unsaved, self.unsaved_told) = (false, false),
             Err(why) if !self.unsaved_told => {
                 warn!(self.log, "revisions cannot be remembered"; "why" => why);
--- a/router/src/fronts/management.rs
+++ b/router/src/management_threads/interface_thread.rs
@@ -13,13 +13,13 @@
 use kestreltide_management::{Handle, Limits, gnmi, keys as russh_key};
 use slog::{Logger, error, info, warn};
 
+use super::settings::ManagementSettings;
 use super::supervise;
-use super::terms::ManagementTerms;
 use crate::routing::Pulse;
 use crate::transport::Clock;
 
 /// What was opened and read at start, so that a fault is told there.
-pub struct Opened {
+pub struct OpenedListeners {
     netconf: Option<(TcpListener, russh_key::PrivateKey)>,
     gnmi: Option<(TcpListener, Files)>,
     pub keys: Arc<ArcSwap<Keys>>,
@@ -58,8 +58,8 @@
         .map_or(String::new(), |path| path.display().to_string())
 }
 
-impl Opened {
-    pub fn open(log: &Logger, terms: &ManagementTerms) -> Result<Self, String> {
+impl OpenedListeners {
+    pub fn open(log: &Logger, terms: &ManagementSettings) -> Result<Self, String> {
         let at = place(&terms.keys);
         let (parse_files, digest) = poll_files(&terms.keys, |contents| {
             contents
@@ -105,7 +105,7 @@
         };
         info!(log, "keys are taken"; "generation" => &found.generation, "keys" => found.keys.len());
         let keys = Arc::new(ArcSwap::from_pointee(found));
-        Ok(Opened {
+        Ok(OpenedListeners {
             netconf,
             gnmi,
             keys,
@@ -122,7 +122,7 @@
         desk: Handle,
         pulse: Pulse,
     ) -> std::io::Result<()> {
-        let Opened {
+        let OpenedListeners {
             netconf,
             gnmi,
             keys: found,
--- a/router/src/fronts/memory.rs
+++ b/router/src/management_threads/persistence.rs
@@ -16,7 +16,7 @@
 
 /// A version that waits for something to pass.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct PendingVersion {
     /// Unix seconds.
     pub since: f64,
     pub author: Author,
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Remembered {
+pub struct PersistedState {
     pub router: String,
     /// Unix seconds.
     pub written: f64,
@@ -33,7 +33,7 @@
     /// What the files said when a version of them was last taken.
     pub files: Tree,
     pub generation: String,
-    pub held: Option<Held>,
+    pub held: Option<PendingVersion>,
     /// A commit that waits to be confirmed: a start undoes it.
     #[serde(default)]
     pub pending: Option<Pending>,
@@ -65,7 +65,7 @@
 }
 
 /// Replaces the file whole; after a crash there is the old one or the new one.
-pub fn save(folder: &Path, remembered: &Remembered) -> Result<(), String> {
+pub fn save(folder: &Path, remembered: &PersistedState) -> Result<(), String> {
     let unsaved = |e: io::Error| format!("{}: {e}", folder.display());
     let new = folder.join(format!("{NAME}.new"));
     let file = BufWriter::new(File::create(&new).map_err(unsaved)?);
@@ -89,7 +89,7 @@
 }
 
 /// What was remembered; `None` where nothing ever was. A damaged file is an error.
-pub fn load(folder: &Path) -> Result<Option<Remembered>, String> {
+pub fn load(folder: &Path) -> Result<Option<PersistedState>, String> {
     let at = path(folder);
     let bytes = match fs::read(&at) {
         Ok(bytes) => bytes,
@@ -115,7 +115,7 @@
 }
 
 /// Puts a damaged file aside, so that it can be looked at and is not met again.
-pub fn put_aside(folder: &Path) -> std::io::Result<PathBuf> {
+pub fn quarantine(folder: &Path) -> std::io::Result<PathBuf> {
     let aside = folder.join(format!("{NAME}.damaged"));
     fs::rename(path(folder), &aside).map(|()| aside)
 }
--- a/router/src/fronts/memory/tests.rs
+++ b/router/src/management_threads/persistence/tests.rs
@@ -6,10 +6,10 @@
 fn what_was_saved_is_loaded_and_any_changed_byte_is_noticed() {
     let folder = tempfile::tempdir().expect("a folder");
     assert_eq!(load(folder.path()), Ok(None));
-    let remembered = Remembered {
+    let remembered = PersistedState {
         router: "n0".into(),
         written: 5.0,
-        ..Remembered::default()
+        ..PersistedState::default()
     };
     save(folder.path(), &remembered).expect("saved");
     assert_eq!(load(folder.path()), Ok(Some(remembered)));
@@ -22,6 +22,6 @@
         fs::write(path(folder.path()), &bytes[..place]).expect("written");
         assert!(load(folder.path()).is_err(), "cut at {place}");
     }
-    put_aside(folder.path()).expect("moved");
+    quarantine(folder.path()).expect("moved");
     assert_eq!(load(folder.path()), Ok(None));
 }
--- a/router/src/fronts/terms.rs
+++ b/router/src/management_threads/settings.rs
@@ -9,7 +9,7 @@
 
 /// Which files are watched, and who else lists hosts.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Watching {
+pub struct FileWatchSettings {
     pub files: Vec<(Kind, PathBuf)>,
     pub watched: Watched,
     /// Whether discovery is asked too.
@@ -18,21 +18,21 @@
 
 /// Where management fronts listen, and by what who comes in is known.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ManagementTerms {
-    pub netconf: Option<NetconfTerms>,
-    pub gnmi: Option<GnmiTerms>,
+pub struct ManagementSettings {
+    pub netconf: Option<NetconfSettings>,
+    pub gnmi: Option<GnmiSettings>,
     /// The file of keys, watched as all files are.
     pub keys: Watched,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct NetconfTerms {
+pub struct NetconfSettings {
     pub listen: SocketAddr,
     pub host_key: PathBuf,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct GnmiTerms {
+pub struct GnmiSettings {
     pub listen: SocketAddr,
     pub certificate: PathBuf,
     pub key: PathBuf,
@@ -42,14 +42,14 @@
 
 /// What the operator file says, with defaults for what it does not.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct OperatorTerms {
+pub struct OperatorSettings {
     pub folder: Option<PathBuf>,
     pub history: History,
-    pub watching: Option<Watching>,
-    pub management: Option<ManagementTerms>,
+    pub watching: Option<FileWatchSettings>,
+    pub management: Option<ManagementSettings>,
 }
 
-impl OperatorTerms {
+impl OperatorSettings {
     /// Whether there is a thread beside the loop.
     pub fn any(&self) -> bool {
         self.watching.is_some() || self.management.is_some()
--- a/router/src/fronts/open.rs
+++ b/router/src/management_threads/startup.rs
@@ -12,17 +12,17 @@
 use kestreltide_management::Handle;
 use slog::Logger;
 
-use super::keeper::{Ask, Keeper, KeeperTerms};
-use super::management::Opened;
+use super::datastore_thread::{DatastoreRequest, DatastoreThread, DatastoreThreadSettings};
+use super::interface_thread::OpenedListeners;
+use super::settings::OperatorSettings;
 use super::supervise;
-use super::terms::OperatorTerms;
 use crate::limits::Limits;
 use crate::routing::{FrontBox, Pulse};
 use crate::transport::{Clock, Net};
 
 /// The threads beside the loop, as the program holds them.
-pub struct Fronts {
-    asks: SyncSender<Ask>,
+pub struct ManagementThreads {
+    asks: SyncSender<DatastoreRequest>,
     wake: Option<SyncSender<()>>,
     keeper: JoinHandle<u32>,
     pub pulses: Vec<Pulse>,
@@ -31,7 +31,7 @@
 /// Seconds that the program waits for the keeper to save what it has.
 const LAST_SAVE: f64 = 1.0;
 
-impl Fronts {
+impl ManagementThreads {
     /// The watched files are looked at now, whatever notices say.
     pub fn poll_files(&self) {
         if let Some(wake) = &self.wake {
@@ -42,7 +42,7 @@
     pub fn end(self) {
         let until = Instant::now() + Duration::from_secs_f64(LAST_SAVE);
         // Questions may stand before it.
-        while self.asks.try_send(Ask::Stop).is_err() && Instant::now() < until {
+        while self.asks.try_send(DatastoreRequest::Stop).is_err() && Instant::now() < until {
             thread::sleep(Duration::from_millis(5));
         }
         while !self.keeper.is_finished() && Instant::now() < until {
@@ -52,7 +52,7 @@
 }
 
 /// What opening needs of the program.
-pub struct Opening<'a> {
+pub struct ThreadContext<'a> {
     pub log: &'a Logger,
     pub clock: Clock,
     pub limits: &'a Limits,
@@ -63,21 +63,21 @@
 }
 
 /// The loop's end, what it starts with, and the threads.
-pub type Joined = (FrontBox, Option<Arc<Snapshot>>, Fronts);
+pub type StartedThreads = (FrontBox, Option<Arc<Snapshot>>, ManagementThreads);
 
-impl Opening<'_> {
+impl ThreadContext<'_> {
     /// Starts the threads that the operator file asks for; none where it asks for none.
     pub fn fronts(
         &self,
         net: &mut Net,
-        operators: &OperatorTerms,
+        operators: &OperatorSettings,
         listed: Option<Vec<HostRecord>>,
         news: Option<RolloutStatus>,
-    ) -> Result<Option<Joined>, String> {
+    ) -> Result<Option<StartedThreads>, String> {
         if !operators.any() {
             return Ok(None);
         }
-        let OperatorTerms {
+        let OperatorSettings {
             folder,
             history,
             watching,
@@ -87,17 +87,17 @@
         let (log, clock) = (self.log.clone(), self.clock);
         let opened = management
             .as_ref()
-            .map(|terms| Opened::open(&log, terms))
+            .map(|terms| OpenedListeners::open(&log, terms))
             .transpose()?;
         let (open, of_loop) = FrontBox::open(net, self.limits.posted).map_err(failed)?;
         let rules = RuleSettings::new(self.terms, self.operations.clone(), self.limits.operators);
-        let terms = KeeperTerms {
+        let terms = DatastoreThreadSettings {
             router: self.router.into(),
             rules,
             history,
             folder,
         };
-        let mut keeper = Keeper::start(log.clone(), clock, terms)?;
+        let mut keeper = DatastoreThread::start(log.clone(), clock, terms)?;
         let heard = listed.is_some() || operators.alone();
         let discovery = (!operators.alone()).then(|| listed.unwrap_or_default().into());
         let facts = Facts {
@@ -127,7 +127,7 @@
                 let says = |contents: &[kestreltide_file_watch::Content]| {
                     parse_files(&watching.files, contents)
                 };
-                let tell = |told| tell.send(Ask::Files(told)).is_ok();
+                let tell = |told| tell.send(DatastoreRequest::WatchedFiles(told)).is_ok();
                 kestreltide_file_watch::run(
                     &watching.watched,
                     known.take(),
@@ -143,7 +143,9 @@
         if let Some(opened) = opened {
             let ask = asks.clone();
             let desk = Handle {
-                ask: Arc::new(move |asked| ask.try_send(Ask::CommitCoordinator(asked)).is_ok()),
+                ask: Arc::new(move |asked| {
+                    ask.try_send(DatastoreRequest::Management(asked)).is_ok()
+                }),
                 published,
                 view: of_loop.view.clone(),
                 in_force: of_loop.in_force.clone(),
@@ -157,7 +159,7 @@
         Ok(Some((
             open,
             first,
-            Fronts {
+            ManagementThreads {
                 asks,
                 wake,
                 keeper,
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -13,7 +13,7 @@
 
 use super::config::{self, When};
 use super::operator;
-use crate::fronts::{Held, load};
+use crate::management_threads::{PendingVersion, load};
 
 /// say all that is wrong with an operator file and the files it names, and end
 #[derive(FromArgs)]
@@ -211,7 +211,7 @@
         );
         let newest = memory.history.iter().rev().take(self.newest);
         newest.for_each(|record| println!("{}", line(record)));
-        if let Some(Held {
+        if let Some(PendingVersion {
             since,
             author,
             errors,
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -13,8 +13,8 @@
 use kestreltide_datastore::HostRecord;
 use slog::{Logger, error, info, warn};
 
-use crate::fronts::{Fronts, Opening, OperatorTerms};
 use crate::limits::Limits;
+use crate::management_threads::{ManagementThreads, OperatorSettings, ThreadContext};
 use crate::routing::{Parties, Routing, Turn};
 use crate::transport::{Clock, Net};
 use config::{Fixed, Told, When};
@@ -152,7 +152,7 @@
         of_fronts.map(|known| known.targets.iter().map(|t| t.listed()).collect());
     let operations = told.transport.operations.keys().cloned().collect();
     let (router, terms) = (&told.name, &told.terms);
-    let open = Opening {
+    let open = ThreadContext {
         log: &log,
         clock,
         limits: &limits,
@@ -188,7 +188,7 @@
                 if let Err(why) = reread(&log, &mut routing, serve, &fixed) {
                     warn!(log, "the configuration read again is not taken"; "why" => why);
                 }
-                fronts.iter().for_each(Fronts::poll_files);
+                fronts.iter().for_each(ManagementThreads::poll_files);
                 if self::operators(&serve.operator).as_ref() != Ok(&operators) {
                     warn!(
                         log,
@@ -212,12 +212,12 @@
     ended
 }
 
-fn operators(named: &Option<PathBuf>) -> Result<OperatorTerms, String> {
+fn operators(named: &Option<PathBuf>) -> Result<OperatorSettings, String> {
     let path = named
         .clone()
         .or_else(|| std::env::var_os("KESTRELTIDE_OPERATOR").map(PathBuf::from));
     path.map_or_else(
-        || Ok(OperatorTerms::default()),
+        || Ok(OperatorSettings::default()),
         |path| operator::load(&path),
     )
 }
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -13,8 +13,10 @@
 use kestreltide_file_watch::parse::Kind;
 use kestreltide_file_watch::watch::Watched;
 
-use crate::fronts::{GnmiTerms, ManagementTerms, NetconfTerms, OperatorTerms, Watching};
 use crate::limits::Limits;
+use crate::management_threads::{
+    FileWatchSettings, GnmiSettings, ManagementSettings, NetconfSettings, OperatorSettings,
+};
 
 /// What a key takes.
 #[derive(Clone, Copy, Debug)]
@@ -208,7 +210,7 @@
 }
 
 /// What a whole operator file says, or everything that is wrong with it.
-pub fn parse(place: &Path, text: &str) -> Result<OperatorTerms, ValidationErrors> {
+pub fn parse(place: &Path, text: &str) -> Result<OperatorSettings, ValidationErrors> {
     let (name, folder) = (
         place.display().to_string(),
         place.parent().unwrap_or(Path::new("")),
@@ -323,11 +325,11 @@
     };
     let address = |key| said("management", key).and_then(|text| text.parse::<SocketAddr>().ok());
     let file = |key| path("management", key).unwrap_or_default();
-    let netconf = address("netconf").map(|listen| NetconfTerms {
+    let netconf = address("netconf").map(|listen| NetconfSettings {
         listen,
         host_key: file("ssh-host-key"),
     });
-    let gnmi = address("gnmi").map(|listen| GnmiTerms {
+    let gnmi = address("gnmi").map(|listen| GnmiSettings {
         listen,
         certificate: file("certificate"),
         key: file("key"),
@@ -337,7 +339,7 @@
         files: vec![file("keys")],
         ..watched.clone()
     };
-    let management = (netconf.is_some() || gnmi.is_some()).then_some(ManagementTerms {
+    let management = (netconf.is_some() || gnmi.is_some()).then_some(ManagementSettings {
         netconf,
         gnmi,
         keys,
@@ -345,14 +347,14 @@
     let revisions = text("datastore", "history")
         .parse()
         .unwrap_or(History::default().revisions);
-    Ok(OperatorTerms {
+    Ok(OperatorSettings {
         folder: path("datastore", "state-directory"),
         history: History {
             revisions,
             ..History::default()
         },
         management,
-        watching: watch.map(|_| Watching {
+        watching: watch.map(|_| FileWatchSettings {
             files,
             watched,
             discovery,
@@ -396,7 +398,7 @@
 }
 
 /// Reads the file, and says of everything that is wrong what and where.
-pub fn load(path: &Path) -> Result<OperatorTerms, String> {
+pub fn load(path: &Path) -> Result<OperatorSettings, String> {
     let unread = |why: &dyn std::fmt::Display| format!("{}: cannot be read: {why}", path.display());
     let bytes = kestreltide_file_watch::read_file::read(path, Limits::FILE)
         .map_err(|why| unread(&why.0))?;
--- a/router/src/program/operator/tests.rs
+++ b/router/src/program/operator/tests.rs
@@ -9,9 +9,9 @@
     for text in ["", example] {
         assert_eq!(
             parse(Path::new("operator.ini"), text).expect("well"),
-            OperatorTerms {
+            OperatorSettings {
                 history: History::default(),
-                ..OperatorTerms::default()
+                ..OperatorSettings::default()
             }
         );
     }
