--- a/router/src/management_threads/datastore_thread.rs
+++ b/router/src/management_threads/datastore_thread.rs
@@ -9,12 +9,12 @@
 
 use arc_swap::ArcSwap;
 use kestreltide_datastore::commit_coordinator::{
-    CommitCoordinator, CommitError, Published, into_validation_errors,
+    CommitCoordinator, CommitError, CoordinatorStatus, into_validation_errors,
 };
-use kestreltide_datastore::store::{Commit, InForce};
+use kestreltide_datastore::store::{CommitOutcome, InForce};
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::{
-    Author, Candidate, Datastore, Facts, History, RuleSettings, Snapshot, Source, Tree,
+    Author, Candidate, Datastore, Facts, HistoryLimits, RuleSettings, Snapshot, Source, Tree,
     ValidationError, ValidationErrors,
 };
 use kestreltide_file_watch::parse::{Parsed, Version};
@@ -43,7 +43,7 @@
 pub struct DatastoreThreadSettings {
     pub router: String,
     pub rules: RuleSettings,
-    pub history: History,
+    pub history: HistoryLimits,
     pub folder: Option<PathBuf>,
 }
 
@@ -69,7 +69,7 @@
     terms: DatastoreThreadSettings,
     desk: CommitCoordinator,
     /// What fronts read of the desk, and where they are told what happens.
-    published: Arc<ArcSwap<Published>>,
+    published: Arc<ArcSwap<CoordinatorStatus>>,
     news: broadcast::Sender<Notification>,
     /// The newest of both that was told.
     told: (u64, Option<f64>),
@@ -113,13 +113,16 @@
                 PersistedState::default()
             }
         };
-        let store = Datastore::remembering(terms.rules.clone(), terms.history, remembered.memory);
+        let store = Datastore::from_state(terms.rules.clone(), terms.history, remembered.memory);
         let base = store.in_force().clone();
         let desk = CommitCoordinator::new(store, remembered.pending);
-        let published = Arc::new(ArcSwap::from_pointee(desk.publish()));
+        let published = Arc::new(ArcSwap::from_pointee(desk.status()));
         let told = (
             base.revision.0,
-            desk.store.refusals().next_back().map(|refusal| refusal.at),
+            desk.store
+                .rejections()
+                .next_back()
+                .map(|refusal| refusal.at),
         );
         let (files, waiting, held) = (remembered.files, None, None);
         let (unsaved, saved, unsaved_told, lines) = (true, 0.0, false, (0.0, 0));
@@ -159,7 +162,9 @@
             known = Some(digest);
             let errors = match parse_files {
                 Parsed::Complete(version) => self.offer(version, facts, false).err(),
-                Parsed::Apart(errors) | Parsed::Torn(errors) | Parsed::Wrong(errors) => {
+                Parsed::Mismatched(errors)
+                | Parsed::Incomplete(errors)
+                | Parsed::Invalid(errors) => {
                     self.refused("", errors.clone());
                     Some(errors)
                 }
@@ -169,7 +174,7 @@
             let waits = watching.discovery
                 && errors
                     .as_ref()
-                    .is_some_and(|errors| errors.pass_at().is_some());
+                    .is_some_and(|errors| errors.retry_at().is_some());
             match errors {
                 Some(errors) if !last_good && !waits => return Err(errors.to_string()),
                 Some(_) if last_good => {
@@ -200,7 +205,7 @@
                 .as_ref()
                 .map(|waiting| waiting.again)
                 .into_iter()
-                .chain(self.desk.due());
+                .chain(self.desk.next_expiry());
             let due = due.fold(now + ROUND, f64::min) - now;
             let sleep = Duration::from_secs_f64(due.clamp(0.0, ROUND));
             let ask = match asked.recv_timeout(sleep) {
@@ -211,7 +216,7 @@
             let facts = view.load().facts(self.clock.now());
             let undone = self
                 .desk
-                .tick(&facts)
+                .expire_pending(&facts)
                 .and_then(|undone| self.undone(undone));
             let reply = match ask {
                 Some(DatastoreRequest::WatchedFiles(told)) => Served::only(self.told(told, &facts)),
@@ -247,7 +252,12 @@
     }
 
     /// What fronts hold to reach this thread.
-    pub fn published(&self) -> (Arc<ArcSwap<Published>>, broadcast::Sender<Notification>) {
+    pub fn published(
+        &self,
+    ) -> (
+        Arc<ArcSwap<CoordinatorStatus>>,
+        broadcast::Sender<Notification>,
+    ) {
         (self.published.clone(), self.news.clone())
     }
 
@@ -264,7 +274,7 @@
             self.told.0 = record.number;
             let _ = self.news.send(Notification::Committed(Arc::new(record)));
         }
-        let refusal = store.refusals().next_back();
+        let refusal = store.rejections().next_back();
         if refusal.is_some_and(|refusal| self.told.1 != Some(refusal.at)) {
             self.told.1 = refusal.map(|refusal| refusal.at);
             refusal.into_iter().for_each(|refusal| {
@@ -274,13 +284,13 @@
                 )
             });
         }
-        let published = self.desk.publish();
+        let published = self.desk.status();
         let before = self.published.load();
         let same = before.in_force.revision == published.in_force.revision
             && before.pending == published.pending
             && before.locks == published.locks
-            && before.refusal.as_ref().map(|refusal| refusal.at)
-                == published.refusal.as_ref().map(|refusal| refusal.at);
+            && before.last_rejection.as_ref().map(|refusal| refusal.at)
+                == published.last_rejection.as_ref().map(|refusal| refusal.at);
         if !same {
             self.unsaved = true;
             self.published.store(Arc::new(published));
@@ -288,12 +298,12 @@
     }
 
     /// A commit that was not confirmed has been undone, or could not be.
-    fn undone(&mut self, undone: Result<Commit, ValidationErrors>) -> Option<Arc<Snapshot>> {
+    fn undone(&mut self, undone: Result<CommitOutcome, ValidationErrors>) -> Option<Arc<Snapshot>> {
         match undone {
             Ok(commit) => {
                 info!(self.log, "a commit that was not confirmed is undone";
                     "revision" => self.desk.store.in_force().revision.0);
-                if let Commit::Applied(snapshot) = commit {
+                if let CommitOutcome::Applied(snapshot) = commit {
                     Some(snapshot)
                 } else {
                     None
@@ -319,10 +329,10 @@
         use kestreltide_management::CommitServiceRequest;
         match ask {
             CommitServiceRequest::Open { reply } => {
-                let _ = reply.send(self.desk.open());
+                let _ = reply.send(self.desk.open_session());
             }
             CommitServiceRequest::Ended { session } => {
-                let undone = self.desk.ended(session, facts);
+                let undone = self.desk.close_session(session, facts);
                 return Served::only(undone.and_then(|undone| self.undone(undone)));
             }
             CommitServiceRequest::Lock {
@@ -356,7 +366,7 @@
             } => {
                 let cancelled = self.desk.cancel(requester, persist_id.as_deref(), facts);
                 let taken = match &cancelled {
-                    Ok(Commit::Applied(snapshot)) => Some(snapshot.clone()),
+                    Ok(CommitOutcome::Applied(snapshot)) => Some(snapshot.clone()),
                     _ => None,
                 };
                 return Served {
@@ -371,7 +381,7 @@
                     &author.name,
                     &errors,
                 );
-                self.desk.store.refuse(author, facts.now, errors);
+                self.desk.store.record_rejection(author, facts.now, errors);
             }
             CommitServiceRequest::Commit(ask) => {
                 let author = ask.author.clone();
@@ -384,18 +394,18 @@
                     facts,
                 );
                 match &committed {
-                    Ok(Commit::Applied(snapshot)) => {
+                    Ok(CommitOutcome::Applied(snapshot)) => {
                         info!(self.log, "a commit is taken"; "by" => %author, "revision" => snapshot.revision().0,
                             "changes" => self.desk.store.history().next_back().map_or(0, |record| record.changes.len()));
                     }
-                    Ok(Commit::Nothing) => {}
+                    Ok(CommitOutcome::Unchanged) => {}
                     Err(CommitError::Invalid(errors)) => {
                         let errors = errors.clone();
                         self.tell("a commit is refused", &author.to_string(), &errors);
                     }
                     Err(_) => {}
                 }
-                let taken = if let Ok(Commit::Applied(snapshot)) = &committed {
+                let taken = if let Ok(CommitOutcome::Applied(snapshot)) = &committed {
                     Some(snapshot.clone())
                 } else {
                     None
@@ -446,7 +456,7 @@
         let looked = self
             .candidate(&waiting.version)
             .and_then(|candidate| self.desk.validate(&candidate, facts));
-        match looked.err().and_then(|errors| errors.pass_at()) {
+        match looked.err().and_then(|errors| errors.retry_at()) {
             Some(at) => {
                 self.waiting = Some(Waiting {
                     again: at.max(facts.now + AGAIN),
@@ -471,7 +481,7 @@
             )
             .into());
         }
-        let mut candidate = Candidate::of(&self.base);
+        let mut candidate = Candidate::new(&self.base);
         candidate.tree = candidate
             .tree
             .patched(&self.files.differences(&version.tree), false)?;
@@ -506,8 +516,8 @@
         match committed.map_err(|refused| into_validation_errors(refused, facts.now + AGAIN)) {
             Ok(commit) => {
                 let snapshot = match commit {
-                    Commit::Applied(snapshot) => Some(snapshot),
-                    Commit::Nothing => None,
+                    CommitOutcome::Applied(snapshot) => Some(snapshot),
+                    CommitOutcome::Unchanged => None,
                 };
                 info!(self.log, "the files are taken"; "generation" => &version.generation,
                     "revision" => self.desk.store.in_force().revision.0,
@@ -517,7 +527,7 @@
                 Ok(snapshot)
             }
             Err(errors) => {
-                match errors.pass_at() {
+                match errors.retry_at() {
                     Some(at) => {
                         let again = at.max(facts.now + AGAIN);
                         let held = PendingVersion {
@@ -546,7 +556,7 @@
         self.tell("the files are refused", generation, &errors);
         self.desk
             .store
-            .refuse(author(generation), self.clock.now(), errors);
+            .record_rejection(author(generation), self.clock.now(), errors);
         self.unsaved = true;
     }
 
@@ -587,13 +597,13 @@
         let remembered = PersistedState {
             router: self.terms.router.clone(),
             written: now,
-            memory: self.desk.store.memory(),
+            memory: self.desk.store.state(),
             files: self.files.clone(),
             generation: self.generation.clone(),
             held,
             pending: self.desk.pending().cloned(),
-            taken: view.map_or(0, |view| view.taken),
-            longest_pause: view.map_or(0.0, |view| view.longest_pause),
+            taken: view.map_or(0, |view| view.revisions_applied),
+            longest_pause: view.map_or(0.0, |view| view.longest_apply_time),
         };
         match persistence::save(folder, &remembered) {
             Ok(()) => (self.unsaved, self.unsaved_told) = (false, false),
