--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -1,8 +1,10 @@
 //! One update, replacement or deletion of a Set request as edits of the datastore.
 
 use kestreltide_yang::NodeId;
-use kestreltide_yang::data::{Instance, Step};
-use kestreltide_yang::edit::{Edit, Op, at_path, of_json, one_of_json, values_of_json};
+use kestreltide_yang::data::{InstancePath, Step};
+use kestreltide_yang::edit::{
+    Edit, Operation, edit_at_path, edit_from_json, edits_from_json, edits_from_json_value,
+};
 use kestreltide_yang::path::Pattern;
 use kestreltide_yang::schema::NodeKind;
 use serde_json::Value as Json;
@@ -16,7 +18,7 @@
 
 /// What a path of a Set request leads to.
 struct EditTarget {
-    parent: Instance,
+    parent: InstancePath,
     /// None at the top of the model.
     node: Option<NodeId>,
     /// The last step of the path; without a name at the top.
@@ -32,16 +34,16 @@
         prefix: Option<&Path>,
         path: &Path,
         value: Option<&TypedValue>,
-        op: Op,
+        operation: Operation,
     ) -> Result<Vec<Edit>, Status> {
         let shown = path_text(path);
         let pattern = pattern(prefix, path)?;
         let target = self.edit_target(&pattern, &shown)?;
         let mut edits = vec![];
-        if op == Op::Remove || op == Op::Replace {
+        if operation == Operation::Remove || operation == Operation::Replace {
             edits.extend(self.removals(&target, &shown)?);
         }
-        if op == Op::Remove {
+        if operation == Operation::Remove {
             return Ok(edits);
         }
         let value = value
@@ -85,14 +87,19 @@
     }
 
     /// The parent and the node of a list or leaf-list that a pattern names without keys.
-    fn whole_list(&self, pattern: &Pattern) -> Option<(Instance, NodeId)> {
+    fn whole_list(&self, pattern: &Pattern) -> Option<(InstancePath, NodeId)> {
         let (last, above) = pattern.0.split_last()?;
         if !last.keys.is_empty() || last.deep {
             return None;
         }
         let (parent, parent_node) = Pattern(above.to_vec()).instance(self.schema).ok()?;
         let named = |id: &NodeId| Some(&self.schema.node_of(*id).name) == last.name.as_ref();
-        let node = self.schema.below(parent_node).iter().copied().find(named)?;
+        let node = self
+            .schema
+            .children_of(parent_node)
+            .iter()
+            .copied()
+            .find(named)?;
         self.is_list(node).then_some((parent, node))
     }
 
@@ -108,7 +115,7 @@
         let there = self.entries_to_remove(target.node, &target.step, target.list);
         let removal = |(node, step)| Edit {
             node,
-            op: Some(Op::Remove),
+            operation: Some(Operation::Remove),
             value: None,
             step,
             children: vec![],
@@ -135,10 +142,12 @@
         let json = self.json_of(shown, *node, value)?;
         let mut errors = vec![];
         let read = match (*node, *list) {
-            (Some(node), Some(_)) => values_of_json(self.schema, node, parent, &json, &mut errors),
+            (Some(node), Some(_)) => {
+                edits_from_json_value(self.schema, node, parent, &json, &mut errors)
+            }
             (Some(node), None) => {
                 let json = with_keys(json, step);
-                one_of_json(self.schema, node, parent, &json, &mut errors)
+                edit_from_json(self.schema, node, parent, &json, &mut errors)
                     .into_iter()
                     .collect()
             }
@@ -146,9 +155,9 @@
                 let here = if step.name.is_empty() {
                     parent.clone()
                 } else {
-                    parent.below(step.clone())
+                    parent.child(step.clone())
                 };
-                of_json(self.schema, None, &here, &json, &mut errors)
+                edits_from_json(self.schema, None, &here, &json, &mut errors)
             }
         };
         if !errors.is_empty() {
@@ -158,7 +167,7 @@
             return Ok(read);
         }
         let merge = |edit| Edit {
-            op: Some(Op::Merge),
+            operation: Some(Operation::Merge),
             ..edit
         };
         read.into_iter()
@@ -167,8 +176,8 @@
     }
 
     /// An edit below its parent, from the top of the model.
-    fn place(&self, parent: &Instance, edit: Edit, shown: &str) -> Result<Edit, Status> {
-        at_path(self.schema, parent, edit).ok_or_else(|| no_instance(shown, "leads nowhere"))
+    fn place(&self, parent: &InstancePath, edit: Edit, shown: &str) -> Result<Edit, Status> {
+        edit_at_path(self.schema, parent, edit).ok_or_else(|| no_instance(shown, "leads nowhere"))
     }
 
     /// What a removal at this place has to take away.
--- a/management/src/gnmi/encoding.rs
+++ b/management/src/gnmi/encoding.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use kestreltide_yang::data::{Data, Instance};
+use kestreltide_yang::data::{DataNode, InstancePath};
 use kestreltide_yang::schema::NodeKind;
 use kestreltide_yang::{Content, NodeId, Schema, json};
 use serde_json::Value as Json;
@@ -24,7 +24,7 @@
 }
 
 impl Service {
-    pub(super) fn json_value(&self, data: &Data, of: Encoding) -> TypedValue {
+    pub(super) fn json_value(&self, data: &DataNode, of: Encoding) -> TypedValue {
         let bytes = json::value(self.schema, data).to_string().into_bytes();
         let value = if of == Encoding::Json {
             Value::JsonVal(bytes)
@@ -44,7 +44,9 @@
         let typed = |text: String| {
             let of = node.map(|node| &self.schema.node_of(node).kind);
             match of {
-                Some(NodeKind::Leaf { of, .. } | NodeKind::LeafList { of }) if !of.json_text() => {
+                Some(NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type })
+                    if !leaf_type.is_json_string() =>
+                {
                     serde_json::from_str(&text).unwrap_or(Json::String(text))
                 }
                 _ => Json::String(text),
@@ -87,7 +89,7 @@
     }
 }
 
-pub(super) fn update(at: &Instance, value: &TypedValue, duplicates: u32) -> Update {
+pub(super) fn update(at: &InstancePath, value: &TypedValue, duplicates: u32) -> Update {
     Update {
         path: Some(path_of(at)),
         val: Some(value.clone()),
@@ -98,15 +100,15 @@
 pub(super) fn collect(
     schema: &Schema,
     of: Encoding,
-    at: &Instance,
-    data: &Data,
-    out: &mut BTreeMap<Instance, TypedValue>,
+    at: &InstancePath,
+    data: &DataNode,
+    out: &mut BTreeMap<InstancePath, TypedValue>,
 ) {
     match &data.content {
         Content::Inner(children) => {
             children
                 .iter()
-                .for_each(|child| collect(schema, of, &at.below(child.step(schema)), child, out));
+                .for_each(|child| collect(schema, of, &at.child(child.step(schema)), child, out));
         }
         Content::Leaf(text) => {
             let list = matches!(schema.node_of(data.node).kind, NodeKind::LeafList { .. });
@@ -150,15 +152,15 @@
     use kestreltide_yang::types::Type;
     match &schema.node_of(node).kind {
         NodeKind::Leaf {
-            of: Type::Whole { signed: true, .. },
+            leaf_type: Type::Integer { signed: true, .. },
             ..
         } => Value::IntVal(text.parse().unwrap_or_default()),
         NodeKind::Leaf {
-            of: Type::Whole { .. },
+            leaf_type: Type::Integer { .. },
             ..
         } => Value::UintVal(text.parse().unwrap_or_default()),
         NodeKind::Leaf {
-            of: Type::Decimal { .. },
+            leaf_type: Type::Decimal { .. },
             ..
         } => Value::DoubleVal(text.parse().unwrap_or_default()),
         _ => Value::StringVal(text.into()),
--- a/management/src/gnmi/errors.rs
+++ b/management/src/gnmi/errors.rs
@@ -12,7 +12,10 @@
 }
 
 pub(super) fn edit_errors_status(errors: &[EditError]) -> Status {
-    let all: Vec<_> = errors.iter().map(|error| error.error.to_string()).collect();
+    let all: Vec<_> = errors
+        .iter()
+        .map(|error| error.validation.to_string())
+        .collect();
     Status::invalid_argument(all.join("\n"))
 }
 
--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use kestreltide_yang::Content;
-use kestreltide_yang::data::{Data, Instance};
+use kestreltide_yang::data::{DataNode, InstancePath};
 use kestreltide_yang::path::Pattern;
 use tonic::{Request, Response, Status};
 
@@ -25,7 +25,7 @@
         let encoding = encoding(asked.encoding)?;
         let data = state::all(
             self.schema,
-            &self.bind,
+            &self.binding,
             &self.commit_service.view.load(),
             &self.commit_service.published.load(),
         );
@@ -39,7 +39,7 @@
             &asked.path
         } {
             let wanted = pattern(asked.prefix.as_ref(), path)?;
-            if !wanted.known(self.schema) {
+            if !wanted.matches_schema(self.schema) {
                 return Err(leads_nowhere(path));
             }
             let update = self.updates(&wanted, &data, encoding);
@@ -64,10 +64,10 @@
     }
 
     /// What of everything is asked for: what operators set, or the router's own.
-    fn filter_by_type(&self, mut data: Data, of: i32) -> Vec<Data> {
+    fn filter_by_type(&self, mut data: DataNode, of: i32) -> Vec<DataNode> {
         use get_request::DataType;
         if let Content::Inner(children) = &mut data.content {
-            let config = |child: &Data| self.schema.node_of(child.node).config;
+            let config = |child: &DataNode| self.schema.node_of(child.node).config;
             match DataType::try_from(of) {
                 Ok(DataType::Config) => children.retain(config),
                 Ok(DataType::State | DataType::Operational) => {
@@ -79,7 +79,7 @@
         vec![data]
     }
 
-    fn updates(&self, wanted: &Pattern, data: &[Data], of: Encoding) -> Vec<Update> {
+    fn updates(&self, wanted: &Pattern, data: &[DataNode], of: Encoding) -> Vec<Update> {
         let found = select(self.schema, wanted, data);
         if of == Encoding::Proto {
             let mut leaves = BTreeMap::new();
@@ -95,7 +95,7 @@
                 })
                 .collect();
         }
-        let update = |(at, data): (Instance, &Data)| Update {
+        let update = |(at, data): (InstancePath, &DataNode)| Update {
             path: Some(path_of(&at)),
             val: Some(self.json_value(data, of)),
             duplicates: 0,
--- a/management/src/gnmi/mod.rs
+++ b/management/src/gnmi/mod.rs
@@ -23,7 +23,7 @@
 
 use kestreltide_datastore::commit_coordinator::SessionId;
 use kestreltide_yang::Schema;
-use kestreltide_yang::bind::Bind;
+use kestreltide_yang::binding::Binding;
 use slog::Logger;
 use tokio::sync::watch;
 use tonic::{Request, Response, Status, Streaming};
@@ -47,7 +47,7 @@
     commit_service: CommitServiceHandle,
     limits: Limits,
     schema: &'static Schema,
-    bind: Arc<Bind>,
+    binding: Arc<Binding>,
     snapshot: watch::Receiver<Arc<Snapshot>>,
     /// The highest election id of each role: who has it may set.
     masters: Mutex<BTreeMap<String, (u64, u64)>>,
--- a/management/src/gnmi/path_subscription.rs
+++ b/management/src/gnmi/path_subscription.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kestreltide_yang::Schema;
-use kestreltide_yang::data::Instance;
+use kestreltide_yang::data::InstancePath;
 use tokio::time::Instant;
 use tonic::Status;
 
@@ -115,7 +115,7 @@
             .map(|(at, value)| update(at, value, coalesced))
             .collect();
         if due == Due::Everything {
-            let told = |at: &Instance| {
+            let told = |at: &InstancePath| {
                 changes
                     .updates
                     .binary_search_by(|(changed, _)| changed.cmp(at))
--- a/management/src/gnmi/paths.rs
+++ b/management/src/gnmi/paths.rs
@@ -1,7 +1,7 @@
 //! Paths of gNMI to and from the model's patterns and instances.
 
 use kestreltide_yang::Schema;
-use kestreltide_yang::data::{Data, Instance, Step};
+use kestreltide_yang::data::{DataNode, InstancePath, Step};
 use kestreltide_yang::path::Pattern;
 use tonic::Status;
 
@@ -29,7 +29,7 @@
                 .collect();
             (elem.name.as_str(), keys)
         });
-        let steps = Pattern::steps(steps)
+        let steps = Pattern::from_steps(steps)
             .map_err(|why| invalid_argument(&shown, &why, &shown, "names with their keys"))?;
         all = steps.below(&all);
     }
@@ -60,18 +60,18 @@
 pub(super) fn select<'a>(
     schema: &Schema,
     pattern: &Pattern,
-    data: &'a [Data],
-) -> Vec<(Instance, &'a Data)> {
+    data: &'a [DataNode],
+) -> Vec<(InstancePath, &'a DataNode)> {
     if pattern.0.is_empty() {
         data.iter()
-            .map(|data| (Instance(vec![data.step(schema)]), data))
+            .map(|data| (InstancePath(vec![data.step(schema)]), data))
             .collect()
     } else {
         pattern.select(schema, data)
     }
 }
 
-pub(super) fn path_of(at: &Instance) -> Path {
+pub(super) fn path_of(at: &InstancePath) -> Path {
     let elem = |step: &Step| PathElem {
         name: step.name.clone(),
         key: step.keys.iter().cloned().collect(),
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use kestreltide_yang::bind::Bind;
+use kestreltide_yang::binding::Binding;
 use slog::{Logger, warn};
 use tokio::net::TcpListener;
 use tonic::transport::{Certificate, Identity, Server, ServerTlsConfig};
@@ -35,17 +35,17 @@
     tls: Tls,
 ) -> Result<(), String> {
     let schema = kestreltide_yang::published()?;
-    let bind = Arc::new(Bind::new(schema)?);
+    let binding = Arc::new(Binding::new(schema)?);
     let snapshot = {
-        let (commit_service, bind) = (commit_service.clone(), bind.clone());
-        follow_published(schema, bind, commit_service)
+        let (commit_service, binding) = (commit_service.clone(), binding.clone());
+        follow_published(schema, binding, commit_service)
     };
     let service = Service {
         log: log.clone(),
         commit_service,
         limits: limits.clone(),
         schema,
-        bind,
+        binding,
         snapshot,
         masters: Mutex::default(),
         sessions: Mutex::default(),
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -5,7 +5,7 @@
 use kestreltide_datastore::commit_coordinator::Confirm;
 use kestreltide_datastore::store::Commit;
 use kestreltide_datastore::{Author, Candidate, Key, Source};
-use kestreltide_yang::edit::{Op, apply};
+use kestreltide_yang::edit::{Operation, apply};
 use tonic::{Request, Response, Status};
 
 use super::errors::{edit_errors_status, invalid_argument, refusal_status};
@@ -80,26 +80,32 @@
         let deletes = asked.delete.iter().map(|path| {
             (
                 (path.clone(), None),
-                Op::Remove,
+                Operation::Remove,
                 update_result::Operation::Delete,
             )
         });
-        let replaces = asked
-            .replace
-            .iter()
-            .map(|u| (update(u), Op::Replace, update_result::Operation::Replace));
-        let updates = asked
-            .update
-            .iter()
-            .map(|u| (update(u), Op::Merge, update_result::Operation::Update));
+        let replaces = asked.replace.iter().map(|u| {
+            (
+                update(u),
+                Operation::Replace,
+                update_result::Operation::Replace,
+            )
+        });
+        let updates = asked.update.iter().map(|u| {
+            (
+                update(u),
+                Operation::Merge,
+                update_result::Operation::Update,
+            )
+        });
         for ((path, value), op, told) in deletes.chain(replaces).chain(updates) {
             let edits = self.edit(prefix, &path, value.as_ref(), op)?;
             apply(
                 self.schema,
-                &self.bind,
+                &self.binding,
                 &mut candidate.tree,
                 &edits,
-                Op::Merge,
+                Operation::Merge,
             )
             .map_err(|errors| edit_errors_status(&errors))?;
             response.push(UpdateResult {
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -8,8 +8,8 @@
 use kestreltide_datastore::commit_coordinator::Published;
 use kestreltide_datastore::view::View;
 use kestreltide_yang::Schema;
-use kestreltide_yang::bind::Bind;
-use kestreltide_yang::data::{Data, Instance};
+use kestreltide_yang::binding::Binding;
+use kestreltide_yang::data::{DataNode, InstancePath};
 use kestreltide_yang::path::Pattern;
 use tokio::sync::watch;
 use tokio::time::sleep;
@@ -24,8 +24,8 @@
 pub(super) struct Snapshot {
     /// How often something changed so far, each revision counted.
     pub(super) number: u64,
-    make: Box<dyn Fn() -> Vec<Data> + Send + Sync>,
-    data: OnceLock<Vec<Data>>,
+    make: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>,
+    data: OnceLock<Vec<DataNode>>,
     found: Mutex<BTreeMap<Selection, Arc<Leaves>>>,
     differences: Mutex<BTreeMap<(Selection, usize), Difference>>,
 }
@@ -33,7 +33,7 @@
 /// What a subscription selects: a path, and the encoding of what is sent for it.
 pub(super) type Selection = (Pattern, i32);
 /// Leaf by leaf, where it stands and its value.
-pub(super) type Leaves = BTreeMap<Instance, TypedValue>;
+pub(super) type Leaves = BTreeMap<InstancePath, TypedValue>;
 
 /// From which leaves, and what differs.
 type Difference = (Arc<Leaves>, Arc<Changes>);
@@ -41,12 +41,12 @@
 /// What differs between two times, and what is gone.
 #[derive(Default)]
 pub(super) struct Changes {
-    pub(super) updates: Vec<(Instance, TypedValue)>,
+    pub(super) updates: Vec<(InstancePath, TypedValue)>,
     pub(super) deleted: Vec<Path>,
 }
 
 impl Snapshot {
-    fn new(number: u64, make: Box<dyn Fn() -> Vec<Data> + Send + Sync>) -> Self {
+    fn new(number: u64, make: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>) -> Self {
         let (data, found, differences) = (OnceLock::new(), Mutex::default(), Mutex::default());
         Snapshot {
             number,
@@ -57,7 +57,7 @@
         }
     }
 
-    fn data(&self) -> &[Data] {
+    fn data(&self) -> &[DataNode] {
         self.data.get_or_init(&self.make)
     }
 
@@ -102,7 +102,7 @@
         if let Some((_, changes)) = differences.get(&key) {
             return (now, changes.clone());
         }
-        let differs = |(at, value): &(&Instance, &TypedValue)| sent.get(*at) != Some(*value);
+        let differs = |(at, value): &(&InstancePath, &TypedValue)| sent.get(*at) != Some(*value);
         let updates = now
             .iter()
             .filter(differs)
@@ -125,14 +125,14 @@
 /// Follows what is published, and says when something changed. Streams share what they make of it.
 pub(super) fn follow_published(
     schema: &'static Schema,
-    bind: Arc<Bind>,
+    binding: Arc<Binding>,
     commit_service: CommitServiceHandle,
 ) -> watch::Receiver<Arc<Snapshot>> {
     let snapshot = move |number, view: &Arc<View>, published: &Arc<Published>| {
-        let (bind, view, published) = (bind.clone(), view.clone(), published.clone());
+        let (binding, view, published) = (binding.clone(), view.clone(), published.clone());
         Arc::new(Snapshot::new(
             number,
-            Box::new(move || vec![state::all(schema, &bind, &view, &published)]),
+            Box::new(move || vec![state::all(schema, &binding, &view, &published)]),
         ))
     };
     let (mut view, mut published) = (
--- a/management/src/gnmi/subscribe.rs
+++ b/management/src/gnmi/subscribe.rs
@@ -86,7 +86,7 @@
         for one in &list.subscription {
             let path = one.path.clone().unwrap_or_default();
             let pattern = pattern(list.prefix.as_ref(), &path)?;
-            if !pattern.known(self.schema) {
+            if !pattern.matches_schema(self.schema) {
                 return Err(leads_nowhere(&path));
             }
             subscriptions.push(PathSubscription::new(
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -9,7 +9,7 @@
 
 use kestreltide_datastore::commit_coordinator::{CommitError, SessionId};
 use kestreltide_datastore::{Key, Proof, Rights};
-use kestreltide_yang::bind::Bind;
+use kestreltide_yang::binding::Binding;
 use kestreltide_yang::{NodeId, Schema};
 use russh::keys::{PrivateKey, PublicKey};
 use russh::server::{Auth, ChannelOpenHandle, Handler, Msg, Session as Ssh, VerifiedPublicKey};
@@ -37,7 +37,7 @@
     /// The published model.
     pub schema: &'static Schema,
     /// The binding of the model to the datastore.
-    pub bind: Arc<Bind>,
+    pub binding: Arc<Binding>,
     /// Sessions that are served, and how each is told to end.
     sessions: Mutex<BTreeMap<SessionId, Arc<Notify>>>,
 }
@@ -50,13 +50,13 @@
         limits: Limits,
     ) -> Result<Self, String> {
         let schema = kestreltide_yang::published()?;
-        let bind = Arc::new(Bind::new(schema)?);
+        let binding = Arc::new(Binding::new(schema)?);
         Ok(Shared {
             log,
             commit_service,
             limits,
             schema,
-            bind,
+            binding,
             sessions: Mutex::default(),
         })
     }
@@ -256,7 +256,7 @@
     killed: &Notify,
 ) -> &'static str {
     let (reading, writing) = tokio::io::split(channel.into_stream());
-    let session = Session::new(id, &key.name, shared.schema, shared.bind.clone());
+    let session = Session::new(id, &key.name, shared.schema, shared.binding.clone());
     let frames = Frames::new(shared.limits.message);
     let mut exchange = Exchange {
         shared,
@@ -450,7 +450,7 @@
     shared: &Shared,
     told: &Notification,
     missed: u64,
-) -> Option<(f64, kestreltide_yang::Data)> {
+) -> Option<(f64, kestreltide_yang::DataNode)> {
     let node = |name: &str| -> Option<NodeId> { shared.schema.notifications.get(name).copied() };
     Some(match told {
         Notification::Committed(record) => (
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -2,8 +2,8 @@
 
 use kestreltide_datastore::commit_coordinator::Target;
 use kestreltide_datastore::{Candidate, Rights, Tree};
-use kestreltide_yang::data::Instance;
-use kestreltide_yang::edit::{Op, apply, of_xml};
+use kestreltide_yang::data::InstancePath;
+use kestreltide_yang::edit::{Operation, apply, edits_from_xml};
 use kestreltide_yang::xml::Element;
 
 use super::operations::{target, text};
@@ -14,7 +14,7 @@
 /// How an edit-config is done.
 struct EditOptions {
     /// The operation of elements that name none.
-    default: Op,
+    default: Operation,
     /// Whether the result is only checked.
     test_only: bool,
 }
@@ -30,7 +30,7 @@
                 "merge, replace or none",
             )]
         };
-        let default = Op::by_default(&default).ok_or_else(wrong)?;
+        let default = Operation::from_default_operation(&default).ok_or_else(wrong)?;
         // Whichever it is, an edit that cannot be done whole is not done at all.
         option(
             of,
@@ -72,18 +72,18 @@
         &self,
         tree: &mut Tree,
         config: &Element,
-        default: Op,
+        default: Operation,
     ) -> Result<(), Vec<RpcError>> {
         let mut errors = vec![];
-        let edits = of_xml(
+        let edits = edits_from_xml(
             self.schema,
             None,
-            &Instance::default(),
+            &InstancePath::default(),
             &config.children,
             &mut errors,
         );
         if errors.is_empty() {
-            errors = apply(self.schema, &self.bind, tree, &edits, default)
+            errors = apply(self.schema, &self.binding, tree, &edits, default)
                 .err()
                 .unwrap_or_default();
         }
@@ -110,9 +110,9 @@
             Target::Candidate => self.candidate(commit_service).clone(),
         };
         let before = candidate.tree.clone();
-        let by_default = if options.default == Op::Replace {
+        let by_default = if options.default == Operation::Replace {
             candidate.tree = Tree::default();
-            Op::Merge
+            Operation::Merge
         } else {
             options.default
         };
--- a/management/src/netconf/session/filter.rs
+++ b/management/src/netconf/session/filter.rs
@@ -37,8 +37,11 @@
                         "absolute paths of names, *, // and keys",
                     )]
                 };
-                let patterns = Pattern::xpath(select).map_err(wrong)?;
-                match patterns.iter().all(|pattern| pattern.known(self.schema)) {
+                let patterns = Pattern::parse_xpath(select).map_err(wrong)?;
+                match patterns
+                    .iter()
+                    .all(|pattern| pattern.matches_schema(self.schema))
+                {
                     true => Ok(Filter::Paths(patterns)),
                     false => Err(wrong("leads nowhere in the model".into())),
                 }
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -19,7 +19,7 @@
 use kestreltide_datastore::commit_coordinator::{CommitError, Confirm, SessionId, Target};
 use kestreltide_datastore::{Author, Candidate, Rights, Source};
 use kestreltide_yang::Schema;
-use kestreltide_yang::bind::Bind;
+use kestreltide_yang::binding::Binding;
 use kestreltide_yang::xml::{self, Element, XmlLimits, escaped};
 
 pub use self::capabilities::BASE;
@@ -80,7 +80,7 @@
     pub id: SessionId,
     name: String,
     schema: &'static Schema,
-    bind: std::sync::Arc<Bind>,
+    binding: std::sync::Arc<Binding>,
     greeted: bool,
     chunks: bool,
     candidate: Option<Candidate>,
@@ -95,14 +95,14 @@
         id: SessionId,
         name: &str,
         schema: &'static Schema,
-        bind: std::sync::Arc<Bind>,
+        binding: std::sync::Arc<Binding>,
     ) -> Self {
         let (greeted, chunks, subscribed, attributes) = (false, false, false, String::new());
         Session {
             id,
             name: name.into(),
             schema,
-            bind,
+            binding,
             greeted,
             chunks,
             candidate: None,
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -2,7 +2,7 @@
 
 use kestreltide_datastore::commit_coordinator::{SessionId, Target};
 use kestreltide_datastore::{Candidate, Rights, Tree};
-use kestreltide_yang::edit::Op;
+use kestreltide_yang::edit::Operation;
 use kestreltide_yang::xml::{Element, escaped};
 
 use super::capabilities::{BASE, MONITORING, NOTIFICATIONS};
@@ -80,7 +80,7 @@
         let data = if of.name == "get" {
             state::all(
                 self.schema,
-                &self.bind,
+                &self.binding,
                 &commit_service.view.load(),
                 &commit_service.published.load(),
             )
@@ -91,7 +91,7 @@
                     std::sync::Arc::new(self.candidate(commit_service).tree.clone())
                 }
             };
-            self.bind.data(self.schema, &tree)
+            self.binding.tree_data(self.schema, &tree)
         };
         Ok(Step::Reply(self.data(&filter.prune(self.schema, &[data]))))
     }
@@ -108,7 +108,7 @@
             Some(config) => {
                 let mut candidate = Candidate::of(&commit_service.published.load().in_force);
                 candidate.tree = Tree::default();
-                self.edited(&mut candidate.tree, config, Op::Merge)?;
+                self.edited(&mut candidate.tree, config, Operation::Merge)?;
                 candidate
             }
             None => match target(of, "source")? {
--- a/management/src/netconf/session/reply.rs
+++ b/management/src/netconf/session/reply.rs
@@ -1,6 +1,6 @@
 //! Replies and notifications as XML.
 
-use kestreltide_yang::Data;
+use kestreltide_yang::DataNode;
 use kestreltide_yang::xml;
 
 use super::Session;
@@ -21,15 +21,15 @@
         out + "</rpc-reply>"
     }
 
-    pub(super) fn data(&self, data: &[Data]) -> String {
+    pub(super) fn data(&self, data: &[DataNode]) -> String {
         let mut out = format!("<rpc-reply xmlns=\"{BASE}\"{}><data>", self.attributes);
         xml::write(self.schema, data, &mut out);
         out + "</data></rpc-reply>"
     }
 
     /// A notification as it goes out (RFC 5277, section 4).
-    pub fn notification(&self, at: f64, data: &Data) -> String {
-        let at = kestreltide_yang::bind::time(at);
+    pub fn notification(&self, at: f64, data: &DataNode) -> String {
+        let at = kestreltide_yang::binding::format_time(at);
         let mut out =
             format!("<notification xmlns=\"{NOTIFICATIONS}\"><eventTime>{at}</eventTime>");
         xml::write(self.schema, std::slice::from_ref(data), &mut out);
--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -4,8 +4,8 @@
 
 use kestreltide_datastore::commit_coordinator::CommitError;
 use kestreltide_datastore::{Path, Rights, ValidationError};
-use kestreltide_yang::data::Instance;
-use kestreltide_yang::edit::{EditError, Tag};
+use kestreltide_yang::data::InstancePath;
+use kestreltide_yang::edit::{EditError, ErrorTag};
 use kestreltide_yang::xml::escaped;
 
 /// An rpc-error.
@@ -110,7 +110,7 @@
     }
 }
 
-fn instance(at: &Instance) -> String {
+fn instance(at: &InstancePath) -> String {
     let mut out = String::new();
     for step in &at.0 {
         let _ = write!(out, "/kr:{}", step.name);
@@ -136,17 +136,19 @@
 
 pub(super) fn edit_error(error: &EditError) -> RpcError {
     let info = match error.tag {
-        Tag::UnknownElement | Tag::MissingElement => vec![("bad-element", error.about.clone())],
-        Tag::UnknownNamespace => {
+        ErrorTag::UnknownElement | ErrorTag::MissingElement => {
+            vec![("bad-element", error.subject.clone())]
+        }
+        ErrorTag::UnknownNamespace => {
             vec![
-                ("bad-element", error.about.clone()),
-                ("bad-namespace", error.error.found.clone()),
+                ("bad-element", error.subject.clone()),
+                ("bad-namespace", error.validation.found.clone()),
             ]
         }
-        Tag::UnknownAttribute | Tag::BadAttribute => {
+        ErrorTag::UnknownAttribute | ErrorTag::BadAttribute => {
             vec![
-                ("bad-attribute", error.about.clone()),
-                ("bad-element", error.about.clone()),
+                ("bad-attribute", error.subject.clone()),
+                ("bad-element", error.subject.clone()),
             ]
         }
         _ => vec![],
@@ -158,7 +160,7 @@
         ..RpcError::new(
             "application",
             &error.tag.to_string(),
-            error.error.to_string(),
+            error.validation.to_string(),
         )
     }
 }
--- a/management/src/netconf/session/trial.rs
+++ b/management/src/netconf/session/trial.rs
@@ -1,8 +1,8 @@
 //! The model's own operations on the build on trial, each a commit of one edit.
 
 use kestreltide_datastore::{Candidate, Path, Rights};
-use kestreltide_yang::data::Instance;
-use kestreltide_yang::edit::of_xml;
+use kestreltide_yang::data::InstancePath;
+use kestreltide_yang::edit::edits_from_xml;
 use kestreltide_yang::xml::Element;
 
 use super::rpc_error::{RpcError, edit_error, validation_error};
@@ -27,10 +27,10 @@
             }]);
         };
         let mut errors = vec![];
-        let edits = of_xml(
+        let edits = edits_from_xml(
             self.schema,
             Some(input),
-            &Instance::default(),
+            &InstancePath::default(),
             &of.children,
             &mut errors,
         );
@@ -54,8 +54,8 @@
             };
             for (at, text) in [("ring/build", build.as_str()), (ask, "true")] {
                 let path: Path = at.parse().map_err(|error| vec![validation_error(&error)])?;
-                self.bind
-                    .set(&mut candidate.tree, &path, text)
+                self.binding
+                    .set_leaf(&mut candidate.tree, &path, text)
                     .map_err(|error| vec![validation_error(&error)])?;
             }
         }
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -4,9 +4,9 @@
 use kestreltide_datastore::commit_coordinator::Published;
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::{Author, RevisionRecord, ValidationError, check};
-use kestreltide_yang::bind::{Bind, decimal, time};
-use kestreltide_yang::data::Under;
-use kestreltide_yang::{Content, Data, NodeId, Schema};
+use kestreltide_yang::binding::{Binding, format_decimal, format_time};
+use kestreltide_yang::data::DataBuilder;
+use kestreltide_yang::{Content, DataNode, NodeId, Schema};
 
 /// Changes of one revision that are shown.
 const CHANGES: usize = 100;
@@ -20,40 +20,40 @@
     }
 }
 
-fn author(under: &mut Under, author: &Author) {
+fn author(under: &mut DataBuilder, author: &Author) {
     under
         .put("source", &author.source)
         .put("author", &author.name)
         .put("version", &author.version);
 }
 
-fn error(under: &mut Under, error: &ValidationError) {
+fn error(under: &mut DataBuilder, error: &ValidationError) {
     under
         .put("path", &error.path)
         .put("what", &error.problem)
         .put("given", &error.found);
     under
         .put("taken", &error.expected)
-        .maybe("rule", error.rule);
+        .put_optional("rule", error.rule);
 }
 
-fn changes(under: &mut Under, record: &RevisionRecord) {
+fn changes(under: &mut DataBuilder, record: &RevisionRecord) {
     for change in record.changes.iter().take(CHANGES) {
         under.put("change", change);
     }
 }
 
 /// What the router knows and did.
-pub fn state(schema: &Schema, view: &View, published: &Published) -> Option<Data> {
-    let mut state = Under::new(schema, schema.at(&["router", "state"])?);
+pub fn state(schema: &Schema, view: &View, published: &Published) -> Option<DataNode> {
+    let mut state = DataBuilder::new(schema, schema.find(&["router", "state"])?);
     state
         .put("revision", published.in_force.revision.0)
         .put("revisions-taken", view.taken);
     state
-        .put("longest-pause", decimal(view.longest_pause))
+        .put("longest-pause", format_decimal(view.longest_pause))
         .put("open-invocations", view.open);
     state.put("clients", view.clients).put("links", view.links);
-    state.with("counts", |counts| {
+    state.put_inner("counts", |counts| {
         let of = &view.counts;
         counts
             .put("taken", of.taken)
@@ -64,19 +64,19 @@
             .put("dispatches", of.attempts);
     });
     if let Some(news) = view.news {
-        state.with("trial", |trial| {
+        state.put_inner("trial", |trial| {
             trial
                 .put("build", news.build.0)
                 .put("stage", news.stage)
                 .put("phase", phase(news.phase));
-            trial.put("cap", decimal(news.cap));
+            trial.put("cap", format_decimal(news.cap));
         });
     }
     let tree = &published.in_force.tree;
     let all = check::merged(tree, published.in_force.seen(), &view.facts(view.at));
     let listed = view.discovery.as_deref().unwrap_or_default();
     for host in all.values() {
-        state.with("host", |under| {
+        state.put_inner("host", |under| {
             under
                 .put("name", &host.name)
                 .put("endpoint", host.endpoint)
@@ -90,23 +90,23 @@
         });
     }
     for record in published.history.iter() {
-        state.with("revision-record", |under| {
+        state.put_inner("revision-record", |under| {
             under
                 .put("number", record.number)
                 .put("based-on", record.based_on)
-                .put("at", time(record.at));
+                .put("at", format_time(record.at));
             author(under, &record.author);
             changes(under, record);
         });
     }
     if let Some(refusal) = &published.refusal {
-        state.with("last-refusal", |under| {
+        state.put_inner("last-refusal", |under| {
             under
-                .put("at", time(refusal.at))
+                .put("at", format_time(refusal.at))
                 .put("stays", refusal.stays);
             author(under, &refusal.author);
             for (number, one) in refusal.errors.first.iter().enumerate() {
-                under.with("fault", |under| {
+                under.put_inner("fault", |under| {
                     under.put("number", number);
                     error(under, one);
                 });
@@ -114,16 +114,16 @@
         });
     }
     debug_assert!(
-        state.missing.is_empty(),
+        state.unknown_names.is_empty(),
         "the model has all that is shown: {:?}",
-        state.missing
+        state.unknown_names
     );
-    Some(state.data())
+    Some(state.build())
 }
 
 /// Everything: what operators set, and the router's own state.
-pub fn all(schema: &Schema, bind: &Bind, view: &View, published: &Published) -> Data {
-    let mut router = bind.data(schema, &published.in_force.tree);
+pub fn all(schema: &Schema, binding: &Binding, view: &View, published: &Published) -> DataNode {
+    let mut router = binding.tree_data(schema, &published.in_force.tree);
     if let (Content::Inner(children), Some(state)) =
         (&mut router.content, state(schema, view, published))
     {
@@ -133,15 +133,15 @@
 }
 
 /// A notification that a revision was committed; `missed` before it were not sent.
-pub fn committed(schema: &Schema, node: NodeId, record: &RevisionRecord, missed: u64) -> Data {
-    let mut under = Under::new(schema, node);
+pub fn committed(schema: &Schema, node: NodeId, record: &RevisionRecord, missed: u64) -> DataNode {
+    let mut under = DataBuilder::new(schema, node);
     under
         .put("revision", record.number)
         .put("based-on", record.based_on);
     author(&mut under, &record.author);
     changes(&mut under, record);
-    under.maybe("missed", (missed > 0).then_some(missed));
-    under.data()
+    under.put_optional("missed", (missed > 0).then_some(missed));
+    under.build()
 }
 
 /// A notification that a candidate was refused.
@@ -149,12 +149,12 @@
     schema: &Schema,
     node: NodeId,
     refusal: &kestreltide_datastore::store::RejectedCommit,
-) -> Data {
-    let mut under = Under::new(schema, node);
+) -> DataNode {
+    let mut under = DataBuilder::new(schema, node);
     author(&mut under, &refusal.author);
     under.put("stays", refusal.stays);
     for error in &refusal.errors.first {
         under.put("reason", error);
     }
-    under.data()
+    under.build()
 }
--- a/management/tests/netconf.rs
+++ b/management/tests/netconf.rs
@@ -9,7 +9,7 @@
 use kestreltide_management::netconf::framing::{Frames, Framing, write};
 use kestreltide_management::netconf::session::{BASE, DatastoreOperation, Session, Step};
 use kestreltide_management::{CommitServiceHandle, state};
-use kestreltide_yang::bind::Bind;
+use kestreltide_yang::binding::Binding;
 use kestreltide_yang::{published, xml};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -82,8 +82,8 @@
 
     fn session(&mut self) -> Session {
         let schema = published().expect("well");
-        let bind = Arc::new(Bind::new(schema).expect("well"));
-        let mut session = Session::new(self.desk.open(), "ana", schema, bind);
+        let binding = Arc::new(Binding::new(schema).expect("well"));
+        let mut session = Session::new(self.desk.open(), "ana", schema, binding);
         assert!(
             session
                 .hello()
@@ -533,7 +533,7 @@
         rig.desk.open(),
         "ana",
         schema,
-        Arc::new(Bind::new(schema).expect("well")),
+        Arc::new(Binding::new(schema).expect("well")),
     );
     assert!(matches!(
         session.message(message.as_bytes(), ALL, &rig.handle),
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -65,8 +65,9 @@
     pub(super) fn run(&self) -> Result<(), String> {
         let schema = kestreltide_yang::published()?;
         let Some(name) = &self.module else {
-            (0..schema.modules.len())
-                .for_each(|module| println!("{}", kestreltide_yang::tree::print(schema, module)));
+            (0..schema.modules.len()).for_each(|module| {
+                println!("{}", kestreltide_yang::tree_diagram::print(schema, module))
+            });
             return Ok(());
         };
         let known: Vec<_> = schema
--- a/yang/src/data.rs
+++ b/yang/src/data.rs
@@ -6,7 +6,7 @@
 
 /// A node with what it holds: an entry of a list and a value of a leaf-list are nodes of their own.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Data {
+pub struct DataNode {
     pub node: NodeId,
     pub content: Content,
 }
@@ -15,25 +15,25 @@
 pub enum Content {
     /// In its canonical form.
     Leaf(String),
-    Inner(Vec<Data>),
+    Inner(Vec<DataNode>),
 }
 
-impl Data {
+impl DataNode {
     pub fn leaf(node: NodeId, value: impl Into<String>) -> Self {
-        Data {
+        DataNode {
             node,
             content: Content::Leaf(value.into()),
         }
     }
 
-    pub fn inner(node: NodeId, children: Vec<Data>) -> Self {
-        Data {
+    pub fn inner(node: NodeId, children: Vec<DataNode>) -> Self {
+        DataNode {
             node,
             content: Content::Inner(children),
         }
     }
 
-    pub fn children(&self) -> &[Data] {
+    pub fn children(&self) -> &[DataNode] {
         match &self.content {
             Content::Inner(children) => children,
             Content::Leaf(_) => &[],
@@ -47,13 +47,13 @@
         }
     }
 
-    pub fn child(&self, schema: &Schema, name: &str) -> Option<&Data> {
+    pub fn child(&self, schema: &Schema, name: &str) -> Option<&DataNode> {
         self.children()
             .iter()
             .find(|child| schema.node_of(child.node).name == name)
     }
 
-    /// Where it stands under its parent.
+    /// Where it stands child its parent.
     pub fn step(&self, schema: &Schema) -> Step {
         let value = |key: &String| Some((key.clone(), self.child(schema, key)?.text()?.to_owned()));
         let keys = schema.keys(self.node).iter().filter_map(value).collect();
@@ -64,30 +64,30 @@
     }
 }
 
-/// Collects data by names under one node of the schema. Names that the schema does not have are left out: a story
+/// Collects data by names child one node of the schema. Names that the schema does not have are left out: a story
 /// shows that none is.
-pub struct Under<'a> {
+pub struct DataBuilder<'a> {
     schema: &'a Schema,
     node: NodeId,
-    pub children: Vec<Data>,
+    pub children: Vec<DataNode>,
     /// Names that were not found.
-    pub missing: Vec<String>,
+    pub unknown_names: Vec<String>,
 }
 
-impl<'a> Under<'a> {
+impl<'a> DataBuilder<'a> {
     pub fn new(schema: &'a Schema, node: NodeId) -> Self {
-        Under {
+        DataBuilder {
             schema,
             node,
             children: vec![],
-            missing: vec![],
+            unknown_names: vec![],
         }
     }
 
-    fn find(&mut self, name: &str) -> Option<NodeId> {
+    fn find_child(&mut self, name: &str) -> Option<NodeId> {
         let found = self.schema.child_named(self.node, name);
         if found.is_none() {
-            self.missing.push(name.into());
+            self.unknown_names.push(name.into());
         }
         found
     }
@@ -95,20 +95,20 @@
     /// A leaf or one value of a leaf-list, in the canonical form of its type.
     pub fn put(&mut self, name: &str, value: impl fmt::Display) -> &mut Self {
         let text = value.to_string();
-        if let Some(node) = self.find(name) {
+        if let Some(node) = self.find_child(name) {
             let canonical = match &self.schema.node_of(node).kind {
-                NodeKind::Leaf { of, .. } | NodeKind::LeafList { of } => {
-                    of.canonical(&text).unwrap_or(text)
+                NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type } => {
+                    leaf_type.canonical(&text).unwrap_or(text)
                 }
                 _ => text,
             };
-            self.children.push(Data::leaf(node, canonical));
+            self.children.push(DataNode::leaf(node, canonical));
         }
         self
     }
 
     /// The same, where there is one.
-    pub fn maybe(&mut self, name: &str, value: Option<impl fmt::Display>) -> &mut Self {
+    pub fn put_optional(&mut self, name: &str, value: Option<impl fmt::Display>) -> &mut Self {
         if let Some(value) = value {
             self.put(name, value);
         }
@@ -116,23 +116,23 @@
     }
 
     /// A container or an entry of a list.
-    pub fn with(&mut self, name: &str, fill: impl FnOnce(&mut Under)) -> &mut Self {
-        if let Some(node) = self.find(name) {
-            let mut under = Under::new(self.schema, node);
-            fill(&mut under);
-            self.missing.extend(
-                under
-                    .missing
+    pub fn put_inner(&mut self, name: &str, fill: impl FnOnce(&mut DataBuilder)) -> &mut Self {
+        if let Some(node) = self.find_child(name) {
+            let mut child = DataBuilder::new(self.schema, node);
+            fill(&mut child);
+            self.unknown_names.extend(
+                child
+                    .unknown_names
                     .iter()
-                    .map(|missing| format!("{name}/{missing}")),
+                    .map(|unknown| format!("{name}/{unknown}")),
             );
-            self.children.push(Data::inner(node, under.children));
+            self.children.push(DataNode::inner(node, child.children));
         }
         self
     }
 
-    pub fn data(self) -> Data {
-        Data::inner(self.node, self.children)
+    pub fn build(self) -> DataNode {
+        DataNode::inner(self.node, self.children)
     }
 }
 
@@ -146,15 +146,15 @@
 
 /// Where an instance stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Instance(pub Vec<Step>);
+pub struct InstancePath(pub Vec<Step>);
 
-impl Instance {
-    pub fn below(&self, step: Step) -> Instance {
-        Instance(self.0.iter().cloned().chain([step]).collect())
+impl InstancePath {
+    pub fn child(&self, step: Step) -> InstancePath {
+        InstancePath(self.0.iter().cloned().chain([step]).collect())
     }
 }
 
-impl fmt::Display for Instance {
+impl fmt::Display for InstancePath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for step in &self.0 {
             write!(f, "/{}", step.name)?;
--- a/yang/src/edit.rs
+++ b/yang/src/edit.rs
@@ -6,52 +6,53 @@
 use kestreltide_datastore::{Tree, ValidationError};
 use serde_json::Value as Json;
 
-use crate::bind::{At, Bind};
-use crate::data::{Instance, Step};
+use crate::binding::{Binding, ConfigNode};
+use crate::data::{InstancePath, Step};
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::xml::Element;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Op {
+pub enum Operation {
     Merge,
     Replace,
     Create,
     Delete,
     Remove,
     /// Only a way to what stands below.
-    Nothing,
+    None,
 }
 
-const OPS: [(&str, Op); 6] = [
-    ("merge", Op::Merge),
-    ("replace", Op::Replace),
-    ("create", Op::Create),
-    ("delete", Op::Delete),
-    ("remove", Op::Remove),
-    ("none", Op::Nothing),
+const OPERATIONS: [(&str, Operation); 6] = [
+    ("merge", Operation::Merge),
+    ("replace", Operation::Replace),
+    ("create", Operation::Create),
+    ("delete", Operation::Delete),
+    ("remove", Operation::Remove),
+    ("none", Operation::None),
 ];
 
-impl Op {
+impl Operation {
     /// An operation by its name on the wire, of those that stand at an element.
-    pub fn of_element(name: &str) -> Option<Op> {
-        OPS[..5]
+    pub fn from_attribute(name: &str) -> Option<Operation> {
+        OPERATIONS[..5]
             .iter()
             .find(|(is, _)| *is == name)
-            .map(|(_, op)| *op)
+            .map(|(_, operation)| *operation)
     }
 
     /// One that counts where nothing else is said.
-    pub fn by_default(name: &str) -> Option<Op> {
+    pub fn from_default_operation(name: &str) -> Option<Operation> {
         let known = ["merge", "replace", "none"].contains(&name);
-        OPS.iter()
+        OPERATIONS
+            .iter()
             .find(|(is, _)| *is == name && known)
-            .map(|(_, op)| *op)
+            .map(|(_, operation)| *operation)
     }
 }
 
 /// What kind of fault it is (RFC 6241, appendix A).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tag {
+pub enum ErrorTag {
     UnknownElement,
     UnknownNamespace,
     UnknownAttribute,
@@ -63,18 +64,18 @@
     OperationNotSupported,
 }
 
-impl fmt::Display for Tag {
+impl fmt::Display for ErrorTag {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Tag::UnknownElement => "unknown-element",
-            Tag::UnknownNamespace => "unknown-namespace",
-            Tag::UnknownAttribute => "unknown-attribute",
-            Tag::BadAttribute => "bad-attribute",
-            Tag::MissingElement => "missing-element",
-            Tag::InvalidValue => "invalid-value",
-            Tag::DataExists => "data-exists",
-            Tag::DataMissing => "data-missing",
-            Tag::OperationNotSupported => "operation-not-supported",
+            ErrorTag::UnknownElement => "unknown-element",
+            ErrorTag::UnknownNamespace => "unknown-namespace",
+            ErrorTag::UnknownAttribute => "unknown-attribute",
+            ErrorTag::BadAttribute => "bad-attribute",
+            ErrorTag::MissingElement => "missing-element",
+            ErrorTag::InvalidValue => "invalid-value",
+            ErrorTag::DataExists => "data-exists",
+            ErrorTag::DataMissing => "data-missing",
+            ErrorTag::OperationNotSupported => "operation-not-supported",
         })
     }
 }
@@ -82,27 +83,27 @@
 /// Why an edit cannot be carried out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EditError {
-    pub tag: Tag,
-    /// What the fault is about, where the tag needs it: an element's or attribute's name.
-    pub about: String,
-    pub at: Instance,
-    pub error: ValidationError,
+    pub tag: ErrorTag,
+    /// The element or attribute at fault, where the tag needs its name.
+    pub subject: String,
+    pub at: InstancePath,
+    pub validation: ValidationError,
 }
 
 impl EditError {
     fn new(
-        tag: Tag,
-        about: &str,
-        at: &Instance,
+        tag: ErrorTag,
+        subject: &str,
+        at: &InstancePath,
         what: impl Into<String>,
         given: impl fmt::Display,
         taken: impl fmt::Display,
     ) -> Self {
         EditError {
             tag,
-            about: about.into(),
+            subject: subject.into(),
             at: at.clone(),
-            error: ValidationError::new(at, what, given, taken),
+            validation: ValidationError::new(at, what, given, taken),
         }
     }
 }
@@ -112,7 +113,7 @@
 pub struct Edit {
     pub node: NodeId,
     /// As above it where none is said.
-    pub op: Option<Op>,
+    pub operation: Option<Operation>,
     /// Of a leaf or one value of a leaf-list, canonical; none where it is only taken away.
     pub value: Option<String>,
     pub step: Step,
@@ -122,40 +123,40 @@
 const NETCONF: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
 
 /// Reads the elements of a configuration; every fault of them is told.
-pub fn of_xml(
+pub fn edits_from_xml(
     schema: &Schema,
     parent: Option<NodeId>,
-    at: &Instance,
+    at: &InstancePath,
     elements: &[Element],
     errors: &mut Vec<EditError>,
 ) -> Vec<Edit> {
     elements
         .iter()
-        .filter_map(|element| one_of_xml(schema, parent, at, element, errors))
+        .filter_map(|element| edit_from_xml(schema, parent, at, element, errors))
         .collect()
 }
 
-fn one_of_xml(
+fn edit_from_xml(
     schema: &Schema,
     parent: Option<NodeId>,
-    at: &Instance,
+    at: &InstancePath,
     element: &Element,
     errors: &mut Vec<EditError>,
 ) -> Option<Edit> {
     let name = element.name.as_str();
     let named = schema
-        .below(parent)
+        .children_of(parent)
         .iter()
         .copied()
         .find(|id| schema.node_of(*id).name == name);
     let Some(node) = named else {
         let known: Vec<_> = schema
-            .below(parent)
+            .children_of(parent)
             .iter()
             .map(|id| schema.node_of(*id).name.clone())
             .collect();
         errors.push(EditError::new(
-            Tag::UnknownElement,
+            ErrorTag::UnknownElement,
             name,
             at,
             "has no such node",
@@ -168,7 +169,7 @@
     if element.namespace != *namespace {
         let what = "is not of the namespace of its module";
         errors.push(EditError::new(
-            Tag::UnknownNamespace,
+            ErrorTag::UnknownNamespace,
             name,
             at,
             what,
@@ -177,12 +178,12 @@
         ));
         return None;
     }
-    let mut op = None;
+    let mut operation = None;
     for (of, attribute, value) in &element.attributes {
         if of != NETCONF || attribute != "operation" {
             let what = "an attribute that is not known";
             errors.push(EditError::new(
-                Tag::UnknownAttribute,
+                ErrorTag::UnknownAttribute,
                 attribute,
                 at,
                 what,
@@ -191,11 +192,11 @@
             ));
             return None;
         }
-        op = Op::of_element(value);
-        if op.is_none() {
-            let names: Vec<_> = OPS[..5].iter().map(|(name, _)| *name).collect();
+        operation = Operation::from_attribute(value);
+        if operation.is_none() {
+            let names: Vec<_> = OPERATIONS[..5].iter().map(|(name, _)| *name).collect();
             errors.push(EditError::new(
-                Tag::BadAttribute,
+                ErrorTag::BadAttribute,
                 "operation",
                 at,
                 "no such operation",
@@ -210,38 +211,38 @@
             .child(name)
             .map(|child| child.text.trim().to_owned())
     };
-    let step = step_of(schema, node, at, leaf, errors)?;
-    let here = at.below(step.clone());
+    let step = read_step(schema, node, at, leaf, errors)?;
+    let path = at.child(step.clone());
     match &schema.node_of(node).kind {
         NodeKind::Leaf { .. } | NodeKind::LeafList { .. } => {
             if !element.children.is_empty() {
                 let child = &element.children[0].name;
                 errors.push(EditError::new(
-                    Tag::UnknownElement,
+                    ErrorTag::UnknownElement,
                     child,
-                    &here,
+                    &path,
                     "is a leaf",
                     child,
                     "a value",
                 ));
                 return None;
             }
-            let goes =
-                matches!(op, Some(Op::Delete | Op::Remove)) && element.text.trim().is_empty();
+            let is_removal = matches!(operation, Some(Operation::Delete | Operation::Remove))
+                && element.text.trim().is_empty();
             // A text's own spaces count; those round a number or a name do not.
             let text = if element.text.trim().is_empty() {
                 ""
             } else {
                 element.text.trim()
             };
-            let value = if goes {
+            let value = if is_removal {
                 None
             } else {
-                Some(canonical(schema, node, &here, text, errors)?)
+                Some(canonical_value(schema, node, &path, text, errors)?)
             };
             Some(Edit {
                 node,
-                op,
+                operation,
                 value,
                 step,
                 children: vec![],
@@ -250,18 +251,18 @@
         _ => {
             if !element.text.trim().is_empty() {
                 errors.push(EditError::new(
-                    Tag::InvalidValue,
+                    ErrorTag::InvalidValue,
                     name,
-                    &here,
+                    &path,
                     "has text, and takes nodes",
                     element.text.trim(),
                     "nodes",
                 ));
             }
-            let children = of_xml(schema, Some(node), &here, &element.children, errors);
+            let children = edits_from_xml(schema, Some(node), &path, &element.children, errors);
             Some(Edit {
                 node,
-                op,
+                operation,
                 value: None,
                 step,
                 children,
@@ -271,25 +272,25 @@
 }
 
 /// The step to a node; an entry of a list needs all its keys.
-fn step_of(
+fn read_step(
     schema: &Schema,
     node: NodeId,
-    at: &Instance,
+    at: &InstancePath,
     value: impl Fn(&str) -> Option<String>,
     errors: &mut Vec<EditError>,
 ) -> Option<Step> {
     let name = schema.node_of(node).name.clone();
     let mut keys = Vec::new();
     for key in schema.keys(node) {
-        let here = at.below(Step {
+        let path = at.child(Step {
             name: name.clone(),
             keys: vec![],
         });
         let Some(text) = value(key) else {
             errors.push(EditError::new(
-                Tag::MissingElement,
+                ErrorTag::MissingElement,
                 key,
-                &here,
+                &path,
                 "an entry has no key",
                 "nothing",
                 key,
@@ -297,32 +298,37 @@
             return None;
         };
         let leaf = schema.child_named(node, key)?;
-        keys.push((key.clone(), canonical(schema, leaf, &here, &text, errors)?));
+        keys.push((
+            key.clone(),
+            canonical_value(schema, leaf, &path, &text, errors)?,
+        ));
     }
     Some(Step { name, keys })
 }
 
-fn canonical(
+fn canonical_value(
     schema: &Schema,
     node: NodeId,
-    at: &Instance,
+    at: &InstancePath,
     text: &str,
     errors: &mut Vec<EditError>,
 ) -> Option<String> {
-    let (NodeKind::Leaf { of, .. } | NodeKind::LeafList { of }) = &schema.node_of(node).kind else {
+    let (NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type }) =
+        &schema.node_of(node).kind
+    else {
         return None;
     };
-    match of.canonical(text) {
+    match leaf_type.canonical(text) {
         Ok(value) => Some(value),
         Err(why) => {
             let given = kestreltide_datastore::tree_builder::shown(text);
             errors.push(EditError::new(
-                Tag::InvalidValue,
+                ErrorTag::InvalidValue,
                 &schema.node_of(node).name,
                 at,
                 why,
                 given,
-                of.takes(),
+                leaf_type.expected(),
             ));
             None
         }
@@ -330,20 +336,20 @@
 }
 
 /// Reads an object of RFC 7951 below a node.
-pub fn of_json(
+pub fn edits_from_json(
     schema: &Schema,
     parent: Option<NodeId>,
-    at: &Instance,
+    at: &InstancePath,
     object: &Json,
     errors: &mut Vec<EditError>,
 ) -> Vec<Edit> {
     let Json::Object(members) = object else {
         errors.push(EditError::new(
-            Tag::InvalidValue,
+            ErrorTag::InvalidValue,
             "",
             at,
             "is no object",
-            short(object),
+            shortened(object),
             "an object",
         ));
         return vec![];
@@ -356,7 +362,7 @@
                 (Some(module), name)
             });
         let named = schema
-            .below(parent)
+            .children_of(parent)
             .iter()
             .copied()
             .find(|id| schema.node_of(*id).name == name);
@@ -364,12 +370,12 @@
             named.filter(|id| module.is_none_or(|module| schema.module_of(*id).name == module));
         let Some(node) = named else {
             let known: Vec<_> = schema
-                .below(parent)
+                .children_of(parent)
                 .iter()
                 .map(|id| schema.node_of(*id).name.clone())
                 .collect();
             errors.push(EditError::new(
-                Tag::UnknownElement,
+                ErrorTag::UnknownElement,
                 member,
                 at,
                 "has no such node",
@@ -378,16 +384,16 @@
             ));
             continue;
         };
-        edits.extend(values_of_json(schema, node, at, value, errors));
+        edits.extend(edits_from_json_value(schema, node, at, value, errors));
     }
     edits
 }
 
 /// What a member's value says of a node: a list is one of entries.
-pub fn values_of_json(
+pub fn edits_from_json_value(
     schema: &Schema,
     node: NodeId,
-    at: &Instance,
+    at: &InstancePath,
     value: &Json,
     errors: &mut Vec<EditError>,
 ) -> Vec<Edit> {
@@ -396,71 +402,73 @@
     match (kind, value) {
         (NodeKind::List { .. } | NodeKind::LeafList { .. }, Json::Array(items)) => items
             .iter()
-            .filter_map(|item| one_of_json(schema, node, at, item, errors))
+            .filter_map(|item| edit_from_json(schema, node, at, item, errors))
             .collect(),
         (NodeKind::List { .. } | NodeKind::LeafList { .. }, other) => {
             errors.push(EditError::new(
-                Tag::InvalidValue,
+                ErrorTag::InvalidValue,
                 name,
                 at,
                 format!("{name} is no array"),
-                short(other),
+                shortened(other),
                 "an array",
             ));
             vec![]
         }
-        (_, value) => one_of_json(schema, node, at, value, errors)
+        (_, value) => edit_from_json(schema, node, at, value, errors)
             .into_iter()
             .collect(),
     }
 }
 
 /// One container, entry of a list, leaf or value of a leaf-list.
-pub fn one_of_json(
+pub fn edit_from_json(
     schema: &Schema,
     node: NodeId,
-    at: &Instance,
+    at: &InstancePath,
     value: &Json,
     errors: &mut Vec<EditError>,
 ) -> Option<Edit> {
     let name = schema.node_of(node).name.clone();
-    if let NodeKind::Leaf { of, .. } | NodeKind::LeafList { of } = &schema.node_of(node).kind {
-        let here = at.below(Step {
+    if let NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type } =
+        &schema.node_of(node).kind
+    {
+        let path = at.child(Step {
             name: name.clone(),
             keys: vec![],
         });
         // Which form it has is part of the type (RFC 7951, section 6): a number of 64 bits as a number would lose
         // digits on its way.
         let text = match value {
-            Json::String(text) if of.json_text() => Some(text.clone()),
-            Json::Number(number) if !of.json_text() => Some(number.to_string()),
-            Json::Bool(flag) if !of.json_text() => Some(flag.to_string()),
-            Json::Array(items) if of.name() == "empty" && *items == [Json::Null] => {
+            Json::String(text) if leaf_type.is_json_string() => Some(text.clone()),
+            Json::Number(number) if !leaf_type.is_json_string() => Some(number.to_string()),
+            Json::Bool(flag) if !leaf_type.is_json_string() => Some(flag.to_string()),
+            Json::Array(items) if leaf_type.name() == "empty" && *items == [Json::Null] => {
                 Some(String::new())
             }
             _ => None,
         };
         let Some(text) = text else {
-            let form = if of.json_text() {
+            let form = if leaf_type.is_json_string() {
                 "as a JSON string"
             } else {
                 "as JSON's own"
             };
-            let taken = format!("{}, {form}", of.takes());
+            let taken = format!("{}, {form}", leaf_type.expected());
             errors.push(EditError::new(
-                Tag::InvalidValue,
+                ErrorTag::InvalidValue,
                 &name,
-                &here,
+                &path,
                 "is of another form",
-                short(value),
+                shortened(value),
                 taken,
             ));
             return None;
         };
-        let value = canonical(schema, node, &here, &text, errors)?;
+        let value = canonical_value(schema, node, &path, &text, errors)?;
         return Some(Edit {
             node,
-            op: None,
+            operation: None,
             value: Some(value),
             step: Step { name, keys: vec![] },
             children: vec![],
@@ -468,11 +476,11 @@
     }
     let Json::Object(members) = value else {
         errors.push(EditError::new(
-            Tag::InvalidValue,
+            ErrorTag::InvalidValue,
             &name,
             at,
             format!("{name} is no object"),
-            short(value),
+            shortened(value),
             "an object",
         ));
         return None;
@@ -487,29 +495,29 @@
             _ => None,
         })
     };
-    let step = step_of(schema, node, at, leaf, errors)?;
-    let here = at.below(step.clone());
-    let children = of_json(schema, Some(node), &here, value, errors);
+    let step = read_step(schema, node, at, leaf, errors)?;
+    let path = at.child(step.clone());
+    let children = edits_from_json(schema, Some(node), &path, value, errors);
     Some(Edit {
         node,
-        op: None,
+        operation: None,
         value: None,
         step,
         children,
     })
 }
 
-fn short(value: &Json) -> String {
+fn shortened(value: &Json) -> String {
     kestreltide_datastore::tree_builder::shown(&value.to_string())
 }
 
 /// An edit of the instance at a path, with ways to it: what it takes is the last node's.
-pub fn at_path(schema: &Schema, at: &Instance, mut last: Edit) -> Option<Edit> {
+pub fn edit_at_path(schema: &Schema, at: &InstancePath, mut last: Edit) -> Option<Edit> {
     let mut nodes = Vec::new();
     let mut node = None;
     for step in &at.0 {
         let below = schema
-            .below(node)
+            .children_of(node)
             .iter()
             .copied()
             .find(|id| schema.node_of(*id).name == step.name)?;
@@ -519,7 +527,7 @@
     for (node, step) in nodes.into_iter().rev() {
         last = Edit {
             node,
-            op: Some(Op::Merge),
+            operation: Some(Operation::Merge),
             value: None,
             step,
             children: vec![last],
@@ -531,21 +539,21 @@
 /// Carries edits out on a tree. Where anything is wrong the tree is as it was, and all faults are told.
 pub fn apply(
     schema: &Schema,
-    bind: &Bind,
+    binding: &Binding,
     tree: &mut Tree,
     edits: &[Edit],
-    default: Op,
+    default: Operation,
 ) -> Result<(), Vec<EditError>> {
     let (mut edited, mut errors) = (tree.clone(), vec![]);
-    let mut work = Work {
+    let mut editor = TreeEditor {
         schema,
-        bind,
+        binding,
         tree: &mut edited,
         errors: &mut errors,
     };
     edits
         .iter()
-        .for_each(|edit| work.edit(edit, default, &Instance::default(), &At::Nothing));
+        .for_each(|edit| editor.edit(edit, default, &InstancePath::default(), &ConfigNode::Root));
     if errors.is_empty() {
         *tree = edited;
         Ok(())
@@ -554,27 +562,27 @@
     }
 }
 
-struct Work<'a> {
+struct TreeEditor<'a> {
     schema: &'a Schema,
-    bind: &'a Bind,
+    binding: &'a Binding,
     tree: &'a mut Tree,
     errors: &'a mut Vec<EditError>,
 }
 
-impl Work<'_> {
-    fn edit(&mut self, edit: &Edit, above: Op, at: &Instance, parent: &At) {
-        let (op, here) = (edit.op.unwrap_or(above), at.below(edit.step.clone()));
+impl TreeEditor<'_> {
+    fn edit(&mut self, edit: &Edit, above: Operation, at: &InstancePath, parent: &ConfigNode) {
+        let (operation, path) = (edit.operation.unwrap_or(above), at.child(edit.step.clone()));
         let node = self.schema.node_of(edit.node);
         let keys = node
             .parent
             .map_or(&[][..], |parent| self.schema.keys(parent));
         if keys.contains(&node.name) {
-            if matches!(edit.op, Some(Op::Delete | Op::Remove)) {
+            if matches!(edit.operation, Some(Operation::Delete | Operation::Remove)) {
                 let what = "is a key, and goes only with its entry";
                 self.error(
-                    Tag::OperationNotSupported,
+                    ErrorTag::OperationNotSupported,
                     &node.name,
-                    &here,
+                    &path,
                     what,
                     "delete",
                     "the entry deleted",
@@ -582,13 +590,13 @@
             }
             return;
         }
-        let bound = match self.bind.at(parent, edit.node, &edit.step) {
-            Ok(Some(bound)) => bound,
+        let target = match self.binding.resolve(parent, edit.node, &edit.step) {
+            Ok(Some(target)) => target,
             Ok(None) => {
                 return self.error(
-                    Tag::InvalidValue,
+                    ErrorTag::InvalidValue,
                     &node.name,
-                    &here,
+                    &path,
                     "is the router's own",
                     "an edit",
                     "only reading",
@@ -596,9 +604,9 @@
             }
             Err(why) => {
                 return self.error(
-                    Tag::InvalidValue,
+                    ErrorTag::InvalidValue,
                     &node.name,
-                    &here,
+                    &path,
                     &why,
                     "this name",
                     "a name",
@@ -606,37 +614,45 @@
             }
         };
         // A value of a leaf-list exists by itself.
-        let there = match (&bound, &edit.value) {
-            (At::Values(path), Some(value)) => self.bind.holds(self.tree, path, value),
-            (at, _) => at.exists(self.tree),
+        let exists = match (&target, &edit.value) {
+            (ConfigNode::Values(path), Some(value)) => {
+                self.binding.contains_value(self.tree, path, value)
+            }
+            (at, _) => at.is_set(self.tree),
         };
-        match op {
-            Op::Create if there => {
+        match operation {
+            Operation::Create if exists => {
                 return self.error(
-                    Tag::DataExists,
+                    ErrorTag::DataExists,
                     &node.name,
-                    &here,
+                    &path,
                     "is there already",
                     "create",
                     "merge or replace",
                 );
             }
-            Op::Delete | Op::Nothing
-                if !there
-                    && (op == Op::Delete || !edit.children.is_empty() || edit.value.is_some()) =>
+            Operation::Delete | Operation::None
+                if !exists
+                    && (operation == Operation::Delete
+                        || !edit.children.is_empty()
+                        || edit.value.is_some()) =>
             {
-                if op == Op::Nothing
+                if operation == Operation::None
                     && matches!(
-                        bound,
-                        At::Router | At::Hosts | At::Routes | At::Guards | At::Ring
+                        target,
+                        ConfigNode::Router
+                            | ConfigNode::Hosts
+                            | ConfigNode::Routes
+                            | ConfigNode::Guards
+                            | ConfigNode::Ring
                     )
                 {
                     // Containers are always there.
                 } else {
                     return self.error(
-                        Tag::DataMissing,
+                        ErrorTag::DataMissing,
                         &node.name,
-                        &here,
+                        &path,
                         "is not there",
                         "nothing",
                         "what is there",
@@ -645,44 +661,53 @@
             }
             _ => {}
         }
-        match (&bound, op) {
-            (At::Values(path), Op::Delete | Op::Remove) => match &edit.value {
-                Some(value) => self.bind.take(self.tree, path, value),
-                None => bound.clear(self.tree),
-            },
-            (_, Op::Delete | Op::Remove) => bound.clear(self.tree),
-            (At::Leaf(_) | At::Values(_), Op::Nothing) => {}
-            (At::Leaf(path), _) => {
+        match (&target, operation) {
+            (ConfigNode::Values(path), Operation::Delete | Operation::Remove) => {
+                match &edit.value {
+                    Some(value) => self.binding.remove_value(self.tree, path, value),
+                    None => target.clear(self.tree),
+                }
+            }
+            (_, Operation::Delete | Operation::Remove) => target.clear(self.tree),
+            (ConfigNode::Leaf(_) | ConfigNode::Values(_), Operation::None) => {}
+            (ConfigNode::Leaf(leaf_path), _) => {
                 let text = edit.value.as_deref().unwrap_or_default();
-                if let Err(error) = self.bind.set(self.tree, path, text) {
+                if let Err(error) = self.binding.set_leaf(self.tree, leaf_path, text) {
                     self.errors.push(EditError {
-                        tag: Tag::InvalidValue,
-                        about: node.name.clone(),
-                        at: here,
-                        error,
+                        tag: ErrorTag::InvalidValue,
+                        subject: node.name.clone(),
+                        at: path,
+                        validation: error,
                     });
                 }
             }
-            (At::Values(path), _) => {
+            (ConfigNode::Values(path), _) => {
                 if let Some(value) = &edit.value {
-                    self.bind.add(self.tree, path, value);
+                    self.binding.add_value(self.tree, path, value);
                 }
             }
             _ => {
-                if op == Op::Replace {
-                    bound.clear(self.tree);
+                if operation == Operation::Replace {
+                    target.clear(self.tree);
                 }
-                let below = if op == Op::Replace { Op::Merge } else { op };
-                let below = if below == Op::Create {
-                    Op::Merge
+                let below = if operation == Operation::Replace {
+                    Operation::Merge
+                } else {
+                    operation
+                };
+                let below = if below == Operation::Create {
+                    Operation::Merge
                 } else {
                     below
                 };
                 edit.children
                     .iter()
-                    .for_each(|child| self.edit(child, below, &here, &bound));
-                let entry = matches!(bound, At::Host(_) | At::Route(_));
-                if entry && below == Op::Merge && self.errors.is_empty() && !bound.exists(self.tree)
+                    .for_each(|child| self.edit(child, below, &path, &target));
+                let entry = matches!(target, ConfigNode::Host(_) | ConfigNode::Route(_));
+                if entry
+                    && below == Operation::Merge
+                    && self.errors.is_empty()
+                    && !target.is_set(self.tree)
                 {
                     let keys = self.schema.keys(edit.node);
                     let only_key = edit
@@ -691,9 +716,9 @@
                         .all(|child| keys.contains(&child.step.name));
                     if only_key {
                         self.error(
-                            Tag::MissingElement,
+                            ErrorTag::MissingElement,
                             &node.name,
-                            &here,
+                            &path,
                             "an entry says nothing",
                             "only its key",
                             "a leaf",
@@ -706,14 +731,14 @@
 
     fn error(
         &mut self,
-        tag: Tag,
-        about: &str,
-        at: &Instance,
+        tag: ErrorTag,
+        subject: &str,
+        at: &InstancePath,
         what: &str,
         given: &str,
         taken: &str,
     ) {
         self.errors
-            .push(EditError::new(tag, about, at, what, given, taken));
+            .push(EditError::new(tag, subject, at, what, given, taken));
     }
 }
--- a/yang/src/json.rs
+++ b/yang/src/json.rs
@@ -2,12 +2,12 @@
 
 use serde_json::{Map, Value};
 
-use crate::data::{Content, Data};
+use crate::data::{Content, DataNode};
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::types::Type;
 
 /// Members for these nodes, those of one list together; names carry their module where it changes.
-pub fn members(schema: &Schema, data: &[Data], parent: Option<NodeId>) -> Map<String, Value> {
+pub fn members(schema: &Schema, data: &[DataNode], parent: Option<NodeId>) -> Map<String, Value> {
     let mut out = Map::new();
     for one in data {
         let node = schema.node_of(one.node);
@@ -32,21 +32,22 @@
 }
 
 /// The value of one node: an object, or a leaf's own form.
-pub fn value(schema: &Schema, data: &Data) -> Value {
+pub fn value(schema: &Schema, data: &DataNode) -> Value {
     match (&data.content, &schema.node_of(data.node).kind) {
-        (Content::Leaf(text), NodeKind::Leaf { of, .. } | NodeKind::LeafList { of }) => {
-            leaf(of, text)
-        }
+        (
+            Content::Leaf(text),
+            NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type },
+        ) => leaf(leaf_type, text),
         (Content::Leaf(text), _) => Value::String(text.clone()),
         (Content::Inner(children), _) => Value::Object(members(schema, children, Some(data.node))),
     }
 }
 
-fn leaf(of: &Type, text: &str) -> Value {
-    match of {
+fn leaf(leaf_type: &Type, text: &str) -> Value {
+    match leaf_type {
         Type::Boolean => Value::Bool(text == "true"),
         Type::Empty => Value::Array(vec![Value::Null]),
-        _ if of.json_text() => Value::String(text.into()),
+        _ if leaf_type.is_json_string() => Value::String(text.into()),
         _ => text
             .parse::<i64>()
             .map_or_else(|_| Value::String(text.into()), Value::from),
--- a/yang/src/lib.rs
+++ b/yang/src/lib.rs
@@ -1,23 +1,23 @@
-//! The published models, and data by them. The modules in `models/` are read at start by the reader in [`yang`]
+//! The published models, and data by them. The modules in `models/` are read at start by the reader in [`statement`]
 //! and give the schema that drives both codecs, so that model and code cannot drift apart: what a module uses and
 //! the reader does not know is refused with line and statement.
 //!
 //! Free of I/O.
 
-pub mod bind;
+pub mod binding;
 pub mod data;
 pub mod edit;
 pub mod json;
 pub mod path;
 pub mod schema;
-pub mod tree;
+pub mod statement;
+pub mod tree_diagram;
 pub mod types;
 pub mod xml;
-pub mod yang;
 
 use std::sync::OnceLock;
 
-pub use data::{Content, Data};
+pub use data::{Content, DataNode};
 pub use path::{Filter, Pattern};
 pub use schema::{NodeId, NodeKind, Schema};
 
@@ -37,7 +37,7 @@
 pub fn published() -> Result<&'static Schema, String> {
     static SCHEMA: OnceLock<Result<Schema, String>> = OnceLock::new();
     SCHEMA
-        .get_or_init(|| Schema::read(&MODULES))
+        .get_or_init(|| Schema::parse(&MODULES))
         .as_ref()
         .map_err(Clone::clone)
 }
--- a/yang/src/path.rs
+++ b/yang/src/path.rs
@@ -6,13 +6,13 @@
 use winnow::prelude::*;
 use winnow::token::{take_till, take_while};
 
-use crate::data::{Content, Data, Instance, Step};
+use crate::data::{Content, DataNode, InstancePath, Step};
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::xml::Element;
 
 /// One step of a pattern.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Wanted {
+pub struct PatternStep {
     /// Any where none is given.
     pub name: Option<String>,
     /// Keys that are fixed, by name.
@@ -23,15 +23,15 @@
 
 /// A path that several instances may match; without steps it is everything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Pattern(pub Vec<Wanted>);
+pub struct Pattern(pub Vec<PatternStep>);
 
 /// Steps of a path, and paths of a filter, at most.
-const STEPS: usize = 32;
-const PATHS: usize = 64;
+const MAX_STEPS: usize = 32;
+const MAX_PATHS: usize = 64;
 
-type Out<T> = Result<T, ErrMode<ContextError>>;
+type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
-fn name<'a>(input: &mut &'a str) -> Out<&'a str> {
+fn name<'a>(input: &mut &'a str) -> ParseResult<&'a str> {
     let word = |input: &mut &'a str| {
         take_while(1.., |c: char| {
             c.is_ascii_alphanumeric() || "-_.".contains(c)
@@ -44,38 +44,42 @@
     Ok(second.unwrap_or(first))
 }
 
-fn text(input: &mut &str) -> Out<String> {
+fn text(input: &mut &str) -> ParseResult<String> {
     let of = |quote: char| delimited(quote, take_till(0.., quote), cut_err(quote));
     alt((of('\''), of('"')))
         .map(str::to_owned)
         .parse_next(input)
 }
 
-fn key(input: &mut &str) -> Out<(String, String)> {
-    let gap = || take_while(0.., ' ');
-    let equals = delimited(gap(), '=', gap());
-    let pair = (preceded(gap(), name), preceded(equals, text));
-    delimited('[', pair, cut_err(preceded(gap(), ']')))
+fn key(input: &mut &str) -> ParseResult<(String, String)> {
+    let spaces = || take_while(0.., ' ');
+    let equals = delimited(spaces(), '=', spaces());
+    let pair = (preceded(spaces(), name), preceded(equals, text));
+    delimited('[', pair, cut_err(preceded(spaces(), ']')))
         .map(|(key, value)| (key.to_owned(), value))
         .parse_next(input)
 }
 
-fn wanted(input: &mut &str) -> Out<Wanted> {
+fn pattern_step(input: &mut &str) -> ParseResult<PatternStep> {
     let deep = preceded('/', opt('/')).parse_next(input)?.is_some();
     let name = alt(('*'.value(None), name.map(|name| Some(name.to_owned())))).parse_next(input)?;
     let keys = repeat(0.., key).parse_next(input)?;
-    Ok(Wanted { name, keys, deep })
+    Ok(PatternStep { name, keys, deep })
 }
 
-fn paths(input: &mut &str) -> Out<Vec<Vec<Wanted>>> {
-    let gap = || take_while(0.., [' ', '\n', '\t', '\r']);
-    let path = delimited(gap(), repeat::<_, _, Vec<Wanted>, _, _>(1.., wanted), gap());
+fn paths(input: &mut &str) -> ParseResult<Vec<Vec<PatternStep>>> {
+    let spaces = || take_while(0.., [' ', '\n', '\t', '\r']);
+    let path = delimited(
+        spaces(),
+        repeat::<_, _, Vec<PatternStep>, _, _>(1.., pattern_step),
+        spaces(),
+    );
     separated(1.., path, '|').parse_next(input)
 }
 
 impl Pattern {
     /// Reads the common part of XPath: absolute paths, several joined by `|`.
-    pub fn xpath(text: &str) -> Result<Vec<Pattern>, String> {
+    pub fn parse_xpath(text: &str) -> Result<Vec<Pattern>, String> {
         if ["", "/"].contains(&text.trim()) {
             return Ok(vec![Pattern::default()]);
         }
@@ -86,14 +90,16 @@
                 e.offset()
             )
         })?;
-        if read.len() > PATHS || read.iter().any(|steps| steps.len() > STEPS) {
-            return Err(format!("has more than {PATHS} paths or {STEPS} steps"));
+        if read.len() > MAX_PATHS || read.iter().any(|steps| steps.len() > MAX_STEPS) {
+            return Err(format!(
+                "has more than {MAX_PATHS} paths or {MAX_STEPS} steps"
+            ));
         }
         Ok(read.into_iter().map(Pattern).collect())
     }
 
     /// A path of steps, in which `*` is any name or key, and `...` any depth.
-    pub fn steps<'a>(
+    pub fn from_steps<'a>(
         steps: impl IntoIterator<Item = (&'a str, Vec<(String, String)>)>,
     ) -> Result<Pattern, String> {
         let (mut wanted, mut deep) = (vec![], false);
@@ -109,14 +115,14 @@
             let name = (plain != "*").then(|| plain.to_owned());
             let mut keys: Vec<_> = keys.into_iter().filter(|(_, value)| value != "*").collect();
             keys.sort();
-            wanted.push(Wanted {
+            wanted.push(PatternStep {
                 name,
                 keys,
                 deep: std::mem::take(&mut deep),
             });
         }
-        if wanted.len() > STEPS {
-            return Err(format!("has more than {STEPS} steps"));
+        if wanted.len() > MAX_STEPS {
+            return Err(format!("has more than {MAX_STEPS} steps"));
         }
         Ok(Pattern(wanted))
     }
@@ -127,14 +133,14 @@
     }
 
     /// The one instance that is meant, where the path leaves nothing open, and its node.
-    pub fn instance(&self, schema: &Schema) -> Result<(Instance, Option<NodeId>), String> {
-        let (mut instance, mut node) = (Instance::default(), None);
+    pub fn instance(&self, schema: &Schema) -> Result<(InstancePath, Option<NodeId>), String> {
+        let (mut instance, mut node) = (InstancePath::default(), None);
         for wanted in &self.0 {
             let Some(name) = wanted.name.as_ref().filter(|_| !wanted.deep) else {
                 return Err("leaves open which instance is meant".into());
             };
             let below = schema
-                .below(node)
+                .children_of(node)
                 .iter()
                 .copied()
                 .find(|id| schema.node_of(*id).name == *name);
@@ -148,7 +154,7 @@
             if keys.len() < of_list.len() {
                 return Err(format!("{name} needs its keys, {}", of_list.join(" ")));
             }
-            instance = instance.below(Step {
+            instance = instance.child(Step {
                 name: name.clone(),
                 keys,
             });
@@ -158,15 +164,15 @@
     }
 
     /// Whether the names lead anywhere in the schema: a path that cannot match is a mistake.
-    pub fn known(&self, schema: &Schema) -> bool {
+    pub fn matches_schema(&self, schema: &Schema) -> bool {
         let mut at: Vec<Option<NodeId>> = vec![None];
         for wanted in &self.0 {
             let mut next: Vec<NodeId> = vec![];
             for from in &at {
-                let mut below: Vec<NodeId> = schema.below(*from).to_vec();
+                let mut below: Vec<NodeId> = schema.children_of(*from).to_vec();
                 let mut place = 0;
                 while wanted.deep && place < below.len() {
-                    below.extend(schema.below(Some(below[place])));
+                    below.extend(schema.children_of(Some(below[place])));
                     place += 1;
                 }
                 next.extend(below.into_iter().filter(|id| {
@@ -184,46 +190,50 @@
     }
 
     /// Each instance that matches, and where it stands.
-    pub fn select<'a>(&self, schema: &Schema, data: &'a [Data]) -> Vec<(Instance, &'a Data)> {
+    pub fn select<'a>(
+        &self,
+        schema: &Schema,
+        data: &'a [DataNode],
+    ) -> Vec<(InstancePath, &'a DataNode)> {
         let mut found = Vec::new();
-        select(schema, data, &self.0, &Instance::default(), &mut found);
+        collect_matches(schema, data, &self.0, &InstancePath::default(), &mut found);
         found
     }
 }
 
-fn fits(schema: &Schema, data: &Data, wanted: &Wanted) -> bool {
+fn step_matches(schema: &Schema, data: &DataNode, wanted: &PatternStep) -> bool {
     let name = wanted
         .name
         .as_ref()
         .is_none_or(|name| *name == schema.node_of(data.node).name);
-    let value = |key: &str| data.child(schema, key).and_then(Data::text);
+    let value = |key: &str| data.child(schema, key).and_then(DataNode::text);
     name && wanted
         .keys
         .iter()
         .all(|(key, wants)| value(key) == Some(wants))
 }
 
-fn select<'a>(
+fn collect_matches<'a>(
     schema: &Schema,
-    data: &'a [Data],
-    steps: &[Wanted],
-    at: &Instance,
-    found: &mut Vec<(Instance, &'a Data)>,
+    data: &'a [DataNode],
+    steps: &[PatternStep],
+    at: &InstancePath,
+    found: &mut Vec<(InstancePath, &'a DataNode)>,
 ) {
     let Some((first, rest)) = steps.split_first() else {
         return;
     };
     for child in data {
-        let here = at.below(child.step(schema));
-        if fits(schema, child, first) {
+        let here = at.child(child.step(schema));
+        if step_matches(schema, child, first) {
             if rest.is_empty() {
                 found.push((here.clone(), child));
             } else {
-                select(schema, child.children(), rest, &here, found);
+                collect_matches(schema, child.children(), rest, &here, found);
             }
         }
         if first.deep {
-            select(schema, child.children(), steps, &here, found);
+            collect_matches(schema, child.children(), steps, &here, found);
         }
     }
 }
@@ -237,7 +247,7 @@
 }
 
 impl Filter {
-    pub fn prune(&self, schema: &Schema, data: &[Data]) -> Vec<Data> {
+    pub fn prune(&self, schema: &Schema, data: &[DataNode]) -> Vec<DataNode> {
         match self {
             Filter::All => data.to_vec(),
             Filter::Paths(patterns) => {
@@ -248,28 +258,28 @@
                 if active.iter().any(|steps| steps.is_empty()) {
                     data.to_vec()
                 } else {
-                    prune(schema, data, &active)
+                    prune_paths(schema, data, &active)
                 }
             }
             Filter::Subtree(elements) => data
                 .iter()
-                .filter_map(|data| subtree(schema, data, elements))
+                .filter_map(|data| prune_subtree(schema, data, elements))
                 .collect(),
         }
     }
 }
 
 /// Keeps what matches one of the paths, with its ancestors and their keys.
-fn prune(schema: &Schema, data: &[Data], active: &[&[Wanted]]) -> Vec<Data> {
+fn prune_paths(schema: &Schema, data: &[DataNode], active: &[&[PatternStep]]) -> Vec<DataNode> {
     let mut kept = Vec::new();
     for child in data {
-        let mut next: Vec<&[Wanted]> = Vec::new();
+        let mut next: Vec<&[PatternStep]> = Vec::new();
         let mut whole = false;
         for steps in active {
             let Some((first, rest)) = steps.split_first() else {
                 continue;
             };
-            if fits(schema, child, first) {
+            if step_matches(schema, child, first) {
                 whole |= rest.is_empty();
                 next.push(rest);
             }
@@ -283,9 +293,9 @@
         }
         next.retain(|steps| !steps.is_empty());
         if let (Content::Inner(inner), false) = (&child.content, next.is_empty()) {
-            let below = prune(schema, inner, &next);
+            let below = prune_paths(schema, inner, &next);
             if !below.is_empty() {
-                kept.push(Data::inner(child.node, with_keys(schema, child, below)));
+                kept.push(DataNode::inner(child.node, with_keys(schema, child, below)));
             }
         }
     }
@@ -293,9 +303,9 @@
 }
 
 /// The keys of a list's entry first, whatever else of it is kept.
-fn with_keys(schema: &Schema, of: &Data, kept: Vec<Data>) -> Vec<Data> {
+fn with_keys(schema: &Schema, of: &DataNode, kept: Vec<DataNode>) -> Vec<DataNode> {
     let keys = schema.keys(of.node);
-    let is_key = |data: &Data| keys.contains(&schema.node_of(data.node).name);
+    let is_key = |data: &DataNode| keys.contains(&schema.node_of(data.node).name);
     let first = of.children().iter().filter(|child| is_key(child)).cloned();
     first
         .chain(kept.into_iter().filter(|child| !is_key(child)))
@@ -303,13 +313,13 @@
 }
 
 /// A subtree filter (RFC 6241, section 6): the elements of one level, of which any may match.
-fn subtree(schema: &Schema, data: &Data, filters: &[Element]) -> Option<Data> {
+fn prune_subtree(schema: &Schema, data: &DataNode, filters: &[Element]) -> Option<DataNode> {
     let node = schema.node_of(data.node);
     let namespace = &schema.module_of(data.node).namespace;
     let mine = filters.iter().filter(|filter| {
         filter.name == node.name && (filter.namespace.is_empty() || filter.namespace == *namespace)
     });
-    let mut kept: Option<Data> = None;
+    let mut kept: Option<DataNode> = None;
     for filter in mine {
         let found = match &data.content {
             // With a text it is a content match, which its parent has looked at; else it selects.
@@ -321,7 +331,7 @@
                     |inner: &&Element| inner.children.is_empty() && !inner.text.trim().is_empty();
                 let matches: Vec<_> = filter.children.iter().filter(is_match).collect();
                 let meets = |wants: &&Element| {
-                    let same = |child: &&Data| schema.node_of(child.node).name == wants.name;
+                    let same = |child: &&DataNode| schema.node_of(child.node).name == wants.name;
                     children
                         .iter()
                         .filter(same)
@@ -336,21 +346,21 @@
                 } else {
                     let inner: Vec<_> = children
                         .iter()
-                        .filter_map(|child| subtree(schema, child, &filter.children))
+                        .filter_map(|child| prune_subtree(schema, child, &filter.children))
                         .collect();
                     // Only content matches were met: nothing that was selected is there.
-                    let matched = |child: &Data| {
+                    let matched = |child: &DataNode| {
                         matches
                             .iter()
                             .any(|wants| wants.name == schema.node_of(child.node).name)
                     };
                     let more = inner.iter().any(|child| !matched(child));
-                    more.then(|| Data::inner(data.node, with_keys(schema, data, inner)))
+                    more.then(|| DataNode::inner(data.node, with_keys(schema, data, inner)))
                 }
             }
         };
         kept = match (kept, found) {
-            (Some(one), Some(other)) => Some(joined(schema, one, other)),
+            (Some(one), Some(other)) => Some(merge(schema, one, other)),
             (one, other) => one.or(other),
         };
     }
@@ -358,22 +368,22 @@
 }
 
 /// What two filters kept of one node.
-fn joined(schema: &Schema, one: Data, other: Data) -> Data {
+fn merge(schema: &Schema, one: DataNode, other: DataNode) -> DataNode {
     let (Content::Inner(mut kept), Content::Inner(more)) = (one.content.clone(), other.content)
     else {
         return one;
     };
     for child in more {
         let step = child.step(schema);
-        let same = |there: &Data| there.node == child.node && there.step(schema) == step;
+        let same = |there: &DataNode| there.node == child.node && there.step(schema) == step;
         let list = matches!(schema.node_of(child.node).kind, NodeKind::LeafList { .. });
         match kept
             .iter()
             .position(|there| if list { *there == child } else { same(there) })
         {
-            Some(place) => kept[place] = joined(schema, kept[place].clone(), child),
+            Some(place) => kept[place] = merge(schema, kept[place].clone(), child),
             None => kept.push(child),
         }
     }
-    Data::inner(one.node, kept)
+    DataNode::inner(one.node, kept)
 }
--- a/yang/src/schema.rs
+++ b/yang/src/schema.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
+use crate::statement::{self, Statement};
 use crate::types::Type;
-use crate::yang::{self, Statement};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub usize);
@@ -13,8 +13,8 @@
 pub enum NodeKind {
     Container,
     List { keys: Vec<String> },
-    Leaf { of: Type, mandatory: bool },
-    LeafList { of: Type },
+    Leaf { leaf_type: Type, mandatory: bool },
+    LeafList { leaf_type: Type },
 }
 
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
 }
 
 /// Statements that are read, of a module and of nodes; all others are refused.
-const OF_MODULE: [&str; 17] = [
+const MODULE_STATEMENTS: [&str; 17] = [
     "yang-version",
     "namespace",
     "prefix",
@@ -73,7 +73,7 @@
     "rpc",
     "notification",
 ];
-const OF_NODE: [&str; 20] = [
+const NODE_STATEMENTS: [&str; 20] = [
     "description",
     "reference",
     "config",
@@ -95,7 +95,7 @@
     "typedef",
     "default",
 ];
-const OF_TYPE: [&str; 7] = [
+const TYPE_STATEMENTS: [&str; 7] = [
     "range",
     "length",
     "pattern",
@@ -104,11 +104,11 @@
     "type",
     "path",
 ];
-const NODES: [&str; 4] = ["container", "list", "leaf", "leaf-list"];
+const DATA_NODE_KEYWORDS: [&str; 4] = ["container", "list", "leaf", "leaf-list"];
 /// Types and groupings that lead to each other at most.
-const CHAIN: usize = 16;
+const MAX_REFERENCE_DEPTH: usize = 16;
 
-struct Read<'a> {
+struct ModuleSource<'a> {
     name: String,
     statement: &'a Statement,
     prefix: String,
@@ -116,7 +116,7 @@
     imports: BTreeMap<String, String>,
 }
 
-fn at(module: &str, statement: &Statement, why: &str) -> String {
+fn error_at(module: &str, statement: &Statement, why: &str) -> String {
     format!(
         "{module}: line {}: {} {}: {why}",
         statement.line, statement.keyword, statement.argument
@@ -125,40 +125,40 @@
 
 impl Schema {
     /// Reads modules, each after those that it imports.
-    pub fn read(modules: &[(&str, &str)]) -> Result<Schema, String> {
+    pub fn parse(modules: &[(&str, &str)]) -> Result<Schema, String> {
         let mut schema = Schema::default();
         let mut statements = Vec::new();
         for (name, text) in modules {
-            let statement = yang::read(text).map_err(|why| format!("{name}: {why}"))?;
+            let statement = statement::parse(text).map_err(|why| format!("{name}: {why}"))?;
             statements.push((*name, statement, *text));
         }
-        let mut read: Vec<Read> = Vec::new();
+        let mut sources: Vec<ModuleSource> = Vec::new();
         for (name, statement, text) in &statements {
-            let module = schema.begin(name, statement, text, &read)?;
-            read.push(module);
+            let module = schema.start_module(name, statement, text, &sources)?;
+            sources.push(module);
             let number = schema.modules.len() - 1;
-            for inner in &statement.inner {
-                let of = |input| at(name, inner, input);
+            for inner in &statement.substatements {
+                let fail = |why| error_at(name, inner, why);
                 match inner.keyword.as_str() {
-                    keyword if NODES.contains(&keyword) => {
-                        let node = schema.node(&read, number, inner, (None, true), 0)?;
+                    keyword if DATA_NODE_KEYWORDS.contains(&keyword) => {
+                        let node = schema.read_node(&sources, number, inner, (None, true), 0)?;
                         schema.top.push(node);
                     }
                     "rpc" | "notification" => {
                         let body = if inner.keyword == "rpc" {
                             let known = ["description", "reference", "input"];
                             if let Some(other) = inner
-                                .inner
+                                .substatements
                                 .iter()
                                 .find(|s| !known.contains(&s.keyword.as_str()))
                             {
-                                return Err(at(name, other, "is not read here"));
+                                return Err(error_at(name, other, "is not read here"));
                             }
-                            inner.one("input")
+                            inner.substatement("input")
                         } else {
                             Some(inner)
                         };
-                        let node = schema.add(
+                        let node = schema.add_node(
                             inner,
                             number,
                             NodeKind::Container,
@@ -167,11 +167,11 @@
                         );
                         for child in body
                             .iter()
-                            .flat_map(|body| &body.inner)
+                            .flat_map(|body| &body.substatements)
                             .filter(|child| child.keyword != "description")
                         {
                             schema
-                                .child(&read, number, child, (Some(node), false), 0)
+                                .read_child(&sources, number, child, (Some(node), false), 0)
                                 .map_err(|why| why.to_string())?;
                         }
                         let map = if inner.keyword == "rpc" {
@@ -180,7 +180,7 @@
                             &mut schema.notifications
                         };
                         if map.insert(inner.argument.clone(), node).is_some() {
-                            return Err(of("stands twice"));
+                            return Err(fail("stands twice"));
                         }
                     }
                     _ => {}
@@ -190,40 +190,40 @@
         Ok(schema)
     }
 
-    fn begin<'a>(
+    fn start_module<'a>(
         &mut self,
         name: &str,
         statement: &'a Statement,
         text: &str,
-        before: &[Read],
-    ) -> Result<Read<'a>, String> {
+        earlier: &[ModuleSource],
+    ) -> Result<ModuleSource<'a>, String> {
         if statement.keyword != "module" || statement.argument != name {
-            return Err(at(name, statement, "is not the module of this name"));
+            return Err(error_at(name, statement, "is not the module of this name"));
         }
         if let Some(other) = statement
-            .inner
+            .substatements
             .iter()
-            .find(|inner| !OF_MODULE.contains(&inner.keyword.as_str()))
+            .find(|inner| !MODULE_STATEMENTS.contains(&inner.keyword.as_str()))
         {
-            return Err(at(name, other, "is not read here"));
+            return Err(error_at(name, other, "is not read here"));
         }
         let needed = |keyword: &str| {
             statement
-                .text(keyword)
+                .argument_of(keyword)
                 .map(str::to_owned)
-                .ok_or_else(|| at(name, statement, &format!("has no {keyword}")))
+                .ok_or_else(|| error_at(name, statement, &format!("has no {keyword}")))
         };
         if needed("yang-version")? != "1.1" {
-            return Err(at(name, statement, "is not of YANG 1.1"));
+            return Err(error_at(name, statement, "is not of YANG 1.1"));
         }
         let mut imports = BTreeMap::new();
-        for import in statement.all("import") {
-            if !before.iter().any(|read| read.name == import.argument) {
-                return Err(at(name, import, "is not read before it"));
+        for import in statement.substatements_of("import") {
+            if !earlier.iter().any(|source| source.name == import.argument) {
+                return Err(error_at(name, import, "is not read before it"));
             }
             let prefix = import
-                .text("prefix")
-                .ok_or_else(|| at(name, import, "has no prefix"))?;
+                .argument_of("prefix")
+                .ok_or_else(|| error_at(name, import, "has no prefix"))?;
             imports.insert(prefix.to_owned(), import.argument.clone());
         }
         self.modules.push(Module {
@@ -234,7 +234,7 @@
             revision: needed("revision")?,
             text: text.into(),
         });
-        Ok(Read {
+        Ok(ModuleSource {
             name: name.into(),
             statement,
             prefix: needed("prefix")?,
@@ -242,9 +242,9 @@
         })
     }
 
-    fn add(
+    fn add_node(
         &mut self,
-        of: &Statement,
+        statement: &Statement,
         module: usize,
         kind: NodeKind,
         (parent, config): (Option<NodeId>, bool),
@@ -252,12 +252,15 @@
     ) -> NodeId {
         let id = NodeId(self.nodes.len());
         self.nodes.push(Node {
-            name: of.argument.clone(),
+            name: statement.argument.clone(),
             module,
             kind,
             config,
-            description: of.text("description").unwrap_or_default().into(),
-            units: of.text("units").map(str::to_owned),
+            description: statement
+                .argument_of("description")
+                .unwrap_or_default()
+                .into(),
+            units: statement.argument_of("units").map(str::to_owned),
             type_name,
             parent,
             children: vec![],
@@ -269,50 +272,52 @@
     }
 
     /// A child statement of a node: a node of its own, or a grouping's.
-    fn child(
+    fn read_child(
         &mut self,
-        read: &[Read],
+        sources: &[ModuleSource],
         module: usize,
-        of: &Statement,
-        under: (Option<NodeId>, bool),
+        statement: &Statement,
+        place: (Option<NodeId>, bool),
         depth: usize,
     ) -> Result<(), String> {
-        let name = &read[module].name;
-        if depth > CHAIN {
-            return Err(at(name, of, "leads to itself"));
+        let name = &sources[module].name;
+        if depth > MAX_REFERENCE_DEPTH {
+            return Err(error_at(name, statement, "leads to itself"));
         }
-        if of.keyword == "uses" {
-            let (home, grouping) = self.definition(read, module, of, "grouping")?;
+        if statement.keyword == "uses" {
+            let (home, grouping) = self.definition(sources, module, statement, "grouping")?;
             for inner in grouping
-                .inner
+                .substatements
                 .iter()
                 .filter(|inner| inner.keyword != "description")
             {
-                self.child(read, home, inner, under, depth + 1)?;
+                self.read_child(sources, home, inner, place, depth + 1)?;
             }
             return Ok(());
         }
-        if NODES.contains(&of.keyword.as_str()) {
-            return self.node(read, module, of, under, depth + 1).map(|_| ());
+        if DATA_NODE_KEYWORDS.contains(&statement.keyword.as_str()) {
+            return self
+                .read_node(sources, module, statement, place, depth + 1)
+                .map(|_| ());
         }
-        Err(at(name, of, "is not read here"))
+        Err(error_at(name, statement, "is not read here"))
     }
 
-    fn node(
+    fn read_node(
         &mut self,
-        read: &[Read],
+        sources: &[ModuleSource],
         module: usize,
-        of: &Statement,
+        statement: &Statement,
         (parent, config): (Option<NodeId>, bool),
         depth: usize,
     ) -> Result<NodeId, String> {
-        let name = &read[module].name;
-        if let Some(other) = of
-            .inner
+        let name = &sources[module].name;
+        if let Some(other) = statement
+            .substatements
             .iter()
-            .find(|inner| !OF_NODE.contains(&inner.keyword.as_str()))
+            .find(|inner| !NODE_STATEMENTS.contains(&inner.keyword.as_str()))
         {
-            return Err(at(name, other, "is not read here"));
+            return Err(error_at(name, other, "is not read here"));
         }
         // Read, but of no use here: better refused than silently not kept to.
         if let Some(other) = [
@@ -323,55 +328,65 @@
             "presence",
         ]
         .iter()
-        .find_map(|k| of.one(k))
+        .find_map(|k| statement.substatement(k))
         {
-            return Err(at(name, other, "is not kept to here"));
+            return Err(error_at(name, other, "is not kept to here"));
         }
-        let config = config && of.text("config") != Some("false");
-        let (of_type, type_name) = match of.one("type") {
+        let config = config && statement.argument_of("config") != Some("false");
+        let (leaf_type, type_name) = match statement.substatement("type") {
             Some(statement) => (
-                Some(self.type_of(read, module, statement, 0)?),
+                Some(self.read_type(sources, module, statement, 0)?),
                 statement.argument.clone(),
             ),
             None => (None, String::new()),
         };
-        let typed = || of_type.clone().ok_or_else(|| at(name, of, "has no type"));
-        let kind = match of.keyword.as_str() {
+        let require_type = || {
+            leaf_type
+                .clone()
+                .ok_or_else(|| error_at(name, statement, "has no type"))
+        };
+        let kind = match statement.keyword.as_str() {
             "container" => NodeKind::Container,
             "list" => {
-                let keys = of.text("key").ok_or_else(|| at(name, of, "has no key"))?;
+                let keys = statement
+                    .argument_of("key")
+                    .ok_or_else(|| error_at(name, statement, "has no key"))?;
                 NodeKind::List {
                     keys: keys.split_whitespace().map(str::to_owned).collect(),
                 }
             }
             "leaf" => NodeKind::Leaf {
-                of: typed()?,
-                mandatory: of.text("mandatory") == Some("true"),
+                leaf_type: require_type()?,
+                mandatory: statement.argument_of("mandatory") == Some("true"),
+            },
+            _ => NodeKind::LeafList {
+                leaf_type: require_type()?,
             },
-            _ => NodeKind::LeafList { of: typed()? },
         };
         // Twins would make every path to them mean two things.
         let siblings = parent.map_or(&self.top, |parent| &self.nodes[parent.0].children);
         if siblings
             .iter()
-            .any(|sibling| self.nodes[sibling.0].name == of.argument)
+            .any(|sibling| self.nodes[sibling.0].name == statement.argument)
         {
-            return Err(at(name, of, "stands twice"));
+            return Err(error_at(name, statement, "stands twice"));
         }
         // A grouping's nodes are of the module that uses it.
         let home = parent.map_or(module, |parent| self.nodes[parent.0].module);
-        let id = self.add(of, home, kind, (parent, config), type_name);
-        for inner in of
-            .inner
-            .iter()
-            .filter(|inner| inner.keyword == "uses" || NODES.contains(&inner.keyword.as_str()))
-        {
-            self.child(read, module, inner, (Some(id), config), depth)?;
+        let id = self.add_node(statement, home, kind, (parent, config), type_name);
+        for inner in statement.substatements.iter().filter(|inner| {
+            inner.keyword == "uses" || DATA_NODE_KEYWORDS.contains(&inner.keyword.as_str())
+        }) {
+            self.read_child(sources, module, inner, (Some(id), config), depth)?;
         }
         if let NodeKind::List { keys } = &self.nodes[id.0].kind
             && let Some(key) = keys.iter().find(|key| self.child_named(id, key).is_none())
         {
-            return Err(at(name, of, &format!("has no leaf {key} for its key")));
+            return Err(error_at(
+                name,
+                statement,
+                &format!("has no leaf {key} for its key"),
+            ));
         }
         Ok(id)
     }
@@ -379,106 +394,111 @@
     /// Where a typedef or grouping stands, by a name that may carry a prefix.
     fn definition<'a>(
         &self,
-        read: &[Read<'a>],
+        sources: &[ModuleSource<'a>],
         module: usize,
-        of: &Statement,
+        statement: &Statement,
         keyword: &str,
     ) -> Result<(usize, &'a Statement), String> {
-        let (own, name) = (&read[module], of.argument.as_str());
+        let (own, name) = (&sources[module], statement.argument.as_str());
         let (home, plain) = match name.split_once(':') {
             Some((prefix, plain)) if prefix == own.prefix => (module, plain),
             Some((prefix, plain)) => {
                 let home = own
                     .imports
                     .get(prefix)
-                    .and_then(|home| read.iter().position(|read| read.name == *home));
+                    .and_then(|home| sources.iter().position(|source| source.name == *home));
                 (
-                    home.ok_or_else(|| at(&own.name, of, "no module has this prefix"))?,
+                    home.ok_or_else(|| {
+                        error_at(&own.name, statement, "no module has this prefix")
+                    })?,
                     plain,
                 )
             }
             None => (module, name),
         };
-        let found = read[home]
+        let found = sources[home]
             .statement
-            .inner
+            .substatements
             .iter()
             .find(|inner| inner.keyword == keyword && inner.argument == plain);
         found
             .map(|found| (home, found))
-            .ok_or_else(|| at(&own.name, of, &format!("no such {keyword}")))
+            .ok_or_else(|| error_at(&own.name, statement, &format!("no such {keyword}")))
     }
 
-    fn type_of(
+    fn read_type(
         &self,
-        read: &[Read],
+        sources: &[ModuleSource],
         module: usize,
-        of: &Statement,
+        statement: &Statement,
         depth: usize,
     ) -> Result<Type, String> {
-        let name = &read[module].name;
-        let wrong = |why: &str| at(name, of, why);
-        if depth > CHAIN {
-            return Err(wrong("leads to itself"));
+        let name = &sources[module].name;
+        let fail = |why: &str| error_at(name, statement, why);
+        if depth > MAX_REFERENCE_DEPTH {
+            return Err(fail("leads to itself"));
         }
-        if let Some(other) = of
-            .inner
+        if let Some(other) = statement
+            .substatements
             .iter()
-            .find(|inner| !OF_TYPE.contains(&inner.keyword.as_str()))
+            .find(|inner| !TYPE_STATEMENTS.contains(&inner.keyword.as_str()))
         {
-            return Err(at(name, other, "is not read here"));
+            return Err(error_at(name, other, "is not read here"));
         }
-        let mut found = match of.argument.as_str() {
-            "string" => Type::text(),
-            "int8" => Type::whole(8, true),
-            "int16" => Type::whole(16, true),
-            "int32" => Type::whole(32, true),
-            "int64" => Type::whole(64, true),
-            "uint8" => Type::whole(8, false),
-            "uint16" => Type::whole(16, false),
-            "uint32" => Type::whole(32, false),
-            "uint64" => Type::whole(64, false),
+        let mut found = match statement.argument.as_str() {
+            "string" => Type::string(),
+            "int8" => Type::integer(8, true),
+            "int16" => Type::integer(16, true),
+            "int32" => Type::integer(32, true),
+            "int64" => Type::integer(64, true),
+            "uint8" => Type::integer(8, false),
+            "uint16" => Type::integer(16, false),
+            "uint32" => Type::integer(32, false),
+            "uint64" => Type::integer(64, false),
             "boolean" => Type::Boolean,
             "empty" => Type::Empty,
             "decimal64" => {
-                let digits = of
-                    .text("fraction-digits")
+                let digits = statement
+                    .argument_of("fraction-digits")
                     .and_then(|digits| digits.parse().ok());
                 let digits = digits.filter(|digits| (1..=18).contains(digits));
-                Type::decimal(digits.ok_or_else(|| wrong("has no fraction-digits from 1 to 18"))?)
+                Type::decimal(digits.ok_or_else(|| fail("has no fraction-digits from 1 to 18"))?)
             }
             "enumeration" => {
-                let names: Vec<_> = of.all("enum").map(|name| name.argument.clone()).collect();
+                let names: Vec<_> = statement
+                    .substatements_of("enum")
+                    .map(|name| name.argument.clone())
+                    .collect();
                 if names.is_empty() {
-                    return Err(wrong("has no enum"));
+                    return Err(fail("has no enum"));
                 }
                 Type::Enumeration(names)
             }
             "union" => {
-                let types = of
-                    .all("type")
-                    .map(|inner| self.type_of(read, module, inner, depth + 1));
+                let types = statement
+                    .substatements_of("type")
+                    .map(|inner| self.read_type(sources, module, inner, depth + 1));
                 Type::Union(types.collect::<Result<_, _>>()?)
             }
             "binary" | "bits" | "identityref" | "instance-identifier" | "leafref" => {
-                return Err(wrong("is not read here"));
+                return Err(fail("is not read here"));
             }
             _ => {
-                let (home, typedef) = self.definition(read, module, of, "typedef")?;
+                let (home, typedef) = self.definition(sources, module, statement, "typedef")?;
                 let inner = typedef
-                    .one("type")
-                    .ok_or_else(|| at(name, typedef, "has no type"))?;
-                self.type_of(read, home, inner, depth + 1)?
+                    .substatement("type")
+                    .ok_or_else(|| error_at(name, typedef, "has no type"))?;
+                self.read_type(sources, home, inner, depth + 1)?
             }
         };
-        for inner in &of.inner {
+        for inner in &statement.substatements {
             found = match inner.keyword.as_str() {
-                "range" => found.ranged(&inner.argument),
-                "length" => found.lengths(&inner.argument),
-                "pattern" => found.matching(&inner.argument),
+                "range" => found.with_range(&inner.argument),
+                "length" => found.with_length(&inner.argument),
+                "pattern" => found.with_pattern(&inner.argument),
                 _ => Ok(found),
             }
-            .map_err(|why| at(name, inner, &why))?;
+            .map_err(|why| error_at(name, inner, &why))?;
         }
         Ok(found)
     }
@@ -491,8 +511,8 @@
         &self.modules[self.nodes[id.0].module]
     }
 
-    pub fn child_named(&self, of: NodeId, name: &str) -> Option<NodeId> {
-        self.nodes[of.0]
+    pub fn child_named(&self, parent: NodeId, name: &str) -> Option<NodeId> {
+        self.nodes[parent.0]
             .children
             .iter()
             .copied()
@@ -507,8 +527,8 @@
     }
 
     /// The children of a node, or what stands at the top.
-    pub fn below(&self, of: Option<NodeId>) -> &[NodeId] {
-        of.map_or(&self.top, |of| &self.nodes[of.0].children)
+    pub fn children_of(&self, parent: Option<NodeId>) -> &[NodeId] {
+        parent.map_or(&self.top, |parent| &self.nodes[parent.0].children)
     }
 
     pub fn keys(&self, list: NodeId) -> &[String] {
@@ -519,10 +539,10 @@
     }
 
     /// Where a node stands in the schema, by names.
-    pub fn place(&self, id: NodeId) -> String {
+    pub fn schema_path(&self, id: NodeId) -> String {
         let node = &self.nodes[id.0];
         match node.parent {
-            Some(parent) => format!("{}/{}", self.place(parent), node.name),
+            Some(parent) => format!("{}/{}", self.schema_path(parent), node.name),
             None => format!("/{}:{}", self.modules[node.module].name, node.name),
         }
     }
@@ -532,10 +552,11 @@
     }
 
     /// Whether a path of names leads to something.
-    pub fn at(&self, names: &[&str]) -> Option<NodeId> {
+    pub fn find(&self, names: &[&str]) -> Option<NodeId> {
         let (first, rest) = names.split_first()?;
-        rest.iter().try_fold(self.top_named(first)?, |at, name| {
-            self.child_named(at, name)
-        })
+        rest.iter()
+            .try_fold(self.top_named(first)?, |parent, name| {
+                self.child_named(parent, name)
+            })
     }
 }
--- a/yang/src/yang.rs
+++ b/yang/src/statement.rs
@@ -14,33 +14,36 @@
     pub keyword: String,
     pub argument: String,
     pub line: usize,
-    pub inner: Vec<Statement>,
+    pub substatements: Vec<Statement>,
 }
 
 impl Statement {
-    pub fn all<'a>(&'a self, keyword: &'a str) -> impl Iterator<Item = &'a Statement> {
-        self.inner
+    pub fn substatements_of<'a>(&'a self, keyword: &'a str) -> impl Iterator<Item = &'a Statement> {
+        self.substatements
             .iter()
-            .filter(move |inner| inner.keyword == keyword)
+            .filter(move |statement| statement.keyword == keyword)
     }
 
-    pub fn one(&self, keyword: &str) -> Option<&Statement> {
-        self.inner.iter().find(|inner| inner.keyword == keyword)
+    pub fn substatement(&self, keyword: &str) -> Option<&Statement> {
+        self.substatements
+            .iter()
+            .find(|statement| statement.keyword == keyword)
     }
 
     /// The argument of the one statement of this keyword.
-    pub fn text(&self, keyword: &str) -> Option<&str> {
-        self.one(keyword).map(|inner| inner.argument.as_str())
+    pub fn argument_of(&self, keyword: &str) -> Option<&str> {
+        self.substatement(keyword)
+            .map(|statement| statement.argument.as_str())
     }
 }
 
-type In<'a> = LocatingSlice<&'a str>;
-type Out<T> = Result<T, ErrMode<ContextError>>;
+type Input<'a> = LocatingSlice<&'a str>;
+type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
 /// Statements in statements at most: a text of braces is no reason to run out of stack.
-const DEPTH: usize = 32;
+const MAX_DEPTH: usize = 32;
 
-fn comment(input: &mut In) -> Out<()> {
+fn comment(input: &mut Input) -> ParseResult<()> {
     alt((
         ("//", take_till(0.., '\n')).void(),
         ("/*", take_until(0.., "*/"), "*/").void(),
@@ -48,7 +51,7 @@
     .parse_next(input)
 }
 
-fn gap(input: &mut In) -> Out<()> {
+fn optional_separator(input: &mut Input) -> ParseResult<()> {
     repeat(0.., alt((multispace1.void(), comment))).parse_next(input)
 }
 
@@ -56,7 +59,7 @@
     StrContext::Expected(StrContextValue::Description(what))
 }
 
-fn keyword<'a>(input: &mut In<'a>) -> Out<&'a str> {
+fn keyword<'a>(input: &mut Input<'a>) -> ParseResult<&'a str> {
     take_while(1.., |c: char| {
         c.is_ascii_alphanumeric() || "-_.:".contains(c)
     })
@@ -64,7 +67,7 @@
     .parse_next(input)
 }
 
-fn escape(input: &mut In) -> Out<char> {
+fn escape(input: &mut Input) -> ParseResult<char> {
     preceded(
         '\\',
         cut_err(any.verify_map(|c| match c {
@@ -79,17 +82,17 @@
     .parse_next(input)
 }
 
-fn double(input: &mut In) -> Out<String> {
-    let inner = repeat(0.., alt((escape, none_of(['"', '\\']))));
+fn double_quoted(input: &mut Input) -> ParseResult<String> {
+    let content = repeat(0.., alt((escape, none_of(['"', '\\']))));
     delimited(
         '"',
-        inner,
+        content,
         cut_err('"').context(expected("the end of a text")),
     )
     .parse_next(input)
 }
 
-fn single(input: &mut In) -> Out<String> {
+fn single_quoted(input: &mut Input) -> ParseResult<String> {
     delimited(
         '\'',
         take_till(0.., '\''),
@@ -100,12 +103,16 @@
 }
 
 /// A text, or several joined by plus signs.
-fn quoted(input: &mut In) -> Out<String> {
-    let parts: Vec<String> =
-        separated(1.., alt((double, single)), (gap, '+', gap)).parse_next(input)?;
+fn quoted(input: &mut Input) -> ParseResult<String> {
+    let parts: Vec<String> = separated(
+        1..,
+        alt((double_quoted, single_quoted)),
+        (optional_separator, '+', optional_separator),
+    )
+    .parse_next(input)?;
     // Lines of a long text are joined as they would be read.
-    let lines = parts.concat();
-    let joined = lines.split('\n').enumerate().map(|(number, line)| {
+    let text = parts.concat();
+    let joined = text.split('\n').enumerate().map(|(number, line)| {
         if number == 0 {
             line.trim_end()
         } else {
@@ -115,28 +122,28 @@
     Ok(joined.collect::<Vec<_>>().join("\n"))
 }
 
-fn plain(input: &mut In) -> Out<String> {
+fn unquoted(input: &mut Input) -> ParseResult<String> {
     take_while(1.., |c: char| !c.is_whitespace() && !";{}\"'".contains(c))
         .map(str::to_owned)
         .parse_next(input)
 }
 
-fn statement(input: &mut In, depth: usize) -> Out<Statement> {
-    let place = input.current_token_start();
+fn statement(input: &mut Input, depth: usize) -> ParseResult<Statement> {
+    let offset = input.current_token_start();
     let keyword = keyword(input)?.to_owned();
     let argument = winnow::combinator::opt(preceded(
-        (gap1, winnow::combinator::not(alt((';', '{')))),
-        alt((quoted, plain)),
+        (separator, winnow::combinator::not(alt((';', '{')))),
+        alt((quoted, unquoted)),
     ))
     .parse_next(input)?;
-    gap(input)?;
-    let inner = if depth == 0 {
+    optional_separator(input)?;
+    let substatements = if depth == 0 {
         cut_err(';'.context(expected("fewer statements in statements")))
             .map(|_| vec![])
             .parse_next(input)?
     } else {
         cut_err(
-            alt((';'.map(|_| vec![]), |input: &mut In| block(input, depth)))
+            alt((';'.map(|_| vec![]), |input: &mut Input| block(input, depth)))
                 .context(expected("; or {")),
         )
         .parse_next(input)?
@@ -144,41 +151,45 @@
     Ok(Statement {
         keyword,
         argument: argument.unwrap_or_default(),
-        line: place,
-        inner,
+        line: offset,
+        substatements,
     })
 }
 
-fn gap1(input: &mut In) -> Out<()> {
-    (alt((multispace1.void(), comment)), gap)
+fn separator(input: &mut Input) -> ParseResult<()> {
+    (alt((multispace1.void(), comment)), optional_separator)
         .void()
         .parse_next(input)
 }
 
-fn block(input: &mut In, depth: usize) -> Out<Vec<Statement>> {
-    preceded(('{', gap), |input: &mut In| {
-        let mut inner = vec![];
+fn block(input: &mut Input, depth: usize) -> ParseResult<Vec<Statement>> {
+    preceded(('{', optional_separator), |input: &mut Input| {
+        let mut substatements = vec![];
         loop {
             let start = input.checkpoint();
             if winnow::combinator::opt('}').parse_next(input)?.is_some() {
-                return Ok(inner);
+                return Ok(substatements);
             }
             input.reset(&start);
-            let next = cut_err(|input: &mut In| statement(input, depth - 1))
+            let next = cut_err(|input: &mut Input| statement(input, depth - 1))
                 .context(expected("a statement or }"))
                 .parse_next(input)?;
-            inner.push(next);
-            gap(input)?;
+            substatements.push(next);
+            optional_separator(input)?;
         }
     })
     .parse_next(input)
 }
 
 /// Reads a module; an error names the line.
-pub fn read(text: &str) -> Result<Statement, String> {
-    let mut module = delimited(gap, |input: &mut In| statement(input, DEPTH), gap);
+pub fn parse(text: &str) -> Result<Statement, String> {
+    let mut module = delimited(
+        optional_separator,
+        |input: &mut Input| statement(input, MAX_DEPTH),
+        optional_separator,
+    );
     let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
-    let mut read = terminated(module.by_ref(), winnow::combinator::eof)
+    let mut root = terminated(module.by_ref(), winnow::combinator::eof)
         .parse(LocatingSlice::new(text))
         .map_err(|e| {
             let why = e.inner().to_string().replace('\n', ", ");
@@ -192,15 +203,15 @@
                 }
             )
         })?;
-    lines(&mut read, &line);
-    Ok(read)
+    offsets_to_lines(&mut root, &line);
+    Ok(root)
 }
 
 /// Places become lines.
-fn lines(statement: &mut Statement, line: &impl Fn(usize) -> usize) {
+fn offsets_to_lines(statement: &mut Statement, line: &impl Fn(usize) -> usize) {
     statement.line = line(statement.line);
     statement
-        .inner
+        .substatements
         .iter_mut()
-        .for_each(|inner| lines(inner, line));
+        .for_each(|statement| offsets_to_lines(statement, line));
 }
--- a/yang/src/xml.rs
+++ b/yang/src/xml.rs
@@ -8,7 +8,7 @@
 use quick_xml::events::{BytesRef, BytesStart, Event};
 use quick_xml::name::ResolveResult;
 
-use crate::data::{Content, Data};
+use crate::data::{Content, DataNode};
 use crate::schema::{NodeId, Schema};
 
 /// An element as it was read.
@@ -202,12 +202,12 @@
 }
 
 /// Writes data by the schema; the namespace stands where it changes.
-pub fn write(schema: &Schema, data: &[Data], out: &mut String) {
+pub fn write(schema: &Schema, data: &[DataNode], out: &mut String) {
     data.iter()
         .for_each(|data| write_under(schema, data, None, out));
 }
 
-fn write_under(schema: &Schema, data: &Data, parent: Option<NodeId>, out: &mut String) {
+fn write_under(schema: &Schema, data: &DataNode, parent: Option<NodeId>, out: &mut String) {
     let node = schema.node_of(data.node);
     let changes = parent.is_none_or(|parent| schema.node_of(parent).module != node.module);
     out.push('<');
--- a/yang/tests/model.rs
+++ b/yang/tests/model.rs
@@ -1,13 +1,15 @@
 //! Stories of the published models and of data by them.
 
 use kestreltide_datastore::{Path, Tree};
-use kestreltide_yang::bind::{At, Bind};
-use kestreltide_yang::data::{Content, Data, Instance, Under};
-use kestreltide_yang::edit::{Edit, Op, Tag, apply, at_path, of_json, of_xml, one_of_json};
+use kestreltide_yang::binding::{Binding, ConfigNode};
+use kestreltide_yang::data::{Content, DataBuilder, DataNode, InstancePath};
+use kestreltide_yang::edit::{
+    Edit, ErrorTag, Operation, apply, edit_at_path, edit_from_json, edits_from_json, edits_from_xml,
+};
 use kestreltide_yang::path::{Filter, Pattern};
 use kestreltide_yang::schema::{NodeKind, Schema};
 use kestreltide_yang::types::Type;
-use kestreltide_yang::{MODULES, json, published, tree, xml, yang};
+use kestreltide_yang::{MODULES, json, published, statement, tree_diagram, xml};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -18,8 +20,8 @@
     published().expect("the published modules are well")
 }
 
-fn bind() -> Bind {
-    Bind::new(schema()).expect("model and datastore belong together")
+fn binding() -> Binding {
+    Binding::new(schema()).expect("model and datastore belong together")
 }
 
 fn path(text: &str) -> Path {
@@ -27,20 +29,20 @@
 }
 
 /// The tree after edits written in XML below `<router>`.
-fn edited(tree: &Tree, inner: &str, default: Op) -> Result<Tree, Vec<(Tag, String)>> {
+fn edited(tree: &Tree, inner: &str, default: Operation) -> Result<Tree, Vec<(ErrorTag, String)>> {
     let text = format!("<config xmlns:nc='{NC}'><router xmlns='{NS}'>{inner}</router></config>");
     let element = xml::read(&text, &xml::XmlLimits::default()).expect("well formed");
     let mut errors = vec![];
-    let edits = of_xml(
+    let edits = edits_from_xml(
         schema(),
         None,
-        &Instance::default(),
+        &InstancePath::default(),
         &element.children,
         &mut errors,
     );
     let mut edited = tree.clone();
     if errors.is_empty() {
-        errors = apply(schema(), &bind(), &mut edited, &edits, default)
+        errors = apply(schema(), &binding(), &mut edited, &edits, default)
             .err()
             .unwrap_or_default();
     }
@@ -50,7 +52,7 @@
             assert_eq!(edited, *tree, "nothing is half done");
             Err(errors
                 .into_iter()
-                .map(|error| (error.tag, error.error.to_string()))
+                .map(|error| (error.tag, error.validation.to_string()))
                 .collect())
         }
     }
@@ -65,12 +67,12 @@
     edited(
         &Tree::default(),
         &format!("{hosts}{routes}{more}"),
-        Op::Merge,
+        Operation::Merge,
     )
     .expect("well")
 }
 
-fn as_xml(data: &[Data]) -> String {
+fn as_xml(data: &[DataNode]) -> String {
     let mut out = String::new();
     xml::write(schema(), data, &mut out);
     out
@@ -78,8 +80,8 @@
 
 #[test]
 fn the_published_modules_are_read_and_every_leaf_is_bound_on_both_sides() {
-    bind();
-    let shown = tree::print(schema(), 1);
+    binding();
+    let shown = tree_diagram::print(schema(), 1);
     for line in [
         "module: kestreltide-router",
         "  +--rw router",
@@ -131,38 +133,38 @@
     let text = format!(
         "module m {{\n  yang-version 1.1;\n  namespace \"urn:m\";\n  prefix m;\n  organization \"o\";\n  contact \"c\";\n  description \"d\";\n  revision 2026-12-01;\n{body}\n}}\n"
     );
-    let said = Schema::read(&[("m", &text)]).expect_err("it is refused");
+    let said = Schema::parse(&[("m", &text)]).expect_err("it is refused");
     assert!(said.starts_with("m: ") && said.contains(why), "{said}");
 }
 
 #[test]
 fn statements_nested_without_end_end_the_reading() {
     let deep = "a {".repeat(100_000);
-    assert!(yang::read(&deep).is_err());
-    assert!(yang::read(&"/*".repeat(10)).is_err());
+    assert!(statement::parse(&deep).is_err());
+    assert!(statement::parse(&"/*".repeat(10)).is_err());
 }
 
 /// A type, a text and its canonical form, or why there is none.
 #[rstest]
 #[case(
-    Type::whole(64, false),
+    Type::integer(64, false),
     "18446744073709551615",
     Ok("18446744073709551615")
 )]
 #[case(
-    Type::whole(64, false),
+    Type::integer(64, false),
     "18446744073709551616",
     Err("is not in 0 to 18446744073709551615")
 )]
 #[case(
-    Type::whole(64, true),
+    Type::integer(64, true),
     "-9223372036854775808",
     Ok("-9223372036854775808")
 )]
-#[case(Type::whole(8, true), "+127", Ok("127"))]
-#[case(Type::whole(8, true), "1e2", Err("is no whole number"))]
+#[case(Type::integer(8, true), "+127", Ok("127"))]
+#[case(Type::integer(8, true), "1e2", Err("is no whole number"))]
 #[case(
-    Type::whole(8, true),
+    Type::integer(8, true),
     "99999999999999999999999999999999999999999999",
     Err("is not in -128 to 127")
 )]
@@ -183,26 +185,31 @@
 #[case(Type::decimal(2), "NaN", Err("is no decimal number"))]
 #[case(Type::Boolean, "TRUE", Err("is neither true nor false"))]
 fn values_are_canonical_or_refused(
-    #[case] of: Type,
+    #[case] leaf_type: Type,
     #[case] text: &str,
     #[case] expected: Result<&str, &str>,
 ) {
     assert_eq!(
-        of.canonical(text),
+        leaf_type.canonical(text),
         expected.map(str::to_owned).map_err(str::to_owned)
     );
 }
 
 #[test]
 fn what_is_written_as_xml_and_as_json_reads_back_as_the_same_tree() {
-    let (tree, bind) = (some(), bind());
-    let data = bind.data(schema(), &tree);
+    let (tree, binding) = (some(), binding());
+    let data = binding.tree_data(schema(), &tree);
     let text = as_xml(std::slice::from_ref(&data));
     let inner = text
         .strip_prefix(&format!("<router xmlns=\"{NS}\">"))
         .and_then(|rest| rest.strip_suffix("</router>"));
     assert_eq!(
-        edited(&Tree::default(), inner.expect("one router"), Op::Merge).expect("well"),
+        edited(
+            &Tree::default(),
+            inner.expect("one router"),
+            Operation::Merge
+        )
+        .expect("well"),
         tree
     );
     let value = serde_json::Value::Object(json::members(schema(), &[data], None));
@@ -216,9 +223,15 @@
     );
     assert_eq!(value["kestreltide-router:router"]["ring"]["hold"], true);
     let mut errors = vec![];
-    let edits = of_json(schema(), None, &Instance::default(), &value, &mut errors);
+    let edits = edits_from_json(
+        schema(),
+        None,
+        &InstancePath::default(),
+        &value,
+        &mut errors,
+    );
     let mut again = Tree::default();
-    apply(schema(), &bind, &mut again, &edits, Op::Merge).expect("well");
+    apply(schema(), &binding, &mut again, &edits, Operation::Merge).expect("well");
     assert_eq!((again, errors.len()), (tree, 0));
 }
 
@@ -226,92 +239,100 @@
 #[rstest]
 #[case::unknown(
     "<hosts><hots/></hosts>",
-    Tag::UnknownElement,
+    ErrorTag::UnknownElement,
     "/router/hosts: has no such node (given: hots; taken: host)"
 )]
 #[case::namespace(
     "<hosts xmlns='urn:x'/>",
-    Tag::UnknownNamespace,
+    ErrorTag::UnknownNamespace,
     "is not of the namespace of its module"
 )]
 #[case::attribute(
     "<hosts a='b'/>",
-    Tag::UnknownAttribute,
+    ErrorTag::UnknownAttribute,
     "an attribute that is not known"
 )]
 #[case::operation(
     "<hosts nc:operation='drop'/>",
-    Tag::BadAttribute,
+    ErrorTag::BadAttribute,
     "no such operation (given: drop"
 )]
 #[case::no_key(
     "<hosts><host><weight>1</weight></host></hosts>",
-    Tag::MissingElement,
+    ErrorTag::MissingElement,
     "an entry has no key"
 )]
 #[case::only_key(
     "<hosts><host><name>c</name></host></hosts>",
-    Tag::MissingElement,
+    ErrorTag::MissingElement,
     "an entry says nothing"
 )]
 #[case::range(
     "<hosts><host><name>a</name><weight>101</weight></host></hosts>",
-    Tag::InvalidValue,
+    ErrorTag::InvalidValue,
     "/router/hosts/host[name='a']/weight: is not in 0.01 to 100.0 (given: 101"
 )]
 #[case::huge(
     "<hosts><host><name>a</name><cell>4294967296</cell></host></hosts>",
-    Tag::InvalidValue,
+    ErrorTag::InvalidValue,
     "is not in 0 to 4294967295"
 )]
 #[case::state(
     "<hosts><host><name>a</name><state>gone</state></host></hosts>",
-    Tag::InvalidValue,
+    ErrorTag::InvalidValue,
     "is none of in-service, draining, out"
 )]
 #[case::endpoint(
     "<hosts><host><name>a</name><endpoint>10.0.0.1:0</endpoint></host></hosts>",
-    Tag::InvalidValue,
+    ErrorTag::InvalidValue,
     "can be connected to by nobody"
 )]
 #[case::create_again(
     "<hosts><host nc:operation='create'><name>a</name><weight>1</weight></host></hosts>",
-    Tag::DataExists,
+    ErrorTag::DataExists,
     "is there already"
 )]
 #[case::delete_nothing(
     "<hosts><host nc:operation='delete'><name>c</name></host></hosts>",
-    Tag::DataMissing,
+    ErrorTag::DataMissing,
     "is not there"
 )]
 #[case::delete_leaf(
     "<hosts><host><name>b</name><zone nc:operation='delete'/></host></hosts>",
-    Tag::DataMissing,
+    ErrorTag::DataMissing,
     "/router/hosts/host[name='b']/zone: is not there"
 )]
 #[case::delete_value(
     "<routes><route><name>r</name><host nc:operation='delete'>b</host></route></routes>",
-    Tag::DataMissing,
+    ErrorTag::DataMissing,
     "is not there"
 )]
 #[case::key_deleted(
     "<hosts><host><name nc:operation='delete'>a</name></host></hosts>",
-    Tag::OperationNotSupported,
+    ErrorTag::OperationNotSupported,
     "goes only with its entry"
 )]
 #[case::state_data(
     "<state><clients>5</clients></state>",
-    Tag::InvalidValue,
+    ErrorTag::InvalidValue,
     "is the router's own"
 )]
-#[case::leaf_with_nodes("<ring><build><x/></build></ring>", Tag::UnknownElement, "is a leaf")]
-#[case::text_in_container("<ring>now</ring>", Tag::InvalidValue, "has text, and takes nodes")]
+#[case::leaf_with_nodes(
+    "<ring><build><x/></build></ring>",
+    ErrorTag::UnknownElement,
+    "is a leaf"
+)]
+#[case::text_in_container(
+    "<ring>now</ring>",
+    ErrorTag::InvalidValue,
+    "has text, and takes nodes"
+)]
 fn an_edit_that_cannot_be_done_changes_nothing_and_says_where(
     #[case] inner: &str,
-    #[case] tag: Tag,
+    #[case] tag: ErrorTag,
     #[case] why: &str,
 ) {
-    let errors = edited(&some(), inner, Op::Merge).expect_err("it is refused");
+    let errors = edited(&some(), inner, Operation::Merge).expect_err("it is refused");
     assert!(
         errors[0].0 == tag && errors[0].1.contains(why),
         "{errors:?}"
@@ -325,7 +346,7 @@
     let replaced = edited(
         &tree,
         "<hosts nc:operation='replace'><host><name>c</name><weight>3</weight></host></hosts>",
-        Op::Merge,
+        Operation::Merge,
     );
     let replaced = replaced.expect("well");
     assert_eq!(
@@ -335,7 +356,7 @@
     let one = edited(
         &tree,
         "<hosts><host nc:operation='replace'><name>a</name><size>2</size></host></hosts>",
-        Op::Merge,
+        Operation::Merge,
     )
     .expect("well");
     assert_eq!(
@@ -349,13 +370,13 @@
     let gone = edited(
         &tree,
         "<hosts><host nc:operation='remove'><name>a</name></host><host nc:operation='remove'><name>z</name></host></hosts>",
-        Op::Merge,
+        Operation::Merge,
     );
     assert_eq!(gone.expect("well").hosts.len(), 1);
     let values = edited(
         &tree,
         "<routes><route><name>r</name><operation nc:operation='delete'>set</operation><zone>north</zone></route></routes>",
-        Op::Merge,
+        Operation::Merge,
     );
     let values = values.expect("well");
     assert_eq!(
@@ -368,44 +389,46 @@
     let none = edited(
         &tree,
         "<hosts><host><name>a</name><weight nc:operation='merge'>9</weight></host></hosts>",
-        Op::Nothing,
+        Operation::None,
     )
     .expect("well");
     assert_eq!(get(&none, "hosts/a/weight"), Some("9".into()));
     let way = edited(
         &tree,
         "<hosts><host><name>z</name><weight nc:operation='merge'>9</weight></host></hosts>",
-        Op::Nothing,
+        Operation::None,
     );
     assert_eq!(
         way.expect_err("the way is not there")[0].0,
-        Tag::DataMissing
+        ErrorTag::DataMissing
     );
     let all = edited(
         &tree,
         "<hosts nc:operation='delete'/><routes nc:operation='delete'/>",
-        Op::Merge,
+        Operation::Merge,
     )
     .expect("well");
     assert!(all.hosts.is_empty() && all.routes.is_empty());
 }
 
-fn with_state(tree: &Tree) -> Vec<Data> {
-    let mut router = bind().data(schema(), tree);
-    let state = schema().at(&["router", "state"]).expect("the model has it");
-    let mut under = Under::new(schema(), state);
+fn with_state(tree: &Tree) -> Vec<DataNode> {
+    let mut router = binding().tree_data(schema(), tree);
+    let state = schema()
+        .find(&["router", "state"])
+        .expect("the model has it");
+    let mut under = DataBuilder::new(schema(), state);
     under
         .put("revision", u64::MAX)
         .put("clients", 3)
-        .with("trial", |trial| {
+        .put_inner("trial", |trial| {
             trial
                 .put("build", 42)
                 .put("phase", "on-trial")
                 .put("cap", "0.1");
         });
-    assert!(under.missing.is_empty());
+    assert!(under.unknown_names.is_empty());
     if let Content::Inner(children) = &mut router.content {
-        children.push(under.data());
+        children.push(under.build());
     }
     vec![router]
 }
@@ -428,8 +451,12 @@
 )]
 #[case::nothing("/router/hosts/host[name='c']", "")]
 fn paths_choose_what_is_read(#[case] text: &str, #[case] left: &str) {
-    let patterns = Pattern::xpath(text).expect("a path");
-    assert!(patterns.iter().all(|pattern| pattern.known(schema())));
+    let patterns = Pattern::parse_xpath(text).expect("a path");
+    assert!(
+        patterns
+            .iter()
+            .all(|pattern| pattern.matches_schema(schema()))
+    );
     let kept = as_xml(&Filter::Paths(patterns).prune(schema(), &with_state(&some())));
     let expected = if left.is_empty() {
         String::new()
@@ -480,7 +507,7 @@
 #[case::axes("/router/child::hosts/..")]
 #[case::long(&"/a".repeat(40))]
 fn a_path_that_is_not_read_is_refused(#[case] text: &str) {
-    assert!(Pattern::xpath(text).is_err());
+    assert!(Pattern::parse_xpath(text).is_err());
 }
 
 #[test]
@@ -492,13 +519,13 @@
         ("host", keys),
         ("weight", vec![]),
     ];
-    let (at, node) = Pattern::steps(steps)
+    let (at, node) = Pattern::from_steps(steps)
         .and_then(|pattern| pattern.instance(schema()))
         .expect("one instance");
     assert_eq!(at.to_string(), "/router/hosts/host[name='a']/weight");
     let (node, mut errors) = (node.expect("a node"), vec![]);
-    let parent = Instance(at.0[..3].to_vec());
-    let edit = one_of_json(
+    let parent = InstancePath(at.0[..3].to_vec());
+    let edit = edit_from_json(
         schema(),
         node,
         &parent,
@@ -506,35 +533,35 @@
         &mut errors,
     )
     .expect("a value");
-    let edit = at_path(
+    let edit = edit_at_path(
         schema(),
         &parent,
         Edit {
-            op: Some(Op::Merge),
+            operation: Some(Operation::Merge),
             ..edit
         },
     )
     .expect("a way");
     let mut tree = some();
-    apply(schema(), &bind(), &mut tree, &[edit], Op::Merge).expect("well");
+    apply(schema(), &binding(), &mut tree, &[edit], Operation::Merge).expect("well");
     assert_eq!(
         tree.get(&path("hosts/a/weight"))
             .map(|value| value.to_string()),
         Some("7.5".into())
     );
-    let open =
-        Pattern::steps([("router", vec![]), ("hosts", vec![]), ("host", vec![])]).expect("a path");
+    let open = Pattern::from_steps([("router", vec![]), ("hosts", vec![]), ("host", vec![])])
+        .expect("a path");
     assert!(
         open.instance(schema())
             .expect_err("which?")
             .contains("needs its keys, name")
     );
     assert!(
-        !Pattern::steps([("router", vec![]), ("hots", vec![])])
+        !Pattern::from_steps([("router", vec![]), ("hots", vec![])])
             .expect("a path")
-            .known(schema())
+            .matches_schema(schema())
     );
-    let all = Pattern::steps([
+    let all = Pattern::from_steps([
         ("router", vec![]),
         ("hosts", vec![]),
         ("host", vec![("name".into(), "*".into())]),
@@ -610,16 +637,16 @@
 proptest! {
     #[test]
     fn any_tree_survives_both_codecs(tree in any_tree()) {
-        let data = bind().data(schema(), &tree);
+        let data = binding().tree_data(schema(), &tree);
         let element = xml::read(&format!("<c>{}</c>", as_xml(std::slice::from_ref(&data))), &xml::XmlLimits::default()).expect("well");
         let value = serde_json::Value::Object(json::members(schema(), &[data], None));
         let mut errors = vec![];
-        let of_xml = of_xml(schema(), None, &Instance::default(), &element.children, &mut errors);
-        let of_json = of_json(schema(), None, &Instance::default(), &value, &mut errors);
+        let edits_from_xml = edits_from_xml(schema(), None, &InstancePath::default(), &element.children, &mut errors);
+        let edits_from_json = edits_from_json(schema(), None, &InstancePath::default(), &value, &mut errors);
         prop_assert!(errors.is_empty());
-        for edits in [of_xml, of_json] {
+        for edits in [edits_from_xml, edits_from_json] {
             let mut read = Tree::default();
-            prop_assert!(apply(schema(), &bind(), &mut read, &edits, Op::Merge).is_ok());
+            prop_assert!(apply(schema(), &binding(), &mut read, &edits, Operation::Merge).is_ok());
             prop_assert_eq!(&read, &tree);
         }
     }
@@ -627,10 +654,10 @@
     #[test]
     fn any_text_is_read_or_refused(text in "(<[/a-z!?&;:= '\"]{0,6}>?|[a-z&;\\[\\]/*|='{}\"+ \n\\\\-]{0,6}){0,30}") {
         let _ = xml::read(&text, &xml::XmlLimits::default());
-        let _ = yang::read(&text);
-        let _ = Pattern::xpath(&text);
+        let _ = statement::parse(&text);
+        let _ = Pattern::parse_xpath(&text);
         if let Ok(value) = serde_json::from_str::<serde_json::Value>(&text) {
-            let _ = of_json(schema(), None, &Instance::default(), &value, &mut vec![]);
+            let _ = edits_from_json(schema(), None, &InstancePath::default(), &value, &mut vec![]);
         }
     }
 
@@ -639,8 +666,8 @@
         let text = format!("<c><router xmlns='{NS}'>{inner}</router></c>");
         if let Ok(element) = xml::read(&text, &xml::XmlLimits::default()) {
             let mut errors = vec![];
-            let edits = of_xml(schema(), None, &Instance::default(), &element.children, &mut errors);
-            let _ = apply(schema(), &bind(), &mut some(), &edits, Op::Merge);
+            let edits = edits_from_xml(schema(), None, &InstancePath::default(), &element.children, &mut errors);
+            let _ = apply(schema(), &binding(), &mut some(), &edits, Operation::Merge);
         }
     }
 
@@ -650,7 +677,7 @@
         let text = MODULES[1].1;
         let at = (cut * (text.trim_end().len() - 1) as f64) as usize;
         if text.is_char_boundary(at) {
-            prop_assert!(yang::read(&text[..at]).is_err());
+            prop_assert!(statement::parse(&text[..at]).is_err());
         }
     }
 }
@@ -659,17 +686,17 @@
 fn the_places_of_the_tree_are_there_once_something_is_set() {
     let (empty, full) = (Tree::default(), some());
     for at in [
-        At::Router,
-        At::Hosts,
-        At::Guards,
-        At::Routes,
-        At::Ring,
-        At::Host("a".parse().expect("a name")),
+        ConfigNode::Router,
+        ConfigNode::Hosts,
+        ConfigNode::Guards,
+        ConfigNode::Routes,
+        ConfigNode::Ring,
+        ConfigNode::Host("a".parse().expect("a name")),
     ] {
-        assert!(!at.exists(&empty) && at.exists(&full), "{at:?}");
+        assert!(!at.is_set(&empty) && at.is_set(&full), "{at:?}");
         let mut cleared = full.clone();
         at.clear(&mut cleared);
-        assert!(!at.exists(&cleared), "{at:?}");
+        assert!(!at.is_set(&cleared), "{at:?}");
     }
     assert!(schema().all().all(
         |id| !matches!(&schema().node_of(id).kind, NodeKind::List { keys } if keys.is_empty())
