--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 use std::time::Duration;
 
-use kestreltide_datastore::commit_coordinator::Published;
+use kestreltide_datastore::commit_coordinator::CoordinatorStatus;
 use kestreltide_datastore::view::View;
 use kestreltide_yang::Schema;
 use kestreltide_yang::binding::Binding;
@@ -128,7 +128,7 @@
     binding: Arc<Binding>,
     commit_service: CommitServiceHandle,
 ) -> watch::Receiver<Arc<Snapshot>> {
-    let snapshot = move |number, view: &Arc<View>, published: &Arc<Published>| {
+    let snapshot = move |number, view: &Arc<View>, published: &Arc<CoordinatorStatus>| {
         let (binding, view, published) = (binding.clone(), view.clone(), published.clone());
         Arc::new(Snapshot::new(
             number,
--- a/yang/src/binding.rs
+++ b/yang/src/binding.rs
@@ -4,17 +4,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, UNIX_EPOCH};
 
-use kestreltide_datastore::{HostName, Leaf, Path, Place, RouteName, Tree, ValidationError, Value};
+use kestreltide_datastore::{
+    Container, HostName, Leaf, Path, RouteName, Tree, ValidationError, Value,
+};
 
 use crate::data::{DataBuilder, DataNode, Step};
 use crate::schema::{NodeId, NodeKind, Schema};
 
 /// Where each place's leaves stand in the schema.
-const LEAF_PARENTS: [(Place, &[&str]); 4] = [
-    (Place::Host, &["router", "hosts", "host"]),
-    (Place::Guards, &["router", "guards"]),
-    (Place::Route, &["router", "routes", "route"]),
-    (Place::Ring, &["router", "ring"]),
+const LEAF_PARENTS: [(Container, &[&str]); 4] = [
+    (Container::Host, &["router", "hosts", "host"]),
+    (Container::Guards, &["router", "guards"]),
+    (Container::Route, &["router", "routes", "route"]),
+    (Container::Rollout, &["router", "ring"]),
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +27,7 @@
     Guards,
     Routes,
     Route,
-    Ring,
+    Rollout,
     Leaf(Leaf),
 }
 
@@ -40,7 +42,7 @@
     Guards,
     Routes,
     Route(RouteName),
-    Ring,
+    Rollout,
     Leaf(Path),
     /// All values of a leaf-list.
     Values(Path),
@@ -56,7 +58,7 @@
             ConfigNode::Guards => tree.guards != Default::default(),
             ConfigNode::Routes => !tree.routes.is_empty(),
             ConfigNode::Route(name) => tree.routes.contains_key(name),
-            ConfigNode::Ring => tree.ring != Default::default(),
+            ConfigNode::Rollout => tree.rollout != Default::default(),
             ConfigNode::Leaf(path) | ConfigNode::Values(path) => tree.get(path).is_some(),
         }
     }
@@ -69,7 +71,7 @@
             ConfigNode::Guards => tree.guards = Default::default(),
             ConfigNode::Routes => tree.routes.clear(),
             ConfigNode::Route(name) => drop(tree.routes.remove(name)),
-            ConfigNode::Ring => tree.ring = Default::default(),
+            ConfigNode::Rollout => tree.rollout = Default::default(),
             // Nothing is of every type.
             ConfigNode::Leaf(path) | ConfigNode::Values(path) => drop(tree.set(path, None)),
         }
@@ -98,11 +100,11 @@
             (at(&["router", "guards"])?, NodeBinding::Guards),
             (at(&["router", "routes"])?, NodeBinding::Routes),
             (at(&["router", "routes", "route"])?, NodeBinding::Route),
-            (at(&["router", "ring"])?, NodeBinding::Ring),
+            (at(&["router", "ring"])?, NodeBinding::Rollout),
         ]
         .into();
-        for (place, names) in LEAF_PARENTS {
-            for leaf in Leaf::all_of(place) {
+        for (container, names) in LEAF_PARENTS {
+            for leaf in Leaf::all_of(container) {
                 nodes.insert(
                     at(&[names, &[leaf.name()]].concat())?,
                     NodeBinding::Leaf(leaf),
@@ -147,7 +149,7 @@
             (NodeBinding::Hosts, _) => ConfigNode::Hosts,
             (NodeBinding::Guards, _) => ConfigNode::Guards,
             (NodeBinding::Routes, _) => ConfigNode::Routes,
-            (NodeBinding::Ring, _) => ConfigNode::Ring,
+            (NodeBinding::Rollout, _) => ConfigNode::Rollout,
             (NodeBinding::Host, _) => ConfigNode::Host(
                 key()
                     .parse()
@@ -168,7 +170,7 @@
                 ConfigNode::Leaf(Path::Route(name.clone(), leaf))
             }
             (NodeBinding::Leaf(leaf), ConfigNode::Guards) => ConfigNode::Leaf(Path::Guards(leaf)),
-            (NodeBinding::Leaf(leaf), _) => ConfigNode::Leaf(Path::Ring(leaf)),
+            (NodeBinding::Leaf(leaf), _) => ConfigNode::Leaf(Path::Rollout(leaf)),
         }))
     }
 
@@ -181,7 +183,7 @@
         let leaf = path.leaf();
         let value = leaf
             .parse(text)
-            .map_err(|why| ValidationError::new(path, why, text, leaf.takes()))?;
+            .map_err(|why| ValidationError::new(path, why, text, leaf.expected_format()))?;
         tree.set(path, Some(value))
     }
 
@@ -219,14 +221,14 @@
                 for (name, set) in &tree.hosts {
                     hosts.put_inner("host", |host| {
                         host.put("name", name);
-                        put_leaves(host, Place::Host, |leaf| set.get(leaf));
+                        put_leaves(host, Container::Host, |leaf| set.get(leaf));
                     });
                 }
             });
         }
         if tree.guards != Default::default() {
             router.put_inner("guards", |guards| {
-                put_leaves(guards, Place::Guards, |leaf| tree.guards.get(leaf))
+                put_leaves(guards, Container::Guards, |leaf| tree.guards.get(leaf))
             });
         }
         if !tree.routes.is_empty() {
@@ -234,14 +236,14 @@
                 for (name, set) in &tree.routes {
                     routes.put_inner("route", |route| {
                         route.put("name", name);
-                        put_leaves(route, Place::Route, |leaf| set.get(leaf));
+                        put_leaves(route, Container::Route, |leaf| set.get(leaf));
                     });
                 }
             });
         }
-        if tree.ring != Default::default() {
+        if tree.rollout != Default::default() {
             router.put_inner("ring", |ring| {
-                put_leaves(ring, Place::Ring, |leaf| tree.ring.get(leaf))
+                put_leaves(ring, Container::Rollout, |leaf| tree.rollout.get(leaf))
             });
         }
         router.build()
@@ -255,8 +257,12 @@
     )
 }
 
-fn put_leaves(builder: &mut DataBuilder, place: Place, value: impl Fn(Leaf) -> Option<Value>) {
-    for leaf in Leaf::all_of(place) {
+fn put_leaves(
+    builder: &mut DataBuilder,
+    container: Container,
+    value: impl Fn(Leaf) -> Option<Value>,
+) {
+    for leaf in Leaf::all_of(container) {
         match value(leaf) {
             Some(Value::Names(names)) => names.iter().for_each(|name| {
                 builder.put(leaf.name(), name);
--- a/yang/src/edit.rs
+++ b/yang/src/edit.rs
@@ -321,7 +321,7 @@
     match leaf_type.canonical(text) {
         Ok(value) => Some(value),
         Err(why) => {
-            let given = kestreltide_datastore::tree_builder::shown(text);
+            let given = kestreltide_datastore::tree_builder::printable(text);
             errors.push(EditError::new(
                 ErrorTag::InvalidValue,
                 &schema.node_of(node).name,
@@ -508,7 +508,7 @@
 }
 
 fn shortened(value: &Json) -> String {
-    kestreltide_datastore::tree_builder::shown(&value.to_string())
+    kestreltide_datastore::tree_builder::printable(&value.to_string())
 }
 
 /// An edit of the instance at a path, with ways to it: what it takes is the last node's.
@@ -644,7 +644,7 @@
                             | ConfigNode::Hosts
                             | ConfigNode::Routes
                             | ConfigNode::Guards
-                            | ConfigNode::Ring
+                            | ConfigNode::Rollout
                     )
                 {
                     // Containers are always there.
--- a/yang/tests/model.rs
+++ b/yang/tests/model.rs
@@ -690,7 +690,7 @@
         ConfigNode::Hosts,
         ConfigNode::Guards,
         ConfigNode::Routes,
-        ConfigNode::Ring,
+        ConfigNode::Rollout,
         ConfigNode::Host("a".parse().expect("a name")),
     ] {
         assert!(!at.is_set(&empty) && at.is_set(&full), "{at:?}");
