--- a/measure/src/capacity/slopes/by_clients.rs
+++ b/measure/src/capacity/slopes/by_clients.rs
@@ -148,7 +148,7 @@
     wait(0.3);
     let cpu = cpu_of(&program, || {
         (0..HANDSHAKES)
-            .for_each(|_| assert_eq!(Client::connect(program.at).ask(&["PING"]), "+PONG"));
+            .for_each(|_| assert_eq!(Client::connect(program.at).request(&["PING"]), "+PONG"));
         wait(0.2);
     });
     let handshake_us = cpu / HANDSHAKES as f64 * MICROS;
--- a/measure/src/capacity/slopes/by_hosts.rs
+++ b/measure/src/capacity/slopes/by_hosts.rs
@@ -249,28 +249,28 @@
             "Ready"
         };
         let rev = discovery.change(number / 2, |target| target.state = state);
-        program.logged(&format!("rev: {rev},"));
+        program.wait_for_log(&format!("rev: {rev},"));
     });
     (measured.one_host_us, measured.one_host_ms) = one;
     measured.one_host_bytes = bytes(Kind::Changes, before);
     let before = discovery.sent(Kind::Whole);
     let whole = timed(program, measured.idle_percent, count.div_ceil(4), |_| {
         let rev = discovery.tell_whole();
-        program.logged(&format!("rev: {rev},"));
+        program.wait_for_log(&format!("rev: {rev},"));
     });
     (measured.whole_list_us, measured.whole_list_ms) = whole;
     measured.whole_list_bytes = bytes(Kind::Whole, before);
     let news = timed(program, measured.idle_percent, count, |number| {
         around
             .platform
-            .tell(if number % 2 == 0 { ON_TRIAL } else { RELEASED });
-        program.logged("platform, ");
+            .publish(if number % 2 == 0 { ON_TRIAL } else { RELEASED });
+        program.wait_for_log("platform, ");
     });
     measured.news_us = news.0;
     let text = around.config();
     let reread = timed(program, measured.idle_percent, count.div_ceil(4), |_| {
-        program.reread(&text);
-        program.logged("the configuration was read again");
+        program.reload(&text);
+        program.wait_for_log("the configuration was read again");
     });
     (measured.reread_us, measured.reread_ms) = reread;
 }
--- a/measure/src/capacity/slopes/by_peers.rs
+++ b/measure/src/capacity/slopes/by_peers.rs
@@ -225,7 +225,7 @@
     around.discovery.change_all(|number, target| {
         target.build = if number % 2 == 0 { CANARY } else { BASELINE }
     });
-    around.platform.tell(ON_TRIAL);
+    around.platform.publish(ON_TRIAL);
     wait(TRIAL_BEGINS_S);
     let (before, begun) = (counted(&around), std::time::Instant::now());
     measured.trial_request_us = per_request();
--- a/measure/src/capacity/slopes/by_routers.rs
+++ b/measure/src/capacity/slopes/by_routers.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::time::Instant;
 
-use kestreltide_testkit::{PATIENCE, Program, config, list};
+use kestreltide_testkit::{Program, TEST_TIMEOUT, endpoint_list, router_config};
 use tempfile::TempDir;
 
 use crate::rig;
@@ -197,7 +197,7 @@
                     "\"platform\":{{\"address\":\"{}\"}},\"peer_listen\":\"{own}\",\"peers\":[{peers}],\"settings\"",
                     platform.at
                 );
-                let text = settings(config(discovery.at, &list(0, true, &[])), me, count);
+                let text = settings(router_config(discovery.at, &endpoint_list(0, true, &[])), me, count);
                 text.replace("\"settings\"", &parties)
             })
             .collect();
@@ -219,7 +219,7 @@
             let says = change(number);
             self.routers
                 .iter()
-                .for_each(|router| drop(router.logged(&says)));
+                .for_each(|router| drop(router.wait_for_log(&says)));
         }
         begun.elapsed().as_secs_f64() * 1e3 / CHANGES as f64
     }
@@ -228,7 +228,7 @@
         self.routers
             .iter()
             .zip(&self.configs)
-            .for_each(|(router, text)| router.reread(text));
+            .for_each(|(router, text)| router.reload(text));
     }
 }
 
@@ -294,8 +294,8 @@
     let (counted, begun) = (fleet.hosts.counted(), Instant::now());
     while counted.answered.now().messages < fleet.routers.len() as f64 {
         assert!(
-            begun.elapsed() < PATIENCE,
-            "fewer requests came to the hosts in {PATIENCE:?} than routers are"
+            begun.elapsed() < TEST_TIMEOUT,
+            "fewer requests came to the hosts in {TEST_TIMEOUT:?} than routers are"
         );
         wait(0.1);
     }
@@ -310,7 +310,7 @@
     fleet.discovery.change_all(|number, target| {
         target.build = if number % 2 == 0 { CANARY } else { BASELINE }
     });
-    fleet.platform.tell(ON_TRIAL);
+    fleet.platform.publish(ON_TRIAL);
     let counted = fleet.platform.counted();
     let (votes, answers) = (counted.votes.now(), counted.vote_answers.now());
     let seconds = wait(STARVED_S + 0.5 * sizes.fleet_s);
@@ -341,7 +341,7 @@
         .collect();
     for router in &routers {
         wait_ready(router);
-        router.logged_since_start("a revision is in force");
+        router.wait_for_log_since_start("a revision is in force");
     }
     let mut took = 0.0;
     for _ in 0..CHANGES {
@@ -349,7 +349,7 @@
         let begun = Instant::now();
         routers
             .iter()
-            .for_each(|router| drop(router.logged("a revision is in force")));
+            .for_each(|router| drop(router.wait_for_log("a revision is in force")));
         took += begun.elapsed().as_secs_f64();
     }
     took * 1e3 / CHANGES as f64
--- a/measure/src/capacity/slopes/by_routes.rs
+++ b/measure/src/capacity/slopes/by_routes.rs
@@ -106,10 +106,10 @@
 impl Managed {
     fn new() -> Self {
         let credentials = TestCredentials::new(&[(ENGINEER, "read, weights, routes, ring")]);
-        let operator = credentials.at("operator.ini");
+        let operator = credentials.path("operator.ini");
         let text = format!(
             "[datastore]\nstate-directory = .\n{}",
-            credentials.section()
+            credentials.operator_section()
         );
         fs::write(&operator, text)
             .unwrap_or_else(|e| panic!("{} cannot be written: {e}", operator.display()));
@@ -126,7 +126,7 @@
 
     fn commit(&self, program: &Program, edit: &str) {
         let at = program
-            .logged_address("NETCONF is listened for")
+            .address_in_startup_log("NETCONF is listened for")
             .expect("the log tells the address");
         block_on(async {
             let mut session = Netconf::open(self.credentials.management_client(ENGINEER), at)
@@ -153,7 +153,7 @@
         },
     );
     measured.commit_us = cpu_of(&program, || managed.commit(&program, &edit)) * 1e6;
-    program.logged("a revision is in force");
+    program.wait_for_log("a revision is in force");
     measured.commit_ms = begun.elapsed().as_secs_f64() * 1e3;
     wait(1.0);
     let mut seconds = 0.0;
@@ -174,9 +174,9 @@
     measured.request_us = requests(&program, &load, idle, 0.7 * sizes.load_s).micros;
     drop(load);
     program.signal("TERM");
-    program.lines_until("stopped");
+    program.log_lines_until("stopped");
     drop(program);
-    let saved = managed.credentials.at("revisions.json");
+    let saved = managed.credentials.path("revisions.json");
     measured.saved_bytes = fs::metadata(&saved).map_or(0, |of| of.len()) as f64;
     let (program, ready_ms) = managed.start();
     wait(0.5);
--- a/measure/src/capacity/slopes/files.rs
+++ b/measure/src/capacity/slopes/files.rs
@@ -202,7 +202,7 @@
         for _ in 0..count {
             files.next_version();
             let begun = Instant::now();
-            program.logged(IN_FORCE);
+            program.wait_for_log(IN_FORCE);
             took += begun.elapsed().as_secs_f64();
         }
     });
@@ -215,7 +215,7 @@
     let program = rig::router(&config_alone(), Some(&files.at("operator.ini")));
     wait_ready(&program);
     let ready_ms = begun.elapsed().as_secs_f64() * 1e3;
-    program.logged_since_start(IN_FORCE);
+    program.wait_for_log_since_start(IN_FORCE);
     let (revision_us, revision_ms) = versions(&mut files, &program, sizes.events);
     let resident_mb = memory_of(&program).resident;
     Version {
@@ -253,7 +253,7 @@
     let mut files = Files::new(HOSTS_OF_REVISIONS);
     let program = rig::router(&config_alone(), Some(&files.at("operator.ini")));
     wait_ready(&program);
-    program.logged_since_start(IN_FORCE);
+    program.wait_for_log_since_start(IN_FORCE);
     let mut taken = 0;
     let mut measured = vec![];
     for revisions in sizes.revisions {
--- a/measure/src/capacity/slopes/requests.rs
+++ b/measure/src/capacity/slopes/requests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use kestreltide_testkit::{PATIENCE, Program};
+use kestreltide_testkit::{Program, TEST_TIMEOUT};
 
 use super::load::Load;
 use super::site::{cpu_of, wait};
@@ -34,8 +34,8 @@
         wait(seconds);
         while load.served().served - before.served < LEAST {
             assert!(
-                begun.elapsed() < PATIENCE,
-                "fewer than {LEAST} requests were served in {PATIENCE:?}"
+                begun.elapsed() < TEST_TIMEOUT,
+                "fewer than {LEAST} requests were served in {TEST_TIMEOUT:?}"
             );
             wait(0.1);
         }
--- a/measure/src/capacity/slopes/servers/platform.rs
+++ b/measure/src/capacity/slopes/servers/platform.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    pub(in super::super) fn tell(&self, rollout: Rollout) {
+    pub(in super::super) fn publish(&self, rollout: Rollout) {
         self.rollout.send_replace((rollout, Instant::now()));
     }
 
--- a/measure/src/capacity/slopes/site.rs
+++ b/measure/src/capacity/slopes/site.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use kestreltide_testkit::{PATIENCE, Program, config, list, unused_address};
+use kestreltide_testkit::{Program, TEST_TIMEOUT, endpoint_list, router_config, unused_address};
 
 use crate::rig;
 
@@ -144,7 +144,7 @@
         let known = if self.plan.knows {
             self.discovery.whole().to_string()
         } else {
-            list(0, true, &[])
+            endpoint_list(0, true, &[])
         };
         let peers: Vec<_> = self.peers.at.iter().map(|at| format!("\"{at}\"")).collect();
         let parties = format!(
@@ -152,7 +152,11 @@
             self.platform.at,
             peers.join(",")
         );
-        let text = settings(config(self.discovery.at, &known), 0, self.plan.routers);
+        let text = settings(
+            router_config(self.discovery.at, &known),
+            0,
+            self.plan.routers,
+        );
         let text = text.replace("\"settings\"", &parties);
         if self.plan.asks_lists {
             return text.replace("\"discovery\":\"push\"", "\"discovery\":\"ask\"");
@@ -172,9 +176,9 @@
 
 /// Waits until a router answers PING with PONG.
 pub(super) fn wait_ready(program: &Program) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     let mut client = program.client();
-    while client.ask(&["PING"]) != "+PONG" {
+    while client.request(&["PING"]) != "+PONG" {
         assert!(Instant::now() < until, "a router is not ready");
         thread::sleep(Duration::from_millis(1));
         client = program.client();
@@ -183,7 +187,11 @@
 
 /// A configuration of a router without discovery and platform, for one that engineers or files tell all.
 pub(super) fn config_alone() -> String {
-    settings(config(unused_address(), &list(1, true, &[])), 0, 1)
+    settings(
+        router_config(unused_address(), &endpoint_list(1, true, &[])),
+        0,
+        1,
+    )
 }
 
 /// Processor time of a router while something is done, in seconds.
--- a/measure/src/demo.rs
+++ b/measure/src/demo.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use argh::FromArgs;
-use kestreltide_testkit::{Discovery, Fleet, Host, Platform, Standing, config};
+use kestreltide_testkit::{Discovery, Fleet, Platform, RolloutState, TestHost, router_config};
 
 use crate::rig::{self, Clients};
 
@@ -23,8 +23,8 @@
 /// Hosts of the trial in each stage, and the cap.
 const STAGES: [(usize, f64); 3] = [(1, 0.2), (4, 0.7), (8, 1.0)];
 
-fn listed(rev: u32, hosts: &[&Host], build: impl Fn(&Host) -> u16) -> String {
-    let target = |host: &&Host| {
+fn listed(rev: u32, hosts: &[&TestHost], build: impl Fn(&TestHost) -> u16) -> String {
+    let target = |host: &&TestHost| {
         format!(
             r#"{{"uid":"{}","endpoint":"{}","az":"a","model":"m","pod_group":0,"state":"Ready","capacity_hint":1.0,"boot_ms":0,"build":{}}}"#,
             host.name,
@@ -49,22 +49,22 @@
         let trial_takes = if self.bad { 60 } else { 9 };
         fleet
             .of_tag("build 41")
-            .for_each(|host| host.answers_after(Duration::from_millis(10)));
+            .for_each(|host| host.set_response_time(Duration::from_millis(10)));
         fleet
             .of_tag("build 42")
-            .for_each(|host| host.answers_after(Duration::from_millis(trial_takes)));
+            .for_each(|host| host.set_response_time(Duration::from_millis(trial_takes)));
         let (old, new): (Vec<_>, Vec<_>) = (
             fleet.of_tag("build 41").collect(),
             fleet.of_tag("build 42").collect(),
         );
-        let build = |host: &Host| if &*host.tag == "build 41" { 41 } else { 42 };
-        let standing = |stage: usize| Standing {
+        let build = |host: &TestHost| if &*host.tag == "build 41" { 41 } else { 42 };
+        let standing = |stage: usize| RolloutState {
             build: 42,
             stage: stage as u32,
             progress: "testing",
             cap: STAGES[stage].1,
         };
-        let platform = Platform::start(Standing {
+        let platform = Platform::start(RolloutState {
             build: 41,
             stage: 2,
             progress: "live",
@@ -72,7 +72,7 @@
         });
         let known = listed(1, &old, build);
         let discovery = Discovery::start(1, known.clone());
-        let text = config(discovery.at, &known)
+        let text = router_config(discovery.at, &known)
             .replace(
                 "\"settings\"",
                 &format!(
@@ -107,18 +107,18 @@
                 .chain(&new[..trial])
                 .copied()
                 .collect();
-            discovery.tell(rev, listed(rev, &hosts, build));
-            platform.tell(standing(stage));
+            discovery.publish(rev, listed(rev, &hosts, build));
+            platform.publish(standing(stage));
         };
         stand(stage, rev);
         let mut before = (0, 0);
         let (ended, good) = loop {
             thread::sleep(Duration::from_millis(500));
             platform.ping();
-            let count = |hosts: &[&Host]| {
+            let count = |hosts: &[&TestHost]| {
                 hosts
                     .iter()
-                    .map(|host| host.taken.load(Relaxed))
+                    .map(|host| host.received.load(Relaxed))
                     .sum::<u64>()
             };
             let (earlier, trial) = (count(&old), count(&new));
@@ -141,7 +141,7 @@
                     .any(|(of, said)| *of as usize == stage && said == sense)
             };
             if said("back") {
-                platform.tell(Standing {
+                platform.publish(RolloutState {
                     progress: "recalling",
                     cap: 0.0,
                     ..standing(stage)
@@ -150,7 +150,7 @@
             }
             if said("on") && of_stage.elapsed() > Duration::from_millis(2900) {
                 if stage + 1 == STAGES.len() {
-                    platform.tell(Standing {
+                    platform.publish(RolloutState {
                         progress: "live",
                         ..standing(stage)
                     });
--- a/measure/src/rig.rs
+++ b/measure/src/rig.rs
@@ -10,7 +10,9 @@
 use std::time::Instant;
 
 use hdrhistogram::Histogram;
-use kestreltide_testkit::{Client, Program, Seen, config, list, unused_address};
+use kestreltide_testkit::{
+    AttemptLog, Client, Program, endpoint_list, router_config, unused_address,
+};
 
 /// Set in the environment of a router under measurement.
 pub const AS_ROUTER: &str = "KESTRELTIDE_MEASURE_ROUTER";
@@ -24,7 +26,7 @@
 
 /// A configuration without discovery or platform, with room for many connections.
 pub fn alone() -> String {
-    config(unused_address(), &list(1, true, &[]))
+    router_config(unused_address(), &endpoint_list(1, true, &[]))
         .replace("\"sockets\":256", "\"sockets\":2048")
         .replace("\"memory_mb\":64", "\"memory_mb\":512")
 }
@@ -93,7 +95,7 @@
     pub fn start(
         at: SocketAddr,
         count: usize,
-        checks: Option<(Arc<Seen>, Arc<Sets>)>,
+        checks: Option<(Arc<AttemptLog>, Arc<Sets>)>,
         pause: std::time::Duration,
     ) -> Self {
         let (met, stop) = (Arc::new(Met::default()), Arc::new(AtomicBool::new(false)));
@@ -120,7 +122,7 @@
     number: usize,
     met: &Met,
     stop: &AtomicBool,
-    checks: Option<(Arc<Seen>, Arc<Sets>)>,
+    checks: Option<(Arc<AttemptLog>, Arc<Sets>)>,
     pause: std::time::Duration,
 ) {
     let mut client = Client::connect(at);
@@ -131,14 +133,14 @@
         next += 1;
         let before = checks.as_ref().map(|(_, sets)| sets.now());
         let begun = Instant::now();
-        let mut answer = client.ask(&["Q.ASK", "k", &id, "c=read,d=5000"]);
+        let mut answer = client.request(&["Q.ASK", "k", &id, "c=read,d=5000"]);
         if let Some(parts) = answer
             .strip_prefix('*')
             .and_then(|parts| parts.parse::<usize>().ok())
         {
             // A host's own form: the value, and what stands behind it.
-            answer = client.answer();
-            (1..parts).for_each(|_| drop(client.answer()));
+            answer = client.reply();
+            (1..parts).for_each(|_| drop(client.reply()));
         }
         own.saturating_record(begun.elapsed().as_micros() as u64);
         let count = match answer.as_str() {
--- a/measure/src/watched_files.rs
+++ b/measure/src/watched_files.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use argh::FromArgs;
-use kestreltide_testkit::{Fleet, PATIENCE, Program};
+use kestreltide_testkit::{Fleet, Program, TEST_TIMEOUT};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tempfile::TempDir;
@@ -148,7 +148,10 @@
     }
 
     fn clients(&self, count: usize, pause: Duration) -> Clients {
-        let checks = Some((self.files.fleet.seen.clone(), self.files.sets.clone()));
+        let checks = Some((
+            self.files.fleet.attempt_log.clone(),
+            self.files.sets.clone(),
+        ));
         Clients::start(self.program.at, count, checks, pause)
     }
 }
@@ -230,7 +233,9 @@
         let (hosts, weights) = self.valid_texts();
         let tag = self.tag();
         self.sets.allow(&[&before, &tag]);
-        self.fleet.of_tag(&tag).for_each(|host| host.ends(None));
+        self.fleet
+            .of_tag(&tag)
+            .for_each(|host| host.set_last_attempt_time(None));
         // In either order, by renaming or in place.
         let mut files = [("hosts.ini", hosts), ("weights.ini", weights)];
         if self.chance.random() {
@@ -248,7 +253,7 @@
 
     /// Waits until a client is served by the new set; the hosts of the old one must be left alone from then on.
     fn wait_taken(&mut self, clients: &Clients, before: &str) -> bool {
-        let (tag, until) = (self.tag(), Instant::now() + PATIENCE);
+        let (tag, until) = (self.tag(), Instant::now() + TEST_TIMEOUT);
         while clients.met.last.lock().expect("no panic before").as_deref() != Some(&tag) {
             if Instant::now() > until {
                 return false;
@@ -259,7 +264,7 @@
         let ends = Instant::now() + SEEN;
         self.fleet
             .of_tag(before)
-            .for_each(|host| host.ends(Some(ends)));
+            .for_each(|host| host.set_last_attempt_time(Some(ends)));
         true
     }
 
@@ -381,7 +386,7 @@
     fn dispatches_to(&self, tag: &str) -> u64 {
         self.fleet
             .of_tag(tag)
-            .map(|host| host.taken.load(Relaxed))
+            .map(|host| host.received.load(Relaxed))
             .sum()
     }
 }
@@ -424,7 +429,7 @@
         self.mixed += met.mixed.load(Relaxed);
         self.invalid += met.invalid.load(Relaxed);
         self.lost += met.lost.load(Relaxed);
-        self.late += rig.files.fleet.seen.late.load(Relaxed);
+        self.late += rig.files.fleet.attempt_log.late_attempts.load(Relaxed);
         self.bad += rig.files.dispatches_to("bad");
         self.served += met.served.load(Relaxed);
         self.throttled += met.throttled.load(Relaxed);
@@ -552,7 +557,7 @@
     .expect("written");
     fs::write(at("weights.ini"), weights_text("0", &[])).expect("written");
     let program = rig::router(&rig::alone(), Some(&at("operator.ini")));
-    program.logged("a revision is in force");
+    program.wait_for_log("a revision is in force");
     let start = unix() - 1000.0;
     let versions = [
         ("a", 9, 1.0, 0.0),
@@ -570,7 +575,7 @@
             weight,
             start + later,
         );
-        let line = program.logged("a revision is in force");
+        let line = program.wait_for_log("a revision is in force");
         let pause = line
             .split("pause_ms: ")
             .nth(1)
--- a/router/tests/clients.rs
+++ b/router/tests/clients.rs
@@ -15,12 +15,15 @@
 
 fn router_at(host: SocketAddr, change: impl Fn(String) -> String) -> Program {
     let (_, answers) = channel();
-    let known = list(
+    let known = endpoint_list(
         1,
         true,
         &["a", "b", "c", "d"].map(|name| (name, host, "Ready")),
     );
-    Program::start(BINARY, &change(config(fake_discovery(answers), &known)))
+    Program::start(
+        BINARY,
+        &change(router_config(fake_discovery(answers), &known)),
+    )
 }
 
 /// A host that says what it has got, and answers `held` invocations once it is told to.
@@ -30,9 +33,12 @@
     let at = fake_host(move |words| {
         let _ = met.lock().expect("no panic before").send(words[2].clone());
         if words[2].starts_with("held") {
-            let _ = wait.lock().expect("no panic before").recv_timeout(PATIENCE);
+            let _ = wait
+                .lock()
+                .expect("no panic before")
+                .recv_timeout(TEST_TIMEOUT);
         }
-        value(&words[2])
+        value_reply(&words[2])
     });
     (at, seen, release)
 }
@@ -42,19 +48,22 @@
     let (host, met, release) = holding_host();
     let program = router_at(host, |text| text);
     let (mut first, mut again) = (program.client(), program.client());
-    again.ask(&["Q.ASK", "k", "before", READ]);
+    again.request(&["Q.ASK", "k", "before", READ]);
     first.send(&["Q.ASK", "k", "held", READ]);
     assert_eq!(
-        [met.recv_timeout(PATIENCE), met.recv_timeout(PATIENCE)],
+        [
+            met.recv_timeout(TEST_TIMEOUT),
+            met.recv_timeout(TEST_TIMEOUT)
+        ],
         ["before", "held"].map(|id| Ok(id.into()))
     );
     program.freeze();
     again.send(&["Q.ASK", "k", "held", READ]);
-    first.leave();
+    first.close();
     program.signal("CONT");
-    assert_eq!(met.recv_timeout(PATIENCE), Ok("held".into()));
+    assert_eq!(met.recv_timeout(TEST_TIMEOUT), Ok("held".into()));
     drop(release);
-    assert_eq!(again.answer(), "held");
+    assert_eq!(again.reply(), "held");
 }
 
 /// A client that has written more behind its open invocations than is kept, and is gone: nothing that waited for
@@ -67,16 +76,16 @@
     for id in 0..16 {
         client.send(&["Q.ASK", "k", &format!("held-{id}"), READ]);
     }
-    (0..16).for_each(|_| drop(met.recv_timeout(PATIENCE).expect("the hosts have all")));
+    (0..16).for_each(|_| drop(met.recv_timeout(TEST_TIMEOUT).expect("the hosts have all")));
     // Over what is kept of one client, under what the machine takes for it: its end comes behind that.
     let long = "y".repeat(1000);
     for id in 0..90 {
         client.send(&["Q.ASK", "k", &format!("late-{id}"), READ, &long]);
     }
-    client.leave();
-    assert_eq!(other.ask(&["Q.ASK", "k", "other", READ]), "other");
+    client.close();
+    assert_eq!(other.request(&["Q.ASK", "k", "other", READ]), "other");
     drop(release);
-    other.ask(&["Q.ASK", "k", "last", READ]);
+    other.request(&["Q.ASK", "k", "last", READ]);
     let late: Vec<_> = met.try_iter().filter(|id| id.starts_with("late")).collect();
     assert!(late.is_empty(), "{late:?}");
 }
@@ -94,9 +103,12 @@
         let told = (words[2].clone(), millis.expect("a time"));
         let _ = met.lock().expect("no panic before").send(told);
         if words[2].starts_with("held") {
-            let _ = wait.lock().expect("no panic before").recv_timeout(PATIENCE);
+            let _ = wait
+                .lock()
+                .expect("no panic before")
+                .recv_timeout(TEST_TIMEOUT);
         }
-        value(&words[2])
+        value_reply(&words[2])
     });
     (at, seen, release)
 }
@@ -119,7 +131,7 @@
     for id in 0..16 {
         client.send(&["Q.DO", "k", &format!("held-{id}"), "c=switch,d=10000"]);
     }
-    (0..16).for_each(|_| drop(met.recv_timeout(PATIENCE).expect("the hosts have all")));
+    (0..16).for_each(|_| drop(met.recv_timeout(TEST_TIMEOUT).expect("the hosts have all")));
     // Two of these are more than a router keeps unread of a client.
     for id in 0..long_ones_before {
         client.send(&[
@@ -137,7 +149,7 @@
     client.write(now.as_bytes());
     let mut other = program.client();
     // The router has read all that it will read of it by the time that it answers this.
-    other.ask(&["Q.ASK", "k", "other", READ]);
+    other.request(&["Q.ASK", "k", "other", READ]);
     thread::sleep(PAUSE);
     client.write(later.as_bytes());
     drop(release);
@@ -162,40 +174,40 @@
 #[test]
 fn what_waits_for_its_connection_is_not_sent_once_its_client_is_gone() {
     let mut listener = TestListener::open();
-    listener.shut();
+    listener.stop_accepting();
     let program = router_at(listener.at, patient);
     let mut gone = program.client();
     gone.send(&["Q.DO", "k", "gone", "c=switch,d=20000"]);
     listener.wait_for_connection();
-    gone.leave();
+    gone.close();
     let mut stays = program.client();
     // Answered after the close has been read.
-    stays.ask(&["PING"]);
+    stays.request(&["PING"]);
     // The first parts of handshakes come again after the same time each: what was sent first comes first.
     thread::sleep(Duration::from_millis(100));
     stays.send(&["Q.DO", "k", "stays", "c=switch,d=20000"]);
-    program.client().ask(&["PING"]);
-    listener.reopen();
+    program.client().request(&["PING"]);
+    listener.resume_accepting();
     let host = listener.accept();
-    let read = words(&mut BufReader::new(&host)).map(|words| words[2].clone());
+    let read = read_command(&mut BufReader::new(&host)).map(|words| words[2].clone());
     assert_eq!(read.as_deref(), Some("stays"));
 }
 
 #[test]
 fn what_waits_for_its_connection_is_not_sent_once_its_client_is_gone_though_that_is_not_read_yet() {
     let mut listener = TestListener::open();
-    listener.shut();
+    listener.stop_accepting();
     let program = router_at(listener.at, patient);
     let mut gone = program.client();
     gone.send(&["Q.DO", "k", "gone", "c=switch,d=20000"]);
     listener.wait_for_connection();
     program.freeze();
-    gone.leave();
-    listener.reopen();
+    gone.close();
+    listener.resume_accepting();
     // The connection is up: the router learns of both in one wake, and what concerns hosts goes first.
     let host = listener.accept();
     program.signal("CONT");
-    assert_eq!(words(&mut BufReader::new(&host)), None);
+    assert_eq!(read_command(&mut BufReader::new(&host)), None);
 }
 
 /// An attempt has come back, and its request could be sent to another host.
@@ -207,12 +219,15 @@
     let ((met, wait), (answered, ended)) = ((Mutex::new(met), Mutex::new(wait)), channel());
     let answered = Mutex::new(answered);
     let host = spawn_server(move |stream| {
-        answer_each(stream.try_clone().expect("a second handle"), |words| {
+        serve_commands(stream.try_clone().expect("a second handle"), |words| {
             let _ = met.lock().expect("no panic before").send(words[2].clone());
             if words[2] != "gone" {
-                return value(&words[2]);
+                return value_reply(&words[2]);
             }
-            let _ = wait.lock().expect("no panic before").recv_timeout(PATIENCE);
+            let _ = wait
+                .lock()
+                .expect("no panic before")
+                .recv_timeout(TEST_TIMEOUT);
             let _ = (&stream).write_all(b"-BUSY\r\n");
             let _ = answered.lock().expect("no panic before").send(());
             Some(String::new())
@@ -221,23 +236,23 @@
     let program = router_at(host, |text| text);
     let mut gone = program.client();
     gone.send(&["Q.ASK", "k", "gone", READ]);
-    assert_eq!(seen.recv_timeout(PATIENCE), Ok("gone".into()));
+    assert_eq!(seen.recv_timeout(TEST_TIMEOUT), Ok("gone".into()));
     gone.write(then);
     let mut stays = program.client();
-    stays.ask(&["PING"]);
+    stays.request(&["PING"]);
     if frozen {
         program.freeze();
     }
-    gone.leave();
+    gone.close();
     if !frozen {
-        stays.ask(&["PING"]);
+        stays.request(&["PING"]);
     }
     drop(release);
-    ended.recv_timeout(PATIENCE).expect("the host answers");
+    ended.recv_timeout(TEST_TIMEOUT).expect("the host answers");
     if frozen {
         program.signal("CONT");
     }
-    assert_eq!(stays.ask(&["Q.ASK", "k", "stays", READ]), "stays");
-    assert_eq!(stays.ask(&["Q.ASK", "k", "last", READ]), "last");
+    assert_eq!(stays.request(&["Q.ASK", "k", "stays", READ]), "stays");
+    assert_eq!(stays.request(&["Q.ASK", "k", "last", READ]), "last");
     assert_eq!(seen.try_iter().collect::<Vec<_>>(), ["stays", "last"]);
 }
--- a/router/tests/discovery.rs
+++ b/router/tests/discovery.rs
@@ -12,7 +12,7 @@
 const READ: &str = "c=read,d=5000";
 
 fn named(name: &'static str) -> SocketAddr {
-    fake_host(move |_| value(name))
+    fake_host(move |_| value_reply(name))
 }
 
 /// The next question on a connection: what it asks for.
@@ -35,26 +35,29 @@
     let (a, b) = (named("a"), named("b"));
     let program = Program::start(
         BINARY,
-        &config(listener.at, &list(1, true, &[("a", a, "Ready")])),
+        &router_config(listener.at, &endpoint_list(1, true, &[("a", a, "Ready")])),
     );
     let stream = listener.accept();
     let mut reader = BufReader::new(&stream);
     assert!(question(&mut reader).is_some_and(|asked| !asked.contains("from=")));
     answer(
         &stream,
-        &list(2, true, &[("a", a, "Ready"), ("b", b, "Ready")]),
+        &endpoint_list(2, true, &[("a", a, "Ready"), ("b", b, "Ready")]),
     );
     assert!(question(&mut reader).is_some_and(|asked| asked.contains("from=2")));
-    listener.shut();
+    listener.stop_accepting();
     drop(stream);
     // A whole wait of a watch, 6 s, would be lost on it, and what happens meanwhile counts as told.
-    program.logged("the connection does not come up");
-    listener.reopen();
+    program.wait_for_log("the connection does not come up");
+    listener.resume_accepting();
     let stream = listener.accept();
     assert!(question(&mut BufReader::new(&stream)).is_some_and(|asked| asked.contains("from=2")));
-    answer(&stream, &list(3, false, &[("a", a, "Terminating")]));
-    program.logged("rev: 3");
-    assert_eq!(program.client().ask(&["Q.ASK", "k", "id", READ]), "b");
+    answer(
+        &stream,
+        &endpoint_list(3, false, &[("a", a, "Terminating")]),
+    );
+    program.wait_for_log("rev: 3");
+    assert_eq!(program.client().request(&["Q.ASK", "k", "id", READ]), "b");
 }
 
 /// A discovery that has lost its count: it is followed by its whole list, and not asked without end.
@@ -63,7 +66,7 @@
     let asked = Arc::new(AtomicU32::new(0));
     let count = asked.clone();
     let (a, b) = (named("a"), named("b"));
-    let (whole, changes) = (Mutex::new(0), list(3, false, &[]));
+    let (whole, changes) = (Mutex::new(0), endpoint_list(3, false, &[]));
     let at = spawn_server(move |stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         while let Some(asked) = question(&mut reader) {
@@ -72,15 +75,15 @@
             match asked {
                 asked if asked.contains("from=9&") => answer(&stream, &changes),
                 asked if asked.contains("from=") => return,
-                _ if *whole == 0 => answer(&stream, &list(9, true, &[("a", a, "Ready")])),
-                _ => answer(&stream, &list(2, true, &[("b", b, "Ready")])),
+                _ if *whole == 0 => answer(&stream, &endpoint_list(9, true, &[("a", a, "Ready")])),
+                _ => answer(&stream, &endpoint_list(2, true, &[("b", b, "Ready")])),
             }
             *whole += 1;
         }
     });
-    let program = Program::start(BINARY, &config(at, &list(1, true, &[])));
-    program.logged("rev: 2");
-    assert_eq!(program.client().ask(&["Q.ASK", "k", "id", READ]), "b");
+    let program = Program::start(BINARY, &router_config(at, &endpoint_list(1, true, &[])));
+    program.wait_for_log("rev: 2");
+    assert_eq!(program.client().request(&["Q.ASK", "k", "id", READ]), "b");
     assert!(asked.load(Relaxed) < 10, "{}", asked.load(Relaxed));
 }
 
@@ -100,18 +103,21 @@
             match seen.len() {
                 0 => answer(
                     &stream,
-                    &list(2, true, &[("a", a, "Ready"), ("b", b, "Ready")]),
+                    &endpoint_list(2, true, &[("a", a, "Ready"), ("b", b, "Ready")]),
                 ),
                 // Silent from here on, though it stays open.
                 1 => {}
-                _ => answer(&stream, &list(3, false, &[("a", a, "Terminating")])),
+                _ => answer(
+                    &stream,
+                    &endpoint_list(3, false, &[("a", a, "Terminating")]),
+                ),
             }
         }
     });
-    let program = Program::start(BINARY, &config(at, &list(1, true, &[])));
-    program.logged("rev: 3");
+    let program = Program::start(BINARY, &router_config(at, &endpoint_list(1, true, &[])));
+    program.wait_for_log("rev: 3");
     let asked = asked.lock().expect("no panic before");
     let between = asked[1].duration_since(asked[0]).as_secs_f64();
     assert!((5.0..6.5).contains(&between), "{between}");
-    assert_eq!(program.client().ask(&["Q.ASK", "k", "id", READ]), "b");
+    assert_eq!(program.client().request(&["Q.ASK", "k", "id", READ]), "b");
 }
--- a/router/tests/full_size.rs
+++ b/router/tests/full_size.rs
@@ -23,7 +23,7 @@
 const FILE: usize = 4 << 20;
 
 fn well() -> SocketAddr {
-    fake_host(|words| value(&format!("of {}", words[2])))
+    fake_host(|words| value_reply(&format!("of {}", words[2])))
 }
 
 /// A list of hosts that are all at one address, by their numbers.
@@ -40,7 +40,7 @@
         .iter()
         .map(|(name, state)| (name.as_str(), at, *state))
         .collect();
-    list(rev, all, &told)
+    endpoint_list(rev, all, &told)
 }
 
 fn ready(numbers: impl Iterator<Item = usize>) -> impl Iterator<Item = (usize, &'static str)> {
@@ -83,17 +83,20 @@
     let (lists, answers) = channel();
     let program = Program::start(
         BINARY,
-        &config(fake_discovery(answers), &list(1, true, &[])),
+        &router_config(fake_discovery(answers), &endpoint_list(1, true, &[])),
     );
     lists
         .send(hosts(2, true, at, ready(0..count)))
         .expect("discovery runs");
-    program.logged("ready");
+    program.wait_for_log("ready");
     (program, lists)
 }
 
 fn served(program: &Program) {
-    assert_eq!(program.client().ask(&["Q.ASK", "k", "id", READ]), "of id");
+    assert_eq!(
+        program.client().request(&["Q.ASK", "k", "id", READ]),
+        "of id"
+    );
 }
 
 #[test]
@@ -103,14 +106,14 @@
     lists
         .send(hosts(3, true, at, ready(0..HOSTS + 1)))
         .expect("discovery runs");
-    let told = program.logged("more hosts are listed than can be kept");
+    let told = program.wait_for_log("more hosts are listed than can be kept");
     assert!(
         told.contains("left_out: 1,") && told.contains("most: 16384"),
         "{told}"
     );
     assert!(
         program
-            .logged("rev: 3")
+            .wait_for_log("rev: 3")
             .contains("entries: 16384, running: 16384")
     );
     served(&program);
@@ -133,7 +136,7 @@
         (4, one_for_one, "entries: 2"),
     ] {
         lists.send(list).expect("discovery runs");
-        let line = program.logged("host");
+        let line = program.wait_for_log("host");
         assert!(
             line.contains(&format!("rev: {rev}")) && line.contains(entries),
             "{line}"
@@ -155,9 +158,9 @@
         .send(padded(hosts(3, true, at, ready(0..HOSTS)), length))
         .expect("discovery runs");
     match refused {
-        None => drop(program.logged("rev: 3")),
+        None => drop(program.wait_for_log("rev: 3")),
         Some(why) => {
-            let line = program.logged("discovery does not answer");
+            let line = program.wait_for_log("discovery does not answer");
             assert!(line.contains(why), "{line}");
         }
     }
@@ -206,19 +209,22 @@
 fn bad_lists_at_the_full_size_cost_no_request() {
     let at = well();
     let (lists, answers) = channel();
-    let text = config(torn_discovery(answers), &list(1, true, &[]));
+    let text = router_config(torn_discovery(answers), &endpoint_list(1, true, &[]));
     let program = Program::start(BINARY, &text);
     lists
         .send((plain(&hosts(10, true, at, ready(0..HOSTS))), true))
         .expect("discovery runs");
-    program.logged("rev: 10");
+    program.wait_for_log("rev: 10");
     let (stop, mut client) = (Arc::new(AtomicBool::new(false)), program.client());
     let stopped = stop.clone();
     let asking = thread::spawn(move || {
         let mut count = 0;
         while !stopped.load(Relaxed) || count < 10 {
             let id = format!("id{count}");
-            assert_eq!(client.ask(&["Q.ASK", "k", &id, READ]), format!("of {id}"));
+            assert_eq!(
+                client.request(&["Q.ASK", "k", &id, READ]),
+                format!("of {id}")
+            );
             count += 1;
         }
     });
@@ -258,7 +264,7 @@
     ];
     for (answer, told) in steps {
         lists.send(answer).expect("discovery runs");
-        program.logged(told);
+        program.wait_for_log(told);
     }
     stop.store(true, Relaxed);
     asking.join().expect("every request was answered");
@@ -324,7 +330,7 @@
 
 #[test]
 fn a_configuration_file_at_its_limit_is_read_and_one_byte_more_is_refused() {
-    let text = config(unused_address(), &list(1, true, &[]));
+    let text = router_config(unused_address(), &endpoint_list(1, true, &[]));
     checked(&padded(text.clone(), FILE)).expect("well");
     let why = checked(&padded(text, FILE + 1)).expect_err("refused");
     assert!(
@@ -346,7 +352,7 @@
     #[case] known: usize,
     #[case] tenants: usize,
 ) {
-    let text = config(
+    let text = router_config(
         unused_address(),
         &hosts(1, true, unused_address(), ready(0..known)),
     );
@@ -399,7 +405,7 @@
     #[case] field: &str,
     #[case] limit: &str,
 ) {
-    let text = config(
+    let text = router_config(
         unused_address(),
         &hosts(1, true, unused_address(), ready(0..known)),
     );
@@ -424,7 +430,7 @@
     #[case] items: String,
     #[case] field: &str,
 ) {
-    let text = config(unused_address(), &list(1, true, &[]));
+    let text = router_config(unused_address(), &endpoint_list(1, true, &[]));
     let with = format!("\"settings\":{{\"x\":[{}0],", items);
     let text = with_memory(&text.replace("\"settings\":{", &with), 16);
     let why = checked(&text).expect_err("refused");
@@ -442,9 +448,9 @@
     #[case] field: &str,
     #[case] length: usize,
 ) {
-    let text = config(
+    let text = router_config(
         unused_address(),
-        &list(1, true, &[("a", unused_address(), "Ready")]),
+        &endpoint_list(1, true, &[("a", unused_address(), "Ready")]),
     );
     let becomes = |length: usize| format!("\"{field}\":\"{}\"", "n".repeat(length));
     checked(&text.replace(is, &becomes(256))).expect("well");
@@ -459,24 +465,29 @@
 #[case::says_more(100_000)]
 fn a_reread_configuration_that_memory_does_not_bear_is_not_taken(#[case] memory_mb: usize) {
     let (lists, answers) = channel();
-    let text = config(
+    let text = router_config(
         fake_discovery(answers),
-        &list(1, true, &[("a", well(), "Ready")]),
+        &endpoint_list(1, true, &[("a", well(), "Ready")]),
     );
     let program = Program::start(BINARY, &with_memory(&text, 32));
-    lists.send(list(2, false, &[])).expect("discovery runs");
-    program.logged("ready");
-    program.reread(&with_memory(&with_peers(&text, 20_000), memory_mb));
-    let line = program.logged("the configuration read again is not taken");
+    lists
+        .send(endpoint_list(2, false, &[]))
+        .expect("discovery runs");
+    program.wait_for_log("ready");
+    program.reload(&with_memory(&with_peers(&text, 20_000), memory_mb));
+    let line = program.wait_for_log("the configuration read again is not taken");
     assert!(
         line.contains("peers: more than memory bears (20000 addresses; "),
         "{line}"
     );
     assert!(line.contains("where limits.memory_mb is 32)"), "{line}");
     served(&program);
-    let moved = Discovery::start(5, list(5, true, &[("b", well(), "Ready")]));
-    program.reread(&with_memory(&config(moved.at, &list(1, true, &[])), 32));
-    program.logged("rev: 5");
+    let moved = Discovery::start(5, endpoint_list(5, true, &[("b", well(), "Ready")]));
+    program.reload(&with_memory(
+        &router_config(moved.at, &endpoint_list(1, true, &[])),
+        32,
+    ));
+    program.wait_for_log("rev: 5");
     served(&program);
 }
 
@@ -490,9 +501,9 @@
         peer.local_addr().expect("an address")
     );
     let (_lists, answers) = channel();
-    let text = config(
+    let text = router_config(
         fake_discovery(answers),
-        &list(1, true, &[("a", well(), "Ready")]),
+        &endpoint_list(1, true, &[("a", well(), "Ready")]),
     );
     let text = text
         .replace("\"settings\"", &with)
@@ -505,7 +516,7 @@
         peer.send_to(payload, listen).expect("it is sent");
     }
     peer.send_to(&[7; 257], listen).expect("it is sent");
-    let line = program.logged("a datagram is from no peer or too long");
+    let line = program.wait_for_log("a datagram is from no peer or too long");
     assert!(
         line.contains(&peer.local_addr().expect("an address").to_string()),
         "{line}"
@@ -531,15 +542,15 @@
     });
     let with = format!("\"platform\":{{\"address\":\"{at}\"}},\"settings\"");
     let (_lists, answers) = channel();
-    let text = config(
+    let text = router_config(
         fake_discovery(answers),
-        &list(1, true, &[("a", well(), "Ready")]),
+        &endpoint_list(1, true, &[("a", well(), "Ready")]),
     );
     let program = Program::start(BINARY, &text.replace("\"settings\"", &with));
     lines.send(progress(8192)).expect("the platform runs");
-    program.logged("platform, ");
+    program.wait_for_log("platform, ");
     lines.send(progress(8193)).expect("the platform runs");
-    let line = program.logged("the platform's connection is lost");
+    let line = program.wait_for_log("the platform's connection is lost");
     assert!(
         line.contains("a line is too long (8192 bytes at most)"),
         "{line}"
@@ -552,8 +563,8 @@
 #[test]
 fn a_line_of_the_log_is_written_in_one_piece() {
     let (ours, theirs) = UnixDatagram::pair().expect("a pair");
-    ours.set_read_timeout(Some(PATIENCE)).expect("a time");
-    let text = config(unused_address(), &list(1, true, &[]));
+    ours.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time");
+    let text = router_config(unused_address(), &endpoint_list(1, true, &[]));
     let mut command = Program::command(BINARY, "serve", &text);
     command.stderr(Stdio::from(OwnedFd::from(theirs)));
     let mut child = command.spawn().expect("it runs");
@@ -613,7 +624,10 @@
     let mut command = std::process::Command::new(BINARY);
     command.arg("check-operator").arg(at("operator.ini"));
     if let Some(memory_mb) = memory_mb {
-        let text = with_memory(&config(unused_address(), &list(1, true, &[])), memory_mb);
+        let text = with_memory(
+            &router_config(unused_address(), &endpoint_list(1, true, &[])),
+            memory_mb,
+        );
         fs::write(at("config.json"), text).expect("a writable folder");
         command.arg("--config").arg(at("config.json"));
     }
@@ -631,7 +645,7 @@
     let (_lists, answers) = channel();
     let known = hosts(1, true, at, ready(0..HOSTS));
     let text = with_memory(
-        &with_peers(&config(fake_discovery(answers), &known), 760),
+        &with_peers(&router_config(fake_discovery(answers), &known), 760),
         256,
     );
     let program = Program::start(BINARY, &text);
--- a/router/tests/management.rs
+++ b/router/tests/management.rs
@@ -32,7 +32,7 @@
 fn named(name: &'static str) -> SocketAddr {
     fake_host(move |_| {
         std::thread::sleep(Duration::from_millis(20));
-        value(name)
+        value_reply(name)
     })
 }
 
@@ -51,8 +51,8 @@
         let hosts = [named("of a"), named("of b")];
         let watch = "[datastore]\nstate-directory = .\n[watch]\nhosts = hosts.ini\ndiscovery = off\nsettle = 0.005\npoll = 0.02\n";
         fs::write(
-            credentials.at("operator.ini"),
-            format!("{watch}{}", credentials.section()),
+            credentials.path("operator.ini"),
+            format!("{watch}{}", credentials.operator_section()),
         )
         .expect("written");
         write_hosts(&credentials, "1", &hosts, "");
@@ -87,8 +87,8 @@
 
     /// Waits until the file that outlives the router holds this: how long a busy disk takes is not known.
     async fn remembers(&self, what: &str) {
-        let file = self.credentials.at("revisions.json");
-        let until = Instant::now() + PATIENCE;
+        let file = self.credentials.path("revisions.json");
+        let until = Instant::now() + TEST_TIMEOUT;
         while !fs::read_to_string(&file).is_ok_and(|text| text.contains(what)) {
             assert!(Instant::now() < until, "{what} is not remembered");
             sleep(Duration::from_millis(20)).await;
@@ -101,7 +101,7 @@
         for (id, client) in clients.iter_mut().enumerate() {
             client.send(&["Q.ASK", "k", &format!("{turn}-{id}"), "c=read,d=5000"]);
         }
-        let mut seen: Vec<_> = clients.iter_mut().map(Client::answer).collect();
+        let mut seen: Vec<_> = clients.iter_mut().map(Client::reply).collect();
         seen.sort();
         seen.dedup();
         seen
@@ -111,15 +111,15 @@
 fn addresses(program: &Program) -> (SocketAddr, SocketAddr) {
     let at = |what| {
         program
-            .logged_address(what)
+            .address_in_startup_log(what)
             .expect("the line tells the address")
     };
     (at("NETCONF is listened for"), at("gNMI is listened for"))
 }
 
 fn start(credentials: &TestCredentials) -> Program {
-    let operator = credentials.at("operator.ini").display().to_string();
-    let text = config(unused_address(), &list(1, true, &[]))
+    let operator = credentials.path("operator.ini").display().to_string();
+    let text = router_config(unused_address(), &endpoint_list(1, true, &[]))
         .replace("\"sockets\":256", "\"sockets\":1024");
     Program::start_with(BINARY, &text, &[("KESTRELTIDE_OPERATOR", operator)])
 }
@@ -138,8 +138,8 @@
         "generation = {generation}\n{loose}{entries}[end]\nhosts = {}\ngeneration = {generation}\n",
         hosts.len()
     );
-    fs::write(credentials.at("new"), text)
-        .and_then(|()| fs::rename(credentials.at("new"), credentials.at("hosts.ini")))
+    fs::write(credentials.path("new"), text)
+        .and_then(|()| fs::rename(credentials.path("new"), credentials.path("hosts.ini")))
         .expect("replaced");
 }
 
@@ -327,7 +327,7 @@
         );
         // A file that says another thing of the same leaf waits for nobody, and is refused with the leaf.
         write_hosts(&site.credentials, "2", &site.hosts, "weight = 5\n");
-        let line = site.program.logged("the files are refused");
+        let line = site.program.wait_for_log("the files are refused");
         assert!(
             line.contains(
                 "hosts/a/weight: was changed since revision 1 by revision 2 (management by rui"
@@ -445,8 +445,8 @@
         assert_eq!(site.served("out"), ["of b"]);
         netconf.abandon().await;
         site.program
-            .logged("a commit that was not confirmed is undone");
-        site.program.logged("a revision is in force");
+            .wait_for_log("a commit that was not confirmed is undone");
+        site.program.wait_for_log("a revision is in force");
         assert_eq!(site.served("back"), ["of a", "of b"]);
         let mut netconf = site.netconf("ana").await;
         assert!(
@@ -454,7 +454,7 @@
                 && ok(&netconf.rpc(&confirmed(1)).await)
         );
         site.program
-            .logged("a commit that was not confirmed is undone");
+            .wait_for_log("a commit that was not confirmed is undone");
         let mut gnmi = site.gnmi("rui").await;
         let ext = |action| {
             vec![Extension {
@@ -500,8 +500,9 @@
     site.program.signal("KILL");
     site.restart();
     site.program
-        .logged_since_start("a commit that was not confirmed is undone");
-    site.program.logged_since_start("a revision is in force");
+        .wait_for_log_since_start("a commit that was not confirmed is undone");
+    site.program
+        .wait_for_log_since_start("a revision is in force");
     assert_eq!(site.served("restarted"), ["of a", "of b"]);
 }
 
@@ -534,12 +535,12 @@
         write_hosts(&site.credentials, "2", &site.hosts, "size = 2\n");
         assert!(
             site.program
-                .logged("the files are held back")
+                .wait_for_log("the files are held back")
                 .contains("holds the lock")
         );
         one.abandon().await;
-        site.program.logged("a NETCONF session ended");
-        site.program.logged("the files are taken");
+        site.program.wait_for_log("a NETCONF session ended");
+        site.program.wait_for_log("the files are taken");
         gnmi.set(set).await.expect("free");
     });
 }
@@ -586,14 +587,14 @@
         );
         // A file of keys that is not well changes nothing; one without eva and gil ends what they had.
         fs::write(
-            site.credentials.at("keys.ini"),
+            site.credentials.path("keys.ini"),
             "generation = 2\n[key ana]\n",
         )
         .expect("written");
-        site.program.logged("the file of keys is refused");
+        site.program.wait_for_log("the file of keys is refused");
         assert!(eva.rpc("<get/>").await.is_ok());
         site.credentials.write_keys("3", &["ana", "rui"]);
-        site.program.logged("keys are taken");
+        site.program.wait_for_log("keys are taken");
         assert!(eva.rpc("<get/>").await.is_err());
         assert_eq!(
             gil.set(SetRequest::default())
--- a/router/tests/operators.rs
+++ b/router/tests/operators.rs
@@ -76,13 +76,13 @@
         let operator = self.at("operator.ini").display().to_string();
         Program::start_with(
             BINARY,
-            &config(discovery, known),
+            &router_config(discovery, known),
             &[("KESTRELTIDE_OPERATOR", operator)],
         )
     }
 
     fn alone(&self) -> Program {
-        self.program(unused_address(), &list(1, true, &[]))
+        self.program(unused_address(), &endpoint_list(1, true, &[]))
     }
 
     fn command(&self, words: &[&str]) -> (bool, String) {
@@ -97,11 +97,11 @@
 }
 
 fn named(name: &'static str) -> SocketAddr {
-    fake_host(move |_| value(name))
+    fake_host(move |_| value_reply(name))
 }
 
 fn ask(client: &mut Client, id: &str) -> String {
-    client.ask(&["Q.ASK", "k", id, READ])
+    client.request(&["Q.ASK", "k", id, READ])
 }
 
 #[test]
@@ -109,14 +109,14 @@
     let files = Files::new(ALONE);
     files.hosts("1", &[("a", named("of a"), "")]);
     let program = files.alone();
-    program.logged("ready");
+    program.wait_for_log("ready");
     let mut client = program.client();
     assert_eq!(
-        (ask(&mut client, "1"), client.ask(&["PING"])),
+        (ask(&mut client, "1"), client.request(&["PING"])),
         ("of a".into(), "+PONG".into())
     );
     files.hosts("2", &[("b", named("of b"), "")]);
-    program.logged("a revision is in force, router: n0, revision: 2");
+    program.wait_for_log("a revision is in force, router: n0, revision: 2");
     assert_eq!(ask(&mut client, "2"), "of b");
 }
 
@@ -138,11 +138,11 @@
     files.hosts("2", &[("b", b, "")]);
     let well = fs::read_to_string(files.at("hosts.ini")).expect("read");
     files.put("hosts.ini", &spoil(&well));
-    let line = program.logged("the files are refused");
+    let line = program.wait_for_log("the files are refused");
     assert!(line.contains(why), "{line}");
     assert_eq!(ask(&mut client, "1"), "of a");
     files.put("hosts.ini", &well);
-    program.logged("a revision is in force, router: n0, revision: 2");
+    program.wait_for_log("a revision is in force, router: n0, revision: 2");
     assert_eq!(ask(&mut client, "2"), "of b");
 }
 
@@ -153,19 +153,22 @@
     let (taken, wait) = (Mutex::new(taken), Mutex::new(wait));
     let turned_away = fake_host(move |_| {
         let _ = taken.lock().expect("no panic before").send(());
-        let _ = wait.lock().expect("no panic before").recv_timeout(PATIENCE);
+        let _ = wait
+            .lock()
+            .expect("no panic before")
+            .recv_timeout(TEST_TIMEOUT);
         Some("-BUSY\r\n".into())
     });
     files.hosts("1", &[("a", turned_away, "")]);
     let program = files.alone();
     let mut client = program.client();
     client.send(&["Q.ASK", "k", "open", READ]);
-    met.recv_timeout(PATIENCE).expect("the host has it");
+    met.recv_timeout(TEST_TIMEOUT).expect("the host has it");
     files.hosts("2", &[("b", named("of b"), "")]);
-    program.logged("a revision is in force, router: n0, revision: 2");
+    program.wait_for_log("a revision is in force, router: n0, revision: 2");
     // Its second dispatch is due, the only host of its version is gone, and the new one is not for it.
     drop(release);
-    assert_eq!(client.answer(), "-BUSY");
+    assert_eq!(client.reply(), "-BUSY");
     assert_eq!(ask(&mut client, "next"), "of b");
 }
 
@@ -183,10 +186,13 @@
         fake_host(move |_| {
             if std::mem::take(&mut *first.lock().expect("no panic before")) {
                 let _ = taken.lock().expect("no panic before").send(());
-                let _ = wait.lock().expect("no panic before").recv_timeout(PATIENCE);
+                let _ = wait
+                    .lock()
+                    .expect("no panic before")
+                    .recv_timeout(TEST_TIMEOUT);
                 return Some("-BUSY\r\n".into());
             }
-            value(name)
+            value_reply(name)
         })
     };
     let (taken, wait) = (Arc::new(taken), Arc::new(wait));
@@ -196,7 +202,7 @@
     let program = files.alone();
     let mut client = program.client();
     client.send(&["Q.ASK", "k", "open", READ]);
-    met.recv_timeout(PATIENCE).expect("a host has it");
+    met.recv_timeout(TEST_TIMEOUT).expect("a host has it");
     files.hosts(
         "2",
         &[
@@ -204,9 +210,9 @@
             ("b", b, "state = draining\n"),
         ],
     );
-    program.logged("a revision is in force, router: n0, revision: 2");
+    program.wait_for_log("a revision is in force, router: n0, revision: 2");
     drop(release);
-    assert_eq!(client.answer(), "-BUSY");
+    assert_eq!(client.reply(), "-BUSY");
 }
 
 #[test]
@@ -214,10 +220,13 @@
     let files = Files::new(BESIDE);
     files.states("1", &[]);
     let (a, b) = (named("of a"), named("of b"));
-    let discovery = Discovery::start(1, list(1, true, &[("a", a, "Ready"), ("b", b, "Ready")]));
+    let discovery = Discovery::start(
+        1,
+        endpoint_list(1, true, &[("a", a, "Ready"), ("b", b, "Ready")]),
+    );
     let program = files.program(
         discovery.at,
-        &list(1, true, &[("a", a, "Ready"), ("b", b, "Ready")]),
+        &endpoint_list(1, true, &[("a", a, "Ready"), ("b", b, "Ready")]),
     );
     let mut client = program.client();
     let all = |client: &mut Client, turn: &str| -> Vec<String> {
@@ -229,22 +238,25 @@
         seen
     };
     files.states("2", &[("a", "out")]);
-    program.logged("a revision is in force");
+    program.wait_for_log("a revision is in force");
     assert_eq!(all(&mut client, "out"), ["of b"]);
     // Discovery drains the other one and the file says it is in service: nobody is left.
     files.states("3", &[("a", "in-service"), ("b", "in-service")]);
-    program.logged("a revision is in force");
-    discovery.tell(
+    program.wait_for_log("a revision is in force");
+    discovery.publish(
         2,
-        list(2, true, &[("a", a, "Ready"), ("b", b, "Terminating")]),
+        endpoint_list(2, true, &[("a", a, "Ready"), ("b", b, "Terminating")]),
     );
-    program.logged("rev: 2");
+    program.wait_for_log("rev: 2");
     assert_eq!(all(&mut client, "drained"), ["of a"]);
     // Discovery's whole list does not bring back what operators keep out.
     files.states("4", &[("a", "out"), ("b", "in-service")]);
-    program.logged("a revision is in force");
-    discovery.tell(3, list(3, true, &[("a", a, "Ready"), ("b", b, "Ready")]));
-    program.logged("rev: 3");
+    program.wait_for_log("a revision is in force");
+    discovery.publish(
+        3,
+        endpoint_list(3, true, &[("a", a, "Ready"), ("b", b, "Ready")]),
+    );
+    program.wait_for_log("rev: 3");
     assert_eq!(all(&mut client, "again"), ["of b"]);
 }
 
@@ -253,16 +265,16 @@
     let files = Files::new(BESIDE);
     files.states("1", &[]);
     let (a, b) = (named("of a"), named("of b"));
-    let discovery = Discovery::start(1, list(1, true, &[("a", a, "Ready")]));
-    let program = files.program(discovery.at, &list(1, true, &[("a", a, "Ready")]));
+    let discovery = Discovery::start(1, endpoint_list(1, true, &[("a", a, "Ready")]));
+    let program = files.program(discovery.at, &endpoint_list(1, true, &[("a", a, "Ready")]));
     files.states("2", &[("b", "out")]);
     assert!(
         program
-            .logged("the files are held back")
+            .wait_for_log("the files are held back")
             .contains("no such host is listed")
     );
     // What is held back is remembered a while after it is logged, how long a busy disk takes is not known.
-    let until = std::time::Instant::now() + PATIENCE;
+    let until = std::time::Instant::now() + TEST_TIMEOUT;
     loop {
         let (well, said) = files.command(&["revisions", "--state", "."]);
         if well && said.contains("no such host is listed") {
@@ -271,8 +283,11 @@
         assert!(std::time::Instant::now() < until, "{said}");
         std::thread::sleep(Duration::from_millis(20));
     }
-    discovery.tell(2, list(2, true, &[("a", a, "Ready"), ("b", b, "Ready")]));
-    program.logged("a revision is in force");
+    discovery.publish(
+        2,
+        endpoint_list(2, true, &[("a", a, "Ready"), ("b", b, "Ready")]),
+    );
+    program.wait_for_log("a revision is in force");
     let mut client = program.client();
     assert!((0..8).all(|id| ask(&mut client, &id.to_string()) == "of a"));
 }
@@ -282,14 +297,14 @@
     let files = Files::new(ALONE);
     files.hosts("1", &[("a", named("of a"), "")]);
     let program = files.alone();
-    program.logged("ready");
+    program.wait_for_log("ready");
     program.signal("TERM");
-    program.logged("stopped");
+    program.wait_for_log("stopped");
     files.put("hosts.ini", "generation = 2\n[hots b]\n");
     let program = files.alone();
     assert!(
         program
-            .began
+            .startup_log
             .iter()
             .any(|line| line.contains("the start is with the last good revision"))
     );
@@ -305,7 +320,7 @@
     let mut command = Program::command(
         BINARY,
         "serve",
-        &config(unused_address(), &list(1, true, &[])),
+        &router_config(unused_address(), &endpoint_list(1, true, &[])),
     );
     let done = command
         .env("KESTRELTIDE_OPERATOR", operator)
@@ -326,7 +341,7 @@
     let mut command = Program::command(
         BINARY,
         "serve",
-        &config(unused_address(), &list(1, true, &[])),
+        &router_config(unused_address(), &endpoint_list(1, true, &[])),
     );
     let done = command
         .env("KESTRELTIDE_OPERATOR", files.at("operator.ini"))
@@ -353,7 +368,7 @@
         } else {
             0
         }));
-        value(&words[2])
+        value_reply(&words[2])
     });
     files.hosts("1", &[("a", at, "")]);
     let mut program = files.alone();
@@ -364,12 +379,12 @@
         .replace("generation = 1", "generation = 2");
     fs::write(files.at("hosts.ini"), &half[..half.len() - 20]).expect("half of it");
     program.signal("HUP");
-    program.logged("the files are refused");
-    assert_eq!(slow.answer(), "slow");
+    program.wait_for_log("the files are refused");
+    assert_eq!(slow.reply(), "slow");
     slow.send(&["Q.ASK", "k", "slow-2", READ]);
     files.hosts("3", &[("b", at, "")]);
     program.signal("TERM");
-    assert_eq!(slow.answer(), "slow-2");
+    assert_eq!(slow.reply(), "slow-2");
     assert!(program.child.wait().expect("an end").success());
     let (well, said) = files.command(&["revisions", "--state", "."]);
     assert!(well && said.contains("in force"), "{said}");
@@ -382,11 +397,11 @@
     files.hosts("spring", &[("a", a, "")]);
     let program = files.alone();
     files.hosts("summer", &[("a", a, "size = 2\n")]);
-    program.logged("a revision is in force, router: n0, revision: 2");
+    program.wait_for_log("a revision is in force, router: n0, revision: 2");
     files.hosts("autumn", &[("a", a, "size = 0\n")]);
-    program.logged("the files are refused");
+    program.wait_for_log("the files are refused");
     program.signal("TERM");
-    program.logged("stopped");
+    program.wait_for_log("stopped");
     let (well, said) = files.command(&["revisions", "--operator", "operator.ini"]);
     assert!(well, "{said}");
     for part in [
@@ -438,14 +453,14 @@
             .expect("it runs")
             .count()
     };
-    let known = list(1, true, &[("a", named("of a"), "Ready")]);
-    let plain = Program::start(BINARY, &config(unused_address(), &known));
+    let known = endpoint_list(1, true, &[("a", named("of a"), "Ready")]);
+    let plain = Program::start(BINARY, &router_config(unused_address(), &known));
     // The loop's own, and the log's.
     assert_eq!(threads(&plain), 2);
     let files = Files::new(ALONE);
     files.hosts("1", &[("a", named("of a"), "")]);
     let program = files.alone();
-    program.logged("ready");
+    program.wait_for_log("ready");
     assert!(threads(&program) > 3);
 }
 
@@ -460,7 +475,7 @@
     let program = files.alone();
     let mut client = program.client();
     files.hosts("2", &[("b", b, "")]);
-    let line = program.logged("files do not belong together yet");
+    let line = program.wait_for_log("files do not belong together yet");
     assert!(
         line.contains("weights.ini: generation: is of another generation than"),
         "{line}"
@@ -468,6 +483,6 @@
     thread::sleep(Duration::from_millis(100));
     assert_eq!(ask(&mut client, "1"), "of a");
     files.states("2", &[]);
-    program.logged("a revision is in force, router: n0, revision: 2");
+    program.wait_for_log("a revision is in force, router: n0, revision: 2");
     assert_eq!(ask(&mut client, "2"), "of b");
 }
--- a/router/tests/shutdown.rs
+++ b/router/tests/shutdown.rs
@@ -21,24 +21,30 @@
     let at = fake_host(move |words| {
         if words[2].starts_with("held") {
             let _ = met.lock().expect("no panic before").send(());
-            let _ = wait.lock().expect("no panic before").recv_timeout(PATIENCE);
+            let _ = wait
+                .lock()
+                .expect("no panic before")
+                .recv_timeout(TEST_TIMEOUT);
         }
-        value(&words[2])
+        value_reply(&words[2])
     });
     (at, seen, release)
 }
 
 fn router_at(host: SocketAddr, change: impl Fn(String) -> String) -> Program {
     let (_, answers) = channel();
-    let known = list(1, true, &[("a", host, "Ready")]);
-    Program::start(BINARY, &change(config(fake_discovery(answers), &known)))
+    let known = endpoint_list(1, true, &[("a", host, "Ready")]);
+    Program::start(
+        BINARY,
+        &change(router_config(fake_discovery(answers), &known)),
+    )
 }
 
 /// SIGTERM, and until connections without use are closed.
 fn drain(program: &Program, idle: &mut Client) {
     program.signal("TERM");
     assert_eq!(
-        idle.answer(),
+        idle.reply(),
         "",
         "nothing was asked on it, so it is closed once no more clients are expected"
     );
@@ -47,7 +53,7 @@
 /// A connection that has been used and is without use now.
 fn idle(program: &Program) -> Client {
     let mut idle = program.client();
-    idle.ask(&["Q.ASK", "k", "first", READ]);
+    idle.request(&["Q.ASK", "k", "first", READ]);
     idle
 }
 
@@ -55,7 +61,7 @@
 fn held_while_draining(program: &Program, met: &Receiver<()>) -> Client {
     let (mut idle, mut client) = (idle(program), program.client());
     client.send(&["Q.ASK", "k", "held", READ]);
-    met.recv_timeout(PATIENCE).expect("the host has it");
+    met.recv_timeout(TEST_TIMEOUT).expect("the host has it");
     drain(program, &mut idle);
     client
 }
@@ -76,10 +82,10 @@
     let mut client = held_while_draining(&program, &met);
     client.write(b"*4\r\n$5\r\nQ.ASK\r\n$1\r\nk\r\n");
     release.send(()).expect("the host waits");
-    assert_eq!(client.answer(), "held");
+    assert_eq!(client.reply(), "held");
     client.write(b"$3\r\ntwo\r\n$13\r\nc=read,d=5000\r\n");
-    assert_eq!(client.answer(), "two");
-    assert_eq!(client.answer(), "", "closed once it is idle");
+    assert_eq!(client.reply(), "two");
+    assert_eq!(client.reply(), "", "closed once it is idle");
 }
 
 #[test]
@@ -89,10 +95,10 @@
     let mut client = held_while_draining(&program, &met);
     // It crossed the close, so its client sends it once more, as it may.
     let mut again = program.client();
-    assert_eq!(again.ask(&["Q.ASK", "k", "again", READ]), "again");
-    assert_eq!(again.answer(), "", "closed once it is idle");
+    assert_eq!(again.request(&["Q.ASK", "k", "again", READ]), "again");
+    assert_eq!(again.reply(), "", "closed once it is idle");
     release.send(()).expect("the host waits");
-    assert_eq!(client.answer(), "held");
+    assert_eq!(client.reply(), "held");
     assert!(program.child.wait().expect("an end").success());
 }
 
@@ -102,12 +108,12 @@
     let mut program = router_at(host, |text| text);
     let mut client = held_while_draining(&program, &met);
     client.write(b"nonsense\r\n");
-    program.logged("malformed");
+    program.wait_for_log("malformed");
     // Unread at the close it would make it a reset, that may overtake the error line.
     client.write(&[b'x'; 10_000]);
     release.send(()).expect("the host waits");
-    assert_eq!(client.answer(), "held");
-    assert!(client.answer().starts_with("-ERR"));
+    assert_eq!(client.reply(), "held");
+    assert!(client.reply().starts_with("-ERR"));
     assert_eq!(rest(&client.stream), "");
     assert!(program.child.wait().expect("an end").success());
     assert!(
@@ -124,12 +130,12 @@
 /// than may be clients at a time.
 #[test]
 fn all_in_the_backlog_are_answered() {
-    let program = router_at(fake_host(|words| value(&words[2])), |text| {
+    let program = router_at(fake_host(|words| value_reply(&words[2])), |text| {
         text.replace("\"sockets\":256", "\"sockets\":64")
     });
-    program.client().ask(&["Q.ASK", "k", "first", READ]);
+    program.client().request(&["Q.ASK", "k", "first", READ]);
     program.signal("TERM");
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     program.freeze();
     let mut clients: Vec<_> = (0..60).map(|_| program.client()).collect();
     let send =
@@ -139,7 +145,7 @@
     thread::sleep(Duration::from_millis(600));
     program.signal("CONT");
     let wrong = |(id, client): (usize, &mut Client)| {
-        let answer = client.answer();
+        let answer = client.reply();
         (answer != id.to_string()).then_some((id, answer))
     };
     let wrong: Vec<_> = clients.iter_mut().enumerate().filter_map(wrong).collect();
@@ -168,11 +174,11 @@
     let mut program = router_at(host, terms);
     let mut client = program.client();
     client.send(&["Q.DO", "k", "held", SWITCH]);
-    met.recv_timeout(PATIENCE).expect("the host has it");
+    met.recv_timeout(TEST_TIMEOUT).expect("the host has it");
     let told = Instant::now();
     program.signal("TERM");
     // It may have run: nothing says that trying again is harmless.
-    assert_eq!(client.answer(), "-ERR failed");
+    assert_eq!(client.reply(), "-ERR failed");
     assert_eq!(rest(&client.stream), "");
     assert!(program.child.wait().expect("an end").success());
     assert!(
@@ -192,7 +198,7 @@
     let mut program = router_at(host, terms);
     let mut client = program.client();
     client.send(&["Q.ASK", "k", "held", "c=read,d=2000"]);
-    met.recv_timeout(PATIENCE).expect("the host has it");
+    met.recv_timeout(TEST_TIMEOUT).expect("the host has it");
     let at = program.at;
     let flood = move || {
         while let Ok(stream) = TcpStream::connect(at) {
@@ -201,9 +207,9 @@
     };
     let floods: Vec<_> = (0..2).map(|_| thread::spawn(flood)).collect();
     program.signal("TERM");
-    program.logged("stopping");
+    program.wait_for_log("stopping");
     release.send(()).expect("the host waits");
-    assert_eq!(client.answer(), "held");
+    assert_eq!(client.reply(), "held");
     assert!(program.child.wait().expect("an end").success());
     floods
         .into_iter()
@@ -217,18 +223,18 @@
     let mut program = router_at(host, |text| text);
     let mut client = program.client();
     client.send(&["Q.ASK", "k", "held", READ]);
-    met.recv_timeout(PATIENCE).expect("the host has it");
+    met.recv_timeout(TEST_TIMEOUT).expect("the host has it");
     program.signal("TERM");
-    program.logged("closing");
+    program.wait_for_log("closing");
     // The line comes just before; whoever is accepted still is served.
     while let Ok(stream) = TcpStream::connect(program.at) {
         drop(stream);
     }
     release.send(()).expect("the host waits");
-    assert_eq!(client.answer(), "held");
+    assert_eq!(client.reply(), "held");
     assert!(
         !program
-            .lines_until("stopped")
+            .log_lines_until("stopped")
             .iter()
             .any(|line| line.contains("giving up"))
     );
@@ -241,14 +247,14 @@
     let mut program = router_at(host, |text| text);
     let mut client = program.client();
     client.send(&["Q.ASK", "k", "held", READ]);
-    met.recv_timeout(PATIENCE).expect("the host has it");
+    met.recv_timeout(TEST_TIMEOUT).expect("the host has it");
     program.freeze();
     for signal in ["TERM", "HUP", "TERM", "CONT"] {
         program.signal(signal);
     }
-    program.logged("read again");
+    program.wait_for_log("read again");
     program.signal("TERM");
     release.send(()).expect("the host waits");
-    assert_eq!(client.answer(), "held");
+    assert_eq!(client.reply(), "held");
     assert!(program.child.wait().expect("an end").success());
 }
--- a/router/tests/stories.rs
+++ b/router/tests/stories.rs
@@ -21,17 +21,17 @@
 /// A router that knows these hosts, whose discovery answers with what the sender is given.
 fn router_with(hosts: &[(&str, std::net::SocketAddr, &str)]) -> (Program, Sender<String>) {
     let (lists, answers) = channel();
-    let known = list(1, true, hosts);
-    let program = Program::start(BINARY, &config(fake_discovery(answers), &known));
+    let known = endpoint_list(1, true, hosts);
+    let program = Program::start(BINARY, &router_config(fake_discovery(answers), &known));
     (program, lists)
 }
 
 /// A router with room for few connections that knows one host.
 fn router_with_few_sockets(host: std::net::SocketAddr) -> (Sender<String>, Program) {
     let (lists, answers) = channel();
-    let few = config(
+    let few = router_config(
         fake_discovery(answers),
-        &list(1, true, &[("a", host, "Ready")]),
+        &endpoint_list(1, true, &[("a", host, "Ready")]),
     );
     let program = Program::start(BINARY, &few.replace("\"sockets\":256", "\"sockets\":48"));
     (lists, program)
@@ -41,14 +41,14 @@
 fn usual_client(program: &Program) -> Client {
     let mut usual = program.client();
     for id in ["one", "again"] {
-        assert_eq!(usual.ask(&["Q.ASK", "k", id, READ]), format!("of {id}"));
+        assert_eq!(usual.request(&["Q.ASK", "k", id, READ]), format!("of {id}"));
     }
     usual
 }
 
 /// A host that answers all at once with a value that names the invocation.
 fn well() -> Option<std::net::SocketAddr> {
-    Some(fake_host(|words| value(&format!("of {}", words[2]))))
+    Some(fake_host(|words| value_reply(&format!("of {}", words[2]))))
 }
 
 #[test]
@@ -57,13 +57,13 @@
     let record = seen.clone();
     let at = fake_host(move |words| {
         record.lock().expect("no panic before").push(words.to_vec());
-        value("a\r\nb")
+        value_reply("a\r\nb")
     });
     let (program, _lists) = router_with(&[("a", at, "Ready")]);
     let answer =
         program
             .client()
-            .ask(&["Q.DO", "key", "id", "x=1,c=switch,d=5000,k=5c,r=1", "BODY"]);
+            .request(&["Q.DO", "key", "id", "x=1,c=switch,d=5000,k=5c,r=1", "BODY"]);
     assert_eq!(answer, "a\r\nb");
     let seen = seen.lock().expect("no panic before");
     let [words] = seen.as_slice() else {
@@ -89,19 +89,23 @@
     let (done, wait) = (Mutex::new(done), Mutex::new(wait));
     let at = fake_host(move |words| {
         match words[2].as_str() {
-            "one" => drop(wait.lock().expect("no panic before").recv_timeout(PATIENCE)),
+            "one" => drop(
+                wait.lock()
+                    .expect("no panic before")
+                    .recv_timeout(TEST_TIMEOUT),
+            ),
             _ => drop(done.lock().expect("no panic before").send(())),
         }
-        value(&words[2])
+        value_reply(&words[2])
     });
     let (program, _lists) = router_with(&[("a", at, "Ready")]);
     let mut client = program.client();
     client.send(&["Q.ASK", "k", "one", READ]);
     client.send(&["Q.ASK", "k", "two", READ]);
     client.send(&["PING"]);
-    assert_eq!([client.answer(), client.answer()], ["one", "two"]);
+    assert_eq!([client.reply(), client.reply()], ["one", "two"]);
     assert!(
-        client.answer().starts_with("-ERR"),
+        client.reply().starts_with("-ERR"),
         "not ready yet, and after the others"
     );
 }
@@ -122,7 +126,7 @@
 ) {
     let (program, _lists) =
         router_with(&[("a", fake_host(move |_| does.map(str::to_owned)), "Ready")]);
-    assert_eq!(program.client().ask(&["Q.DO", "k", "id", SWITCH]), told);
+    assert_eq!(program.client().request(&["Q.DO", "k", "id", SWITCH]), told);
 }
 
 #[test]
@@ -134,14 +138,17 @@
             return Some("*1\r\n$4\r\nabcdefgh\r\n".into());
         }
         let _ = taken.lock().expect("no panic before").send(());
-        let _ = wait.lock().expect("no panic before").recv_timeout(PATIENCE);
-        value("well")
+        let _ = wait
+            .lock()
+            .expect("no panic before")
+            .recv_timeout(TEST_TIMEOUT);
+        value_reply("well")
     });
     let (program, _lists) = router_with(&[("a", at, "Ready")]);
     let mut client = program.client();
     for id in 0..20 {
         assert_eq!(
-            client.ask(&["Q.DO", "k", &format!("spoilt-{id}"), SWITCH]),
+            client.request(&["Q.DO", "k", &format!("spoilt-{id}"), SWITCH]),
             "-ERR failed"
         );
     }
@@ -149,15 +156,21 @@
     let send =
         |(id, client): (usize, &mut Client)| client.send(&["Q.DO", "k", &id.to_string(), SWITCH]);
     clients.iter_mut().enumerate().for_each(send);
-    (0..5).for_each(|_| met.recv_timeout(PATIENCE).expect("the host has all five"));
+    (0..5).for_each(|_| {
+        met.recv_timeout(TEST_TIMEOUT)
+            .expect("the host has all five")
+    });
     drop(release);
-    assert!(clients.iter_mut().all(|client| client.answer() == "well"));
+    assert!(clients.iter_mut().all(|client| client.reply() == "well"));
 }
 
 #[test]
 fn a_host_that_cannot_be_reached_never_ran_anything() {
     let (program, _lists) = router_with(&[("a", unused_address(), "Ready")]);
-    assert_eq!(program.client().ask(&["Q.DO", "k", "id", SWITCH]), "-BUSY");
+    assert_eq!(
+        program.client().request(&["Q.DO", "k", "id", SWITCH]),
+        "-BUSY"
+    );
 }
 
 #[test]
@@ -166,11 +179,11 @@
     let count = opened.clone();
     let at = spawn_server(move |stream| {
         count.fetch_add(1, Relaxed);
-        answer_each(stream, |_| value("well"));
+        serve_commands(stream, |_| value_reply("well"));
     });
     let (program, lists) = router_with(&[("a", at, "Ready")]);
     let mut client = program.client();
-    client.ask(&["Q.ASK", "k", "first", READ]);
+    client.request(&["Q.ASK", "k", "first", READ]);
     // To a broadcast address a connection fails in the call itself, as it does for want of descriptors.
     let nowhere = ([127, 255, 255, 255], 9).into();
     let hosts = [
@@ -178,12 +191,14 @@
         ("b", nowhere, "Ready"),
         ("c", nowhere, "Ready"),
     ];
-    lists.send(list(2, true, &hosts)).expect("discovery lives");
-    program.logged("Full");
+    lists
+        .send(endpoint_list(2, true, &hosts))
+        .expect("discovery lives");
+    program.wait_for_log("Full");
     for id in 0..30 {
         // A connection rests a while after its last answer; used sooner, another would be opened.
         thread::sleep(Duration::from_millis(25));
-        client.ask(&["Q.ASK", "k", &id.to_string(), READ]);
+        client.request(&["Q.ASK", "k", &id.to_string(), READ]);
     }
     assert_eq!(opened.load(Relaxed), 1);
 }
@@ -194,25 +209,28 @@
     let (taken, wait) = (Mutex::new(taken), Mutex::new(wait));
     let old = fake_host(move |_| {
         let _ = taken.lock().expect("no panic before").send(());
-        let _ = wait.lock().expect("no panic before").recv_timeout(PATIENCE);
-        value("old")
+        let _ = wait
+            .lock()
+            .expect("no panic before")
+            .recv_timeout(TEST_TIMEOUT);
+        value_reply("old")
     });
     let (program, lists) = router_with(&[("a", old, "Ready")]);
     let mut client = program.client();
     client.send(&["Q.ASK", "k", "one", READ]);
-    met.recv_timeout(PATIENCE).expect("the old host has it");
+    met.recv_timeout(TEST_TIMEOUT).expect("the old host has it");
     lists
-        .send(list(
+        .send(endpoint_list(
             2,
             true,
-            &[("a", fake_host(|_| value("new")), "Ready")],
+            &[("a", fake_host(|_| value_reply("new")), "Ready")],
         ))
         .expect("discovery lives");
-    program.logged("Full");
+    program.wait_for_log("Full");
     // From now on it answers at once.
     drop(slow);
-    assert_eq!(client.answer(), "old");
-    assert_eq!(client.ask(&["Q.ASK", "k", "two", READ]), "new");
+    assert_eq!(client.reply(), "old");
+    assert_eq!(client.request(&["Q.ASK", "k", "two", READ]), "new");
 }
 
 #[test]
@@ -221,14 +239,14 @@
     let count = lost.clone();
     let at = spawn_server(move |stream| {
         let last = Mutex::new(None);
-        answer_each(stream, |words| {
+        serve_commands(stream, |words| {
             let last = last
                 .lock()
                 .expect("no panic before")
                 .replace(std::time::Instant::now());
             let unused = last.is_some_and(|last| last.elapsed() > Duration::from_millis(100));
             count.fetch_add(u32::from(unused), Relaxed);
-            if unused { None } else { value(&words[2]) }
+            if unused { None } else { value_reply(&words[2]) }
         });
     });
     let (program, _lists) = router_with(&[("a", at, "Ready")]);
@@ -236,7 +254,7 @@
     let mut ask = |id: u32| {
         thread::sleep(Duration::from_millis(110));
         assert_eq!(
-            client.ask(&["Q.ASK", "k", &id.to_string(), READ]),
+            client.request(&["Q.ASK", "k", &id.to_string(), READ]),
             id.to_string(),
             "it is sent again"
         );
@@ -258,12 +276,14 @@
     });
     let (program, _lists) = router_with(&[("a", at, "Ready")]);
     assert_eq!(
-        program.client().ask(&["Q.DO", "k", "id", "c=switch,d=300"]),
+        program
+            .client()
+            .request(&["Q.DO", "k", "id", "c=switch,d=300"]),
         "-ERR failed"
     );
     assert!(
         !seen
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("the connection was closed")
             .is_empty()
     );
@@ -290,9 +310,9 @@
     let (program, _lists) = router_with(&[("a", well().expect("a host"), "Ready")]);
     let (mut bad, mut good) = (program.client(), program.client());
     bad.write(bytes);
-    assert!(bad.answer().starts_with("-ERR"));
-    assert_eq!(bad.answer(), "", "the connection is closed");
-    assert_eq!(good.ask(&["Q.ASK", "k", "id", READ]), "of id");
+    assert!(bad.reply().starts_with("-ERR"));
+    assert_eq!(bad.reply(), "", "the connection is closed");
+    assert_eq!(good.request(&["Q.ASK", "k", "id", READ]), "of id");
 }
 
 /// Bytes that are no whole command; whoever sends them, or nothing, is turned away soon after connecting.
@@ -303,7 +323,7 @@
     let (program, _lists) = router_with(&[("a", well().expect("a host"), "Ready")]);
     let (since, mut bad) = (std::time::Instant::now(), program.client());
     bad.write(bytes);
-    assert_eq!(bad.answer(), told);
+    assert_eq!(bad.reply(), told);
     assert!(since.elapsed() < Duration::from_secs(3));
 }
 
@@ -315,8 +335,8 @@
     // What comes after the error would, unread, make a reset of the close.
     bad.write(&[7; 100_000]);
     thread::sleep(Duration::from_millis(100));
-    assert_eq!(bad.answer(), "-ERR a bulk string is too long");
-    assert_eq!(bad.answer(), "");
+    assert_eq!(bad.reply(), "-ERR a bulk string is too long");
+    assert_eq!(bad.reply(), "");
 }
 
 #[test]
@@ -325,26 +345,29 @@
     let (taken, wait) = (Mutex::new(taken), Mutex::new(wait));
     let at = fake_host(move |words| {
         let _ = taken.lock().expect("no panic before").send(());
-        let _ = wait.lock().expect("no panic before").recv_timeout(PATIENCE);
-        value(&words[2])
+        let _ = wait
+            .lock()
+            .expect("no panic before")
+            .recv_timeout(TEST_TIMEOUT);
+        value_reply(&words[2])
     });
     let (program, _lists) = router_with(&[("a", at, "Ready")]);
     let (mut usual, mut bad) = (program.client(), program.client());
     usual.send(&["Q.ASK", "k", "mine", READ]);
-    met.recv_timeout(PATIENCE).expect("the host has it");
+    met.recv_timeout(TEST_TIMEOUT).expect("the host has it");
     assert_eq!(
-        bad.ask(&["Q.ASK", "k", "mine", READ]),
+        bad.request(&["Q.ASK", "k", "mine", READ]),
         "-ERR the id is that of an open invocation"
     );
     drop(release);
-    assert_eq!(usual.answer(), "mine");
+    assert_eq!(usual.reply(), "mine");
     assert_eq!(
-        bad.ask(&["Q.ASK", "k", "its-own", READ]),
+        bad.request(&["Q.ASK", "k", "its-own", READ]),
         "its-own",
         "it keeps its connection"
     );
     // Its use is over with its answer.
-    assert_eq!(usual.ask(&["Q.ASK", "k", "mine", READ]), "mine");
+    assert_eq!(usual.request(&["Q.ASK", "k", "mine", READ]), "mine");
 }
 
 #[test]
@@ -352,8 +375,8 @@
     let (_lists, program) = router_with_few_sockets(well().expect("a host"));
     let mut usual = usual_client(&program);
     let mut silent: Vec<_> = (0..40).map(|_| program.client()).collect();
-    assert_eq!(silent[0].answer(), "", "closed for want of room");
-    assert_eq!(usual.ask(&["Q.ASK", "k", "two", READ]), "of two");
+    assert_eq!(silent[0].reply(), "", "closed for want of room");
+    assert_eq!(usual.request(&["Q.ASK", "k", "two", READ]), "of two");
 }
 
 #[test]
@@ -364,18 +387,18 @@
     let mut once: Vec<_> = (0..4).map(|_| program.client()).collect();
     for (id, client) in once.iter_mut().enumerate() {
         assert_eq!(
-            client.ask(&["Q.ASK", "k", &id.to_string(), READ]),
+            client.request(&["Q.ASK", "k", &id.to_string(), READ]),
             format!("of {id}")
         );
     }
     thread::sleep(Duration::from_millis(300));
     let _next = program.client();
     assert_eq!(
-        once[0].answer(),
+        once[0].reply(),
         "",
         "closed, for the client to connect anew when it asks again"
     );
-    assert_eq!(usual.ask(&["Q.ASK", "k", "two", READ]), "of two");
+    assert_eq!(usual.request(&["Q.ASK", "k", "two", READ]), "of two");
 }
 
 #[test]
@@ -383,27 +406,33 @@
     let hosts = [("a", well().expect("a host"), "Ready")];
     let (program, lists) = router_with(&hosts);
     let mut client = program.client();
-    assert!(client.ask(&["PING"]).starts_with("-ERR"));
-    assert_eq!(client.ask(&["Q.ASK", "k", "id", READ]), "of id");
-    lists.send(list(2, true, &hosts)).expect("discovery lives");
-    program.logged("ready");
-    assert_eq!(client.ask(&["PING"]), "+PONG");
+    assert!(client.request(&["PING"]).starts_with("-ERR"));
+    assert_eq!(client.request(&["Q.ASK", "k", "id", READ]), "of id");
+    lists
+        .send(endpoint_list(2, true, &hosts))
+        .expect("discovery lives");
+    program.wait_for_log("ready");
+    assert_eq!(client.request(&["PING"]), "+PONG");
 }
 
 #[test]
 fn nothing_new_goes_to_a_host_that_a_change_says_is_stopping() {
-    let named = |name: &'static str| fake_host(move |_| value(name));
+    let named = |name: &'static str| fake_host(move |_| value_reply(name));
     let (a, b) = (named("a"), named("b"));
     let (program, lists) = router_with(&[("a", a, "Ready"), ("b", b, "Ready")]);
     lists
-        .send(list(2, true, &[("a", a, "Ready"), ("b", b, "Ready")]))
+        .send(endpoint_list(
+            2,
+            true,
+            &[("a", a, "Ready"), ("b", b, "Ready")],
+        ))
         .expect("discovery lives");
     lists
-        .send(list(3, false, &[("a", a, "Terminating")]))
+        .send(endpoint_list(3, false, &[("a", a, "Terminating")]))
         .expect("discovery lives");
-    program.logged("Delta");
+    program.wait_for_log("Delta");
     let mut client = program.client();
-    let answers = (0..20).map(|id| client.ask(&["Q.ASK", "k", &id.to_string(), READ]));
+    let answers = (0..20).map(|id| client.request(&["Q.ASK", "k", &id.to_string(), READ]));
     assert!(answers.into_iter().all(|answer| answer == "b"));
 }
 
@@ -412,10 +441,15 @@
     let hosts = [("a", well().expect("a host"), "Ready")];
     let (program, lists) = router_with(&[]);
     lists.send("no list".into()).expect("discovery lives");
-    program.logged("discovery does not answer");
-    lists.send(list(2, true, &hosts)).expect("discovery lives");
-    program.logged("ready");
-    assert_eq!(program.client().ask(&["Q.ASK", "k", "id", READ]), "of id");
+    program.wait_for_log("discovery does not answer");
+    lists
+        .send(endpoint_list(2, true, &hosts))
+        .expect("discovery lives");
+    program.wait_for_log("ready");
+    assert_eq!(
+        program.client().request(&["Q.ASK", "k", "id", READ]),
+        "of id"
+    );
 }
 
 #[test]
@@ -437,8 +471,8 @@
         let _ = stream.read_to_end(&mut vec![]);
     });
     let since = std::time::Instant::now();
-    let _program = Program::start(BINARY, &config(at, &list(1, true, &[])));
-    let again = asked.recv_timeout(PATIENCE).expect("it is asked again");
+    let _program = Program::start(BINARY, &router_config(at, &endpoint_list(1, true, &[])));
+    let again = asked.recv_timeout(TEST_TIMEOUT).expect("it is asked again");
     assert!(
         again - since < Duration::from_millis(900),
         "the first question alone has a second"
@@ -447,41 +481,50 @@
 
 #[test]
 fn changes_older_than_the_list_are_not_taken() {
-    let named = |name: &'static str| fake_host(move |_| value(name));
+    let named = |name: &'static str| fake_host(move |_| value_reply(name));
     let (a, b) = (named("a"), named("b"));
     let (program, lists) = router_with(&[]);
     lists
-        .send(list(5, true, &[("a", a, "Ready"), ("b", b, "Ready")]))
+        .send(endpoint_list(
+            5,
+            true,
+            &[("a", a, "Ready"), ("b", b, "Ready")],
+        ))
         .expect("discovery lives");
     lists
-        .send(list(4, false, &[("a", a, "Terminating")]))
+        .send(endpoint_list(4, false, &[("a", a, "Terminating")]))
         .expect("discovery lives");
     lists
-        .send(list(6, false, &[("b", b, "Terminating")]))
+        .send(endpoint_list(6, false, &[("b", b, "Terminating")]))
         .expect("discovery lives");
-    program.logged("rev: 6");
+    program.wait_for_log("rev: 6");
     let mut client = program.client();
-    assert!((0..10).all(|id| client.ask(&["Q.ASK", "k", &id.to_string(), READ]) == "a"));
+    assert!((0..10).all(|id| client.request(&["Q.ASK", "k", &id.to_string(), READ]) == "a"));
 }
 
 #[test]
 fn where_lists_come_on_demand_the_module_asks_and_asks_again_after_a_failure() {
     let (lists, answers) = channel();
-    let text = config(fake_discovery(answers), &list(1, true, &[]));
+    let text = router_config(fake_discovery(answers), &endpoint_list(1, true, &[]));
     let program = Program::start(BINARY, &text.replace("\"push\"", "\"ask\""));
     lists.send("no list".into()).expect("discovery lives");
-    program.logged("discovery does not answer");
+    program.wait_for_log("discovery does not answer");
     let hosts = [("a", well().expect("a host"), "Ready")];
-    lists.send(list(2, true, &hosts)).expect("discovery lives");
-    program.logged("rev: 2");
-    assert_eq!(program.client().ask(&["Q.ASK", "k", "id", READ]), "of id");
+    lists
+        .send(endpoint_list(2, true, &hosts))
+        .expect("discovery lives");
+    program.wait_for_log("rev: 2");
+    assert_eq!(
+        program.client().request(&["Q.ASK", "k", "id", READ]),
+        "of id"
+    );
 }
 
 #[test]
 fn a_discovery_that_many_ask_is_asked_once_from_what_is_known_and_waited_for() {
     let (asked, seen) = channel();
     let asked = Mutex::new(asked);
-    let changes = list(2, false, &[("a", well().expect("a host"), "Ready")]);
+    let changes = endpoint_list(2, false, &[("a", well().expect("a host"), "Ready")]);
     let at = spawn_server(move |stream| {
         let mut lines = std::io::BufReader::new(&stream).lines();
         while let Some(Ok(first)) = lines.next() {
@@ -504,9 +547,9 @@
     });
     let program = Program::start(
         BINARY,
-        &config(at, &list(1, true, &[])).replace("\"push\"", "\"ask\""),
+        &router_config(at, &endpoint_list(1, true, &[])).replace("\"push\"", "\"ask\""),
     );
-    program.logged("rev: 2");
+    program.wait_for_log("rev: 2");
     let questions: Vec<String> = seen.try_iter().collect();
     let well =
         |question: &&String| question.contains("from=1&hold_ms=0") || question.contains("from=2&");
@@ -522,7 +565,10 @@
         questions.iter().all(|question| well(&question)),
         "{questions:?}"
     );
-    assert_eq!(program.client().ask(&["Q.ASK", "k", "id", READ]), "of id");
+    assert_eq!(
+        program.client().request(&["Q.ASK", "k", "id", READ]),
+        "of id"
+    );
 }
 
 #[test]
@@ -533,16 +579,19 @@
         } else {
             0
         }));
-        value(&words[2])
+        value_reply(&words[2])
     });
     let (mut program, _lists) = router_with(&[("a", at, "Ready")]);
     let mut slow = program.client();
     slow.send(&["Q.ASK", "k", "slow", READ]);
     program.signal("TERM");
-    program.logged("stopping");
-    assert_eq!(program.client().ask(&["Q.ASK", "k", "late", READ]), "late");
-    assert_eq!(slow.answer(), "slow");
-    assert_eq!(slow.answer(), "", "closed once it was idle");
+    program.wait_for_log("stopping");
+    assert_eq!(
+        program.client().request(&["Q.ASK", "k", "late", READ]),
+        "late"
+    );
+    assert_eq!(slow.reply(), "slow");
+    assert_eq!(slow.reply(), "", "closed once it was idle");
     assert!(program.child.wait().expect("an end").success());
 }
 
@@ -571,43 +620,46 @@
     let at = fake_host(move |words| {
         if words[2] == "open" {
             let _ = taken.lock().expect("no panic before").send(());
-            let _ = go.lock().expect("no panic before").recv_timeout(PATIENCE);
+            let _ = go
+                .lock()
+                .expect("no panic before")
+                .recv_timeout(TEST_TIMEOUT);
         }
-        value(&words[2])
+        value_reply(&words[2])
     });
     let ((_old, no_answers), (new, answers)) = (channel(), channel());
     let ((old_platform, followed_old), (new_platform, followed)) =
         (fake_platform(), fake_platform());
     let with = |discovery, platform: std::net::SocketAddr, name: &str| {
         let platform = format!("\"platform\":{{\"address\":\"{platform}\"}},\"settings\"");
-        let text = config(discovery, &list(9, true, &[("a", at, "Ready")]));
+        let text = router_config(discovery, &endpoint_list(9, true, &[("a", at, "Ready")]));
         text.replace("\"settings\"", &platform)
             .replace("\"n0\"", name)
     };
     let (old_place, place) = (fake_discovery(no_answers), fake_discovery(answers));
     let program = Program::start(BINARY, &with(old_place, old_platform, "\"n0\""));
     followed_old
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("the old platform is followed");
     let mut client = program.client();
     client.send(&["Q.ASK", "k", "open", READ]);
-    met.1.recv_timeout(PATIENCE).expect("the host has it");
+    met.1.recv_timeout(TEST_TIMEOUT).expect("the host has it");
     // A file that is none, one with a bad value, and one that would change more, leave all as it was.
-    program.reread("{\"name\"");
-    assert!(program.logged("is not taken").contains("EOF"));
+    program.reload("{\"name\"");
+    assert!(program.wait_for_log("is not taken").contains("EOF"));
     program
-        .reread(&with(place, new_platform, "\"n0\"").replace("\"credit\":1.0", "\"credit\":-1.0"));
+        .reload(&with(place, new_platform, "\"n0\"").replace("\"credit\":1.0", "\"credit\":-1.0"));
     assert!(
         program
-            .logged("is not taken")
+            .wait_for_log("is not taken")
             .contains("settings.request_classes.0.credit")
     );
-    program.reread(&with(place, new_platform, "\"other\""));
-    assert!(program.logged("is not taken").contains("name"));
-    program.reread(&with(place, new_platform, "\"n0\""));
+    program.reload(&with(place, new_platform, "\"other\""));
+    assert!(program.wait_for_log("is not taken").contains("name"));
+    program.reload(&with(place, new_platform, "\"n0\""));
     assert!(
         followed
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("the new platform is asked")
             .contains("follow")
     );
@@ -616,64 +668,69 @@
         "the bad files changed nothing"
     );
     // Versions at the new address need not go on from those of the old one.
-    new.send(list(3, true, &[("a", at, "Ready")]))
+    new.send(endpoint_list(3, true, &[("a", at, "Ready")]))
         .expect("discovery lives");
-    program.logged("rev: 3");
+    program.wait_for_log("rev: 3");
     drop(wait.0);
-    assert_eq!(client.answer(), "open");
-    assert_eq!(client.ask(&["Q.ASK", "k", "after", READ]), "after");
+    assert_eq!(client.reply(), "open");
+    assert_eq!(client.request(&["Q.ASK", "k", "after", READ]), "after");
 }
 
 #[test]
 fn what_the_file_says_anew_goes_before_the_environment_of_the_start() {
     let ((_old, no_answers), (new, answers)) = (channel(), channel());
     let (old, place) = (fake_discovery(no_answers), fake_discovery(answers));
-    let known = list(1, true, &[]);
+    let known = endpoint_list(1, true, &[]);
     let program = Program::start_with(
         BINARY,
-        &config(old, &known),
+        &router_config(old, &known),
         &[("PROXY_DISCOVERY", old.to_string())],
     );
-    program.reread(&config(place, &known));
-    new.send(list(3, true, &[])).expect("discovery lives");
-    program.logged("rev: 3");
+    program.reload(&router_config(place, &known));
+    new.send(endpoint_list(3, true, &[]))
+        .expect("discovery lives");
+    program.wait_for_log("rev: 3");
 }
 
 #[test]
 fn a_command_that_lay_unread_while_the_process_stood_still_has_no_time_left() {
     let (program, _lists) = router_with(&[("a", well().expect("a host"), "Ready")]);
     let mut client = program.client();
-    assert_eq!(client.ask(&["Q.ASK", "k", "before", READ]), "of before");
+    assert_eq!(client.request(&["Q.ASK", "k", "before", READ]), "of before");
     program.freeze();
     client.send(&["Q.ASK", "k", "during", "c=read,d=500"]);
     thread::sleep(Duration::from_millis(1500));
     program.signal("CONT");
-    assert_eq!(client.answer(), "-BUSY");
+    assert_eq!(client.reply(), "-BUSY");
 }
 
 #[test]
 fn news_that_came_while_the_process_stood_still_goes_before_the_commands_that_did() {
-    let named = |name: &'static str| fake_host(move |_| value(name));
+    let named = |name: &'static str| fake_host(move |_| value_reply(name));
     let (a, b) = (named("a"), named("b"));
     let (program, lists) = router_with(&[("a", a, "Ready"), ("b", b, "Ready")]);
     lists
-        .send(list(2, true, &[("a", a, "Ready"), ("b", b, "Ready")]))
+        .send(endpoint_list(
+            2,
+            true,
+            &[("a", a, "Ready"), ("b", b, "Ready")],
+        ))
         .expect("discovery lives");
-    program.logged("Full");
+    program.wait_for_log("Full");
     let mut clients: Vec<_> = (0..12).map(|_| program.client()).collect();
     clients
         .iter_mut()
-        .for_each(|client| assert!(!client.ask(&["PING"]).is_empty()));
+        .for_each(|client| assert!(!client.request(&["PING"]).is_empty()));
     program.freeze();
     let send =
         |(id, client): (usize, &mut Client)| client.send(&["Q.ASK", "k", &id.to_string(), READ]);
     clients.iter_mut().enumerate().for_each(send);
     lists
-        .send(list(3, false, &[("a", a, "Terminating")]))
+        .send(endpoint_list(3, false, &[("a", a, "Terminating")]))
         .expect("discovery lives");
     thread::sleep(Duration::from_millis(500));
     program.signal("CONT");
-    assert!(clients.iter_mut().all(|client| client.answer() == "b"));
+    assert!(clients.iter_mut().all(|client| client.reply() == "b"));
 }
 
 #[test]
@@ -682,9 +739,9 @@
     let mut clients: Vec<_> = (0..40).map(|_| program.client()).collect();
     // Those without use make room for those that come; who was closed finds out and comes again.
     let last = clients.last_mut().expect("clients");
-    assert_eq!(last.ask(&["Q.ASK", "k", "id", READ]), "of id");
+    assert_eq!(last.request(&["Q.ASK", "k", "id", READ]), "of id");
     assert_eq!(
-        clients[0].answer(),
+        clients[0].reply(),
         "",
         "the first has been without use for longest"
     );
@@ -697,23 +754,26 @@
     let (taken, wait) = (Mutex::new(taken), Mutex::new(wait));
     let at = fake_host(move |_| {
         let _ = taken.lock().expect("no panic before").send(());
-        let _ = wait.lock().expect("no panic before").recv_timeout(PATIENCE);
-        value("held")
+        let _ = wait
+            .lock()
+            .expect("no panic before")
+            .recv_timeout(TEST_TIMEOUT);
+        value_reply("held")
     });
     let (_lists, program) = router_with_few_sockets(at);
     let mut held: Vec<_> = (0..6).map(|_| program.client()).collect();
     for (id, client) in held.iter_mut().enumerate() {
         client.send(&["Q.ASK", "k", &format!("held-{id}"), READ]);
-        met.recv_timeout(PATIENCE).expect("the host has it");
+        met.recv_timeout(TEST_TIMEOUT).expect("the host has it");
     }
     for _ in 0..20 {
         assert_eq!(
-            program.client().ask(&["Q.DO", "k", "late", SWITCH]),
+            program.client().request(&["Q.DO", "k", "late", SWITCH]),
             "-BUSY"
         );
     }
     drop(release);
-    assert!(held.iter_mut().all(|client| client.answer() == "held"));
+    assert!(held.iter_mut().all(|client| client.reply() == "held"));
 }
 
 #[test]
@@ -728,10 +788,11 @@
     });
     let (_lists, answers) = channel();
     let with = format!("\"platform\":{{\"address\":\"{at}\"}},\"settings\"");
-    let text = config(fake_discovery(answers), &list(1, true, &[])).replace("\"settings\"", &with);
+    let text = router_config(fake_discovery(answers), &endpoint_list(1, true, &[]))
+        .replace("\"settings\"", &with);
     let program = Program::start(BINARY, &text);
-    program.logged("the platform's connection is lost");
-    assert!(program.logged("Canary").contains("build: 8"));
+    program.wait_for_log("the platform's connection is lost");
+    assert!(program.wait_for_log("Canary").contains("build: 8"));
 }
 
 #[test]
@@ -742,11 +803,12 @@
     });
     let (_lists, answers) = channel();
     let with = format!("\"platform\":{{\"address\":\"{at}\"}},\"settings\"");
-    let text = config(fake_discovery(answers), &list(1, true, &[])).replace("\"settings\"", &with);
+    let text = router_config(fake_discovery(answers), &endpoint_list(1, true, &[]))
+        .replace("\"settings\"", &with);
     let program = Program::start(BINARY, &text);
     assert!(
         program
-            .logged("the platform's connection is lost")
+            .wait_for_log("the platform's connection is lost")
             .contains("a line does not end")
     );
 }
@@ -757,10 +819,10 @@
     for _ in 0..100 {
         let mut bad = program.client();
         bad.write(b"?\r\n");
-        assert!(bad.answer().starts_with("-ERR"));
+        assert!(bad.reply().starts_with("-ERR"));
     }
     program.signal("TERM");
-    let lines = program.lines_until("stopped");
+    let lines = program.log_lines_until("stopped");
     assert!(program.child.wait().expect("an end").success());
     let told = lines
         .iter()
@@ -775,14 +837,17 @@
         .and_then(|socket| socket.local_addr())
         .expect("a free port");
     let (_lists, answers) = channel();
-    let known = list(1, true, &[("a", well().expect("a host"), "Ready")]);
+    let known = endpoint_list(1, true, &[("a", well().expect("a host"), "Ready")]);
     let with = format!("\"peer_listen\":\"{listen}\",\"peers\":[\"{listen}\"],\"settings\"");
-    let text = config(fake_discovery(answers), &known).replace("\"settings\"", &with);
+    let text = router_config(fake_discovery(answers), &known).replace("\"settings\"", &with);
     let program = Program::start(BINARY, &text.replace("\"peers\":false", "\"peers\":true"));
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     stranger.send_to(&[7; 400], listen).expect("it is sent");
-    program.logged("a datagram is from no peer or too long");
-    assert_eq!(program.client().ask(&["Q.ASK", "k", "id", READ]), "of id");
+    program.wait_for_log("a datagram is from no peer or too long");
+    assert_eq!(
+        program.client().request(&["Q.ASK", "k", "id", READ]),
+        "of id"
+    );
 }
 
 #[rstest]
@@ -810,7 +875,7 @@
     #[case] becomes: &str,
     #[case] named: &str,
 ) {
-    let text = config(unused_address(), &list(1, true, &[]));
+    let text = router_config(unused_address(), &endpoint_list(1, true, &[]));
     assert!(text.contains(is));
     for verb in ["serve", "check-config"] {
         let done = Program::command(BINARY, verb, &text.replace(is, becomes))
--- a/router/tests/upstream.rs
+++ b/router/tests/upstream.rs
@@ -17,8 +17,11 @@
 
 fn router_at(host: SocketAddr, change: impl Fn(String) -> String) -> Program {
     let (_, answers) = channel();
-    let known = list(1, true, &[("a", host, "Ready")]);
-    Program::start(BINARY, &change(config(fake_discovery(answers), &known)))
+    let known = endpoint_list(1, true, &[("a", host, "Ready")]);
+    Program::start(
+        BINARY,
+        &change(router_config(fake_discovery(answers), &known)),
+    )
 }
 
 /// A host that answers all at once, and the times for which its connections had been without use before each use.
@@ -27,14 +30,14 @@
     let seen = gaps.clone();
     let at = spawn_server(move |stream| {
         let answered = Mutex::new(None);
-        answer_each(stream, |words| {
+        serve_commands(stream, |words| {
             let mut answered = answered.lock().expect("no panic before");
             // Counted from before the answer is written, a gap only looks longer.
             let gap = answered
                 .replace(Instant::now())
                 .map(|at: Instant| at.elapsed());
             seen.lock().expect("no panic before").extend(gap);
-            value(&words[2])
+            value_reply(&words[2])
         });
     });
     (at, gaps)
@@ -48,7 +51,7 @@
     #[case] told: &str,
 ) {
     let mut listener = TestListener::open();
-    listener.shut();
+    listener.stop_accepting();
     // By the settings a connection has longer to come up than a drained host may be sent to.
     let program = router_at(listener.at, |text| {
         text.replace("\"connect_timeout\":250000", "\"connect_timeout\":4000000")
@@ -59,7 +62,7 @@
     } else {
         "Q.ASK"
     };
-    assert_eq!(program.client().ask(&[command, "k", "id", list]), told);
+    assert_eq!(program.client().request(&[command, "k", "id", list]), told);
     assert!(
         asked.elapsed() < Duration::from_secs(3),
         "two dispatches of 0.4 s: {:?}",
@@ -82,15 +85,15 @@
     let asked = Instant::now();
     client.send(&["Q.DO", "k", "id", "c=switch,d=5000,k=5c"]);
     let first = listener.accept();
-    let read = words(&mut BufReader::new(&first));
-    listener.shut();
+    let read = read_command(&mut BufReader::new(&first));
+    listener.stop_accepting();
     assert!(read.is_some_and(|words| words[2] == "id"));
     // It may have run; the connection is gone, so that the repeat needs another.
     (&first)
         .write_all(b"-ERR failed\r\n")
         .expect("the router reads");
     drop(first);
-    assert_eq!(client.answer(), "-ERR failed");
+    assert_eq!(client.reply(), "-ERR failed");
     assert!(
         asked.elapsed() < Duration::from_secs(2),
         "{:?}",
@@ -125,7 +128,7 @@
         .expect("the router is there");
     drop(host);
     program.signal("CONT");
-    assert_eq!(client.answer(), "-ERR failed");
+    assert_eq!(client.reply(), "-ERR failed");
 }
 
 /// Answers carry no id: a second one that comes some milliseconds late would be the next dispatch's value.
@@ -136,7 +139,7 @@
     let mut client = program.client();
     for id in 0..40 {
         assert_eq!(
-            client.ask(&["Q.ASK", "k", &id.to_string(), READ]),
+            client.request(&["Q.ASK", "k", &id.to_string(), READ]),
             id.to_string()
         );
         // Few at once, so that none has to be used before its time; used again all the same.
@@ -156,12 +159,12 @@
     let count = opened.clone();
     let at = spawn_server(move |stream| {
         *count.lock().expect("no panic before") += 1;
-        answer_each(stream, |words| value(&words[2]));
+        serve_commands(stream, |words| value_reply(&words[2]));
     });
     let program = router_at(at, |text| text);
     let mut client = program.client();
     for id in 0..200 {
-        client.ask(&["Q.ASK", "k", &id.to_string(), READ]);
+        client.request(&["Q.ASK", "k", &id.to_string(), READ]);
     }
     let opened = *opened.lock().expect("no panic before");
     assert!((1..=8).contains(&opened), "{opened}");
@@ -181,7 +184,7 @@
         let pause = [350, 40, 40][id % 3];
         thread::sleep(Duration::from_millis(pause));
         assert_eq!(
-            client.ask(&["Q.DO", "k", &id.to_string(), SWITCH]),
+            client.request(&["Q.DO", "k", &id.to_string(), SWITCH]),
             id.to_string()
         );
     }
@@ -216,7 +219,7 @@
     #[case] told: &str,
 ) {
     let at = spawn_server(move |stream| {
-        answer_each(
+        serve_commands(
             stream.try_clone().expect("a second handle"),
             |words| match words[2].as_str() {
                 "bad" if ends => {
@@ -224,7 +227,7 @@
                     None
                 }
                 "bad" => Some(answer.into()),
-                _ => value(&words[2]),
+                _ => value_reply(&words[2]),
             },
         );
     });
@@ -232,19 +235,19 @@
     let folder = format!("/proc/{}/fd", program.child.id());
     let descriptors = || std::fs::read_dir(&folder).expect("it runs").count();
     let (mut bad, mut good) = (program.client(), program.client());
-    assert_eq!(good.ask(&["Q.ASK", "k", "first", READ]), "first");
+    assert_eq!(good.request(&["Q.ASK", "k", "first", READ]), "first");
     let before = descriptors();
     for round in 0..3 {
         bad.send(&["Q.DO", "k", "bad", &format!("c=switch,d={waits_millis}")]);
         assert_eq!(
-            good.ask(&["Q.ASK", "k", &round.to_string(), READ]),
+            good.request(&["Q.ASK", "k", &round.to_string(), READ]),
             round.to_string()
         );
         // A host that keeps silent is sent less: what never went out to it may be turned away.
-        let said = bad.answer();
+        let said = bad.reply();
         assert!(said == told || round > 0 && said == "-BUSY", "{said}");
     }
-    assert_eq!(good.ask(&["Q.ASK", "k", "last", READ]), "last");
+    assert_eq!(good.request(&["Q.ASK", "k", "last", READ]), "last");
     // The good ones' connections stay, at most one each while the others rest.
     assert!(
         descriptors() <= before + 4,
--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -3,7 +3,7 @@
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-use crate::{PATIENCE, machine};
+use crate::{TEST_TIMEOUT, tcp_states};
 
 pub struct Client {
     pub stream: TcpStream,
@@ -14,7 +14,9 @@
     pub fn connect(at: SocketAddr) -> Self {
         let stream = TcpStream::connect(at).expect("somebody listens");
         stream.set_nodelay(true).expect("an option");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         Client {
             reader: BufReader::new(stream.try_clone().expect("a second handle")),
             stream,
@@ -23,10 +25,10 @@
 
     /// Ends the connection, and waits until the machine of the program has got that. A mere drop may come later: while
     /// another thread starts a program, the new process holds this connection, too, for a moment.
-    pub fn leave(self) {
+    pub fn close(self) {
         let here = self.stream.local_addr().expect("an address");
         self.stream.shutdown(Shutdown::Write).expect("it is open");
-        machine::wait_for_end_to_arrive(here);
+        tcp_states::wait_for_end_to_arrive(here);
     }
 
     pub fn write(&mut self, bytes: &[u8]) {
@@ -42,7 +44,7 @@
     }
 
     /// The next answer: a line, or a bulk string's value; empty at the connection's end.
-    pub fn answer(&mut self) -> String {
+    pub fn reply(&mut self) -> String {
         let mut line = String::new();
         let read = self.reader.read_line(&mut line);
         assert!(
@@ -61,8 +63,8 @@
         String::from_utf8_lossy(&bytes[..length]).into()
     }
 
-    pub fn ask(&mut self, words: &[&str]) -> String {
+    pub fn request(&mut self, words: &[&str]) -> String {
         self.send(words);
-        self.answer()
+        self.reply()
     }
 }
--- a/testkit/src/config.rs
+++ b/testkit/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-pub fn list(rev: u32, all: bool, hosts: &[(&str, SocketAddr, &str)]) -> String {
+pub fn endpoint_list(rev: u32, all: bool, hosts: &[(&str, SocketAddr, &str)]) -> String {
     let target = |(uid, at, state): &(&str, SocketAddr, &str)| {
         format!(
             r#"{{"uid":"{uid}","endpoint":"{at}","az":"a","model":"m","pod_group":0,"state":"{state}","#
@@ -31,7 +31,7 @@
     "stream":false}]}"#;
 
 /// A whole configuration; what is in it may be replaced.
-pub fn config(discovery: SocketAddr, known: &str) -> String {
+pub fn router_config(discovery: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":64,"sockets":256}},"known":{known},"settings":{SETTINGS}}}"#
--- a/testkit/src/discovery.rs
+++ b/testkit/src/discovery.rs
@@ -64,7 +64,7 @@
         Discovery { at, shared }
     }
 
-    pub fn tell(&self, rev: u32, list: String) {
+    pub fn publish(&self, rev: u32, list: String) {
         *self.shared.0.lock().expect("no panic before") = (rev, list);
         self.shared.1.notify_all();
     }
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -8,22 +8,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::{spawn_server, words};
+use crate::{read_command, spawn_server};
 
 /// What all hosts of a fleet have noted.
 #[derive(Default)]
-pub struct Seen {
+pub struct AttemptLog {
     /// By invocation, the tags of the hosts that it was sent to, until its client has looked.
-    open: Mutex<HashMap<String, Vec<Arc<str>>>>,
-    pub dispatches: AtomicU64,
+    tags_by_request: Mutex<HashMap<String, Vec<Arc<str>>>>,
+    pub attempts: AtomicU64,
     /// Dispatches that came to a host later than it should have been sent any.
-    pub late: AtomicU64,
+    pub late_attempts: AtomicU64,
 }
 
-impl Seen {
+impl AttemptLog {
     /// Where an invocation was sent, forgotten with this look.
     pub fn take(&self, id: &str) -> Vec<Arc<str>> {
-        self.open
+        self.tags_by_request
             .lock()
             .expect("no panic before")
             .remove(id)
@@ -32,102 +32,104 @@
 }
 
 /// One host; it can be told how long to take, and from when on nothing new may come.
-pub struct Host {
+pub struct TestHost {
     pub name: String,
     pub tag: Arc<str>,
     pub at: SocketAddr,
-    pub taken: Arc<AtomicU64>,
-    micros: Arc<AtomicU64>,
+    pub received: Arc<AtomicU64>,
+    response_micros: Arc<AtomicU64>,
     /// Microseconds of the fleet's clock; 0: no end.
-    ends: Arc<AtomicU64>,
+    last_attempt_micros: Arc<AtomicU64>,
     epoch: Instant,
 }
 
-impl Host {
-    pub fn answers_after(&self, time: Duration) {
-        self.micros.store(time.as_micros() as u64, Relaxed);
+impl TestHost {
+    pub fn set_response_time(&self, time: Duration) {
+        self.response_micros.store(time.as_micros() as u64, Relaxed);
     }
 
     /// What begins later than this is too late.
-    pub fn ends(&self, at: Option<Instant>) {
-        let micros = at.map_or(0, |at| at.duration_since(self.epoch).as_micros() as u64);
-        self.ends.store(micros, Relaxed);
+    pub fn set_last_attempt_time(&self, at: Option<Instant>) {
+        let response_micros = at.map_or(0, |at| at.duration_since(self.epoch).as_micros() as u64);
+        self.last_attempt_micros.store(response_micros, Relaxed);
     }
 }
 
 /// Hosts with one note of all.
 pub struct Fleet {
-    pub hosts: Vec<Host>,
-    pub seen: Arc<Seen>,
+    pub hosts: Vec<TestHost>,
+    pub attempt_log: Arc<AttemptLog>,
 }
 
 impl Fleet {
     /// A host for each name and tag.
     pub fn start<'a>(hosts: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
-        let (seen, epoch) = (Arc::new(Seen::default()), Instant::now());
+        let (attempt_log, epoch) = (Arc::new(AttemptLog::default()), Instant::now());
         let hosts = hosts.into_iter().map(|(name, tag)| {
             let tag: Arc<str> = tag.into();
-            let [taken, micros, ends] = [(); 3].map(|()| Arc::new(AtomicU64::new(0)));
-            let own = Own {
-                seen: seen.clone(),
+            let [received, response_micros, last_attempt_micros] =
+                [(); 3].map(|()| Arc::new(AtomicU64::new(0)));
+            let own = HostServer {
+                attempt_log: attempt_log.clone(),
                 tag: tag.clone(),
-                taken: taken.clone(),
-                micros: micros.clone(),
-                ends: ends.clone(),
+                received: received.clone(),
+                response_micros: response_micros.clone(),
+                last_attempt_micros: last_attempt_micros.clone(),
                 epoch,
             };
             let at = spawn_server(move |stream| own.serve(stream));
-            Host {
+            TestHost {
                 name: name.into(),
                 tag,
                 at,
-                taken,
-                micros,
-                ends,
+                received,
+                response_micros,
+                last_attempt_micros,
                 epoch,
             }
         });
         let hosts = hosts.collect();
-        Fleet { hosts, seen }
+        Fleet { hosts, attempt_log }
     }
 
-    pub fn of_tag<'a>(&'a self, tag: &'a str) -> impl Iterator<Item = &'a Host> {
+    pub fn of_tag<'a>(&'a self, tag: &'a str) -> impl Iterator<Item = &'a TestHost> {
         self.hosts.iter().filter(move |host| &*host.tag == tag)
     }
 }
 
-struct Own {
-    seen: Arc<Seen>,
+struct HostServer {
+    attempt_log: Arc<AttemptLog>,
     tag: Arc<str>,
-    taken: Arc<AtomicU64>,
-    micros: Arc<AtomicU64>,
-    ends: Arc<AtomicU64>,
+    received: Arc<AtomicU64>,
+    response_micros: Arc<AtomicU64>,
+    last_attempt_micros: Arc<AtomicU64>,
     epoch: Instant,
 }
 
-impl Own {
+impl HostServer {
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
-        while let Some(words) = words(&mut reader) {
+        while let Some(words) = read_command(&mut reader) {
             let now = self.epoch.elapsed().as_micros() as u64;
-            let ends = self.ends.load(Relaxed);
-            self.seen
-                .late
-                .fetch_add(u64::from(ends > 0 && now > ends), Relaxed);
-            self.seen.dispatches.fetch_add(1, Relaxed);
-            self.taken.fetch_add(1, Relaxed);
+            let last_attempt_micros = self.last_attempt_micros.load(Relaxed);
+            self.attempt_log.late_attempts.fetch_add(
+                u64::from(last_attempt_micros > 0 && now > last_attempt_micros),
+                Relaxed,
+            );
+            self.attempt_log.attempts.fetch_add(1, Relaxed);
+            self.received.fetch_add(1, Relaxed);
             let id = words.get(2).cloned().unwrap_or_default();
-            self.seen
-                .open
+            self.attempt_log
+                .tags_by_request
                 .lock()
                 .expect("no panic before")
                 .entry(id)
                 .or_default()
                 .push(self.tag.clone());
-            let micros = self.micros.load(Relaxed);
-            if micros > 0 {
-                thread::sleep(Duration::from_micros(micros));
+            let response_micros = self.response_micros.load(Relaxed);
+            if response_micros > 0 {
+                thread::sleep(Duration::from_micros(response_micros));
             }
             let answer = format!(
                 "*3\r\n${}\r\n{}\r\n$-1\r\n$-1\r\n",
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -6,26 +6,27 @@
 mod config;
 mod discovery;
 mod fleet;
-mod machine;
 mod management_client;
 mod platform;
 mod program;
 mod servers;
+mod tcp_states;
 mod test_listener;
 
 use std::time::Duration;
 
 pub use client::Client;
-pub use config::{config, list};
+pub use config::{endpoint_list, router_config};
 pub use discovery::Discovery;
-pub use fleet::{Fleet, Host, Seen};
+pub use fleet::{AttemptLog, Fleet, TestHost};
 pub use management_client::{ManagementClient, Netconf, TestCredentials, proto};
-pub use platform::{Platform, Standing};
+pub use platform::{Platform, RolloutState};
 pub use program::Program;
 pub use servers::{
-    answer_each, fake_discovery, fake_host, spawn_server, unused_address, value, words,
+    fake_discovery, fake_host, read_command, serve_commands, spawn_server, unused_address,
+    value_reply,
 };
 pub use test_listener::TestListener;
 
 /// What is waited for longer than this never comes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/testkit/src/management_client.rs
+++ b/testkit/src/management_client.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Identity};
 
-use crate::PATIENCE;
+use crate::TEST_TIMEOUT;
 
 /// The gNMI service as its clients see it.
 pub mod proto {
@@ -39,11 +39,11 @@
     rights: String,
 }
 
-/// What a router and its engineers need to know each other.
+/// What a router and its clients need to know each other.
 pub struct TestCredentials {
     pub folder: TempDir,
     ca: String,
-    pub engineers: Vec<ManagementClient>,
+    pub clients: Vec<ManagementClient>,
 }
 
 fn key() -> PrivateKey {
@@ -56,7 +56,7 @@
 
 impl TestCredentials {
     /// Engineers by name, each with rights.
-    pub fn new(engineers: &[(&str, &str)]) -> Self {
+    pub fn new(clients: &[(&str, &str)]) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let ca_key = KeyPair::generate().expect("a key");
         let mut params = CertificateParams::new(vec![]).expect("well");
@@ -81,7 +81,7 @@
                 .to_openssh(russh::keys::ssh_key::LineEnding::LF)
                 .expect("a form"),
         );
-        let engineers = engineers.iter().map(|(name, rights)| {
+        let clients = clients.iter().map(|(name, rights)| {
             let (certificate, private) = signed(name);
             let hash = hex(ring::digest::digest(&ring::digest::SHA256, certificate.der()).as_ref());
             let certificate = certificate.pem();
@@ -95,14 +95,14 @@
             }
         });
         let credentials = TestCredentials {
-            engineers: engineers.collect(),
+            clients: clients.collect(),
             ca: ca.pem(),
             folder,
         };
         credentials.write_keys(
             "1",
             &credentials
-                .engineers
+                .clients
                 .iter()
                 .map(|management_client| management_client.name.as_str())
                 .collect::<Vec<_>>(),
@@ -110,15 +110,15 @@
         credentials
     }
 
-    pub fn at(&self, name: &str) -> PathBuf {
+    pub fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    /// The file of keys, with only these of the engineers.
+    /// The file of keys, with only these of the clients.
     pub fn write_keys(&self, generation: &str, names: &[&str]) {
         let mut text = format!("generation = {generation}\n");
         for management_client in self
-            .engineers
+            .clients
             .iter()
             .filter(|management_client| names.contains(&management_client.name.as_str()))
         {
@@ -134,17 +134,17 @@
                 &format!("[key {name}]\nssh = {ssh}\ncertificate = {hash}\nrights = {rights}\n");
         }
         text += &format!("[end]\nkeys = {}\ngeneration = {generation}\n", names.len());
-        replace(&self.at("keys.ini"), &text);
+        replace(&self.path("keys.ini"), &text);
     }
 
     /// The section of an operator file.
-    pub fn section(&self) -> &'static str {
+    pub fn operator_section(&self) -> &'static str {
         "[management]\nnetconf = 127.0.0.1:0\nssh-host-key = host_key\ngnmi = 127.0.0.1:0\ncertificate = router.pem\n\
          key = router.key\nclient-ca = ca.pem\nkeys = keys.ini\n"
     }
 
     pub fn management_client(&self, name: &str) -> &ManagementClient {
-        self.engineers
+        self.clients
             .iter()
             .find(|management_client| management_client.name == name)
             .expect("an engineer of this name")
@@ -178,9 +178,9 @@
         .expect("replaced");
 }
 
-struct Trusting;
+struct AcceptAnyServerKey;
 
-impl Handler for Trusting {
+impl Handler for AcceptAnyServerKey {
     type Error = russh::Error;
 
     async fn check_server_key(&mut self, _: &PublicKeyOrCertificate) -> Result<bool, Self::Error> {
@@ -190,14 +190,14 @@
 
 /// A NETCONF session over SSH.
 pub struct Netconf {
-    _ssh: Handle<Trusting>,
+    _ssh: Handle<AcceptAnyServerKey>,
     stream: russh::ChannelStream<russh::client::Msg>,
     read: Vec<u8>,
     chunked: bool,
     number: u32,
     pub hello: String,
     /// Notifications that came while a reply was waited for.
-    pub notices: Vec<String>,
+    pub notifications: Vec<String>,
 }
 
 const END: &[u8] = b"]]>]]>";
@@ -209,7 +209,7 @@
         management_client: &ManagementClient,
         at: SocketAddr,
     ) -> Result<Self, String> {
-        let mut ssh = connect(Arc::default(), at, Trusting)
+        let mut ssh = connect(Arc::default(), at, AcceptAnyServerKey)
             .await
             .map_err(|e| e.to_string())?;
         let key = PrivateKeyWithHashAlg::new(Arc::new(management_client.ssh.clone()), None);
@@ -229,7 +229,7 @@
             .await
             .map_err(|e| e.to_string())?;
         let stream = channel.into_stream();
-        let (read, notices) = (vec![], vec![]);
+        let (read, notifications) = (vec![], vec![]);
         let mut session = Netconf {
             _ssh: ssh,
             stream,
@@ -237,7 +237,7 @@
             chunked: false,
             number: 0,
             hello: String::new(),
-            notices,
+            notifications,
         };
         session.hello = session.message().await?;
         let hello = format!(
@@ -265,12 +265,12 @@
     /// The next message, whatever it is; an error at the session's end.
     pub async fn message(&mut self) -> Result<String, String> {
         loop {
-            if let Some((message, used)) = self.whole() {
+            if let Some((message, used)) = self.take_complete_message() {
                 self.read.drain(..used);
                 return Ok(message);
             }
             let mut buffer = [0; 8192];
-            let read = timeout(PATIENCE, self.stream.read(&mut buffer))
+            let read = timeout(TEST_TIMEOUT, self.stream.read(&mut buffer))
                 .await
                 .map_err(|_| "no message came".to_owned())?;
             match read.map_err(|e| e.to_string())? {
@@ -280,7 +280,7 @@
         }
     }
 
-    fn whole(&self) -> Option<(String, usize)> {
+    fn take_complete_message(&self) -> Option<(String, usize)> {
         let find = |of: &[u8], from: usize| {
             let rest = self.read.get(from..)?;
             rest.windows(of.len())
@@ -317,7 +317,7 @@
         loop {
             let message = self.message().await?;
             if message.starts_with("<notification") {
-                self.notices.push(message);
+                self.notifications.push(message);
             } else {
                 return Ok(message);
             }
--- a/testkit/src/platform.rs
+++ b/testkit/src/platform.rs
@@ -12,7 +12,7 @@
 
 /// Where the build stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct RolloutState {
     pub build: u16,
     pub stage: u32,
     pub progress: &'static str,
@@ -20,9 +20,9 @@
 }
 
 struct State {
-    standing: Standing,
+    rollout: RolloutState,
     since: Instant,
-    followers: Vec<TcpStream>,
+    subscribers: Vec<TcpStream>,
 }
 
 pub struct Platform {
@@ -33,23 +33,23 @@
 
 impl State {
     fn progress(&self) -> Value {
-        let Standing {
+        let RolloutState {
             build,
             stage,
             progress,
             cap,
-        } = &self.standing;
+        } = &self.rollout;
         let age = self.since.elapsed().as_millis() as u64;
         json!({"image": build, "ring": stage, "progress": progress, "ceiling": cap, "lag_ms": age})
     }
 }
 
 impl Platform {
-    pub fn start(standing: Standing) -> Self {
+    pub fn start(rollout: RolloutState) -> Self {
         let state = Arc::new(Mutex::new(State {
-            standing,
+            rollout,
             since: Instant::now(),
-            followers: vec![],
+            subscribers: vec![],
         }));
         let (shared, (cast, votes)) = (state.clone(), channel());
         let cast = Mutex::new(cast);
@@ -69,19 +69,19 @@
                     .to_string()
                     + "\n";
                 if call["method"] == "follow" {
-                    let news =
+                    let notification =
                         json!({"jsonrpc": "2.0", "method": "progress", "params": state.progress()});
-                    answer += &(news.to_string() + "\n");
+                    answer += &(notification.to_string() + "\n");
                     state
-                        .followers
+                        .subscribers
                         .push(stream.try_clone().expect("a second handle"));
                 } else {
-                    let sense = call["params"]["opinion"]
+                    let opinion = call["params"]["opinion"]
                         .as_str()
                         .unwrap_or_default()
                         .to_owned();
                     let stage = call["params"]["ring"].as_u64().unwrap_or_default() as u32;
-                    let _ = cast.lock().expect("no panic before").send((stage, sense));
+                    let _ = cast.lock().expect("no panic before").send((stage, opinion));
                 }
                 let _ = (&stream).write_all(answer.as_bytes());
             }
@@ -90,23 +90,23 @@
     }
 
     /// The build stands so from now on, and all who follow are told.
-    pub fn tell(&self, standing: Standing) {
+    pub fn publish(&self, rollout: RolloutState) {
         let mut state = self.state.lock().expect("no panic before");
-        (state.standing, state.since) = (standing, Instant::now());
-        let news = json!({"jsonrpc": "2.0", "method": "progress", "params": state.progress()})
-            .to_string()
-            + "\n";
+        (state.rollout, state.since) = (rollout, Instant::now());
+        let notification =
+            json!({"jsonrpc": "2.0", "method": "progress", "params": state.progress()}).to_string()
+                + "\n";
         state
-            .followers
-            .retain(|follower| (&*follower).write_all(news.as_bytes()).is_ok());
+            .subscribers
+            .retain(|subscriber| (&*subscriber).write_all(notification.as_bytes()).is_ok());
     }
 
     pub fn ping(&self) {
         let line = "{\"jsonrpc\":\"2.0\",\"method\":\"ping\"}\n";
         let mut state = self.state.lock().expect("no panic before");
         state
-            .followers
-            .retain(|follower| (&*follower).write_all(line.as_bytes()).is_ok());
+            .subscribers
+            .retain(|subscriber| (&*subscriber).write_all(line.as_bytes()).is_ok());
     }
 
     /// Votes cast since the last look: the stage, and what it says.
--- a/testkit/src/program.rs
+++ b/testkit/src/program.rs
@@ -9,14 +9,14 @@
 use std::time::Instant;
 use std::{env, fs, thread};
 
-use crate::{Client, PATIENCE};
+use crate::{Client, TEST_TIMEOUT};
 
 /// The program, started with a configuration on its own.
 pub struct Program {
     pub child: Child,
     pub at: SocketAddr,
     /// What it said before it listened.
-    pub began: Vec<String>,
+    pub startup_log: Vec<String>,
     config: PathBuf,
     log: Receiver<String>,
 }
@@ -64,20 +64,20 @@
                 .map_while(Result::ok)
                 .try_for_each(|line| sender.send(line))
         });
-        let (at, began) = (([127, 0, 0, 1], 0).into(), vec![]);
+        let (at, startup_log) = (([127, 0, 0, 1], 0).into(), vec![]);
         let mut program = Program {
             child,
             at,
-            began,
+            startup_log,
             config: path,
             log,
         };
         let line = loop {
-            let line = program.logged("");
+            let line = program.wait_for_log("");
             if line.contains("listening") {
                 break line;
             }
-            program.began.push(line);
+            program.startup_log.push(line);
         };
         let at = line
             .split("at: ")
@@ -90,8 +90,8 @@
     }
 
     /// The address that a line before `listening` told.
-    pub fn logged_address(&self, what: &str) -> Option<SocketAddr> {
-        let line = self.began.iter().find(|line| line.contains(what))?;
+    pub fn address_in_startup_log(&self, what: &str) -> Option<SocketAddr> {
+        let line = self.startup_log.iter().find(|line| line.contains(what))?;
         line.split("at: ")
             .nth(1)?
             .split([',', ' '])
@@ -101,8 +101,8 @@
     }
 
     /// Waits for a line of the log that says this.
-    pub fn logged(&self, what: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_log(&self, what: &str) -> String {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             // Other lines may come for ever.
             let left = until.saturating_duration_since(Instant::now());
@@ -117,18 +117,18 @@
     }
 
     /// Waits for a line that other threads of the program may have said before it listened, too.
-    pub fn logged_since_start(&self, what: &str) -> String {
-        self.began
+    pub fn wait_for_log_since_start(&self, what: &str) -> String {
+        self.startup_log
             .iter()
             .find(|line| line.contains(what))
             .cloned()
-            .unwrap_or_else(|| self.logged(what))
+            .unwrap_or_else(|| self.wait_for_log(what))
     }
 
-    pub fn lines_until(&self, what: &str) -> Vec<String> {
+    pub fn log_lines_until(&self, what: &str) -> Vec<String> {
         let next = || {
             self.log
-                .recv_timeout(PATIENCE)
+                .recv_timeout(TEST_TIMEOUT)
                 .ok()
                 .filter(|line| !line.contains(what))
         };
@@ -136,7 +136,7 @@
     }
 
     /// Replaces the configuration and tells the program so.
-    pub fn reread(&self, config: &str) {
+    pub fn reload(&self, config: &str) {
         fs::write(&self.config, config).expect("a writable folder");
         self.signal("HUP");
     }
--- a/testkit/src/servers.rs
+++ b/testkit/src/servers.rs
@@ -29,7 +29,7 @@
 }
 
 /// The next command or array on a connection, None at its end.
-pub fn words(from: &mut impl BufRead) -> Option<Vec<String>> {
+pub fn read_command(from: &mut impl BufRead) -> Option<Vec<String>> {
     let mut line = String::new();
     from.read_line(&mut line)
         .ok()
@@ -51,13 +51,13 @@
 pub fn fake_host(
     answer: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
 ) -> SocketAddr {
-    spawn_server(move |stream| answer_each(stream, &answer))
+    spawn_server(move |stream| serve_commands(stream, &answer))
 }
 
 /// Answers the commands of one connection, one after another.
-pub fn answer_each(stream: TcpStream, answer: impl Fn(&[String]) -> Option<String>) {
+pub fn serve_commands(stream: TcpStream, answer: impl Fn(&[String]) -> Option<String>) {
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
-    while let Some(words) = words(&mut reader) {
+    while let Some(words) = read_command(&mut reader) {
         match answer(&words) {
             Some(text) => drop((&stream).write_all(text.as_bytes())),
             None => return,
@@ -66,7 +66,7 @@
 }
 
 /// A host's answer with a value.
-pub fn value(text: &str) -> Option<String> {
+pub fn value_reply(text: &str) -> Option<String> {
     Some(format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()))
 }
 
--- a/testkit/src/machine.rs
+++ b/testkit/src/tcp_states.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::PATIENCE;
+use crate::TEST_TIMEOUT;
 
 /// How far a connection has come, as the kernel numbers its states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
 }
 
 fn wait_until(what: &str, holds: impl Fn(&[End]) -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let text =
             fs::read_to_string("/proc/net/tcp").expect("the machine tells of its connections");
--- a/testkit/src/test_listener.rs
+++ b/testkit/src/test_listener.rs
@@ -1,14 +1,14 @@
-//! A listener at which connections come up only as long as somebody lets them in.
+//! A listener at which connections accepted up only as long as somebody lets them in.
 
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
 use socket2::{Domain, Socket, Type};
 
-use crate::{PATIENCE, machine};
+use crate::{TEST_TIMEOUT, tcp_states};
 
-/// Shut once so many connections one after another have not come up.
-const REFUSED: usize = 2;
+/// Shut once so many connections one after another have not accepted up.
+const DROPPED_IN_A_ROW: usize = 2;
 
 pub struct TestListener {
     socket: Socket,
@@ -17,7 +17,7 @@
     /// their ports.
     own: Vec<TcpStream>,
     /// Others that came up before somebody asked for them.
-    come: Vec<TcpStream>,
+    accepted: Vec<TcpStream>,
 }
 
 impl TestListener {
@@ -27,7 +27,9 @@
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .expect("a free port");
         socket.listen(0).expect("it listens");
-        socket.set_read_timeout(Some(PATIENCE)).expect("an option");
+        socket
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("an option");
         let at = socket
             .local_addr()
             .ok()
@@ -37,52 +39,52 @@
             socket,
             at,
             own: vec![],
-            come: vec![],
+            accepted: vec![],
         }
     }
 
     /// The next that comes and is none of the door's own.
     pub fn accept(&mut self) -> TcpStream {
-        while self.come.is_empty() {
+        while self.accepted.is_empty() {
             let (socket, _) = self.socket.accept().expect("somebody comes");
-            self.note(socket);
+            self.keep_foreign(socket);
         }
-        self.come.remove(0)
+        self.accepted.remove(0)
     }
 
     /// From now on no connection comes up: the first part of its handshake is dropped.
-    pub fn shut(&mut self) {
-        let mut refused = 0;
-        while refused < REFUSED {
+    pub fn stop_accepting(&mut self) {
+        let mut dropped = 0;
+        while dropped < DROPPED_IN_A_ROW {
             match TcpStream::connect_timeout(&self.at, Duration::from_millis(100)) {
                 Ok(stream) => {
                     self.own.push(stream);
-                    refused = 0;
+                    dropped = 0;
                 }
-                Err(_) => refused += 1,
+                Err(_) => dropped += 1,
             }
         }
     }
 
     /// Waits until somebody tries to connect, while it is shut.
     pub fn wait_for_connection(&self) {
-        machine::wait_for_attempt_to_connect(self.at);
+        tcp_states::wait_for_attempt_to_connect(self.at);
     }
 
     /// Makes room for others by letting in those that fill it.
-    pub fn reopen(&mut self) {
+    pub fn resume_accepting(&mut self) {
         self.socket.set_nonblocking(true).expect("an option");
         while let Ok((socket, _)) = self.socket.accept() {
-            self.note(socket);
+            self.keep_foreign(socket);
         }
         self.socket.set_nonblocking(false).expect("an option");
     }
 
-    fn note(&mut self, socket: Socket) {
+    fn keep_foreign(&mut self, socket: Socket) {
         let stream = TcpStream::from(socket);
         let from = stream.peer_addr().ok();
         if !self.own.iter().any(|own| own.local_addr().ok() == from) {
-            self.come.push(stream);
+            self.accepted.push(stream);
         }
     }
 }
