--- a/src/candidates.rs
+++ b/src/candidates.rs
@@ -1,33 +1,14 @@
 //! The hosts that a request may go to. Hosts that stand out are listed one by one; all others are counted by arm,
 //! as the index keeps them. Records only: which host may be chosen, and in which tier, is decided in `decisions`.
 
-use std::sync::Arc;
-
-use crate::host_index::Group;
-use crate::interface::{HostId, Pool, Revision};
-
-/// What a request asks of a host.
-pub(crate) struct Requirements {
-    /// The groups that are for it, in their order, and the arm of each.
-    pub(crate) arms: Vec<(Group, usize)>,
-    /// Hosts that it has been sent to.
-    pub(crate) tried: Vec<HostId>,
-    pub(crate) pool: Option<Arc<Pool>>,
-    /// What operators had set when it came.
-    pub(crate) revision: Revision,
-}
-
-impl Requirements {
-    pub(crate) fn arm(&self, group: &Group) -> Option<usize> {
-        let place = self.arms.binary_search_by(|(of, _)| of.cmp(group)).ok()?;
-        Some(self.arms[place].1)
-    }
-}
+use crate::arm::{Arm, PerArm};
+use crate::host_group::HostSum;
+use crate::interface::HostId;
 
 /// One host that a request may go to.
 pub(crate) struct Candidate {
     pub(crate) host: HostId,
-    pub(crate) arm: usize,
+    pub(crate) arm: Arm,
     /// Hosts of a lower tier go first.
     pub(crate) tier: u8,
     /// Size times weight times warmth.
@@ -36,19 +17,12 @@
     pub(crate) weight: f64,
 }
 
-/// How many hosts there are, and the sum of their shares.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Sum {
-    pub(crate) hosts: usize,
-    pub(crate) share: f64,
-}
-
 /// All hosts that a request may go to.
 pub(crate) struct Candidates {
     /// In the order of their ids where all hosts are listed.
     pub(crate) listed: Vec<Candidate>,
     /// By arm, those of the lowest tier that are only counted.
-    pub(crate) counted: [Sum; 2],
+    pub(crate) counted: PerArm<HostSum>,
     /// Whether hosts that are warming up are among them.
     pub(crate) with_warming_up: bool,
 }
@@ -56,7 +30,10 @@
 impl Candidates {
     /// The lowest tier that has a host.
     pub(crate) fn lowest_tier(&self) -> Option<u8> {
-        let counted = self.counted.iter().any(|sum| sum.hosts > 0).then_some(0);
+        let counted = Arm::BOTH
+            .iter()
+            .any(|arm| self.counted[*arm].hosts > 0)
+            .then_some(0);
         self.listed
             .iter()
             .map(|candidate| candidate.tier)
@@ -65,29 +42,29 @@
     }
 
     /// Those of one arm and tier that are listed.
-    pub(crate) fn listed(&self, arm: usize, tier: u8) -> impl Iterator<Item = &Candidate> {
+    pub(crate) fn listed(&self, arm: Arm, tier: u8) -> impl Iterator<Item = &Candidate> {
         self.listed
             .iter()
             .filter(move |candidate| candidate.arm == arm && candidate.tier == tier)
     }
 
     /// Those of one arm and tier that are only counted.
-    pub(crate) fn counted(&self, arm: usize, tier: u8) -> Sum {
+    pub(crate) fn counted(&self, arm: Arm, tier: u8) -> HostSum {
         if tier == 0 {
             self.counted[arm]
         } else {
-            Sum::default()
+            HostSum::default()
         }
     }
 
-    pub(crate) fn sum(&self, arm: usize, tier: u8) -> Sum {
-        let add = |sum: Sum, of: &Candidate| Sum {
+    pub(crate) fn sum(&self, arm: Arm, tier: u8) -> HostSum {
+        let add = |sum: HostSum, of: &Candidate| HostSum {
             hosts: sum.hosts + 1,
             share: sum.share + of.share,
         };
-        let listed = self.listed(arm, tier).fold(Sum::default(), add);
+        let listed = self.listed(arm, tier).fold(HostSum::default(), add);
         let counted = self.counted(arm, tier);
-        Sum {
+        HostSum {
             hosts: counted.hosts + listed.hosts,
             share: counted.share + listed.share,
         }
@@ -99,7 +76,8 @@
             .listed
             .iter()
             .filter(|candidate| candidate.tier == tier);
-        let counted: f64 = [0, 1].map(|arm| self.counted(arm, tier).share).iter().sum();
+        let counted =
+            self.counted(Arm::Baseline, tier).share + self.counted(Arm::Canary, tier).share;
         counted + listed.map(|candidate| candidate.share).sum::<f64>()
     }
 
--- /dev/null
+++ b/src/decisions/canary_assessment.rs
@@ -0,0 +1,321 @@
+//! The assessment of the canary: what the merged evidence and the service's slowdown say of it.
+
+use super::Router;
+use super::evidence::{Signal, SignalCounts};
+use super::service_slowdown::SlowdownAssessment;
+use crate::arm::Arm;
+use crate::host_index::HostIndex;
+use crate::interface::{BuildId, Phase, RolloutStatus};
+
+use super::host_table::Host;
+
+/// Routers at which half of the evidence is clumps: messages within a half-life, by peers.
+const CLUMPED_ROUTERS: f64 = 430.0;
+
+/// Peers heard in this stage before the canary is assessed, or all that live.
+const PEERS_HEARD: usize = 10;
+
+/// Outcomes of each arm before the canary is compared.
+const MIN_OUTCOMES: f64 = 20.0;
+
+/// Outcomes of each arm before one operation is compared by itself.
+const MIN_SLOT_OUTCOMES: f64 = 12.0;
+
+/// Chance of being worse, by answers in time, above which the canary is rolled back.
+const ROLL_BACK_CHANCE: f64 = 0.95;
+
+/// Chance of being worse, by one operation or another signal alone, above which the canary is rolled back.
+const ROLL_BACK_CHANCE_ALONE: f64 = 0.97;
+
+/// Chance of being worse below which the canary is promoted.
+const PROMOTE_CHANCE: f64 = 0.2;
+
+/// Fraction of answers in time that the canary may lack.
+pub(super) const IN_TIME_MARGIN: f64 = 0.05;
+
+/// Fraction of answers without an error that the canary may lack.
+const NO_ERROR_MARGIN: f64 = 0.02;
+
+/// Fraction of quick answers that the canary may lack.
+const QUICK_MARGIN: f64 = 0.05;
+
+/// Standard deviation of the fraction of quick answers among the hosts of one build.
+const QUICK_HOST_SPREAD: f64 = 0.15;
+
+/// Outcomes that a merged one is worth for a vote to roll back: gossip mixes unevenly.
+const MERGED_OUTCOME_WORTH: f64 = 0.5;
+
+/// One in so many of the canary's hosts must fail before errors speak against the build.
+const FAILING_HOSTS_RATIO: usize = 3;
+
+/// Part of a stage's machines that must be listed before its canary is promoted.
+const SETTLED_PART: f64 = 0.9;
+
+/// Seconds after a stage's last listed start before its canary is promoted: some builds fail only with its traffic.
+const SETTLED_AFTER_START: f64 = 1.2;
+
+/// Seconds of a stage after which it counts as settled, whatever is listed.
+const SETTLED_AFTER_STAGE: f64 = 9.0;
+
+/// Seconds after a stage's last listed start before its canary is promoted with too few outcomes.
+const STARVED_PROMOTE_DELAY: f64 = 3.0;
+
+/// Seconds that a stage bakes where the times of a slowdown hold as they are.
+const BAKE_REFERENCE: f64 = 3.0;
+
+/// Least part of those times, where stages bake less: troubles and builds come and go with the stages there.
+const BAKE_SCALE_MIN: f64 = 0.6;
+
+/// Scale of a normal variate at which the logistic function is closest to its distribution function.
+const LOGISTIC_SCALE: f64 = 1.702;
+
+/// How the canary looks.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Assessment {
+    /// Worse than the baseline.
+    Worse,
+    /// No worse than the baseline.
+    Fine,
+    /// Neither is certain.
+    Unclear,
+    /// The whole service has become slower, and the canary may be why.
+    SlowingAll,
+    /// Too few outcomes.
+    Starved,
+}
+
+/// How short stages that bake for so many seconds are, of those that the times of a slowdown are for.
+pub(super) fn bake_scale(bake: f64) -> f64 {
+    (bake / BAKE_REFERENCE).clamp(BAKE_SCALE_MIN, 1.0)
+}
+
+/// The fraction of good outcomes that the canary may lack.
+fn margin(signal: Signal) -> f64 {
+    match signal {
+        Signal::InTime => IN_TIME_MARGIN,
+        Signal::NoError => NO_ERROR_MARGIN,
+        Signal::Quick => QUICK_MARGIN,
+    }
+}
+
+/// The standard deviation of a signal's fraction among the hosts of one build.
+fn host_spread(signal: Signal) -> f64 {
+    match signal {
+        Signal::InTime | Signal::NoError => 0.0,
+        Signal::Quick => QUICK_HOST_SPREAD,
+    }
+}
+
+/// Mean and variance of a Beta distribution.
+struct BetaMoments {
+    mean: f64,
+    variance: f64,
+}
+
+impl BetaMoments {
+    /// Of the posterior of these counts, from Beta(1, 1).
+    fn of(counts: &SignalCounts) -> Self {
+        let alpha = counts.good + 1.0;
+        let total = counts.total() + 2.0;
+        BetaMoments {
+            mean: alpha / total,
+            variance: alpha * (total - alpha) / (total * total * (total + 1.0)),
+        }
+    }
+}
+
+/// Which evidence is compared.
+struct Comparison {
+    /// None: all operations.
+    slot: Option<usize>,
+    signal: Signal,
+    /// What a merged outcome is worth.
+    worth: f64,
+}
+
+impl Comparison {
+    /// Outcomes of each arm that it needs.
+    fn min_outcomes(&self) -> f64 {
+        if self.slot.is_some() {
+            MIN_SLOT_OUTCOMES
+        } else {
+            MIN_OUTCOMES
+        }
+    }
+}
+
+/// How far a stage has come.
+pub(super) struct StageProgress {
+    /// The share of the machines that the stage should have.
+    pub(super) share: f64,
+    /// The last listed start of the canary's hosts, or the stage's own, in seconds.
+    pub(super) latest_start: f64,
+    is_settled: bool,
+}
+
+/// The number of hosts of some builds.
+fn hosts_of(index: &HostIndex, of: impl Fn(BuildId) -> bool) -> usize {
+    index.sum(of).hosts
+}
+
+impl Router {
+    /// Assesses the canary, or the build that was released last.
+    pub(super) fn assess_canary(&mut self, now: f64, status: &RolloutStatus) -> Assessment {
+        let stage = self.stage_progress(now, status);
+        let looks_worse = self.looks_worse(status);
+        let slowdown = self.assess_slowdown(now, status, &stage);
+        let is_released = status.phase == Phase::Released;
+        if looks_worse && !is_released || slowdown.calls_for_roll_back(is_released) {
+            return Assessment::Worse;
+        }
+        if is_released {
+            return Assessment::Starved;
+        }
+        if slowdown.holds_canary(now, &stage, self.settings.bake_scale) {
+            return Assessment::SlowingAll;
+        }
+        if !stage.is_settled {
+            return Assessment::Unclear;
+        }
+        self.compare_settled(now, &stage)
+    }
+
+    /// What the evidence says of a canary whose stage is settled.
+    fn compare_settled(&self, now: f64, stage: &StageProgress) -> Assessment {
+        let chance = self.probability_worse(&Comparison {
+            slot: None,
+            signal: Signal::InTime,
+            worth: 1.0,
+        });
+        let has_heard_enough = self.has_heard_enough_peers();
+        match chance {
+            Some(chance) if has_heard_enough => {
+                if chance < PROMOTE_CHANCE || !self.baseline_is_listed() {
+                    Assessment::Fine
+                } else {
+                    Assessment::Unclear
+                }
+            }
+            _ if now - stage.latest_start > STARVED_PROMOTE_DELAY => Assessment::Fine,
+            _ => Assessment::Starved,
+        }
+    }
+
+    /// Whether enough peers were heard in this stage.
+    fn has_heard_enough_peers(&self) -> bool {
+        let heard = self.peers.heard_since(self.rollout.stage_since);
+        heard >= self.peers.live().min(PEERS_HEARD)
+    }
+
+    /// The chance that the canary is worse by over the margin, by the merged evidence; none with too few outcomes.
+    /// The more routers, the more evidence comes in clumps.
+    fn probability_worse(&self, of: &Comparison) -> Option<f64> {
+        let worth = of.worth / (1.0 + f64::from(self.settings.routers) / CLUMPED_ROUTERS);
+        let counts = |arm| {
+            self.evidence
+                .merged
+                .counts(of.slot, of.signal, arm)
+                .scaled(worth)
+        };
+        let baseline = counts(Arm::Baseline);
+        let canary = counts(Arm::Canary);
+        let least = of.min_outcomes() * worth;
+        if baseline.total() < least || canary.total() < least {
+            return None;
+        }
+        let baseline = BetaMoments::of(&baseline);
+        let canary = BetaMoments::of(&canary);
+        let spread = host_spread(of.signal).powi(2) / self.rollout.canary_hosts.max(1.0);
+        let deviation = (baseline.variance + canary.variance + spread).sqrt();
+        let z = (baseline.mean - canary.mean - margin(of.signal)) / deviation;
+        Some(1.0 / (1.0 + (-LOGISTIC_SCALE * z).exp()))
+    }
+
+    /// Whether the merged evidence speaks for rolling the canary back. One operation may fail alone, or a build be
+    /// slow yet in time; errors of a few hosts are theirs.
+    fn looks_worse(&self, status: &RolloutStatus) -> bool {
+        let is_compared = self.baseline_is_listed();
+        let is_above = |slot, signal, limit: f64| {
+            let comparison = Comparison {
+                slot,
+                signal,
+                worth: MERGED_OUTCOME_WORTH,
+            };
+            self.probability_worse(&comparison)
+                .is_some_and(|chance| chance > limit)
+        };
+        let in_any_slot = |signal| {
+            (0..self.settings.signal_slots)
+                .any(|slot| is_above(Some(slot), signal, ROLL_BACK_CHANCE_ALONE))
+        };
+        let in_all = |signal| is_above(None, signal, ROLL_BACK_CHANCE_ALONE);
+        let by_time = is_compared
+            && (is_above(None, Signal::InTime, ROLL_BACK_CHANCE)
+                || in_any_slot(Signal::InTime)
+                || in_all(Signal::InTime));
+        let by_errors = self.errors_are_widespread(status)
+            && (in_any_slot(Signal::NoError) || in_all(Signal::NoError));
+        let by_quickness = is_compared && !self.settings.key_affinity && in_all(Signal::Quick);
+        by_time || by_errors || by_quickness
+    }
+
+    /// The canary's hosts.
+    fn canary_hosts(&self, status: &RolloutStatus) -> impl Iterator<Item = &Host> {
+        let build = status.build;
+        self.hosts
+            .usable()
+            .filter(move |host| host.entry.build >= build)
+    }
+
+    /// Whether so many of the canary's hosts fail that it is the build.
+    fn errors_are_widespread(&self, status: &RolloutStatus) -> bool {
+        let used = || self.canary_hosts(status).filter(|host| host.was_used());
+        let failing = used().filter(|host| host.health.failure_rate > NO_ERROR_MARGIN);
+        failing.count() * FAILING_HOSTS_RATIO >= used().count()
+    }
+
+    /// How far the stage has come. Its machines must run before it is moved on: some builds fail only then.
+    fn stage_progress(&self, now: f64, status: &RolloutStatus) -> StageProgress {
+        let is_released = status.phase == Phase::Released;
+        let share = self
+            .settings
+            .stage_shares
+            .get(status.stage as usize)
+            .filter(|_| !is_released)
+            .copied()
+            .unwrap_or(1.0);
+        let latest_start = self
+            .canary_hosts(status)
+            .filter_map(|host| host.entry.started)
+            .fold(self.rollout.stage_since, f64::max);
+        // The stage's places: all machines, or the baseline's alone where those stay until the release.
+        let canary = hosts_of(&self.hosts.index, |build| build >= status.build);
+        let all = hosts_of(&self.hosts.index, |_| true);
+        let places = if self.settings.baseline_stays {
+            all - canary
+        } else {
+            all
+        };
+        let is_there = canary as f64 >= SETTLED_PART * share * places as f64;
+        let is_settled = is_there && now - latest_start > SETTLED_AFTER_START
+            || now - self.rollout.stage_since > SETTLED_AFTER_STAGE;
+        StageProgress {
+            share,
+            latest_start,
+            is_settled,
+        }
+    }
+
+    /// See [`SlowdownAssessment`].
+    fn assess_slowdown(
+        &mut self,
+        now: f64,
+        status: &RolloutStatus,
+        stage: &StageProgress,
+    ) -> SlowdownAssessment {
+        let is_released = status.phase == Phase::Released;
+        let observed = self.observe_slowdown(stage.share, is_released);
+        self.service_slowdown
+            .assess(now, &observed, stage, self.settings.bake_scale)
+    }
+}
--- /dev/null
+++ b/src/decisions/gossip.rs
@@ -0,0 +1,227 @@
+//! Gossip: routers average their evidence in random pairs, and learn of each other's traffic and slowdown.
+//!
+//! Each exchange replaces both figures by their mean (push-pull averaging), so that all converge to the mean of all.
+
+use std::collections::BTreeMap;
+
+use rand::RngExt;
+
+use super::evidence::Evidence;
+use super::gossip_message::GossipMessage;
+use super::timers::TimerEvent;
+use super::{MIN_DIVISOR, Router};
+use crate::arm::Arm;
+use crate::interface::{BuildId, Effect, Phase, RouterId};
+
+/// Seconds between a router's gossip rounds: some messages a stage with every peer, at a small price in messages.
+pub(super) const GOSSIP_INTERVAL: f64 = 0.2;
+
+/// Weight of one peer's figures in the merged evidence: it is the mean of some six peers.
+const MERGE_WEIGHT: f64 = 0.15;
+
+/// Seconds without a message after which a peer is taken for dead: a dozen messages missed.
+const PEER_TIMEOUT: f64 = 2.5;
+
+/// Least slowdown that a peer's message counts for.
+const PEER_SLOWDOWN_MIN: f64 = 0.1;
+
+/// Largest slowdown that a peer's message counts for.
+const PEER_SLOWDOWN_MAX: f64 = 10.0;
+
+/// What a peer last told.
+pub(super) struct PeerReport {
+    /// When, in seconds.
+    pub(super) at: f64,
+    /// Requests that it admitted in the exposure window.
+    admitted: f64,
+    slowdown: f64,
+}
+
+/// What a router knows of its peers.
+pub(super) struct GossipPeers {
+    /// This router's evidence as last sent to a peer that has not replied.
+    sent: BTreeMap<RouterId, Evidence>,
+    last_heard: BTreeMap<RouterId, PeerReport>,
+    /// This router's share of all traffic.
+    pub(super) traffic_share: f64,
+    /// How many times slower the hosts are than before the canary, as all routers see it.
+    pub(super) shared_slowdown: f64,
+}
+
+impl GossipPeers {
+    /// No peer was heard; all routers are taken to have the same traffic.
+    pub(super) fn new(routers: u32) -> Self {
+        GossipPeers {
+            sent: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
+            traffic_share: 1.0 / f64::from(routers),
+            shared_slowdown: 1.0,
+        }
+    }
+
+    /// Forgets what was sent of an earlier canary.
+    pub(super) fn forget_sent(&mut self) {
+        self.sent.clear();
+    }
+
+    /// The peers that live.
+    pub(super) fn live(&self) -> usize {
+        self.last_heard.len()
+    }
+
+    /// The peers that were heard after a point in time.
+    pub(super) fn heard_since(&self, since: f64) -> usize {
+        self.last_heard
+            .values()
+            .filter(|report| report.at > since)
+            .count()
+    }
+
+    /// Works out this router's share of the traffic and the slowdown that all see from the peers heard, a sample:
+    /// random exchanges reach a known number of those that live, and how many were reached tells how many do.
+    fn update(&mut self, now: f64, routers: u32, own_admitted: f64, own_slowdown: f64) {
+        self.last_heard
+            .retain(|_, report| now - report.at < PEER_TIMEOUT);
+        let own = own_admitted.max(1.0);
+        let peers = f64::from(routers - 1).max(MIN_DIVISOR);
+        let exchanges = 2.0 * PEER_TIMEOUT / GOSSIP_INTERVAL;
+        let reached = peers * (1.0 - (-exchanges / peers).exp());
+        let heard = self.last_heard.len() as f64;
+        let live = peers * (heard / reached).min(1.0);
+        let reports = || self.last_heard.values();
+        let weights = reports().map(|report| report.admitted).sum::<f64>();
+        let others = live * weights / heard.max(1.0);
+        let slowdowns = reports()
+            .map(|report| report.admitted * report.slowdown.ln())
+            .sum::<f64>();
+        self.traffic_share = own / (own + others);
+        self.shared_slowdown = ((own * own_slowdown.ln() + slowdowns) / (own + weights)).exp();
+    }
+}
+
+impl Router {
+    /// Schedules the first round at a random time within an interval.
+    pub(super) fn schedule_first_gossip(&mut self, now: f64, effects: &mut Vec<Effect>) {
+        let at = now + GOSSIP_INTERVAL * self.rng.random::<f64>();
+        self.timers.schedule(at, TimerEvent::Gossip, effects);
+    }
+
+    /// One round: levels recover and evidence fades, a peer is told, and the vote is decided.
+    pub(super) fn gossip_round(&mut self, now: f64, effects: &mut Vec<Effect>) {
+        let next = now + GOSSIP_INTERVAL;
+        self.timers.schedule(next, TimerEvent::Gossip, effects);
+        self.latency.recover();
+        self.connection_losses.recover();
+        self.refresh_weights(now);
+        let unsettled = self.hosts.index.unsettled().collect();
+        self.update_index(now, unsettled);
+        self.hosts.expire(now);
+        self.update_canary_share();
+        let canary_is_listed = self.rollout.canary_share > 0.0;
+        self.evidence
+            .fade(canary_is_listed, self.baseline_is_listed());
+        self.exchange_evidence(effects);
+        let admitted = self.exposure.admitted();
+        let slowdown = self.own_slowdown();
+        self.peers
+            .update(now, self.settings.routers, admitted, slowdown);
+        self.decide_vote(now, effects);
+    }
+
+    /// Takes in a peer's message, and replies where it began the exchange.
+    pub(super) fn on_gossip(
+        &mut self,
+        now: f64,
+        from: RouterId,
+        payload: &[u8],
+        effects: &mut Vec<Effect>,
+    ) {
+        let message = GossipMessage::decode(payload);
+        let Some(message) = message.filter(|_| from != self.settings.router) else {
+            return;
+        };
+        let report = PeerReport {
+            at: now,
+            admitted: message.admitted,
+            slowdown: message.slowdown.clamp(PEER_SLOWDOWN_MIN, PEER_SLOWDOWN_MAX),
+        };
+        self.peers.last_heard.insert(from, report);
+        let build = self.rollout.status.map(|status| status.build);
+        let is_complete = message.figures.len() == self.evidence.own.figure_count();
+        if build != Some(message.build) || !is_complete {
+            return;
+        }
+        let merged = self.evidence.merged.figures_mut();
+        for (merged, theirs) in merged.zip(&message.figures) {
+            *merged += MERGE_WEIGHT * (theirs - *merged);
+        }
+        let sent = if message.is_reply {
+            self.peers.sent.remove(&from)
+        } else {
+            Some(self.evidence.own.clone())
+        };
+        if !message.is_reply {
+            self.send_gossip(from, true, effects);
+        }
+        self.merge(&message, sent);
+    }
+
+    /// Sends the evidence to a random peer; a router without peers merges its own alone.
+    fn exchange_evidence(&mut self, effects: &mut Vec<Effect>) {
+        if !self.settings.may_gossip || self.settings.routers == 1 {
+            self.evidence.merged = self.evidence.own.clone();
+        } else if self.rollout.status.is_some() {
+            let other = self.rng.random_range(0..self.settings.routers - 1);
+            let own = self.settings.router.0;
+            let peer = RouterId(other + u32::from(other >= own));
+            self.peers.sent.insert(peer, self.evidence.own.clone());
+            self.send_gossip(peer, false, effects);
+        }
+    }
+
+    /// Moves this router's evidence to the mean of both, by what was sent to the peer.
+    fn merge(&mut self, message: &GossipMessage, sent: Option<Evidence>) {
+        let own = self.evidence.own.figures_mut();
+        if self.evidence.is_fresh && !message.is_fresh {
+            // A router that restarted takes a peer's figures as they are: at Beta(1, 1) it would halve them.
+            for (own, theirs) in own.zip(&message.figures) {
+                *own = *theirs;
+            }
+            self.evidence.is_fresh = false;
+            self.evidence.merged = self.evidence.own.clone();
+        } else if let Some(sent) = sent
+            && self.evidence.is_fresh == message.is_fresh
+        {
+            // Half the difference of what was sent: outcomes that came in meanwhile survive.
+            for ((own, theirs), sent) in own.zip(&message.figures).zip(sent.figures()) {
+                *own = (*own + (theirs - sent) / 2.0).max(0.0);
+            }
+        }
+    }
+
+    fn send_gossip(&self, to: RouterId, is_reply: bool, effects: &mut Vec<Effect>) {
+        let message = GossipMessage {
+            is_reply,
+            is_fresh: self.evidence.is_fresh,
+            build: self
+                .rollout
+                .status
+                .map_or(BuildId(0), |status| status.build),
+            admitted: self.exposure.admitted(),
+            slowdown: self.own_slowdown(),
+            figures: self.evidence.own.figures().collect(),
+        };
+        effects.push(Effect::SendGossip {
+            to: Some(to),
+            payload: message.encode(),
+        });
+    }
+
+    /// The relative slowdown that this router sees: of the baseline's hosts, of the canary's where none is left.
+    fn own_slowdown(&self) -> f64 {
+        let status = self.rollout.status;
+        let is_canary = status.is_some_and(|status| status.phase == Phase::Canary);
+        let arm = Arm::canary_if(is_canary && !self.baseline_is_listed());
+        self.latency.relative_slowdown(arm).unwrap_or(1.0)
+    }
+}
--- /dev/null
+++ b/src/decisions/rollout.rs
@@ -0,0 +1,177 @@
+//! The state of the rollout, as the platform tells it, and what a new build or stage begins anew.
+
+use rand::RngExt;
+
+use super::evidence::Signal;
+use super::voting::{VoteInput, voter_rank};
+use super::{MIN_DIVISOR, Router};
+use crate::arm::Arm;
+use crate::interface::{
+    AttemptOutcome, BuildId, Effect, Phase, RolloutOverride, RolloutStatus, Vote,
+};
+
+use super::gossip::GOSSIP_INTERVAL;
+
+/// What a router knows of the rollout.
+pub(super) struct RolloutState {
+    /// None before the platform has told any.
+    pub(super) status: Option<RolloutStatus>,
+    /// When the present stage or phase began, in seconds.
+    pub(super) stage_since: f64,
+    /// The canary's part of the machines, by size.
+    pub(super) canary_share: f64,
+    /// The number of the canary's hosts.
+    pub(super) canary_hosts: f64,
+}
+
+impl RolloutState {
+    /// No status yet, as of a time.
+    pub(super) fn new(now: f64) -> Self {
+        RolloutState {
+            status: None,
+            stage_since: now,
+            canary_share: 0.0,
+            canary_hosts: 0.0,
+        }
+    }
+}
+
+impl Router {
+    /// The phase of a build.
+    pub(super) fn phase_of(&self, build: BuildId) -> Phase {
+        match self.rollout.status {
+            Some(status) if build < status.build => Phase::Released,
+            Some(status) if build == status.build => status.phase,
+            Some(_) => Phase::Canary,
+            // Before any status, only the lowest listed build is known to be no later one.
+            None => {
+                let lowest = self.hosts.lowest_build;
+                if lowest.is_none_or(|lowest| build <= lowest) {
+                    Phase::Released
+                } else {
+                    Phase::RolledBack
+                }
+            }
+        }
+    }
+
+    /// Whether a build is the canary.
+    pub(super) fn is_canary(&self, build: BuildId) -> bool {
+        self.phase_of(build) == Phase::Canary
+    }
+
+    /// Whether a build before the canary is listed.
+    pub(super) fn baseline_is_listed(&self) -> bool {
+        self.rollout
+            .status
+            .is_none_or(|status| self.hosts.lists_older_than(status.build))
+    }
+
+    /// What operators ask of a build; they may hold it, roll it back and lower its cap, never more.
+    pub(super) fn override_of(&self, build: BuildId) -> Option<RolloutOverride> {
+        self.overrides.rollout.filter(|asked| asked.build == build)
+    }
+
+    /// Counts the canary's machines anew, and weighs the baseline's outcomes by them.
+    pub(super) fn update_canary_share(&mut self) {
+        let canary = self.hosts.index.sum(|build| self.is_canary(build));
+        let all = self.hosts.index.sum(|_| true);
+        let share = canary.share / all.share.max(MIN_DIVISOR);
+        self.rollout.canary_share = share;
+        self.rollout.canary_hosts = canary.hosts as f64;
+        self.evidence.baseline_weight = if share > 0.0 {
+            (share / (1.0 - share).max(MIN_DIVISOR)).min(1.0)
+        } else {
+            1.0
+        };
+    }
+
+    /// Takes in a state of the rollout, or the answer to a vote.
+    pub(super) fn on_rollout_status(
+        &mut self,
+        now: f64,
+        status: RolloutStatus,
+        effects: &mut Vec<Effect>,
+    ) {
+        if status.answers_vote {
+            self.on_vote_answer(now, status.outcome, effects);
+        }
+        let old = self.rollout.status;
+        let is_outdated = old.is_some_and(|old| old.build > status.build);
+        if status.outcome != AttemptOutcome::Succeeded || is_outdated {
+            return;
+        }
+        self.rollout.status = Some(status);
+        if matches!(status.phase, Phase::RollingBack | Phase::RolledBack) {
+            self.sticky_builds.release(status.build);
+        }
+        let is_same_build = old.is_some_and(|old| old.build == status.build);
+        if !is_same_build {
+            self.begin_canary(&status, old);
+        }
+        let is_same_stage =
+            old.is_some_and(|old| old.stage == status.stage && old.phase == status.phase);
+        if !is_same_build || !is_same_stage {
+            self.begin_stage(now, &status, is_same_build, effects);
+        }
+    }
+
+    /// A vote was answered: counted, lost, or turned away because the platform is full.
+    fn on_vote_answer(&mut self, now: f64, outcome: AttemptOutcome, effects: &mut Vec<Effect>) {
+        let is_counted = matches!(
+            outcome,
+            AttemptOutcome::Succeeded | AttemptOutcome::Irrelevant
+        );
+        let jitter = if self.settings.is_large_fleet {
+            0.5 + self.rng.random::<f64>()
+        } else {
+            1.0
+        };
+        let may_be_counted = is_counted || outcome == AttemptOutcome::TimedOut;
+        let pacing = &self.settings.vote_pacing;
+        self.voting.on_answer(may_be_counted, pacing, jitter);
+        let input = if is_counted {
+            VoteInput::Counted
+        } else {
+            VoteInput::Uncertain
+        };
+        self.advance_vote(now, input, effects);
+    }
+
+    /// A new build: the canary's evidence begins anew, and the baseline as it is now is what it is compared with.
+    fn begin_canary(&mut self, status: &RolloutStatus, old: Option<RolloutStatus>) {
+        self.voting.rank = voter_rank(status.build, self.settings.router, self.settings.routers);
+        let was_released = old.is_some_and(|old| old.phase == Phase::Released);
+        self.evidence.own.begin_canary(was_released);
+        self.peers.forget_sent();
+        self.evidence.merged = self.evidence.own.clone();
+        let in_time = self
+            .evidence
+            .own
+            .counts(None, Signal::InTime, Arm::Baseline);
+        self.service_slowdown.best_in_time = in_time.good_fraction();
+        self.latency.begin_canary(old.is_some());
+        let is_under_way = status.phase == Phase::Canary && status.age > GOSSIP_INTERVAL;
+        self.evidence.is_fresh = old.is_none() && is_under_way;
+    }
+
+    /// A new stage or phase: what was voted before counts no more.
+    fn begin_stage(
+        &mut self,
+        now: f64,
+        status: &RolloutStatus,
+        is_same_build: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.service_slowdown.at_previous_stage = if is_same_build {
+            self.peers.shared_slowdown
+        } else {
+            1.0
+        };
+        self.rollout.stage_since = now - status.age;
+        self.voting.hold_time = 0.0;
+        self.voting.desired = Vote::Abstain;
+        self.voting.desired_since = now;
+        self.advance_vote(now, VoteInput::NewStage, effects);
+    }
+}
--- a/src/host_index.rs
+++ b/src/host_index.rs
@@ -4,37 +4,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::candidates::{Requirements, Sum};
-use crate::interface::{BuildId, CellId, HostEntry, HostId, KindId, ZoneId};
+use crate::arm::PerArm;
+use crate::host_group::{Group, HostSum, Requirements};
+use crate::interface::{BuildId, HostId};
 use crate::rendezvous::RendezvousRankings;
 
 /// More changed hosts than this at once are not followed one by one in the rankings, which are filled anew.
 const FOLLOWED_AT_ONCE: usize = 64;
 
-/// What a request's conditions go by; hosts of one group differ for it only in their own state.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Group {
-    pub(crate) build: BuildId,
-    pub(crate) kind: KindId,
-    pub(crate) zone: ZoneId,
-    pub(crate) cell: Option<CellId>,
-}
-
-impl Group {
-    /// Cells tell hosts apart only where something goes by them.
-    pub(crate) fn of(entry: &HostEntry, by_cell: bool) -> Self {
-        let HostEntry {
-            build, kind, zone, ..
-        } = *entry;
-        Group {
-            build,
-            kind,
-            zone,
-            cell: by_cell.then_some(entry.cell),
-        }
-    }
-}
-
 /// What the index keeps of one host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Indexed {
@@ -61,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 struct Members {
     hosts: BTreeMap<HostId, f64>,
-    settled: Sum,
+    settled: HostSum,
 }
 
 /// Sums over all hosts of one build.
@@ -121,8 +98,8 @@
 
     /// By arm, the settled hosts that a request may go to with the sum of size times weight, but for those that it has
     /// tried; and the latter, where they are settled.
-    pub(crate) fn settled(&self, wanted: &Requirements) -> ([Sum; 2], Vec<HostId>) {
-        let mut sums = [Sum::default(); 2];
+    pub(crate) fn settled(&self, wanted: &Requirements) -> (PerArm<HostSum>, Vec<HostId>) {
+        let mut sums = PerArm::<HostSum>::default();
         for (group, arm) in &wanted.arms {
             let Some(members) = self.groups.get(group) else {
                 continue;
@@ -150,9 +127,9 @@
     }
 
     /// The hosts of some builds, with the sum of their sizes.
-    pub(crate) fn sum(&self, of: impl Fn(BuildId) -> bool) -> Sum {
+    pub(crate) fn sum(&self, of: impl Fn(BuildId) -> bool) -> HostSum {
         let builds = self.builds.iter().filter(|(build, _)| of(**build));
-        builds.fold(Sum::default(), |sum, (_, of)| Sum {
+        builds.fold(HostSum::default(), |sum, (_, of)| HostSum {
             hosts: sum.hosts + of.hosts,
             share: sum.share + of.size,
         })
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,14 @@
-//! kestreltide: routers that split invocations between an earlier and a trial build.
+//! kestreltide: the decisions of routers that split requests between a baseline and a canary build.
 //!
-//! [`interface`] has the plain types, [`decisions`] every decision, [`operator_weights`] what weights come to, `router_state` what a router
-//! keeps between events, `host_index` and `rendezvous` what makes the cost of a request independent of the hosts listed.
+//! [`interface`] has the plain types, [`decisions`] every decision, [`operator_weights`] what operators' weights come
+//! to. `host_index`, `rendezvous` and `candidates` make the cost of a request independent of the number of hosts.
 
+mod arm;
 mod candidates;
 pub mod decisions;
+mod hashing;
+mod host_group;
 mod host_index;
 pub mod interface;
 pub mod operator_weights;
 mod rendezvous;
-mod router_state;
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
+use crate::hashing::hash_mix;
 use crate::interface::{BuildId, HostId};
-use crate::router_state::hash_mix;
 
 /// How many of the first places a ranking remembers when it is filled. It bounds cost and memory, and changes no answer.
 const REMEMBERED: usize = 32;
