--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 use std::time::Duration;
 
-use kestreltide_datastore::commit_coordinator::Published;
+use kestreltide_datastore::commit_coordinator::CoordinatorStatus;
 use kestreltide_datastore::view::View;
 use kestreltide_yang::Schema;
 use kestreltide_yang::bind::Bind;
@@ -16,7 +16,7 @@
 
 use super::encoding::collect;
 use super::paths::{path_of, select};
-use crate::commit_service::Handle;
+use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::{Encoding, Path, TypedValue};
 use crate::state;
 
@@ -126,9 +126,9 @@
 pub(super) fn follow_published(
     schema: &'static Schema,
     bind: Arc<Bind>,
-    commit_service: Handle,
+    commit_service: CommitServiceHandle,
 ) -> watch::Receiver<Arc<Snapshot>> {
-    let snapshot = move |number, view: &Arc<View>, published: &Arc<Published>| {
+    let snapshot = move |number, view: &Arc<View>, published: &Arc<CoordinatorStatus>| {
         let (bind, view, published) = (bind.clone(), view.clone(), published.clone());
         Arc::new(Snapshot::new(
             number,
--- a/management/tests/netconf.rs
+++ b/management/tests/netconf.rs
@@ -7,8 +7,8 @@
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::*;
 use kestreltide_management::netconf::framing::{Frames, Framing, write};
-use kestreltide_management::netconf::session::{Asked, BASE, Session, Step};
-use kestreltide_management::{Handle, state};
+use kestreltide_management::netconf::session::{BASE, DatastoreOperation, Session, Step};
+use kestreltide_management::{CommitServiceHandle, state};
 use kestreltide_yang::bind::Bind;
 use kestreltide_yang::{published, xml};
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
 /// A desk with four hosts, and what fronts hold of it.
 struct Rig {
     desk: CommitCoordinator,
-    handle: Handle,
+    handle: CommitServiceHandle,
     now: f64,
 }
 
@@ -37,10 +37,11 @@
             slow_start_initial_fraction: 0.4,
             slow_start_duration: 4.0,
             overload_multiple: 3.0,
-            most: Maximums::default(),
+            maximums: Maximums::default(),
         };
-        let mut desk = CommitCoordinator::new(Datastore::new(rules, History::default()), None);
-        let mut candidate = Candidate::of(desk.store.in_force());
+        let mut desk =
+            CommitCoordinator::new(Datastore::new(rules, HistoryLimits::default()), None);
+        let mut candidate = Candidate::new(desk.store.in_force());
         for number in 0..4 {
             for (leaf, text) in [
                 ("endpoint", format!("127.0.0.1:{}", 7000 + number)),
@@ -62,15 +63,15 @@
         };
         desk.commit(None, &candidate, author, None, None, &facts(-100.0))
             .expect("well");
-        let handle = Handle {
-            ask: Arc::new(|_| true),
-            published: Arc::new(arc_swap::ArcSwap::from_pointee(desk.publish())),
+        let handle = CommitServiceHandle {
+            submit: Arc::new(|_| true),
+            published: Arc::new(arc_swap::ArcSwap::from_pointee(desk.status())),
             view: Arc::new(arc_swap::ArcSwap::from_pointee(View {
-                heard: true,
+                discovery_received: true,
                 ..View::default()
             })),
             in_force: Arc::default(),
-            news: tokio::sync::broadcast::channel(4).0,
+            notifications: tokio::sync::broadcast::channel(4).0,
             keys: Arc::default(),
         };
         Rig {
@@ -83,7 +84,7 @@
     fn session(&mut self) -> Session {
         let schema = published().expect("well");
         let bind = Arc::new(Bind::new(schema).expect("well"));
-        let mut session = Session::new(self.desk.open(), "ana", schema, bind);
+        let mut session = Session::new(self.desk.open_session(), "ana", schema, bind);
         assert!(
             session
                 .hello()
@@ -111,9 +112,9 @@
             | Step::Kill(_, reply)
             | Step::Subscribe(reply) => reply,
             Step::Over(why) => panic!("over: {why}"),
-            Step::Ask(asked) => {
+            Step::Perform(asked) => {
                 let answer = self.ask(session.id, session.asked_by(), &asked);
-                self.handle.published.store(Arc::new(self.desk.publish()));
+                self.handle.published.store(Arc::new(self.desk.status()));
                 session.answered(&asked, answer)
             }
         }
@@ -123,14 +124,16 @@
         &mut self,
         id: SessionId,
         author: Author,
-        asked: &Asked,
+        asked: &DatastoreOperation,
     ) -> Result<(), kestreltide_datastore::commit_coordinator::CommitError> {
         let facts = facts(self.now);
         match asked.clone() {
-            Asked::Lock(target) => self.desk.lock(id, target),
-            Asked::Unlock(target) => self.desk.unlock(id, target),
-            Asked::Validate(candidate) => Ok(self.desk.validate(&candidate, &facts)?),
-            Asked::Commit {
+            DatastoreOperation::Lock(target) => self.desk.lock(id, target),
+            DatastoreOperation::Unlock(target) => self.desk.unlock(id, target),
+            DatastoreOperation::Validate(candidate) => {
+                Ok(self.desk.validate(&candidate, &facts)?)
+            }
+            DatastoreOperation::Commit {
                 candidate,
                 confirm,
                 persist_id,
@@ -145,8 +148,10 @@
                     &facts,
                 )
                 .map(|_| ()),
-            Asked::Confirm { persist_id } => self.desk.confirm(Some(id), persist_id.as_deref()),
-            Asked::Cancel { persist_id } => self
+            DatastoreOperation::Confirm { persist_id } => {
+                self.desk.confirm(Some(id), persist_id.as_deref())
+            }
+            DatastoreOperation::Cancel { persist_id } => self
                 .desk
                 .cancel(Some(id), persist_id.as_deref(), &facts)
                 .map(|_| ()),
@@ -155,8 +160,8 @@
 
     fn tick(&mut self, now: f64) {
         self.now = now;
-        self.desk.tick(&facts(now));
-        self.handle.published.store(Arc::new(self.desk.publish()));
+        self.desk.expire_pending(&facts(now));
+        self.handle.published.store(Arc::new(self.desk.status()));
     }
 
     fn weight(&self, host: &str) -> Option<String> {
@@ -183,8 +188,8 @@
     };
     Facts {
         now: NOW + at,
-        heard: true,
-        news: Some(news),
+        discovery_received: true,
+        rollout: Some(news),
         ..Facts::default()
     }
 }
@@ -387,7 +392,7 @@
         reply.contains("<error-tag>lock-denied</error-tag>"),
         "{reply}"
     );
-    rig.desk.ended(one.id, &facts(1.0));
+    rig.desk.close_session(one.id, &facts(1.0));
     assert!(ok(&rig.rpc(&mut two, &edit("running", &weight("h1", "2")))));
 }
 
@@ -526,7 +531,7 @@
     let mut rig = Rig::new();
     let schema = published().expect("well");
     let mut session = Session::new(
-        rig.desk.open(),
+        rig.desk.open_session(),
         "ana",
         schema,
         Arc::new(Bind::new(schema).expect("well")),
