--- a/datastore/src/access.rs
+++ b/datastore/src/access.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-use crate::fault::Fault;
 use crate::tree::{Difference, Path};
+use crate::validation::ValidationError;
 
 /// What somebody may read and change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -46,11 +46,11 @@
     }
 
     /// The first change that is beyond these rights.
-    pub fn check(self, changes: &[Difference]) -> Result<(), Fault> {
+    pub fn check(self, changes: &[Difference]) -> Result<(), ValidationError> {
         let beyond = changes.iter().find(|change| !self.covers(&change.path).0);
         beyond.map_or(Ok(()), |change| {
             let needed = self.covers(&change.path).1;
-            Err(Fault::new(
+            Err(ValidationError::new(
                 &change.path,
                 "is beyond the rights of this key",
                 self,
@@ -63,8 +63,12 @@
 impl fmt::Display for Rights {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let held = [self.read, self.weights, self.routes, self.ring];
-        let names: Vec<_> =
-            RIGHTS.iter().zip(held).filter(|(_, held)| *held).map(|(name, _)| *name).collect();
+        let names: Vec<_> = RIGHTS
+            .iter()
+            .zip(held)
+            .filter(|(_, held)| *held)
+            .map(|(name, _)| *name)
+            .collect();
         f.write_str(if names.is_empty() { "no rights" } else { "" })?;
         f.write_str(&names.join(", "))
     }
@@ -101,6 +105,8 @@
 
     /// What a session may do now that came in by this key; none where the key is no longer there.
     pub fn rights(&self, name: &str, proof: &Proof) -> Option<Rights> {
-        self.find(proof).filter(|key| key.name == name).map(|key| key.rights)
+        self.find(proof)
+            .filter(|key| key.name == name)
+            .map(|key| key.rights)
     }
 }
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -8,28 +8,28 @@
 use kestreltide_routes::{Match, Route, Routes};
 
 use crate::check::Seen;
-use crate::merge::{Listed, merge};
+use crate::merge::{HostRecord, merge};
 use crate::tree::{Difference, HostName, HostSet, Path, Tree};
 
 /// What a revision says of one host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Said {
+pub struct ConfiguredHost {
     pub host: HostId,
     pub name: HostName,
     pub set: HostSet,
     /// Since when it is listed, where nobody says when it started.
     pub since: Option<f64>,
     /// As it counts where discovery does not list it; `None` where that makes no entry.
-    pub alone: Option<Listed>,
+    pub alone: Option<HostRecord>,
     /// The same for the decisions.
     pub entry: Option<HostEntry>,
 }
 
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    pub set: Arc<OperatorSet>,
+    pub set: Arc<OperatorOverrides>,
     /// In ascending order of ids.
-    pub hosts: Box<[Said]>,
+    pub hosts: Box<[ConfiguredHost]>,
     /// Of which hosts it says something else than the revision before, in ascending order.
     pub changed: Box<[HostId]>,
     /// The same for the decisions, as it counts for hosts that discovery does not list.
@@ -43,13 +43,17 @@
 
 impl Snapshot {
     pub fn new(
-        old: &Snapshot, revision: Revision, at: f64, (tree, seen): (&Tree, &Seen), changes: &[Difference],
+        old: &Snapshot,
+        revision: Revision,
+        at: f64,
+        (tree, seen): (&Tree, &Seen),
+        changes: &[Difference],
     ) -> Self {
         let said = tree.hosts.iter().map(|(name, set)| {
             let since = seen.get(name).copied();
             let alone = merge(name, None, Some(set), since);
-            let entry = alone.as_ref().map(Listed::entry);
-            Said {
+            let entry = alone.as_ref().map(HostRecord::entry);
+            ConfiguredHost {
                 host: HostId::named(name.as_str()),
                 name: name.clone(),
                 set: set.clone(),
@@ -58,9 +62,11 @@
                 entry,
             }
         });
-        let mut hosts: Box<[Said]> = said.collect();
+        let mut hosts: Box<[ConfiguredHost]> = said.collect();
         hosts.sort_by_key(|said| said.host);
-        let weights = hosts.iter().filter_map(|said| Some((said.host, said.set.weight?)));
+        let weights = hosts
+            .iter()
+            .filter_map(|said| Some((said.host, said.set.weight?)));
         let weights = weights.filter(|(_, weight)| *weight != 1.0).collect();
         let mut changed: Vec<_> = changes
             .iter()
@@ -71,10 +77,22 @@
             .collect();
         changed.sort();
         changed.dedup();
-        let set = Arc::new(OperatorSet { revision, weights, ring: ring(tree) });
+        let set = Arc::new(OperatorOverrides {
+            revision,
+            weights,
+            rollout: rollout_override(tree),
+        });
         let routes = Arc::new(Routes::new(routes(tree)));
         let (follows, entries) = (old.revision(), Arc::default());
-        let mut new = Snapshot { set, hosts, changed: changed.into(), entries, follows, routes, at };
+        let mut new = Snapshot {
+            set,
+            hosts,
+            changed: changed.into(),
+            entries,
+            follows,
+            routes,
+            at,
+        };
         let none = |_: HostId| None;
         new.entries = new.changes(old, &new.changed, none, none).into();
         new
@@ -83,8 +101,11 @@
     /// What the decisions are told of hosts that may have changed. `was` and `is` say how those count that
     /// discovery lists too; `None` where it does not.
     pub fn changes<'a>(
-        &'a self, old: &'a Snapshot, hosts: &[HostId], was: impl Fn(HostId) -> Option<Listed>,
-        is: impl Fn(HostId) -> Option<Listed>,
+        &'a self,
+        old: &'a Snapshot,
+        hosts: &[HostId],
+        was: impl Fn(HostId) -> Option<HostRecord>,
+        is: impl Fn(HostId) -> Option<HostRecord>,
     ) -> Vec<HostEntry> {
         let mut entries = Vec::with_capacity(hosts.len());
         for host in hosts {
@@ -93,11 +114,14 @@
             let is = is.as_ref().or_else(|| self.said(*host)?.alone.as_ref());
             // What stood there before goes first: another machine under the same id begins anew.
             let went = was.filter(|was| is.is_none_or(|is| was.moved(is)));
-            entries.extend(went.map(|was| HostEntry { state: HostState::Gone, ..was.entry() }));
+            entries.extend(went.map(|was| HostEntry {
+                state: HostState::Gone,
+                ..was.entry()
+            }));
             // A weight is no part of it: most revisions change nothing else.
             let entry = is
-                .map(Listed::entry)
-                .filter(|entry| went.is_some() || was.map(Listed::entry) != Some(*entry));
+                .map(HostRecord::entry)
+                .filter(|entry| went.is_some() || was.map(HostRecord::entry) != Some(*entry));
             entries.extend(entry);
         }
         entries
@@ -107,18 +131,23 @@
         self.set.revision
     }
 
-    pub fn said(&self, host: HostId) -> Option<&Said> {
+    pub fn said(&self, host: HostId) -> Option<&ConfiguredHost> {
         let place = self.hosts.binary_search_by_key(&host, |said| said.host);
         place.ok().map(|place| &self.hosts[place])
     }
 }
 
 /// What operators ask of the build on trial, if they ask anything.
-fn ring(tree: &Tree) -> Option<RingWish> {
+fn rollout_override(tree: &Tree) -> Option<RolloutOverride> {
     let ring = &tree.ring;
     let build = BuildId(u16::try_from(ring.build?).ok()?);
-    let (hold, back) = (ring.hold == Some(true), ring.back == Some(true));
-    Some(RingWish { build, hold, back, cap: ring.cap.unwrap_or(1.0) })
+    let (hold, roll_back) = (ring.hold == Some(true), ring.back == Some(true));
+    Some(RolloutOverride {
+        build,
+        hold,
+        roll_back,
+        cap: ring.cap.unwrap_or(1.0),
+    })
 }
 
 /// The routes of a tree, each with its pool.
@@ -126,15 +155,29 @@
     let routes = tree.routes.iter().map(|(name, set)| {
         let named = |names: &Option<BTreeSet<Arc<str>>>| names.clone().unwrap_or_default();
         let pool = Pool {
-            zones: named(&set.zones).iter().map(|zone| ZoneId::named(zone)).collect(),
-            kinds: named(&set.kinds).iter().map(|kind| KindId::named(kind)).collect(),
-            hosts: named(&set.hosts).iter().map(|host| HostId::named(host)).collect(),
+            zones: named(&set.zones)
+                .iter()
+                .map(|zone| ZoneId::named(zone))
+                .collect(),
+            kinds: named(&set.kinds)
+                .iter()
+                .map(|kind| KindId::named(kind))
+                .collect(),
+            hosts: named(&set.hosts)
+                .iter()
+                .map(|host| HostId::named(host))
+                .collect(),
         };
         let of = Match {
             operations: named(&set.operations),
             key_prefix: set.key_prefix.clone().unwrap_or_default(),
         };
-        Route { name: name.shared(), precedence: set.precedence, of, pool: Arc::new(pool) }
+        Route {
+            name: name.shared(),
+            precedence: set.precedence,
+            of,
+            pool: Arc::new(pool),
+        }
     });
     routes.collect()
 }
--- a/datastore/src/view.rs
+++ b/datastore/src/view.rs
@@ -5,7 +5,7 @@
 use kestreltide::interface::*;
 
 use crate::check::Facts;
-use crate::merge::Listed;
+use crate::merge::HostRecord;
 
 /// Counts since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -14,7 +14,7 @@
     pub succeeded: u64,
     pub throttled: u64,
     pub terminated: u64,
-    pub dispatches: u64,
+    pub attempts: u64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -22,9 +22,9 @@
     /// Unix time of this view.
     pub at: f64,
     /// What discovery lists, also who is gone; `None` where it is not asked.
-    pub discovery: Option<Arc<[Listed]>>,
+    pub discovery: Option<Arc<[HostRecord]>>,
     pub heard: bool,
-    pub news: Option<StageNews>,
+    pub news: Option<RolloutStatus>,
     /// In force in the loop.
     pub revision: Revision,
     /// Revisions that the loop took since the start, and its longest pause for one, in seconds.
@@ -39,7 +39,17 @@
 
 impl View {
     pub fn facts(&self, now: f64) -> Facts {
-        let View { discovery, heard, news, .. } = self;
-        Facts { now, discovery: discovery.clone(), heard: *heard, news: *news }
+        let View {
+            discovery,
+            heard,
+            news,
+            ..
+        } = self;
+        Facts {
+            now,
+            discovery: discovery.clone(),
+            heard: *heard,
+            news: *news,
+        }
     }
 }
--- a/watch/src/settle.rs
+++ b/file-watch/src/debounce.rs
@@ -3,9 +3,9 @@
 
 /// What the waiting goes by, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Patience {
+pub struct DebounceSettings {
     /// Without a change for this time, files are taken for written.
-    pub settle: f64,
+    pub debounce: f64,
     /// Files that change all the time are looked at all the same after this time.
     pub longest: f64,
     /// Between looks where no notice comes.
@@ -19,7 +19,11 @@
     /// What was seen last has been dealt with.
     Still,
     /// Something has stirred: since when, when it last changed, and what it was then.
-    Stirred { since: f64, changed: f64, digest: u64 },
+    Stirred {
+        since: f64,
+        changed: f64,
+        digest: u64,
+    },
 }
 
 /// What to do with what was read.
@@ -35,18 +39,23 @@
 
 /// Decides when content has settled; all times in seconds on one clock.
 #[derive(Clone, Debug)]
-pub struct Settle {
-    patience: Patience,
+pub struct Debouncer {
+    patience: DebounceSettings,
     state: State,
     /// What was dealt with last, and when.
     done: Option<(u64, f64)>,
     noticed: bool,
 }
 
-impl Settle {
+impl Debouncer {
     /// Before anything was read.
-    pub fn new(patience: Patience) -> Self {
-        Settle { patience, state: State::Still, done: None, noticed: true }
+    pub fn new(patience: DebounceSettings) -> Self {
+        Debouncer {
+            patience,
+            state: State::Still,
+            done: None,
+            noticed: true,
+        }
     }
 
     /// This is in force already.
@@ -67,17 +76,30 @@
     /// What was read now; what is offered counts as dealt with, what is tried only once it was whole.
     pub fn read(&mut self, now: f64, digest: u64) -> Step {
         self.noticed = false;
-        let Patience { settle, longest, apart, .. } = self.patience;
+        let DebounceSettings {
+            debounce,
+            longest,
+            apart,
+            ..
+        } = self.patience;
         if self.done.is_some_and(|(done, _)| done == digest) && self.state == State::Still {
             return Step::Nothing;
         }
         let (since, changed) = match self.state {
-            State::Stirred { since, changed, digest: before } if before == digest => (since, changed),
+            State::Stirred {
+                since,
+                changed,
+                digest: before,
+            } if before == digest => (since, changed),
             State::Stirred { since, .. } => (since, now),
             State::Still => (now, now),
         };
-        self.state = State::Stirred { since, changed, digest };
-        let settled = now - changed >= settle;
+        self.state = State::Stirred {
+            since,
+            changed,
+            digest,
+        };
+        let settled = now - changed >= debounce;
         if settled && self.done.is_some_and(|(done, _)| done == digest) {
             // It went and came back before anybody took it.
             self.state = State::Still;
@@ -98,11 +120,13 @@
 
     /// How long to sleep where no notice comes.
     pub fn next_look(&self, now: f64) -> f64 {
-        let soon = self.done.map_or(0.0, |(_, at)| at + self.patience.apart - now);
+        let soon = self
+            .done
+            .map_or(0.0, |(_, at)| at + self.patience.apart - now);
         match self.state {
             State::Still => self.patience.poll,
             State::Stirred { changed, .. } => {
-                let settled = changed + self.patience.settle - now;
+                let settled = changed + self.patience.debounce - now;
                 settled.max(soon).clamp(SHORTEST, self.patience.poll)
             }
         }
--- a/management/src/gnmi/mod.rs
+++ b/management/src/gnmi/mod.rs
@@ -21,9 +21,9 @@
 use std::sync::atomic::{AtomicU32, AtomicUsize};
 use std::sync::{Arc, Mutex};
 
-use kestreltide_datastore::desk::SessionId;
-use kestreltide_model::Schema;
-use kestreltide_model::bind::Bind;
+use kestreltide_datastore::commit_coordinator::SessionId;
+use kestreltide_yang::Schema;
+use kestreltide_yang::bind::Bind;
 use slog::Logger;
 use tokio::sync::watch;
 use tonic::{Request, Response, Status, Streaming};
@@ -32,11 +32,11 @@
 use self::snapshot::Snapshot;
 use self::subscribe::Responses;
 use crate::Limits;
-use crate::commit_service::Handle;
+use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::g_nmi_server::GNmi;
 use crate::proto::gnmi::{
-    CapabilityRequest, CapabilityResponse, Encoding, GetRequest, GetResponse, ModelData, SetRequest,
-    SetResponse, SubscribeRequest,
+    CapabilityRequest, CapabilityResponse, Encoding, GetRequest, GetResponse, ModelData,
+    SetRequest, SetResponse, SubscribeRequest,
 };
 
 const VERSION: &str = "0.10.0";
@@ -44,7 +44,7 @@
 /// The gNMI service, shared by all connections.
 pub struct Service {
     log: Logger,
-    commit_service: Handle,
+    commit_service: CommitServiceHandle,
     limits: Limits,
     schema: &'static Schema,
     bind: Arc<Bind>,
@@ -63,7 +63,7 @@
 
 impl Service {
     fn models(&self) -> Vec<ModelData> {
-        let model = |module: &kestreltide_model::schema::Module| ModelData {
+        let model = |module: &kestreltide_yang::schema::Module| ModelData {
             name: module.name.clone(),
             organization: module.organization.clone(),
             version: module.revision.clone(),
@@ -77,7 +77,8 @@
     type SubscribeStream = Responses;
 
     async fn capabilities(
-        &self, request: Request<CapabilityRequest>,
+        &self,
+        request: Request<CapabilityRequest>,
     ) -> Result<Response<CapabilityResponse>, Status> {
         self.key(&request)?;
         Ok(Response::new(CapabilityResponse {
@@ -101,7 +102,8 @@
     }
 
     async fn subscribe(
-        &self, request: Request<Streaming<SubscribeRequest>>,
+        &self,
+        request: Request<Streaming<SubscribeRequest>>,
     ) -> Result<Response<Responses>, Status> {
         self.start_subscription(request).await
     }
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use kestreltide_model::bind::Bind;
+use kestreltide_yang::bind::Bind;
 use slog::{Logger, warn};
 use tokio::net::TcpListener;
 use tonic::transport::{Certificate, Identity, Server, ServerTlsConfig};
@@ -13,7 +13,7 @@
 use super::connections::accept_connections;
 use super::snapshot::follow_published;
 use crate::Limits;
-use crate::commit_service::Handle;
+use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::g_nmi_server::GNmiServer;
 
 /// What TLS needs, in PEM.
@@ -28,9 +28,13 @@
 
 /// Serves until the listener fails for good.
 pub async fn serve(
-    log: Logger, commit_service: Handle, limits: Limits, listener: TcpListener, tls: Tls,
+    log: Logger,
+    commit_service: CommitServiceHandle,
+    limits: Limits,
+    listener: TcpListener,
+    tls: Tls,
 ) -> Result<(), String> {
-    let schema = kestreltide_model::published()?;
+    let schema = kestreltide_yang::published()?;
     let bind = Arc::new(Bind::new(schema)?);
     let snapshot = {
         let (commit_service, bind) = (commit_service.clone(), bind.clone());
@@ -50,8 +54,9 @@
     };
     let service = GNmiServer::new(service).max_decoding_message_size(limits.message);
     let config = tls_config(tls, &limits);
-    let server =
-        Server::builder().tls_config(config).map_err(|e| format!("certificate: cannot be used: {e}"))?;
+    let server = Server::builder()
+        .tls_config(config)
+        .map_err(|e| format!("certificate: cannot be used: {e}"))?;
     let alive = Duration::from_secs_f64(limits.alive);
     let mut server = server
         .max_concurrent_streams(limits.streams)
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -1,20 +1,23 @@
 //! `commit`: of the session's candidate, at once or until it is confirmed, or as that confirmation.
 
 use kestreltide_datastore::Rights;
-use kestreltide_datastore::desk::Confirm;
-use kestreltide_model::xml::Element;
+use kestreltide_datastore::commit_coordinator::Confirm;
+use kestreltide_yang::xml::Element;
 
 use super::operations::text;
 use super::rpc_error::RpcError;
-use super::{Asked, Session, Step};
-use crate::commit_service::Handle;
+use super::{DatastoreOperation, Session, Step};
+use crate::commit_service::CommitServiceHandle;
 
 /// Seconds: how long a commit waits to be confirmed where nothing is said (RFC 6241, section 8.4.5.1), and at most.
 const CONFIRM: [f64; 2] = [600.0, 86_400.0];
 
 impl Session {
     pub(super) fn commit(
-        &mut self, of: &Element, rights: Rights, commit_service: &Handle,
+        &mut self,
+        of: &Element,
+        rights: Rights,
+        commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
         let persist_id = text(of, "persist-id");
         let confirm = match of.child("confirmed") {
@@ -38,17 +41,32 @@
                         &taken,
                     )]
                 };
-                Some(Confirm { within: within.ok_or_else(wrong)?, persist: text(of, "persist") })
+                Some(Confirm {
+                    within: within.ok_or_else(wrong)?,
+                    persist: text(of, "persist"),
+                })
             }
         };
         let published = commit_service.published.load();
-        let changed = self.candidate.as_ref().is_some_and(|candidate| !candidate.is_unchanged());
+        let changed = self
+            .candidate
+            .as_ref()
+            .is_some_and(|candidate| !candidate.is_unchanged());
         // Without anything to commit it confirms, where something waits for that.
         if !changed && confirm.is_none() && (published.pending.is_some() || persist_id.is_some()) {
-            return Ok(Step::Ask(Asked::Confirm { persist_id }));
+            return Ok(Step::Perform(DatastoreOperation::Confirm { persist_id }));
         }
         let candidate = self.candidate(commit_service).clone();
-        self.check_rights(candidate.base_tree(), &candidate.tree, rights, commit_service)?;
-        Ok(Step::Ask(Asked::Commit { candidate, confirm, persist_id }))
+        self.check_rights(
+            candidate.base_tree(),
+            &candidate.tree,
+            rights,
+            commit_service,
+        )?;
+        Ok(Step::Perform(DatastoreOperation::Commit {
+            candidate,
+            confirm,
+            persist_id,
+        }))
     }
 }
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -16,20 +16,20 @@
 
 use std::fmt::Write;
 
-use kestreltide_datastore::desk::{Confirm, Refused, SessionId, Target};
+use kestreltide_datastore::commit_coordinator::{CommitError, Confirm, SessionId, Target};
 use kestreltide_datastore::{Author, Candidate, Rights, Source};
-use kestreltide_model::Schema;
-use kestreltide_model::bind::Bind;
-use kestreltide_model::xml::{self, Element, XmlLimits, escaped};
+use kestreltide_yang::Schema;
+use kestreltide_yang::bind::Bind;
+use kestreltide_yang::xml::{self, Element, XmlLimits, escaped};
 
 pub use self::capabilities::BASE;
 use self::capabilities::CAPABILITIES;
 use self::rpc_error::{RpcError, refusal_errors};
-use crate::commit_service::Handle;
+use crate::commit_service::CommitServiceHandle;
 
 /// What the commit service is asked for a message.
 #[derive(Clone, Debug)]
-pub enum Asked {
+pub enum DatastoreOperation {
     /// Lock a datastore.
     Lock(Target),
     /// Release the lock of a datastore.
@@ -62,8 +62,8 @@
 pub enum Step {
     /// Send the reply; an empty one is not sent.
     Reply(String),
-    /// Ask, and give the answer to [`Session::answered`].
-    Ask(Asked),
+    /// Perform it, and give the answer to [`Session::answered`].
+    Perform(DatastoreOperation),
     /// The reply, then the session is over.
     Close(String),
     /// Another session is to be ended; the reply.
@@ -91,7 +91,12 @@
 
 impl Session {
     /// A session before the hello of its client; `name` is that of the key of the client.
-    pub fn new(id: SessionId, name: &str, schema: &'static Schema, bind: std::sync::Arc<Bind>) -> Self {
+    pub fn new(
+        id: SessionId,
+        name: &str,
+        schema: &'static Schema,
+        bind: std::sync::Arc<Bind>,
+    ) -> Self {
         let (greeted, chunks, subscribed, attributes) = (false, false, false, String::new());
         Session {
             id,
@@ -125,8 +130,15 @@
     }
 
     /// What a message leads to.
-    pub fn message(&mut self, bytes: &[u8], rights: Rights, commit_service: &Handle) -> Step {
-        let Ok(text) = std::str::from_utf8(bytes) else { return self.malformed("is not UTF-8") };
+    pub fn message(
+        &mut self,
+        bytes: &[u8],
+        rights: Rights,
+        commit_service: &CommitServiceHandle,
+    ) -> Step {
+        let Ok(text) = std::str::from_utf8(bytes) else {
+            return self.malformed("is not UTF-8");
+        };
         let element = match xml::read(text, &XmlLimits::default()) {
             Ok(element) => element,
             Err(why) => return self.malformed(&why),
@@ -138,7 +150,11 @@
             return self.malformed("is no rpc");
         }
         self.attributes.clear();
-        for (_, name, value) in element.attributes.iter().filter(|(namespace, ..)| namespace.is_empty()) {
+        for (_, name, value) in element
+            .attributes
+            .iter()
+            .filter(|(namespace, ..)| namespace.is_empty())
+        {
             let _ = write!(self.attributes, " {name}=\"{}\"", escaped(value));
         }
         if element.attribute("", "message-id").is_none() {
@@ -158,10 +174,18 @@
 
     /// The first message of the client.
     fn client_hello(&mut self, element: &Element) -> Step {
-        let capabilities =
-            element.child("capabilities").filter(|_| element.name == "hello" && element.namespace == BASE);
-        let Some(capabilities) = capabilities else { return Step::Over("the first message is no hello") };
-        let says = |base: &str| capabilities.children.iter().any(|child| child.text.trim() == base);
+        let capabilities = element
+            .child("capabilities")
+            .filter(|_| element.name == "hello" && element.namespace == BASE);
+        let Some(capabilities) = capabilities else {
+            return Step::Over("the first message is no hello");
+        };
+        let says = |base: &str| {
+            capabilities
+                .children
+                .iter()
+                .any(|child| child.text.trim() == base)
+        };
         if !says(CAPABILITIES[0]) && !says(CAPABILITIES[1]) {
             return Step::Over("no base version in common");
         }
@@ -185,10 +209,17 @@
     }
 
     /// The commit service's answer to what was asked.
-    pub fn answered(&mut self, asked: &Asked, answer: Result<(), Refused>) -> String {
+    pub fn answered(
+        &mut self,
+        asked: &DatastoreOperation,
+        answer: Result<(), CommitError>,
+    ) -> String {
         match answer {
             Ok(()) => {
-                if matches!(asked, Asked::Commit { .. } | Asked::Cancel { .. }) {
+                if matches!(
+                    asked,
+                    DatastoreOperation::Commit { .. } | DatastoreOperation::Cancel { .. }
+                ) {
                     self.candidate = None;
                 }
                 self.ok()
--- a/management/src/netconf/session/reply.rs
+++ b/management/src/netconf/session/reply.rs
@@ -1,7 +1,7 @@
 //! Replies and notifications as XML.
 
-use kestreltide_model::Data;
-use kestreltide_model::xml;
+use kestreltide_yang::Data;
+use kestreltide_yang::xml;
 
 use super::Session;
 use super::capabilities::{BASE, NOTIFICATIONS};
@@ -9,7 +9,10 @@
 
 impl Session {
     pub(super) fn ok(&self) -> String {
-        format!("<rpc-reply xmlns=\"{BASE}\"{}><ok/></rpc-reply>", self.attributes)
+        format!(
+            "<rpc-reply xmlns=\"{BASE}\"{}><ok/></rpc-reply>",
+            self.attributes
+        )
     }
 
     pub(super) fn errors(&self, errors: &[RpcError]) -> String {
@@ -26,8 +29,9 @@
 
     /// A notification as it goes out (RFC 5277, section 4).
     pub fn notification(&self, at: f64, data: &Data) -> String {
-        let at = kestreltide_model::bind::time(at);
-        let mut out = format!("<notification xmlns=\"{NOTIFICATIONS}\"><eventTime>{at}</eventTime>");
+        let at = kestreltide_yang::bind::time(at);
+        let mut out =
+            format!("<notification xmlns=\"{NOTIFICATIONS}\"><eventTime>{at}</eventTime>");
         xml::write(self.schema, std::slice::from_ref(data), &mut out);
         out + "</notification>"
     }
--- a/router/src/fronts/keeper.rs
+++ b/router/src/fronts/keeper.rs
@@ -8,15 +8,18 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use kestreltide_datastore::desk::{Desk, Published, Refused, as_faults};
+use kestreltide_datastore::commit_coordinator::{
+    CommitCoordinator, CommitError, Published, into_validation_errors,
+};
 use kestreltide_datastore::store::{Commit, InForce};
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::{
-    Author, Candidate, Datastore, Facts, Fault, Faults, History, RuleTerms, Snapshot, Source, Tree,
+    Author, Candidate, Datastore, Facts, History, RuleSettings, Snapshot, Source, Tree,
+    ValidationError, ValidationErrors,
 };
-use kestreltide_management::News;
-use kestreltide_watch::form::{Spoken, Version};
-use kestreltide_watch::watch::{Told, look, spoken};
+use kestreltide_file_watch::parse::{Parsed, Version};
+use kestreltide_file_watch::watch::{WatchEvent, parse_files, poll_files};
+use kestreltide_management::Notification;
 use slog::{Logger, info, warn};
 use tokio::sync::broadcast;
 
@@ -29,9 +32,9 @@
 #[derive(Debug)]
 pub enum Ask {
     /// The watched files say this now.
-    Files(Told<Version>),
+    Files(WatchEvent<Version>),
     /// A front asks the desk.
-    Desk(kestreltide_management::Ask),
+    CommitCoordinator(kestreltide_management::CommitServiceRequest),
     /// What is not saved yet is saved, and the thread ends.
     Stop,
 }
@@ -39,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct KeeperTerms {
     pub router: String,
-    pub rules: RuleTerms,
+    pub rules: RuleSettings,
     pub history: History,
     pub folder: Option<PathBuf>,
 }
@@ -64,10 +67,10 @@
     log: Logger,
     clock: Clock,
     terms: KeeperTerms,
-    desk: Desk,
+    desk: CommitCoordinator,
     /// What fronts read of the desk, and where they are told what happens.
     published: Arc<ArcSwap<Published>>,
-    news: broadcast::Sender<News>,
+    news: broadcast::Sender<Notification>,
     /// The newest of both that was told.
     told: (u64, Option<f64>),
     /// What the files said when they were last taken, and what was in force then.
@@ -108,9 +111,12 @@
         };
         let store = Datastore::remembering(terms.rules.clone(), terms.history, remembered.memory);
         let base = store.in_force().clone();
-        let desk = Desk::new(store, remembered.pending);
+        let desk = CommitCoordinator::new(store, remembered.pending);
         let published = Arc::new(ArcSwap::from_pointee(desk.publish()));
-        let told = (base.revision.0, desk.store.refusals().next_back().map(|refusal| refusal.at));
+        let told = (
+            base.revision.0,
+            desk.store.refusals().next_back().map(|refusal| refusal.at),
+        );
         let (files, waiting, held) = (remembered.files, None, None);
         let (unsaved, saved, unsaved_told, lines) = (true, 0.0, false, (0.0, 0));
         Ok(Keeper {
@@ -137,25 +143,31 @@
     /// What a router starts with: what the files say if it is well, else the last good revision. `Err` where
     /// there is neither.
     pub fn begin(
-        &mut self, watching: Option<&Watching>, facts: &Facts,
+        &mut self,
+        watching: Option<&Watching>,
+        facts: &Facts,
     ) -> Result<(Option<Arc<Snapshot>>, Option<u64>), String> {
         let mut known = None;
         if let Some(watching) = watching {
-            let (spoken, digest) = look(&watching.watched, |contents| spoken(&watching.files, contents));
+            let (parse_files, digest) = poll_files(&watching.watched, |contents| {
+                parse_files(&watching.files, contents)
+            });
             known = Some(digest);
-            let faults = match spoken {
-                Spoken::Whole(version) => self.offer(version, facts, false).err(),
-                Spoken::Apart(faults) | Spoken::Torn(faults) | Spoken::Wrong(faults) => {
-                    self.refused("", faults.clone());
-                    Some(faults)
+            let errors = match parse_files {
+                Parsed::Complete(version) => self.offer(version, facts, false).err(),
+                Parsed::Apart(errors) | Parsed::Torn(errors) | Parsed::Wrong(errors) => {
+                    self.refused("", errors.clone());
+                    Some(errors)
                 }
             };
             let last_good = self.desk.store.in_force().revision.0 > 0;
             // What only waits for discovery's list is no reason not to start: discovery's hosts serve till then.
-            let waits =
-                watching.discovery && faults.as_ref().is_some_and(|faults| faults.pass_at().is_some());
-            match faults {
-                Some(faults) if !last_good && !waits => return Err(faults.to_string()),
+            let waits = watching.discovery
+                && errors
+                    .as_ref()
+                    .is_some_and(|errors| errors.pass_at().is_some());
+            match errors {
+                Some(errors) if !last_good && !waits => return Err(errors.to_string()),
                 Some(_) if last_good => {
                     warn!(self.log, "the start is with the last good revision, not with what the files say";
                         "revision" => self.desk.store.in_force().revision.0);
@@ -169,11 +181,22 @@
     }
 
     /// Serves what is asked until it is told to stop or nobody is left.
-    pub fn run(&mut self, asked: &Receiver<Ask>, view: &ArcSwap<View>, post: &Post<Notice>, pulse: &Pulse) {
+    pub fn run(
+        &mut self,
+        asked: &Receiver<Ask>,
+        view: &ArcSwap<View>,
+        post: &Post<Notice>,
+        pulse: &Pulse,
+    ) {
         loop {
             let now = self.clock.now();
             pulse.beat(now);
-            let due = self.waiting.as_ref().map(|waiting| waiting.again).into_iter().chain(self.desk.due());
+            let due = self
+                .waiting
+                .as_ref()
+                .map(|waiting| waiting.again)
+                .into_iter()
+                .chain(self.desk.due());
             let due = due.fold(now + ROUND, f64::min) - now;
             let sleep = Duration::from_secs_f64(due.clamp(0.0, ROUND));
             let ask = match asked.recv_timeout(sleep) {
@@ -182,10 +205,13 @@
                 Err(RecvTimeoutError::Timeout) => None,
             };
             let facts = view.load().facts(self.clock.now());
-            let undone = self.desk.tick(&facts).and_then(|undone| self.undone(undone));
+            let undone = self
+                .desk
+                .tick(&facts)
+                .and_then(|undone| self.undone(undone));
             let reply = match ask {
                 Some(Ask::Files(told)) => Served::only(self.told(told, &facts)),
-                Some(Ask::Desk(ask)) => self.asked(ask, &facts),
+                Some(Ask::CommitCoordinator(ask)) => self.asked(ask, &facts),
                 Some(Ask::Stop) | None => Served::only(self.try_again(&facts)),
             };
             let mut gone = false;
@@ -202,7 +228,11 @@
             }
             let view = view.load();
             // The loop holds the one in force, and lets the one before go as it takes it.
-            while self.posted.get(1).is_some_and(|next| next.revision() <= view.revision) {
+            while self
+                .posted
+                .get(1)
+                .is_some_and(|next| next.revision() <= view.revision)
+            {
                 self.posted.pop_front();
             }
             self.save(Some(&view));
@@ -213,25 +243,32 @@
     }
 
     /// What fronts hold to reach this thread.
-    pub fn published(&self) -> (Arc<ArcSwap<Published>>, broadcast::Sender<News>) {
+    pub fn published(&self) -> (Arc<ArcSwap<Published>>, broadcast::Sender<Notification>) {
         (self.published.clone(), self.news.clone())
     }
 
     /// Publishes what the desk has, and tells what happened since the last time.
     fn publish(&mut self) {
         let store = &self.desk.store;
-        let new: Vec<_> =
-            store.history().rev().take_while(|record| record.number > self.told.0).cloned().collect();
+        let new: Vec<_> = store
+            .history()
+            .rev()
+            .take_while(|record| record.number > self.told.0)
+            .cloned()
+            .collect();
         for record in new.into_iter().rev() {
             self.told.0 = record.number;
-            let _ = self.news.send(News::Committed(Arc::new(record)));
+            let _ = self.news.send(Notification::Committed(Arc::new(record)));
         }
         let refusal = store.refusals().next_back();
         if refusal.is_some_and(|refusal| self.told.1 != Some(refusal.at)) {
             self.told.1 = refusal.map(|refusal| refusal.at);
-            refusal
-                .into_iter()
-                .for_each(|refusal| drop(self.news.send(News::Refused(Arc::new(refusal.clone())))));
+            refusal.into_iter().for_each(|refusal| {
+                drop(
+                    self.news
+                        .send(Notification::Rejected(Arc::new(refusal.clone()))),
+                )
+            });
         }
         let published = self.desk.publish();
         let before = self.published.load();
@@ -247,47 +284,75 @@
     }
 
     /// A commit that was not confirmed has been undone, or could not be.
-    fn undone(&mut self, undone: Result<Commit, Faults>) -> Option<Arc<Snapshot>> {
+    fn undone(&mut self, undone: Result<Commit, ValidationErrors>) -> Option<Arc<Snapshot>> {
         match undone {
             Ok(commit) => {
                 info!(self.log, "a commit that was not confirmed is undone";
                     "revision" => self.desk.store.in_force().revision.0);
-                if let Commit::Taken(snapshot) = commit { Some(snapshot) } else { None }
+                if let Commit::Applied(snapshot) = commit {
+                    Some(snapshot)
+                } else {
+                    None
+                }
             }
-            Err(faults) => {
-                self.tell("a commit that was not confirmed cannot be undone", "", &faults);
+            Err(errors) => {
+                self.tell(
+                    "a commit that was not confirmed cannot be undone",
+                    "",
+                    &errors,
+                );
                 None
             }
         }
     }
 
     /// A front's question; who does not wait for the answer any more gets none.
-    fn asked(&mut self, ask: kestreltide_management::Ask, facts: &Facts) -> Served {
-        use kestreltide_management::Ask;
+    fn asked(
+        &mut self,
+        ask: kestreltide_management::CommitServiceRequest,
+        facts: &Facts,
+    ) -> Served {
+        use kestreltide_management::CommitServiceRequest;
         match ask {
-            Ask::Open { reply } => {
+            CommitServiceRequest::Open { reply } => {
                 let _ = reply.send(self.desk.open());
             }
-            Ask::Ended { session } => {
+            CommitServiceRequest::Ended { session } => {
                 let undone = self.desk.ended(session, facts);
                 return Served::only(undone.and_then(|undone| self.undone(undone)));
             }
-            Ask::Lock { session, target, reply } => {
+            CommitServiceRequest::Lock {
+                session,
+                target,
+                reply,
+            } => {
                 let _ = reply.send(self.desk.lock(session, target));
             }
-            Ask::Unlock { session, target, reply } => {
+            CommitServiceRequest::Unlock {
+                session,
+                target,
+                reply,
+            } => {
                 let _ = reply.send(self.desk.unlock(session, target));
             }
-            Ask::Validate { candidate, reply } => {
+            CommitServiceRequest::Validate { candidate, reply } => {
                 let _ = reply.send(self.desk.validate(&candidate, facts));
             }
-            Ask::Confirm { asker, persist_id, reply } => {
-                let _ = reply.send(self.desk.confirm(asker, persist_id.as_deref()));
+            CommitServiceRequest::Confirm {
+                requester,
+                persist_id,
+                reply,
+            } => {
+                let _ = reply.send(self.desk.confirm(requester, persist_id.as_deref()));
             }
-            Ask::Cancel { asker, persist_id, reply } => {
-                let cancelled = self.desk.cancel(asker, persist_id.as_deref(), facts);
+            CommitServiceRequest::Cancel {
+                requester,
+                persist_id,
+                reply,
+            } => {
+                let cancelled = self.desk.cancel(requester, persist_id.as_deref(), facts);
                 let taken = match &cancelled {
-                    Ok(Commit::Taken(snapshot)) => Some(snapshot.clone()),
+                    Ok(Commit::Applied(snapshot)) => Some(snapshot.clone()),
                     _ => None,
                 };
                 return Served {
@@ -295,15 +360,19 @@
                     reply: Some(Box::new(move || drop(reply.send(cancelled.map(|_| ()))))),
                 };
             }
-            Ask::Denied { author, fault } => {
-                let faults = fault.into();
-                self.tell("an edit is beyond the rights of who tries it", &author.name, &faults);
-                self.desk.store.refuse(author, facts.now, faults);
+            CommitServiceRequest::Denied { author, error } => {
+                let errors = error.into();
+                self.tell(
+                    "an edit is beyond the rights of who tries it",
+                    &author.name,
+                    &errors,
+                );
+                self.desk.store.refuse(author, facts.now, errors);
             }
-            Ask::Commit(ask) => {
+            CommitServiceRequest::Commit(ask) => {
                 let author = ask.author.clone();
                 let committed = self.desk.commit(
-                    ask.asker,
+                    ask.requester,
                     &ask.candidate,
                     ask.author,
                     ask.confirm,
@@ -311,42 +380,52 @@
                     facts,
                 );
                 match &committed {
-                    Ok(Commit::Taken(snapshot)) => {
+                    Ok(Commit::Applied(snapshot)) => {
                         info!(self.log, "a commit is taken"; "by" => %author, "revision" => snapshot.revision().0,
                             "changes" => self.desk.store.history().next_back().map_or(0, |record| record.changes.len()));
                     }
                     Ok(Commit::Nothing) => {}
-                    Err(Refused::Faults(faults)) => {
-                        let faults = faults.clone();
-                        self.tell("a commit is refused", &author.to_string(), &faults);
+                    Err(CommitError::Invalid(errors)) => {
+                        let errors = errors.clone();
+                        self.tell("a commit is refused", &author.to_string(), &errors);
                     }
                     Err(_) => {}
                 }
-                let taken =
-                    if let Ok(Commit::Taken(snapshot)) = &committed { Some(snapshot.clone()) } else { None };
+                let taken = if let Ok(Commit::Applied(snapshot)) = &committed {
+                    Some(snapshot.clone())
+                } else {
+                    None
+                };
                 let reply = ask.reply;
-                return Served { taken, reply: Some(Box::new(move || drop(reply.send(committed)))) };
+                return Served {
+                    taken,
+                    reply: Some(Box::new(move || drop(reply.send(committed)))),
+                };
             }
         }
         Served::only(None)
     }
 
-    fn told(&mut self, told: Told<Version>, facts: &Facts) -> Option<Arc<Snapshot>> {
+    fn told(&mut self, told: WatchEvent<Version>, facts: &Facts) -> Option<Arc<Snapshot>> {
         // Whatever waited is no longer what the files say.
         self.waiting = None;
         match told {
-            Told::Version(version) => {
+            WatchEvent::Version(version) => {
                 self.held = None;
                 self.offer(version, facts, false).ok().flatten()
             }
-            Told::Refused(faults) => {
+            WatchEvent::Rejected(errors) => {
                 self.held = None;
-                self.refused("", faults);
+                self.refused("", errors);
                 None
             }
-            Told::Held(faults) => {
-                self.tell("files do not belong together yet", "", &faults);
-                self.held = Some(Held { since: facts.now, author: author(""), faults });
+            WatchEvent::Pending(errors) => {
+                self.tell("files do not belong together yet", "", &errors);
+                self.held = Some(Held {
+                    since: facts.now,
+                    author: author(""),
+                    errors,
+                });
                 self.unsaved = true;
                 None
             }
@@ -354,14 +433,21 @@
     }
 
     fn try_again(&mut self, facts: &Facts) -> Option<Arc<Snapshot>> {
-        let due = self.waiting.as_ref().is_some_and(|waiting| waiting.again <= facts.now);
+        let due = self
+            .waiting
+            .as_ref()
+            .is_some_and(|waiting| waiting.again <= facts.now);
         let waiting = self.waiting.take_if(|_| due)?;
         // It was told of when it began to wait, and is again only where that is over.
-        let looked =
-            self.candidate(&waiting.version).and_then(|candidate| self.desk.validate(&candidate, facts));
-        match looked.err().and_then(|faults| faults.pass_at()) {
+        let looked = self
+            .candidate(&waiting.version)
+            .and_then(|candidate| self.desk.validate(&candidate, facts));
+        match looked.err().and_then(|errors| errors.pass_at()) {
             Some(at) => {
-                self.waiting = Some(Waiting { again: at.max(facts.now + AGAIN), ..waiting });
+                self.waiting = Some(Waiting {
+                    again: at.max(facts.now + AGAIN),
+                    ..waiting
+                });
                 None
             }
             // Well by now, unless somebody's lock still keeps it out.
@@ -369,36 +455,54 @@
         }
     }
 
-    fn candidate(&self, version: &Version) -> Result<Candidate, Faults> {
+    fn candidate(&self, version: &Version) -> Result<Candidate, ValidationErrors> {
         if version.generation == self.generation && version.tree != self.files {
             // Half of another version looks like this, too.
             let what = "is that of the version in force, and the content is another";
-            return Err(Fault::new("generation", what, &version.generation, "a name for each version").into());
+            return Err(ValidationError::new(
+                "generation",
+                what,
+                &version.generation,
+                "a name for each version",
+            )
+            .into());
         }
         let mut candidate = Candidate::of(&self.base);
-        candidate.tree = candidate.tree.patched(&self.files.differences(&version.tree), false)?;
+        candidate.tree = candidate
+            .tree
+            .patched(&self.files.differences(&version.tree), false)?;
         Ok(candidate)
     }
 
     /// What the files changed since they were last taken, on top of what is in force: whoever else changed the
     /// same leaves meanwhile is not overruled in silence.
     fn offer(
-        &mut self, version: Version, facts: &Facts, quiet: bool,
-    ) -> Result<Option<Arc<Snapshot>>, Faults> {
+        &mut self,
+        version: Version,
+        facts: &Facts,
+        quiet: bool,
+    ) -> Result<Option<Arc<Snapshot>>, ValidationErrors> {
         self.unsaved = true;
         let candidate = match self.candidate(&version) {
             Ok(candidate) => candidate,
-            Err(faults) => {
-                self.refused(&version.generation, faults.clone());
-                return Err(faults);
+            Err(errors) => {
+                self.refused(&version.generation, errors.clone());
+                return Err(errors);
             }
         };
-        let committed = self.desk.commit(None, &candidate, author(&version.generation), None, None, facts);
+        let committed = self.desk.commit(
+            None,
+            &candidate,
+            author(&version.generation),
+            None,
+            None,
+            facts,
+        );
         // A lock, or a commit that waits, passes: the files are what operators want all the same.
-        match committed.map_err(|refused| as_faults(refused, facts.now + AGAIN)) {
+        match committed.map_err(|refused| into_validation_errors(refused, facts.now + AGAIN)) {
             Ok(commit) => {
                 let snapshot = match commit {
-                    Commit::Taken(snapshot) => Some(snapshot),
+                    Commit::Applied(snapshot) => Some(snapshot),
                     Commit::Nothing => None,
                 };
                 info!(self.log, "the files are taken"; "generation" => &version.generation,
@@ -408,44 +512,54 @@
                 self.base = self.desk.store.in_force().clone();
                 Ok(snapshot)
             }
-            Err(faults) => {
-                match faults.pass_at() {
+            Err(errors) => {
+                match errors.pass_at() {
                     Some(at) => {
                         let again = at.max(facts.now + AGAIN);
                         let held = Held {
                             since: facts.now,
                             author: author(&version.generation),
-                            faults: faults.clone(),
+                            errors: errors.clone(),
                         };
                         if !quiet {
-                            self.tell("the files are held back", &version.generation, &faults);
+                            self.tell("the files are held back", &version.generation, &errors);
                         }
-                        self.waiting = Some(Waiting { version, held, again });
+                        self.waiting = Some(Waiting {
+                            version,
+                            held,
+                            again,
+                        });
                     }
-                    None => self.tell("the files are refused", &version.generation, &faults),
+                    None => self.tell("the files are refused", &version.generation, &errors),
                 }
-                Err(faults)
+                Err(errors)
             }
         }
     }
 
     /// Files that cannot be read as a version at all.
-    fn refused(&mut self, generation: &str, faults: Faults) {
-        self.tell("the files are refused", generation, &faults);
-        self.desk.store.refuse(author(generation), self.clock.now(), faults);
+    fn refused(&mut self, generation: &str, errors: ValidationErrors) {
+        self.tell("the files are refused", generation, &errors);
+        self.desk
+            .store
+            .refuse(author(generation), self.clock.now(), errors);
         self.unsaved = true;
     }
 
-    fn tell(&mut self, what: &'static str, generation: &str, faults: &Faults) {
+    fn tell(&mut self, what: &'static str, generation: &str, errors: &ValidationErrors) {
         let now = self.clock.now();
         if now - self.lines.0 >= 1.0 {
             self.lines = (now, 0);
         }
         self.lines.1 += 1;
         if self.lines.1 <= LINES {
-            let why = faults.first.first().map(ToString::to_string).unwrap_or_default();
+            let why = errors
+                .first
+                .first()
+                .map(ToString::to_string)
+                .unwrap_or_default();
             warn!(self.log, "{}", what; "generation" => generation, "why" => why,
-                "further" => faults.first.len().saturating_sub(1) + faults.more,
+                "further" => errors.first.len().saturating_sub(1) + errors.more,
                 "stays" => self.desk.store.in_force().revision.0);
         }
     }
@@ -453,11 +567,19 @@
     /// Saves what changed, not more often than makes sense.
     fn save(&mut self, view: Option<&View>) {
         let now = self.clock.now();
-        let Some(folder) = self.terms.folder.as_deref().filter(|_| self.unsaved && now - self.saved >= SAVE)
+        let Some(folder) = self
+            .terms
+            .folder
+            .as_deref()
+            .filter(|_| self.unsaved && now - self.saved >= SAVE)
         else {
             return;
         };
-        let held = self.waiting.as_ref().map(|waiting| waiting.held.clone()).or_else(|| self.held.clone());
+        let held = self
+            .waiting
+            .as_ref()
+            .map(|waiting| waiting.held.clone())
+            .or_else(|| self.held.clone());
         let remembered = Remembered {
             router: self.terms.router.clone(),
             written: now,
@@ -500,5 +622,9 @@
 }
 
 fn author(generation: &str) -> Author {
-    Author { source: Source::Files, name: "operators".into(), version: generation.into() }
+    Author {
+        source: Source::Files,
+        name: "operators".into(),
+        version: generation.into(),
+    }
 }
--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -6,10 +6,10 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use kestreltide::interface::{ServiceTerms, StageNews};
-use kestreltide_datastore::{Facts, Listed, RuleTerms, Snapshot};
-use kestreltide_management::Handle;
-use kestreltide_watch::watch::{spoken, wakes};
+use kestreltide::interface::{RolloutStatus, ServiceSettings};
+use kestreltide_datastore::{Facts, HostRecord, RuleSettings, Snapshot};
+use kestreltide_file_watch::watch::{parse_files, wakes};
+use kestreltide_management::CommitServiceHandle;
 use slog::Logger;
 
 use super::keeper::{Ask, Keeper, KeeperTerms};
@@ -33,7 +33,7 @@
 
 impl Fronts {
     /// The watched files are looked at now, whatever notices say.
-    pub fn look(&self) {
+    pub fn poll_files(&self) {
         if let Some(wake) = &self.wake {
             let _ = wake.try_send(());
         }
@@ -57,7 +57,7 @@
     pub clock: Clock,
     pub limits: &'a Limits,
     pub router: &'a str,
-    pub terms: &'a ServiceTerms,
+    pub terms: &'a ServiceSettings,
     /// Names of the service's operations.
     pub operations: Vec<String>,
 }
@@ -68,22 +68,44 @@
 impl Opening<'_> {
     /// Starts the threads that the operator file asks for; none where it asks for none.
     pub fn fronts(
-        &self, net: &mut Net, operators: &OperatorTerms, listed: Option<Vec<Listed>>, news: Option<StageNews>,
+        &self,
+        net: &mut Net,
+        operators: &OperatorTerms,
+        listed: Option<Vec<HostRecord>>,
+        news: Option<RolloutStatus>,
     ) -> Result<Option<Joined>, String> {
         if !operators.any() {
             return Ok(None);
         }
-        let OperatorTerms { folder, history, watching, management } = operators.clone();
+        let OperatorTerms {
+            folder,
+            history,
+            watching,
+            management,
+        } = operators.clone();
         let failed = |e: std::io::Error| format!("a thread cannot be started: {e}");
         let (log, clock) = (self.log.clone(), self.clock);
-        let opened = management.as_ref().map(|terms| Opened::open(&log, terms)).transpose()?;
+        let opened = management
+            .as_ref()
+            .map(|terms| Opened::open(&log, terms))
+            .transpose()?;
         let (open, of_loop) = FrontBox::open(net, self.limits.posted).map_err(failed)?;
-        let rules = RuleTerms::new(self.terms, self.operations.clone(), self.limits.operators);
-        let terms = KeeperTerms { router: self.router.into(), rules, history, folder };
+        let rules = RuleSettings::new(self.terms, self.operations.clone(), self.limits.operators);
+        let terms = KeeperTerms {
+            router: self.router.into(),
+            rules,
+            history,
+            folder,
+        };
         let mut keeper = Keeper::start(log.clone(), clock, terms)?;
         let heard = listed.is_some() || operators.alone();
         let discovery = (!operators.alone()).then(|| listed.unwrap_or_default().into());
-        let facts = Facts { now: clock.now(), discovery, heard, news };
+        let facts = Facts {
+            now: clock.now(),
+            discovery,
+            heard,
+            news,
+        };
         let (first, known) = keeper.begin(watching.as_ref(), &facts)?;
         let (asks, asked) = sync_channel(self.limits.asked);
         let (published, told) = keeper.published();
@@ -102,9 +124,11 @@
             supervise(log.clone(), "watch", move || {
                 // After a death everything is told anew; what is in force already changes nothing.
                 let alive = || pulse.beat(clock.now());
-                let says = |contents: &[kestreltide_watch::Content]| spoken(&watching.files, contents);
+                let says = |contents: &[kestreltide_file_watch::Content]| {
+                    parse_files(&watching.files, contents)
+                };
                 let tell = |told| tell.send(Ask::Files(told)).is_ok();
-                kestreltide_watch::run(
+                kestreltide_file_watch::run(
                     &watching.watched,
                     known.take(),
                     (waker.clone(), &nudged),
@@ -118,18 +142,27 @@
         }
         if let Some(opened) = opened {
             let ask = asks.clone();
-            let desk = Handle {
-                ask: Arc::new(move |asked| ask.try_send(Ask::Desk(asked)).is_ok()),
+            let desk = CommitServiceHandle {
+                submit: Arc::new(move |asked| ask.try_send(Ask::CommitCoordinator(asked)).is_ok()),
                 published,
                 view: of_loop.view.clone(),
                 in_force: of_loop.in_force.clone(),
-                news: told,
+                notifications: told,
                 keys: opened.keys.clone(),
             };
             let pulse = Pulse::new("management");
             pulses.push(pulse.clone());
             opened.start(&log, clock, desk, pulse).map_err(failed)?;
         }
-        Ok(Some((open, first, Fronts { asks, wake, keeper, pulses })))
+        Ok(Some((
+            open,
+            first,
+            Fronts {
+                asks,
+                wake,
+                keeper,
+                pulses,
+            },
+        )))
     }
 }
--- a/router/src/fronts/terms.rs
+++ b/router/src/fronts/terms.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 
 use kestreltide_datastore::History;
-use kestreltide_watch::form::Kind;
-use kestreltide_watch::watch::Watched;
+use kestreltide_file_watch::parse::Kind;
+use kestreltide_file_watch::watch::Watched;
 
 /// Which files are watched, and who else lists hosts.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,6 +57,8 @@
 
     /// Whether operators' files alone list the hosts.
     pub fn alone(&self) -> bool {
-        self.watching.as_ref().is_some_and(|watching| !watching.discovery)
+        self.watching
+            .as_ref()
+            .is_some_and(|watching| !watching.discovery)
     }
 }
--- a/router/src/protocol/platform.rs
+++ b/router/src/protocol/platform.rs
@@ -2,7 +2,7 @@
 
 use std::borrow::Cow;
 
-use kestreltide::interface::{BuildId, Phase, Sense, StageNews, Verdict};
+use kestreltide::interface::{AttemptOutcome, BuildId, Phase, RolloutStatus, Vote};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -12,10 +12,20 @@
 #[derive(Debug, PartialEq)]
 pub enum Told<'a> {
     State(State),
-    Complaint { host: Cow<'a, str>, operation: Cow<'a, str>, age: f64 },
+    Complaint {
+        host: Cow<'a, str>,
+        operation: Cow<'a, str>,
+        age: f64,
+    },
     SignOfLife,
-    Result { call: u64, state: Option<State> },
-    Error { call: u64, verdict: Verdict },
+    Result {
+        call: u64,
+        state: Option<State>,
+    },
+    Error {
+        call: u64,
+        outcome: AttemptOutcome,
+    },
     Unknown,
 }
 
@@ -30,9 +40,23 @@
 }
 
 impl State {
-    pub fn news(&self, answers_vote: bool) -> StageNews {
-        let State { build, stage, phase, cap, age } = *self;
-        StageNews { verdict: Verdict::Succeeded, build, stage, phase, cap, age, answers_vote }
+    pub fn news(&self, answers_vote: bool) -> RolloutStatus {
+        let State {
+            build,
+            stage,
+            phase,
+            cap,
+            age,
+        } = *self;
+        RolloutStatus {
+            outcome: AttemptOutcome::Succeeded,
+            build,
+            stage,
+            phase,
+            cap,
+            age,
+            answers_vote,
+        }
     }
 }
 
@@ -76,13 +100,19 @@
 impl StateForm {
     pub fn state(&self) -> State {
         let phase = match self.progress {
-            Progress::Testing => Phase::OnTrial,
-            Progress::Recalling => Phase::GoingBack,
+            Progress::Testing => Phase::Canary,
+            Progress::Recalling => Phase::RollingBack,
             Progress::Live => Phase::Released,
-            Progress::Recalled => Phase::Withdrawn,
+            Progress::Recalled => Phase::RolledBack,
         };
         let (build, stage, cap) = (BuildId(self.image), self.ring, self.ceiling.clamp(0.0, 1.0));
-        State { build, stage, phase, cap, age: self.lag_ms.max(0.0) / 1e3 }
+        State {
+            build,
+            stage,
+            phase,
+            cap,
+            age: self.lag_ms.max(0.0) / 1e3,
+        }
     }
 }
 
@@ -106,30 +136,46 @@
         let why = || Malformed::new(format!("a line is too long ({most} bytes at most)"));
         return if long { Err(why()) } else { Ok(None) };
     };
-    let text = std::str::from_utf8(&bytes[..end]).map_err(|_| Malformed::new("a line is not UTF-8"))?;
+    let text =
+        std::str::from_utf8(&bytes[..end]).map_err(|_| Malformed::new("a line is not UTF-8"))?;
     Ok(Some((told(text.trim_end())?, end + 1)))
 }
 
 fn told(text: &str) -> Result<Told<'_>, Malformed> {
     let line: Line = parse(text)?;
     if let (Some(call), Some(error)) = (line.id, &line.error) {
-        let verdict = match error.message.as_ref() {
-            "too_many_calls" => Verdict::Full,
-            "out_of_date" => Verdict::Moot,
-            _ => Verdict::Error,
+        let outcome = match error.message.as_ref() {
+            "too_many_calls" => AttemptOutcome::Rejected,
+            "out_of_date" => AttemptOutcome::Irrelevant,
+            _ => AttemptOutcome::Error,
         };
-        return Ok(Told::Error { call, verdict });
+        return Ok(Told::Error { call, outcome });
     }
     if let (Some(call), Some(result)) = (line.id, line.result) {
-        let state = result.get().starts_with('{').then(|| parse::<StateForm>(result.get())).transpose()?;
-        return Ok(Told::Result { call, state: state.map(|form| form.state()) });
+        let state = result
+            .get()
+            .starts_with('{')
+            .then(|| parse::<StateForm>(result.get()))
+            .transpose()?;
+        return Ok(Told::Result {
+            call,
+            state: state.map(|form| form.state()),
+        });
     }
-    let params = || line.params.map(RawValue::get).ok_or_else(|| Malformed::new("params is missing"));
+    let params = || {
+        line.params
+            .map(RawValue::get)
+            .ok_or_else(|| Malformed::new("params is missing"))
+    };
     Ok(match line.method.as_deref() {
         Some("progress") => Told::State(parse::<StateForm>(params()?)?.state()),
         Some("complaint") => {
             let form: ComplaintForm = parse(params()?)?;
-            Told::Complaint { host: form.host, operation: form.operation, age: form.lag_ms.max(0.0) / 1e3 }
+            Told::Complaint {
+                host: form.host,
+                operation: form.operation,
+                age: form.lag_ms.max(0.0) / 1e3,
+            }
         }
         Some("ping") => Told::SignOfLife,
         Some(_) => Told::Unknown,
@@ -143,15 +189,19 @@
     );
 }
 
-pub fn write_vote(out: &mut Vec<u8>, call: u64, build: BuildId, stage: u32, sense: Sense) {
-    let opinion = match sense {
-        Sense::None => "none",
-        Sense::On => "on",
-        Sense::Hold => "hold",
-        Sense::Back => "back",
+pub fn write_vote(out: &mut Vec<u8>, call: u64, build: BuildId, stage: u32, vote: Vote) {
+    let opinion = match vote {
+        Vote::Abstain => "none",
+        Vote::Promote => "on",
+        Vote::Hold => "hold",
+        Vote::RollBack => "back",
     };
-    let params = format!("{{\"image\":{},\"ring\":{stage},\"opinion\":\"{opinion}\"}}", build.0);
-    let line =
-        format!("{{\"jsonrpc\":\"2.0\",\"id\":{call},\"method\":\"castBallot\",\"params\":{params}}}\n");
+    let params = format!(
+        "{{\"image\":{},\"ring\":{stage},\"opinion\":\"{opinion}\"}}",
+        build.0
+    );
+    let line = format!(
+        "{{\"jsonrpc\":\"2.0\",\"id\":{call},\"method\":\"castBallot\",\"params\":{params}}}\n"
+    );
     out.extend_from_slice(line.as_bytes());
 }
--- a/router/src/routing/admit.rs
+++ b/router/src/routing/admit.rs
@@ -24,14 +24,21 @@
 pub(super) struct Admitted {
     pub(super) client: SocketId,
     pub(super) kept: Kept,
-    pub(super) dispatches: u32,
+    pub(super) attempts: u32,
     /// The client is gone, which the decisions are still to hear.
     pub(super) left: bool,
 }
 
 impl Routing {
     pub(super) fn admit(&mut self, client: SocketId, taken: Taken) {
-        let Taken { operation, key, pool, time_left, again, kept } = taken;
+        let Taken {
+            operation,
+            key,
+            pool,
+            time_left,
+            again,
+            kept,
+        } = taken;
         // Nothing has been dispatched: a client may be told that trying again is harmless.
         let full = self.admitted.len() >= self.limits.invocations;
         if full || self.held + kept.size() > self.limits.held || self.has_given_up() {
@@ -40,15 +47,23 @@
         }
         // The client's own id goes to hosts unchanged; here a number stands for it, which nobody can repeat.
         self.last_inv += 1;
-        let id = InvId(self.last_inv.to_string().into());
+        let id = RequestId(self.last_inv.to_string().into());
         self.held += kept.size();
         self.open_ids.insert(kept.id().into(), client);
         self.tally.taken += 1;
         if let Some(client) = self.clients.get_mut(&client) {
             client.queue.push_back(Waiting::For(id.clone()));
         }
-        self.admitted.insert(id.clone(), Admitted { client, kept, dispatches: 0, left: false });
-        self.events.push_back(Event::Arrived(Invocation {
+        self.admitted.insert(
+            id.clone(),
+            Admitted {
+                client,
+                kept,
+                attempts: 0,
+                left: false,
+            },
+        );
+        self.events.push_back(Event::RequestReceived(Request {
             id,
             operation,
             key,
@@ -60,8 +75,8 @@
     }
 
     /// The invocation owes no answer any more.
-    pub(super) fn release(&mut self, inv: &InvId) -> Option<Admitted> {
-        let admitted = self.admitted.remove(inv)?;
+    pub(super) fn release(&mut self, request: &RequestId) -> Option<Admitted> {
+        let admitted = self.admitted.remove(request)?;
         self.held -= admitted.kept.size();
         if !admitted.left {
             self.open_ids.remove(admitted.kept.id());
--- a/router/src/routing/book.rs
+++ b/router/src/routing/book.rs
@@ -9,14 +9,14 @@
 use kestreltide::interface::*;
 use kestreltide_datastore::merge::merge;
 use kestreltide_datastore::view::Counts;
-use kestreltide_datastore::{Listed, Snapshot};
+use kestreltide_datastore::{HostRecord, Snapshot};
 use kestreltide_routes::Route;
 
 use crate::protocol::discovery::Target;
 
 /// Where hosts are: what discovery told last, under what operators have set.
 pub(super) struct Hosts {
-    told: BTreeMap<HostId, Listed>,
+    told: BTreeMap<HostId, HostRecord>,
     revision: Arc<Snapshot>,
     most: usize,
 }
@@ -30,22 +30,32 @@
 
 impl Hosts {
     pub(super) fn new(most: usize) -> Self {
-        Hosts { told: BTreeMap::new(), revision: Arc::default(), most }
+        Hosts {
+            told: BTreeMap::new(),
+            revision: Arc::default(),
+            most,
+        }
     }
 
     pub(super) fn len(&self) -> usize {
-        let alone = self.revision.hosts.iter().filter(|said| !self.told.contains_key(&said.host));
+        let alone = self
+            .revision
+            .hosts
+            .iter()
+            .filter(|said| !self.told.contains_key(&said.host));
         self.told.len() + alone.count()
     }
 
     /// A host as it counts, whoever lists it.
-    fn in_force(&self, host: HostId) -> Option<Cow<'_, Listed>> {
+    fn in_force(&self, host: HostId) -> Option<Cow<'_, HostRecord>> {
         self.under(&self.revision, host)
     }
 
-    fn under<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, Listed>> {
+    fn under<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, HostRecord>> {
         match (self.told.get(&host), revision.said(host)) {
-            (Some(told), Some(said)) => merge(&said.name, Some(told), Some(&said.set), None).map(Cow::Owned),
+            (Some(told), Some(said)) => {
+                merge(&said.name, Some(told), Some(&said.set), None).map(Cow::Owned)
+            }
             (Some(told), None) => Some(Cow::Borrowed(told)),
             (None, said) => said?.alone.as_ref().map(Cow::Borrowed),
         }
@@ -62,7 +72,8 @@
 
     /// Whether a connection to this host at this address may be used again.
     pub(super) fn wanted(&self, host: HostId, at: SocketAddr) -> bool {
-        self.in_force(host).is_some_and(|host| host.serves() && host.endpoint == at)
+        self.in_force(host)
+            .is_some_and(|host| host.serves() && host.endpoint == at)
     }
 
     /// Notes one entry of discovery's list; None where there is no room for one more host.
@@ -75,13 +86,19 @@
         self.told.insert(host, target.listed());
         let new = self.in_force(host)?;
         let moved = old.is_some_and(|old| old.moved(&new));
-        Some(Noted { entry: new.entry(), drop_idle: moved || !new.serves() })
+        Some(Noted {
+            entry: new.entry(),
+            drop_idle: moved || !new.serves(),
+        })
     }
 
     /// A whole list has come: who is not in it is gone.
     pub(super) fn only(&mut self, listed: &[HostEntry]) -> Vec<HostId> {
         let listed: BTreeSet<_> = listed.iter().map(|entry| entry.host).collect();
-        let missing = self.told.iter_mut().filter(|(host, _)| !listed.contains(host));
+        let missing = self
+            .told
+            .iter_mut()
+            .filter(|(host, _)| !listed.contains(host));
         let gone = missing.map(|(host, told)| {
             told.state = HostState::Gone;
             *host
@@ -91,7 +108,11 @@
 
     /// The entries of operators alone, which discovery does not list.
     pub(super) fn of_operators(&self) -> impl Iterator<Item = HostEntry> {
-        let alone = self.revision.hosts.iter().filter(|said| !self.told.contains_key(&said.host));
+        let alone = self
+            .revision
+            .hosts
+            .iter()
+            .filter(|said| !self.told.contains_key(&said.host));
         alone.filter_map(|said| said.entry)
     }
 
@@ -113,7 +134,12 @@
         }
         let mut hosts = new.changed.to_vec();
         if !follows {
-            hosts = old.hosts.iter().chain(&new.hosts).map(|said| said.host).collect();
+            hosts = old
+                .hosts
+                .iter()
+                .chain(&new.hosts)
+                .map(|said| said.host)
+                .collect();
             hosts.sort();
             hosts.dedup();
         }
@@ -121,30 +147,38 @@
             self.told.get(&host)?;
             self.under(revision, host).map(Cow::into_owned)
         };
-        new.changes(&old, &hosts, |host| told(&old, host), |host| told(new, host)).into()
+        new.changes(
+            &old,
+            &hosts,
+            |host| told(&old, host),
+            |host| told(new, host),
+        )
+        .into()
     }
 
     /// All that discovery told and did not take back.
-    pub(super) fn told(&self) -> impl Iterator<Item = &Listed> {
+    pub(super) fn told(&self) -> impl Iterator<Item = &HostRecord> {
         self.told.values()
     }
 
     pub(super) fn forget_gone(&mut self, using: &BTreeSet<HostId>) {
         // Who is gone stays gone though operators still list it, until discovery says otherwise.
         let said = |host: &HostId| self.revision.said(*host).is_some();
-        self.told.retain(|host, told| told.state != HostState::Gone || using.contains(host) || said(host));
+        self.told.retain(|host, told| {
+            told.state != HostState::Gone || using.contains(host) || said(host)
+        });
     }
 }
 
-const VERDICTS: [(Verdict, &str); 8] = [
-    (Verdict::Succeeded, "succeeded"),
-    (Verdict::Error, "error"),
-    (Verdict::Full, "full"),
-    (Verdict::TimedOut, "timed_out"),
-    (Verdict::NoConnection, "no_connection"),
-    (Verdict::Reset, "reset"),
-    (Verdict::Recalled, "recalled"),
-    (Verdict::Moot, "moot"),
+const VERDICTS: [(AttemptOutcome, &str); 8] = [
+    (AttemptOutcome::Succeeded, "succeeded"),
+    (AttemptOutcome::Error, "error"),
+    (AttemptOutcome::Rejected, "full"),
+    (AttemptOutcome::TimedOut, "timed_out"),
+    (AttemptOutcome::NoConnection, "no_connection"),
+    (AttemptOutcome::Reset, "reset"),
+    (AttemptOutcome::Cancelled, "recalled"),
+    (AttemptOutcome::Irrelevant, "moot"),
 ];
 
 /// Counts since the state was last told.
@@ -159,7 +193,7 @@
     pub(super) terminated: u64,
     pub(super) left: u64,
     pub(super) malformed: u64,
-    pub(super) dispatches: u64,
+    pub(super) attempts: u64,
     pub(super) links: u64,
     /// What all routers share: calls to discovery, votes and those that did not count, messages between routers.
     pub(super) lists: u64,
@@ -184,12 +218,12 @@
             succeeded: before.succeeded + self.succeeded,
             throttled: before.throttled + self.throttled,
             terminated: before.terminated + self.terminated,
-            dispatches: before.dispatches + self.dispatches,
+            attempts: before.attempts + self.attempts,
         }
     }
 
-    pub(super) fn count(&mut self, verdict: Verdict) {
-        if let Some(place) = VERDICTS.iter().position(|(of, _)| *of == verdict) {
+    pub(super) fn count(&mut self, outcome: AttemptOutcome) {
+        if let Some(place) = VERDICTS.iter().position(|(of, _)| *of == outcome) {
             self.ends[place] += 1;
         }
     }
@@ -219,7 +253,7 @@
             ("terminated", self.terminated),
             ("left", self.left),
             ("malformed", self.malformed),
-            ("dispatches", self.dispatches),
+            ("dispatches", self.attempts),
             ("new_links", self.links),
             ("lists", self.lists),
             ("votes", self.votes),
@@ -233,10 +267,19 @@
             let _ = write!(line, "{name} {count} ");
         }
         line.push_str("ends:");
-        for ((_, name), count) in VERDICTS.iter().zip(self.ends).filter(|(_, count)| *count > 0) {
+        for ((_, name), count) in VERDICTS
+            .iter()
+            .zip(self.ends)
+            .filter(|(_, count)| *count > 0)
+        {
             let _ = write!(line, " {name} {count}");
         }
-        *self = Tally { told: now, second: self.second, before: self.all(), ..Tally::default() };
+        *self = Tally {
+            told: now,
+            second: self.second,
+            before: self.all(),
+            ..Tally::default()
+        };
         Some(line)
     }
 }
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -18,9 +18,9 @@
 use std::io;
 use std::net::SocketAddr;
 
-use kestreltide::choice::Router;
+use kestreltide::decisions::Router;
 use kestreltide::interface::*;
-use kestreltide_terms::TransportTerms;
+use kestreltide_settings::TransportSettings;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use slog::{Logger, info};
@@ -70,7 +70,7 @@
 /// What is due at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Due {
-    Decisions(AlarmKey),
+    Decisions(TimerKey),
     /// The use of a connection to a host that has this number must be over.
     UseOver(SocketId, u64),
     /// By now the connection must be up and the command written.
@@ -102,8 +102,8 @@
 pub struct Routing {
     log: Logger,
     limits: Limits,
-    transport: TransportTerms,
-    repeats: Vec<Repeats>,
+    transport: TransportSettings,
+    idempotency: Vec<Idempotency>,
     clock: Clock,
     net: Net,
     decisions: Router,
@@ -118,7 +118,7 @@
     alarms: Alarms<Due>,
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
-    admitted: BTreeMap<InvId, Admitted>,
+    admitted: BTreeMap<RequestId, Admitted>,
     /// As clients named them, and who holds each.
     open_ids: BTreeMap<Box<[u8]>, SocketId>,
     held: usize,
@@ -129,7 +129,7 @@
     discovery: Discovery,
     platform: Option<Platform>,
     /// The newest build, as last told.
-    newest: Option<StageNews>,
+    newest: Option<RolloutStatus>,
     peers: Option<Peers>,
     /// Where other threads post, where there are any.
     fronts: Option<fronts::Fronts>,
@@ -151,17 +151,27 @@
 
 impl Routing {
     pub fn start(
-        log: Logger, (limits, clock): (Limits, Clock), mut net: Net, told: (ServiceTerms, TransportTerms),
-        parties: Parties, seed: u64,
+        log: Logger,
+        (limits, clock): (Limits, Clock),
+        mut net: Net,
+        told: (ServiceSettings, TransportSettings),
+        parties: Parties,
+        seed: u64,
     ) -> io::Result<Self> {
         let (now, (terms, transport)) = (clock.now(), told);
         let listener = Listener::open(&mut net, parties.listen, limits.backlog, LISTENER)?;
         let at = listener.address()?;
-        let repeats = terms.operations.iter().map(|o| o.repeats).collect();
-        let discovery = Discovery::new(parties.discovery, terms.list_asked, &limits);
+        let idempotency = terms.operations.iter().map(|o| o.idempotency).collect();
+        let discovery = Discovery::new(parties.discovery, terms.polls_endpoint_list, &limits);
         let platform = parties.platform.map(|at| Platform::new(at, &limits));
-        let peers = match parties.peer_listen.filter(|_| terms.may_tell) {
-            Some(at) => Some(Peers::open(&mut net, at, parties.peers, parties.peers_all, &limits)?),
+        let peers = match parties.peer_listen.filter(|_| terms.may_gossip) {
+            Some(at) => Some(Peers::open(
+                &mut net,
+                at,
+                parties.peers,
+                parties.peers_all,
+                &limits,
+            )?),
             None => None,
         };
         let mut routing = Routing {
@@ -194,7 +204,7 @@
             log,
             limits,
             transport,
-            repeats,
+            idempotency,
             clock,
             net,
             discovery,
@@ -204,7 +214,9 @@
             fronts: None,
         };
         routing.alarms.set(now + routing.limits.sweep, Due::Sweep);
-        routing.alarms.set(now + routing.limits.ready_wait, Due::Ready);
+        routing
+            .alarms
+            .set(now + routing.limits.ready_wait, Due::Ready);
         info!(routing.log, "listening"; "at" => %at, "clients" => routing.limits.clients,
             "host_links" => routing.limits.host_links);
         Ok(routing)
@@ -247,8 +259,13 @@
         let stall = (now - self.woken) + (woken - now - sleep).max(0.0);
         // A signal that ends a standstill can end the sleep with nothing told: what is there at once after that
         // was there before.
-        let carried = if self.told_nothing && woken - now < self.limits.at_once { self.stall } else { 0.0 };
-        (self.stall, self.woken, self.told_nothing) = (stall.max(carried), woken, sockets.is_empty());
+        let carried = if self.told_nothing && woken - now < self.limits.at_once {
+            self.stall
+        } else {
+            0.0
+        };
+        (self.stall, self.woken, self.told_nothing) =
+            (stall.max(carried), woken, sockets.is_empty());
         if self.stall > self.limits.stalled {
             slog::warn!(self.log, "this process stood still"; "seconds" => self.stall);
         }
@@ -278,13 +295,21 @@
             self.link_ready(id);
         } else if self.clients.contains_key(&id) {
             self.take_in(id);
-        } else if self.listener.as_ref().is_some_and(|listener| listener.id == id) {
+        } else if self
+            .listener
+            .as_ref()
+            .is_some_and(|listener| listener.id == id)
+        {
             let _ = self.accept();
         } else if self.fronts.as_ref().is_some_and(|fronts| fronts.owns(id)) {
             self.fronts_ready();
         } else if self.discovery.owns(id) {
             self.discovery_ready(id);
-        } else if self.platform.as_ref().is_some_and(|platform| platform.owns(id)) {
+        } else if self
+            .platform
+            .as_ref()
+            .is_some_and(|platform| platform.owns(id))
+        {
             self.platform_ready();
         } else if self.peers.as_ref().is_some_and(|peers| peers.owns(id)) {
             self.peers_ready();
@@ -293,7 +318,7 @@
 
     fn due(&mut self, due: Due) {
         match due {
-            Due::Decisions(key) => self.events.push_back(Event::Alarm { key }),
+            Due::Decisions(key) => self.events.push_back(Event::TimerExpired { key }),
             Due::UseOver(id, number) => self.use_over(id, number),
             Due::WriteOver(id, number) => self.write_over(id, number),
             Due::AcceptAgain => {
--- /dev/null
+++ b/simulator-adapter/src/codec.rs
@@ -0,0 +1,228 @@
+//! The wire's messages as events, terms and effects, and back. The wire's own names stay here.
+
+use std::fmt::Write;
+
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD as BASE64;
+use kestreltide::interface::*;
+use kestreltide_settings::{Fields, Names, TransportSettings, seconds};
+
+use crate::fields::micros;
+
+pub fn decode_entry(line: &Fields, names: &mut Names) -> Result<HostEntry, String> {
+    let started: u64 = line.maybe_whole("since")?.unwrap_or(0);
+    let state = match line.text("lifecycle")? {
+        "Running" => HostState::Running,
+        "Stopping" => HostState::Stopping,
+        "Deleted" => HostState::Gone,
+        other => return Err(format!("lifecycle {other} is not known")),
+    };
+    Ok(HostEntry {
+        host: HostId(line.whole("host")?),
+        build: BuildId(line.number("runs")? as u16),
+        zone: names.zone(line.text("locality")?),
+        cell: CellId(line.whole("block")?),
+        kind: names.kind(line.text("family_type")?),
+        size: line.number("heft")?,
+        started: (started > 0).then(|| seconds(started)),
+        state,
+    })
+}
+
+fn outcome(line: &Fields) -> Result<AttemptOutcome, String> {
+    Ok(match line.whole::<u32>("verdict")? {
+        0 => AttemptOutcome::Succeeded,
+        1 => AttemptOutcome::Error,
+        2 => AttemptOutcome::Rejected,
+        3 => AttemptOutcome::TimedOut,
+        4 => AttemptOutcome::NoConnection,
+        5 => AttemptOutcome::Reset,
+        6 => AttemptOutcome::Cancelled,
+        7 => AttemptOutcome::Irrelevant,
+        other => return Err(format!("verdict {other} in {} is not known", line.name)),
+    })
+}
+
+fn payload(line: &Fields) -> Result<Vec<u8>, String> {
+    match line.text("payload")? {
+        "-" => Ok(Vec::new()),
+        text => BASE64
+            .decode(text)
+            .map_err(|_| "payload in PEER is not base64".into()),
+    }
+}
+
+pub fn decode_event(line: &Fields, wire: &TransportSettings) -> Result<Event, String> {
+    let request = || line.text("req").map(|id| RequestId(id.into()));
+    let host = || line.whole("host").map(HostId);
+    let attempt = || line.whole("leg").map(AttemptNumber);
+    let operation = || {
+        let kind = line.text("kind")?;
+        wire.operations
+            .get(kind)
+            .copied()
+            .ok_or_else(|| format!("kind {kind} is not known"))
+    };
+    Ok(match line.name {
+        "JOB_IN" => Event::RequestReceived(Request {
+            id: request()?,
+            operation: operation()?,
+            key: line.maybe("affinity").map(|key| KeyId(key.into())),
+            time_left: line.time("time_budget")?,
+            work: line.maybe_whole("cost")?.map(seconds),
+            again: line.flag("retry")?,
+            pool: None,
+        }),
+        "UNDER_WAY" => Event::ResponseStarted {
+            request: request()?,
+            attempt: attempt()?,
+            host: host()?,
+        },
+        "ENDED" => Event::AttemptFinished {
+            request: request()?,
+            attempt: attempt()?,
+            host: host()?,
+            outcome: outcome(line)?,
+            over: line.flag("done_flag")?,
+            took: line.time("cost_time")?,
+            load: wire.load_in_order(&line.numbers("telemetry")?),
+            unused: None,
+        },
+        "HANGUP" => Event::ClientDisconnected {
+            request: request()?,
+        },
+        "DUE" => Event::TimerExpired {
+            key: TimerKey(line.whole("key_back")?),
+        },
+        "PING_RESULT" => Event::HealthCheckFinished {
+            host: host()?,
+            outcome: outcome(line)?,
+            took: line.time("cost_time")?,
+            load: wire.load_in_order(&line.numbers("telemetry")?),
+        },
+        "PEER" => Event::GossipReceived {
+            from: RouterId(line.whole("src_peer")?),
+            payload: payload(line)?,
+        },
+        "PHASE_TOLD" => Event::RolloutStatusReceived(RolloutStatus {
+            outcome: outcome(line)?,
+            build: BuildId(line.maybe_whole("rel")?.unwrap_or(0)),
+            stage: line.maybe_whole("wave")?.unwrap_or(0),
+            phase: match line.maybe_whole::<u32>("course")?.unwrap_or(0) {
+                0 => Phase::Canary,
+                1 => Phase::RollingBack,
+                2 => Phase::Released,
+                3 => Phase::RolledBack,
+                other => return Err(format!("course {other} is not known")),
+            },
+            cap: if line.maybe("cap").is_some() {
+                line.number("cap")?
+            } else {
+                0.0
+            },
+            age: line.maybe_whole("behind")?.map_or(0.0, seconds),
+            answers_vote: line.flag("sense")?,
+        }),
+        "PERIOD_SUMS" => Event::BuildMetrics {
+            build: BuildId(line.whole("rel")?),
+            operation: operation()?,
+            attempts: line.number("samples")?,
+            failed: line.number("bad")?,
+            mean_time: line.maybe_whole("cost_time")?.map_or(0.0, seconds),
+            age: line.time("behind")?,
+        },
+        "DISPUTED" => Event::AnswerDisputed {
+            host: host()?,
+            operation: operation()?,
+            age: line.time("behind")?,
+        },
+        other => return Err(format!("message {other} is not known")),
+    })
+}
+
+/// Adds one line to the reply.
+pub fn encode(effect: &Effect, who: &str, out: &mut String) {
+    let written = match effect {
+        Effect::StartAttempt {
+            request,
+            host,
+            time_out,
+            ..
+        } => {
+            let patience = micros(*time_out).max(1);
+            writeln!(
+                out,
+                "FORWARD who={who} req={} patience={patience} host={}",
+                request.0, host.0
+            )
+        }
+        Effect::CancelAttempt { request, attempt } => {
+            writeln!(out, "RECALL who={who} req={} leg={}", request.0, attempt.0)
+        }
+        Effect::ShedRequest {
+            request,
+            retry_after: None,
+        } => writeln!(out, "DECLINE who={who} req={}", request.0),
+        Effect::ShedRequest {
+            request,
+            retry_after: Some(time),
+        } => {
+            writeln!(
+                out,
+                "DECLINE who={who} req={} stay_away={}",
+                request.0,
+                micros(*time)
+            )
+        }
+        Effect::FailRequest { request } => {
+            writeln!(out, "DROP_REQUEST who={who} req={}", request.0)
+        }
+        Effect::ScheduleTimer { at, key } => {
+            writeln!(
+                out,
+                "DEFER who={who} instant={} key_back={}",
+                micros(*at),
+                key.0
+            )
+        }
+        Effect::StartHealthCheck { host } => writeln!(out, "POLL who={who} host={}", host.0),
+        Effect::CloseIdleConnections { host } => writeln!(out, "LET_GO who={who} host={}", host.0),
+        Effect::SendGossip { to, payload } => {
+            let whom = to.map_or(-1, |router| i64::from(router.0));
+            let bytes = if payload.is_empty() {
+                "-".into()
+            } else {
+                BASE64.encode(payload)
+            };
+            writeln!(out, "BROADCAST_TO who={who} whom={whom} payload={bytes}")
+        }
+        Effect::CastVote { build, stage, vote } => {
+            let vote = match vote {
+                Vote::Abstain => 0,
+                Vote::Promote => 1,
+                Vote::Hold => 2,
+                Vote::RollBack => 3,
+            };
+            writeln!(
+                out,
+                "SAY_SO who={who} rel={} wave={stage} sense={vote}",
+                build.0
+            )
+        }
+        Effect::SubscribeEndpointList { on } => {
+            writeln!(out, "TAIL who={who} enable={}", u8::from(*on))
+        }
+        Effect::FetchEndpointList => writeln!(out, "LOOKUP who={who}"),
+        Effect::WriteLog { text } => {
+            writeln!(
+                out,
+                "JOURNAL_LINE who={who} reason_text={}",
+                text.replace(['\n', '\r'], " ")
+            )
+        }
+    };
+    debug_assert!(written.is_ok());
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/simulator-adapter/src/codec/tests.rs
@@ -0,0 +1,271 @@
+//! The wire's lines held as text: each event's line with the event it stands for, and each effect
+//! with its line. The whole adapter is held by `tests/golden.rs`; here are also the lines that no
+//! script reaches. Nothing is generated: after a deliberate change of the wire, edit the lines.
+
+use super::*;
+use crate::fields::parse;
+use rstest::rstest;
+
+const LOAD: LoadReport = LoadReport {
+    in_flight: Some(3.0),
+    queued: Some(1.0),
+    busy: Some(0.5),
+    service_time: Some(0.012),
+};
+
+/// The settings of a golden script: operations `read`, `change`, `once`; all four load fields.
+fn wire() -> TransportSettings {
+    let script = include_str!("../../tests/golden/requests.input");
+    let attach = script
+        .lines()
+        .find(|line| line.starts_with("ATTACH "))
+        .expect("an ATTACH line");
+    let fields = parse(attach).expect("a line of the wire");
+    kestreltide_settings::decode(&fields, &mut Names::default())
+        .expect("settings")
+        .1
+}
+
+fn event(line: &str) -> Result<Event, String> {
+    decode_event(&parse(line).expect("a line of the wire"), &wire())
+}
+
+fn request() -> RequestId {
+    RequestId("r-1".into())
+}
+
+fn ended(outcome: AttemptOutcome) -> Event {
+    Event::AttemptFinished {
+        request: request(),
+        attempt: AttemptNumber(2),
+        host: HostId(101),
+        outcome,
+        over: true,
+        took: 0.02,
+        load: LOAD,
+        unused: None,
+    }
+}
+
+fn stage(phase: Phase) -> Event {
+    Event::RolloutStatusReceived(RolloutStatus {
+        outcome: AttemptOutcome::Succeeded,
+        build: BuildId(8),
+        stage: 3,
+        phase,
+        cap: 0.35,
+        age: 1.5,
+        answers_vote: false,
+    })
+}
+
+fn arrived(again: bool) -> Event {
+    Event::RequestReceived(Request {
+        id: request(),
+        operation: OperationId(1),
+        key: Some(KeyId("acct/1".into())),
+        time_left: 0.24,
+        work: Some(0.012),
+        again,
+        pool: None,
+    })
+}
+
+#[rstest]
+#[case("0", AttemptOutcome::Succeeded)]
+#[case("1", AttemptOutcome::Error)]
+#[case("2", AttemptOutcome::Rejected)]
+#[case("3", AttemptOutcome::TimedOut)]
+#[case("4", AttemptOutcome::NoConnection)]
+#[case("5", AttemptOutcome::Reset)]
+#[case("6", AttemptOutcome::Cancelled)]
+#[case("7", AttemptOutcome::Irrelevant)]
+fn each_verdict(#[case] number: &str, #[case] outcome: AttemptOutcome) {
+    let line = format!(
+        "ENDED who=router_0 req=r-1 verdict={number} leg=2 host=101 done_flag=1 cost_time=20000 \
+         telemetry=3,1,0.5,12"
+    );
+    assert_eq!(event(&line), Ok(ended(outcome)));
+    let line = format!("PING_RESULT who=router_0 host=101 verdict={number} cost_time=900");
+    let load = LoadReport::default();
+    assert_eq!(
+        event(&line),
+        Ok(Event::HealthCheckFinished {
+            host: HostId(101),
+            outcome,
+            took: 0.0009,
+            load
+        })
+    );
+    let Ok(Event::RolloutStatusReceived(news)) =
+        event(&format!("PHASE_TOLD who=router_0 verdict={number} sense=1"))
+    else {
+        panic!("not the news of a stage");
+    };
+    assert_eq!((news.outcome, news.answers_vote), (outcome, true));
+}
+
+#[rstest]
+#[case("0", Phase::Canary)]
+#[case("1", Phase::RollingBack)]
+#[case("2", Phase::Released)]
+#[case("3", Phase::RolledBack)]
+fn each_phase(#[case] number: &str, #[case] phase: Phase) {
+    let line = format!(
+        "PHASE_TOLD who=router_0 verdict=0 rel=8 wave=3 course={number} cap=0.35 behind=1500000 \
+         sense=0"
+    );
+    assert_eq!(event(&line), Ok(stage(phase)));
+}
+
+#[rstest]
+#[case("Running", HostState::Running)]
+#[case("Stopping", HostState::Stopping)]
+#[case("Deleted", HostState::Gone)]
+fn each_lifecycle(#[case] word: &str, #[case] state: HostState) {
+    let line = format!(
+        "ENTRY runs=42 block=5 locality=caxias since=6100000 host=747639282 lifecycle={word} \
+         family_type=c2-std heft=1.5"
+    );
+    let mut names = Names::default();
+    let (zone, kind) = (names.zone("caxias"), names.kind("c2-std"));
+    let entry = HostEntry {
+        host: HostId(747639282),
+        build: BuildId(42),
+        zone,
+        cell: CellId(5),
+        kind,
+        size: 1.5,
+        started: Some(6.1),
+        state,
+    };
+    let line = parse(&line).expect("a line of the wire");
+    assert_eq!(decode_entry(&line, &mut names), Ok(entry));
+}
+
+#[rstest]
+#[case(
+    "JOB_IN who=router_0 req=r-1 kind=change affinity=acct/1 time_budget=240000 cost=12000 retry=1",
+    arrived(true)
+)]
+#[case(
+    "JOB_IN who=router_0 req=r-1 kind=change affinity=acct/1 time_budget=240000 cost=12000 retry=0",
+    arrived(false)
+)]
+#[case(
+    "UNDER_WAY who=router_0 req=r-1 leg=2 host=101 cost_time=10000",
+    Event::ResponseStarted { request: request(), attempt: AttemptNumber(2), host: HostId(101) }
+)]
+#[case("HANGUP who=router_0 req=r-1", Event::ClientDisconnected { request: request() })]
+#[case("DUE who=router_0 key_back=77", Event::TimerExpired { key: TimerKey(77) })]
+#[case(
+    "PING_RESULT who=router_0 host=101 verdict=0 cost_time=900 telemetry=3,1,0.5,12",
+    Event::HealthCheckFinished { host: HostId(101), outcome: AttemptOutcome::Succeeded, took: 0.0009, load: LOAD }
+)]
+#[case(
+    "PEER who=router_0 src_peer=2 payload=AAH/",
+    Event::GossipReceived { from: RouterId(2), payload: vec![0, 1, 255] }
+)]
+#[case(
+    "PEER who=router_0 src_peer=2 payload=-",
+    Event::GossipReceived { from: RouterId(2), payload: vec![] }
+)]
+#[case(
+    "PERIOD_SUMS who=router_0 rel=7 kind=once samples=120 bad=3 cost_time=15000 behind=500000",
+    Event::BuildMetrics {
+        build: BuildId(7),
+        operation: OperationId(2),
+        attempts: 120.0,
+        failed: 3.0,
+        mean_time: 0.015,
+        age: 0.5,
+    }
+)]
+#[case(
+    "DISPUTED who=router_0 host=101 kind=read behind=500000",
+    Event::AnswerDisputed { host: HostId(101), operation: OperationId(0), age: 0.5 }
+)]
+fn each_event(#[case] line: &str, #[case] expected: Event) {
+    assert_eq!(event(line), Ok(expected));
+}
+
+#[rstest]
+#[case::attempt(
+    Effect::StartAttempt {
+        request: request(),
+        host: HostId(101),
+        time_out: 0.08,
+        connection: ConnectionRequirements {
+            max_idle: 1.0,
+            min_rest: 0.02,
+            max_resting: 8,
+            write_within: 0.4,
+        },
+    },
+    "FORWARD who=router_0 req=r-1 patience=80000 host=101\n"
+)]
+#[case::recall(
+    Effect::CancelAttempt { request: request(), attempt: AttemptNumber(2) },
+    "RECALL who=router_0 req=r-1 leg=2\n"
+)]
+#[case::throttle(
+    Effect::ShedRequest { request: request(), retry_after: None },
+    "DECLINE who=router_0 req=r-1\n"
+)]
+#[case::throttle_with_advice(
+    Effect::ShedRequest { request: request(), retry_after: Some(0.4) },
+    "DECLINE who=router_0 req=r-1 stay_away=400000\n"
+)]
+#[case::terminate(Effect::FailRequest { request: request() }, "DROP_REQUEST who=router_0 req=r-1\n")]
+#[case::alarm(
+    Effect::ScheduleTimer { at: 8.91225, key: TimerKey(77) },
+    "DEFER who=router_0 instant=8912250 key_back=77\n"
+)]
+#[case::probe(Effect::StartHealthCheck { host: HostId(101) }, "POLL who=router_0 host=101\n")]
+#[case::close_idle(Effect::CloseIdleConnections { host: HostId(101) }, "LET_GO who=router_0 host=101\n")]
+#[case::tell_one(
+    Effect::SendGossip { to: Some(RouterId(2)), payload: vec![0, 1, 255] },
+    "BROADCAST_TO who=router_0 whom=2 payload=AAH/\n"
+)]
+#[case::tell_all(
+    Effect::SendGossip { to: None, payload: vec![0] },
+    "BROADCAST_TO who=router_0 whom=-1 payload=AA==\n"
+)]
+#[case::tell_nothing(
+    Effect::SendGossip { to: Some(RouterId(2)), payload: vec![] },
+    "BROADCAST_TO who=router_0 whom=2 payload=-\n"
+)]
+#[case::vote_none(vote(Vote::Abstain), "SAY_SO who=router_0 rel=8 wave=3 sense=0\n")]
+#[case::vote_on(vote(Vote::Promote), "SAY_SO who=router_0 rel=8 wave=3 sense=1\n")]
+#[case::vote_hold(vote(Vote::Hold), "SAY_SO who=router_0 rel=8 wave=3 sense=2\n")]
+#[case::vote_back(vote(Vote::RollBack), "SAY_SO who=router_0 rel=8 wave=3 sense=3\n")]
+#[case::follow(Effect::SubscribeEndpointList { on: true }, "TAIL who=router_0 enable=1\n")]
+#[case::follow_no_more(Effect::SubscribeEndpointList { on: false }, "TAIL who=router_0 enable=0\n")]
+#[case::fetch_list(Effect::FetchEndpointList, "LOOKUP who=router_0\n")]
+#[case::note(
+    Effect::WriteLog { text: "two hosts\nknown".into() },
+    "JOURNAL_LINE who=router_0 reason_text=two hosts known\n"
+)]
+fn each_effect(#[case] effect: Effect, #[case] line: &str) {
+    let mut written = String::new();
+    encode(&effect, "router_0", &mut written);
+    assert_eq!(written, line);
+}
+
+fn vote(vote: Vote) -> Effect {
+    Effect::CastVote {
+        build: BuildId(8),
+        stage: 3,
+        vote,
+    }
+}
+
+#[rstest]
+#[case("PING_RESULT who=router_0 host=101 verdict=8 cost_time=900")]
+#[case("PHASE_TOLD who=router_0 verdict=0 course=4")]
+#[case("JOB_IN who=router_0 req=r-1 kind=unheard time_budget=240000")]
+#[case("PEER who=router_0 src_peer=2 payload=A")]
+#[case("ARRIVED who=router_0 req=r-1")]
+fn what_is_not_of_the_wire_is_refused(#[case] line: &str) {
+    assert!(event(line).is_err());
+}
--- a/benchlink/src/fields.rs
+++ b/simulator-adapter/src/fields.rs
@@ -1,6 +1,6 @@
 //! One line of the wire: a name and `name=value` fields.
 
-use kestreltide_terms::Fields;
+use kestreltide_settings::Fields;
 
 const MICROS: f64 = 1e6;
 /// In microseconds: undoes the error of a division by a million, far below the wire's unit.
@@ -19,8 +19,9 @@
     }
     let mut fields = Fields::new(name);
     for part in parts {
-        let (key, value) =
-            part.split_once('=').ok_or_else(|| format!("'{part}' in {name} is not name=value"))?;
+        let (key, value) = part
+            .split_once('=')
+            .ok_or_else(|| format!("'{part}' in {name} is not name=value"))?;
         if !fields.add(key, value) {
             return Err(format!("field '{key}' in {name} is unnamed or given twice"));
         }
--- a/src/rankings.rs
+++ b/src/rendezvous.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use crate::interface::{BuildId, HostId};
-use crate::record::mix;
+use crate::router_state::hash_mix;
 
 /// How many of the first places a ranking remembers when it is filled. It bounds cost and memory, and changes no answer.
 const REMEMBERED: usize = 32;
@@ -14,11 +14,14 @@
 
 /// A host's place for one salt; the least of such draws is a host's with a chance in proportion to its weight.
 fn place(salt: u64, host: HostId, weight: f64) -> f64 {
-    -(-(mix(salt ^ host.0) as f64) / 2f64.powi(64)).ln_1p() / weight
+    -(-(hash_mix(salt ^ host.0) as f64) / 2f64.powi(64)).ln_1p() / weight
 }
 
 /// The two first hosts with their places, by a look at all of them.
-pub(crate) fn first_two(salt: u64, hosts: impl Iterator<Item = (HostId, f64)>) -> Vec<(f64, HostId)> {
+pub(crate) fn highest_two(
+    salt: u64,
+    hosts: impl Iterator<Item = (HostId, f64)>,
+) -> Vec<(f64, HostId)> {
     let mut found: Vec<(f64, HostId)> = vec![];
     for (host, weight) in hosts {
         let at = place(salt, host, weight);
@@ -42,14 +45,19 @@
 
 impl Ranking {
     fn fill(salt: u64, members: impl Iterator<Item = (HostId, f64)>) -> Self {
-        let mut first: Vec<_> = members.map(|(host, weight)| (place(salt, host, weight), host)).collect();
+        let mut first: Vec<_> = members
+            .map(|(host, weight)| (place(salt, host, weight), host))
+            .collect();
         let mut complete_before = None;
         if first.len() > REMEMBERED {
             complete_before = Some(first.select_nth_unstable_by(REMEMBERED, order).1.0);
             first.truncate(REMEMBERED);
         }
         first.sort_by(order);
-        let mut ranking = Ranking { first, complete_before };
+        let mut ranking = Ranking {
+            first,
+            complete_before,
+        };
         ranking.first.shrink_to_fit();
         ranking
     }
@@ -67,7 +75,9 @@
 
     fn insert(&mut self, at: f64, host: HostId) {
         if self.covers(at) {
-            let before = self.first.partition_point(|other| order(other, &(at, host)).is_lt());
+            let before = self
+                .first
+                .partition_point(|other| order(other, &(at, host)).is_lt());
             self.first.insert(before, (at, host));
             self.shorten();
         }
@@ -85,24 +95,31 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Rankings {
+pub(crate) struct RendezvousRankings {
     by_salt: BTreeMap<(u64, BuildId), Ranking>,
 }
 
-impl Rankings {
+impl RendezvousRankings {
     pub(crate) fn clear(&mut self) {
         self.by_salt.clear();
     }
 
     /// The first two accepted hosts of a build with their places, fewer where the build has no more; none where what
     /// is remembered does not tell.
-    pub(crate) fn first_two<M: Iterator<Item = (HostId, f64)>>(
-        &mut self, salt: u64, build: BuildId, members: impl Fn() -> M, accepts: impl Fn(HostId) -> bool,
+    pub(crate) fn highest_two<M: Iterator<Item = (HostId, f64)>>(
+        &mut self,
+        salt: u64,
+        build: BuildId,
+        members: impl Fn() -> M,
+        accepts: impl Fn(HostId) -> bool,
     ) -> Option<Vec<(f64, HostId)>> {
         if self.by_salt.len() >= RANKINGS && !self.by_salt.contains_key(&(salt, build)) {
             self.clear();
         }
-        let ranking = self.by_salt.entry((salt, build)).or_insert_with(|| Ranking::fill(salt, members()));
+        let ranking = self
+            .by_salt
+            .entry((salt, build))
+            .or_insert_with(|| Ranking::fill(salt, members()));
         if ranking.first.len() < 2 && ranking.complete_before.is_some() {
             *ranking = Ranking::fill(salt, members());
         }
