--- a/datastore/tests/golden.rs
+++ b/datastore/tests/golden_stored_state.rs
@@ -1,15 +1,16 @@
 //! Golden files: the datastore's part of a router's stored state, as bytes.
 //!
-//! The files under `tests/golden/` were written by the program and hold every stored field and
-//! every variant of every stored enum. A stored key must never change its spelling: a router has
-//! to read what an earlier build of it stored.
+//! The files under `tests/golden/stored_state/` were written by the program and hold every stored
+//! field and every variant of every stored enum. A stored key must never change its spelling: a
+//! router has to read what an earlier build of it stored.
 //!
 //! No test writes these files. They are written anew only by this deliberate command, the result
 //! of which has to be reviewed; the router's golden files are then written anew after them:
 //!
 //! ```text
-//! KESTRELTIDE_REGENERATE_GOLDEN=1 cargo test -p kestreltide-datastore --test golden -- --ignored
-//! KESTRELTIDE_REGENERATE_GOLDEN=1 cargo test -p kestreltide-router --test golden -- --ignored
+//! export KESTRELTIDE_REGENERATE_GOLDEN=1
+//! cargo test -p kestreltide-datastore --test golden_stored_state -- --ignored
+//! cargo test -p kestreltide-router --test golden_stored_state -- --ignored
 //! ```
 
 use std::collections::VecDeque;
@@ -18,10 +19,11 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use kestreltide_datastore::desk::{Pending, SessionId};
-use kestreltide_datastore::store::Refusal;
+use kestreltide_datastore::commit_coordinator::{Pending, SessionId};
+use kestreltide_datastore::store::RejectedCommit;
 use kestreltide_datastore::{
-    Author, Fault, Faults, Memory, Path, RevisionRecord, Rule, Source, Tree,
+    Author, DatastoreState, Path, RevisionRecord, Rule, Source, Tree, ValidationError,
+    ValidationErrors,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -92,8 +94,8 @@
     tree
 }
 
-fn refusals() -> VecDeque<Refusal> {
-    let mut first = Faults::default();
+fn refusals() -> VecDeque<RejectedCommit> {
+    let mut first = ValidationErrors::default();
     let rules = [
         Rule::OneAnswer,
         Rule::NoEffectTwice,
@@ -103,16 +105,16 @@
     ];
     for (number, rule) in rules.into_iter().enumerate() {
         let path = format!("hosts/h{number}/state");
-        first.push(Fault::new(path, "breaks a rule", "out", "in-service").by(rule));
+        first.push(ValidationError::new(path, "breaks a rule", "out", "in-service").by(rule));
     }
     first.more = 3;
-    let passing = Fault::new("running", "is locked", "a commit", "the same later");
-    let last = Faults::from(passing.by(Rule::DrainsKept).passing(START + 400.5));
-    let refusal = |after: f64, stays, author, faults| Refusal {
+    let passing = ValidationError::new("running", "is locked", "a commit", "the same later");
+    let last = ValidationErrors::from(passing.by(Rule::DrainsKept).passing(START + 400.5));
+    let refusal = |after: f64, stays, author, errors| RejectedCommit {
         at: START + after,
         author,
         stays,
-        faults,
+        errors,
     };
     VecDeque::from([
         refusal(150.0, 2, author(Source::Management, "eva", ""), first),
@@ -121,7 +123,7 @@
 }
 
 /// Five revisions, one by each source of a change and the last one not yet confirmed.
-fn stored_memory() -> Memory {
+fn stored_state() -> DatastoreState {
     let mut trees = vec![Tree::default()];
     for leaves in REVISIONS {
         trees.push(edited(trees.last().expect("the empty tree"), leaves));
@@ -146,7 +148,7 @@
         }
     });
     let host = |name: &str| name.parse().expect("a host name");
-    Memory {
+    DatastoreState {
         revision: 5,
         tree: Arc::new(trees[5].clone()),
         seen: Arc::new([(host("b"), START + 0.25), (host("c"), START + 0.5)].into()),
@@ -173,7 +175,7 @@
 
 fn golden_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden")
+        .join("tests/golden/stored_state")
         .join(name)
 }
 
@@ -196,7 +198,7 @@
 
 #[test]
 fn memory_is_stored_as_the_same_bytes() {
-    assert_stored("memory.json", &stored_memory());
+    assert_stored("memory.json", &stored_state());
 }
 
 #[test]
@@ -208,7 +210,7 @@
 fn a_tree_without_routes_and_ring_is_still_read() {
     let bytes = golden("older-tree.json");
     let read: Tree = serde_json::from_str(&bytes).expect("it is still read");
-    let mut expected = (*stored_memory().tree).clone();
+    let mut expected = (*stored_state().tree).clone();
     (expected.routes, expected.ring) = Default::default();
     assert_eq!(read, expected);
 }
@@ -221,7 +223,7 @@
         return;
     }
     let write = |name: &str, text: String| fs::write(golden_path(name), text).expect("written");
-    let memory = stored_memory();
+    let memory = stored_state();
     write("memory.json", as_json(&memory));
     write("pending.json", as_json(&stored_pending()));
     let mut older = serde_json::to_value(&memory.tree).expect("it has a form");
--- a/router/tests/golden.rs
+++ b/router/tests/golden_stored_state.rs
@@ -1,15 +1,16 @@
 //! Golden files: a router's stored state (`revisions.json`), as bytes.
 //!
-//! `tests/golden/revisions.json` holds five revisions, a pending commit, a version that is held
-//! back and two refusals; its memory is that of the datastore's golden file. `older.json` is the
-//! same without the fields that were added later (`pending`, and `routes` and `ring` of a tree).
-//! The texts are what the `revisions` command prints for it.
+//! `tests/golden/stored_state/revisions.json` holds five revisions, a pending commit, a version
+//! that is held back and two refusals; its memory is that of the datastore's golden file.
+//! `older.json` is the same without the fields that were added later (`pending`, and `routes` and
+//! `ring` of a tree). The texts are what the `revisions` command prints for it.
 //!
 //! No test writes these files. They are written anew only by this deliberate command, the result
 //! of which has to be reviewed:
 //!
 //! ```text
-//! KESTRELTIDE_REGENERATE_GOLDEN=1 cargo test -p kestreltide-router --test golden -- --ignored
+//! export KESTRELTIDE_REGENERATE_GOLDEN=1
+//! cargo test -p kestreltide-router --test golden_stored_state -- --ignored
 //! ```
 
 use std::collections::BTreeSet;
@@ -18,10 +19,10 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use kestreltide_datastore::desk::Pending;
-use kestreltide_datastore::{Author, Fault, Memory, Source};
+use kestreltide_datastore::commit_coordinator::Pending;
+use kestreltide_datastore::{Author, DatastoreState, Source, ValidationError};
 use kestreltide_router::fronts::{Held, Remembered, load};
-use kestreltide_standins::{PATIENCE, Program, config, list, nobody};
+use kestreltide_testkit::{PATIENCE, Program, config, list, unused_address};
 use rstest::rstest;
 use serde_json::Value;
 use tempfile::TempDir;
@@ -39,7 +40,7 @@
 
 fn golden_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden")
+        .join("tests/golden/stored_state")
         .join(name)
 }
 
@@ -132,7 +133,7 @@
 
 fn start(folder: &Path) -> Program {
     let operator = folder.join("operator.ini").display().to_string();
-    let config = config(nobody(), &list(1, true, &[]));
+    let config = config(unused_address(), &list(1, true, &[]));
     Program::start_with(BINARY, &config, &[("KESTRELTIDE_OPERATOR", operator)])
 }
 
@@ -226,21 +227,22 @@
 }
 
 fn datastore_golden<T: serde::de::DeserializeOwned>(name: &str) -> T {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../datastore/tests/golden");
+    let folder =
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("../datastore/tests/golden/stored_state");
     let text = fs::read_to_string(folder.join(name)).expect("the datastore's golden file");
     serde_json::from_str(&text).expect("it is well")
 }
 
 /// What the golden file holds, with a memory that is the datastore's golden one.
 fn remembered() -> Remembered {
-    let memory: Memory = datastore_golden("memory.json");
+    let memory: DatastoreState = datastore_golden("memory.json");
     let [of_a_session, by_name]: [Pending; 2] = datastore_golden("pending.json");
     let author = Author {
         source: Source::Files,
         name: "operators".into(),
         version: "winter".into(),
     };
-    let fault = Fault::new("hosts/d", "no such host is listed", "out", "a listed host");
+    let error = ValidationError::new("hosts/d", "no such host is listed", "out", "a listed host");
     Remembered {
         router: "n0".into(),
         written: WRITTEN,
@@ -250,7 +252,7 @@
         held: Some(Held {
             since: WRITTEN - 50.0,
             author,
-            faults: fault.passing(WRITTEN + 50.0).into(),
+            errors: error.passing(WRITTEN + 50.0).into(),
         }),
         pending: Some(Pending {
             persist: by_name.persist,
