--- a/router/src/fronts/keeper.rs
+++ b/router/src/fronts/keeper.rs
@@ -26,7 +26,7 @@
 use super::memory::{self, Held, Remembered};
 use super::terms::Watching;
 use crate::routing::{Notice, Pulse};
-use crate::transport::{Clock, Post};
+use crate::transport::{Clock, InboxSender};
 
 /// What is asked of the keeper.
 #[derive(Debug)]
@@ -185,7 +185,7 @@
         &mut self,
         asked: &Receiver<Ask>,
         view: &ArcSwap<View>,
-        post: &Post<Notice>,
+        post: &InboxSender<Notice>,
         pulse: &Pulse,
     ) {
         loop {
--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -18,7 +18,7 @@
 use super::terms::OperatorTerms;
 use crate::limits::Limits;
 use crate::routing::{FrontBox, Pulse};
-use crate::transport::{Clock, Net};
+use crate::transport::{Clock, Reactor};
 
 /// The threads beside the loop, as the program holds them.
 pub struct Fronts {
@@ -69,7 +69,7 @@
     /// Starts the threads that the operator file asks for; none where it asks for none.
     pub fn fronts(
         &self,
-        net: &mut Net,
+        reactor: &mut Reactor,
         operators: &OperatorTerms,
         listed: Option<Vec<HostRecord>>,
         news: Option<RolloutStatus>,
@@ -89,7 +89,7 @@
             .as_ref()
             .map(|terms| Opened::open(&log, terms))
             .transpose()?;
-        let (open, of_loop) = FrontBox::open(net, self.limits.posted).map_err(failed)?;
+        let (open, of_loop) = FrontBox::open(reactor, self.limits.posted).map_err(failed)?;
         let rules = RuleSettings::new(self.terms, self.operations.clone(), self.limits.operators);
         let terms = KeeperTerms {
             router: self.router.into(),
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -89,7 +89,7 @@
     pub hosts: usize,
     /// What operators set.
     pub operators: Maximums,
-    pub alarms: usize,
+    pub timers: usize,
     pub votes: usize,
     pub probes: usize,
     pub log_lines: usize,
@@ -300,7 +300,7 @@
             unread: held / 4,
             hosts: room.hosts(),
             operators: room.operators(),
-            alarms: 64 * KIB,
+            timers: 64 * KIB,
             votes: 16,
             probes: 64,
             log_lines: 1024,
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -16,7 +16,7 @@
 use crate::fronts::{Fronts, Opening, OperatorTerms};
 use crate::limits::Limits;
 use crate::routing::{Parties, Routing, Turn};
-use crate::transport::{Clock, Net};
+use crate::transport::{Clock, Reactor};
 use config::{Fixed, Told, When};
 
 /// kestreltide splits invocations between an earlier and a trial build of a service, and votes the trial on
@@ -122,7 +122,7 @@
 }
 
 fn run(serve: &Serve) -> Result<(), String> {
-    let mut net = Net::start().map_err(|e| format!("the event loop cannot start: {e}"))?;
+    let mut reactor = Reactor::start().map_err(|e| format!("the event loop cannot start: {e}"))?;
     let text = config::load(serve.config.clone())?;
     let told = config::read(&text, When::Start)?;
     let operators = operators(&serve.operator)?;
@@ -160,9 +160,16 @@
         terms,
         operations,
     };
-    let joined = open.fronts(&mut net, &operators, listed, news)?;
+    let joined = open.fronts(&mut reactor, &operators, listed, news)?;
     let terms = (told.terms, told.transport);
-    let started = Routing::start(log.clone(), (limits, clock), net, terms, parties, told.seed);
+    let started = Routing::start(
+        log.clone(),
+        (limits, clock),
+        reactor,
+        terms,
+        parties,
+        told.seed,
+    );
     let mut routing =
         started.map_err(|e| format!("listen: {} cannot be listened on: {e}", told.listen))?;
     let fronts = joined.map(|(open, first, fronts)| {
--- a/router/src/routing/discovery.rs
+++ b/router/src/routing/discovery.rs
@@ -11,7 +11,7 @@
 use crate::limits::Limits;
 use crate::protocol::Malformed;
 use crate::protocol::discovery::{self, Chunks, List, Target};
-use crate::transport::{Fill, SocketId, Stream};
+use crate::transport::{ReadStatus, SocketId, Stream};
 
 const MILLIS: f64 = 1e3;
 
@@ -167,7 +167,7 @@
     }
 
     fn call(&mut self, asked: Asked) {
-        match Stream::connect(&mut self.net, self.discovery.at, NEWS) {
+        match Stream::connect(&mut self.reactor, self.discovery.at, NEWS) {
             Ok(stream) => {
                 let (id, now) = (stream.id, self.clock.now());
                 let chunks = Chunks::default();
@@ -225,35 +225,35 @@
         };
         let flushed = call
             .stream
-            .is_up()
+            .is_connected()
             .and_then(|up| if up { call.stream.flush() } else { Ok(false) });
         match flushed {
             Ok(true) => {}
             Ok(false) => return,
             Err(e) => return self.call_broke(id, &e.to_string()),
         }
-        let mut filled = Fill::More;
-        while filled == Fill::More && call.stream.input().len() < most {
-            filled = call.stream.fill(most, step);
+        let mut filled = ReadStatus::More;
+        while filled == ReadStatus::More && call.stream.input().len() < most {
+            filled = call.stream.read_available(most, step);
         }
         // Out of the map meanwhile: the list is read from the buffer.
         let Some(mut call) = self.discovery.calls.remove(&id) else {
             return;
         };
         let answer = self.take_response(&mut call);
-        let ended = filled == Fill::Ended;
+        let ended = filled == ReadStatus::Closed;
         match answer {
             Ok(None) if !ended => self.call_goes_on(id, call),
             Ok(None) => {
                 let (asked, since) = (call.asked, call.since);
-                call.stream.close(&self.net);
+                call.stream.close(&self.reactor);
                 self.call_failed(asked, since, "the connection ended");
             }
             Ok(Some((used, stays_open))) => {
                 let asked = call.asked;
                 call.stream.consume(used);
                 if ended || !stays_open || asked == Asked::Once || !self.discovery.following {
-                    call.stream.close(&self.net);
+                    call.stream.close(&self.reactor);
                     self.watch_begin();
                 } else {
                     self.discovery.calls.insert(id, call);
@@ -262,7 +262,7 @@
             }
             Err(why) => {
                 let (asked, since) = (call.asked, call.since);
-                call.stream.close(&self.net);
+                call.stream.close(&self.reactor);
                 self.tally.malformed += 1;
                 self.call_failed(asked, since, &why.to_string());
             }
@@ -421,14 +421,14 @@
     }
 
     pub(super) fn close_idle(&mut self, host: HostId) {
-        for id in self.pools.take_all(host) {
+        for id in self.idle_connections.take_all(host) {
             self.close_link(id);
         }
     }
 
     fn drop_call(&mut self, id: SocketId) -> Option<(Asked, f64)> {
         let call = self.discovery.calls.remove(&id)?;
-        call.stream.close(&self.net);
+        call.stream.close(&self.reactor);
         Some((call.asked, call.since))
     }
 
@@ -450,8 +450,9 @@
     }
 
     pub(super) fn call_up(&mut self, id: SocketId, number: u64) {
-        let down =
-            |call: &mut Call| call.number == number && !matches!(call.stream.is_up(), Ok(true));
+        let down = |call: &mut Call| {
+            call.number == number && !matches!(call.stream.is_connected(), Ok(true))
+        };
         if self.discovery.calls.get_mut(&id).is_some_and(down) {
             self.call_broke(id, "the connection does not come up");
         }
--- a/router/src/routing/fronts.rs
+++ b/router/src/routing/fronts.rs
@@ -10,7 +10,7 @@
 use slog::{info, warn};
 
 use super::{Due, FRONTS, Routing};
-use crate::transport::{Mail, Net, Post, SocketId};
+use crate::transport::{Inbox, InboxSender, Reactor, SocketId};
 
 /// What a front posts to the loop.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 
 /// The loop's end of it.
 pub struct Box {
-    mail: Mail<Notice>,
+    mail: Inbox<Notice>,
     view: Arc<ArcSwap<View>>,
     in_force: Arc<AtomicU64>,
 }
@@ -53,7 +53,7 @@
 /// What fronts hold of the loop.
 #[derive(Clone)]
 pub struct Loop {
-    pub post: Post<Notice>,
+    pub post: InboxSender<Notice>,
     pub view: Arc<ArcSwap<View>>,
     /// The revision in force there.
     pub in_force: Arc<AtomicU64>,
@@ -61,8 +61,8 @@
 
 impl Box {
     /// The two ends: the loop's, and what fronts hold.
-    pub fn open(net: &mut Net, most: usize) -> std::io::Result<(Self, Loop)> {
-        let (mail, post) = net.mail(most, FRONTS)?;
+    pub fn open(reactor: &mut Reactor, most: usize) -> std::io::Result<(Self, Loop)> {
+        let (mail, post) = reactor.inbox(most, FRONTS)?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
         let in_force = Arc::new(AtomicU64::new(0));
         let of_loop = Loop {
@@ -128,7 +128,7 @@
             .as_mut()
             .filter(|fronts| fronts.staging.is_none())
         {
-            let Some(notice) = fronts.open.mail.take() else {
+            let Some(notice) = fronts.open.mail.pop() else {
                 return;
             };
             match notice {
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -26,7 +26,7 @@
 use slog::{Logger, info};
 
 use crate::limits::Limits;
-use crate::transport::{Alarms, Clock, Listener, Net, Pools, Rank, SocketId};
+use crate::transport::{Clock, IdleConnections, Listener, Priority, Reactor, SocketId, Timers};
 use admit::Admitted;
 use book::{Hosts, Tally};
 use discovery::Discovery;
@@ -39,14 +39,14 @@
 
 // News first: stale news breaks drains and exposure after a stall. Then answers that are already here, so that
 // they do not lose to time-outs; then clients; alarms come after all that was read.
-const NEWS: Rank = Rank(0);
-const PLATFORM: Rank = Rank(1);
+const NEWS: Priority = Priority(0);
+const PLATFORM: Priority = Priority(1);
 // What operators drain and take out binds as discovery's news do.
-const FRONTS: Rank = Rank(2);
-const PEERS: Rank = Rank(3);
-const HOSTS: Rank = Rank(4);
-const CLIENTS: Rank = Rank(5);
-const LISTENER: Rank = Rank(6);
+const FRONTS: Priority = Priority(2);
+const PEERS: Priority = Priority(3);
+const HOSTS: Priority = Priority(4);
+const CLIENTS: Priority = Priority(5);
+const LISTENER: Priority = Priority(6);
 
 /// Where everybody is, and what this router held when it was started.
 pub struct Parties {
@@ -105,7 +105,7 @@
     transport: TransportSettings,
     idempotency: Vec<Idempotency>,
     clock: Clock,
-    net: Net,
+    reactor: Reactor,
     decisions: Router,
     /// For waits only; the decisions have their own.
     chance: ChaCha8Rng,
@@ -115,7 +115,7 @@
     resumed: Vec<SocketId>,
     /// Clients that have had their turn and have more to be read.
     later: Vec<SocketId>,
-    alarms: Alarms<Due>,
+    timers: Timers<Due>,
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
     admitted: BTreeMap<RequestId, Admitted>,
@@ -124,7 +124,7 @@
     held: usize,
     last_inv: u64,
     links: BTreeMap<SocketId, Link>,
-    pools: Pools<HostId>,
+    idle_connections: IdleConnections<HostId>,
     hosts: Hosts,
     discovery: Discovery,
     platform: Option<Platform>,
@@ -153,20 +153,20 @@
     pub fn start(
         log: Logger,
         (limits, clock): (Limits, Clock),
-        mut net: Net,
+        mut reactor: Reactor,
         told: (ServiceSettings, TransportSettings),
         parties: Parties,
         seed: u64,
     ) -> io::Result<Self> {
         let (now, (terms, transport)) = (clock.now(), told);
-        let listener = Listener::open(&mut net, parties.listen, limits.backlog, LISTENER)?;
+        let listener = Listener::open(&mut reactor, parties.listen, limits.backlog, LISTENER)?;
         let at = listener.address()?;
         let idempotency = terms.operations.iter().map(|o| o.idempotency).collect();
         let discovery = Discovery::new(parties.discovery, terms.polls_endpoint_list, &limits);
         let platform = parties.platform.map(|at| Platform::new(at, &limits));
         let peers = match parties.peer_listen.filter(|_| terms.may_gossip) {
             Some(at) => Some(Peers::open(
-                &mut net,
+                &mut reactor,
                 at,
                 parties.peers,
                 parties.peers_all,
@@ -175,7 +175,7 @@
             None => None,
         };
         let mut routing = Routing {
-            alarms: Alarms::new(limits.alarms),
+            timers: Timers::new(limits.timers),
             decisions: Router::start(terms, seed, now),
             chance: ChaCha8Rng::seed_from_u64(!seed),
             events: VecDeque::new(),
@@ -189,7 +189,7 @@
             held: 0,
             last_inv: 0,
             links: BTreeMap::new(),
-            pools: Pools::default(),
+            idle_connections: IdleConnections::default(),
             hosts: Hosts::new(limits.hosts),
             ready: false,
             accept_due: false,
@@ -206,17 +206,19 @@
             transport,
             idempotency,
             clock,
-            net,
+            reactor,
             discovery,
             platform,
             newest: None,
             peers,
             fronts: None,
         };
-        routing.alarms.set(now + routing.limits.sweep, Due::Sweep);
         routing
-            .alarms
-            .set(now + routing.limits.ready_wait, Due::Ready);
+            .timers
+            .schedule(now + routing.limits.sweep, Due::Sweep);
+        routing
+            .timers
+            .schedule(now + routing.limits.ready_wait, Due::Ready);
         info!(routing.log, "listening"; "at" => %at, "clients" => routing.limits.clients,
             "host_links" => routing.limits.host_links);
         Ok(routing)
@@ -247,13 +249,16 @@
     /// Sleeps until something happens and serves it.
     pub fn turn(&mut self) -> io::Result<Turn> {
         let now = self.clock.now();
-        let next = self.alarms.next().map_or(self.limits.sleep, |at| at - now);
+        let next = self
+            .timers
+            .next_deadline()
+            .map_or(self.limits.sleep, |at| at - now);
         let sleep = if self.later.is_empty() && !self.is_staging() {
             next.clamp(0.0, self.limits.sleep)
         } else {
             0.0
         };
-        let (sockets, signalled) = self.net.wait(sleep)?;
+        let (sockets, signals) = self.reactor.poll(sleep)?;
         // Since the last look: what the work of the last turn took, and a sleep longer than asked for.
         let woken = self.clock.now();
         let stall = (now - self.woken) + (woken - now - sleep).max(0.0);
@@ -269,7 +274,7 @@
         if self.stall > self.limits.stalled {
             slog::warn!(self.log, "this process stood still"; "seconds" => self.stall);
         }
-        if signalled.stop {
+        if signals.stop {
             self.shutdown_told();
         }
         // In the order of ranks, clients come last anyway; who is both ready and due again is served once more.
@@ -279,11 +284,11 @@
         }
         self.stage();
         // Only what was due before anything was read: answers that are here go before time-outs.
-        while let Some(due) = self.alarms.due(woken) {
+        while let Some(due) = self.timers.pop_due(woken) {
             self.due(due);
             self.settle();
         }
-        Ok(match signalled.reread {
+        Ok(match signals.reload {
             _ if self.is_over() => Turn::Over,
             true => Turn::Reread,
             false => Turn::Next,
@@ -358,7 +363,7 @@
     }
 
     fn set_due(&mut self, at: f64, due: Due) {
-        if !self.alarms.set(at, due) {
+        if !self.timers.schedule(at, due) {
             slog::error!(self.log, "an alarm was dropped, too many are set"; "due" => ?due);
         }
     }
@@ -374,7 +379,10 @@
     fn sweep(&mut self) {
         let now = self.clock.now();
         self.set_due(now + self.limits.sweep, Due::Sweep);
-        for id in self.pools.take_unused_since(now - self.limits.idle_time) {
+        for id in self
+            .idle_connections
+            .take_unused_since(now - self.limits.idle_time)
+        {
             self.close_link(id);
         }
         self.platform_check(now);
@@ -385,7 +393,7 @@
         self.hosts.forget_gone(&using);
         if let Some(line) = self.tally.line(now, self.limits.tell_state) {
             info!(self.log, "state"; "open" => self.admitted.len(), "clients" => self.clients.len(),
-                "links" => self.links.len(), "idle" => self.pools.count(), "counts" => line);
+                "links" => self.links.len(), "idle" => self.idle_connections.count(), "counts" => line);
         }
     }
 }
--- a/router/src/routing/peers.rs
+++ b/router/src/routing/peers.rs
@@ -9,10 +9,10 @@
 
 use super::{PEERS, Routing};
 use crate::limits::Limits;
-use crate::transport::{Datagrams, Net, SocketId};
+use crate::transport::{DatagramSocket, Reactor, SocketId};
 
 pub(super) struct Peers {
-    socket: Datagrams,
+    socket: DatagramSocket,
     /// By their numbers.
     at: Vec<SocketAddr>,
     all: Option<SocketAddr>,
@@ -21,13 +21,13 @@
 
 impl Peers {
     pub(super) fn open(
-        net: &mut Net,
+        reactor: &mut Reactor,
         listen: SocketAddr,
         at: Vec<SocketAddr>,
         all: Option<SocketAddr>,
         limits: &Limits,
     ) -> io::Result<Self> {
-        let socket = Datagrams::open(net, listen, limits.datagram, PEERS)?;
+        let socket = DatagramSocket::open(reactor, listen, limits.datagram, PEERS)?;
         let numbers = at
             .iter()
             .enumerate()
--- a/router/src/routing/platform.rs
+++ b/router/src/routing/platform.rs
@@ -10,7 +10,7 @@
 use super::{Due, PLATFORM, Routing};
 use crate::limits::Limits;
 use crate::protocol::platform::{self, State, Told};
-use crate::transport::{Fill, SocketId, Stream};
+use crate::transport::{ReadStatus, SocketId, Stream};
 
 /// A vote that has no answer yet.
 struct PendingVote {
@@ -77,7 +77,7 @@
         else {
             return;
         };
-        match Stream::connect(&mut self.net, platform.at, PLATFORM) {
+        match Stream::connect(&mut self.reactor, platform.at, PLATFORM) {
             Ok(mut stream) => {
                 let call = platform.next_call();
                 platform::write_follow(stream.output(), call);
@@ -150,7 +150,7 @@
                 return;
             };
             match stream
-                .is_up()
+                .is_connected()
                 .and_then(|up| if up { stream.flush() } else { Ok(false) })
             {
                 Ok(true) => platform
@@ -160,7 +160,7 @@
                 Ok(false) => return,
                 Err(e) => return self.platform_broke(&e.to_string()),
             }
-            let filled = stream.fill(
+            let filled = stream.read_available(
                 self.limits.line + self.limits.read_step,
                 self.limits.read_step,
             );
@@ -172,9 +172,9 @@
             }
             self.platform_rest(now);
             match filled {
-                Fill::Ended => return self.platform_broke("the connection ended"),
-                Fill::Drained => return,
-                Fill::More => {}
+                ReadStatus::Closed => return self.platform_broke("the connection ended"),
+                ReadStatus::Drained => return,
+                ReadStatus::More => {}
             }
         }
     }
@@ -335,7 +335,7 @@
         };
         platform.begun = None;
         if let Some(stream) = platform.stream.take() {
-            stream.close(&self.net);
+            stream.close(&self.reactor);
         }
         for vote in std::mem::take(&mut platform.votes).into_values() {
             let what = if vote.written {
--- a/router/src/routing/relay.rs
+++ b/router/src/routing/relay.rs
@@ -87,7 +87,7 @@
         }
         let done = queue.is_empty() && stream.unwritten() == 0;
         // Who was turned away is told that nothing more comes, and gets a while to read why.
-        if done && *closing && lingers.is_none() && stream.end().is_ok() {
+        if done && *closing && lingers.is_none() && stream.shutdown_write().is_ok() {
             *lingers = Some((now + self.limits.linger, self.limits.dropped));
         }
         if done && *closing && lingers.is_none() {
--- a/router/src/routing/send.rs
+++ b/router/src/routing/send.rs
@@ -10,7 +10,7 @@
 use crate::protocol::Malformed;
 use crate::protocol::host::{self, Answer};
 use crate::protocol::resp::write_bulk;
-use crate::transport::{Fill, SocketId, Stream, out_of_descriptors};
+use crate::transport::{ReadStatus, SocketId, Stream, out_of_descriptors};
 
 const MILLIS: f64 = 1e3;
 
@@ -161,7 +161,10 @@
     /// The freshest connection that has rested for long enough and not been without use for too long, or a new
     /// one.
     fn link_to(&mut self, host: HostId, now: f64, on: ConnectionRequirements) -> Option<SocketId> {
-        while let Some((id, since)) = self.pools.take(host, now - on.min_rest, on.max_resting) {
+        while let Some((id, since)) =
+            self.idle_connections
+                .take_rested(host, now - on.min_rest, on.max_resting)
+        {
             // Its host may be closing it by now; what is written then is reset, and may not be repeated.
             if now - since > on.max_idle.min(self.limits.idle_time) {
                 self.close_link(id);
@@ -170,7 +173,8 @@
             }
             // What lies on it would become the next answer; a late copy may have come since the last look.
             let look = |link: &mut Link| {
-                link.stream.fill(1, 1) == Fill::Drained && link.stream.input().is_empty()
+                link.stream.read_available(1, 1) == ReadStatus::Drained
+                    && link.stream.input().is_empty()
             };
             if self.links.get_mut(&id).is_some_and(look) {
                 if let Some(link) = self.links.get_mut(&id) {
@@ -182,19 +186,19 @@
         }
         let to = self.hosts.address(host)?;
         if self.links.len() >= self.limits.host_links {
-            let oldest = self.pools.take_oldest()?;
+            let oldest = self.idle_connections.take_oldest()?;
             self.close_link(oldest);
         }
-        let stream = match Stream::connect(&mut self.net, to, HOSTS) {
+        let stream = match Stream::connect(&mut self.reactor, to, HOSTS) {
             Ok(stream) => stream,
             Err(e) => {
                 debug!(self.log, "no connection to a host"; "to" => %to, "error" => %e);
                 if !out_of_descriptors(&e) {
                     return None;
                 }
-                let oldest = self.pools.take_oldest()?;
+                let oldest = self.idle_connections.take_oldest()?;
                 self.close_link(oldest);
-                Stream::connect(&mut self.net, to, HOSTS).ok()?
+                Stream::connect(&mut self.reactor, to, HOSTS).ok()?
             }
         };
         let id = stream.id;
@@ -220,7 +224,7 @@
         };
         let flushed = link
             .stream
-            .is_up()
+            .is_connected()
             .and_then(|up| if up { link.stream.flush() } else { Ok(false) });
         match flushed {
             Ok(all) => link.written |= all,
@@ -239,17 +243,17 @@
             let Some(link) = self.links.get_mut(&id) else {
                 return;
             };
-            if !matches!(link.stream.is_up(), Ok(true)) {
+            if !matches!(link.stream.is_connected(), Ok(true)) {
                 return;
             }
             let filled = link
                 .stream
-                .fill(self.limits.resp.message, self.limits.read_step);
-            self.read_link(id, filled == Fill::Ended);
-            if filled == Fill::Ended {
+                .read_available(self.limits.resp.message, self.limits.read_step);
+            self.read_link(id, filled == ReadStatus::Closed);
+            if filled == ReadStatus::Closed {
                 return self.link_broke(id);
             }
-            if filled == Fill::Drained {
+            if filled == ReadStatus::Drained {
                 return;
             }
         }
@@ -373,10 +377,10 @@
         link.number += 1;
         let clean = link.stream.input().is_empty() && link.stream.unwritten() == 0 && !ended;
         // The host may be gone, or another machine have its id by now.
-        let wanted =
-            self.hosts.wanted(link.host, link.to) && self.pools.count() < self.limits.idle_links;
+        let wanted = self.hosts.wanted(link.host, link.to)
+            && self.idle_connections.count() < self.limits.idle_links;
         if clean && wanted {
-            self.pools.put(link.host, id, now);
+            self.idle_connections.insert(link.host, id, now);
         } else {
             self.close_link(id);
         }
@@ -401,11 +405,11 @@
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        if !matches!(link.at_use, Use::Idle) && matches!(link.stream.is_up(), Ok(true)) {
+        if !matches!(link.at_use, Use::Idle) && matches!(link.stream.is_connected(), Ok(true)) {
             let filled = link
                 .stream
-                .fill(self.limits.resp.message, self.limits.resp.message);
-            self.read_link(id, filled == Fill::Ended);
+                .read_available(self.limits.resp.message, self.limits.resp.message);
+            self.read_link(id, filled == ReadStatus::Closed);
         }
     }
 
@@ -417,7 +421,7 @@
         let (outcome, host) = (outcome(link.written), link.host);
         let took = self.clock.now() - link.since;
         match link.at_use {
-            Use::Idle => self.pools.forget(host, id),
+            Use::Idle => self.idle_connections.remove(host, id),
             Use::Dispatch(out) => self.ended(
                 out,
                 host,
@@ -434,7 +438,7 @@
                 });
             }
         }
-        link.stream.close(&self.net);
+        link.stream.close(&self.reactor);
     }
 
     /// Gives up the attempts whose clients are gone and whose command is not written whole, so that no host has begun
@@ -458,13 +462,13 @@
 
     pub(super) fn close_link(&mut self, id: SocketId) {
         if let Some(link) = self.links.remove(&id) {
-            link.stream.close(&self.net);
+            link.stream.close(&self.reactor);
         }
     }
 
     /// Closes what is without use and leads to hosts that are gone, drained or elsewhere.
     pub(super) fn close_unwanted(&mut self) {
-        let idle = self.pools.ids();
+        let idle = self.idle_connections.ids();
         let unwanted = |id: &SocketId| {
             self.links
                 .get(id)
--- a/router/src/routing/shutdown.rs
+++ b/router/src/routing/shutdown.rs
@@ -230,7 +230,7 @@
             .take_while(|_| self.accept())
             .for_each(drop);
         if let Some(listener) = self.listener.take() {
-            listener.close(&self.net);
+            listener.close(&self.reactor);
         }
         self.drain_due();
     }
@@ -288,7 +288,7 @@
         if now - client.used >= quiet {
             client.closing = true;
             client.lingers = Some((now + last_call, most));
-            if client.stream.end().is_err() {
+            if client.stream.shutdown_write().is_err() {
                 return self.client_left(id);
             }
         }
--- a/router/src/routing/take_in.rs
+++ b/router/src/routing/take_in.rs
@@ -11,7 +11,7 @@
 use super::{CLIENTS, Due, Routing};
 use crate::protocol::client::{self, Command, Kept};
 use crate::protocol::{Malformed, resp};
-use crate::transport::{Fill, SocketId, Stream, out_of_descriptors};
+use crate::transport::{ReadStatus, SocketId, Stream, out_of_descriptors};
 
 /// A command that was taken: its answer is to come, or waits for those before it.
 pub(super) enum Waiting {
@@ -59,12 +59,12 @@
 
     /// Reads what is there, up to so many unused bytes and so many at a time. What is found arrived at this time or
     /// later.
-    fn fill(&mut self, most: usize, step: usize, arrived_since: f64) -> Fill {
+    fn fill(&mut self, most: usize, step: usize, arrived_since: f64) -> ReadStatus {
         let before = self.stream.input().len();
-        let filled = self.stream.fill(most, step);
+        let filled = self.stream.read_available(most, step);
         let read = self.stream.input().len() - before;
         self.arrivals
-            .read(read, arrived_since, filled != Fill::More);
+            .read(read, arrived_since, filled != ReadStatus::More);
         filled
     }
 
@@ -144,7 +144,7 @@
     }
 
     fn accepted(&mut self, socket: TcpStream, now: f64) {
-        match Stream::accepted(&mut self.net, socket, CLIENTS) {
+        match Stream::accepted(&mut self.reactor, socket, CLIENTS) {
             Ok(stream) => {
                 let id = stream.id;
                 self.clients.insert(id, Client::new(stream, now));
@@ -207,7 +207,7 @@
     }
 
     fn free_descriptor(&mut self) -> bool {
-        match self.pools.take_oldest() {
+        match self.idle_connections.take_oldest() {
             Some(id) => {
                 self.close_link(id);
                 true
@@ -237,14 +237,14 @@
         );
         // Who has left more unread commands than are kept is gone all the same, with what waits for it.
         let full = client.stream.input().len() >= self.limits.resp.message;
-        if filled == Fill::Ended || full && client.stream.is_left() {
+        if filled == ReadStatus::Closed || full && client.stream.is_closed_by_peer() {
             return self.client_left(id);
         }
-        if self.take_commands(id) && filled == Fill::More {
+        if self.take_commands(id) && filled == ReadStatus::More {
             self.later.push(id);
         }
         // Only after a read that found nothing more: a command that is here already is not left unanswered.
-        if filled == Fill::Drained && self.is_draining() {
+        if filled == ReadStatus::Drained && self.is_draining() {
             self.drain_client(id);
         }
     }
@@ -260,13 +260,13 @@
         };
         let filled = client
             .stream
-            .fill(self.limits.resp.message, self.limits.read_step);
+            .read_available(self.limits.resp.message, self.limits.read_step);
         let read = client.stream.input().len();
         client.stream.consume(read);
         *left = left.saturating_sub(read);
-        if filled == Fill::Ended || *left == 0 {
+        if filled == ReadStatus::Closed || *left == 0 {
             self.client_left(id);
-        } else if filled == Fill::More {
+        } else if filled == ReadStatus::More {
             self.later.push(id);
         }
     }
@@ -361,7 +361,7 @@
             let left = self
                 .clients
                 .get(holder)
-                .is_some_and(|client| client.stream.is_left());
+                .is_some_and(|client| client.stream.is_closed_by_peer());
             return Ok(if left {
                 Step::Left(*holder)
             } else {
@@ -457,7 +457,7 @@
                 self.events.push_back(Event::ClientDisconnected { request });
             }
         }
-        client.stream.close(&self.net);
+        client.stream.close(&self.reactor);
         if waited {
             self.give_up_unwritten();
         }
@@ -473,7 +473,7 @@
             && self
                 .clients
                 .get(&id)
-                .is_some_and(|client| client.stream.is_left());
+                .is_some_and(|client| client.stream.is_closed_by_peer());
         if unread {
             self.client_left(id);
         }
--- a/router/src/transport/listener.rs
+++ b/router/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket.
+//! The listening TCP socket.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,31 +7,57 @@
 use calloop::RegistrationToken;
 use socket2::{Domain, Protocol, Socket, Type};
 
-use super::net::{Net, Rank, SocketId};
+use super::reactor::Reactor;
+use super::socket_id::{Priority, SocketId};
 
+/// A bound, non-blocking TCP listener.
 pub struct Listener {
+    /// What the event loop reports as ready.
     pub id: SocketId,
     socket: Rc<TcpListener>,
     token: RegistrationToken,
 }
 
 impl Listener {
-    pub fn open(net: &mut Net, at: SocketAddr, backlog: i32, rank: Rank) -> io::Result<Self> {
-        let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
+    /// Binds to `address`, listens and registers with the event loop.
+    ///
+    /// # Errors
+    ///
+    /// Where the address cannot be listened on or the socket cannot be registered.
+    pub fn open(
+        reactor: &mut Reactor,
+        address: SocketAddr,
+        backlog: i32,
+        priority: Priority,
+    ) -> io::Result<Self> {
+        let socket = Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
-        socket.bind(&at.into())?;
+        socket.bind(&address.into())?;
         socket.listen(backlog)?;
         let socket: Rc<TcpListener> = Rc::new(socket.into());
-        let (id, token) = net.watch(socket.clone(), rank)?;
+        let (id, token) = reactor.register(socket.clone(), priority)?;
         Ok(Listener { id, socket, token })
     }
 
+    /// The address that is listened on.
+    ///
+    /// # Errors
+    ///
+    /// Where the system does not tell it.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// The next client that waits, if any. An error means that none could be taken now though one may wait.
+    /// The next waiting client, if any.
+    ///
+    /// # Errors
+    ///
+    /// Where no client can be accepted now though one may wait, such as for want of file descriptors.
     pub fn accept(&self) -> io::Result<Option<TcpStream>> {
         loop {
             match self.socket.accept() {
@@ -47,7 +73,8 @@
         }
     }
 
-    pub fn close(self, net: &Net) {
-        net.forget(self.token);
+    /// Stops listening.
+    pub fn close(self, reactor: &Reactor) {
+        reactor.deregister(self.token);
     }
 }
--- a/router/src/transport/mod.rs
+++ b/router/src/transport/mod.rs
@@ -1,24 +1,28 @@
-//! Sockets on calloop, without knowledge of what is spoken on them.
+//! Non-blocking sockets on one calloop event loop, without knowledge of the protocols spoken on them.
 
-mod alarms;
 mod clock;
-mod datagram;
+mod datagram_socket;
+mod idle_connections;
+mod inbox;
 mod listener;
-mod mail;
-mod net;
-mod pools;
+mod reactor;
+mod socket_id;
 mod stream;
+mod timers;
 
-pub use alarms::Alarms;
 pub use clock::Clock;
-pub use datagram::Datagrams;
+pub use datagram_socket::DatagramSocket;
+pub use idle_connections::IdleConnections;
+pub use inbox::{Inbox, InboxSender};
 pub use listener::Listener;
-pub use mail::{Mail, Post};
-pub use net::{Net, Rank, SocketId};
-pub use pools::Pools;
-pub use stream::{Fill, Stream};
+pub use reactor::{Reactor, ReceivedSignals};
+pub use socket_id::{Priority, SocketId};
+pub use stream::{ReadStatus, Stream};
+pub use timers::Timers;
 
-/// Whether a call failed for want of descriptors: closing something without use helps then, and only then.
+/// Whether a call failed because no file descriptor was left.
+///
+/// Only then does it help to close an idle connection and to try again.
 pub fn out_of_descriptors(error: &std::io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE))
 }
--- a/router/src/transport/stream.rs
+++ b/router/src/transport/stream.rs
@@ -1,4 +1,4 @@
-//! One TCP connection with what has been read and not used, and what is to be written.
+//! One non-blocking TCP connection with its read and write buffers.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -8,38 +8,59 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use super::net::{Net, Rank, SocketId};
+use super::reactor::Reactor;
+use super::socket_id::{Priority, SocketId};
 
-/// What a read brought.
+/// Bytes of one read, and the capacity that the buffer of an idle connection keeps.
+const CHUNK: usize = 4096;
+
+/// How a read ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fill {
-    /// All that was there.
+pub enum ReadStatus {
+    /// The socket is empty.
     Drained,
-    /// The buffer is full or its turn is over: more may wait.
+    /// The buffer is full or this connection's turn is over: more may wait.
     More,
-    /// The other side has ended its sending, or the connection broke.
-    Ended,
+    /// The peer has ended its sending, or the connection broke.
+    Closed,
 }
 
+/// A TCP connection that is registered with the event loop.
 pub struct Stream {
+    /// What the event loop reports as ready.
     pub id: SocketId,
     socket: Rc<TcpStream>,
     token: RegistrationToken,
-    up: bool,
+    connected: bool,
     input: Vec<u8>,
-    used: usize,
+    /// Bytes at the beginning of `input` that the caller has consumed.
+    consumed: usize,
     output: Vec<u8>,
+    /// Bytes at the beginning of `output` that have been written to the socket.
     written: usize,
 }
 
 impl Stream {
-    pub fn accepted(net: &mut Net, socket: TcpStream, rank: Rank) -> io::Result<Self> {
+    /// Takes over a connection that a listener has accepted.
+    ///
+    /// # Errors
+    ///
+    /// Where the socket cannot be configured or registered.
+    pub fn accepted(
+        reactor: &mut Reactor,
+        socket: TcpStream,
+        priority: Priority,
+    ) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
-        Self::new(net, socket, rank, true)
+        Self::new(reactor, socket, priority, true)
     }
 
-    /// Begins to connect; whether the connection came up shows at [`Stream::is_up`].
-    pub fn connect(net: &mut Net, to: SocketAddr, rank: Rank) -> io::Result<Self> {
+    /// Begins to connect; [`Stream::is_connected`] tells when that has succeeded.
+    ///
+    /// # Errors
+    ///
+    /// Where the connection fails at once, or the socket cannot be configured or registered.
+    pub fn connect(reactor: &mut Reactor, to: SocketAddr, priority: Priority) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
@@ -49,105 +70,121 @@
                     || e.kind() == ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
         }
-        Self::new(net, socket.into(), rank, false)
+        Self::new(reactor, socket.into(), priority, false)
     }
 
-    fn new(net: &mut Net, socket: TcpStream, rank: Rank, up: bool) -> io::Result<Self> {
+    fn new(
+        reactor: &mut Reactor,
+        socket: TcpStream,
+        priority: Priority,
+        connected: bool,
+    ) -> io::Result<Self> {
         socket.set_nodelay(true)?;
         let socket = Rc::new(socket);
-        let (id, token) = net.watch(socket.clone(), rank)?;
-        let (input, output) = (Vec::new(), Vec::new());
+        let (id, token) = reactor.register(socket.clone(), priority)?;
         Ok(Stream {
             id,
             socket,
             token,
-            up,
-            input,
-            used: 0,
-            output,
+            connected,
+            input: Vec::new(),
+            consumed: 0,
+            output: Vec::new(),
             written: 0,
         })
     }
 
-    /// Whether the connection is up; an error where it never will be.
-    pub fn is_up(&mut self) -> io::Result<bool> {
-        if !self.up {
+    /// Whether the connection is established.
+    ///
+    /// # Errors
+    ///
+    /// Where connecting has failed.
+    pub fn is_connected(&mut self) -> io::Result<bool> {
+        if !self.connected {
             if let Some(error) = self.socket.take_error()? {
                 return Err(error);
             }
-            self.up = match self.socket.peer_addr() {
+            self.connected = match self.socket.peer_addr() {
                 Ok(_) => true,
                 Err(e) if e.kind() == ErrorKind::NotConnected => false,
                 Err(e) => return Err(e),
             };
         }
-        Ok(self.up)
+        Ok(self.connected)
     }
 
-    /// Reads until the socket is empty, this much is unused, or its turn is over.
-    pub fn fill(&mut self, most: usize, step: usize) -> Fill {
-        self.input.drain(..self.used);
-        self.used = 0;
-        let mut turn = 0;
-        while turn < step {
-            let have = self.input.len();
-            let room = most.saturating_sub(have).min(CHUNK);
-            if room == 0 {
-                return Fill::More;
+    /// Reads until the socket is empty, `max_unconsumed` bytes wait to be consumed, or `max_read` bytes or more
+    /// have been read at this call, so that other connections get their turn.
+    pub fn read_available(&mut self, max_unconsumed: usize, max_read: usize) -> ReadStatus {
+        self.input.drain(..self.consumed);
+        self.consumed = 0;
+        let mut total = 0;
+        while total < max_read {
+            let buffered = self.input.len();
+            let capacity = max_unconsumed.saturating_sub(buffered).min(CHUNK);
+            if capacity == 0 {
+                return ReadStatus::More;
             }
-            self.input.resize(have + room, 0);
-            let read = (&*self.socket).read(&mut self.input[have..]);
-            self.input.truncate(have + *read.as_ref().unwrap_or(&0));
+            self.input.resize(buffered + capacity, 0);
+            let read = (&*self.socket).read(&mut self.input[buffered..]);
+            self.input.truncate(buffered + *read.as_ref().unwrap_or(&0));
             match read {
-                Ok(0) => return Fill::Ended,
-                Ok(length) => turn += length,
+                Ok(0) => return ReadStatus::Closed,
+                Ok(length) => total += length,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     if self.input.is_empty() {
                         self.input.shrink_to(CHUNK);
                     }
-                    return Fill::Drained;
+                    return ReadStatus::Drained;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Fill::Ended,
+                Err(_) => return ReadStatus::Closed,
             }
         }
-        Fill::More
+        ReadStatus::More
     }
 
-    /// Whether the other side has ended its sending or is gone, though more may wait to be read before that.
-    pub fn is_left(&self) -> bool {
-        let mut watched = [PollFd::new(&*self.socket, PollFlags::RDHUP)];
-        let told = poll(&mut watched, Some(&Timespec::default()));
-        told.is_ok()
-            && watched[0]
+    /// Whether the peer has ended its sending or is gone, though data from before that may wait to be read.
+    pub fn is_closed_by_peer(&self) -> bool {
+        let mut polled = [PollFd::new(&*self.socket, PollFlags::RDHUP)];
+        let result = poll(&mut polled, Some(&Timespec::default()));
+        result.is_ok()
+            && polled[0]
                 .revents()
                 .intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
     }
 
+    /// What has been read and not consumed.
     pub fn input(&self) -> &[u8] {
-        &self.input[self.used..]
+        &self.input[self.consumed..]
     }
 
+    /// Marks the first `length` bytes of the input as consumed.
     pub fn consume(&mut self, length: usize) {
-        self.used = self.used.saturating_add(length).min(self.input.len());
-        if self.used == self.input.len() {
-            // A long message once is no reason to keep its room for good.
+        self.consumed = self.consumed.saturating_add(length).min(self.input.len());
+        if self.consumed == self.input.len() {
+            // One long message is no reason to keep its buffer for good.
             self.input.clear();
             self.input.shrink_to(CHUNK);
-            self.used = 0;
+            self.consumed = 0;
         }
     }
 
-    /// Where further output goes; it is written by [`Stream::flush`].
+    /// The buffer that further output is appended to; [`Stream::flush`] writes it.
     pub fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
+    /// Bytes of the output that have not been written.
     pub fn unwritten(&self) -> usize {
         self.output.len() - self.written
     }
 
     /// Writes what can be written now; true once nothing is left.
+    ///
+    /// # Errors
+    ///
+    /// Where the connection is broken.
     pub fn flush(&mut self) -> io::Result<bool> {
         while self.written < self.output.len() {
             match (&*self.socket).write(&self.output[self.written..]) {
@@ -164,15 +201,17 @@
         Ok(true)
     }
 
-    /// Ends the sending; the other side may still send.
-    pub fn end(&self) -> io::Result<()> {
+    /// Shuts down the sending direction; the peer may still send.
+    ///
+    /// # Errors
+    ///
+    /// Where the connection is broken.
+    pub fn shutdown_write(&self) -> io::Result<()> {
         self.socket.shutdown(Shutdown::Write)
     }
 
-    pub fn close(self, net: &Net) {
-        net.forget(self.token);
+    /// Closes the connection.
+    pub fn close(self, reactor: &Reactor) {
+        reactor.deregister(self.token);
     }
 }
-
-/// Bytes: one read, and what an idle connection keeps.
-const CHUNK: usize = 4096;
