--- a/measure/src/capacity/fleet_run/net/hollow_router.rs
+++ b/measure/src/capacity/fleet_run/net/hollow_router.rs
@@ -9,6 +9,7 @@
 use std::time::Duration;
 
 use kestreltide::interface::*;
+use kestreltide_router::limits::ResponseLimits;
 use kestreltide_router::protocol::{discovery, platform};
 use kestreltide_settings::{Fields, Names, decode};
 use rand::{RngExt, SeedableRng};
@@ -32,7 +33,7 @@
 const PLATFORM_SILENCE: f64 = 3.0;
 const VOTE_TIME: f64 = 1.0;
 const RETRY: [f64; 2] = [0.05, 1.0];
-const ANSWER: discovery::AnswerLimits = discovery::AnswerLimits {
+const ANSWER: ResponseLimits = ResponseLimits {
     body: 4 * 1024 * 1024,
     head: 16 * 1024,
     frame: 256 * 1024,
--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -89,8 +89,13 @@
             .as_ref()
             .map(|terms| Opened::open(&log, terms))
             .transpose()?;
-        let (open, of_loop) = FrontBox::open(reactor, self.limits.posted).map_err(failed)?;
-        let rules = RuleSettings::new(self.terms, self.operations.clone(), self.limits.operators);
+        let (open, of_loop) =
+            FrontBox::open(reactor, self.limits.management.inbox_messages).map_err(failed)?;
+        let rules = RuleSettings::new(
+            self.terms,
+            self.operations.clone(),
+            self.limits.management.maximums,
+        );
         let terms = KeeperTerms {
             router: self.router.into(),
             rules,
@@ -107,7 +112,7 @@
             news,
         };
         let (first, known) = keeper.begin(watching.as_ref(), &facts)?;
-        let (asks, asked) = sync_channel(self.limits.asked);
+        let (asks, asked) = sync_channel(self.limits.management.datastore_requests);
         let (published, told) = keeper.published();
         let (kept, of_keeper) = (Pulse::new("keeper"), of_loop.clone());
         let mut pulses = vec![kept.clone()];
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -1,344 +1,468 @@
-//! Every limit of the router: sizes, counts and times, filled once at start and handed down.
+//! Every limit of the router: sizes, counts and times, computed once at start and handed down.
+
+mod memory_budget;
 
 use kestreltide::interface::ServiceSettings;
-use kestreltide_datastore::{Maximums, MemorySettings};
+use kestreltide_datastore::Maximums;
 use kestreltide_settings::TransportSettings;
 
-use crate::protocol::discovery::AnswerLimits;
+pub use memory_budget::{MemoryBudget, MemoryBudgetError};
 
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
-/// Descriptors for all that is neither a client's connection nor one to a host.
-const OWN_DESCRIPTORS: usize = 32;
-/// Of the memory, for what connections may hold; the rest is the program's own.
-const HELD_PART: f64 = 0.5;
-/// The least memory that is reckoned with.
-const MEMORY_LEAST: usize = 16;
-/// Of the program's own part, what it takes with nothing listed: most of it pages of the program's file.
-const PROGRAM: usize = 7 * MIB;
-// What each of these takes at most, measured (`docs/design/start.md`). A listed host at a list that replaces all: the
-// list on its way, as read, as it counts and as the decisions keep it, before and after.
-const HOST: usize = 3 * KIB / 2;
-/// What operators say of a host, in the tree, in a candidate and in the revision before.
-const HOST_SET: usize = 3 * KIB;
-/// A route of operators, and each name of an operation, a zone, a kind or a host in it.
-const ROUTE: usize = 3 * KIB;
-const ROUTE_NAME: usize = 256;
-/// A peer: its address in three places, and what it told last of the builds.
-const PEER: usize = 640;
-/// Hosts that are kept however large the memory is.
-const HOSTS: usize = 16 * KIB;
-/// One in so many of the clients' connections is spare.
-const SPARE_PART: usize = 4;
-
-/// Seconds in which the platform still sends new connections after SIGTERM, and a little.
-const SERVING_ON: f64 = 0.45;
-/// SIGKILL comes so many seconds after the longest time limit from SIGTERM on, which counts as this at most.
+/// Descriptors for everything but the connections to clients and hosts.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// One in so many of the client connections is spare.
+const SPARE_CLIENTS_PART: usize = 4;
+/// Bytes of a RESP bulk string.
+const BULK_STRING_BYTES: usize = 64 * KIB;
+/// Bytes of a whole RESP message.
+const MESSAGE_BYTES: usize = BULK_STRING_BYTES + 4 * KIB;
+
+/// Seconds in which the platform still sends new connections after SIGTERM, with a margin.
+const SHUTDOWN_ACCEPT_TIME: f64 = 0.45;
+/// SIGKILL comes so many seconds after the longest time limit of an operation has passed since SIGTERM.
 const KILL_AFTER: f64 = 0.7;
-const KILL_COUNTS: f64 = 3.0;
+/// The most that the longest time limit counts for SIGKILL, in seconds.
+const KILL_MAX_TIME_LIMIT: f64 = 3.0;
+/// Seconds before SIGKILL at which open requests are given up.
+const GIVE_UP_BEFORE_KILL: f64 = 0.3;
+/// Seconds before SIGKILL at which the program ends: time for an event loop that is late.
+const EXIT_BEFORE_KILL: f64 = 0.1;
+/// Seconds that a client may say it waits, as a multiple of the longest time limit of an operation.
+const MAX_TIME_LIMIT_MULTIPLE: f64 = 100.0;
+/// Seconds that a client may leave responses unread, as a multiple of the longest time limit of an operation.
+const CLIENT_WRITE_TIMEOUT_MULTIPLE: f64 = 10.0;
+/// A connection to a host is closed when it has been idle for this fraction of the time after which the host may.
+const UPSTREAM_IDLE_FRACTION: f64 = 0.8;
 
-/// What a RESP message may hold.
+/// What a RESP message may hold, in bytes unless a count is meant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RespLimits {
-    /// Of one bulk string.
+    /// One bulk string.
     pub value: usize,
-    /// Of a command or an array.
+    /// Elements of a command or an array.
     pub words: usize,
     /// A status or an error.
     pub line: usize,
-    /// Of the text of a length or number.
+    /// Digits of a length or number.
     pub digits: usize,
-    /// A whole command or answer: what says that it is longer is not waited for.
+    /// A whole command or reply; nothing is read of one that announces more.
     pub message: usize,
-    /// Of an invocation's id.
+    /// The id of a request.
     pub id: usize,
 }
 
-/// Sizes in bytes, times in seconds.
+/// What an HTTP response of discovery may be.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ResponseLimits {
+    /// Bytes of the body.
+    pub body: usize,
+    /// Bytes of the head.
+    pub head: usize,
+    /// Bytes of the chunk sizes and line ends beside the body.
+    pub frame: usize,
+    /// Headers.
+    pub headers: usize,
+}
+
+impl ResponseLimits {
+    /// Bytes that a whole response may have on its way.
+    pub fn max_total(&self) -> usize {
+        self.body + self.frame
+    }
+}
+
+/// Limits of the event loop. Times in seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Limits {
-    pub resp: RespLimits,
-    /// Of a line of the platform.
-    pub line: usize,
-    /// Of an answer of discovery.
-    pub answer: AnswerLimits,
-    pub datagram: usize,
-    /// Datagrams taken at one wake.
-    pub datagrams: usize,
-    /// Read from one socket at a time before others get their turn.
-    pub read_step: usize,
-    /// Clients accepted at one wake.
-    pub accepts: usize,
-    pub backlog: i32,
-    pub clients: usize,
-    /// Clients that have asked once and stay without use.
-    pub stayers: usize,
-    pub host_links: usize,
-    pub idle_links: usize,
-    /// Commands of one client that wait for their answers.
-    pub pipeline: usize,
-    /// Unknown commands of one client, of which set-up has a few.
-    pub unknown: usize,
-    /// Read and dropped of a client that was turned away, so that it can read why.
-    pub dropped: usize,
-    pub invocations: usize,
-    /// Bytes of commands that are kept, and of answers that clients have not read yet.
-    pub held: usize,
-    pub unread: usize,
-    /// Hosts that discovery lists.
-    pub hosts: usize,
-    /// What operators set.
-    pub operators: Maximums,
+pub struct EventLoopLimits {
+    /// Timers that are set at once.
     pub timers: usize,
-    pub votes: usize,
-    pub probes: usize,
-    pub log_lines: usize,
-    /// Of a line of the log that is written in one piece.
-    pub log_line: usize,
-    /// Lines a second about what others do wrong.
-    pub complaints: u64,
-    pub connect_time: f64,
+    /// Bytes read from one socket before others get their turn.
+    pub read_bytes_per_turn: usize,
+    /// The longest sleep, so that a process that stood still notices.
+    pub max_sleep: f64,
+    /// An event loop delay of more than this is logged.
+    pub delay_warning: f64,
+    /// What is ready after a shorter sleep than this was ready before.
+    pub immediate_wake: f64,
+    /// Between two searches for what has expired.
+    pub expiry_interval: f64,
+    /// Between two log lines of the router's state.
+    pub state_log_interval: f64,
+    /// A router that has received nothing from discovery or the platform serves by what it has after this time.
+    pub ready_timeout: f64,
+}
+
+/// Limits of client connections. Times in seconds.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ClientLimits {
+    /// Connections.
+    pub connections: usize,
+    /// Connections that have sent one command and stay open while idle.
+    pub idle: usize,
+    /// Connections that the system holds until they are accepted.
+    pub backlog: i32,
+    /// Connections accepted at one wake.
+    pub accepts_per_wake: usize,
+    /// Before accepting is tried again.
+    pub accept_retry_delay: f64,
+    /// Commands of one client that wait for their responses.
+    pub pipelined_commands: usize,
+    /// Unknown commands of one client, of which a client library's set-up has a few.
+    pub unknown_commands: usize,
+    /// Bytes read and discarded of a rejected client, so that it can read the error.
+    pub discarded_bytes: usize,
+    /// Bytes of responses that clients have not read.
+    pub unread_response_bytes: usize,
     /// For a client's first command, counted from connecting, and for the rest of one that has begun.
-    pub speak: f64,
-    /// Without use for this time, a client that has asked once stays.
-    pub stay: f64,
-    /// A client that was turned away has this time to read why.
-    pub linger: f64,
-    /// The longest time that a client may say it waits.
-    pub longest_wait: f64,
-    pub idle_time: f64,
-    pub probe_time: f64,
-    pub vote_time: f64,
-    /// A watch is asked to answer after this time at the latest, and given this much more to do it.
-    pub watch_hold: f64,
-    pub watch_spare: f64,
-    /// Where lists are asked for, discovery serves the calls of all routers in turn. Who gives up an answer that is
-    /// on its way has taken a turn for nothing, and asks for another: discovery itself turns away what waits for 2 s.
-    pub turn: f64,
-    /// Without a further byte for this time, an answer or line of discovery or the platform that has begun is
-    /// given up.
-    pub news_rest: f64,
-    /// Without a sign of life for this time the platform's connection is opened anew.
-    pub platform_silence: f64,
-    /// Between tries to reach discovery or the platform, at first and at most; a connection that has stood
-    /// for the latter is opened anew at once.
-    pub retry: [f64; 2],
-    pub accept_again: f64,
-    pub sweep: f64,
-    /// The longest sleep, so that a clock that stood still shows; and what is worth a line then.
-    pub sleep: f64,
-    pub stalled: f64,
-    /// A sleep shorter than this found something that was there before.
-    pub at_once: f64,
-    pub tell_state: f64,
-    /// A router that has heard nothing from discovery or the platform serves after this time by what it has.
-    pub ready_wait: f64,
-    pub stuck_client: f64,
-    /// An answer that was not read for this time comes too late for anybody.
-    pub stale_answer: f64,
-    /// After SIGTERM: clients still come for this time.
-    pub serving_on: f64,
-    /// Who has come and is silent, who has just got an answer, who was told of the close and who crossed one
-    /// has this time.
-    pub last_call: f64,
-    /// Once nobody comes any more, who has just got an answer has this time: a client that has a command ready
-    /// writes it at once.
-    pub brief_quiet: f64,
-    /// After SIGTERM: what is open is given up and answered, what still comes is turned away, and the program
-    /// ends whoever is left. Both before SIGKILL, with a tenth of a second for a loop that is late.
-    pub shutdown_last: f64,
-    pub shutdown_end: f64,
-    /// What other threads have posted and the loop has not taken.
-    pub posted: usize,
-    /// Questions of fronts that wait for the keeper.
-    pub asked: usize,
-    /// Hosts that come or go with a revision and are told to the decisions at one turn.
-    pub staged: usize,
-    /// After a change, before fronts get the new view of it.
-    pub view: f64,
-    /// Without a sign of life for this time a front is said to stand still.
-    pub front_stall: f64,
+    pub command_timeout: f64,
+    /// How long an idle client that has sent one command is kept when others need its connection.
+    pub idle_timeout: f64,
+    /// A rejected client has this time to read the error.
+    pub lingering_close: f64,
+    /// The longest time limit that a client may send.
+    pub max_time_limit: f64,
+    /// A client that has not read its responses for this time is disconnected.
+    pub write_timeout: f64,
+    /// A response that was not read for this time is too late for anybody.
+    pub stale_response_age: f64,
 }
 
-/// What of the memory is left for the configuration and the lists, in bytes, while a configuration is read.
+/// Limits of admitted requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Room {
-    memory_mb: usize,
-    left: usize,
+pub struct RequestLimits {
+    /// Requests in flight.
+    pub in_flight: usize,
+    /// Bytes of their commands, which are kept for retries.
+    pub stored_command_bytes: usize,
 }
 
-impl Room {
-    pub fn new(memory_mb: usize) -> Self {
-        let memory = memory_mb.saturating_mul(MIB).max(MEMORY_LEAST * MIB);
-        Room {
-            memory_mb,
-            left: memory.saturating_sub(held(memory_mb)) - PROGRAM,
-        }
-    }
+/// Limits of connections to hosts. Times in seconds.
+#[derive(Clone, Debug, PartialEq)]
+pub struct UpstreamLimits {
+    /// Connections.
+    pub connections: usize,
+    /// Connections that are kept while idle.
+    pub idle_connections: usize,
+    /// How long an idle connection is kept.
+    pub idle_timeout: f64,
+    /// How long connecting may take.
+    pub connect_timeout: f64,
+    /// Health checks at once.
+    pub probes_in_flight: usize,
+    /// How long a health check may take.
+    pub probe_timeout: f64,
+}
 
-    /// Where it is not left, the error tells how much is.
-    pub fn take(&mut self, bytes: usize) -> Result<(), RoomError> {
-        let left = self.left.checked_sub(bytes);
-        self.left = left.ok_or(RoomError {
-            most: self.left,
-            memory_mb: self.memory_mb,
-        })?;
-        Ok(())
-    }
+/// Limits of discovery. Times in seconds.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DiscoveryLimits {
+    /// One HTTP response.
+    pub response: ResponseLimits,
+    /// Hosts that are kept.
+    pub hosts: usize,
+    /// A watch is asked to respond after this time at the latest.
+    pub watch_hold: f64,
+    /// What a watch is given beyond that.
+    pub watch_grace: f64,
+    /// How long a poll of the endpoint list may take. Discovery serves the polls of all routers in turn. Giving up a
+    /// response that is on its way wastes a turn and asks for another: discovery itself rejects what waits for 2 s.
+    pub list_poll_timeout: f64,
+}
 
-    /// For so many routers beside this one.
-    pub fn take_peers(&mut self, peers: usize) -> Result<(), RoomError> {
-        self.take_each(peers, PEER)
-    }
+/// Limits of the connection to the platform. Times in seconds.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PlatformLimits {
+    /// Bytes of a line.
+    pub line_bytes: usize,
+    /// Votes without an answer.
+    pub pending_votes: usize,
+    /// How long a vote may be without an answer.
+    pub vote_timeout: f64,
+    /// A connection on which nothing was received for this time is opened anew.
+    pub silence_timeout: f64,
+}
 
-    /// Whether so many hosts can be listed; their room is not taken, as lists change.
-    pub fn bears_hosts(&self, hosts: usize) -> Result<(), RoomError> {
-        self.clone().take_each(hosts, HOST)
-    }
+/// Limits of the gossip with peers.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PeerLimits {
+    /// Bytes of a datagram.
+    pub datagram_bytes: usize,
+    /// Datagrams received at one wake.
+    pub datagrams_per_wake: usize,
+}
 
-    /// How many hosts are kept.
-    pub fn hosts(&self) -> usize {
-        (self.left / HOST).min(HOSTS)
-    }
+/// Limits of the log.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LogLimits {
+    /// Lines that wait to be written; what exceeds them is dropped and counted.
+    pub lines: usize,
+    /// Bytes of a line that is written in one piece.
+    pub line_bytes: usize,
+    /// Warnings per second about malformed input.
+    pub warnings_per_second: u64,
+}
 
-    /// What operators may set.
-    pub fn operators(&self) -> Maximums {
-        let memory = MemorySettings {
-            most: self.left,
-            host: HOST,
-            host_set: HOST_SET,
-            route: ROUTE,
-            route_name: ROUTE_NAME,
-        };
-        Maximums {
-            memory,
-            ..Maximums::default()
-        }
-    }
+/// Limits of the management interfaces and their threads. Times in seconds.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ManagementLimits {
+    /// What operators may configure.
+    pub maximums: Maximums,
+    /// Messages of other threads that wait for the event loop.
+    pub inbox_messages: usize,
+    /// Requests of the interfaces that wait for the datastore thread.
+    pub datastore_requests: usize,
+    /// Hosts that a revision adds or removes and that are handed to the decisions in one turn.
+    pub staged_hosts_per_turn: usize,
+    /// From a change to the next view of the state that the interfaces read.
+    pub view_publish_delay: f64,
+    /// A thread without a heartbeat for this time is reported as stalled.
+    pub stall_timeout: f64,
+}
 
-    fn take_each(&mut self, count: usize, each: usize) -> Result<(), RoomError> {
-        let most = RoomError {
-            most: self.left / each,
-            memory_mb: self.memory_mb,
-        };
-        self.take(count.saturating_mul(each)).map_err(|_| most)
-    }
+/// Times of a graceful shutdown, in seconds.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ShutdownLimits {
+    /// From SIGTERM on: new clients still come.
+    pub accept_time: f64,
+    /// How long is waited for a client that has connected and sent nothing, that has just got a response, that was
+    /// notified of the close or whose command crossed the notification.
+    pub quiet_time: f64,
+    /// The same for a client that has just got a response once no client comes any more: one that has a command
+    /// ready writes it at once.
+    pub brief_quiet_time: f64,
+    /// From SIGTERM on: open requests are given up and answered, and what still comes is rejected.
+    pub give_up: f64,
+    /// From SIGTERM on: the program ends, whoever is left.
+    pub exit: f64,
 }
 
-/// More is listed than memory bears.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RoomError {
-    /// What could be taken, in bytes or entries as it was asked for.
-    pub most: usize,
-    pub memory_mb: usize,
+/// The pauses between attempts to connect, in seconds; each is twice the one before.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct BackoffLimits {
+    /// The first pause.
+    pub initial: f64,
+    /// The longest pause. A connection that has stood for this time is opened anew at once.
+    pub maximum: f64,
+}
+
+/// All limits of a router.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Limits {
+    /// RESP messages of clients and hosts.
+    pub resp: RespLimits,
+    /// The event loop.
+    pub event_loop: EventLoopLimits,
+    /// Client connections.
+    pub clients: ClientLimits,
+    /// Admitted requests.
+    pub requests: RequestLimits,
+    /// Connections to hosts.
+    pub upstream: UpstreamLimits,
+    /// Discovery.
+    pub discovery: DiscoveryLimits,
+    /// The platform.
+    pub platform: PlatformLimits,
+    /// Between attempts to reach discovery or the platform.
+    pub reconnect_backoff: BackoffLimits,
+    /// A response or line of discovery or the platform that has begun is given up without a further byte for this
+    /// time, in seconds.
+    pub message_stall_timeout: f64,
+    /// Gossip.
+    pub peers: PeerLimits,
+    /// The log.
+    pub log: LogLimits,
+    /// The management interfaces.
+    pub management: ManagementLimits,
+    /// Graceful shutdown.
+    pub shutdown: ShutdownLimits,
+}
+
+/// How many connections the descriptors and the memory allow.
+struct ConnectionCounts {
+    clients: usize,
+    upstream: usize,
 }
 
-/// Of the memory, what connections may hold, in bytes.
-fn held(memory_mb: usize) -> usize {
-    ((memory_mb.max(MEMORY_LEAST) as f64 * HELD_PART) as usize).saturating_mul(MIB)
+impl ConnectionCounts {
+    fn new(sockets: usize, connection_bytes: usize) -> Self {
+        let available = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(4);
+        let upstream = available / 2;
+        // Each connection may be in the middle of one whole message.
+        let in_memory = connection_bytes / 2 / MESSAGE_BYTES;
+        ConnectionCounts {
+            clients: (available - upstream).min(in_memory).max(2),
+            upstream,
+        }
+    }
+
+    /// Requests in flight. Some client connections never hold an open request: a client that comes when all others
+    /// do is accepted, read and rejected at once, where it would wait outside without an answer.
+    fn requests(&self, max_open: usize) -> usize {
+        let busy = (self.clients - self.clients.div_ceil(SPARE_CLIENTS_PART)).max(1);
+        max_open.min(busy).min(self.upstream)
+    }
 }
 
 impl Limits {
-    /// Of the configuration file, which all others are derived from.
+    /// Bytes of the configuration file, from which all other limits are derived.
     pub const FILE: usize = 4 * MIB;
-    /// Of the name of a host, a zone or a kind that discovery tells.
+    /// Bytes of the name of a host, a zone or a kind in discovery's lists.
     pub const NAME: usize = 256;
 
-    /// The room is what the configuration leaves.
+    /// The limits of a router with so many sockets and so much memory; the budget is what the configuration leaves.
     pub fn new(
         sockets: usize,
         memory_mb: usize,
-        room: &Room,
-        terms: &ServiceSettings,
+        budget: &MemoryBudget,
+        service: &ServiceSettings,
         transport: &TransportSettings,
     ) -> Self {
-        let value = 64 * KIB;
-        let message = value + 4 * KIB;
-        let held = held(memory_mb);
-        let open = sockets.saturating_sub(OWN_DESCRIPTORS).max(4);
-        let host_links = open / 2;
-        // Each connection may be in the middle of one whole message.
-        let clients = (open - host_links).min(held / 2 / message).max(2);
-        // Some clients' connections are never held by an open invocation: who comes when all others are is
-        // accepted, read and turned away at once, where it would wait unanswered outside.
-        let busy = (clients - clients.div_ceil(SPARE_PART)).max(1);
-        let longest = terms
-            .operations
-            .iter()
-            .map(|o| o.time_limit)
-            .fold(0.0, f64::max);
+        let connection_bytes = memory_budget::connection_bytes(memory_mb);
+        let counts = ConnectionCounts::new(sockets, connection_bytes);
+        let time_limits = service.operations.iter().map(|o| o.time_limit);
+        let longest = time_limits.fold(0.0, f64::max);
         Limits {
-            resp: RespLimits {
-                value,
-                words: 8,
-                line: KIB,
-                digits: 12,
-                message,
-                id: 256,
+            resp: RespLimits::new(),
+            event_loop: EventLoopLimits::new(),
+            clients: ClientLimits::new(counts.clients, connection_bytes, longest),
+            requests: RequestLimits {
+                in_flight: counts.requests(transport.most_open),
+                stored_command_bytes: connection_bytes / 4,
+            },
+            upstream: UpstreamLimits::new(counts.upstream, transport),
+            discovery: DiscoveryLimits::new(budget.max_hosts()),
+            platform: PlatformLimits {
+                line_bytes: 8 * KIB,
+                pending_votes: 16,
+                vote_timeout: service.vote_wait,
+                silence_timeout: 3.0,
+            },
+            reconnect_backoff: BackoffLimits {
+                initial: 0.05,
+                maximum: 1.0,
             },
-            line: 8 * KIB,
-            answer: AnswerLimits {
+            message_stall_timeout: 0.4,
+            peers: PeerLimits {
+                datagram_bytes: 256,
+                datagrams_per_wake: 1024,
+            },
+            log: LogLimits {
+                lines: 1024,
+                line_bytes: 8 * KIB,
+                warnings_per_second: 10,
+            },
+            management: ManagementLimits::new(budget.operator_maximums()),
+            shutdown: ShutdownLimits::new(longest),
+        }
+    }
+}
+
+impl RespLimits {
+    fn new() -> Self {
+        RespLimits {
+            value: BULK_STRING_BYTES,
+            words: 8,
+            line: KIB,
+            digits: 12,
+            message: MESSAGE_BYTES,
+            id: 256,
+        }
+    }
+}
+
+impl EventLoopLimits {
+    fn new() -> Self {
+        EventLoopLimits {
+            timers: 64 * KIB,
+            read_bytes_per_turn: 64 * KIB,
+            max_sleep: 0.25,
+            delay_warning: 0.1,
+            immediate_wake: 0.01,
+            expiry_interval: 0.5,
+            state_log_interval: 5.0,
+            ready_timeout: 3.0,
+        }
+    }
+}
+
+impl ClientLimits {
+    /// `longest` is the longest time limit of an operation.
+    fn new(connections: usize, connection_bytes: usize, longest: f64) -> Self {
+        ClientLimits {
+            connections,
+            idle: (connections / 4).max(1),
+            backlog: 1024,
+            accepts_per_wake: 64,
+            accept_retry_delay: 0.05,
+            pipelined_commands: 16,
+            unknown_commands: 16,
+            discarded_bytes: 256 * KIB,
+            unread_response_bytes: connection_bytes / 4,
+            command_timeout: 2.0,
+            idle_timeout: 0.1,
+            lingering_close: 0.5,
+            max_time_limit: MAX_TIME_LIMIT_MULTIPLE * longest,
+            write_timeout: CLIENT_WRITE_TIMEOUT_MULTIPLE * longest,
+            stale_response_age: longest,
+        }
+    }
+}
+
+impl UpstreamLimits {
+    fn new(connections: usize, transport: &TransportSettings) -> Self {
+        UpstreamLimits {
+            connections,
+            idle_connections: connections / 2,
+            idle_timeout: UPSTREAM_IDLE_FRACTION * transport.idle_time,
+            connect_timeout: transport.connect_time,
+            probes_in_flight: 64,
+            probe_timeout: transport.connect_time,
+        }
+    }
+}
+
+impl DiscoveryLimits {
+    fn new(hosts: usize) -> Self {
+        DiscoveryLimits {
+            response: ResponseLimits {
                 body: 4 * MIB,
                 head: 16 * KIB,
                 frame: 256 * KIB,
                 headers: 32,
             },
-            datagram: 256,
-            datagrams: 1024,
-            read_step: 64 * KIB,
-            accepts: 64,
-            backlog: 1024,
-            clients,
-            stayers: (clients / 4).max(1),
-            host_links,
-            idle_links: host_links / 2,
-            pipeline: 16,
-            unknown: 16,
-            dropped: 256 * KIB,
-            invocations: transport.most_open.min(busy).min(host_links),
-            held: held / 4,
-            unread: held / 4,
-            hosts: room.hosts(),
-            operators: room.operators(),
-            timers: 64 * KIB,
-            votes: 16,
-            probes: 64,
-            log_lines: 1024,
-            log_line: 8 * KIB,
-            complaints: 10,
-            connect_time: transport.connect_time,
-            speak: 2.0,
-            stay: 0.1,
-            linger: 0.5,
-            longest_wait: 100.0 * longest,
-            idle_time: 0.8 * transport.idle_time,
-            probe_time: transport.connect_time,
-            vote_time: terms.vote_wait,
+            hosts,
             watch_hold: 5.0,
-            watch_spare: 1.0,
-            turn: 2.5,
-            news_rest: 0.4,
-            platform_silence: 3.0,
-            retry: [0.05, 1.0],
-            accept_again: 0.05,
-            sweep: 0.5,
-            sleep: 0.25,
-            stalled: 0.1,
-            at_once: 0.01,
-            tell_state: 5.0,
-            ready_wait: 3.0,
-            stuck_client: 10.0 * longest,
-            stale_answer: longest,
-            serving_on: SERVING_ON,
-            last_call: 0.1,
-            brief_quiet: 0.005,
-            shutdown_last: longest.min(KILL_COUNTS) + KILL_AFTER - 0.3,
-            shutdown_end: longest.min(KILL_COUNTS) + KILL_AFTER - 0.1,
-            posted: 16,
-            asked: 1024,
-            staged: 1024,
-            view: 0.1,
-            front_stall: 5.0,
+            watch_grace: 1.0,
+            list_poll_timeout: 2.5,
+        }
+    }
+}
+
+impl ManagementLimits {
+    fn new(maximums: Maximums) -> Self {
+        ManagementLimits {
+            maximums,
+            inbox_messages: 16,
+            datastore_requests: 1024,
+            staged_hosts_per_turn: 1024,
+            view_publish_delay: 0.1,
+            stall_timeout: 5.0,
+        }
+    }
+}
+
+impl ShutdownLimits {
+    /// `longest` is the longest time limit of an operation.
+    fn new(longest: f64) -> Self {
+        let kill = longest.min(KILL_MAX_TIME_LIMIT) + KILL_AFTER;
+        ShutdownLimits {
+            accept_time: SHUTDOWN_ACCEPT_TIME,
+            quiet_time: 0.1,
+            brief_quiet_time: 0.005,
+            give_up: kill - GIVE_UP_BEFORE_KILL,
+            exit: kill - EXIT_BEFORE_KILL,
         }
     }
 }
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -147,7 +147,7 @@
         Ok(RuleSettings::new(
             &told.terms,
             operations,
-            told.room.operators(),
+            told.budget.operator_maximums(),
         ))
     }
 }
--- a/router/src/program/config.rs
+++ b/router/src/program/config.rs
@@ -13,7 +13,7 @@
 use serde_json::value::RawValue;
 use serde_path_to_error::Track;
 
-use crate::limits::{Limits, Room, RoomError};
+use crate::limits::{Limits, MemoryBudget, MemoryBudgetError};
 use crate::protocol::discovery::{self, List};
 use crate::protocol::platform::StateForm;
 
@@ -69,7 +69,7 @@
     pub terms: ServiceSettings,
     pub transport: TransportSettings,
     /// What memory is left for the hosts that are listed.
-    pub room: Room,
+    pub budget: MemoryBudget,
 }
 
 pub fn load(path: Option<String>) -> Result<String, String> {
@@ -136,15 +136,16 @@
         When::Start => file.limits.memory_mb,
         When::Again { memory_mb } => memory_mb.min(file.limits.memory_mb),
     };
-    let mut room = Room::new(memory_mb);
-    room.take(text.len())
+    let mut budget = MemoryBudget::new(memory_mb);
+    budget
+        .reserve(text.len())
         .map_err(|error| borne("the configuration", text.len(), "bytes", &error))?;
-    let peers = peers(file.peers, &mut room)?;
-    let settings = settings(file.settings, &mut room)?;
+    let peers = peers(file.peers, &mut budget)?;
+    let settings = settings(file.settings, &mut budget)?;
     let (terms, transport) = decode(&Fields::from_json("settings", &settings), &mut Names::Named)?;
     let known = file
         .known
-        .map(|known| known_hosts(known, &room))
+        .map(|known| known_hosts(known, &budget))
         .transpose()?;
     Ok(Told {
         name: env::var("PROXY_NAME").unwrap_or(file.name),
@@ -162,55 +163,57 @@
         known,
         terms,
         transport,
-        room,
+        budget,
     })
 }
 
 /// The error of a field that lists more than memory bears.
-fn borne(field: &str, count: usize, what: &str, error: &RoomError) -> String {
-    let RoomError { most, memory_mb } = error;
+fn borne(field: &str, count: usize, what: &str, error: &MemoryBudgetError) -> String {
+    let MemoryBudgetError { maximum, memory_mb } = error;
     format!(
-        "{field}: more than memory bears ({count} {what}; {most} at most where limits.memory_mb is {memory_mb})"
+        "{field}: more than memory bears ({count} {what}; {maximum} at most where limits.memory_mb is {memory_mb})"
     )
 }
 
-fn peers(raw: &RawValue, room: &mut Room) -> Result<Vec<SocketAddr>, String> {
+fn peers(raw: &RawValue, budget: &mut MemoryBudget) -> Result<Vec<SocketAddr>, String> {
     let text = raw.get();
-    // No address holds a comma: they are counted before room is made for them.
+    // No address holds a comma: they are counted before memory is reserved for them.
     let count = if text.contains('"') {
         text.matches(',').count() + 1
     } else {
         0
     };
-    room.take_peers(count)
+    budget
+        .reserve_peers(count)
         .map_err(|error| borne("peers", count, "addresses", &error))?;
     let reader = &mut serde_json::Deserializer::from_str(text);
     serde_path_to_error::deserialize(reader)
         .map_err(|error| at("peers", &error.path().to_string(), error.inner()))
 }
 
-fn settings(raw: &RawValue, room: &mut Room) -> Result<Value, String> {
+fn settings(raw: &RawValue, budget: &mut MemoryBudget) -> Result<Value, String> {
     let (reader, mut track) = (
         &mut serde_json::Deserializer::from_str(raw.get()),
         Track::new(),
     );
     let read =
-        Unique { room }.deserialize(serde_path_to_error::Deserializer::new(reader, &mut track));
+        Unique { budget }.deserialize(serde_path_to_error::Deserializer::new(reader, &mut track));
     read.map_err(|error| at("settings", &track.path().to_string(), &error))
 }
 
-fn known_hosts<'a>(raw: &'a RawValue, room: &Room) -> Result<List<'a>, String> {
+fn known_hosts<'a>(raw: &'a RawValue, budget: &MemoryBudget) -> Result<List<'a>, String> {
     let list = discovery::list(raw.get().as_bytes()).map_err(|error| {
         let dot = if error.path.is_empty() { "" } else { "." };
         format!("known{dot}{}: {}", error.path, unplaced(&error.why))
     })?;
     let (field, count) = ("known.targets", list.targets.len());
-    room.bears_hosts(count)
+    budget
+        .check_hosts(count)
         .map_err(|error| borne(field, count, "hosts", &error))?;
-    if count > room.hosts() {
+    if count > budget.max_hosts() {
         return Err(format!(
             "{field}: more than a router keeps ({count} hosts; {} at most)",
-            room.hosts()
+            budget.max_hosts()
         ));
     }
     Ok(list)
--- a/router/src/program/logs.rs
+++ b/router/src/program/logs.rs
@@ -10,7 +10,7 @@
 /// The logger, and what keeps its thread; lines beyond the backlog are dropped and counted.
 pub fn start(name: &str, level: Level, limits: &Limits) -> (Logger, AsyncGuard) {
     // A line is written as one, where it would be some twenty pieces that each can wait for whoever reads them.
-    let whole = BufWriter::with_capacity(limits.log_line, stderr());
+    let whole = BufWriter::with_capacity(limits.log.line_bytes, stderr());
     let lines = slog_term::FullFormat::new(slog_term::PlainDecorator::new(whole));
     let lines = lines
         .use_utc_timestamp()
@@ -19,7 +19,7 @@
         .fuse();
     let builder = slog_async::Async::new(LevelFilter::new(lines, level).fuse());
     let builder = builder
-        .chan_size(limits.log_lines)
+        .chan_size(limits.log.lines)
         .overflow_strategy(OverflowStrategy::DropAndReport);
     let (drain, guard) = builder.build_with_guard();
     (
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -115,7 +115,7 @@
     Limits::new(
         told.limits.sockets,
         told.limits.memory_mb,
-        &told.room,
+        &told.budget,
         &told.terms,
         &told.transport,
     )
--- a/router/src/program/unique.rs
+++ b/router/src/program/unique.rs
@@ -6,7 +6,7 @@
 use serde::de::{self, DeserializeSeed, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Value};
 
-use crate::limits::Room;
+use crate::limits::MemoryBudget;
 
 /// Bytes that a value takes beside its text, and an object for its entries, as JSON and as the settings' fields
 /// (measured: 1,340 bytes for an object of three short values, 2,310 for one of seven).
@@ -15,12 +15,12 @@
 
 /// Reads one value.
 pub struct Unique<'r> {
-    pub room: &'r mut Room,
+    pub budget: &'r mut MemoryBudget,
 }
 
 impl Unique<'_> {
     fn take<E: de::Error>(&mut self, bytes: usize) -> Result<(), E> {
-        self.room.take(bytes).map_err(|error| {
+        self.budget.reserve(bytes).map_err(|error| {
             E::custom(format!(
                 "holds more than memory bears (limits.memory_mb is {})",
                 error.memory_mb
@@ -73,7 +73,7 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut from: A) -> Result<Value, A::Error> {
         let mut items = Vec::new();
         while let Some(item) = from.next_element_seed(Unique {
-            room: &mut *self.room,
+            budget: &mut *self.budget,
         })? {
             items.push(item);
         }
@@ -89,7 +89,7 @@
             }
             self.take(2 * key.len())?;
             let value = from.next_value_seed(Unique {
-                room: &mut *self.room,
+                budget: &mut *self.budget,
             })?;
             map.insert(key, value);
         }
--- a/router/src/protocol/discovery.rs
+++ b/router/src/protocol/discovery.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 use super::{Malformed, Read};
-use crate::limits::Limits;
+use crate::limits::{Limits, ResponseLimits};
 
 #[derive(Debug, Deserialize)]
 pub struct List<'a> {
@@ -131,23 +131,6 @@
     })
 }
 
-/// What an answer may be.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerLimits {
-    /// Bytes of the body, of the head, and of the sizes of chunks beside the body.
-    pub body: usize,
-    pub head: usize,
-    pub frame: usize,
-    pub headers: usize,
-}
-
-impl AnswerLimits {
-    /// Bytes that a whole answer may have on its way.
-    pub fn whole(&self) -> usize {
-        self.body + self.frame
-    }
-}
-
 /// An answer in chunks as far as it has come: each chunk is read once, however many pieces the answer comes in.
 #[derive(Debug, Default)]
 pub struct Chunks {
@@ -167,7 +150,7 @@
 /// answer that says neither its length nor comes in chunks cannot be told from a cut one and is malformed.
 pub fn response<'a>(
     bytes: &'a [u8],
-    limits: &AnswerLimits,
+    limits: &ResponseLimits,
     come: &mut Chunks,
 ) -> Read<Response<'a>> {
     let mut room = vec![httparse::EMPTY_HEADER; limits.headers];
@@ -229,7 +212,7 @@
 
 impl Chunks {
     /// The whole body and how many bytes it took, once its last chunk has come.
-    fn read(&mut self, bytes: &[u8], limits: &AnswerLimits) -> Read<Vec<u8>> {
+    fn read(&mut self, bytes: &[u8], limits: &ResponseLimits) -> Read<Vec<u8>> {
         loop {
             let left = bytes.get(self.used..).unwrap_or_default();
             let size = httparse::parse_chunk_size(left);
@@ -256,11 +239,11 @@
             if size == 0 {
                 return Ok(Some((std::mem::take(&mut self.body), self.used)));
             }
-            if self.used > limits.whole() {
+            if self.used > limits.max_total() {
                 return Err(too_long(
                     "chunks with their sizes",
                     self.used,
-                    limits.whole(),
+                    limits.max_total(),
                 ));
             }
         }
--- a/router/src/routing/admit.rs
+++ b/router/src/routing/admit.rs
@@ -40,8 +40,11 @@
             kept,
         } = taken;
         // Nothing has been dispatched: a client may be told that trying again is harmless.
-        let full = self.admitted.len() >= self.limits.invocations;
-        if full || self.held + kept.size() > self.limits.held || self.has_given_up() {
+        let full = self.admitted.len() >= self.limits.requests.in_flight;
+        if full
+            || self.held + kept.size() > self.limits.requests.stored_command_bytes
+            || self.has_given_up()
+        {
             self.tally.no_room += 1;
             return self.reply(client, |out| client::write_throttled(out, None));
         }
--- a/router/src/routing/discovery.rs
+++ b/router/src/routing/discovery.rs
@@ -56,7 +56,7 @@
 
 impl Discovery {
     pub(super) fn new(at: SocketAddr, on_demand: bool, limits: &Limits) -> Self {
-        let (calls, wait) = (BTreeMap::new(), limits.retry[0]);
+        let (calls, wait) = (BTreeMap::new(), limits.reconnect_backoff.initial);
         let following = !on_demand;
         let (off, rev, taken, number, heard, told) = (false, None, 0, 0, false, false);
         Discovery {
@@ -137,7 +137,7 @@
         let calls: Vec<_> = self.discovery.calls.keys().copied().collect();
         calls.iter().for_each(|id| self.discovery_ready(*id));
         (self.discovery.at, self.discovery.rev, self.discovery.wait) =
-            (at, None, self.limits.retry[0]);
+            (at, None, self.limits.reconnect_backoff.initial);
         // Also those that were begun by what has just been read.
         for id in self.discovery.calls.keys().copied().collect::<Vec<_>>() {
             if let Some((asked, _)) = self.drop_call(id)
@@ -195,7 +195,11 @@
         };
         // What was missed comes at once where a watch begins on demand, even if it is nothing.
         let at_once = self.discovery.on_demand && call.number == 0;
-        let hold = if at_once { 0.0 } else { self.limits.watch_hold };
+        let hold = if at_once {
+            0.0
+        } else {
+            self.limits.discovery.watch_hold
+        };
         self.discovery.number += 1;
         self.tally.lists += 1;
         (call.asked, call.number, call.begun) = (asked, self.discovery.number, None);
@@ -206,20 +210,26 @@
         discovery::write_get(call.stream.output(), at, watch);
         let in_turn = self.discovery.on_demand && hold <= 0.0 || asked == Asked::Once;
         let spare = if in_turn {
-            self.limits.turn
+            self.limits.discovery.list_poll_timeout
         } else {
-            self.limits.watch_spare
+            self.limits.discovery.watch_grace
         };
         let patience = if watch.is_some() { hold } else { 0.0 } + spare;
         let number = call.number;
         self.set_due(now + patience, Due::CallOver(id, number));
         // A connection that does not come up would cost a whole wait, in which all that is missed counts as told.
-        self.set_due(now + self.limits.news_rest, Due::CallUp(id, number));
+        self.set_due(
+            now + self.limits.message_stall_timeout,
+            Due::CallUp(id, number),
+        );
         self.discovery_ready(id);
     }
 
     pub(super) fn discovery_ready(&mut self, id: SocketId) {
-        let (most, step) = (self.limits.answer.whole(), self.limits.read_step);
+        let (most, step) = (
+            self.limits.discovery.response.max_total(),
+            self.limits.event_loop.read_bytes_per_turn,
+        );
         let Some(call) = self.discovery.calls.get_mut(&id) else {
             return;
         };
@@ -270,14 +280,14 @@
     }
 
     fn take_response(&mut self, call: &mut Call) -> Result<Option<(usize, bool)>, Malformed> {
-        let (bytes, limits) = (call.stream.input(), self.limits.answer);
+        let (bytes, limits) = (call.stream.input(), self.limits.discovery.response);
         let Some((response, used)) = discovery::response(bytes, &limits, &mut call.chunks)? else {
-            let room = bytes.len() < limits.whole();
+            let room = bytes.len() < limits.max_total();
             // Nothing more of it would ever be read.
             let long = || {
                 Malformed::new(format!(
                     "the answer is too long (over {} bytes)",
-                    limits.whole()
+                    limits.max_total()
                 ))
             };
             return if room { Ok(None) } else { Err(long()) };
@@ -315,7 +325,7 @@
         }
         self.discovery.rev = Some(list.rev);
         self.discovery.taken += 1;
-        self.discovery.wait = self.limits.retry[0];
+        self.discovery.wait = self.limits.reconnect_backoff.initial;
         // On demand each call is answered, be it with nothing.
         if list.all || !list.targets.is_empty() || self.discovery.on_demand {
             self.take_list(&list, scope);
@@ -333,7 +343,7 @@
         if whole {
             self.tell_doubled(list);
         }
-        if self.hosts.len() + targets.len() > self.limits.hosts {
+        if self.hosts.len() + targets.len() > self.limits.discovery.hosts {
             self.make_room(&mut targets, whole);
         }
         let mut entries = Vec::with_capacity(targets.len());
@@ -356,7 +366,7 @@
         }
         if let Some(first) = left_out.first() {
             warn!(self.log, "more hosts are listed than can be kept"; "uid" => *first,
-                "left_out" => left_out.len(), "most" => self.limits.hosts);
+                "left_out" => left_out.len(), "most" => self.limits.discovery.hosts);
         }
         if whole {
             for host in self.hosts.only(&entries) {
@@ -464,7 +474,10 @@
         let (now, come, number) = (self.clock.now(), call.stream.input().len(), call.number);
         if come > 0 && call.begun.is_none_or(|(before, _)| before < come) {
             if call.begun.is_none() {
-                self.set_due(now + self.limits.news_rest, Due::CallRest(id, number));
+                self.set_due(
+                    now + self.limits.message_stall_timeout,
+                    Due::CallRest(id, number),
+                );
             }
             call.begun = Some((come, now));
         }
@@ -480,7 +493,7 @@
         let Some((_, last)) = call.and_then(|call| call.begun) else {
             return;
         };
-        let until = last + self.limits.news_rest;
+        let until = last + self.limits.message_stall_timeout;
         if self.clock.now() < until {
             return self.set_due(until, Due::CallRest(id, number));
         }
@@ -496,14 +509,15 @@
             return self.events.push_back(Event::EndpointListFailed);
         }
         let now = self.clock.now();
-        let stood = now - since >= self.limits.retry[1];
+        let stood = now - since >= self.limits.reconnect_backoff.maximum;
         let at = now
             + if stood {
                 0.0
             } else {
                 self.discovery.wait * self.spread()
             };
-        self.discovery.wait = (2.0 * self.discovery.wait).min(self.limits.retry[1]);
+        self.discovery.wait =
+            (2.0 * self.discovery.wait).min(self.limits.reconnect_backoff.maximum);
         self.set_due(at, Due::WatchAgain);
     }
 }
--- a/router/src/routing/fronts.rs
+++ b/router/src/routing/fronts.rs
@@ -146,7 +146,8 @@
     /// Takes a revision, at once where it is short; a long list of who comes and goes is told ahead in parts, one
     /// a turn, so that the loop never stands still for it.
     pub fn take_revision(&mut self, snapshot: &Arc<Snapshot>) {
-        let ahead = snapshot.entries.len() > self.limits.staged && self.hosts.can_stage(snapshot);
+        let ahead = snapshot.entries.len() > self.limits.management.staged_hosts_per_turn
+            && self.hosts.can_stage(snapshot);
         match &mut self.fronts {
             Some(fronts) if ahead => fronts.staging = Some((snapshot.clone(), 0)),
             _ => self.put_in_force(snapshot, false),
@@ -167,7 +168,7 @@
             return self.fronts_ready();
         }
         let begun = self.clock.now();
-        let to = (from + self.limits.staged).min(snapshot.entries.len());
+        let to = (from + self.limits.management.staged_hosts_per_turn).min(snapshot.entries.len());
         self.route(Event::EndpointsStaged {
             entries: snapshot.entries.clone(),
             from,
@@ -219,7 +220,10 @@
             return;
         };
         fronts.stale = true;
-        self.set_due(self.clock.now() + self.limits.view, Due::View);
+        self.set_due(
+            self.clock.now() + self.limits.management.view_publish_delay,
+            Due::View,
+        );
     }
 
     pub(super) fn publish(&mut self) {
@@ -251,7 +255,7 @@
         };
         for (pulse, told) in &mut fronts.pulses {
             let last = pulse.last();
-            let still = last > 0.0 && now - last > self.limits.front_stall;
+            let still = last > 0.0 && now - last > self.limits.management.stall_timeout;
             if still && !*told {
                 warn!(self.log, "a front stands still"; "front" => pulse.name, "seconds" => now - last);
             }
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -159,7 +159,12 @@
         seed: u64,
     ) -> io::Result<Self> {
         let (now, (terms, transport)) = (clock.now(), told);
-        let listener = Listener::open(&mut reactor, parties.listen, limits.backlog, LISTENER)?;
+        let listener = Listener::open(
+            &mut reactor,
+            parties.listen,
+            limits.clients.backlog,
+            LISTENER,
+        )?;
         let at = listener.address()?;
         let idempotency = terms.operations.iter().map(|o| o.idempotency).collect();
         let discovery = Discovery::new(parties.discovery, terms.polls_endpoint_list, &limits);
@@ -175,7 +180,7 @@
             None => None,
         };
         let mut routing = Routing {
-            timers: Timers::new(limits.timers),
+            timers: Timers::new(limits.event_loop.timers),
             decisions: Router::start(terms, seed, now),
             chance: ChaCha8Rng::seed_from_u64(!seed),
             events: VecDeque::new(),
@@ -190,7 +195,7 @@
             last_inv: 0,
             links: BTreeMap::new(),
             idle_connections: IdleConnections::default(),
-            hosts: Hosts::new(limits.hosts),
+            hosts: Hosts::new(limits.discovery.hosts),
             ready: false,
             accept_due: false,
             shutdown: Shutdown::No,
@@ -215,12 +220,12 @@
         };
         routing
             .timers
-            .schedule(now + routing.limits.sweep, Due::Sweep);
+            .schedule(now + routing.limits.event_loop.expiry_interval, Due::Sweep);
         routing
             .timers
-            .schedule(now + routing.limits.ready_wait, Due::Ready);
-        info!(routing.log, "listening"; "at" => %at, "clients" => routing.limits.clients,
-            "host_links" => routing.limits.host_links);
+            .schedule(now + routing.limits.event_loop.ready_timeout, Due::Ready);
+        info!(routing.log, "listening"; "at" => %at, "clients" => routing.limits.clients.connections,
+            "host_links" => routing.limits.upstream.connections);
         Ok(routing)
     }
 
@@ -252,9 +257,9 @@
         let next = self
             .timers
             .next_deadline()
-            .map_or(self.limits.sleep, |at| at - now);
+            .map_or(self.limits.event_loop.max_sleep, |at| at - now);
         let sleep = if self.later.is_empty() && !self.is_staging() {
-            next.clamp(0.0, self.limits.sleep)
+            next.clamp(0.0, self.limits.event_loop.max_sleep)
         } else {
             0.0
         };
@@ -264,14 +269,14 @@
         let stall = (now - self.woken) + (woken - now - sleep).max(0.0);
         // A signal that ends a standstill can end the sleep with nothing told: what is there at once after that
         // was there before.
-        let carried = if self.told_nothing && woken - now < self.limits.at_once {
+        let carried = if self.told_nothing && woken - now < self.limits.event_loop.immediate_wake {
             self.stall
         } else {
             0.0
         };
         (self.stall, self.woken, self.told_nothing) =
             (stall.max(carried), woken, sockets.is_empty());
-        if self.stall > self.limits.stalled {
+        if self.stall > self.limits.event_loop.delay_warning {
             slog::warn!(self.log, "this process stood still"; "seconds" => self.stall);
         }
         if signals.stop {
@@ -378,10 +383,10 @@
 
     fn sweep(&mut self) {
         let now = self.clock.now();
-        self.set_due(now + self.limits.sweep, Due::Sweep);
+        self.set_due(now + self.limits.event_loop.expiry_interval, Due::Sweep);
         for id in self
             .idle_connections
-            .take_unused_since(now - self.limits.idle_time)
+            .take_unused_since(now - self.limits.upstream.idle_timeout)
         {
             self.close_link(id);
         }
@@ -391,7 +396,10 @@
         self.check_pulses(now);
         let using = self.links.values().map(Link::host).collect();
         self.hosts.forget_gone(&using);
-        if let Some(line) = self.tally.line(now, self.limits.tell_state) {
+        if let Some(line) = self
+            .tally
+            .line(now, self.limits.event_loop.state_log_interval)
+        {
             info!(self.log, "state"; "open" => self.admitted.len(), "clients" => self.clients.len(),
                 "links" => self.links.len(), "idle" => self.idle_connections.count(), "counts" => line);
         }
--- a/router/src/routing/peers.rs
+++ b/router/src/routing/peers.rs
@@ -27,7 +27,7 @@
         all: Option<SocketAddr>,
         limits: &Limits,
     ) -> io::Result<Self> {
-        let socket = DatagramSocket::open(reactor, listen, limits.datagram, PEERS)?;
+        let socket = DatagramSocket::open(reactor, listen, limits.peers.datagram_bytes, PEERS)?;
         let numbers = at
             .iter()
             .enumerate()
@@ -50,7 +50,7 @@
     pub(super) fn tell(&mut self, to: Option<RouterId>, payload: &[u8]) {
         let Some(peers) = &self.peers else { return };
         let to = to.map_or(peers.all, |router| peers.at.get(router.0 as usize).copied());
-        let Some(to) = to.filter(|_| payload.len() <= self.limits.datagram) else {
+        let Some(to) = to.filter(|_| payload.len() <= self.limits.peers.datagram_bytes) else {
             return debug!(self.log, "a message to a peer has no way"; "bytes" => payload.len());
         };
         self.tally.told_peers += 1;
@@ -62,14 +62,14 @@
     pub(super) fn peers_ready(&mut self) {
         let Some(peers) = &mut self.peers else { return };
         // Bounded: a flood leaves the rest to the next one, which it brings by itself.
-        for _ in 0..self.limits.datagrams {
+        for _ in 0..self.limits.peers.datagrams_per_wake {
             let Some((from, payload)) = peers.socket.receive() else {
                 return;
             };
             let known = peers
                 .numbers
                 .get(&from)
-                .filter(|_| payload.len() <= self.limits.datagram);
+                .filter(|_| payload.len() <= self.limits.peers.datagram_bytes);
             match known {
                 Some(from) => {
                     self.tally.heard_peers += 1;
@@ -82,7 +82,7 @@
                     self.tally.malformed += 1;
                     if self
                         .tally
-                        .complain(self.clock.now(), self.limits.complaints)
+                        .complain(self.clock.now(), self.limits.log.warnings_per_second)
                     {
                         info!(self.log, "a datagram is from no peer or too long"; "from" => %from);
                     }
--- a/router/src/routing/platform.rs
+++ b/router/src/routing/platform.rs
@@ -33,7 +33,7 @@
 
 impl Platform {
     pub(super) fn new(at: SocketAddr, limits: &Limits) -> Self {
-        let (votes, wait) = (BTreeMap::new(), limits.retry[0]);
+        let (votes, wait) = (BTreeMap::new(), limits.reconnect_backoff.initial);
         Platform {
             at,
             stream: None,
@@ -101,7 +101,7 @@
         self.platform_ready();
         self.platform_close();
         if let Some(platform) = &mut self.platform {
-            (platform.at, platform.wait) = (at, self.limits.retry[0]);
+            (platform.at, platform.wait) = (at, self.limits.reconnect_backoff.initial);
         }
         self.platform_begin();
     }
@@ -117,7 +117,7 @@
             age: 0.0,
             answers_vote: true,
         };
-        let most = self.limits.votes;
+        let most = self.limits.platform.pending_votes;
         let open =
             |platform: &&mut Platform| platform.stream.is_some() && platform.votes.len() < most;
         let Some(platform) = self.platform.as_mut().filter(open) else {
@@ -136,7 +136,7 @@
         );
         self.tally.votes += 1;
         info!(self.log, "vote cast"; "build" => build.0, "stage" => stage, "vote" => ?vote);
-        self.set_due(now + self.limits.vote_time, Due::VoteOver(call));
+        self.set_due(now + self.limits.platform.vote_timeout, Due::VoteOver(call));
         self.platform_ready();
     }
 
@@ -161,8 +161,8 @@
                 Err(e) => return self.platform_broke(&e.to_string()),
             }
             let filled = stream.read_available(
-                self.limits.line + self.limits.read_step,
-                self.limits.read_step,
+                self.limits.platform.line_bytes + self.limits.event_loop.read_bytes_per_turn,
+                self.limits.event_loop.read_bytes_per_turn,
             );
             if !stream.input().is_empty() {
                 platform.last = now;
@@ -189,7 +189,7 @@
             return false;
         };
         let broken = loop {
-            match platform::read(stream.input(), self.limits.line) {
+            match platform::read(stream.input(), self.limits.platform.line_bytes) {
                 Ok(None) => break None,
                 Ok(Some((told, used))) => {
                     self.platform_told(told);
@@ -220,13 +220,13 @@
         let due = open && platform.begun.is_none();
         platform.begun = open.then_some(now);
         if due {
-            self.set_due(now + self.limits.news_rest, Due::LineRest);
+            self.set_due(now + self.limits.message_stall_timeout, Due::LineRest);
         }
     }
 
     pub(super) fn line_rest(&mut self) {
         let begun = self.platform.as_ref().and_then(|platform| platform.begun);
-        let Some(until) = begun.map(|last| last + self.limits.news_rest) else {
+        let Some(until) = begun.map(|last| last + self.limits.message_stall_timeout) else {
             return;
         };
         if self.clock.now() < until {
@@ -241,13 +241,13 @@
         };
         match told {
             Told::State(state) => {
-                platform.wait = self.limits.retry[0];
+                platform.wait = self.limits.reconnect_backoff.initial;
                 platform.heard = true;
                 self.news(&state, false);
                 self.ready_by("news");
             }
             Told::Result { call, state } => {
-                platform.wait = self.limits.retry[0];
+                platform.wait = self.limits.reconnect_backoff.initial;
                 if let Some(vote) = platform.votes.remove(&call) {
                     match state {
                         Some(state) => self.news(&state, true),
@@ -321,9 +321,10 @@
             return;
         };
         // At once where the connection had stood for long; else later each time, never in step with others.
-        let stood = platform.stream.is_some() && now - platform.since >= self.limits.retry[1];
+        let stood = platform.stream.is_some()
+            && now - platform.since >= self.limits.reconnect_backoff.maximum;
         let again = now + if stood { 0.0 } else { spread * platform.wait };
-        platform.wait = (2.0 * platform.wait).min(self.limits.retry[1]);
+        platform.wait = (2.0 * platform.wait).min(self.limits.reconnect_backoff.maximum);
         self.platform_close();
         self.set_due(again, Due::PlatformAgain);
     }
@@ -348,7 +349,7 @@
     }
 
     pub(super) fn platform_check(&mut self, now: f64) {
-        let silence = self.limits.platform_silence;
+        let silence = self.limits.platform.silence_timeout;
         if self
             .platform
             .as_ref()
--- a/router/src/routing/relay.rs
+++ b/router/src/routing/relay.rs
@@ -88,7 +88,10 @@
         let done = queue.is_empty() && stream.unwritten() == 0;
         // Who was turned away is told that nothing more comes, and gets a while to read why.
         if done && *closing && lingers.is_none() && stream.shutdown_write().is_ok() {
-            *lingers = Some((now + self.limits.linger, self.limits.dropped));
+            *lingers = Some((
+                now + self.limits.clients.lingering_close,
+                self.limits.clients.discarded_bytes,
+            ));
         }
         if done && *closing && lingers.is_none() {
             self.client_left(id);
--- a/router/src/routing/send.rs
+++ b/router/src/routing/send.rs
@@ -112,8 +112,8 @@
             .values()
             .filter(|link| matches!(link.at_use, Use::Probe))
             .count();
-        let room = probes < self.limits.probes;
-        let (longest, write_within) = (f64::INFINITY, self.limits.connect_time);
+        let room = probes < self.limits.upstream.probes_in_flight;
+        let (longest, write_within) = (f64::INFINITY, self.limits.upstream.connect_timeout);
         let any = ConnectionRequirements {
             max_idle: longest,
             min_rest: 0.0,
@@ -132,7 +132,12 @@
         if let Some(link) = self.links.get_mut(&id) {
             host::write_probe(link.stream.output(), self.transport.reports != Reports::Off);
         }
-        self.begin_use(id, Use::Probe, now, (self.limits.probe_time, write_within));
+        self.begin_use(
+            id,
+            Use::Probe,
+            now,
+            (self.limits.upstream.probe_timeout, write_within),
+        );
     }
 
     fn begin_use(
@@ -153,7 +158,7 @@
         self.write_link(id);
         // Connecting has its time, and what is decided has to be written while what it was decided by holds.
         if self.links.get(&id).is_some_and(|link| !link.written) {
-            let within = self.limits.connect_time.min(write_within);
+            let within = self.limits.upstream.connect_timeout.min(write_within);
             self.set_due(now + within, Due::WriteOver(id, number));
         }
     }
@@ -166,7 +171,7 @@
                 .take_rested(host, now - on.min_rest, on.max_resting)
         {
             // Its host may be closing it by now; what is written then is reset, and may not be repeated.
-            if now - since > on.max_idle.min(self.limits.idle_time) {
+            if now - since > on.max_idle.min(self.limits.upstream.idle_timeout) {
                 self.close_link(id);
                 self.close_idle(host);
                 break;
@@ -185,7 +190,7 @@
             self.close_link(id);
         }
         let to = self.hosts.address(host)?;
-        if self.links.len() >= self.limits.host_links {
+        if self.links.len() >= self.limits.upstream.connections {
             let oldest = self.idle_connections.take_oldest()?;
             self.close_link(oldest);
         }
@@ -246,9 +251,10 @@
             if !matches!(link.stream.is_connected(), Ok(true)) {
                 return;
             }
-            let filled = link
-                .stream
-                .read_available(self.limits.resp.message, self.limits.read_step);
+            let filled = link.stream.read_available(
+                self.limits.resp.message,
+                self.limits.event_loop.read_bytes_per_turn,
+            );
             self.read_link(id, filled == ReadStatus::Closed);
             if filled == ReadStatus::Closed {
                 return self.link_broke(id);
@@ -378,7 +384,7 @@
         let clean = link.stream.input().is_empty() && link.stream.unwritten() == 0 && !ended;
         // The host may be gone, or another machine have its id by now.
         let wanted = self.hosts.wanted(link.host, link.to)
-            && self.idle_connections.count() < self.limits.idle_links;
+            && self.idle_connections.count() < self.limits.upstream.idle_connections;
         if clean && wanted {
             self.idle_connections.insert(link.host, id, now);
         } else {
--- a/router/src/routing/shutdown.rs
+++ b/router/src/routing/shutdown.rs
@@ -139,7 +139,7 @@
             Act::CloseIdle => self.drain_clients(),
             Act::CallLast => {
                 self.last_calls += 1;
-                let at = self.clock.now() + self.limits.last_call;
+                let at = self.clock.now() + self.limits.shutdown.quiet_time;
                 self.set_due(at, Due::LastCallOver(self.last_calls));
             }
             Act::CloseListener => self.close_listener(),
@@ -205,7 +205,11 @@
         info!(self.log, "stopping"; "open" => self.admitted.len(), "clients" => self.clients.len());
         // It may have been told while this process stood still, and the platform counts from there.
         let (now, told, limits) = (self.woken, self.woken - self.stall, &self.limits);
-        let (serving, last, end) = (limits.serving_on, limits.shutdown_last, limits.shutdown_end);
+        let (serving, last, end) = (
+            limits.shutdown.accept_time,
+            limits.shutdown.give_up,
+            limits.shutdown.exit,
+        );
         self.last_at = Some(told + last);
         self.set_due(now + serving, Due::ServingOver);
         self.set_due((now + serving).midpoint(told + last), Due::DrainingOver);
@@ -226,7 +230,7 @@
     /// Who waits to be accepted is still served; bounded, as a flood would never end.
     fn close_listener(&mut self) {
         info!(self.log, "closing"; "open" => self.admitted.len(), "clients" => self.clients.len());
-        (0..self.limits.backlog as usize / self.limits.accepts)
+        (0..self.limits.clients.backlog as usize / self.limits.clients.accepts_per_wake)
             .take_while(|_| self.accept())
             .for_each(drop);
         if let Some(listener) = self.listener.take() {
@@ -245,9 +249,9 @@
     /// After so long without a command or an answer a connection is closed.
     fn quiet(&self) -> f64 {
         if self.listener.is_some() {
-            self.limits.last_call
+            self.limits.shutdown.quiet_time
         } else {
-            self.limits.brief_quiet
+            self.limits.shutdown.brief_quiet_time
         }
     }
 
@@ -278,7 +282,11 @@
     /// unanswered, so that its client may send it once more.
     pub(super) fn drain_client(&mut self, id: SocketId) {
         let now = self.clock.now();
-        let (quiet, last_call, most) = (self.quiet(), self.limits.last_call, self.limits.dropped);
+        let (quiet, last_call, most) = (
+            self.quiet(),
+            self.limits.shutdown.quiet_time,
+            self.limits.clients.discarded_bytes,
+        );
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
--- a/router/src/routing/take_in.rs
+++ b/router/src/routing/take_in.rs
@@ -110,10 +110,10 @@
     pub(super) fn accept(&mut self) -> bool {
         let now = self.clock.now();
         // Bounded: who connects by hundreds at once leaves others their turn.
-        for _ in 0..self.limits.accepts {
+        for _ in 0..self.limits.clients.accepts_per_wake {
             // Who waits to be accepted may have written a command already: room is made, nobody is kept out.
-            if self.clients.len() >= self.limits.clients && !self.close_idle_client() {
-                return self.accept_again(now + self.limits.accept_again);
+            if self.clients.len() >= self.limits.clients.connections && !self.close_idle_client() {
+                return self.accept_again(now + self.limits.clients.accept_retry_delay);
             }
             self.close_stayer(now);
             let Some(listener) = &self.listener else {
@@ -126,7 +126,7 @@
                     // Those without use make room; else it is tried again, not at once.
                     if !out_of_descriptors(&e) || !self.free_descriptor() {
                         warn!(self.log, "no client can be accepted now"; "error" => %e);
-                        return self.accept_again(now + self.limits.accept_again);
+                        return self.accept_again(now + self.limits.clients.accept_retry_delay);
                     }
                 }
             }
@@ -158,7 +158,7 @@
     /// Closes a connection of no use, or one whose answers are stale: of the first rank the one that has been
     /// so for longest.
     fn close_idle_client(&mut self) -> bool {
-        let stale = self.clock.now() - self.limits.stale_answer;
+        let stale = self.clock.now() - self.limits.clients.stale_response_age;
         let of_no_use =
             |client: &Client| client.is_idle() || client.stuck.is_some_and(|since| since < stale);
         loop {
@@ -177,13 +177,13 @@
     /// Some clients ask once and keep their connection for good: all of them together may hold as many as their
     /// side can open, and none be left to ask on.
     fn close_stayer(&mut self, now: f64) {
-        let since = now - self.limits.stay;
+        let since = now - self.limits.clients.idle_timeout;
         let stays = |client: &Client| client.asked == 1 && client.used < since && client.is_idle();
         let stayers = self
             .clients
             .iter()
             .filter(|(_, client)| stays(client) && client.begun.is_none());
-        if stayers.clone().count() >= self.limits.stayers {
+        if stayers.clone().count() >= self.limits.clients.idle {
             let oldest = stayers
                 .min_by(|a, b| a.1.used.total_cmp(&b.1.used))
                 .map(|(id, _)| *id);
@@ -232,7 +232,7 @@
         }
         let filled = client.fill(
             self.limits.resp.message,
-            self.limits.read_step,
+            self.limits.event_loop.read_bytes_per_turn,
             arrived_since,
         );
         // Who has left more unread commands than are kept is gone all the same, with what waits for it.
@@ -258,9 +258,10 @@
         let Some((_, left)) = &mut client.lingers else {
             return;
         };
-        let filled = client
-            .stream
-            .read_available(self.limits.resp.message, self.limits.read_step);
+        let filled = client.stream.read_available(
+            self.limits.resp.message,
+            self.limits.event_loop.read_bytes_per_turn,
+        );
         let read = client.stream.input().len();
         client.stream.consume(read);
         *left = left.saturating_sub(read);
@@ -278,7 +279,7 @@
             let client = self.clients.get_mut(&id).filter(|client| !client.closing);
             let Some(client) = client else { return false };
             // Backpressure: who does not read answers gives no more commands.
-            if client.queue.len() >= limits.pipeline
+            if client.queue.len() >= limits.clients.pipelined_commands
                 || client.stream.unwritten() > limits.resp.value
             {
                 client.begun = None;
@@ -317,7 +318,7 @@
             client.consume(used);
             (client.used, client.asked, client.begun) = (self.clock.now(), client.asked + 1, None);
             client.unknown += usize::from(matches!(step, Step::Unknown));
-            if client.unknown > self.limits.unknown {
+            if client.unknown > self.limits.clients.unknown_commands {
                 return self.reject(id, &Malformed::new("too many unknown commands"));
             }
             progress = true;
@@ -368,7 +369,7 @@
                 Step::Fail(OPEN_ID)
             });
         }
-        if asked.time_millis as f64 > self.limits.longest_wait * 1e3 {
+        if asked.time_millis as f64 > self.limits.clients.max_time_limit * 1e3 {
             return Err(Malformed::new("the time (d) is beyond all sense"));
         }
         let kept: Kept = asked.keep();
@@ -410,12 +411,13 @@
     /// Whether a line about what others do wrong may be written: so many a second, the rest is counted.
     pub(super) fn complain(&mut self) -> bool {
         let now = self.clock.now();
-        self.tally.complain(now, self.limits.complaints)
+        self.tally
+            .complain(now, self.limits.log.warnings_per_second)
     }
 
     /// Turns away who has connected and said nothing for long, or has begun a command and not ended it.
     pub(super) fn close_unspoken(&mut self, now: f64) {
-        let since = now - self.limits.speak;
+        let since = now - self.limits.clients.command_timeout;
         let late = self
             .clients
             .iter()
@@ -482,7 +484,10 @@
 
     /// Closes connections whose clients have not read for long, and the fullest where too much is unread.
     pub(super) fn close_stuck(&mut self, now: f64) {
-        let (most, longest) = (self.limits.unread, self.limits.stuck_client);
+        let (most, longest) = (
+            self.limits.clients.unread_response_bytes,
+            self.limits.clients.write_timeout,
+        );
         let stuck = self
             .clients
             .iter()
--- a/router/tests/full_size.rs
+++ b/router/tests/full_size.rs
@@ -12,7 +12,8 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::{fs, thread};
 
-use kestreltide_router::protocol::discovery::{AnswerLimits, Chunks, response};
+use kestreltide_router::limits::ResponseLimits;
+use kestreltide_router::protocol::discovery::{Chunks, response};
 use kestreltide_testkit::*;
 use rstest::rstest;
 
@@ -273,7 +274,7 @@
         .windows(4)
         .position(|four| four == b"\r\n\r\n")
         .expect("a head");
-    let limits = AnswerLimits {
+    let limits = ResponseLimits {
         body: 100_000,
         head: 1000,
         frame: 10_000,
@@ -299,7 +300,7 @@
     "a chunk's size: "
 )]
 fn what_never_ends_is_refused_at_its_limit(#[case] begins: &str, #[case] why: &str) {
-    let limits = AnswerLimits {
+    let limits = ResponseLimits {
         body: 100_000,
         head: 1000,
         frame: 10_000,
--- a/router/tests/stories.rs
+++ b/router/tests/stories.rs
@@ -8,8 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use kestreltide_router::limits::RespLimits;
-use kestreltide_router::protocol::discovery::AnswerLimits;
+use kestreltide_router::limits::{RespLimits, ResponseLimits};
 use kestreltide_router::protocol::{client, discovery, host, platform};
 use kestreltide_testkit::*;
 use rstest::rstest;
@@ -863,7 +862,7 @@
             .expect("well formed")
             .map(|read| read.1)
     });
-    let answer = AnswerLimits {
+    let answer = ResponseLimits {
         body: 1000,
         head: 1000,
         frame: 1000,
