--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -8,8 +8,8 @@
 
 use kestreltide::interface::{RolloutStatus, ServiceSettings};
 use kestreltide_datastore::{Facts, HostRecord, RuleSettings, Snapshot};
-use kestreltide_file_watch::watch::{parse_files, wakes};
-use kestreltide_management::Handle;
+use kestreltide_file_watch::watch::{parse_files, wake_channel};
+use kestreltide_management::CommitServiceHandle;
 use slog::Logger;
 
 use super::keeper::{Ask, Keeper, KeeperTerms};
@@ -108,8 +108,8 @@
         let facts = Facts {
             now: clock.now(),
             discovery,
-            heard,
-            news,
+            discovery_received: heard,
+            rollout: news,
         };
         let (first, known) = keeper.begin(watching.as_ref(), &facts)?;
         let (asks, asked) = sync_channel(self.limits.management.datastore_requests);
@@ -122,7 +122,8 @@
         let keeper = keeper.map_err(failed)?;
         let mut wake = None;
         if let Some(watching) = watching {
-            let ((waker, nudged), tell, pulse) = (wakes(), asks.clone(), Pulse::new("watch"));
+            let ((waker, nudged), tell, pulse) =
+                (wake_channel(), asks.clone(), Pulse::new("watch"));
             wake = Some(waker.clone());
             pulses.push(pulse.clone());
             let mut known = known;
@@ -147,12 +148,12 @@
         }
         if let Some(opened) = opened {
             let ask = asks.clone();
-            let desk = Handle {
-                ask: Arc::new(move |asked| ask.try_send(Ask::CommitCoordinator(asked)).is_ok()),
+            let desk = CommitServiceHandle {
+                submit: Arc::new(move |asked| ask.try_send(Ask::CommitCoordinator(asked)).is_ok()),
                 published,
                 view: of_loop.view.clone(),
                 in_force: of_loop.in_force.clone(),
-                news: told,
+                notifications: told,
                 keys: opened.keys.clone(),
             };
             let pulse = Pulse::new("management");
--- a/router/src/limits/memory_budget.rs
+++ b/router/src/limits/memory_budget.rs
@@ -82,11 +82,11 @@
     /// How much operators may configure.
     pub fn operator_maximums(&self) -> Maximums {
         let memory = MemorySettings {
-            most: self.left_bytes,
-            host: HOST_BYTES,
-            host_set: HOST_SET_BYTES,
-            route: ROUTE_BYTES,
-            route_name: ROUTE_NAME_BYTES,
+            maximum: self.left_bytes,
+            per_host: HOST_BYTES,
+            per_configured_host: HOST_SET_BYTES,
+            per_route: ROUTE_BYTES,
+            per_route_name: ROUTE_NAME_BYTES,
         };
         Maximums {
             memory,
