--- a/router/src/routing/discovery.rs
+++ b/router/src/routing/discovery.rs
@@ -11,7 +11,7 @@
 use crate::limits::Limits;
 use crate::protocol::Malformed;
 use crate::protocol::discovery::{self, Chunks, List, Target};
-use crate::transport::{Fill, SocketId, Stream};
+use crate::transport::{ReadStatus, SocketId, Stream};
 
 const MILLIS: f64 = 1e3;
 
@@ -56,7 +56,7 @@
 
 impl Discovery {
     pub(super) fn new(at: SocketAddr, on_demand: bool, limits: &Limits) -> Self {
-        let (calls, wait) = (BTreeMap::new(), limits.retry[0]);
+        let (calls, wait) = (BTreeMap::new(), limits.reconnect_backoff.initial);
         let following = !on_demand;
         let (off, rev, taken, number, heard, told) = (false, None, 0, 0, false, false);
         Discovery {
@@ -137,7 +137,7 @@
         let calls: Vec<_> = self.discovery.calls.keys().copied().collect();
         calls.iter().for_each(|id| self.discovery_ready(*id));
         (self.discovery.at, self.discovery.rev, self.discovery.wait) =
-            (at, None, self.limits.retry[0]);
+            (at, None, self.limits.reconnect_backoff.initial);
         // Also those that were begun by what has just been read.
         for id in self.discovery.calls.keys().copied().collect::<Vec<_>>() {
             if let Some((asked, _)) = self.drop_call(id)
@@ -167,7 +167,7 @@
     }
 
     fn call(&mut self, asked: Asked) {
-        match Stream::connect(&mut self.net, self.discovery.at, NEWS) {
+        match Stream::connect(&mut self.reactor, self.discovery.at, NEWS) {
             Ok(stream) => {
                 let (id, now) = (stream.id, self.clock.now());
                 let chunks = Chunks::default();
@@ -195,7 +195,11 @@
         };
         // What was missed comes at once where a watch begins on demand, even if it is nothing.
         let at_once = self.discovery.on_demand && call.number == 0;
-        let hold = if at_once { 0.0 } else { self.limits.watch_hold };
+        let hold = if at_once {
+            0.0
+        } else {
+            self.limits.discovery.watch_hold
+        };
         self.discovery.number += 1;
         self.tally.lists += 1;
         (call.asked, call.number, call.begun) = (asked, self.discovery.number, None);
@@ -206,54 +210,60 @@
         discovery::write_get(call.stream.output(), at, watch);
         let in_turn = self.discovery.on_demand && hold <= 0.0 || asked == Asked::Once;
         let spare = if in_turn {
-            self.limits.turn
+            self.limits.discovery.list_poll_timeout
         } else {
-            self.limits.watch_spare
+            self.limits.discovery.watch_grace
         };
         let patience = if watch.is_some() { hold } else { 0.0 } + spare;
         let number = call.number;
         self.set_due(now + patience, Due::CallOver(id, number));
         // A connection that does not come up would cost a whole wait, in which all that is missed counts as told.
-        self.set_due(now + self.limits.news_rest, Due::CallUp(id, number));
+        self.set_due(
+            now + self.limits.message_stall_timeout,
+            Due::CallUp(id, number),
+        );
         self.discovery_ready(id);
     }
 
     pub(super) fn discovery_ready(&mut self, id: SocketId) {
-        let (most, step) = (self.limits.answer.whole(), self.limits.read_step);
+        let (most, step) = (
+            self.limits.discovery.response.max_total(),
+            self.limits.event_loop.read_bytes_per_turn,
+        );
         let Some(call) = self.discovery.calls.get_mut(&id) else {
             return;
         };
         let flushed = call
             .stream
-            .is_up()
+            .is_connected()
             .and_then(|up| if up { call.stream.flush() } else { Ok(false) });
         match flushed {
             Ok(true) => {}
             Ok(false) => return,
             Err(e) => return self.call_broke(id, &e.to_string()),
         }
-        let mut filled = Fill::More;
-        while filled == Fill::More && call.stream.input().len() < most {
-            filled = call.stream.fill(most, step);
+        let mut filled = ReadStatus::More;
+        while filled == ReadStatus::More && call.stream.input().len() < most {
+            filled = call.stream.read_available(most, step);
         }
         // Out of the map meanwhile: the list is read from the buffer.
         let Some(mut call) = self.discovery.calls.remove(&id) else {
             return;
         };
         let answer = self.take_response(&mut call);
-        let ended = filled == Fill::Ended;
+        let ended = filled == ReadStatus::Closed;
         match answer {
             Ok(None) if !ended => self.call_goes_on(id, call),
             Ok(None) => {
                 let (asked, since) = (call.asked, call.since);
-                call.stream.close(&self.net);
+                call.stream.close(&self.reactor);
                 self.call_failed(asked, since, "the connection ended");
             }
             Ok(Some((used, stays_open))) => {
                 let asked = call.asked;
                 call.stream.consume(used);
                 if ended || !stays_open || asked == Asked::Once || !self.discovery.following {
-                    call.stream.close(&self.net);
+                    call.stream.close(&self.reactor);
                     self.watch_begin();
                 } else {
                     self.discovery.calls.insert(id, call);
@@ -262,7 +272,7 @@
             }
             Err(why) => {
                 let (asked, since) = (call.asked, call.since);
-                call.stream.close(&self.net);
+                call.stream.close(&self.reactor);
                 self.tally.malformed += 1;
                 self.call_failed(asked, since, &why.to_string());
             }
@@ -270,14 +280,14 @@
     }
 
     fn take_response(&mut self, call: &mut Call) -> Result<Option<(usize, bool)>, Malformed> {
-        let (bytes, limits) = (call.stream.input(), self.limits.answer);
+        let (bytes, limits) = (call.stream.input(), self.limits.discovery.response);
         let Some((response, used)) = discovery::response(bytes, &limits, &mut call.chunks)? else {
-            let room = bytes.len() < limits.whole();
+            let room = bytes.len() < limits.max_total();
             // Nothing more of it would ever be read.
             let long = || {
                 Malformed::new(format!(
                     "the answer is too long (over {} bytes)",
-                    limits.whole()
+                    limits.max_total()
                 ))
             };
             return if room { Ok(None) } else { Err(long()) };
@@ -315,7 +325,7 @@
         }
         self.discovery.rev = Some(list.rev);
         self.discovery.taken += 1;
-        self.discovery.wait = self.limits.retry[0];
+        self.discovery.wait = self.limits.reconnect_backoff.initial;
         // On demand each call is answered, be it with nothing.
         if list.all || !list.targets.is_empty() || self.discovery.on_demand {
             self.take_list(&list, scope);
@@ -333,7 +343,7 @@
         if whole {
             self.tell_doubled(list);
         }
-        if self.hosts.len() + targets.len() > self.limits.hosts {
+        if self.hosts.len() + targets.len() > self.limits.discovery.hosts {
             self.make_room(&mut targets, whole);
         }
         let mut entries = Vec::with_capacity(targets.len());
@@ -356,7 +366,7 @@
         }
         if let Some(first) = left_out.first() {
             warn!(self.log, "more hosts are listed than can be kept"; "uid" => *first,
-                "left_out" => left_out.len(), "most" => self.limits.hosts);
+                "left_out" => left_out.len(), "most" => self.limits.discovery.hosts);
         }
         if whole {
             for host in self.hosts.only(&entries) {
@@ -421,14 +431,14 @@
     }
 
     pub(super) fn close_idle(&mut self, host: HostId) {
-        for id in self.pools.take_all(host) {
+        for id in self.idle_connections.take_all(host) {
             self.close_link(id);
         }
     }
 
     fn drop_call(&mut self, id: SocketId) -> Option<(Asked, f64)> {
         let call = self.discovery.calls.remove(&id)?;
-        call.stream.close(&self.net);
+        call.stream.close(&self.reactor);
         Some((call.asked, call.since))
     }
 
@@ -450,8 +460,9 @@
     }
 
     pub(super) fn call_up(&mut self, id: SocketId, number: u64) {
-        let down =
-            |call: &mut Call| call.number == number && !matches!(call.stream.is_up(), Ok(true));
+        let down = |call: &mut Call| {
+            call.number == number && !matches!(call.stream.is_connected(), Ok(true))
+        };
         if self.discovery.calls.get_mut(&id).is_some_and(down) {
             self.call_broke(id, "the connection does not come up");
         }
@@ -463,7 +474,10 @@
         let (now, come, number) = (self.clock.now(), call.stream.input().len(), call.number);
         if come > 0 && call.begun.is_none_or(|(before, _)| before < come) {
             if call.begun.is_none() {
-                self.set_due(now + self.limits.news_rest, Due::CallRest(id, number));
+                self.set_due(
+                    now + self.limits.message_stall_timeout,
+                    Due::CallRest(id, number),
+                );
             }
             call.begun = Some((come, now));
         }
@@ -479,7 +493,7 @@
         let Some((_, last)) = call.and_then(|call| call.begun) else {
             return;
         };
-        let until = last + self.limits.news_rest;
+        let until = last + self.limits.message_stall_timeout;
         if self.clock.now() < until {
             return self.set_due(until, Due::CallRest(id, number));
         }
@@ -495,14 +509,15 @@
             return self.events.push_back(Event::EndpointListFailed);
         }
         let now = self.clock.now();
-        let stood = now - since >= self.limits.retry[1];
+        let stood = now - since >= self.limits.reconnect_backoff.maximum;
         let at = now
             + if stood {
                 0.0
             } else {
                 self.discovery.wait * self.spread()
             };
-        self.discovery.wait = (2.0 * self.discovery.wait).min(self.limits.retry[1]);
+        self.discovery.wait =
+            (2.0 * self.discovery.wait).min(self.limits.reconnect_backoff.maximum);
         self.set_due(at, Due::WatchAgain);
     }
 }
