--- a/router/src/routing/fronts.rs
+++ b/router/src/routing/fronts.rs
@@ -10,7 +10,7 @@
 use slog::{info, warn};
 
 use super::{Due, FRONTS, Routing};
-use crate::transport::{Mail, Net, Post, SocketId};
+use crate::transport::{Inbox, InboxSender, Reactor, SocketId};
 
 /// What a front posts to the loop.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 
 /// The loop's end of it.
 pub struct Box {
-    mail: Mail<Notice>,
+    mail: Inbox<Notice>,
     view: Arc<ArcSwap<View>>,
     in_force: Arc<AtomicU64>,
 }
@@ -53,7 +53,7 @@
 /// What fronts hold of the loop.
 #[derive(Clone)]
 pub struct Loop {
-    pub post: Post<Notice>,
+    pub post: InboxSender<Notice>,
     pub view: Arc<ArcSwap<View>>,
     /// The revision in force there.
     pub in_force: Arc<AtomicU64>,
@@ -61,8 +61,8 @@
 
 impl Box {
     /// The two ends: the loop's, and what fronts hold.
-    pub fn open(net: &mut Net, most: usize) -> std::io::Result<(Self, Loop)> {
-        let (mail, post) = net.mail(most, FRONTS)?;
+    pub fn open(reactor: &mut Reactor, most: usize) -> std::io::Result<(Self, Loop)> {
+        let (mail, post) = reactor.inbox(most, FRONTS)?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
         let in_force = Arc::new(AtomicU64::new(0));
         let of_loop = Loop {
@@ -128,7 +128,7 @@
             .as_mut()
             .filter(|fronts| fronts.staging.is_none())
         {
-            let Some(notice) = fronts.open.mail.take() else {
+            let Some(notice) = fronts.open.mail.pop() else {
                 return;
             };
             match notice {
@@ -146,7 +146,8 @@
     /// Takes a revision, at once where it is short; a long list of who comes and goes is told ahead in parts, one
     /// a turn, so that the loop never stands still for it.
     pub fn take_revision(&mut self, snapshot: &Arc<Snapshot>) {
-        let ahead = snapshot.entries.len() > self.limits.staged && self.hosts.can_stage(snapshot);
+        let ahead = snapshot.entries.len() > self.limits.management.staged_hosts_per_turn
+            && self.hosts.can_stage(snapshot);
         match &mut self.fronts {
             Some(fronts) if ahead => fronts.staging = Some((snapshot.clone(), 0)),
             _ => self.put_in_force(snapshot, false),
@@ -167,7 +168,7 @@
             return self.fronts_ready();
         }
         let begun = self.clock.now();
-        let to = (from + self.limits.staged).min(snapshot.entries.len());
+        let to = (from + self.limits.management.staged_hosts_per_turn).min(snapshot.entries.len());
         self.route(Event::EndpointsStaged {
             entries: snapshot.entries.clone(),
             from,
@@ -219,7 +220,10 @@
             return;
         };
         fronts.stale = true;
-        self.set_due(self.clock.now() + self.limits.view, Due::View);
+        self.set_due(
+            self.clock.now() + self.limits.management.view_publish_delay,
+            Due::View,
+        );
     }
 
     pub(super) fn publish(&mut self) {
@@ -251,7 +255,7 @@
         };
         for (pulse, told) in &mut fronts.pulses {
             let last = pulse.last();
-            let still = last > 0.0 && now - last > self.limits.front_stall;
+            let still = last > 0.0 && now - last > self.limits.management.stall_timeout;
             if still && !*told {
                 warn!(self.log, "a front stands still"; "front" => pulse.name, "seconds" => now - last);
             }
