--- a/router/src/management_threads/datastore_thread.rs
+++ b/router/src/management_threads/datastore_thread.rs
@@ -26,7 +26,7 @@
 use super::persistence::{self, PendingVersion, PersistedState};
 use super::settings::FileWatchSettings;
 use crate::routing::{Notice, Pulse};
-use crate::transport::{Clock, Post};
+use crate::transport::{Clock, InboxSender};
 
 /// What is asked of the keeper.
 #[derive(Debug)]
@@ -194,7 +194,7 @@
         &mut self,
         asked: &Receiver<DatastoreRequest>,
         view: &ArcSwap<View>,
-        post: &Post<Notice>,
+        post: &InboxSender<Notice>,
         pulse: &Pulse,
     ) {
         loop {
