--- a/simulator-adapter/src/codec.rs
+++ b/simulator-adapter/src/codec.rs
@@ -1,22 +1,33 @@
-//! The wire's messages as events, terms and effects, and back. The wire's own names stay here.
+//! Translates the simulator's messages to events and host entries, and effects to messages.
+//!
+//! The protocol's own words occur only here and in [`crate::session`].
 
 use std::fmt::Write;
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
-use kestreltide::interface::*;
+use kestreltide::interface::{
+    AttemptNumber, AttemptOutcome, BuildId, CellId, Effect, Event, HostEntry, HostId, HostState,
+    KeyId, OperationId, Phase, Request, RequestId, RolloutStatus, RouterId, TimerKey, Vote,
+};
 use kestreltide_settings::{Fields, Names, TransportSettings, seconds};
 
-use crate::fields::micros;
+use crate::error::LineError;
+use crate::line::microseconds;
 
-pub fn decode_entry(line: &Fields, names: &mut Names) -> Result<HostEntry, String> {
+/// The addressee of a gossip message that goes to every other router.
+const ALL_ROUTERS: i64 = -1;
+/// A payload without bytes.
+const EMPTY_PAYLOAD: &str = "-";
+
+/// Decodes an `ENTRY` line: one host of a list.
+///
+/// # Errors
+///
+/// A field is missing, or its value is not of the protocol.
+pub(crate) fn decode_entry(line: &Fields, names: &mut Names) -> Result<HostEntry, LineError> {
     let started: u64 = line.maybe_whole("since")?.unwrap_or(0);
-    let state = match line.text("lifecycle")? {
-        "Running" => HostState::Running,
-        "Stopping" => HostState::Stopping,
-        "Deleted" => HostState::Gone,
-        other => return Err(format!("lifecycle {other} is not known")),
-    };
+    let state = host_state(line)?;
     Ok(HostEntry {
         host: HostId(line.whole("host")?),
         build: BuildId(line.number("runs")? as u16),
@@ -29,7 +40,23 @@
     })
 }
 
-fn outcome(line: &Fields) -> Result<AttemptOutcome, String> {
+fn host_state(line: &Fields) -> Result<HostState, LineError> {
+    match line.text("lifecycle")? {
+        "Running" => Ok(HostState::Running),
+        "Stopping" => Ok(HostState::Stopping),
+        "Deleted" => Ok(HostState::Gone),
+        other => Err(unknown_value("lifecycle", other)),
+    }
+}
+
+fn unknown_value(field: &'static str, value: impl ToString) -> LineError {
+    LineError::UnknownValue {
+        field,
+        value: value.to_string(),
+    }
+}
+
+fn outcome(line: &Fields) -> Result<AttemptOutcome, LineError> {
     Ok(match line.whole::<u32>("verdict")? {
         0 => AttemptOutcome::Succeeded,
         1 => AttemptOutcome::Error,
@@ -39,189 +66,233 @@
         5 => AttemptOutcome::Reset,
         6 => AttemptOutcome::Cancelled,
         7 => AttemptOutcome::Irrelevant,
-        other => return Err(format!("verdict {other} in {} is not known", line.name)),
+        number => {
+            return Err(LineError::UnknownOutcome {
+                number,
+                message: line.name.into(),
+            });
+        }
     })
 }
 
-fn payload(line: &Fields) -> Result<Vec<u8>, String> {
+fn phase(line: &Fields) -> Result<Phase, LineError> {
+    match line.maybe_whole::<u32>("course")?.unwrap_or(0) {
+        0 => Ok(Phase::Canary),
+        1 => Ok(Phase::RollingBack),
+        2 => Ok(Phase::Released),
+        3 => Ok(Phase::RolledBack),
+        other => Err(unknown_value("course", other)),
+    }
+}
+
+fn decode_payload(line: &Fields) -> Result<Vec<u8>, LineError> {
     match line.text("payload")? {
-        "-" => Ok(Vec::new()),
-        text => BASE64
-            .decode(text)
-            .map_err(|_| "payload in PEER is not base64".into()),
+        EMPTY_PAYLOAD => Ok(Vec::new()),
+        text => BASE64.decode(text).map_err(|_| LineError::PayloadNotBase64),
     }
 }
 
-pub fn decode_event(line: &Fields, wire: &TransportSettings) -> Result<Event, String> {
-    let request = || line.text("req").map(|id| RequestId(id.into()));
-    let host = || line.whole("host").map(HostId);
-    let attempt = || line.whole("leg").map(AttemptNumber);
-    let operation = || {
-        let kind = line.text("kind")?;
-        wire.operations
-            .get(kind)
-            .copied()
-            .ok_or_else(|| format!("kind {kind} is not known"))
-    };
+fn request_id(line: &Fields) -> Result<RequestId, LineError> {
+    Ok(RequestId(line.text("req")?.into()))
+}
+
+fn attempt_number(line: &Fields) -> Result<AttemptNumber, LineError> {
+    Ok(AttemptNumber(line.whole("leg")?))
+}
+
+fn host_id(line: &Fields) -> Result<HostId, LineError> {
+    Ok(HostId(line.whole("host")?))
+}
+
+fn operation(line: &Fields, transport: &TransportSettings) -> Result<OperationId, LineError> {
+    let kind = line.text("kind")?;
+    transport
+        .operations
+        .get(kind)
+        .copied()
+        .ok_or_else(|| unknown_value("kind", kind))
+}
+
+/// Decodes a message for one router; all but `MEMBERS`, whose list is held by the session.
+///
+/// # Errors
+///
+/// The message is not of the protocol, a field is missing, or its value is not of the protocol.
+pub(crate) fn decode_event(
+    line: &Fields,
+    transport: &TransportSettings,
+) -> Result<Event, LineError> {
     Ok(match line.name {
-        "JOB_IN" => Event::RequestReceived(Request {
-            id: request()?,
-            operation: operation()?,
-            key: line.maybe("affinity").map(|key| KeyId(key.into())),
-            time_left: line.time("time_budget")?,
-            work: line.maybe_whole("cost")?.map(seconds),
-            again: line.flag("retry")?,
-            pool: None,
-        }),
+        "JOB_IN" => Event::RequestReceived(received_request(line, transport)?),
         "UNDER_WAY" => Event::ResponseStarted {
-            request: request()?,
-            attempt: attempt()?,
-            host: host()?,
-        },
-        "ENDED" => Event::AttemptFinished {
-            request: request()?,
-            attempt: attempt()?,
-            host: host()?,
-            outcome: outcome(line)?,
-            over: line.flag("done_flag")?,
-            took: line.time("cost_time")?,
-            load: wire.load_in_order(&line.numbers("telemetry")?),
-            unused: None,
+            request: request_id(line)?,
+            attempt: attempt_number(line)?,
+            host: host_id(line)?,
         },
+        "ENDED" => attempt_finished(line, transport)?,
         "HANGUP" => Event::ClientDisconnected {
-            request: request()?,
+            request: request_id(line)?,
         },
         "DUE" => Event::TimerExpired {
             key: TimerKey(line.whole("key_back")?),
         },
         "PING_RESULT" => Event::HealthCheckFinished {
-            host: host()?,
+            host: host_id(line)?,
             outcome: outcome(line)?,
             took: line.time("cost_time")?,
-            load: wire.load_in_order(&line.numbers("telemetry")?),
+            load: transport.load_in_order(&line.numbers("telemetry")?),
         },
         "PEER" => Event::GossipReceived {
             from: RouterId(line.whole("src_peer")?),
-            payload: payload(line)?,
-        },
-        "PHASE_TOLD" => Event::RolloutStatusReceived(RolloutStatus {
-            outcome: outcome(line)?,
-            build: BuildId(line.maybe_whole("rel")?.unwrap_or(0)),
-            stage: line.maybe_whole("wave")?.unwrap_or(0),
-            phase: match line.maybe_whole::<u32>("course")?.unwrap_or(0) {
-                0 => Phase::Canary,
-                1 => Phase::RollingBack,
-                2 => Phase::Released,
-                3 => Phase::RolledBack,
-                other => return Err(format!("course {other} is not known")),
-            },
-            cap: if line.maybe("cap").is_some() {
-                line.number("cap")?
-            } else {
-                0.0
-            },
-            age: line.maybe_whole("behind")?.map_or(0.0, seconds),
-            answers_vote: line.flag("sense")?,
-        }),
-        "PERIOD_SUMS" => Event::BuildMetrics {
-            build: BuildId(line.whole("rel")?),
-            operation: operation()?,
-            attempts: line.number("samples")?,
-            failed: line.number("bad")?,
-            mean_time: line.maybe_whole("cost_time")?.map_or(0.0, seconds),
-            age: line.time("behind")?,
+            payload: decode_payload(line)?,
         },
+        "PHASE_TOLD" => Event::RolloutStatusReceived(rollout_status(line)?),
+        "PERIOD_SUMS" => build_metrics(line, transport)?,
         "DISPUTED" => Event::AnswerDisputed {
-            host: host()?,
-            operation: operation()?,
+            host: host_id(line)?,
+            operation: operation(line, transport)?,
             age: line.time("behind")?,
         },
-        other => return Err(format!("message {other} is not known")),
+        other => return Err(unknown_value("message", other)),
+    })
+}
+
+fn received_request(line: &Fields, transport: &TransportSettings) -> Result<Request, LineError> {
+    Ok(Request {
+        id: request_id(line)?,
+        operation: operation(line, transport)?,
+        key: line.maybe("affinity").map(|key| KeyId(key.into())),
+        time_left: line.time("time_budget")?,
+        work: line.maybe_whole("cost")?.map(seconds),
+        again: line.flag("retry")?,
+        pool: None,
+    })
+}
+
+fn attempt_finished(line: &Fields, transport: &TransportSettings) -> Result<Event, LineError> {
+    Ok(Event::AttemptFinished {
+        request: request_id(line)?,
+        attempt: attempt_number(line)?,
+        host: host_id(line)?,
+        outcome: outcome(line)?,
+        over: line.flag("done_flag")?,
+        took: line.time("cost_time")?,
+        load: transport.load_in_order(&line.numbers("telemetry")?),
+        unused: None,
+    })
+}
+
+fn rollout_status(line: &Fields) -> Result<RolloutStatus, LineError> {
+    Ok(RolloutStatus {
+        outcome: outcome(line)?,
+        build: BuildId(line.maybe_whole("rel")?.unwrap_or(0)),
+        stage: line.maybe_whole("wave")?.unwrap_or(0),
+        phase: phase(line)?,
+        cap: match line.maybe("cap") {
+            Some(_) => line.number("cap")?,
+            None => 0.0,
+        },
+        age: line.maybe_whole("behind")?.map_or(0.0, seconds),
+        answers_vote: line.flag("sense")?,
     })
 }
 
-/// Adds one line to the reply.
-pub fn encode(effect: &Effect, who: &str, out: &mut String) {
-    let written = match effect {
+fn build_metrics(line: &Fields, transport: &TransportSettings) -> Result<Event, LineError> {
+    Ok(Event::BuildMetrics {
+        build: BuildId(line.whole("rel")?),
+        operation: operation(line, transport)?,
+        attempts: line.number("samples")?,
+        failed: line.number("bad")?,
+        mean_time: line.maybe_whole("cost_time")?.map_or(0.0, seconds),
+        age: line.time("behind")?,
+    })
+}
+
+/// Appends the line of an effect of the router `who` to the reply.
+pub(crate) fn encode(effect: &Effect, who: &str, reply: &mut String) {
+    let name = message_name(effect);
+    let fields = encode_fields(effect);
+    let written = writeln!(reply, "{name} who={who}{fields}");
+    debug_assert!(written.is_ok(), "writing to a String does not fail");
+}
+
+fn message_name(effect: &Effect) -> &'static str {
+    match effect {
+        Effect::StartAttempt { .. } => "FORWARD",
+        Effect::CancelAttempt { .. } => "RECALL",
+        Effect::ShedRequest { .. } => "DECLINE",
+        Effect::FailRequest { .. } => "DROP_REQUEST",
+        Effect::ScheduleTimer { .. } => "DEFER",
+        Effect::StartHealthCheck { .. } => "POLL",
+        Effect::CloseIdleConnections { .. } => "LET_GO",
+        Effect::SendGossip { .. } => "BROADCAST_TO",
+        Effect::CastVote { .. } => "SAY_SO",
+        Effect::SubscribeEndpointList { .. } => "TAIL",
+        Effect::FetchEndpointList => "LOOKUP",
+        Effect::WriteLog { .. } => "JOURNAL_LINE",
+    }
+}
+
+/// The fields after the router's name, each with a space before it.
+fn encode_fields(effect: &Effect) -> String {
+    match effect {
         Effect::StartAttempt {
             request,
             host,
             time_out,
             ..
         } => {
-            let patience = micros(*time_out).max(1);
-            writeln!(
-                out,
-                "FORWARD who={who} req={} patience={patience} host={}",
-                request.0, host.0
-            )
+            let patience = microseconds(*time_out).max(1);
+            format!(" req={} patience={patience} host={}", request.0, host.0)
         }
         Effect::CancelAttempt { request, attempt } => {
-            writeln!(out, "RECALL who={who} req={} leg={}", request.0, attempt.0)
+            format!(" req={} leg={}", request.0, attempt.0)
         }
         Effect::ShedRequest {
             request,
             retry_after: None,
-        } => writeln!(out, "DECLINE who={who} req={}", request.0),
+        }
+        | Effect::FailRequest { request } => format!(" req={}", request.0),
         Effect::ShedRequest {
             request,
             retry_after: Some(time),
-        } => {
-            writeln!(
-                out,
-                "DECLINE who={who} req={} stay_away={}",
-                request.0,
-                micros(*time)
-            )
-        }
-        Effect::FailRequest { request } => {
-            writeln!(out, "DROP_REQUEST who={who} req={}", request.0)
-        }
+        } => format!(" req={} stay_away={}", request.0, microseconds(*time)),
         Effect::ScheduleTimer { at, key } => {
-            writeln!(
-                out,
-                "DEFER who={who} instant={} key_back={}",
-                micros(*at),
-                key.0
-            )
+            format!(" instant={} key_back={}", microseconds(*at), key.0)
+        }
+        Effect::StartHealthCheck { host } | Effect::CloseIdleConnections { host } => {
+            format!(" host={}", host.0)
         }
-        Effect::StartHealthCheck { host } => writeln!(out, "POLL who={who} host={}", host.0),
-        Effect::CloseIdleConnections { host } => writeln!(out, "LET_GO who={who} host={}", host.0),
         Effect::SendGossip { to, payload } => {
-            let whom = to.map_or(-1, |router| i64::from(router.0));
-            let bytes = if payload.is_empty() {
-                "-".into()
-            } else {
-                BASE64.encode(payload)
-            };
-            writeln!(out, "BROADCAST_TO who={who} whom={whom} payload={bytes}")
+            let whom = to.map_or(ALL_ROUTERS, |router| i64::from(router.0));
+            format!(" whom={whom} payload={}", encode_payload(payload))
         }
         Effect::CastVote { build, stage, vote } => {
-            let vote = match vote {
-                Vote::Abstain => 0,
-                Vote::Promote => 1,
-                Vote::Hold => 2,
-                Vote::RollBack => 3,
-            };
-            writeln!(
-                out,
-                "SAY_SO who={who} rel={} wave={stage} sense={vote}",
-                build.0
-            )
-        }
-        Effect::SubscribeEndpointList { on } => {
-            writeln!(out, "TAIL who={who} enable={}", u8::from(*on))
+            format!(" rel={} wave={stage} sense={}", build.0, vote_number(*vote))
         }
-        Effect::FetchEndpointList => writeln!(out, "LOOKUP who={who}"),
+        Effect::SubscribeEndpointList { on } => format!(" enable={}", u8::from(*on)),
+        Effect::FetchEndpointList => String::new(),
         Effect::WriteLog { text } => {
-            writeln!(
-                out,
-                "JOURNAL_LINE who={who} reason_text={}",
-                text.replace(['\n', '\r'], " ")
-            )
+            format!(" reason_text={}", text.replace(['\n', '\r'], " "))
         }
-    };
-    debug_assert!(written.is_ok());
+    }
+}
+
+fn encode_payload(payload: &[u8]) -> String {
+    if payload.is_empty() {
+        EMPTY_PAYLOAD.into()
+    } else {
+        BASE64.encode(payload)
+    }
+}
+
+fn vote_number(vote: Vote) -> u8 {
+    match vote {
+        Vote::Abstain => 0,
+        Vote::Promote => 1,
+        Vote::Hold => 2,
+        Vote::RollBack => 3,
+    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/simulator-adapter/src/line.rs
@@ -0,0 +1,45 @@
+//! One line of the protocol: the name of a message and its `name=value` fields.
+
+use kestreltide_settings::Fields;
+
+use crate::error::LineError;
+
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+/// Microseconds that undo the error of an earlier division by a million; far below the protocol's unit.
+const ROUNDING_MICROSECONDS: f64 = 0.01;
+
+/// Converts seconds to complete microseconds, rounded down; negative times become 0.
+pub(crate) fn microseconds(seconds: f64) -> u64 {
+    (seconds * MICROSECONDS_PER_SECOND + ROUNDING_MICROSECONDS)
+        .floor()
+        .max(0.0) as u64
+}
+
+/// Splits a line into its message name and fields.
+///
+/// # Errors
+///
+/// The line has no message name, a part is not `name=value`, or a field is unnamed or given twice.
+pub(crate) fn parse(text: &str) -> Result<Fields<'_>, LineError> {
+    let mut parts = text.split(' ');
+    let message = parts.next().unwrap_or_default();
+    if message.is_empty() || message.contains('=') {
+        return Err(LineError::NoMessageName);
+    }
+    let mut fields = Fields::new(message);
+    for part in parts {
+        let Some((key, value)) = part.split_once('=') else {
+            return Err(LineError::NotNameAndValue {
+                part: part.into(),
+                message: message.into(),
+            });
+        };
+        if !fields.add(key, value) {
+            return Err(LineError::UnnamedOrRepeatedField {
+                key: key.into(),
+                message: message.into(),
+            });
+        }
+    }
+    Ok(fields)
+}
