--- a/measure/src/capacity/fleet_run/hollow/tests.rs
+++ b/measure/src/capacity/fleet_run/hollow/tests.rs
@@ -1,4 +1,4 @@
-use kestreltide_settings::{Fields, Names, decode};
+use kestreltide_settings::{Fields, NameTable, decode};
 
 use super::*;
 use crate::capacity::fleet_run::host_table::BAD;
@@ -34,7 +34,12 @@
 
 fn router(surroundings: &Arc<Surroundings>, me: u32) -> HollowRouter {
     let settings = Plan::small().settings(me);
-    let (terms, _) = decode(&Fields::from_json("settings", &settings), &mut Names::Named).unwrap();
+    let terms = decode(
+        &Fields::from_json("settings", &settings),
+        &mut NameTable::Hashed,
+    )
+    .unwrap()
+    .service;
     HollowRouter::start(surroundings.clone(), terms, 5, 0.0)
 }
 
--- a/measure/src/capacity/fleet_run/net/hollow_router.rs
+++ b/measure/src/capacity/fleet_run/net/hollow_router.rs
@@ -11,7 +11,7 @@
 use kestreltide::interface::*;
 use kestreltide_router::limits::ResponseLimits;
 use kestreltide_router::protocol::{discovery, platform};
-use kestreltide_settings::{Fields, Names, decode};
+use kestreltide_settings::{Fields, NameTable, decode};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -68,8 +68,12 @@
 pub async fn run(me: u32, seed: u64, shared: Arc<Shared>) -> io::Result<()> {
     let socket = own_address(me, &shared).await?;
     let settings = shared.plan.settings(me);
-    let (terms, _) = decode(&Fields::from_json("settings", &settings), &mut Names::Named)
-        .map_err(io::Error::other)?;
+    let terms = decode(
+        &Fields::from_json("settings", &settings),
+        &mut NameTable::Hashed,
+    )
+    .map_err(io::Error::other)?
+    .service;
     let mut router = HollowRouter::start(shared.surroundings.clone(), terms, seed, shared.now());
     let (inputs, mut arrived) = mpsc::channel(WAITING);
     let (follow, follows) = mpsc::unbounded_channel();
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -328,7 +328,7 @@
             event_loop: EventLoopLimits::new(),
             clients: ClientLimits::new(counts.clients, connection_bytes, longest),
             requests: RequestLimits {
-                in_flight: counts.requests(transport.most_open),
+                in_flight: counts.requests(transport.max_open_connections),
                 stored_command_bytes: connection_bytes / 4,
             },
             upstream: UpstreamLimits::new(counts.upstream, transport),
@@ -415,10 +415,10 @@
         UpstreamLimits {
             connections,
             idle_connections: connections / 2,
-            idle_timeout: UPSTREAM_IDLE_FRACTION * transport.idle_time,
-            connect_timeout: transport.connect_time,
+            idle_timeout: UPSTREAM_IDLE_FRACTION * transport.idle_timeout,
+            connect_timeout: transport.connect_timeout,
             probes_in_flight: 64,
-            probe_timeout: transport.connect_time,
+            probe_timeout: transport.connect_timeout,
         }
     }
 }
--- a/router/src/program/config.rs
+++ b/router/src/program/config.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use kestreltide::interface::ServiceSettings;
-use kestreltide_settings::{Fields, Names, TransportSettings, decode};
+use kestreltide_settings::{Fields, NameTable, TransportSettings, decode};
 use serde::Deserialize;
 use serde::de::DeserializeSeed;
 use serde_json::Value;
@@ -142,7 +142,10 @@
         .map_err(|error| borne("the configuration", text.len(), "bytes", &error))?;
     let peers = peers(file.peers, &mut budget)?;
     let settings = settings(file.settings, &mut budget)?;
-    let (terms, transport) = decode(&Fields::from_json("settings", &settings), &mut Names::Named)?;
+    let settings = decode(
+        &Fields::from_json("settings", &settings),
+        &mut NameTable::Hashed,
+    )?;
     let known = file
         .known
         .map(|known| known_hosts(known, &budget))
@@ -161,8 +164,8 @@
         peers_all: file.peers_all,
         platform: file.platform,
         known,
-        terms,
-        transport,
+        terms: settings.service,
+        transport: settings.transport,
         budget,
     })
 }
--- a/router/src/routing/send.rs
+++ b/router/src/routing/send.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use kestreltide::interface::*;
-use kestreltide_settings::{Reports, TransportSettings};
+use kestreltide_settings::{LoadReporting, TransportSettings};
 use slog::{debug, warn};
 
 use super::{Due, HOSTS, Routing};
@@ -130,7 +130,10 @@
             });
         };
         if let Some(link) = self.links.get_mut(&id) {
-            host::write_probe(link.stream.output(), self.transport.reports != Reports::Off);
+            host::write_probe(
+                link.stream.output(),
+                self.transport.load_reporting != LoadReporting::Off,
+            );
         }
         self.begin_use(
             id,
@@ -322,7 +325,7 @@
                         (AttemptOutcome::Error, None)
                     }
                 };
-                let load = load.filter(|_| self.transport.reports == Reports::Inline);
+                let load = load.filter(|_| self.transport.load_reporting == LoadReporting::Inline);
                 let load = load
                     .map(TransportSettings::load_by_name)
                     .unwrap_or_default();
--- a/settings/src/fields.rs
+++ b/settings/src/fields.rs
@@ -1,4 +1,4 @@
-//! Named values as text, from a line of pairs or from nested JSON, and the conversions of plain values.
+//! Named values as text, from a line of pairs or from nested JSON, and their conversion to plain types.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -8,23 +8,27 @@
 
 use serde_json::Value;
 
-const MICROS: f64 = 1e6;
-/// Bytes of a path. Every key that is known is far shorter; each value below a long one would repeat it whole.
-const PATH: usize = 256;
+use crate::error::{SettingsError, SettingsProblem};
 
-/// Whole microseconds as seconds.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Bytes of a path. Known keys are far shorter; each value below a long path would repeat it whole.
+const MAX_PATH_BYTES: usize = 256;
+
+/// Integer microseconds as seconds.
 pub fn seconds(micros: u64) -> f64 {
-    micros as f64 / MICROS
+    micros as f64 / MICROS_PER_SECOND
 }
 
-/// A group of named values; the name of the group goes into every complaint about one of them.
+/// A group of named values.
 #[derive(Debug)]
 pub struct Fields<'a> {
+    /// The name of the group, with which the path of an error begins.
     pub name: &'a str,
     values: BTreeMap<Cow<'a, str>, Cow<'a, str>>,
 }
 
 impl<'a> Fields<'a> {
+    /// A group without values.
     pub fn new(name: &'a str) -> Self {
         Fields {
             name,
@@ -32,15 +36,17 @@
         }
     }
 
-    /// False where the name is empty or was there already.
-    pub fn add(&mut self, key: impl Into<Cow<'a, str>>, value: impl Into<Cow<'a, str>>) -> bool {
+    /// Adds a value; false where the key is empty or was there already.
+    pub fn insert(&mut self, key: impl Into<Cow<'a, str>>, value: impl Into<Cow<'a, str>>) -> bool {
         let key = key.into();
         !key.is_empty() && self.values.insert(key, value.into()).is_none()
     }
 
-    /// Paths of nested objects are joined by dots, lists of plain values by commas; lists of objects hold
-    /// their length under `.count` and their items under `.0`, `.1` and onward. What stands below a path of over
-    /// 256 bytes is passed over, as all keys that nobody knows.
+    /// The values of a JSON object, by their paths.
+    ///
+    /// The keys of nested objects are joined by dots, lists of plain values by commas; lists of objects hold their
+    /// length under `.count` and their items under `.0`, `.1` and onward. What stands below a path of more than
+    /// 256 bytes is ignored, as all unknown keys are.
     pub fn from_json(name: &'a str, value: &Value) -> Self {
         let mut fields = Fields::new(name);
         fields.flatten(String::new(), value);
@@ -56,151 +62,225 @@
             }
         };
         match value {
-            _ if path.len() > PATH => {}
+            _ if path.len() > MAX_PATH_BYTES => {}
             Value::Null => {}
-            Value::Object(map) => map
-                .iter()
-                .for_each(|(key, value)| self.flatten(below(key), value)),
+            Value::Object(map) => {
+                for (key, value) in map {
+                    self.flatten(below(key), value);
+                }
+            }
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.add(below("count"), items.len().to_string());
+                self.insert(below("count"), items.len().to_string());
                 for (place, item) in items.iter().enumerate() {
                     self.flatten(below(&place.to_string()), item);
                 }
             }
             Value::Array(items) => {
-                let all: Vec<_> = items.iter().map(plain).collect();
-                self.add(path, all.join(","));
+                let items: Vec<_> = items.iter().map(plain_text).collect();
+                self.insert(path, items.join(","));
+            }
+            other => {
+                self.insert(path, plain_text(other));
             }
-            other => drop(self.add(path, plain(other))),
         }
     }
 
-    pub fn maybe(&self, key: &str) -> Option<&str> {
+    /// The value of a key; none where it is absent or empty.
+    pub fn get(&self, key: &str) -> Option<&str> {
         self.values
             .get(key)
             .map(Cow::as_ref)
             .filter(|value| !value.is_empty())
     }
 
-    /// An error about one value: its path, what is wrong, what was given.
-    pub fn wrong(&self, key: &str, why: impl Display) -> String {
-        match self.maybe(key) {
-            Some(given) => format!("{}.{key}: {why} ({given} was given)", self.name),
-            None => format!("{}.{key}: {why}", self.name),
+    /// The error of a key's value.
+    pub fn error(&self, key: &str, problem: SettingsProblem) -> SettingsError {
+        SettingsError {
+            path: format!("{}.{key}", self.name),
+            problem,
+            found: self.get(key).map(str::to_owned),
         }
     }
 
-    pub fn text(&self, key: &str) -> Result<&str, String> {
-        self.maybe(key).ok_or_else(|| self.wrong(key, "is missing"))
+    /// The value of a key.
+    ///
+    /// # Errors
+    ///
+    /// Where it is missing.
+    pub fn text(&self, key: &str) -> Result<&str, SettingsError> {
+        self.get(key)
+            .ok_or_else(|| self.error(key, SettingsProblem::Missing))
     }
 
-    /// One of these words, as what it stands for.
-    pub fn one_of<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Result<T, String> {
+    /// The meaning of a value that is one of `words`, which come with their meanings.
+    ///
+    /// # Errors
+    ///
+    /// Where the value is missing or none of the words.
+    pub fn one_of<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Result<T, SettingsError> {
         let text = self.text(key)?;
-        let found = words
-            .iter()
-            .find(|(word, _)| *word == text)
-            .map(|(_, meaning)| *meaning);
-        let known = || {
-            words
-                .iter()
-                .map(|(word, _)| *word)
-                .collect::<Vec<_>>()
-                .join(", ")
-        };
-        found.ok_or_else(|| self.wrong(key, format_args!("is none of {}", known())))
+        let found = words.iter().find(|(word, _)| *word == text);
+        found.map(|(_, meaning)| *meaning).ok_or_else(|| {
+            let expected = words.iter().map(|(word, _)| (*word).to_owned()).collect();
+            self.error(key, SettingsProblem::UnknownWord { expected })
+        })
     }
 
-    fn read<T: FromStr>(&self, key: &str, value: &str, kind: &str) -> Result<T, String> {
-        value
-            .parse()
-            .map_err(|_| self.wrong(key, format_args!("is {kind}")))
+    fn parse<T: FromStr>(
+        &self,
+        key: &str,
+        value: &str,
+        problem: SettingsProblem,
+    ) -> Result<T, SettingsError> {
+        value.parse().map_err(|_| self.error(key, problem))
     }
 
-    fn within<T: PartialOrd + Display>(
+    fn check_range<T: PartialOrd + Display>(
         &self,
         key: &str,
         value: T,
-        sense: &RangeInclusive<T>,
-    ) -> Result<T, String> {
-        if sense.contains(&value) {
+        range: &RangeInclusive<T>,
+    ) -> Result<T, SettingsError> {
+        if range.contains(&value) {
             return Ok(value);
         }
-        Err(self.wrong(
-            key,
-            format_args!("is not within {} and {}", sense.start(), sense.end()),
-        ))
+        let problem = SettingsProblem::OutOfRange {
+            minimum: range.start().to_string(),
+            maximum: range.end().to_string(),
+        };
+        Err(self.error(key, problem))
     }
 
-    pub fn whole<T: FromStr>(&self, key: &str) -> Result<T, String> {
-        self.read(key, self.text(key)?, "no whole number, or beyond all sense")
+    /// An integer of the wanted type.
+    ///
+    /// # Errors
+    ///
+    /// Where the value is missing, no integer or too large for the type.
+    pub fn integer<T: FromStr>(&self, key: &str) -> Result<T, SettingsError> {
+        self.parse(key, self.text(key)?, SettingsProblem::NotAnInteger)
     }
 
-    /// A whole number from 0 on.
-    pub fn count<T: FromStr + PartialOrd + Display>(
+    /// An integer within a range.
+    ///
+    /// # Errors
+    ///
+    /// Where the value is missing, no integer or out of the range.
+    pub fn integer_in<T: FromStr + PartialOrd + Display>(
         &self,
         key: &str,
-        sense: RangeInclusive<T>,
-    ) -> Result<T, String> {
-        self.within(key, self.whole(key)?, &sense)
+        range: RangeInclusive<T>,
+    ) -> Result<T, SettingsError> {
+        self.check_range(key, self.integer(key)?, &range)
     }
 
-    pub fn maybe_whole<T: FromStr>(&self, key: &str) -> Result<Option<T>, String> {
-        self.maybe(key).map(|_| self.whole(key)).transpose()
+    /// An integer that may be absent.
+    ///
+    /// # Errors
+    ///
+    /// Where there is a value that is no integer or too large for the type.
+    pub fn optional_integer<T: FromStr>(&self, key: &str) -> Result<Option<T>, SettingsError> {
+        self.get(key).map(|_| self.integer(key)).transpose()
     }
 
-    pub fn number(&self, key: &str) -> Result<f64, String> {
+    /// A finite number.
+    ///
+    /// # Errors
+    ///
+    /// Where the value is missing, no number or not finite.
+    pub fn number(&self, key: &str) -> Result<f64, SettingsError> {
         self.number_in(key, f64::MIN..=f64::MAX)
     }
 
-    /// Whole microseconds, as seconds.
-    pub fn time(&self, key: &str) -> Result<f64, String> {
-        Ok(seconds(self.whole(key)?))
+    /// A number within a range.
+    ///
+    /// # Errors
+    ///
+    /// Where the value is missing, no number or out of the range.
+    pub fn number_in(&self, key: &str, range: RangeInclusive<f64>) -> Result<f64, SettingsError> {
+        let number = self.parse(key, self.text(key)?, SettingsProblem::NotANumber)?;
+        self.check_range(key, number, &range)
     }
 
-    /// What is absent is not so.
-    pub fn flag(&self, key: &str) -> Result<bool, String> {
-        Ok(self.maybe(key).is_some() && self.yes_or_no(key)?)
+    /// A time in integer microseconds, as seconds.
+    ///
+    /// # Errors
+    ///
+    /// Where the value is missing or no integer.
+    pub fn time(&self, key: &str) -> Result<f64, SettingsError> {
+        Ok(seconds(self.integer(key)?))
     }
 
-    pub fn number_in(&self, key: &str, sense: RangeInclusive<f64>) -> Result<f64, String> {
-        self.within(key, self.read(key, self.text(key)?, "no number")?, &sense)
-    }
-
-    /// A time in whole microseconds, as seconds.
-    pub fn time_in(&self, key: &str, sense: RangeInclusive<f64>) -> Result<f64, String> {
+    /// A time in integer microseconds, as seconds, within a range in seconds.
+    ///
+    /// # Errors
+    ///
+    /// Where the value is missing, no integer or out of the range.
+    pub fn time_in(&self, key: &str, range: RangeInclusive<f64>) -> Result<f64, SettingsError> {
         let time = self.time(key)?;
-        if sense.contains(&time) {
+        if range.contains(&time) {
             return Ok(time);
         }
-        let bounds = format!("{} and {}", sense.start() * MICROS, sense.end() * MICROS);
-        Err(self.wrong(key, format_args!("is not within {bounds} microseconds")))
+        let micros = |seconds: &f64| (seconds * MICROS_PER_SECOND).to_string();
+        let problem = SettingsProblem::TimeOutOfRange {
+            minimum_micros: micros(range.start()),
+            maximum_micros: micros(range.end()),
+        };
+        Err(self.error(key, problem))
     }
 
-    pub fn yes_or_no(&self, key: &str) -> Result<bool, String> {
+    /// A truth value.
+    ///
+    /// # Errors
+    ///
+    /// Where the value is missing or none of `true`, `1`, `false` and `0`.
+    pub fn boolean(&self, key: &str) -> Result<bool, SettingsError> {
         self.one_of(
             key,
             &[("true", true), ("1", true), ("false", false), ("0", false)],
         )
     }
 
-    /// Numbers joined by commas; what is absent has none.
-    pub fn numbers(&self, key: &str) -> Result<Vec<f64>, String> {
-        if self.maybe(key).is_some() {
+    /// A truth value that is false where it is absent.
+    ///
+    /// # Errors
+    ///
+    /// Where there is a value that is none of `true`, `1`, `false` and `0`.
+    pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
+        Ok(self.get(key).is_some() && self.boolean(key)?)
+    }
+
+    /// Finite numbers joined by commas; an absent list is empty.
+    ///
+    /// # Errors
+    ///
+    /// Where an element is no number or not finite.
+    pub fn numbers(&self, key: &str) -> Result<Vec<f64>, SettingsError> {
+        if self.get(key).is_some() {
             self.numbers_in(key, f64::MIN..=f64::MAX)
         } else {
             Ok(vec![])
         }
     }
 
-    /// Numbers joined by commas, at least one.
-    pub fn numbers_in(&self, key: &str, sense: RangeInclusive<f64>) -> Result<Vec<f64>, String> {
-        let read = |value| self.within(key, self.read(key, value, "no list of numbers")?, &sense);
-        self.text(key)?.split(',').map(read).collect()
+    /// Numbers joined by commas, at least one, each within a range.
+    ///
+    /// # Errors
+    ///
+    /// Where the list is missing, or an element is no number or out of the range.
+    pub fn numbers_in(
+        &self,
+        key: &str,
+        range: RangeInclusive<f64>,
+    ) -> Result<Vec<f64>, SettingsError> {
+        let element = |value| {
+            let number = self.parse(key, value, SettingsProblem::NotANumberList)?;
+            self.check_range(key, number, &range)
+        };
+        self.text(key)?.split(',').map(element).collect()
     }
 }
 
-fn plain(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_owned)
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings that are none: each is refused by its path, and nothing is put in the place of what is missing.
 
-use kestreltide_settings::{Fields, Names, decode};
+use kestreltide_settings::{Fields, NameTable, decode};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -26,7 +26,12 @@
 }
 
 fn refusal(settings: &Value) -> Option<String> {
-    decode(&Fields::from_json("settings", settings), &mut Names::Named).err()
+    decode(
+        &Fields::from_json("settings", settings),
+        &mut NameTable::Hashed,
+    )
+    .err()
+    .map(|error| error.to_string())
 }
 
 /// The place of a path in the object.
@@ -184,7 +189,7 @@
     let long = "k".repeat(257);
     settings[&long] = json!({"a": 1, "b": [{"c": 2}]});
     let fields = Fields::from_json("settings", &settings);
-    assert_eq!(fields.maybe(&format!("{long}.a")), None);
-    assert_eq!(fields.maybe(&format!("{long}.b.0.c")), None);
+    assert_eq!(fields.get(&format!("{long}.a")), None);
+    assert_eq!(fields.get(&format!("{long}.b.0.c")), None);
     assert_eq!(refusal(&settings), None);
 }
--- a/simulator-adapter/src/codec.rs
+++ b/simulator-adapter/src/codec.rs
@@ -5,12 +5,12 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use kestreltide::interface::*;
-use kestreltide_settings::{Fields, Names, TransportSettings, seconds};
+use kestreltide_settings::{Fields, NameTable, TransportSettings, seconds};
 
 use crate::fields::micros;
 
-pub fn decode_entry(line: &Fields, names: &mut Names) -> Result<HostEntry, String> {
-    let started: u64 = line.maybe_whole("since")?.unwrap_or(0);
+pub fn decode_entry(line: &Fields, names: &mut NameTable) -> Result<HostEntry, String> {
+    let started: u64 = line.optional_integer("since")?.unwrap_or(0);
     let state = match line.text("lifecycle")? {
         "Running" => HostState::Running,
         "Stopping" => HostState::Stopping,
@@ -18,10 +18,10 @@
         other => return Err(format!("lifecycle {other} is not known")),
     };
     Ok(HostEntry {
-        host: HostId(line.whole("host")?),
+        host: HostId(line.integer("host")?),
         build: BuildId(line.number("runs")? as u16),
         zone: names.zone(line.text("locality")?),
-        cell: CellId(line.whole("block")?),
+        cell: CellId(line.integer("block")?),
         kind: names.kind(line.text("family_type")?),
         size: line.number("heft")?,
         started: (started > 0).then(|| seconds(started)),
@@ -30,7 +30,7 @@
 }
 
 fn outcome(line: &Fields) -> Result<AttemptOutcome, String> {
-    Ok(match line.whole::<u32>("verdict")? {
+    Ok(match line.integer::<u32>("verdict")? {
         0 => AttemptOutcome::Succeeded,
         1 => AttemptOutcome::Error,
         2 => AttemptOutcome::Rejected,
@@ -54,8 +54,8 @@
 
 pub fn decode_event(line: &Fields, wire: &TransportSettings) -> Result<Event, String> {
     let request = || line.text("req").map(|id| RequestId(id.into()));
-    let host = || line.whole("host").map(HostId);
-    let attempt = || line.whole("leg").map(AttemptNumber);
+    let host = || line.integer("host").map(HostId);
+    let attempt = || line.integer("leg").map(AttemptNumber);
     let operation = || {
         let kind = line.text("kind")?;
         wire.operations
@@ -67,9 +67,9 @@
         "JOB_IN" => Event::RequestReceived(Request {
             id: request()?,
             operation: operation()?,
-            key: line.maybe("affinity").map(|key| KeyId(key.into())),
+            key: line.get("affinity").map(|key| KeyId(key.into())),
             time_left: line.time("time_budget")?,
-            work: line.maybe_whole("cost")?.map(seconds),
+            work: line.optional_integer("cost")?.map(seconds),
             again: line.flag("retry")?,
             pool: None,
         }),
@@ -92,7 +92,7 @@
             request: request()?,
         },
         "DUE" => Event::TimerExpired {
-            key: TimerKey(line.whole("key_back")?),
+            key: TimerKey(line.integer("key_back")?),
         },
         "PING_RESULT" => Event::HealthCheckFinished {
             host: host()?,
@@ -101,34 +101,34 @@
             load: wire.load_in_order(&line.numbers("telemetry")?),
         },
         "PEER" => Event::GossipReceived {
-            from: RouterId(line.whole("src_peer")?),
+            from: RouterId(line.integer("src_peer")?),
             payload: payload(line)?,
         },
         "PHASE_TOLD" => Event::RolloutStatusReceived(RolloutStatus {
             outcome: outcome(line)?,
-            build: BuildId(line.maybe_whole("rel")?.unwrap_or(0)),
-            stage: line.maybe_whole("wave")?.unwrap_or(0),
-            phase: match line.maybe_whole::<u32>("course")?.unwrap_or(0) {
+            build: BuildId(line.optional_integer("rel")?.unwrap_or(0)),
+            stage: line.optional_integer("wave")?.unwrap_or(0),
+            phase: match line.optional_integer::<u32>("course")?.unwrap_or(0) {
                 0 => Phase::Canary,
                 1 => Phase::RollingBack,
                 2 => Phase::Released,
                 3 => Phase::RolledBack,
                 other => return Err(format!("course {other} is not known")),
             },
-            cap: if line.maybe("cap").is_some() {
+            cap: if line.get("cap").is_some() {
                 line.number("cap")?
             } else {
                 0.0
             },
-            age: line.maybe_whole("behind")?.map_or(0.0, seconds),
+            age: line.optional_integer("behind")?.map_or(0.0, seconds),
             answers_vote: line.flag("sense")?,
         }),
         "PERIOD_SUMS" => Event::BuildMetrics {
-            build: BuildId(line.whole("rel")?),
+            build: BuildId(line.integer("rel")?),
             operation: operation()?,
             attempts: line.number("samples")?,
             failed: line.number("bad")?,
-            mean_time: line.maybe_whole("cost_time")?.map_or(0.0, seconds),
+            mean_time: line.optional_integer("cost_time")?.map_or(0.0, seconds),
             age: line.time("behind")?,
         },
         "DISPUTED" => Event::AnswerDisputed {
--- a/simulator-adapter/src/codec/tests.rs
+++ b/simulator-adapter/src/codec/tests.rs
@@ -21,9 +21,9 @@
         .find(|line| line.starts_with("ATTACH "))
         .expect("an ATTACH line");
     let fields = parse(attach).expect("a line of the wire");
-    kestreltide_settings::decode(&fields, &mut Names::default())
+    kestreltide_settings::decode(&fields, &mut NameTable::default())
         .expect("settings")
-        .1
+        .transport
 }
 
 fn event(line: &str) -> Result<Event, String> {
@@ -127,7 +127,7 @@
         "ENTRY runs=42 block=5 locality=caxias since=6100000 host=747639282 lifecycle={word} \
          family_type=c2-std heft=1.5"
     );
-    let mut names = Names::default();
+    let mut names = NameTable::default();
     let (zone, kind) = (names.zone("caxias"), names.kind("c2-std"));
     let entry = HostEntry {
         host: HostId(747639282),
--- a/simulator-adapter/src/fields.rs
+++ b/simulator-adapter/src/fields.rs
@@ -22,7 +22,7 @@
         let (key, value) = part
             .split_once('=')
             .ok_or_else(|| format!("'{part}' in {name} is not name=value"))?;
-        if !fields.add(key, value) {
+        if !fields.insert(key, value) {
             return Err(format!("field '{key}' in {name} is unnamed or given twice"));
         }
     }
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -13,7 +13,7 @@
 use codec::{decode_entry, decode_event, encode};
 use kestreltide::decisions::Router;
 use kestreltide::interface::{Effect, Event, HostEntry, ListScope};
-use kestreltide_settings::{Fields, Names, TransportSettings, decode, seconds};
+use kestreltide_settings::{Fields, NameTable, TransportSettings, decode, seconds};
 
 struct Instance {
     router: Router,
@@ -25,7 +25,7 @@
 struct Link {
     instances: BTreeMap<String, Instance>,
     lists: BTreeMap<u64, Arc<[HostEntry]>>,
-    names: Names,
+    names: NameTable,
     moment: Option<u64>,
     /// A list that is being read: its number, the entries still to come, and those read.
     filling: Option<(u64, u64, Vec<HostEntry>)>,
@@ -46,7 +46,7 @@
             return Ok(false);
         }
         if line.name == "SYNC" {
-            let moment = line.whole("moment")?;
+            let moment = line.integer("moment")?;
             if self.moment.is_some() {
                 return Err("SYNC before the batch has ended".into());
             }
@@ -64,13 +64,16 @@
                 return Ok(true);
             }
             "DEFINE_LIST" => {
-                let (slot, entries) = (line.whole("slot")?, line.whole("members")?);
+                let (slot, entries) = (line.integer("slot")?, line.integer("members")?);
                 self.fill(slot, entries, Vec::new());
             }
             "ATTACH" => {
-                let (who, seed) = (line.text("who")?, line.whole("init_seed")?);
-                let (terms, wire) = decode(&line, &mut self.names)?;
-                let start = catch_unwind(AssertUnwindSafe(|| Router::start(terms, seed, now)));
+                let (who, seed) = (line.text("who")?, line.integer("init_seed")?);
+                let settings = decode(&line, &mut self.names)?;
+                let wire = settings.transport;
+                let start = catch_unwind(AssertUnwindSafe(|| {
+                    Router::start(settings.service, seed, now)
+                }));
                 match start {
                     Ok(router) => {
                         drop(self.instances.insert(who.into(), Instance { router, wire }))
@@ -113,7 +116,7 @@
                 "error" => return Ok(Event::EndpointListFailed),
                 other => return Err(format!("scope {other} is not known")),
             };
-            let slot = line.whole("slot")?;
+            let slot = line.integer("slot")?;
             let entries = self
                 .lists
                 .get(&slot)
