--- a/simulator-adapter/src/session.rs
+++ b/simulator-adapter/src/session.rs
@@ -6,7 +6,7 @@
 
 use kestreltide::decisions::Router;
 use kestreltide::interface::{Effect, Event, HostEntry, ListScope};
-use kestreltide_settings::{Fields, Names, TransportSettings, decode, seconds};
+use kestreltide_settings::{Fields, NameTable, TransportSettings, decode, seconds};
 
 use crate::codec::{decode_entry, decode_event, encode};
 use crate::error::LineError;
@@ -40,7 +40,7 @@
 pub(crate) struct Session {
     instances: BTreeMap<String, Instance>,
     lists: BTreeMap<u64, Arc<[HostEntry]>>,
-    names: Names,
+    names: NameTable,
     /// The time of the batch in progress, in microseconds.
     batch_time: Option<u64>,
     partial_list: Option<PartialList>,
@@ -95,7 +95,7 @@
     }
 
     fn begin_batch(&mut self, line: &Fields) -> Result<(), LineError> {
-        let time = line.whole("moment")?;
+        let time = line.integer("moment")?;
         if self.batch_time.is_some() {
             return Err(LineError::BatchNotEnded);
         }
@@ -105,8 +105,8 @@
 
     fn begin_list(&mut self, line: &Fields) -> Result<(), LineError> {
         let list = PartialList {
-            number: line.whole("slot")?,
-            remaining: line.whole("members")?,
+            number: line.integer("slot")?,
+            remaining: line.integer("members")?,
             entries: Vec::new(),
         };
         self.store_list(list);
@@ -136,9 +136,12 @@
 
     fn attach(&mut self, line: &Fields, now: f64) -> Result<(), LineError> {
         let who = line.text("who")?;
-        let seed = line.whole("init_seed")?;
-        let (settings, transport) = decode(line, &mut self.names)?;
-        let started = catch_unwind(AssertUnwindSafe(|| Router::start(settings, seed, now)));
+        let seed = line.integer("init_seed")?;
+        let settings = decode(line, &mut self.names)?;
+        let transport = settings.transport;
+        let started = catch_unwind(AssertUnwindSafe(|| {
+            Router::start(settings.service, seed, now)
+        }));
         match started {
             Ok(router) => {
                 let instance = Instance { router, transport };
@@ -205,7 +208,7 @@
             });
         }
     };
-    let number = line.whole("slot")?;
+    let number = line.integer("slot")?;
     let entries = lists
         .get(&number)
         .ok_or(LineError::UndefinedList(number))?
