--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -13,10 +13,10 @@
 use kestreltide_datastore::HostRecord;
 use slog::{Logger, error, info, warn};
 
-use crate::fronts::{Fronts, Opening, OperatorTerms};
 use crate::limits::Limits;
+use crate::management_threads::{ManagementThreads, OperatorSettings, ThreadContext};
 use crate::routing::{Parties, Routing, Turn};
-use crate::transport::{Clock, Net};
+use crate::transport::{Clock, Reactor};
 use config::{Fixed, Told, When};
 
 /// kestreltide splits invocations between an earlier and a trial build of a service, and votes the trial on
@@ -115,14 +115,14 @@
     Limits::new(
         told.limits.sockets,
         told.limits.memory_mb,
-        &told.room,
+        &told.budget,
         &told.terms,
         &told.transport,
     )
 }
 
 fn run(serve: &Serve) -> Result<(), String> {
-    let mut net = Net::start().map_err(|e| format!("the event loop cannot start: {e}"))?;
+    let mut reactor = Reactor::start().map_err(|e| format!("the event loop cannot start: {e}"))?;
     let text = config::load(serve.config.clone())?;
     let told = config::read(&text, When::Start)?;
     let operators = operators(&serve.operator)?;
@@ -152,7 +152,7 @@
         of_fronts.map(|known| known.targets.iter().map(|t| t.listed()).collect());
     let operations = told.transport.operations.keys().cloned().collect();
     let (router, terms) = (&told.name, &told.terms);
-    let open = Opening {
+    let open = ThreadContext {
         log: &log,
         clock,
         limits: &limits,
@@ -160,9 +160,16 @@
         terms,
         operations,
     };
-    let joined = open.fronts(&mut net, &operators, listed, news)?;
+    let joined = open.fronts(&mut reactor, &operators, listed, news)?;
     let terms = (told.terms, told.transport);
-    let started = Routing::start(log.clone(), (limits, clock), net, terms, parties, told.seed);
+    let started = Routing::start(
+        log.clone(),
+        (limits, clock),
+        reactor,
+        terms,
+        parties,
+        told.seed,
+    );
     let mut routing =
         started.map_err(|e| format!("listen: {} cannot be listened on: {e}", told.listen))?;
     let fronts = joined.map(|(open, first, fronts)| {
@@ -188,7 +195,7 @@
                 if let Err(why) = reread(&log, &mut routing, serve, &fixed) {
                     warn!(log, "the configuration read again is not taken"; "why" => why);
                 }
-                fronts.iter().for_each(Fronts::poll_files);
+                fronts.iter().for_each(ManagementThreads::poll_files);
                 if self::operators(&serve.operator).as_ref() != Ok(&operators) {
                     warn!(
                         log,
@@ -212,12 +219,12 @@
     ended
 }
 
-fn operators(named: &Option<PathBuf>) -> Result<OperatorTerms, String> {
+fn operators(named: &Option<PathBuf>) -> Result<OperatorSettings, String> {
     let path = named
         .clone()
         .or_else(|| std::env::var_os("KESTRELTIDE_OPERATOR").map(PathBuf::from));
     path.map_or_else(
-        || Ok(OperatorTerms::default()),
+        || Ok(OperatorSettings::default()),
         |path| operator::load(&path),
     )
 }
