--- a/router/src/fronts/keeper.rs
+++ b/router/src/fronts/keeper.rs
@@ -25,7 +25,7 @@
 
 use super::memory::{self, Held, Remembered};
 use super::terms::Watching;
-use crate::routing::{Notice, Pulse};
+use crate::routing::{Heartbeat, ManagementMessage};
 use crate::transport::{Clock, Post};
 
 /// What is asked of the keeper.
@@ -185,12 +185,12 @@
         &mut self,
         asked: &Receiver<Ask>,
         view: &ArcSwap<View>,
-        post: &Post<Notice>,
-        pulse: &Pulse,
+        post: &Post<ManagementMessage>,
+        heartbeat: &Heartbeat,
     ) {
         loop {
             let now = self.clock.now();
-            pulse.beat(now);
+            heartbeat.record(now);
             let due = self
                 .waiting
                 .as_ref()
@@ -218,7 +218,7 @@
             for snapshot in undone.into_iter().chain(reply.taken.clone()) {
                 self.posted.push_back(snapshot.clone());
                 // A full box holds this thread up, never the loop; a loop that is gone needs nothing more.
-                gone |= post.send(Notice::Revision(snapshot)).is_err();
+                gone |= post.send(ManagementMessage::Revision(snapshot)).is_err();
             }
             self.publish();
             // Whoever is told that it is committed can read it.
@@ -239,7 +239,7 @@
         }
         self.saved = f64::MIN;
         self.save(Some(&view.load()));
-        pulse.beat(0.0);
+        heartbeat.record(0.0);
     }
 
     /// What fronts hold to reach this thread.
--- a/router/src/fronts/management.rs
+++ b/router/src/fronts/management.rs
@@ -15,7 +15,7 @@
 
 use super::supervise;
 use super::terms::ManagementTerms;
-use crate::routing::Pulse;
+use crate::routing::Heartbeat;
 use crate::transport::Clock;
 
 /// What was opened and read at start, so that a fault is told there.
@@ -120,7 +120,7 @@
         log: &Logger,
         clock: Clock,
         desk: Handle,
-        pulse: Pulse,
+        heartbeat: Heartbeat,
     ) -> std::io::Result<()> {
         let Opened {
             netconf,
@@ -175,7 +175,7 @@
                     return error!(of_log, "the management fronts cannot be started"; "error" => %e);
                 }
             };
-            runtime.block_on(run(&of_log, clock, &desk, &pulse, &netconf, &gnmi));
+            runtime.block_on(run(&of_log, clock, &desk, &heartbeat, &netconf, &gnmi));
         })?;
         Ok(())
     }
@@ -185,7 +185,7 @@
     log: &Logger,
     clock: Clock,
     desk: &Handle,
-    pulse: &Pulse,
+    heartbeat: &Heartbeat,
     netconf: &Option<(TcpListener, russh_key::PrivateKey)>,
     gnmi: &Option<(TcpListener, Files)>,
 ) {
@@ -232,7 +232,7 @@
         }
     }
     loop {
-        pulse.beat(clock.now());
+        heartbeat.record(clock.now());
         tokio::time::sleep(std::time::Duration::from_millis(500)).await;
     }
 }
--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -17,7 +17,7 @@
 use super::supervise;
 use super::terms::OperatorTerms;
 use crate::limits::Limits;
-use crate::routing::{FrontBox, Pulse};
+use crate::routing::{Heartbeat, ManagementInbox};
 use crate::transport::{Clock, Net};
 
 /// The threads beside the loop, as the program holds them.
@@ -25,7 +25,7 @@
     asks: SyncSender<Ask>,
     wake: Option<SyncSender<()>>,
     keeper: JoinHandle<u32>,
-    pub pulses: Vec<Pulse>,
+    pub heartbeats: Vec<Heartbeat>,
 }
 
 /// Seconds that the program waits for the keeper to save what it has.
@@ -63,7 +63,7 @@
 }
 
 /// The loop's end, what it starts with, and the threads.
-pub type Joined = (FrontBox, Option<Arc<Snapshot>>, Fronts);
+pub type Joined = (ManagementInbox, Option<Arc<Snapshot>>, Fronts);
 
 impl Opening<'_> {
     /// Starts the threads that the operator file asks for; none where it asks for none.
@@ -89,7 +89,7 @@
             .as_ref()
             .map(|terms| Opened::open(&log, terms))
             .transpose()?;
-        let (open, of_loop) = FrontBox::open(net, self.limits.posted).map_err(failed)?;
+        let (open, loop_handle) = ManagementInbox::open(net, self.limits.posted).map_err(failed)?;
         let rules = RuleSettings::new(self.terms, self.operations.clone(), self.limits.operators);
         let terms = KeeperTerms {
             router: self.router.into(),
@@ -109,21 +109,22 @@
         let (first, known) = keeper.begin(watching.as_ref(), &facts)?;
         let (asks, asked) = sync_channel(self.limits.asked);
         let (published, told) = keeper.published();
-        let (kept, of_keeper) = (Pulse::new("keeper"), of_loop.clone());
-        let mut pulses = vec![kept.clone()];
+        let (kept, of_keeper) = (Heartbeat::new("keeper"), loop_handle.clone());
+        let mut heartbeats = vec![kept.clone()];
         let keeper = supervise(log.clone(), "keeper", move || {
             keeper.run(&asked, &of_keeper.view, &of_keeper.post, &kept);
         });
         let keeper = keeper.map_err(failed)?;
         let mut wake = None;
         if let Some(watching) = watching {
-            let ((waker, nudged), tell, pulse) = (wakes(), asks.clone(), Pulse::new("watch"));
+            let ((waker, nudged), tell, heartbeat) =
+                (wakes(), asks.clone(), Heartbeat::new("watch"));
             wake = Some(waker.clone());
-            pulses.push(pulse.clone());
+            heartbeats.push(heartbeat.clone());
             let mut known = known;
             supervise(log.clone(), "watch", move || {
                 // After a death everything is told anew; what is in force already changes nothing.
-                let alive = || pulse.beat(clock.now());
+                let alive = || heartbeat.record(clock.now());
                 let says = |contents: &[kestreltide_file_watch::Content]| {
                     parse_files(&watching.files, contents)
                 };
@@ -136,7 +137,7 @@
                     says,
                     tell,
                 );
-                pulse.beat(0.0);
+                heartbeat.record(0.0);
             })
             .map_err(failed)?;
         }
@@ -145,14 +146,14 @@
             let desk = Handle {
                 ask: Arc::new(move |asked| ask.try_send(Ask::CommitCoordinator(asked)).is_ok()),
                 published,
-                view: of_loop.view.clone(),
-                in_force: of_loop.in_force.clone(),
+                view: loop_handle.view.clone(),
+                in_force: loop_handle.in_force.clone(),
                 news: told,
                 keys: opened.keys.clone(),
             };
-            let pulse = Pulse::new("management");
-            pulses.push(pulse.clone());
-            opened.start(&log, clock, desk, pulse).map_err(failed)?;
+            let heartbeat = Heartbeat::new("management");
+            heartbeats.push(heartbeat.clone());
+            opened.start(&log, clock, desk, heartbeat).map_err(failed)?;
         }
         Ok(Some((
             open,
@@ -161,7 +162,7 @@
                 asks,
                 wake,
                 keeper,
-                pulses,
+                heartbeats,
             },
         )))
     }
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::fronts::{Fronts, Opening, OperatorTerms};
 use crate::limits::Limits;
-use crate::routing::{Parties, Routing, Turn};
+use crate::routing::{Addresses, Routing, Turn};
 use crate::transport::{Clock, Net};
 use config::{Fixed, Told, When};
 
@@ -132,7 +132,7 @@
     let (log, guard) = logs::start(&told.name, serve.log.unwrap_or(slog::Level::Info), &limits);
     info!(log, "starting"; "version" => env!("CARGO_PKG_VERSION"), "routers" => told.terms.routers,
         "me" => told.terms.me.0);
-    let parties = Parties {
+    let addresses = Addresses {
         listen: told.listen,
         discovery: told.discovery,
         platform: told.platform.as_ref().map(|platform| platform.address),
@@ -162,21 +162,28 @@
     };
     let joined = open.fronts(&mut net, &operators, listed, news)?;
     let terms = (told.terms, told.transport);
-    let started = Routing::start(log.clone(), (limits, clock), net, terms, parties, told.seed);
+    let started = Routing::start(
+        log.clone(),
+        (limits, clock),
+        net,
+        terms,
+        addresses,
+        told.seed,
+    );
     let mut routing =
         started.map_err(|e| format!("listen: {} cannot be listened on: {e}", told.listen))?;
     let fronts = joined.map(|(open, first, fronts)| {
-        routing.join(open, fronts.pulses.clone(), !alone);
+        routing.attach_management(open, fronts.heartbeats.clone(), !alone);
         (first, fronts)
     });
     if let Some(known) = known {
-        routing.remember(&known);
+        routing.restore_endpoint_list(&known);
     }
     if let Some(news) = news {
-        routing.remember_state(news);
+        routing.restore_rollout_status(news);
     }
     let fronts = fronts.map(|(first, fronts)| {
-        first.iter().for_each(|first| routing.take_revision(first));
+        first.iter().for_each(|first| routing.apply_revision(first));
         fronts
     });
     routing.begin();
@@ -235,6 +242,6 @@
     let platform = told.platform.map(|platform| platform.address);
     info!(log, "the configuration was read again"; "discovery" => %told.discovery,
         "platform" => platform.map_or("none".into(), |at| at.to_string()));
-    routing.moved(told.discovery, platform);
+    routing.change_addresses(told.discovery, platform);
     Ok(())
 }
--- a/router/src/routing/admit.rs
+++ b/router/src/routing/admission.rs
@@ -5,12 +5,12 @@
 use kestreltide::interface::*;
 
 use super::Routing;
-use super::take_in::Waiting;
+use super::client_connection::QueuedReply;
 use crate::protocol::client::{self, Kept};
 use crate::transport::SocketId;
 
 /// An invocation as it was taken in.
-pub(super) struct Taken {
+pub(super) struct ParsedRequest {
     pub(super) operation: OperationId,
     pub(super) key: Option<KeyId>,
     /// The hosts that are for it, by the routes in force when it came.
@@ -21,7 +21,7 @@
 }
 
 /// An invocation that owes its client an answer.
-pub(super) struct Admitted {
+pub(super) struct AdmittedRequest {
     pub(super) client: SocketId,
     pub(super) kept: Kept,
     pub(super) attempts: u32,
@@ -30,8 +30,8 @@
 }
 
 impl Routing {
-    pub(super) fn admit(&mut self, client: SocketId, taken: Taken) {
-        let Taken {
+    pub(super) fn admit(&mut self, client: SocketId, taken: ParsedRequest) {
+        let ParsedRequest {
             operation,
             key,
             pool,
@@ -41,22 +41,22 @@
         } = taken;
         // Nothing has been dispatched: a client may be told that trying again is harmless.
         let full = self.admitted.len() >= self.limits.invocations;
-        if full || self.held + kept.size() > self.limits.held || self.has_given_up() {
-            self.tally.no_room += 1;
+        if full || self.reserved_bytes + kept.size() > self.limits.held || self.has_given_up() {
+            self.metrics.no_room += 1;
             return self.reply(client, |out| client::write_throttled(out, None));
         }
         // The client's own id goes to hosts unchanged; here a number stands for it, which nobody can repeat.
-        self.last_inv += 1;
-        let id = RequestId(self.last_inv.to_string().into());
-        self.held += kept.size();
-        self.open_ids.insert(kept.id().into(), client);
-        self.tally.taken += 1;
+        self.last_request_number += 1;
+        let id = RequestId(self.last_request_number.to_string().into());
+        self.reserved_bytes += kept.size();
+        self.open_request_ids.insert(kept.id().into(), client);
+        self.metrics.taken += 1;
         if let Some(client) = self.clients.get_mut(&client) {
-            client.queue.push_back(Waiting::For(id.clone()));
+            client.queue.push_back(QueuedReply::Pending(id.clone()));
         }
         self.admitted.insert(
             id.clone(),
-            Admitted {
+            AdmittedRequest {
                 client,
                 kept,
                 attempts: 0,
@@ -75,11 +75,11 @@
     }
 
     /// The invocation owes no answer any more.
-    pub(super) fn release(&mut self, request: &RequestId) -> Option<Admitted> {
+    pub(super) fn release(&mut self, request: &RequestId) -> Option<AdmittedRequest> {
         let admitted = self.admitted.remove(request)?;
-        self.held -= admitted.kept.size();
+        self.reserved_bytes -= admitted.kept.size();
         if !admitted.left {
-            self.open_ids.remove(admitted.kept.id());
+            self.open_request_ids.remove(admitted.kept.id());
         }
         Some(admitted)
     }
--- a/router/src/routing/take_in.rs
+++ b/router/src/routing/client_connection.rs
@@ -6,24 +6,24 @@
 use kestreltide::interface::*;
 use slog::{info, warn};
 
-use super::admit::Taken;
+use super::admission::ParsedRequest;
 use super::arrivals::Arrivals;
-use super::{CLIENTS, Due, Routing};
+use super::{CLIENTS, Routing, TimerEvent};
 use crate::protocol::client::{self, Command, Kept};
 use crate::protocol::{Malformed, resp};
 use crate::transport::{Fill, SocketId, Stream, out_of_descriptors};
 
 /// A command that was taken: its answer is to come, or waits for those before it.
-pub(super) enum Waiting {
-    For(RequestId),
-    Answered(Vec<u8>),
+pub(super) enum QueuedReply {
+    Pending(RequestId),
+    Ready(Vec<u8>),
 }
 
 pub(super) struct Client {
     pub(super) stream: Stream,
     /// Of what has been read and not taken.
     arrivals: Arrivals,
-    pub(super) queue: VecDeque<Waiting>,
+    pub(super) queue: VecDeque<QueuedReply>,
     /// No more commands are taken; closed once all that was taken is answered.
     pub(super) closing: bool,
     /// Turned away and told why: until when, and how many more bytes, what still comes is read and dropped.
@@ -97,7 +97,7 @@
 const OPEN_ID: &str = "ERR the id is that of an open invocation";
 
 enum Step {
-    Take(Taken),
+    Take(ParsedRequest),
     /// The client that holds its id is gone, and this comes after that.
     Left(SocketId),
     Reply(&'static str),
@@ -115,7 +115,7 @@
             if self.clients.len() >= self.limits.clients && !self.close_idle_client() {
                 return self.accept_again(now + self.limits.accept_again);
             }
-            self.close_stayer(now);
+            self.close_idle_client_over_limit(now);
             let Some(listener) = &self.listener else {
                 return false;
             };
@@ -138,7 +138,7 @@
     fn accept_again(&mut self, at: f64) -> bool {
         if !self.accept_due {
             self.accept_due = true;
-            self.set_due(at, Due::AcceptAgain);
+            self.schedule(at, TimerEvent::AcceptAgain);
         }
         false
     }
@@ -148,8 +148,8 @@
             Ok(stream) => {
                 let id = stream.id;
                 self.clients.insert(id, Client::new(stream, now));
-                self.tally.clients += 1;
-                self.take_in(id);
+                self.metrics.clients += 1;
+                self.read_client(id);
             }
             Err(e) => warn!(self.log, "a client's connection cannot be watched"; "error" => %e),
         }
@@ -176,15 +176,15 @@
 
     /// Some clients ask once and keep their connection for good: all of them together may hold as many as their
     /// side can open, and none be left to ask on.
-    fn close_stayer(&mut self, now: f64) {
+    fn close_idle_client_over_limit(&mut self, now: f64) {
         let since = now - self.limits.stay;
         let stays = |client: &Client| client.asked == 1 && client.used < since && client.is_idle();
-        let stayers = self
+        let idle_clients = self
             .clients
             .iter()
             .filter(|(_, client)| stays(client) && client.begun.is_none());
-        if stayers.clone().count() >= self.limits.stayers {
-            let oldest = stayers
+        if idle_clients.clone().count() >= self.limits.stayers {
+            let oldest = idle_clients
                 .min_by(|a, b| a.1.used.total_cmp(&b.1.used))
                 .map(|(id, _)| *id);
             if let Some(id) = oldest {
@@ -198,10 +198,10 @@
     fn close_unused(&mut self, id: SocketId) -> bool {
         let use_of = |c: &Client| (c.rank(), c.used, c.asked, c.stuck, c.is_idle());
         let before = self.clients.get(&id).map(use_of);
-        self.take_in(id);
+        self.read_client(id);
         let now = self.clients.get(&id).map(use_of);
         if now.is_some() && now == before {
-            self.client_left(id);
+            self.close_client(id);
         }
         now.is_none() || now == before
     }
@@ -209,7 +209,7 @@
     fn free_descriptor(&mut self) -> bool {
         match self.pools.take_oldest() {
             Some(id) => {
-                self.close_link(id);
+                self.close_upstream(id);
                 true
             }
             None => self.close_idle_client(),
@@ -218,17 +218,17 @@
 
     /// Reads what the client has sent and takes its commands while there is room for their answers. Who sends
     /// without end has its turn, and the next one at the next wake.
-    pub(super) fn take_in(&mut self, id: SocketId) {
+    pub(super) fn read_client(&mut self, id: SocketId) {
         if !self.write_client(id) {
             return;
         }
         // What is read now may have come at any time since the last look.
-        let arrived_since = self.woken - self.stall;
+        let arrived_since = self.woken_at - self.event_loop_delay;
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
         if client.closing {
-            return self.drop_input(id);
+            return self.discard_input(id);
         }
         let filled = client.fill(
             self.limits.resp.message,
@@ -238,10 +238,10 @@
         // Who has left more unread commands than are kept is gone all the same, with what waits for it.
         let full = client.stream.input().len() >= self.limits.resp.message;
         if filled == Fill::Ended || full && client.stream.is_left() {
-            return self.client_left(id);
+            return self.close_client(id);
         }
         if self.take_commands(id) && filled == Fill::More {
-            self.later.push(id);
+            self.ready_again.push(id);
         }
         // Only after a read that found nothing more: a command that is here already is not left unanswered.
         if filled == Fill::Drained && self.is_draining() {
@@ -251,7 +251,7 @@
 
     /// What a client that was turned away still sends would, unread, turn the close into a reset that may
     /// overtake the error line.
-    fn drop_input(&mut self, id: SocketId) {
+    fn discard_input(&mut self, id: SocketId) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
@@ -265,9 +265,9 @@
         client.stream.consume(read);
         *left = left.saturating_sub(read);
         if filled == Fill::Ended || *left == 0 {
-            self.client_left(id);
+            self.close_client(id);
         } else if filled == Fill::More {
-            self.later.push(id);
+            self.ready_again.push(id);
         }
     }
 
@@ -292,7 +292,7 @@
             let (step, used) = match read {
                 Ok(Some((command, used))) => match self.step(command, client.arrivals.of(used)) {
                     Ok(Step::Left(holder)) if holder != id => {
-                        self.client_left(holder);
+                        self.close_client(holder);
                         continue;
                     }
                     Ok(step) => (step, used),
@@ -355,8 +355,8 @@
                 if !asked.idempotent => {}
             _ => return Err(Malformed::new("the command is not that of the operation")),
         }
-        // Hosts know an invocation by its id: with another's, one would be answered for the other.
-        if let Some(holder) = self.open_ids.get(asked.id) {
+        // Hosts know a request by its id: with another's, one would be answered for the other.
+        if let Some(holder) = self.open_request_ids.get(asked.id) {
             // Unless that client is gone, which is only not read yet: then it is sent again.
             let left = self
                 .clients
@@ -374,7 +374,7 @@
         let kept: Kept = asked.keep();
         let key = (!asked.key.is_empty()).then(|| KeyId(asked.key.into()));
         let pool = self
-            .hosts
+            .endpoints
             .route(asked.operation, asked.key)
             .map(|route| route.pool.clone());
         // A command that lay unread, while this process stood still or behind a full pipeline, has less time left.
@@ -383,7 +383,7 @@
         let time_left = (asked.time_millis as f64 / 1e3 - unread)
             .max(0.0)
             .min(self.time_before_last());
-        Ok(Step::Take(Taken {
+        Ok(Step::Take(ParsedRequest {
             operation,
             key,
             pool,
@@ -394,27 +394,27 @@
     }
 
     fn reject(&mut self, id: SocketId, why: &Malformed) -> bool {
-        if self.complain() {
+        if self.may_log_complaint() {
             info!(self.log, "a client's command is malformed, its connection is closed"; "why" => %why);
         }
-        self.tally.malformed += 1;
+        self.metrics.malformed += 1;
         if let Some(client) = self.clients.get_mut(&id) {
             client.closing = true;
             client.consume(usize::MAX);
         }
         self.reply(id, |out| resp::write_error(out, &format!("ERR {why}")));
-        self.drop_input(id);
+        self.discard_input(id);
         false
     }
 
     /// Whether a line about what others do wrong may be written: so many a second, the rest is counted.
-    pub(super) fn complain(&mut self) -> bool {
+    pub(super) fn may_log_complaint(&mut self) -> bool {
         let now = self.clock.now();
-        self.tally.complain(now, self.limits.complaints)
+        self.metrics.complain(now, self.limits.complaints)
     }
 
     /// Turns away who has connected and said nothing for long, or has begun a command and not ended it.
-    pub(super) fn close_unspoken(&mut self, now: f64) {
+    pub(super) fn expire_clients_without_request(&mut self, now: f64) {
         let since = now - self.limits.speak;
         let late = self
             .clients
@@ -432,7 +432,7 @@
                 Some(client) if begun && !client.closing => {
                     self.reject(id, &Malformed::new("a command does not end"));
                 }
-                Some(client) if client.closing => self.client_left(id),
+                Some(client) if client.closing => self.close_client(id),
                 _ => {
                     self.close_unused(id);
                 }
@@ -441,25 +441,25 @@
     }
 
     /// The client is gone, or its connection is closed for want of use.
-    pub(super) fn client_left(&mut self, id: SocketId) {
+    pub(super) fn close_client(&mut self, id: SocketId) {
         let Some(client) = self.clients.remove(&id) else {
             return;
         };
         let waited = !client.queue.is_empty();
         for waiting in client.queue {
-            if let Waiting::For(request) = waiting
+            if let QueuedReply::Pending(request) = waiting
                 && let Some(admitted) = self.admitted.get_mut(&request)
             {
                 admitted.left = true;
                 // Free at once: it may come again before the decisions have heard of this.
-                self.open_ids.remove(admitted.kept.id());
-                self.tally.left += 1;
+                self.open_request_ids.remove(admitted.kept.id());
+                self.metrics.left += 1;
                 self.events.push_back(Event::ClientDisconnected { request });
             }
         }
         client.stream.close(&self.net);
         if waited {
-            self.give_up_unwritten();
+            self.abandon_unwritten_attempts();
         }
     }
 
@@ -475,13 +475,13 @@
                 .get(&id)
                 .is_some_and(|client| client.stream.is_left());
         if unread {
-            self.client_left(id);
+            self.close_client(id);
         }
         left || unread
     }
 
     /// Closes connections whose clients have not read for long, and the fullest where too much is unread.
-    pub(super) fn close_stuck(&mut self, now: f64) {
+    pub(super) fn close_clients_not_reading(&mut self, now: f64) {
         let (most, longest) = (self.limits.unread, self.limits.stuck_client);
         let stuck = self
             .clients
@@ -490,8 +490,8 @@
         let mut closed: Vec<_> = stuck.map(|(id, _)| *id).collect();
         let unread = |client: &Client| {
             let waiting = client.queue.iter().map(|waiting| match waiting {
-                Waiting::For(_) => 0,
-                Waiting::Answered(bytes) => bytes.len(),
+                QueuedReply::Pending(_) => 0,
+                QueuedReply::Ready(bytes) => bytes.len(),
             });
             client.stream.unwritten() + waiting.sum::<usize>()
         };
@@ -504,7 +504,7 @@
                 self.log,
                 "a client does not read its answers, its connection is closed"
             );
-            self.client_left(id);
+            self.close_client(id);
         }
     }
 }
--- a/router/src/routing/discovery.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -6,8 +6,8 @@
 use kestreltide::interface::*;
 use slog::{info, warn};
 
-use super::send::Link;
-use super::{Due, NEWS, Routing};
+use super::upstream_connection::UpstreamConnection;
+use super::{DISCOVERY, ReadyReason, Routing, TimerEvent};
 use crate::limits::Limits;
 use crate::protocol::Malformed;
 use crate::protocol::discovery::{self, Chunks, List, Target};
@@ -37,7 +37,7 @@
     chunks: Chunks,
 }
 
-pub(super) struct Discovery {
+pub(super) struct DiscoveryWatch {
     at: SocketAddr,
     /// Lists come only when the decisions ask for them.
     on_demand: bool,
@@ -54,12 +54,12 @@
     told: bool,
 }
 
-impl Discovery {
+impl DiscoveryWatch {
     pub(super) fn new(at: SocketAddr, on_demand: bool, limits: &Limits) -> Self {
         let (calls, wait) = (BTreeMap::new(), limits.retry[0]);
         let following = !on_demand;
         let (off, rev, taken, number, heard, told) = (false, None, 0, 0, false, false);
-        Discovery {
+        DiscoveryWatch {
             at,
             on_demand,
             off,
@@ -110,32 +110,32 @@
 
 impl Routing {
     /// What this router knew of the hosts before it was started.
-    pub fn remember(&mut self, list: &List) {
-        self.take_list(list, ListScope::Cached);
+    pub fn restore_endpoint_list(&mut self, list: &List) {
+        self.apply_endpoint_list(list, ListScope::Cached);
         // What has changed since then is asked for in one call, where a whole list and a watch are two: after a
         // mass restart discovery has as many to serve.
         self.discovery.rev = Some(list.rev).filter(|_| self.discovery.on_demand);
-        self.settle();
+        self.process_pending();
     }
 
-    pub(super) fn follow(&mut self, on: bool) {
+    pub(super) fn subscribe_endpoint_list(&mut self, on: bool) {
         let on = on && !self.discovery.off;
         self.discovery.following = on;
         match self.discovery.watching() {
             Some(id) if !on => drop(self.drop_call(id)),
-            None if on => self.watch_begin(),
+            None if on => self.begin_watch(),
             _ => {}
         }
     }
 
     /// What the old address has told by now is read. The whole list is asked for at the new one, as the count
     /// of versions there need not be that of the old one.
-    pub(super) fn discovery_moved(&mut self, at: SocketAddr) {
+    pub(super) fn change_discovery_address(&mut self, at: SocketAddr) {
         if at == self.discovery.at {
             return;
         }
         let calls: Vec<_> = self.discovery.calls.keys().copied().collect();
-        calls.iter().for_each(|id| self.discovery_ready(*id));
+        calls.iter().for_each(|id| self.on_discovery_readable(*id));
         (self.discovery.at, self.discovery.rev, self.discovery.wait) =
             (at, None, self.limits.retry[0]);
         // Also those that were begun by what has just been read.
@@ -147,16 +147,16 @@
                 self.events.push_back(Event::EndpointListFailed);
             }
         }
-        self.watch_begin();
+        self.begin_watch();
     }
 
-    pub(super) fn fetch_list(&mut self) {
+    pub(super) fn fetch_endpoint_list(&mut self) {
         if !self.discovery.off {
             self.call(Asked::Once);
         }
     }
 
-    pub(super) fn watch_begin(&mut self) {
+    pub(super) fn begin_watch(&mut self) {
         if self.discovery.following && self.discovery.watching().is_none() {
             self.call(if self.discovery.rev.is_some() {
                 Asked::Changes
@@ -167,7 +167,7 @@
     }
 
     fn call(&mut self, asked: Asked) {
-        match Stream::connect(&mut self.net, self.discovery.at, NEWS) {
+        match Stream::connect(&mut self.net, self.discovery.at, DISCOVERY) {
             Ok(stream) => {
                 let (id, now) = (stream.id, self.clock.now());
                 let chunks = Chunks::default();
@@ -183,7 +183,7 @@
                 self.discovery.calls.insert(id, call);
                 self.ask(id, asked);
             }
-            Err(e) => self.call_failed(asked, self.clock.now(), &e.to_string()),
+            Err(e) => self.on_call_failed(asked, self.clock.now(), &e.to_string()),
         }
     }
 
@@ -197,7 +197,7 @@
         let at_once = self.discovery.on_demand && call.number == 0;
         let hold = if at_once { 0.0 } else { self.limits.watch_hold };
         self.discovery.number += 1;
-        self.tally.lists += 1;
+        self.metrics.list_requests += 1;
         (call.asked, call.number, call.begun) = (asked, self.discovery.number, None);
         (call.taken, call.chunks) = (self.discovery.taken, Chunks::default());
         let watch = rev
@@ -212,13 +212,16 @@
         };
         let patience = if watch.is_some() { hold } else { 0.0 } + spare;
         let number = call.number;
-        self.set_due(now + patience, Due::CallOver(id, number));
+        self.schedule(now + patience, TimerEvent::DiscoveryCallTimeout(id, number));
         // A connection that does not come up would cost a whole wait, in which all that is missed counts as told.
-        self.set_due(now + self.limits.news_rest, Due::CallUp(id, number));
-        self.discovery_ready(id);
+        self.schedule(
+            now + self.limits.news_rest,
+            TimerEvent::DiscoveryConnectTimeout(id, number),
+        );
+        self.on_discovery_readable(id);
     }
 
-    pub(super) fn discovery_ready(&mut self, id: SocketId) {
+    pub(super) fn on_discovery_readable(&mut self, id: SocketId) {
         let (most, step) = (self.limits.answer.whole(), self.limits.read_step);
         let Some(call) = self.discovery.calls.get_mut(&id) else {
             return;
@@ -230,7 +233,7 @@
         match flushed {
             Ok(true) => {}
             Ok(false) => return,
-            Err(e) => return self.call_broke(id, &e.to_string()),
+            Err(e) => return self.fail_call(id, &e.to_string()),
         }
         let mut filled = Fill::More;
         while filled == Fill::More && call.stream.input().len() < most {
@@ -240,21 +243,21 @@
         let Some(mut call) = self.discovery.calls.remove(&id) else {
             return;
         };
-        let answer = self.take_response(&mut call);
+        let answer = self.parse_response(&mut call);
         let ended = filled == Fill::Ended;
         match answer {
-            Ok(None) if !ended => self.call_goes_on(id, call),
+            Ok(None) if !ended => self.await_rest_of_answer(id, call),
             Ok(None) => {
                 let (asked, since) = (call.asked, call.since);
                 call.stream.close(&self.net);
-                self.call_failed(asked, since, "the connection ended");
+                self.on_call_failed(asked, since, "the connection ended");
             }
             Ok(Some((used, stays_open))) => {
                 let asked = call.asked;
                 call.stream.consume(used);
                 if ended || !stays_open || asked == Asked::Once || !self.discovery.following {
                     call.stream.close(&self.net);
-                    self.watch_begin();
+                    self.begin_watch();
                 } else {
                     self.discovery.calls.insert(id, call);
                     self.ask(id, Asked::Changes);
@@ -263,13 +266,13 @@
             Err(why) => {
                 let (asked, since) = (call.asked, call.since);
                 call.stream.close(&self.net);
-                self.tally.malformed += 1;
-                self.call_failed(asked, since, &why.to_string());
+                self.metrics.malformed += 1;
+                self.on_call_failed(asked, since, &why.to_string());
             }
         }
     }
 
-    fn take_response(&mut self, call: &mut Call) -> Result<Option<(usize, bool)>, Malformed> {
+    fn parse_response(&mut self, call: &mut Call) -> Result<Option<(usize, bool)>, Malformed> {
         let (bytes, limits) = (call.stream.input(), self.limits.answer);
         let Some((response, used)) = discovery::response(bytes, &limits, &mut call.chunks)? else {
             let room = bytes.len() < limits.whole();
@@ -318,30 +321,30 @@
         self.discovery.wait = self.limits.retry[0];
         // On demand each call is answered, be it with nothing.
         if list.all || !list.targets.is_empty() || self.discovery.on_demand {
-            self.take_list(&list, scope);
+            self.apply_endpoint_list(&list, scope);
         }
         self.discovery.heard = true;
-        self.ready_by("news");
+        self.mark_ready(ReadyReason::Observed);
         Ok(Some((used, response.stays_open)))
     }
 
-    fn take_list(&mut self, list: &List, scope: ListScope) {
+    fn apply_endpoint_list(&mut self, list: &List, scope: ListScope) {
         self.discovery.told = true;
         self.finish_staging();
         let whole = scope != ListScope::Delta;
         let mut targets: Vec<_> = list.targets.iter().collect();
         if whole {
-            self.tell_doubled(list);
+            self.warn_of_duplicates(list);
         }
-        if self.hosts.len() + targets.len() > self.limits.hosts {
+        if self.endpoints.len() + targets.len() > self.limits.hosts {
             self.make_room(&mut targets, whole);
         }
         let mut entries = Vec::with_capacity(targets.len());
         let mut left_out = vec![];
         for target in targets {
             let goes = target.state() == HostState::Gone;
-            let (entry, drop_idle) = match self.hosts.note(target) {
-                Some(noted) => (noted.entry, noted.drop_idle),
+            let (entry, drop_idle) = match self.endpoints.stage_entry(target) {
+                Some(staged) => (staged.entry, staged.drop_idle),
                 // It takes no room, and whoever still sends to it has to hear of it.
                 None if goes => (target.listed().entry(), true),
                 None => {
@@ -350,7 +353,7 @@
                 }
             };
             if drop_idle {
-                self.close_idle(entry.host);
+                self.close_idle_connections(entry.host);
             }
             entries.push(entry);
         }
@@ -359,10 +362,10 @@
                 "left_out" => left_out.len(), "most" => self.limits.hosts);
         }
         if whole {
-            for host in self.hosts.only(&entries) {
-                self.close_idle(host);
+            for host in self.endpoints.retain_listed(&entries) {
+                self.close_idle_connections(host);
             }
-            entries.extend(self.hosts.of_operators());
+            entries.extend(self.endpoints.operator_only_entries());
         }
         let youngest = entries
             .iter()
@@ -376,11 +379,11 @@
             scope,
             entries: entries.into(),
         });
-        self.view_changed();
+        self.mark_view_stale();
     }
 
     /// A whole list names each host once; changes may tell that one went and came again.
-    fn tell_doubled(&self, list: &List) {
+    fn warn_of_duplicates(&self, list: &List) {
         let mut hosts: Vec<_> = list
             .targets
             .iter()
@@ -405,24 +408,28 @@
         let goes = |target: &&Target| last.get(&host(target)) == Some(&HostState::Gone);
         targets.sort_by_key(goes);
         for target in targets.iter().filter(|target| goes(target)) {
-            self.hosts.note(target);
+            self.endpoints.stage_entry(target);
         }
         if whole {
             let listed: Vec<_> = targets
                 .iter()
                 .map(|target| target.listed().entry())
                 .collect();
-            for host in self.hosts.only(&listed) {
-                self.close_idle(host);
+            for host in self.endpoints.retain_listed(&listed) {
+                self.close_idle_connections(host);
             }
         }
-        let using = self.links.values().map(Link::host).collect();
-        self.hosts.forget_gone(&using);
+        let using = self
+            .upstreams
+            .values()
+            .map(UpstreamConnection::host)
+            .collect();
+        self.endpoints.forget_gone(&using);
     }
 
-    pub(super) fn close_idle(&mut self, host: HostId) {
+    pub(super) fn close_idle_connections(&mut self, host: HostId) {
         for id in self.pools.take_all(host) {
-            self.close_link(id);
+            self.close_upstream(id);
         }
     }
 
@@ -432,45 +439,48 @@
         Some((call.asked, call.since))
     }
 
-    fn call_broke(&mut self, id: SocketId, why: &str) {
+    fn fail_call(&mut self, id: SocketId, why: &str) {
         if let Some((asked, since)) = self.drop_call(id) {
-            self.call_failed(asked, since, why);
+            self.on_call_failed(asked, since, why);
         }
     }
 
-    pub(super) fn call_over(&mut self, id: SocketId, number: u64) {
+    pub(super) fn on_call_timeout(&mut self, id: SocketId, number: u64) {
         if self
             .discovery
             .calls
             .get(&id)
             .is_some_and(|call| call.number == number)
         {
-            self.call_broke(id, "no answer came");
+            self.fail_call(id, "no answer came");
         }
     }
 
-    pub(super) fn call_up(&mut self, id: SocketId, number: u64) {
+    pub(super) fn on_call_connect_timeout(&mut self, id: SocketId, number: u64) {
         let down =
             |call: &mut Call| call.number == number && !matches!(call.stream.is_up(), Ok(true));
         if self.discovery.calls.get_mut(&id).is_some_and(down) {
-            self.call_broke(id, "the connection does not come up");
+            self.fail_call(id, "the connection does not come up");
         }
     }
 
     /// The answer is not whole yet. One that has begun and stalls is given up sooner than a quiet watch: what
     /// it was to tell counts as told.
-    fn call_goes_on(&mut self, id: SocketId, mut call: Call) {
+    fn await_rest_of_answer(&mut self, id: SocketId, mut call: Call) {
         let (now, come, number) = (self.clock.now(), call.stream.input().len(), call.number);
         if come > 0 && call.begun.is_none_or(|(before, _)| before < come) {
             if call.begun.is_none() {
-                self.set_due(now + self.limits.news_rest, Due::CallRest(id, number));
+                self.schedule(
+                    now + self.limits.news_rest,
+                    TimerEvent::DiscoveryAnswerTimeout(id, number),
+                );
             }
             call.begun = Some((come, now));
         }
         self.discovery.calls.insert(id, call);
     }
 
-    pub(super) fn call_rest(&mut self, id: SocketId, number: u64) {
+    pub(super) fn on_answer_timeout(&mut self, id: SocketId, number: u64) {
         let call = self
             .discovery
             .calls
@@ -481,14 +491,14 @@
         };
         let until = last + self.limits.news_rest;
         if self.clock.now() < until {
-            return self.set_due(until, Due::CallRest(id, number));
+            return self.schedule(until, TimerEvent::DiscoveryAnswerTimeout(id, number));
         }
-        self.call_broke(id, "an answer does not end");
+        self.fail_call(id, "an answer does not end");
     }
 
     /// On demand the decisions hear of it and ask again; else the watch begins again after a while, later
     /// each time and never in step with other routers, but at once where the connection had stood for long.
-    fn call_failed(&mut self, asked: Asked, since: f64, why: &str) {
+    fn on_call_failed(&mut self, asked: Asked, since: f64, why: &str) {
         warn!(self.log, "discovery does not answer"; "why" => why.to_owned());
         if self.discovery.on_demand {
             self.discovery.following &= asked == Asked::Once;
@@ -503,6 +513,6 @@
                 self.discovery.wait * self.spread()
             };
         self.discovery.wait = (2.0 * self.discovery.wait).min(self.limits.retry[1]);
-        self.set_due(at, Due::WatchAgain);
+        self.schedule(at, TimerEvent::DiscoveryRetry);
     }
 }
--- a/router/src/routing/route.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -3,14 +3,14 @@
 use kestreltide::interface::*;
 use slog::info;
 
-use super::{Due, Routing};
+use super::{Routing, TimerEvent};
 use crate::protocol::client;
 use crate::protocol::resp::write_error;
 
 const MILLIS: f64 = 1e3;
 
 impl Routing {
-    pub(super) fn route(&mut self, event: Event) {
+    pub(super) fn dispatch_event(&mut self, event: Event) {
         let mut effects = std::mem::take(&mut self.effects);
         let left = if let Event::ClientDisconnected { request } = &event {
             Some(request.clone())
@@ -30,27 +30,27 @@
                 host,
                 time_out,
                 connection,
-            } => self.send(request, host, time_out, connection),
-            Effect::CancelAttempt { request, attempt } => self.recall(&request, attempt),
+            } => self.start_attempt(request, host, time_out, connection),
+            Effect::CancelAttempt { request, attempt } => self.cancel_attempt(&request, attempt),
             Effect::ShedRequest {
                 request,
                 retry_after,
             } => {
-                self.tally.throttled += 1;
+                self.metrics.throttled += 1;
                 let millis = retry_after.map(|time| (time * MILLIS).ceil().max(0.0) as u64);
                 self.answer(&request, |out| client::write_throttled(out, millis));
             }
             Effect::FailRequest { request } => {
-                self.tally.terminated += 1;
+                self.metrics.terminated += 1;
                 self.answer(&request, |out| write_error(out, "ERR failed"));
             }
-            Effect::ScheduleTimer { at, key } => self.set_due(at, Due::Decisions(key)),
-            Effect::StartHealthCheck { host } => self.probe(host),
-            Effect::CloseIdleConnections { host } => self.close_idle(host),
-            Effect::SendGossip { to, payload } => self.tell(to, &payload),
-            Effect::CastVote { build, stage, vote } => self.cast(build, stage, vote),
-            Effect::SubscribeEndpointList { on } => self.follow(on),
-            Effect::FetchEndpointList => self.fetch_list(),
+            Effect::ScheduleTimer { at, key } => self.schedule(at, TimerEvent::Decisions(key)),
+            Effect::StartHealthCheck { host } => self.start_health_check(host),
+            Effect::CloseIdleConnections { host } => self.close_idle_connections(host),
+            Effect::SendGossip { to, payload } => self.send_gossip(to, &payload),
+            Effect::CastVote { build, stage, vote } => self.cast_vote(build, stage, vote),
+            Effect::SubscribeEndpointList { on } => self.subscribe_endpoint_list(on),
+            Effect::FetchEndpointList => self.fetch_endpoint_list(),
             Effect::WriteLog { text } => info!(self.log, "decision"; "note" => text),
         }
     }
--- a/router/src/routing/book.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -15,22 +15,22 @@
 use crate::protocol::discovery::Target;
 
 /// Where hosts are: what discovery told last, under what operators have set.
-pub(super) struct Hosts {
+pub(super) struct EndpointTable {
     told: BTreeMap<HostId, HostRecord>,
     revision: Arc<Snapshot>,
     most: usize,
 }
 
 /// What a list entry changed.
-pub(super) struct Noted {
+pub(super) struct StagedEntry {
     pub(super) entry: HostEntry,
     /// Connections without use lead nowhere now, or are not wanted.
     pub(super) drop_idle: bool,
 }
 
-impl Hosts {
+impl EndpointTable {
     pub(super) fn new(most: usize) -> Self {
-        Hosts {
+        EndpointTable {
             told: BTreeMap::new(),
             revision: Arc::default(),
             most,
@@ -47,11 +47,11 @@
     }
 
     /// A host as it counts, whoever lists it.
-    fn in_force(&self, host: HostId) -> Option<Cow<'_, HostRecord>> {
-        self.under(&self.revision, host)
+    fn effective(&self, host: HostId) -> Option<Cow<'_, HostRecord>> {
+        self.merged(&self.revision, host)
     }
 
-    fn under<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, HostRecord>> {
+    fn merged<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, HostRecord>> {
         match (self.told.get(&host), revision.said(host)) {
             (Some(told), Some(said)) => {
                 merge(&said.name, Some(told), Some(&said.set), None).map(Cow::Owned)
@@ -62,7 +62,7 @@
     }
 
     pub(super) fn address(&self, host: HostId) -> Option<SocketAddr> {
-        self.in_force(host).map(|host| host.endpoint)
+        self.effective(host).map(|host| host.endpoint)
     }
 
     /// The route of an invocation; none: all hosts are for it.
@@ -71,29 +71,29 @@
     }
 
     /// Whether a connection to this host at this address may be used again.
-    pub(super) fn wanted(&self, host: HostId, at: SocketAddr) -> bool {
-        self.in_force(host)
+    pub(super) fn is_usable(&self, host: HostId, at: SocketAddr) -> bool {
+        self.effective(host)
             .is_some_and(|host| host.serves() && host.endpoint == at)
     }
 
     /// Notes one entry of discovery's list; None where there is no room for one more host.
-    pub(super) fn note(&mut self, target: &Target) -> Option<Noted> {
+    pub(super) fn stage_entry(&mut self, target: &Target) -> Option<StagedEntry> {
         let host = HostId::named(&target.uid);
         if !self.told.contains_key(&host) && self.told.len() >= self.most {
             return None;
         }
-        let old = self.in_force(host).map(Cow::into_owned);
+        let old = self.effective(host).map(Cow::into_owned);
         self.told.insert(host, target.listed());
-        let new = self.in_force(host)?;
+        let new = self.effective(host)?;
         let moved = old.is_some_and(|old| old.moved(&new));
-        Some(Noted {
+        Some(StagedEntry {
             entry: new.entry(),
             drop_idle: moved || !new.serves(),
         })
     }
 
     /// A whole list has come: who is not in it is gone.
-    pub(super) fn only(&mut self, listed: &[HostEntry]) -> Vec<HostId> {
+    pub(super) fn retain_listed(&mut self, listed: &[HostEntry]) -> Vec<HostId> {
         let listed: BTreeSet<_> = listed.iter().map(|entry| entry.host).collect();
         let missing = self
             .told
@@ -107,7 +107,7 @@
     }
 
     /// The entries of operators alone, which discovery does not list.
-    pub(super) fn of_operators(&self) -> impl Iterator<Item = HostEntry> {
+    pub(super) fn operator_only_entries(&self) -> impl Iterator<Item = HostEntry> {
         let alone = self
             .revision
             .hosts
@@ -145,7 +145,7 @@
         }
         let told = |revision: &Snapshot, host| {
             self.told.get(&host)?;
-            self.under(revision, host).map(Cow::into_owned)
+            self.merged(revision, host).map(Cow::into_owned)
         };
         new.changes(
             &old,
@@ -183,7 +183,7 @@
 
 /// Counts since the state was last told.
 #[derive(Default)]
-pub(super) struct Tally {
+pub(super) struct Metrics {
     told: f64,
     pub(super) clients: u64,
     pub(super) taken: u64,
@@ -194,13 +194,13 @@
     pub(super) left: u64,
     pub(super) malformed: u64,
     pub(super) attempts: u64,
-    pub(super) links: u64,
+    pub(super) upstreams: u64,
     /// What all routers share: calls to discovery, votes and those that did not count, messages between routers.
-    pub(super) lists: u64,
+    pub(super) list_requests: u64,
     pub(super) votes: u64,
-    pub(super) votes_away: u64,
-    pub(super) told_peers: u64,
-    pub(super) heard_peers: u64,
+    pub(super) votes_not_counted: u64,
+    pub(super) gossip_sent: u64,
+    pub(super) gossip_received: u64,
     /// Lines that were not written, of too many in a second; when that second began, and its lines.
     unlogged: u64,
     second: (f64, u64),
@@ -209,7 +209,7 @@
     before: Counts,
 }
 
-impl Tally {
+impl Metrics {
     /// Counts since the program's start.
     pub(super) fn all(&self) -> Counts {
         let before = &self.before;
@@ -254,12 +254,12 @@
             ("left", self.left),
             ("malformed", self.malformed),
             ("dispatches", self.attempts),
-            ("new_links", self.links),
-            ("lists", self.lists),
+            ("new_links", self.upstreams),
+            ("lists", self.list_requests),
             ("votes", self.votes),
-            ("votes_away", self.votes_away),
-            ("told", self.told_peers),
-            ("heard", self.heard_peers),
+            ("votes_away", self.votes_not_counted),
+            ("told", self.gossip_sent),
+            ("heard", self.gossip_received),
             ("unlogged", self.unlogged),
         ];
         let mut line = String::new();
@@ -274,11 +274,11 @@
         {
             let _ = write!(line, " {name} {count}");
         }
-        *self = Tally {
+        *self = Metrics {
             told: now,
             second: self.second,
             before: self.all(),
-            ..Tally::default()
+            ..Metrics::default()
         };
         Some(line)
     }
--- a/router/src/routing/peers.rs
+++ b/router/src/routing/gossip_peers.rs
@@ -7,11 +7,11 @@
 use kestreltide::interface::*;
 use slog::{debug, info};
 
-use super::{PEERS, Routing};
+use super::{GOSSIP, Routing};
 use crate::limits::Limits;
 use crate::transport::{Datagrams, Net, SocketId};
 
-pub(super) struct Peers {
+pub(super) struct GossipPeers {
     socket: Datagrams,
     /// By their numbers.
     at: Vec<SocketAddr>,
@@ -19,7 +19,7 @@
     numbers: BTreeMap<SocketAddr, RouterId>,
 }
 
-impl Peers {
+impl GossipPeers {
     pub(super) fn open(
         net: &mut Net,
         listen: SocketAddr,
@@ -27,13 +27,13 @@
         all: Option<SocketAddr>,
         limits: &Limits,
     ) -> io::Result<Self> {
-        let socket = Datagrams::open(net, listen, limits.datagram, PEERS)?;
+        let socket = Datagrams::open(net, listen, limits.datagram, GOSSIP)?;
         let numbers = at
             .iter()
             .enumerate()
             .map(|(number, at)| (*at, RouterId(number as u32)))
             .collect();
-        Ok(Peers {
+        Ok(GossipPeers {
             socket,
             at,
             all,
@@ -47,19 +47,19 @@
 }
 
 impl Routing {
-    pub(super) fn tell(&mut self, to: Option<RouterId>, payload: &[u8]) {
+    pub(super) fn send_gossip(&mut self, to: Option<RouterId>, payload: &[u8]) {
         let Some(peers) = &self.peers else { return };
         let to = to.map_or(peers.all, |router| peers.at.get(router.0 as usize).copied());
         let Some(to) = to.filter(|_| payload.len() <= self.limits.datagram) else {
             return debug!(self.log, "a message to a peer has no way"; "bytes" => payload.len());
         };
-        self.tally.told_peers += 1;
+        self.metrics.gossip_sent += 1;
         if let Err(e) = peers.socket.send(to, payload) {
             debug!(self.log, "a message to a peer is lost"; "to" => %to, "error" => %e);
         }
     }
 
-    pub(super) fn peers_ready(&mut self) {
+    pub(super) fn on_gossip_readable(&mut self) {
         let Some(peers) = &mut self.peers else { return };
         // Bounded: a flood leaves the rest to the next one, which it brings by itself.
         for _ in 0..self.limits.datagrams {
@@ -72,16 +72,16 @@
                 .filter(|_| payload.len() <= self.limits.datagram);
             match known {
                 Some(from) => {
-                    self.tally.heard_peers += 1;
+                    self.metrics.gossip_received += 1;
                     self.events.push_back(Event::GossipReceived {
                         from: *from,
                         payload: payload.to_vec(),
                     });
                 }
                 None => {
-                    self.tally.malformed += 1;
+                    self.metrics.malformed += 1;
                     if self
-                        .tally
+                        .metrics
                         .complain(self.clock.now(), self.limits.complaints)
                     {
                         info!(self.log, "a datagram is from no peer or too long"; "from" => %from);
--- a/router/src/routing/shutdown.rs
+++ b/router/src/routing/graceful_shutdown.rs
@@ -4,8 +4,8 @@
 
 use slog::info;
 
-use super::take_in::Client;
-use super::{Due, Routing};
+use super::client_connection::Client;
+use super::{Routing, TimerEvent};
 use crate::protocol::client::write_throttled;
 use crate::protocol::resp::write_error;
 use crate::transport::SocketId;
@@ -140,36 +140,36 @@
             Act::CallLast => {
                 self.last_calls += 1;
                 let at = self.clock.now() + self.limits.last_call;
-                self.set_due(at, Due::LastCallOver(self.last_calls));
+                self.schedule(at, TimerEvent::LastCallOver(self.last_calls));
             }
             Act::CloseListener => self.close_listener(),
             Act::GiveUp => self.give_up_all(),
         }
     }
 
-    pub(super) fn shutdown_told(&mut self) {
+    pub(super) fn on_shutdown_requested(&mut self) {
         self.shut_down(Input::Told);
     }
 
-    pub(super) fn serving_over(&mut self) {
+    pub(super) fn on_serving_over(&mut self) {
         self.shut_down(Input::ServingOver);
     }
 
-    pub(super) fn last_call_over(&mut self, number: u64) {
+    pub(super) fn on_last_call_over(&mut self, number: u64) {
         if number == self.last_calls {
             self.shut_down(Input::LastCallOver);
         }
     }
 
-    pub(super) fn draining_over(&mut self) {
+    pub(super) fn on_draining_over(&mut self) {
         self.shut_down(Input::DrainingOver);
     }
 
-    pub(super) fn last_time(&mut self) {
+    pub(super) fn on_last_time(&mut self) {
         self.shut_down(Input::LastTime);
     }
 
-    pub(super) fn shutdown_end(&mut self) {
+    pub(super) fn on_shutdown_end(&mut self) {
         self.shut_down(Input::End);
     }
 
@@ -204,13 +204,20 @@
     fn begin_shutdown(&mut self) {
         info!(self.log, "stopping"; "open" => self.admitted.len(), "clients" => self.clients.len());
         // It may have been told while this process stood still, and the platform counts from there.
-        let (now, told, limits) = (self.woken, self.woken - self.stall, &self.limits);
+        let (now, told, limits) = (
+            self.woken_at,
+            self.woken_at - self.event_loop_delay,
+            &self.limits,
+        );
         let (serving, last, end) = (limits.serving_on, limits.shutdown_last, limits.shutdown_end);
         self.last_at = Some(told + last);
-        self.set_due(now + serving, Due::ServingOver);
-        self.set_due((now + serving).midpoint(told + last), Due::DrainingOver);
-        self.set_due(told + last, Due::LastTime);
-        self.set_due(told + end, Due::ShutdownEnd);
+        self.schedule(now + serving, TimerEvent::ServingOver);
+        self.schedule(
+            (now + serving).midpoint(told + last),
+            TimerEvent::DrainingOver,
+        );
+        self.schedule(told + last, TimerEvent::LastTime);
+        self.schedule(told + end, TimerEvent::ShutdownEnd);
     }
 
     fn drain_clients(&mut self) {
@@ -220,7 +227,7 @@
             .copied()
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|id| self.take_in(id));
+            .for_each(|id| self.read_client(id));
     }
 
     /// Who waits to be accepted is still served; bounded, as a flood would never end.
@@ -238,7 +245,7 @@
     fn drain_again(&mut self) {
         if !self.drain_due {
             self.drain_due = true;
-            self.set_due(self.clock.now() + self.quiet(), Due::DrainAgain);
+            self.schedule(self.clock.now() + self.quiet(), TimerEvent::DrainAgain);
         }
     }
 
@@ -259,7 +266,7 @@
             .copied()
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|id| self.take_in(id));
+            .for_each(|id| self.read_client(id));
         let now = self.clock.now();
         let told = |client: &Client| client.lingers.map(|(until, _)| until);
         let over = self
@@ -267,7 +274,7 @@
             .iter()
             .filter(|(_, client)| told(client).is_some_and(|until| until <= now));
         let over: Vec<_> = over.map(|(id, _)| *id).collect();
-        over.into_iter().for_each(|id| self.client_left(id));
+        over.into_iter().for_each(|id| self.close_client(id));
         if self.clients.values().any(|client| told(client).is_some()) {
             self.drain_again();
         }
@@ -289,7 +296,7 @@
             client.closing = true;
             client.lingers = Some((now + last_call, most));
             if client.stream.end().is_err() {
-                return self.client_left(id);
+                return self.close_client(id);
             }
         }
         self.drain_again();
--- a/router/src/routing/fronts.rs
+++ b/router/src/routing/management_link.rs
@@ -1,4 +1,4 @@
-//! Fronts: what other threads post enters the loop here, and what they may know of it goes out.
+//! The link to the management threads: what other threads post enters the loop here, and what they may know of it goes out.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -9,32 +9,32 @@
 use kestreltide_datastore::view::View;
 use slog::{info, warn};
 
-use super::{Due, FRONTS, Routing};
+use super::{MANAGEMENT, Routing, TimerEvent};
 use crate::transport::{Mail, Net, Post, SocketId};
 
 /// What a front posts to the loop.
 #[derive(Clone, Debug)]
-pub enum Notice {
+pub enum ManagementMessage {
     /// A revision was committed.
     Revision(Arc<Snapshot>),
 }
 
 /// A front's sign of life: when it last came round, in milliseconds of Unix time; 0 where it has ended.
 #[derive(Clone, Debug)]
-pub struct Pulse {
+pub struct Heartbeat {
     pub name: &'static str,
     at: Arc<AtomicU64>,
 }
 
-impl Pulse {
+impl Heartbeat {
     pub fn new(name: &'static str) -> Self {
-        Pulse {
+        Heartbeat {
             name,
             at: Arc::default(),
         }
     }
 
-    pub fn beat(&self, now: f64) {
+    pub fn record(&self, now: f64) {
         self.at.store((now * 1e3) as u64, Relaxed);
     }
 
@@ -44,46 +44,46 @@
 }
 
 /// The loop's end of it.
-pub struct Box {
-    mail: Mail<Notice>,
+pub struct ManagementInbox {
+    mail: Mail<ManagementMessage>,
     view: Arc<ArcSwap<View>>,
     in_force: Arc<AtomicU64>,
 }
 
 /// What fronts hold of the loop.
 #[derive(Clone)]
-pub struct Loop {
-    pub post: Post<Notice>,
+pub struct LoopHandle {
+    pub post: Post<ManagementMessage>,
     pub view: Arc<ArcSwap<View>>,
     /// The revision in force there.
     pub in_force: Arc<AtomicU64>,
 }
 
-impl Box {
+impl ManagementInbox {
     /// The two ends: the loop's, and what fronts hold.
-    pub fn open(net: &mut Net, most: usize) -> std::io::Result<(Self, Loop)> {
-        let (mail, post) = net.mail(most, FRONTS)?;
+    pub fn open(net: &mut Net, most: usize) -> std::io::Result<(Self, LoopHandle)> {
+        let (mail, post) = net.mail(most, MANAGEMENT)?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
         let in_force = Arc::new(AtomicU64::new(0));
-        let of_loop = Loop {
+        let loop_handle = LoopHandle {
             post,
             view: view.clone(),
             in_force: in_force.clone(),
         };
         Ok((
-            Box {
+            ManagementInbox {
                 mail,
                 view,
                 in_force,
             },
-            of_loop,
+            loop_handle,
         ))
     }
 }
 
-pub(super) struct Fronts {
-    open: Box,
-    pulses: Vec<(Pulse, bool)>,
+pub(super) struct ManagementLink {
+    inbox: ManagementInbox,
+    heartbeats: Vec<(Heartbeat, bool)>,
     revision: Revision,
     /// Being told ahead, and how much of it has been.
     staging: Option<(Arc<Snapshot>, usize)>,
@@ -95,20 +95,28 @@
     stale: bool,
 }
 
-impl Fronts {
+impl ManagementLink {
     pub(super) fn owns(&self, id: SocketId) -> bool {
-        self.open.mail.id == id
+        self.inbox.mail.id == id
     }
 }
 
 impl Routing {
     /// Joins the fronts to the loop; without it there are none. Where operators alone list hosts, discovery is
     /// not asked.
-    pub fn join(&mut self, open: Box, pulses: Vec<Pulse>, discovery: bool) {
-        let pulses = pulses.into_iter().map(|pulse| (pulse, false)).collect();
-        self.fronts = Some(Fronts {
-            open,
-            pulses,
+    pub fn attach_management(
+        &mut self,
+        inbox: ManagementInbox,
+        heartbeats: Vec<Heartbeat>,
+        discovery: bool,
+    ) {
+        let heartbeats = heartbeats
+            .into_iter()
+            .map(|heartbeat| (heartbeat, false))
+            .collect();
+        self.management = Some(ManagementLink {
+            inbox,
+            heartbeats,
             revision: Revision(0),
             staging: None,
             staging_pause: 0.0,
@@ -121,139 +129,144 @@
         }
     }
 
-    pub(super) fn fronts_ready(&mut self) {
+    pub(super) fn on_management_message(&mut self) {
         // One revision after another: the next lies in its box while one is staged.
-        while let Some(fronts) = self
-            .fronts
+        while let Some(management) = self
+            .management
             .as_mut()
-            .filter(|fronts| fronts.staging.is_none())
+            .filter(|management| management.staging.is_none())
         {
-            let Some(notice) = fronts.open.mail.take() else {
+            let Some(message) = management.inbox.mail.take() else {
                 return;
             };
-            match notice {
-                Notice::Revision(snapshot) => self.take_revision(&snapshot),
+            match message {
+                ManagementMessage::Revision(snapshot) => self.apply_revision(&snapshot),
             }
         }
     }
 
     pub(super) fn is_staging(&self) -> bool {
-        self.fronts
+        self.management
             .as_ref()
-            .is_some_and(|fronts| fronts.staging.is_some())
+            .is_some_and(|management| management.staging.is_some())
     }
 
     /// Takes a revision, at once where it is short; a long list of who comes and goes is told ahead in parts, one
     /// a turn, so that the loop never stands still for it.
-    pub fn take_revision(&mut self, snapshot: &Arc<Snapshot>) {
-        let ahead = snapshot.entries.len() > self.limits.staged && self.hosts.can_stage(snapshot);
-        match &mut self.fronts {
-            Some(fronts) if ahead => fronts.staging = Some((snapshot.clone(), 0)),
-            _ => self.put_in_force(snapshot, false),
+    pub fn apply_revision(&mut self, snapshot: &Arc<Snapshot>) {
+        let ahead =
+            snapshot.entries.len() > self.limits.staged && self.endpoints.can_stage(snapshot);
+        match &mut self.management {
+            Some(management) if ahead => management.staging = Some((snapshot.clone(), 0)),
+            _ => self.apply_snapshot(snapshot, false),
         }
     }
 
     /// The next part of what is staged; after the last one it is in force.
-    pub(super) fn stage(&mut self) {
+    pub(super) fn stage_next_part(&mut self) {
         let Some((snapshot, from)) = self
-            .fronts
+            .management
             .as_mut()
-            .and_then(|fronts| fronts.staging.take())
+            .and_then(|management| management.staging.take())
         else {
             return;
         };
         if from >= snapshot.entries.len() {
-            self.put_in_force(&snapshot, true);
-            return self.fronts_ready();
+            self.apply_snapshot(&snapshot, true);
+            return self.on_management_message();
         }
         let begun = self.clock.now();
         let to = (from + self.limits.staged).min(snapshot.entries.len());
-        self.route(Event::EndpointsStaged {
+        self.dispatch_event(Event::EndpointsStaged {
             entries: snapshot.entries.clone(),
             from,
             to,
         });
         let paused = self.clock.now() - begun;
-        if let Some(fronts) = &mut self.fronts {
-            fronts.staging_pause = fronts.staging_pause.max(paused);
-            fronts.staging = Some((snapshot, to));
+        if let Some(management) = &mut self.management {
+            management.staging_pause = management.staging_pause.max(paused);
+            management.staging = Some((snapshot, to));
         }
     }
 
     /// What is staged is taken now: another list comes.
     pub(super) fn finish_staging(&mut self) {
         while self.is_staging() {
-            self.stage();
+            self.stage_next_part();
         }
     }
 
     /// From here on invocations come under this revision; what it drains or takes away binds at once.
-    fn put_in_force(&mut self, snapshot: &Arc<Snapshot>, staged: bool) {
+    fn apply_snapshot(&mut self, snapshot: &Arc<Snapshot>, staged: bool) {
         let begun = self.clock.now();
-        let entries = self.hosts.take(snapshot, staged);
+        let entries = self.endpoints.take(snapshot, staged);
         let count = snapshot.changed.len();
-        self.close_unwanted();
-        self.route(Event::OperatorOverridesApplied {
+        self.close_unusable_connections();
+        self.dispatch_event(Event::OperatorOverridesApplied {
             overrides: snapshot.set.clone(),
             entries,
         });
         let (now, revision) = (self.clock.now(), snapshot.revision());
-        let Some(fronts) = &mut self.fronts else {
+        let Some(management) = &mut self.management else {
             return;
         };
-        fronts.revision = revision;
-        fronts.open.in_force.store(revision.0, Relaxed);
-        fronts.taken += 1;
-        let pause = std::mem::take(&mut fronts.staging_pause).max(now - begun);
-        fronts.longest_pause = fronts.longest_pause.max(pause);
+        management.revision = revision;
+        management.inbox.in_force.store(revision.0, Relaxed);
+        management.taken += 1;
+        let pause = std::mem::take(&mut management.staging_pause).max(now - begun);
+        management.longest_pause = management.longest_pause.max(pause);
         info!(self.log, "a revision is in force"; "revision" => revision.0, "changed" => count,
-            "hosts" => self.hosts.len(), "pause_ms" => format!("{:.3}", 1e3 * pause),
+            "hosts" => self.endpoints.len(), "pause_ms" => format!("{:.3}", 1e3 * pause),
             "since_commit_ms" => format!("{:.1}", 1e3 * (now - snapshot.at)));
-        self.view_changed();
-        self.settle();
+        self.mark_view_stale();
+        self.process_pending();
     }
 
-    /// Fronts get the new view soon, not at each of many changes.
-    pub(super) fn view_changed(&mut self) {
-        let Some(fronts) = self.fronts.as_mut().filter(|fronts| !fronts.stale) else {
+    /// The management threads get the new view soon, not at each of many changes.
+    pub(super) fn mark_view_stale(&mut self) {
+        let Some(management) = self
+            .management
+            .as_mut()
+            .filter(|management| !management.stale)
+        else {
             return;
         };
-        fronts.stale = true;
-        self.set_due(self.clock.now() + self.limits.view, Due::View);
+        management.stale = true;
+        self.schedule(self.clock.now() + self.limits.view, TimerEvent::PublishView);
     }
 
-    pub(super) fn publish(&mut self) {
-        let Some(fronts) = &mut self.fronts else {
+    pub(super) fn publish_view(&mut self) {
+        let Some(management) = &mut self.management else {
             return;
         };
-        fronts.stale = false;
+        management.stale = false;
         let asked = !self.discovery.is_off();
         let view = View {
             at: self.clock.now(),
-            discovery: asked.then(|| self.hosts.told().cloned().collect()),
+            discovery: asked.then(|| self.endpoints.told().cloned().collect()),
             heard: self.discovery.has_told(),
-            news: self.newest,
-            revision: fronts.revision,
-            taken: fronts.taken,
-            longest_pause: fronts.longest_pause,
+            news: self.rollout_status,
+            revision: management.revision,
+            taken: management.taken,
+            longest_pause: management.longest_pause,
             open: self.admitted.len(),
             clients: self.clients.len(),
-            links: self.links.len(),
-            counts: self.tally.all(),
+            links: self.upstreams.len(),
+            counts: self.metrics.all(),
         };
-        fronts.open.view.store(Arc::new(view));
+        management.inbox.view.store(Arc::new(view));
     }
 
     /// A front that stands still costs invocations nothing, but somebody should know.
-    pub(super) fn check_pulses(&mut self, now: f64) {
-        let Some(fronts) = &mut self.fronts else {
+    pub(super) fn check_heartbeats(&mut self, now: f64) {
+        let Some(management) = &mut self.management else {
             return;
         };
-        for (pulse, told) in &mut fronts.pulses {
-            let last = pulse.last();
+        for (heartbeat, told) in &mut management.heartbeats {
+            let last = heartbeat.last();
             let still = last > 0.0 && now - last > self.limits.front_stall;
             if still && !*told {
-                warn!(self.log, "a front stands still"; "front" => pulse.name, "seconds" => now - last);
+                warn!(self.log, "a front stands still"; "front" => heartbeat.name, "seconds" => now - last);
             }
             *told = still;
         }
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -1,18 +1,18 @@
-//! The stages that a request passes, and the parties around them. A request is taken in, admitted, routed,
+//! The stages that a request passes, and the peers around them. A request is taken in, admitted, routed,
 //! sent, relayed and booked, each by a unit of its own; only `route` speaks with the decisions.
 
-mod admit;
+mod admission;
 mod arrivals;
-mod book;
-mod discovery;
-mod fronts;
-mod peers;
-mod platform;
-mod relay;
-mod route;
-mod send;
-mod shutdown;
-mod take_in;
+mod client_connection;
+mod discovery_watch;
+mod dispatch_decisions;
+mod endpoint_table;
+mod gossip_peers;
+mod graceful_shutdown;
+mod management_link;
+mod platform_client;
+mod response_relay;
+mod upstream_connection;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -27,29 +27,29 @@
 
 use crate::limits::Limits;
 use crate::transport::{Alarms, Clock, Listener, Net, Pools, Rank, SocketId};
-use admit::Admitted;
-use book::{Hosts, Tally};
-use discovery::Discovery;
-pub use fronts::{Box as FrontBox, Loop, Notice, Pulse};
-use peers::Peers;
-use platform::Platform;
-use send::Link;
-use shutdown::Shutdown;
-use take_in::Client;
+use admission::AdmittedRequest;
+use client_connection::Client;
+use discovery_watch::DiscoveryWatch;
+use endpoint_table::{EndpointTable, Metrics};
+use gossip_peers::GossipPeers;
+use graceful_shutdown::Shutdown;
+pub use management_link::{Heartbeat, LoopHandle, ManagementInbox, ManagementMessage};
+use platform_client::PlatformClient;
+use upstream_connection::UpstreamConnection;
 
 // News first: stale news breaks drains and exposure after a stall. Then answers that are already here, so that
 // they do not lose to time-outs; then clients; alarms come after all that was read.
-const NEWS: Rank = Rank(0);
+const DISCOVERY: Rank = Rank(0);
 const PLATFORM: Rank = Rank(1);
 // What operators drain and take out binds as discovery's news do.
-const FRONTS: Rank = Rank(2);
-const PEERS: Rank = Rank(3);
-const HOSTS: Rank = Rank(4);
+const MANAGEMENT: Rank = Rank(2);
+const GOSSIP: Rank = Rank(3);
+const UPSTREAMS: Rank = Rank(4);
 const CLIENTS: Rank = Rank(5);
 const LISTENER: Rank = Rank(6);
 
 /// Where everybody is, and what this router held when it was started.
-pub struct Parties {
+pub struct Addresses {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub platform: Option<SocketAddr>,
@@ -69,24 +69,24 @@
 
 /// What is due at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Due {
+enum TimerEvent {
     Decisions(TimerKey),
     /// The use of a connection to a host that has this number must be over.
-    UseOver(SocketId, u64),
+    UpstreamUseTimeout(SocketId, u64),
     /// By now the connection must be up and the command written.
-    WriteOver(SocketId, u64),
+    UpstreamWriteTimeout(SocketId, u64),
     AcceptAgain,
-    Sweep,
-    CallOver(SocketId, u64),
+    ExpireIdle,
+    DiscoveryCallTimeout(SocketId, u64),
     /// By now the connection to discovery must be up.
-    CallUp(SocketId, u64),
+    DiscoveryConnectTimeout(SocketId, u64),
     /// By now the answer that has begun must be whole, or more of it have come.
-    CallRest(SocketId, u64),
-    WatchAgain,
-    PlatformAgain,
+    DiscoveryAnswerTimeout(SocketId, u64),
+    DiscoveryRetry,
+    PlatformReconnect,
     /// By now the platform's line that has begun must be whole, or more of it have come.
-    LineRest,
-    VoteOver(u64),
+    PlatformLineTimeout,
+    VoteTimeout(u64),
     Ready,
     ServingOver,
     DrainingOver,
@@ -96,7 +96,29 @@
     LastCallOver(u64),
     LastTime,
     ShutdownEnd,
-    View,
+    PublishView,
+}
+
+/// Why the router reports that it is ready to serve.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ReadyReason {
+    /// Discovery and the platform have both answered.
+    Observed,
+    /// Operators alone list the endpoints: discovery is not asked.
+    OperatorsOnly,
+    /// The time to wait for discovery and the platform is over.
+    Timeout,
+}
+
+impl ReadyReason {
+    /// The reason as the log names it.
+    fn name(self) -> &'static str {
+        match self {
+            ReadyReason::Observed => "news",
+            ReadyReason::OperatorsOnly => "operators",
+            ReadyReason::Timeout => "time",
+        }
+    }
 }
 
 pub struct Routing {
@@ -112,27 +134,27 @@
     events: VecDeque<Event>,
     effects: Vec<Effect>,
     /// Clients whose further commands may be taken now.
-    resumed: Vec<SocketId>,
+    resumed_clients: Vec<SocketId>,
     /// Clients that have had their turn and have more to be read.
-    later: Vec<SocketId>,
-    alarms: Alarms<Due>,
+    ready_again: Vec<SocketId>,
+    timers: Alarms<TimerEvent>,
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
-    admitted: BTreeMap<RequestId, Admitted>,
+    admitted: BTreeMap<RequestId, AdmittedRequest>,
     /// As clients named them, and who holds each.
-    open_ids: BTreeMap<Box<[u8]>, SocketId>,
-    held: usize,
-    last_inv: u64,
-    links: BTreeMap<SocketId, Link>,
+    open_request_ids: BTreeMap<Box<[u8]>, SocketId>,
+    reserved_bytes: usize,
+    last_request_number: u64,
+    upstreams: BTreeMap<SocketId, UpstreamConnection>,
     pools: Pools<HostId>,
-    hosts: Hosts,
-    discovery: Discovery,
-    platform: Option<Platform>,
+    endpoints: EndpointTable,
+    discovery: DiscoveryWatch,
+    platform: Option<PlatformClient>,
     /// The newest build, as last told.
-    newest: Option<RolloutStatus>,
-    peers: Option<Peers>,
+    rollout_status: Option<RolloutStatus>,
+    peers: Option<GossipPeers>,
     /// Where other threads post, where there are any.
-    fronts: Option<fronts::Fronts>,
+    management: Option<management_link::ManagementLink>,
     ready: bool,
     /// An alarm is set for clients that could not be accepted.
     accept_due: bool,
@@ -142,11 +164,11 @@
     drain_due: bool,
     last_calls: u64,
     last_at: Option<f64>,
-    tally: Tally,
+    metrics: Metrics,
     /// When the last sleep ended, and how long what is read from a socket now may have waited there.
-    woken: f64,
-    stall: f64,
-    told_nothing: bool,
+    woken_at: f64,
+    event_loop_delay: f64,
+    woke_without_events: bool,
 }
 
 impl Routing {
@@ -155,52 +177,55 @@
         (limits, clock): (Limits, Clock),
         mut net: Net,
         told: (ServiceSettings, TransportSettings),
-        parties: Parties,
+        addresses: Addresses,
         seed: u64,
     ) -> io::Result<Self> {
         let (now, (terms, transport)) = (clock.now(), told);
-        let listener = Listener::open(&mut net, parties.listen, limits.backlog, LISTENER)?;
+        let listener = Listener::open(&mut net, addresses.listen, limits.backlog, LISTENER)?;
         let at = listener.address()?;
         let idempotency = terms.operations.iter().map(|o| o.idempotency).collect();
-        let discovery = Discovery::new(parties.discovery, terms.polls_endpoint_list, &limits);
-        let platform = parties.platform.map(|at| Platform::new(at, &limits));
-        let peers = match parties.peer_listen.filter(|_| terms.may_gossip) {
-            Some(at) => Some(Peers::open(
+        let discovery =
+            DiscoveryWatch::new(addresses.discovery, terms.polls_endpoint_list, &limits);
+        let platform = addresses
+            .platform
+            .map(|at| PlatformClient::new(at, &limits));
+        let peers = match addresses.peer_listen.filter(|_| terms.may_gossip) {
+            Some(at) => Some(GossipPeers::open(
                 &mut net,
                 at,
-                parties.peers,
-                parties.peers_all,
+                addresses.peers,
+                addresses.peers_all,
                 &limits,
             )?),
             None => None,
         };
         let mut routing = Routing {
-            alarms: Alarms::new(limits.alarms),
+            timers: Alarms::new(limits.alarms),
             decisions: Router::start(terms, seed, now),
             chance: ChaCha8Rng::seed_from_u64(!seed),
             events: VecDeque::new(),
             effects: vec![],
-            resumed: vec![],
-            later: vec![],
+            resumed_clients: vec![],
+            ready_again: vec![],
             listener: Some(listener),
             clients: BTreeMap::new(),
             admitted: BTreeMap::new(),
-            open_ids: BTreeMap::new(),
-            held: 0,
-            last_inv: 0,
-            links: BTreeMap::new(),
+            open_request_ids: BTreeMap::new(),
+            reserved_bytes: 0,
+            last_request_number: 0,
+            upstreams: BTreeMap::new(),
             pools: Pools::default(),
-            hosts: Hosts::new(limits.hosts),
+            endpoints: EndpointTable::new(limits.hosts),
             ready: false,
             accept_due: false,
             shutdown: Shutdown::No,
             drain_due: false,
             last_calls: 0,
             last_at: None,
-            tally: Tally::default(),
-            woken: now,
-            stall: 0.0,
-            told_nothing: false,
+            metrics: Metrics::default(),
+            woken_at: now,
+            event_loop_delay: 0.0,
+            woke_without_events: false,
             log,
             limits,
             transport,
@@ -209,14 +234,16 @@
             net,
             discovery,
             platform,
-            newest: None,
+            rollout_status: None,
             peers,
-            fronts: None,
+            management: None,
         };
-        routing.alarms.set(now + routing.limits.sweep, Due::Sweep);
         routing
-            .alarms
-            .set(now + routing.limits.ready_wait, Due::Ready);
+            .timers
+            .set(now + routing.limits.sweep, TimerEvent::ExpireIdle);
+        routing
+            .timers
+            .set(now + routing.limits.ready_wait, TimerEvent::Ready);
         info!(routing.log, "listening"; "at" => %at, "clients" => routing.limits.clients,
             "host_links" => routing.limits.host_links);
         Ok(routing)
@@ -225,30 +252,30 @@
     /// Reaches out to discovery and the platform; what the router held before has been told by now.
     pub fn begin(&mut self) {
         if !self.discovery.asked_only() {
-            self.watch_begin();
+            self.begin_watch();
         }
-        self.platform_begin();
-        self.publish();
+        self.connect_platform();
+        self.publish_view();
         if self.discovery.is_off() {
-            self.ready_by("operators");
+            self.mark_ready(ReadyReason::OperatorsOnly);
         }
-        self.settle();
+        self.process_pending();
     }
 
     /// Discovery and the platform have moved, and nothing else has: what was learnt from them stays.
-    pub fn moved(&mut self, discovery: SocketAddr, platform: Option<SocketAddr>) {
-        self.discovery_moved(discovery);
+    pub fn change_addresses(&mut self, discovery: SocketAddr, platform: Option<SocketAddr>) {
+        self.change_discovery_address(discovery);
         if let Some(at) = platform {
-            self.platform_moved(at);
+            self.change_platform_address(at);
         }
-        self.settle();
+        self.process_pending();
     }
 
     /// Sleeps until something happens and serves it.
     pub fn turn(&mut self) -> io::Result<Turn> {
         let now = self.clock.now();
-        let next = self.alarms.next().map_or(self.limits.sleep, |at| at - now);
-        let sleep = if self.later.is_empty() && !self.is_staging() {
+        let next = self.timers.next().map_or(self.limits.sleep, |at| at - now);
+        let sleep = if self.ready_again.is_empty() && !self.is_staging() {
             next.clamp(0.0, self.limits.sleep)
         } else {
             0.0
@@ -256,32 +283,38 @@
         let (sockets, signalled) = self.net.wait(sleep)?;
         // Since the last look: what the work of the last turn took, and a sleep longer than asked for.
         let woken = self.clock.now();
-        let stall = (now - self.woken) + (woken - now - sleep).max(0.0);
+        let stall = (now - self.woken_at) + (woken - now - sleep).max(0.0);
         // A signal that ends a standstill can end the sleep with nothing told: what is there at once after that
         // was there before.
-        let carried = if self.told_nothing && woken - now < self.limits.at_once {
-            self.stall
+        let carried = if self.woke_without_events && woken - now < self.limits.at_once {
+            self.event_loop_delay
         } else {
             0.0
         };
-        (self.stall, self.woken, self.told_nothing) =
-            (stall.max(carried), woken, sockets.is_empty());
-        if self.stall > self.limits.stalled {
-            slog::warn!(self.log, "this process stood still"; "seconds" => self.stall);
+        (
+            self.event_loop_delay,
+            self.woken_at,
+            self.woke_without_events,
+        ) = (stall.max(carried), woken, sockets.is_empty());
+        if self.event_loop_delay > self.limits.stalled {
+            slog::warn!(self.log, "this process stood still"; "seconds" => self.event_loop_delay);
         }
         if signalled.stop {
-            self.shutdown_told();
+            self.on_shutdown_requested();
         }
         // In the order of ranks, clients come last anyway; who is both ready and due again is served once more.
-        for id in sockets.into_iter().chain(std::mem::take(&mut self.later)) {
+        for id in sockets
+            .into_iter()
+            .chain(std::mem::take(&mut self.ready_again))
+        {
             self.serve(id);
-            self.settle();
+            self.process_pending();
         }
-        self.stage();
+        self.stage_next_part();
         // Only what was due before anything was read: answers that are here go before time-outs.
-        while let Some(due) = self.alarms.due(woken) {
+        while let Some(due) = self.timers.due(woken) {
             self.due(due);
-            self.settle();
+            self.process_pending();
         }
         Ok(match signalled.reread {
             _ if self.is_over() => Turn::Over,
@@ -291,101 +324,112 @@
     }
 
     fn serve(&mut self, id: SocketId) {
-        if self.links.contains_key(&id) {
-            self.link_ready(id);
+        if self.upstreams.contains_key(&id) {
+            self.on_upstream_readable(id);
         } else if self.clients.contains_key(&id) {
-            self.take_in(id);
+            self.read_client(id);
         } else if self
             .listener
             .as_ref()
             .is_some_and(|listener| listener.id == id)
         {
             let _ = self.accept();
-        } else if self.fronts.as_ref().is_some_and(|fronts| fronts.owns(id)) {
-            self.fronts_ready();
+        } else if self
+            .management
+            .as_ref()
+            .is_some_and(|management| management.owns(id))
+        {
+            self.on_management_message();
         } else if self.discovery.owns(id) {
-            self.discovery_ready(id);
+            self.on_discovery_readable(id);
         } else if self
             .platform
             .as_ref()
             .is_some_and(|platform| platform.owns(id))
         {
-            self.platform_ready();
+            self.on_platform_readable();
         } else if self.peers.as_ref().is_some_and(|peers| peers.owns(id)) {
-            self.peers_ready();
+            self.on_gossip_readable();
         }
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: TimerEvent) {
         match due {
-            Due::Decisions(key) => self.events.push_back(Event::TimerExpired { key }),
-            Due::UseOver(id, number) => self.use_over(id, number),
-            Due::WriteOver(id, number) => self.write_over(id, number),
-            Due::AcceptAgain => {
+            TimerEvent::Decisions(key) => self.events.push_back(Event::TimerExpired { key }),
+            TimerEvent::UpstreamUseTimeout(id, number) => self.on_use_timeout(id, number),
+            TimerEvent::UpstreamWriteTimeout(id, number) => self.on_write_timeout(id, number),
+            TimerEvent::AcceptAgain => {
                 self.accept_due = false;
                 let _ = self.accept();
             }
-            Due::Sweep => self.sweep(),
-            Due::CallOver(id, number) => self.call_over(id, number),
-            Due::CallUp(id, number) => self.call_up(id, number),
-            Due::CallRest(id, number) => self.call_rest(id, number),
-            Due::WatchAgain => self.watch_begin(),
-            Due::PlatformAgain => self.platform_begin(),
-            Due::LineRest => self.line_rest(),
-            Due::VoteOver(call) => self.vote_over(call),
-            Due::Ready => self.ready_by("time"),
-            Due::ServingOver => self.serving_over(),
-            Due::DrainingOver => self.draining_over(),
-            Due::DrainAgain => self.drain_due(),
-            Due::LastCallOver(number) => self.last_call_over(number),
-            Due::LastTime => self.last_time(),
-            Due::ShutdownEnd => self.shutdown_end(),
-            Due::View => self.publish(),
+            TimerEvent::ExpireIdle => self.expire_idle(),
+            TimerEvent::DiscoveryCallTimeout(id, number) => self.on_call_timeout(id, number),
+            TimerEvent::DiscoveryConnectTimeout(id, number) => {
+                self.on_call_connect_timeout(id, number)
+            }
+            TimerEvent::DiscoveryAnswerTimeout(id, number) => self.on_answer_timeout(id, number),
+            TimerEvent::DiscoveryRetry => self.begin_watch(),
+            TimerEvent::PlatformReconnect => self.connect_platform(),
+            TimerEvent::PlatformLineTimeout => self.on_line_timeout(),
+            TimerEvent::VoteTimeout(call) => self.on_vote_timeout(call),
+            TimerEvent::Ready => self.mark_ready(ReadyReason::Timeout),
+            TimerEvent::ServingOver => self.on_serving_over(),
+            TimerEvent::DrainingOver => self.on_draining_over(),
+            TimerEvent::DrainAgain => self.drain_due(),
+            TimerEvent::LastCallOver(number) => self.on_last_call_over(number),
+            TimerEvent::LastTime => self.on_last_time(),
+            TimerEvent::ShutdownEnd => self.on_shutdown_end(),
+            TimerEvent::PublishView => self.publish_view(),
         }
     }
 
     /// Events until none is left, and the commands of clients that may go on.
-    fn settle(&mut self) {
+    fn process_pending(&mut self) {
         loop {
             if let Some(event) = self.events.pop_front() {
-                self.route(event);
-            } else if let Some(id) = self.resumed.pop() {
-                self.take_in(id);
+                self.dispatch_event(event);
+            } else if let Some(id) = self.resumed_clients.pop() {
+                self.read_client(id);
             } else {
                 return;
             }
         }
     }
 
-    fn set_due(&mut self, at: f64, due: Due) {
-        if !self.alarms.set(at, due) {
+    fn schedule(&mut self, at: f64, due: TimerEvent) {
+        if !self.timers.set(at, due) {
             slog::error!(self.log, "an alarm was dropped, too many are set"; "due" => ?due);
         }
     }
 
-    fn ready_by(&mut self, what: &str) {
-        let heard = self.discovery.heard() && self.platform.as_ref().is_none_or(Platform::heard);
-        if !self.ready && (heard || what == "time") {
+    fn mark_ready(&mut self, reason: ReadyReason) {
+        let heard =
+            self.discovery.heard() && self.platform.as_ref().is_none_or(PlatformClient::heard);
+        if !self.ready && (heard || reason == ReadyReason::Timeout) {
             self.ready = true;
-            info!(self.log, "ready"; "by" => what, "hosts" => self.hosts.len());
+            info!(self.log, "ready"; "by" => reason.name(), "hosts" => self.endpoints.len());
         }
     }
 
-    fn sweep(&mut self) {
+    fn expire_idle(&mut self) {
         let now = self.clock.now();
-        self.set_due(now + self.limits.sweep, Due::Sweep);
+        self.schedule(now + self.limits.sweep, TimerEvent::ExpireIdle);
         for id in self.pools.take_unused_since(now - self.limits.idle_time) {
-            self.close_link(id);
+            self.close_upstream(id);
         }
-        self.platform_check(now);
-        self.close_stuck(now);
-        self.close_unspoken(now);
-        self.check_pulses(now);
-        let using = self.links.values().map(Link::host).collect();
-        self.hosts.forget_gone(&using);
-        if let Some(line) = self.tally.line(now, self.limits.tell_state) {
+        self.check_platform_silence(now);
+        self.close_clients_not_reading(now);
+        self.expire_clients_without_request(now);
+        self.check_heartbeats(now);
+        let using = self
+            .upstreams
+            .values()
+            .map(UpstreamConnection::host)
+            .collect();
+        self.endpoints.forget_gone(&using);
+        if let Some(line) = self.metrics.line(now, self.limits.tell_state) {
             info!(self.log, "state"; "open" => self.admitted.len(), "clients" => self.clients.len(),
-                "links" => self.links.len(), "idle" => self.pools.count(), "counts" => line);
+                "links" => self.upstreams.len(), "idle" => self.pools.count(), "counts" => line);
         }
     }
 }
--- a/router/src/routing/platform.rs
+++ b/router/src/routing/platform_client.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use slog::{debug, info, warn};
 
-use super::{Due, PLATFORM, Routing};
+use super::{PLATFORM, ReadyReason, Routing, TimerEvent};
 use crate::limits::Limits;
 use crate::protocol::platform::{self, State, Told};
 use crate::transport::{Fill, SocketId, Stream};
@@ -18,7 +18,7 @@
     what: RolloutStatus,
 }
 
-pub(super) struct Platform {
+pub(super) struct PlatformClient {
     at: SocketAddr,
     stream: Option<Stream>,
     votes: BTreeMap<u64, PendingVote>,
@@ -31,10 +31,10 @@
     heard: bool,
 }
 
-impl Platform {
+impl PlatformClient {
     pub(super) fn new(at: SocketAddr, limits: &Limits) -> Self {
         let (votes, wait) = (BTreeMap::new(), limits.retry[0]);
-        Platform {
+        PlatformClient {
             at,
             stream: None,
             votes,
@@ -63,12 +63,12 @@
 
 impl Routing {
     /// What this router knew of the builds before it was started.
-    pub fn remember_state(&mut self, news: RolloutStatus) {
-        self.told_news(news);
-        self.settle();
+    pub fn restore_rollout_status(&mut self, news: RolloutStatus) {
+        self.apply_rollout_status(news);
+        self.process_pending();
     }
 
-    pub(super) fn platform_begin(&mut self) {
+    pub(super) fn connect_platform(&mut self) {
         let now = self.clock.now();
         let Some(platform) = self
             .platform
@@ -83,14 +83,14 @@
                 platform::write_follow(stream.output(), call);
                 platform.stream = Some(stream);
                 (platform.last, platform.begun, platform.since) = (now, None, now);
-                self.platform_ready();
+                self.on_platform_readable();
             }
-            Err(e) => self.platform_broke(&e.to_string()),
+            Err(e) => self.on_platform_lost(&e.to_string()),
         }
     }
 
     /// What the old address has told by now is read; votes that were written there may have counted.
-    pub(super) fn platform_moved(&mut self, at: SocketAddr) {
+    pub(super) fn change_platform_address(&mut self, at: SocketAddr) {
         if self
             .platform
             .as_ref()
@@ -98,15 +98,15 @@
         {
             return;
         }
-        self.platform_ready();
-        self.platform_close();
+        self.on_platform_readable();
+        self.close_platform();
         if let Some(platform) = &mut self.platform {
             (platform.at, platform.wait) = (at, self.limits.retry[0]);
         }
-        self.platform_begin();
+        self.connect_platform();
     }
 
-    pub(super) fn cast(&mut self, build: BuildId, stage: u32, vote: Vote) {
+    pub(super) fn cast_vote(&mut self, build: BuildId, stage: u32, vote: Vote) {
         let now = self.clock.now();
         let what = RolloutStatus {
             outcome: AttemptOutcome::NoConnection,
@@ -118,8 +118,9 @@
             answers_vote: true,
         };
         let most = self.limits.votes;
-        let open =
-            |platform: &&mut Platform| platform.stream.is_some() && platform.votes.len() < most;
+        let open = |platform: &&mut PlatformClient| {
+            platform.stream.is_some() && platform.votes.len() < most
+        };
         let Some(platform) = self.platform.as_mut().filter(open) else {
             return self.events.push_back(Event::RolloutStatusReceived(what));
         };
@@ -134,13 +135,13 @@
                 what,
             },
         );
-        self.tally.votes += 1;
+        self.metrics.votes += 1;
         info!(self.log, "vote cast"; "build" => build.0, "stage" => stage, "vote" => ?vote);
-        self.set_due(now + self.limits.vote_time, Due::VoteOver(call));
-        self.platform_ready();
+        self.schedule(now + self.limits.vote_time, TimerEvent::VoteTimeout(call));
+        self.on_platform_readable();
     }
 
-    pub(super) fn platform_ready(&mut self) {
+    pub(super) fn on_platform_readable(&mut self) {
         let now = self.clock.now();
         loop {
             let Some(platform) = &mut self.platform else {
@@ -158,7 +159,7 @@
                     .values_mut()
                     .for_each(|vote| vote.written = true),
                 Ok(false) => return,
-                Err(e) => return self.platform_broke(&e.to_string()),
+                Err(e) => return self.on_platform_lost(&e.to_string()),
             }
             let filled = stream.fill(
                 self.limits.line + self.limits.read_step,
@@ -167,12 +168,12 @@
             if !stream.input().is_empty() {
                 platform.last = now;
             }
-            if !self.platform_lines() {
+            if !self.read_platform_lines() {
                 return;
             }
-            self.platform_rest(now);
+            self.watch_incomplete_line(now);
             match filled {
-                Fill::Ended => return self.platform_broke("the connection ended"),
+                Fill::Ended => return self.on_platform_lost("the connection ended"),
                 Fill::Drained => return,
                 Fill::More => {}
             }
@@ -180,7 +181,7 @@
     }
 
     /// Takes the lines that are whole; false where the connection was given up.
-    fn platform_lines(&mut self) -> bool {
+    fn read_platform_lines(&mut self) -> bool {
         // Out of its place meanwhile: lines are read from the buffer.
         let Some(platform) = &mut self.platform else {
             return false;
@@ -192,7 +193,7 @@
             match platform::read(stream.input(), self.limits.line) {
                 Ok(None) => break None,
                 Ok(Some((told, used))) => {
-                    self.platform_told(told);
+                    self.on_platform_message(told);
                     stream.consume(used);
                 }
                 Err(why) => break Some(why),
@@ -202,14 +203,14 @@
             platform.stream = Some(stream);
         }
         if let Some(why) = &broken {
-            self.tally.malformed += 1;
-            self.platform_broke(&why.to_string());
+            self.metrics.malformed += 1;
+            self.on_platform_lost(&why.to_string());
         }
         broken.is_none()
     }
 
     /// A line that stalls is given up sooner than a quiet connection.
-    fn platform_rest(&mut self, now: f64) {
+    fn watch_incomplete_line(&mut self, now: f64) {
         let Some(platform) = &mut self.platform else {
             return;
         };
@@ -220,22 +221,22 @@
         let due = open && platform.begun.is_none();
         platform.begun = open.then_some(now);
         if due {
-            self.set_due(now + self.limits.news_rest, Due::LineRest);
+            self.schedule(now + self.limits.news_rest, TimerEvent::PlatformLineTimeout);
         }
     }
 
-    pub(super) fn line_rest(&mut self) {
+    pub(super) fn on_line_timeout(&mut self) {
         let begun = self.platform.as_ref().and_then(|platform| platform.begun);
         let Some(until) = begun.map(|last| last + self.limits.news_rest) else {
             return;
         };
         if self.clock.now() < until {
-            return self.set_due(until, Due::LineRest);
+            return self.schedule(until, TimerEvent::PlatformLineTimeout);
         }
-        self.platform_broke("a line does not end");
+        self.on_platform_lost("a line does not end");
     }
 
-    fn platform_told(&mut self, told: Told) {
+    fn on_platform_message(&mut self, told: Told) {
         let Some(platform) = &mut self.platform else {
             return;
         };
@@ -243,14 +244,14 @@
             Told::State(state) => {
                 platform.wait = self.limits.retry[0];
                 platform.heard = true;
-                self.news(&state, false);
-                self.ready_by("news");
+                self.on_rollout_state(&state, false);
+                self.mark_ready(ReadyReason::Observed);
             }
             Told::Result { call, state } => {
                 platform.wait = self.limits.retry[0];
                 if let Some(vote) = platform.votes.remove(&call) {
                     match state {
-                        Some(state) => self.news(&state, true),
+                        Some(state) => self.on_rollout_state(&state, true),
                         // An answer that cannot be read leaves open whether the vote counts.
                         None => self
                             .events
@@ -260,7 +261,7 @@
             }
             Told::Error { call, outcome } => {
                 if let Some(vote) = platform.votes.remove(&call) {
-                    self.tally.votes_away += 1;
+                    self.metrics.votes_not_counted += 1;
                     debug!(self.log, "a vote does not count"; "verdict" => ?outcome);
                     self.events
                         .push_back(Event::RolloutStatusReceived(RolloutStatus {
@@ -291,7 +292,7 @@
         }
     }
 
-    fn news(&mut self, state: &State, answers_vote: bool) {
+    fn on_rollout_state(&mut self, state: &State, answers_vote: bool) {
         let State {
             build,
             stage,
@@ -301,20 +302,20 @@
         } = *state;
         info!(self.log, "platform"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
             "age" => age, "answers_vote" => answers_vote);
-        self.told_news(state.news(answers_vote));
+        self.apply_rollout_status(state.news(answers_vote));
     }
 
-    fn told_news(&mut self, news: RolloutStatus) {
-        self.newest = self
-            .newest
+    fn apply_rollout_status(&mut self, news: RolloutStatus) {
+        self.rollout_status = self
+            .rollout_status
             .filter(|newest| newest.build > news.build)
             .or(Some(news));
         self.events.push_back(Event::RolloutStatusReceived(news));
-        self.view_changed();
+        self.mark_view_stale();
     }
 
     /// The connection is lost: what was asked on it may have been done once it was written.
-    fn platform_broke(&mut self, why: &str) {
+    fn on_platform_lost(&mut self, why: &str) {
         warn!(self.log, "the platform's connection is lost"; "why" => why.to_owned());
         let (now, spread) = (self.clock.now(), self.spread());
         let Some(platform) = &mut self.platform else {
@@ -324,12 +325,12 @@
         let stood = platform.stream.is_some() && now - platform.since >= self.limits.retry[1];
         let again = now + if stood { 0.0 } else { spread * platform.wait };
         platform.wait = (2.0 * platform.wait).min(self.limits.retry[1]);
-        self.platform_close();
-        self.set_due(again, Due::PlatformAgain);
+        self.close_platform();
+        self.schedule(again, TimerEvent::PlatformReconnect);
     }
 
     /// The connection and the votes that it carried are given up.
-    fn platform_close(&mut self) {
+    fn close_platform(&mut self) {
         let Some(platform) = &mut self.platform else {
             return;
         };
@@ -347,18 +348,18 @@
         }
     }
 
-    pub(super) fn platform_check(&mut self, now: f64) {
+    pub(super) fn check_platform_silence(&mut self, now: f64) {
         let silence = self.limits.platform_silence;
         if self
             .platform
             .as_ref()
             .is_some_and(|p| p.stream.is_some() && now - p.last > silence)
         {
-            self.platform_broke("no sign of life");
+            self.on_platform_lost("no sign of life");
         }
     }
 
-    pub(super) fn vote_over(&mut self, call: u64) {
+    pub(super) fn on_vote_timeout(&mut self, call: u64) {
         let Some(platform) = &mut self.platform else {
             return;
         };
--- a/router/src/routing/relay.rs
+++ b/router/src/routing/response_relay.rs
@@ -3,7 +3,7 @@
 use kestreltide::interface::RequestId;
 
 use super::Routing;
-use super::take_in::{Client, Waiting};
+use super::client_connection::{Client, QueuedReply};
 use crate::transport::SocketId;
 
 impl Routing {
@@ -21,7 +21,7 @@
         let place = client
             .queue
             .iter()
-            .position(|waiting| matches!(waiting, Waiting::For(of) if of == request));
+            .position(|waiting| matches!(waiting, QueuedReply::Pending(of) if of == request));
         match place {
             Some(0) => {
                 write(client.stream.output());
@@ -30,7 +30,7 @@
             Some(place) => {
                 let mut bytes = Vec::new();
                 write(&mut bytes);
-                client.queue[place] = Waiting::Answered(bytes);
+                client.queue[place] = QueuedReply::Ready(bytes);
             }
             None => return false,
         }
@@ -48,14 +48,14 @@
         } else {
             let mut bytes = Vec::new();
             write(&mut bytes);
-            client.queue.push_back(Waiting::Answered(bytes));
+            client.queue.push_back(QueuedReply::Ready(bytes));
         }
         self.write_client(id);
     }
 
     fn write_and_resume(&mut self, id: SocketId) {
-        if self.write_client(id) && !self.resumed.contains(&id) {
-            self.resumed.push(id);
+        if self.write_client(id) && !self.resumed_clients.contains(&id) {
+            self.resumed_clients.push(id);
         }
     }
 
@@ -65,7 +65,7 @@
         let Some(client) = self.clients.get_mut(&id) else {
             return false;
         };
-        while let Some(Waiting::Answered(bytes)) = client.queue.front_mut() {
+        while let Some(QueuedReply::Ready(bytes)) = client.queue.front_mut() {
             client.stream.output().append(bytes);
             client.queue.pop_front();
         }
@@ -81,7 +81,7 @@
             Ok(true) => *stuck = None,
             Ok(false) => *stuck = stuck.or(Some(now)),
             Err(_) => {
-                self.client_left(id);
+                self.close_client(id);
                 return false;
             }
         }
@@ -91,7 +91,7 @@
             *lingers = Some((now + self.limits.linger, self.limits.dropped));
         }
         if done && *closing && lingers.is_none() {
-            self.client_left(id);
+            self.close_client(id);
             return false;
         }
         true
--- a/router/src/routing/send.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -1,4 +1,4 @@
-//! Send: dispatches and probes go to hosts, one on a connection at a time, and their ends come back.
+//! Upstream connections: attempts and health checks go to hosts, one on a connection at a time, and their ends come back.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use kestreltide_settings::{Reports, TransportSettings};
 use slog::{debug, warn};
 
-use super::{Due, HOSTS, Routing};
+use super::{Routing, TimerEvent, UPSTREAMS};
 use crate::protocol::Malformed;
 use crate::protocol::host::{self, Answer};
 use crate::protocol::resp::write_bulk;
@@ -15,23 +15,23 @@
 const MILLIS: f64 = 1e3;
 
 /// A dispatch that is out.
-struct Out {
+struct AttemptInFlight {
     request: RequestId,
     no: AttemptNumber,
 }
 
-enum Use {
+enum ConnectionUse {
     Idle,
-    Dispatch(Out),
-    Probe,
+    Attempt(AttemptInFlight),
+    HealthCheck,
 }
 
 /// A connection to a host.
-pub(super) struct Link {
+pub(super) struct UpstreamConnection {
     stream: Stream,
     host: HostId,
     to: SocketAddr,
-    at_use: Use,
+    current_use: ConnectionUse,
     /// Counts the uses, so that an alarm of an earlier one is known.
     number: u64,
     since: f64,
@@ -41,22 +41,22 @@
     written: bool,
 }
 
-impl Link {
+impl UpstreamConnection {
     pub(super) fn host(&self) -> HostId {
         self.host
     }
 
     /// The request whose command is not written whole, so that no host has begun it.
     fn unwritten(&self) -> Option<&RequestId> {
-        match &self.at_use {
-            Use::Dispatch(out) if !self.written => Some(&out.request),
+        match &self.current_use {
+            ConnectionUse::Attempt(out) if !self.written => Some(&out.request),
             _ => None,
         }
     }
 }
 
 impl Routing {
-    pub(super) fn send(
+    pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
         host: HostId,
@@ -70,21 +70,21 @@
         let no = AttemptNumber(admitted.attempts);
         admitted.attempts += 1;
         let left = admitted.left;
-        self.tally.attempts += 1;
+        self.metrics.attempts += 1;
         // A first attempt follows the read that brought its request, which found no close.
         if left || no.0 > 0 && self.is_client_gone(&request) {
             // Decided before the decisions could hear that the client has left: nothing goes out any more.
-            return self.ended(
-                Out { request, no },
+            return self.finish_attempt(
+                AttemptInFlight { request, no },
                 host,
                 AttemptOutcome::Irrelevant,
                 (0.0, 0.0),
                 LoadReport::default(),
             );
         }
-        let Some(id) = self.link_to(host, now, on) else {
-            return self.ended(
-                Out { request, no },
+        let Some(id) = self.connection_for(host, now, on) else {
+            return self.finish_attempt(
+                AttemptInFlight { request, no },
                 host,
                 AttemptOutcome::NoConnection,
                 (0.0, 0.0),
@@ -93,26 +93,27 @@
         };
         // As long as the router will wait, and never told as nothing.
         let millis = (time_out * MILLIS).ceil().max(1.0) as u64;
-        if let (Some(link), Some(admitted)) = (self.links.get_mut(&id), self.admitted.get(&request))
+        if let (Some(upstream), Some(admitted)) =
+            (self.upstreams.get_mut(&id), self.admitted.get(&request))
         {
-            admitted.kept.write(link.stream.output(), millis);
+            admitted.kept.write(upstream.stream.output(), millis);
         }
         self.begin_use(
             id,
-            Use::Dispatch(Out { request, no }),
+            ConnectionUse::Attempt(AttemptInFlight { request, no }),
             now,
             (time_out, on.write_within),
         );
     }
 
-    pub(super) fn probe(&mut self, host: HostId) {
+    pub(super) fn start_health_check(&mut self, host: HostId) {
         let now = self.clock.now();
-        let probes = self
-            .links
+        let health_checks = self
+            .upstreams
             .values()
-            .filter(|link| matches!(link.at_use, Use::Probe))
+            .filter(|upstream| matches!(upstream.current_use, ConnectionUse::HealthCheck))
             .count();
-        let room = probes < self.limits.probes;
+        let room = health_checks < self.limits.probes;
         let (longest, write_within) = (f64::INFINITY, self.limits.connect_time);
         let any = ConnectionRequirements {
             max_idle: longest,
@@ -120,7 +121,7 @@
             max_resting: 1,
             write_within,
         };
-        let Some(id) = room.then(|| self.link_to(host, now, any)).flatten() else {
+        let Some(id) = room.then(|| self.connection_for(host, now, any)).flatten() else {
             let load = LoadReport::default();
             return self.events.push_back(Event::HealthCheckFinished {
                 host,
@@ -129,63 +130,80 @@
                 load,
             });
         };
-        if let Some(link) = self.links.get_mut(&id) {
-            host::write_probe(link.stream.output(), self.transport.reports != Reports::Off);
+        if let Some(upstream) = self.upstreams.get_mut(&id) {
+            host::write_probe(
+                upstream.stream.output(),
+                self.transport.reports != Reports::Off,
+            );
         }
-        self.begin_use(id, Use::Probe, now, (self.limits.probe_time, write_within));
+        self.begin_use(
+            id,
+            ConnectionUse::HealthCheck,
+            now,
+            (self.limits.probe_time, write_within),
+        );
     }
 
     fn begin_use(
         &mut self,
         id: SocketId,
-        at_use: Use,
+        current_use: ConnectionUse,
         now: f64,
         (time_out, write_within): (f64, f64),
     ) {
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
-        link.at_use = at_use;
-        link.number += 1;
-        (link.since, link.written) = (now, false);
-        let number = link.number;
-        self.set_due(now + time_out, Due::UseOver(id, number));
-        self.write_link(id);
+        upstream.current_use = current_use;
+        upstream.number += 1;
+        (upstream.since, upstream.written) = (now, false);
+        let number = upstream.number;
+        self.schedule(now + time_out, TimerEvent::UpstreamUseTimeout(id, number));
+        self.flush_upstream(id);
         // Connecting has its time, and what is decided has to be written while what it was decided by holds.
-        if self.links.get(&id).is_some_and(|link| !link.written) {
+        if self
+            .upstreams
+            .get(&id)
+            .is_some_and(|upstream| !upstream.written)
+        {
             let within = self.limits.connect_time.min(write_within);
-            self.set_due(now + within, Due::WriteOver(id, number));
+            self.schedule(now + within, TimerEvent::UpstreamWriteTimeout(id, number));
         }
     }
 
     /// The freshest connection that has rested for long enough and not been without use for too long, or a new
     /// one.
-    fn link_to(&mut self, host: HostId, now: f64, on: ConnectionRequirements) -> Option<SocketId> {
+    fn connection_for(
+        &mut self,
+        host: HostId,
+        now: f64,
+        on: ConnectionRequirements,
+    ) -> Option<SocketId> {
         while let Some((id, since)) = self.pools.take(host, now - on.min_rest, on.max_resting) {
             // Its host may be closing it by now; what is written then is reset, and may not be repeated.
             if now - since > on.max_idle.min(self.limits.idle_time) {
-                self.close_link(id);
-                self.close_idle(host);
+                self.close_upstream(id);
+                self.close_idle_connections(host);
                 break;
             }
             // What lies on it would become the next answer; a late copy may have come since the last look.
-            let look = |link: &mut Link| {
-                link.stream.fill(1, 1) == Fill::Drained && link.stream.input().is_empty()
+            let look = |upstream: &mut UpstreamConnection| {
+                upstream.stream.fill(1, 1) == Fill::Drained && upstream.stream.input().is_empty()
             };
-            if self.links.get_mut(&id).is_some_and(look) {
-                if let Some(link) = self.links.get_mut(&id) {
-                    link.unused = now - since;
+            if self.upstreams.get_mut(&id).is_some_and(look) {
+                if let Some(upstream) = self.upstreams.get_mut(&id) {
+                    upstream.unused = now - since;
                 }
                 return Some(id);
             }
-            self.close_link(id);
+            self.close_upstream(id);
         }
-        let to = self.hosts.address(host)?;
-        if self.links.len() >= self.limits.host_links {
+        let to = self.endpoints.address(host)?;
+        if self.upstreams.len() >= self.limits.host_links {
             let oldest = self.pools.take_oldest()?;
-            self.close_link(oldest);
+            self.close_upstream(oldest);
         }
-        let stream = match Stream::connect(&mut self.net, to, HOSTS) {
+        let stream = match Stream::connect(&mut self.net, to, UPSTREAMS) {
             Ok(stream) => stream,
             Err(e) => {
                 debug!(self.log, "no connection to a host"; "to" => %to, "error" => %e);
@@ -193,61 +211,68 @@
                     return None;
                 }
                 let oldest = self.pools.take_oldest()?;
-                self.close_link(oldest);
-                Stream::connect(&mut self.net, to, HOSTS).ok()?
+                self.close_upstream(oldest);
+                Stream::connect(&mut self.net, to, UPSTREAMS).ok()?
             }
         };
         let id = stream.id;
-        self.tally.links += 1;
-        let link = Link {
+        self.metrics.upstreams += 1;
+        let upstream = UpstreamConnection {
             stream,
             host,
             to,
-            at_use: Use::Idle,
+            current_use: ConnectionUse::Idle,
             number: 0,
             since: now,
             unused: 0.0,
             written: false,
         };
-        self.links.insert(id, link);
+        self.upstreams.insert(id, upstream);
         Some(id)
     }
 
     /// Writes what can be written now; false where the connection is gone.
-    fn write_link(&mut self, id: SocketId) -> bool {
-        let Some(link) = self.links.get_mut(&id) else {
+    fn flush_upstream(&mut self, id: SocketId) -> bool {
+        let Some(upstream) = self.upstreams.get_mut(&id) else {
             return false;
         };
-        let flushed = link
-            .stream
-            .is_up()
-            .and_then(|up| if up { link.stream.flush() } else { Ok(false) });
+        let flushed = upstream.stream.is_up().and_then(|up| {
+            if up {
+                upstream.stream.flush()
+            } else {
+                Ok(false)
+            }
+        });
         match flushed {
-            Ok(all) => link.written |= all,
-            Err(_) => self.link_broke(id),
+            Ok(all) => upstream.written |= all,
+            Err(_) => self.on_upstream_failed(id),
         }
-        self.links.contains_key(&id)
+        self.upstreams.contains_key(&id)
     }
 
-    pub(super) fn link_ready(&mut self, id: SocketId) {
+    pub(super) fn on_upstream_readable(&mut self, id: SocketId) {
         // What concerns hosts goes before what clients have done: a close may lie unread.
-        let waits = self.links.get(&id).and_then(Link::unwritten).cloned();
-        if waits.is_some_and(|request| self.is_client_gone(&request)) || !self.write_link(id) {
+        let waits = self
+            .upstreams
+            .get(&id)
+            .and_then(UpstreamConnection::unwritten)
+            .cloned();
+        if waits.is_some_and(|request| self.is_client_gone(&request)) || !self.flush_upstream(id) {
             return;
         }
         loop {
-            let Some(link) = self.links.get_mut(&id) else {
+            let Some(upstream) = self.upstreams.get_mut(&id) else {
                 return;
             };
-            if !matches!(link.stream.is_up(), Ok(true)) {
+            if !matches!(upstream.stream.is_up(), Ok(true)) {
                 return;
             }
-            let filled = link
+            let filled = upstream
                 .stream
                 .fill(self.limits.resp.message, self.limits.read_step);
-            self.read_link(id, filled == Fill::Ended);
+            self.read_upstream(id, filled == Fill::Ended);
             if filled == Fill::Ended {
-                return self.link_broke(id);
+                return self.on_upstream_failed(id);
             }
             if filled == Fill::Drained {
                 return;
@@ -256,36 +281,36 @@
     }
 
     /// Takes the answer that a connection holds, if it is whole.
-    fn read_link(&mut self, id: SocketId, ended: bool) {
+    fn read_upstream(&mut self, id: SocketId, ended: bool) {
         // Out of the map meanwhile: the value is passed on from the buffer it was read into.
-        let Some(link) = self.links.remove(&id) else {
+        let Some(upstream) = self.upstreams.remove(&id) else {
             return;
         };
-        let read = self.take_answer(&link);
-        self.links.insert(id, link);
+        let read = self.take_answer(&upstream);
+        self.upstreams.insert(id, upstream);
         match read {
-            Ok(Some(used)) => self.use_done(id, used, ended),
+            Ok(Some(used)) => self.finish_use(id, used, ended),
             Ok(None) => {}
             Err(why) => {
-                if self.complain() {
+                if self.may_log_complaint() {
                     warn!(self.log, "a host's answer is malformed, its connection is closed"; "why" => %why);
                 }
-                self.tally.malformed += 1;
-                // It may have run, and what came of it came in time: an error of the host's, not a lost link.
+                self.metrics.malformed += 1;
+                // It may have run, and what came of it came in time: an error of the host's, not a lost connection.
                 // As a reset it would count as late, and a few spoilt answers would narrow what is kept open.
-                self.end_use(id, |_| AttemptOutcome::Error);
+                self.abandon_use(id, |_| AttemptOutcome::Error);
             }
         }
     }
 
     /// Passes on and books what has come; the bytes it took, None where it is not whole.
-    fn take_answer(&mut self, link: &Link) -> Result<Option<usize>, Malformed> {
-        let (bytes, host) = (link.stream.input(), link.host);
-        let took = self.clock.now() - link.since;
-        match &link.at_use {
-            Use::Idle if bytes.is_empty() => Ok(None),
-            Use::Idle => Err(Malformed::new("nothing was asked")),
-            Use::Dispatch(out) => {
+    fn take_answer(&mut self, upstream: &UpstreamConnection) -> Result<Option<usize>, Malformed> {
+        let (bytes, host) = (upstream.stream.input(), upstream.host);
+        let took = self.clock.now() - upstream.since;
+        match &upstream.current_use {
+            ConnectionUse::Idle if bytes.is_empty() => Ok(None),
+            ConnectionUse::Idle => Err(Malformed::new("nothing was asked")),
+            ConnectionUse::Attempt(out) => {
                 let Some((answer, used)) = host::answer(bytes, &self.limits.resp)? else {
                     let room = bytes.len() < self.limits.resp.message;
                     return if room {
@@ -296,7 +321,7 @@
                 };
                 let (outcome, load) = match answer {
                     // No host has begun it.
-                    Answer::Value { .. } if !link.written => {
+                    Answer::Value { .. } if !upstream.written => {
                         return Err(Malformed::new(
                             "a value for a command that has not been written",
                         ));
@@ -316,19 +341,19 @@
                 let load = load
                     .map(TransportSettings::load_by_name)
                     .unwrap_or_default();
-                self.ended(
-                    Out {
+                self.finish_attempt(
+                    AttemptInFlight {
                         request: out.request.clone(),
                         no: out.no,
                     },
                     host,
                     outcome,
-                    (took, link.unused),
+                    (took, upstream.unused),
                     load,
                 );
                 Ok(Some(used))
             }
-            Use::Probe => {
+            ConnectionUse::HealthCheck => {
                 let Some(((well, load), used)) = host::probed(bytes, &self.limits.resp)? else {
                     let room = bytes.len() < self.limits.resp.message;
                     return if room {
@@ -358,34 +383,35 @@
 
     fn relay_value(&mut self, request: &RequestId, value: &[u8]) {
         if self.answer(request, |out| write_bulk(out, value)) {
-            self.tally.succeeded += 1;
+            self.metrics.succeeded += 1;
         }
     }
 
     /// The connection is without use again, and kept where the host may be used again.
-    fn use_done(&mut self, id: SocketId, used: usize, ended: bool) {
+    fn finish_use(&mut self, id: SocketId, used: usize, ended: bool) {
         let now = self.clock.now();
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
-        link.stream.consume(used);
-        link.at_use = Use::Idle;
-        link.number += 1;
-        let clean = link.stream.input().is_empty() && link.stream.unwritten() == 0 && !ended;
+        upstream.stream.consume(used);
+        upstream.current_use = ConnectionUse::Idle;
+        upstream.number += 1;
+        let clean =
+            upstream.stream.input().is_empty() && upstream.stream.unwritten() == 0 && !ended;
         // The host may be gone, or another machine have its id by now.
-        let wanted =
-            self.hosts.wanted(link.host, link.to) && self.pools.count() < self.limits.idle_links;
+        let wanted = self.endpoints.is_usable(upstream.host, upstream.to)
+            && self.pools.count() < self.limits.idle_links;
         if clean && wanted {
-            self.pools.put(link.host, id, now);
+            self.pools.put(upstream.host, id, now);
         } else {
-            self.close_link(id);
+            self.close_upstream(id);
         }
     }
 
     /// The connection broke or was never up. An answer that had come before counts; else what it carried ends by
     /// how far its command had come.
-    fn link_broke(&mut self, id: SocketId) {
-        self.last_look(id);
+    fn on_upstream_failed(&mut self, id: SocketId) {
+        self.read_final_answer(id);
         let outcome = |written| {
             if written {
                 AttemptOutcome::Reset
@@ -393,39 +419,41 @@
                 AttemptOutcome::NoConnection
             }
         };
-        self.end_use(id, outcome);
+        self.abandon_use(id, outcome);
     }
 
     /// Takes an answer that is here already, before what it answers is given up.
-    fn last_look(&mut self, id: SocketId) {
-        let Some(link) = self.links.get_mut(&id) else {
+    fn read_final_answer(&mut self, id: SocketId) {
+        let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
-        if !matches!(link.at_use, Use::Idle) && matches!(link.stream.is_up(), Ok(true)) {
-            let filled = link
+        if !matches!(upstream.current_use, ConnectionUse::Idle)
+            && matches!(upstream.stream.is_up(), Ok(true))
+        {
+            let filled = upstream
                 .stream
                 .fill(self.limits.resp.message, self.limits.resp.message);
-            self.read_link(id, filled == Fill::Ended);
+            self.read_upstream(id, filled == Fill::Ended);
         }
     }
 
     /// Gives up what a connection carries; giving up closes it.
-    fn end_use(&mut self, id: SocketId, outcome: impl Fn(bool) -> AttemptOutcome) {
-        let Some(link) = self.links.remove(&id) else {
+    fn abandon_use(&mut self, id: SocketId, outcome: impl Fn(bool) -> AttemptOutcome) {
+        let Some(upstream) = self.upstreams.remove(&id) else {
             return;
         };
-        let (outcome, host) = (outcome(link.written), link.host);
-        let took = self.clock.now() - link.since;
-        match link.at_use {
-            Use::Idle => self.pools.forget(host, id),
-            Use::Dispatch(out) => self.ended(
+        let (outcome, host) = (outcome(upstream.written), upstream.host);
+        let took = self.clock.now() - upstream.since;
+        match upstream.current_use {
+            ConnectionUse::Idle => self.pools.forget(host, id),
+            ConnectionUse::Attempt(out) => self.finish_attempt(
                 out,
                 host,
                 outcome,
-                (took, link.unused),
+                (took, upstream.unused),
                 LoadReport::default(),
             ),
-            Use::Probe => {
+            ConnectionUse::HealthCheck => {
                 self.events.push_back(Event::HealthCheckFinished {
                     host,
                     outcome,
@@ -434,56 +462,56 @@
                 });
             }
         }
-        link.stream.close(&self.net);
+        upstream.stream.close(&self.net);
     }
 
     /// Gives up the attempts whose clients are gone and whose command is not written whole, so that no host has begun
     /// them: a connection may come up long after its client has gone.
-    pub(super) fn give_up_unwritten(&mut self) {
+    pub(super) fn abandon_unwritten_attempts(&mut self) {
         let gone = |request: &RequestId| {
             self.admitted
                 .get(request)
                 .is_some_and(|admitted| admitted.left)
         };
-        let waits = |link: &Link| link.unwritten().is_some_and(gone);
+        let waits = |upstream: &UpstreamConnection| upstream.unwritten().is_some_and(gone);
         let given_up = self
-            .links
+            .upstreams
             .iter()
-            .filter(|(_, link)| waits(link))
+            .filter(|(_, upstream)| waits(upstream))
             .map(|(id, _)| *id);
         for id in given_up.collect::<Vec<_>>() {
-            self.end_use(id, |_| AttemptOutcome::Irrelevant);
+            self.abandon_use(id, |_| AttemptOutcome::Irrelevant);
         }
     }
 
-    pub(super) fn close_link(&mut self, id: SocketId) {
-        if let Some(link) = self.links.remove(&id) {
-            link.stream.close(&self.net);
+    pub(super) fn close_upstream(&mut self, id: SocketId) {
+        if let Some(upstream) = self.upstreams.remove(&id) {
+            upstream.stream.close(&self.net);
         }
     }
 
     /// Closes what is without use and leads to hosts that are gone, drained or elsewhere.
-    pub(super) fn close_unwanted(&mut self) {
+    pub(super) fn close_unusable_connections(&mut self) {
         let idle = self.pools.ids();
         let unwanted = |id: &SocketId| {
-            self.links
+            self.upstreams
                 .get(id)
-                .is_some_and(|l| !self.hosts.wanted(l.host, l.to))
+                .is_some_and(|l| !self.endpoints.is_usable(l.host, l.to))
         };
         for id in idle.into_iter().filter(unwanted).collect::<Vec<_>>() {
-            self.end_use(id, |_| AttemptOutcome::Irrelevant);
+            self.abandon_use(id, |_| AttemptOutcome::Irrelevant);
         }
     }
 
     /// Timers come after all that the last wait told of; what has come since then is here all the same.
-    pub(super) fn use_over(&mut self, id: SocketId, number: u64) {
-        let same = |link: &Link| link.number == number;
-        if self.links.get(&id).is_some_and(same) {
-            self.last_look(id);
+    pub(super) fn on_use_timeout(&mut self, id: SocketId, number: u64) {
+        let same = |upstream: &UpstreamConnection| upstream.number == number;
+        if self.upstreams.get(&id).is_some_and(same) {
+            self.read_final_answer(id);
         }
-        if self.links.get(&id).is_some_and(same) {
+        if self.upstreams.get(&id).is_some_and(same) {
             // A command whose last byte was never written has not been begun.
-            self.end_use(id, |written| {
+            self.abandon_use(id, |written| {
                 if written {
                     AttemptOutcome::TimedOut
                 } else {
@@ -493,38 +521,38 @@
         }
     }
 
-    pub(super) fn write_over(&mut self, id: SocketId, number: u64) {
+    pub(super) fn on_write_timeout(&mut self, id: SocketId, number: u64) {
         if self
-            .links
+            .upstreams
             .get(&id)
-            .is_some_and(|link| link.number == number && !link.written)
+            .is_some_and(|upstream| upstream.number == number && !upstream.written)
         {
-            self.link_broke(id);
+            self.on_upstream_failed(id);
         }
     }
 
-    pub(super) fn recall(&mut self, request: &RequestId, no: AttemptNumber) {
-        let of = |link: &Link| matches!(&link.at_use, Use::Dispatch(out) if out.request == *request && out.no == no);
+    pub(super) fn cancel_attempt(&mut self, request: &RequestId, no: AttemptNumber) {
+        let of = |upstream: &UpstreamConnection| matches!(&upstream.current_use, ConnectionUse::Attempt(out) if out.request == *request && out.no == no);
         if let Some(id) = self
-            .links
+            .upstreams
             .iter()
-            .find(|(_, link)| of(link))
+            .find(|(_, upstream)| of(upstream))
             .map(|(id, _)| *id)
         {
-            self.end_use(id, |_| AttemptOutcome::Cancelled);
+            self.abandon_use(id, |_| AttemptOutcome::Cancelled);
         }
     }
 
-    fn ended(
+    fn finish_attempt(
         &mut self,
-        out: Out,
+        out: AttemptInFlight,
         host: HostId,
         outcome: AttemptOutcome,
         times: (f64, f64),
         load: LoadReport,
     ) {
-        self.tally.count(outcome);
-        let Out {
+        self.metrics.count(outcome);
+        let AttemptInFlight {
             request,
             no: attempt,
         } = out;
