--- a/router/src/fronts/open.rs
+++ b/router/src/fronts/open.rs
@@ -8,7 +8,7 @@
 
 use kestreltide::interface::{RolloutStatus, ServiceSettings};
 use kestreltide_datastore::{Facts, HostRecord, RuleSettings, Snapshot};
-use kestreltide_file_watch::watch::{parse_files, wakes};
+use kestreltide_file_watch::watch::{parse_files, wake_channel};
 use kestreltide_management::CommitServiceHandle;
 use slog::Logger;
 
@@ -103,8 +103,8 @@
         let facts = Facts {
             now: clock.now(),
             discovery,
-            heard,
-            news,
+            discovery_received: heard,
+            rollout: news,
         };
         let (first, known) = keeper.begin(watching.as_ref(), &facts)?;
         let (asks, asked) = sync_channel(self.limits.asked);
@@ -118,7 +118,7 @@
         let mut wake = None;
         if let Some(watching) = watching {
             let ((waker, nudged), tell, heartbeat) =
-                (wakes(), asks.clone(), Heartbeat::new("watch"));
+                (wake_channel(), asks.clone(), Heartbeat::new("watch"));
             wake = Some(waker.clone());
             heartbeats.push(heartbeat.clone());
             let mut known = known;
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -203,7 +203,7 @@
         let count = snapshot.changed.len();
         self.close_unusable_connections();
         self.dispatch_event(Event::OperatorOverridesApplied {
-            overrides: snapshot.set.clone(),
+            overrides: snapshot.overrides.clone(),
             entries,
         });
         let (now, revision) = (self.clock.now(), snapshot.revision());
@@ -217,7 +217,7 @@
         management.longest_pause = management.longest_pause.max(pause);
         info!(self.log, "a revision is in force"; "revision" => revision.0, "changed" => count,
             "hosts" => self.endpoints.len(), "pause_ms" => format!("{:.3}", 1e3 * pause),
-            "since_commit_ms" => format!("{:.1}", 1e3 * (now - snapshot.at)));
+            "since_commit_ms" => format!("{:.1}", 1e3 * (now - snapshot.committed_at)));
         self.mark_view_stale();
         self.process_pending();
     }
@@ -244,14 +244,14 @@
         let view = View {
             at: self.clock.now(),
             discovery: asked.then(|| self.endpoints.told().cloned().collect()),
-            heard: self.discovery.has_told(),
-            news: self.rollout_status,
+            discovery_received: self.discovery.has_told(),
+            rollout: self.rollout_status,
             revision: management.revision,
-            taken: management.taken,
-            longest_pause: management.longest_pause,
-            open: self.admitted.len(),
+            revisions_applied: management.taken,
+            longest_apply_time: management.longest_pause,
+            requests_in_flight: self.admitted.len(),
             clients: self.clients.len(),
-            links: self.upstreams.len(),
+            upstream_connections: self.upstreams.len(),
             counts: self.metrics.all(),
         };
         management.inbox.view.store(Arc::new(view));
