--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -11,7 +11,7 @@
 use crate::limits::Limits;
 use crate::protocol::Malformed;
 use crate::protocol::discovery::{self, Chunks, List, Target};
-use crate::transport::{Fill, SocketId, Stream};
+use crate::transport::{ReadStatus, SocketId, Stream};
 
 const MILLIS: f64 = 1e3;
 
@@ -56,7 +56,7 @@
 
 impl DiscoveryWatch {
     pub(super) fn new(at: SocketAddr, on_demand: bool, limits: &Limits) -> Self {
-        let (calls, wait) = (BTreeMap::new(), limits.retry[0]);
+        let (calls, wait) = (BTreeMap::new(), limits.reconnect_backoff.initial);
         let following = !on_demand;
         let (off, rev, taken, number, heard, told) = (false, None, 0, 0, false, false);
         DiscoveryWatch {
@@ -137,7 +137,7 @@
         let calls: Vec<_> = self.discovery.calls.keys().copied().collect();
         calls.iter().for_each(|id| self.on_discovery_readable(*id));
         (self.discovery.at, self.discovery.rev, self.discovery.wait) =
-            (at, None, self.limits.retry[0]);
+            (at, None, self.limits.reconnect_backoff.initial);
         // Also those that were begun by what has just been read.
         for id in self.discovery.calls.keys().copied().collect::<Vec<_>>() {
             if let Some((asked, _)) = self.drop_call(id)
@@ -167,7 +167,7 @@
     }
 
     fn call(&mut self, asked: Asked) {
-        match Stream::connect(&mut self.net, self.discovery.at, DISCOVERY) {
+        match Stream::connect(&mut self.reactor, self.discovery.at, DISCOVERY) {
             Ok(stream) => {
                 let (id, now) = (stream.id, self.clock.now());
                 let chunks = Chunks::default();
@@ -195,7 +195,11 @@
         };
         // What was missed comes at once where a watch begins on demand, even if it is nothing.
         let at_once = self.discovery.on_demand && call.number == 0;
-        let hold = if at_once { 0.0 } else { self.limits.watch_hold };
+        let hold = if at_once {
+            0.0
+        } else {
+            self.limits.discovery.watch_hold
+        };
         self.discovery.number += 1;
         self.metrics.list_requests += 1;
         (call.asked, call.number, call.begun) = (asked, self.discovery.number, None);
@@ -206,57 +210,60 @@
         discovery::write_get(call.stream.output(), at, watch);
         let in_turn = self.discovery.on_demand && hold <= 0.0 || asked == Asked::Once;
         let spare = if in_turn {
-            self.limits.turn
+            self.limits.discovery.list_poll_timeout
         } else {
-            self.limits.watch_spare
+            self.limits.discovery.watch_grace
         };
         let patience = if watch.is_some() { hold } else { 0.0 } + spare;
         let number = call.number;
         self.schedule(now + patience, TimerEvent::DiscoveryCallTimeout(id, number));
         // A connection that does not come up would cost a whole wait, in which all that is missed counts as told.
         self.schedule(
-            now + self.limits.news_rest,
+            now + self.limits.message_stall_timeout,
             TimerEvent::DiscoveryConnectTimeout(id, number),
         );
         self.on_discovery_readable(id);
     }
 
     pub(super) fn on_discovery_readable(&mut self, id: SocketId) {
-        let (most, step) = (self.limits.answer.whole(), self.limits.read_step);
+        let (most, step) = (
+            self.limits.discovery.response.max_total(),
+            self.limits.event_loop.read_bytes_per_turn,
+        );
         let Some(call) = self.discovery.calls.get_mut(&id) else {
             return;
         };
         let flushed = call
             .stream
-            .is_up()
+            .is_connected()
             .and_then(|up| if up { call.stream.flush() } else { Ok(false) });
         match flushed {
             Ok(true) => {}
             Ok(false) => return,
             Err(e) => return self.fail_call(id, &e.to_string()),
         }
-        let mut filled = Fill::More;
-        while filled == Fill::More && call.stream.input().len() < most {
-            filled = call.stream.fill(most, step);
+        let mut filled = ReadStatus::More;
+        while filled == ReadStatus::More && call.stream.input().len() < most {
+            filled = call.stream.read_available(most, step);
         }
         // Out of the map meanwhile: the list is read from the buffer.
         let Some(mut call) = self.discovery.calls.remove(&id) else {
             return;
         };
         let answer = self.parse_response(&mut call);
-        let ended = filled == Fill::Ended;
+        let ended = filled == ReadStatus::Closed;
         match answer {
             Ok(None) if !ended => self.await_rest_of_answer(id, call),
             Ok(None) => {
                 let (asked, since) = (call.asked, call.since);
-                call.stream.close(&self.net);
+                call.stream.close(&self.reactor);
                 self.on_call_failed(asked, since, "the connection ended");
             }
             Ok(Some((used, stays_open))) => {
                 let asked = call.asked;
                 call.stream.consume(used);
                 if ended || !stays_open || asked == Asked::Once || !self.discovery.following {
-                    call.stream.close(&self.net);
+                    call.stream.close(&self.reactor);
                     self.begin_watch();
                 } else {
                     self.discovery.calls.insert(id, call);
@@ -265,7 +272,7 @@
             }
             Err(why) => {
                 let (asked, since) = (call.asked, call.since);
-                call.stream.close(&self.net);
+                call.stream.close(&self.reactor);
                 self.metrics.malformed += 1;
                 self.on_call_failed(asked, since, &why.to_string());
             }
@@ -273,14 +280,14 @@
     }
 
     fn parse_response(&mut self, call: &mut Call) -> Result<Option<(usize, bool)>, Malformed> {
-        let (bytes, limits) = (call.stream.input(), self.limits.answer);
+        let (bytes, limits) = (call.stream.input(), self.limits.discovery.response);
         let Some((response, used)) = discovery::response(bytes, &limits, &mut call.chunks)? else {
-            let room = bytes.len() < limits.whole();
+            let room = bytes.len() < limits.max_total();
             // Nothing more of it would ever be read.
             let long = || {
                 Malformed::new(format!(
                     "the answer is too long (over {} bytes)",
-                    limits.whole()
+                    limits.max_total()
                 ))
             };
             return if room { Ok(None) } else { Err(long()) };
@@ -318,7 +325,7 @@
         }
         self.discovery.rev = Some(list.rev);
         self.discovery.taken += 1;
-        self.discovery.wait = self.limits.retry[0];
+        self.discovery.wait = self.limits.reconnect_backoff.initial;
         // On demand each call is answered, be it with nothing.
         if list.all || !list.targets.is_empty() || self.discovery.on_demand {
             self.apply_endpoint_list(&list, scope);
@@ -336,7 +343,7 @@
         if whole {
             self.warn_of_duplicates(list);
         }
-        if self.endpoints.len() + targets.len() > self.limits.hosts {
+        if self.endpoints.len() + targets.len() > self.limits.discovery.hosts {
             self.make_room(&mut targets, whole);
         }
         let mut entries = Vec::with_capacity(targets.len());
@@ -359,7 +366,7 @@
         }
         if let Some(first) = left_out.first() {
             warn!(self.log, "more hosts are listed than can be kept"; "uid" => *first,
-                "left_out" => left_out.len(), "most" => self.limits.hosts);
+                "left_out" => left_out.len(), "most" => self.limits.discovery.hosts);
         }
         if whole {
             for host in self.endpoints.retain_listed(&entries) {
@@ -428,14 +435,14 @@
     }
 
     pub(super) fn close_idle_connections(&mut self, host: HostId) {
-        for id in self.pools.take_all(host) {
+        for id in self.idle_connections.take_all(host) {
             self.close_upstream(id);
         }
     }
 
     fn drop_call(&mut self, id: SocketId) -> Option<(Asked, f64)> {
         let call = self.discovery.calls.remove(&id)?;
-        call.stream.close(&self.net);
+        call.stream.close(&self.reactor);
         Some((call.asked, call.since))
     }
 
@@ -457,8 +464,9 @@
     }
 
     pub(super) fn on_call_connect_timeout(&mut self, id: SocketId, number: u64) {
-        let down =
-            |call: &mut Call| call.number == number && !matches!(call.stream.is_up(), Ok(true));
+        let down = |call: &mut Call| {
+            call.number == number && !matches!(call.stream.is_connected(), Ok(true))
+        };
         if self.discovery.calls.get_mut(&id).is_some_and(down) {
             self.fail_call(id, "the connection does not come up");
         }
@@ -471,7 +479,7 @@
         if come > 0 && call.begun.is_none_or(|(before, _)| before < come) {
             if call.begun.is_none() {
                 self.schedule(
-                    now + self.limits.news_rest,
+                    now + self.limits.message_stall_timeout,
                     TimerEvent::DiscoveryAnswerTimeout(id, number),
                 );
             }
@@ -489,7 +497,7 @@
         let Some((_, last)) = call.and_then(|call| call.begun) else {
             return;
         };
-        let until = last + self.limits.news_rest;
+        let until = last + self.limits.message_stall_timeout;
         if self.clock.now() < until {
             return self.schedule(until, TimerEvent::DiscoveryAnswerTimeout(id, number));
         }
@@ -505,14 +513,15 @@
             return self.events.push_back(Event::EndpointListFailed);
         }
         let now = self.clock.now();
-        let stood = now - since >= self.limits.retry[1];
+        let stood = now - since >= self.limits.reconnect_backoff.maximum;
         let at = now
             + if stood {
                 0.0
             } else {
                 self.discovery.wait * self.spread()
             };
-        self.discovery.wait = (2.0 * self.discovery.wait).min(self.limits.retry[1]);
+        self.discovery.wait =
+            (2.0 * self.discovery.wait).min(self.limits.reconnect_backoff.maximum);
         self.schedule(at, TimerEvent::DiscoveryRetry);
     }
 }
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -10,7 +10,7 @@
 use slog::{info, warn};
 
 use super::{MANAGEMENT, Routing, TimerEvent};
-use crate::transport::{Mail, Net, Post, SocketId};
+use crate::transport::{Inbox, InboxSender, Reactor, SocketId};
 
 /// What a front posts to the loop.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 
 /// The loop's end of it.
 pub struct ManagementInbox {
-    mail: Mail<ManagementMessage>,
+    mail: Inbox<ManagementMessage>,
     view: Arc<ArcSwap<View>>,
     in_force: Arc<AtomicU64>,
 }
@@ -53,7 +53,7 @@
 /// What fronts hold of the loop.
 #[derive(Clone)]
 pub struct LoopHandle {
-    pub post: Post<ManagementMessage>,
+    pub post: InboxSender<ManagementMessage>,
     pub view: Arc<ArcSwap<View>>,
     /// The revision in force there.
     pub in_force: Arc<AtomicU64>,
@@ -61,8 +61,8 @@
 
 impl ManagementInbox {
     /// The two ends: the loop's, and what fronts hold.
-    pub fn open(net: &mut Net, most: usize) -> std::io::Result<(Self, LoopHandle)> {
-        let (mail, post) = net.mail(most, MANAGEMENT)?;
+    pub fn open(reactor: &mut Reactor, most: usize) -> std::io::Result<(Self, LoopHandle)> {
+        let (mail, post) = reactor.inbox(most, MANAGEMENT)?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
         let in_force = Arc::new(AtomicU64::new(0));
         let loop_handle = LoopHandle {
@@ -136,7 +136,7 @@
             .as_mut()
             .filter(|management| management.staging.is_none())
         {
-            let Some(message) = management.inbox.mail.take() else {
+            let Some(message) = management.inbox.mail.pop() else {
                 return;
             };
             match message {
@@ -154,8 +154,8 @@
     /// Takes a revision, at once where it is short; a long list of who comes and goes is told ahead in parts, one
     /// a turn, so that the loop never stands still for it.
     pub fn apply_revision(&mut self, snapshot: &Arc<Snapshot>) {
-        let ahead =
-            snapshot.entries.len() > self.limits.staged && self.endpoints.can_stage(snapshot);
+        let ahead = snapshot.entries.len() > self.limits.management.staged_hosts_per_turn
+            && self.endpoints.can_stage(snapshot);
         match &mut self.management {
             Some(management) if ahead => management.staging = Some((snapshot.clone(), 0)),
             _ => self.apply_snapshot(snapshot, false),
@@ -176,7 +176,7 @@
             return self.on_management_message();
         }
         let begun = self.clock.now();
-        let to = (from + self.limits.staged).min(snapshot.entries.len());
+        let to = (from + self.limits.management.staged_hosts_per_turn).min(snapshot.entries.len());
         self.dispatch_event(Event::EndpointsStaged {
             entries: snapshot.entries.clone(),
             from,
@@ -232,7 +232,10 @@
             return;
         };
         management.stale = true;
-        self.schedule(self.clock.now() + self.limits.view, TimerEvent::PublishView);
+        self.schedule(
+            self.clock.now() + self.limits.management.view_publish_delay,
+            TimerEvent::PublishView,
+        );
     }
 
     pub(super) fn publish_view(&mut self) {
@@ -264,7 +267,7 @@
         };
         for (heartbeat, told) in &mut management.heartbeats {
             let last = heartbeat.last();
-            let still = last > 0.0 && now - last > self.limits.front_stall;
+            let still = last > 0.0 && now - last > self.limits.management.stall_timeout;
             if still && !*told {
                 warn!(self.log, "a front stands still"; "front" => heartbeat.name, "seconds" => now - last);
             }
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -26,7 +26,7 @@
 use slog::{Logger, info};
 
 use crate::limits::Limits;
-use crate::transport::{Alarms, Clock, Listener, Net, Pools, Rank, SocketId};
+use crate::transport::{Clock, IdleConnections, Listener, Priority, Reactor, SocketId, Timers};
 use admission::AdmittedRequest;
 use client_connection::Client;
 use discovery_watch::DiscoveryWatch;
@@ -39,14 +39,14 @@
 
 // News first: stale news breaks drains and exposure after a stall. Then answers that are already here, so that
 // they do not lose to time-outs; then clients; alarms come after all that was read.
-const DISCOVERY: Rank = Rank(0);
-const PLATFORM: Rank = Rank(1);
+const DISCOVERY: Priority = Priority(0);
+const PLATFORM: Priority = Priority(1);
 // What operators drain and take out binds as discovery's news do.
-const MANAGEMENT: Rank = Rank(2);
-const GOSSIP: Rank = Rank(3);
-const UPSTREAMS: Rank = Rank(4);
-const CLIENTS: Rank = Rank(5);
-const LISTENER: Rank = Rank(6);
+const MANAGEMENT: Priority = Priority(2);
+const GOSSIP: Priority = Priority(3);
+const UPSTREAMS: Priority = Priority(4);
+const CLIENTS: Priority = Priority(5);
+const LISTENER: Priority = Priority(6);
 
 /// Where everybody is, and what this router held when it was started.
 pub struct Addresses {
@@ -127,7 +127,7 @@
     transport: TransportSettings,
     idempotency: Vec<Idempotency>,
     clock: Clock,
-    net: Net,
+    reactor: Reactor,
     decisions: Router,
     /// For waits only; the decisions have their own.
     chance: ChaCha8Rng,
@@ -137,7 +137,7 @@
     resumed_clients: Vec<SocketId>,
     /// Clients that have had their turn and have more to be read.
     ready_again: Vec<SocketId>,
-    timers: Alarms<TimerEvent>,
+    timers: Timers<TimerEvent>,
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
     admitted: BTreeMap<RequestId, AdmittedRequest>,
@@ -146,7 +146,7 @@
     reserved_bytes: usize,
     last_request_number: u64,
     upstreams: BTreeMap<SocketId, UpstreamConnection>,
-    pools: Pools<HostId>,
+    idle_connections: IdleConnections<HostId>,
     endpoints: EndpointTable,
     discovery: DiscoveryWatch,
     platform: Option<PlatformClient>,
@@ -175,13 +175,18 @@
     pub fn start(
         log: Logger,
         (limits, clock): (Limits, Clock),
-        mut net: Net,
+        mut reactor: Reactor,
         told: (ServiceSettings, TransportSettings),
         addresses: Addresses,
         seed: u64,
     ) -> io::Result<Self> {
         let (now, (terms, transport)) = (clock.now(), told);
-        let listener = Listener::open(&mut net, addresses.listen, limits.backlog, LISTENER)?;
+        let listener = Listener::open(
+            &mut reactor,
+            addresses.listen,
+            limits.clients.backlog,
+            LISTENER,
+        )?;
         let at = listener.address()?;
         let idempotency = terms.operations.iter().map(|o| o.idempotency).collect();
         let discovery =
@@ -191,7 +196,7 @@
             .map(|at| PlatformClient::new(at, &limits));
         let peers = match addresses.peer_listen.filter(|_| terms.may_gossip) {
             Some(at) => Some(GossipPeers::open(
-                &mut net,
+                &mut reactor,
                 at,
                 addresses.peers,
                 addresses.peers_all,
@@ -200,7 +205,7 @@
             None => None,
         };
         let mut routing = Routing {
-            timers: Alarms::new(limits.alarms),
+            timers: Timers::new(limits.event_loop.timers),
             decisions: Router::start(terms, seed, now),
             chance: ChaCha8Rng::seed_from_u64(!seed),
             events: VecDeque::new(),
@@ -214,8 +219,8 @@
             reserved_bytes: 0,
             last_request_number: 0,
             upstreams: BTreeMap::new(),
-            pools: Pools::default(),
-            endpoints: EndpointTable::new(limits.hosts),
+            idle_connections: IdleConnections::default(),
+            endpoints: EndpointTable::new(limits.discovery.hosts),
             ready: false,
             accept_due: false,
             shutdown: Shutdown::No,
@@ -231,21 +236,23 @@
             transport,
             idempotency,
             clock,
-            net,
+            reactor,
             discovery,
             platform,
             rollout_status: None,
             peers,
             management: None,
         };
-        routing
-            .timers
-            .set(now + routing.limits.sweep, TimerEvent::ExpireIdle);
-        routing
-            .timers
-            .set(now + routing.limits.ready_wait, TimerEvent::Ready);
-        info!(routing.log, "listening"; "at" => %at, "clients" => routing.limits.clients,
-            "host_links" => routing.limits.host_links);
+        routing.timers.schedule(
+            now + routing.limits.event_loop.expiry_interval,
+            TimerEvent::ExpireIdle,
+        );
+        routing.timers.schedule(
+            now + routing.limits.event_loop.ready_timeout,
+            TimerEvent::Ready,
+        );
+        info!(routing.log, "listening"; "at" => %at, "clients" => routing.limits.clients.connections,
+            "host_links" => routing.limits.upstream.connections);
         Ok(routing)
     }
 
@@ -274,32 +281,36 @@
     /// Sleeps until something happens and serves it.
     pub fn turn(&mut self) -> io::Result<Turn> {
         let now = self.clock.now();
-        let next = self.timers.next().map_or(self.limits.sleep, |at| at - now);
+        let next = self
+            .timers
+            .next_deadline()
+            .map_or(self.limits.event_loop.max_sleep, |at| at - now);
         let sleep = if self.ready_again.is_empty() && !self.is_staging() {
-            next.clamp(0.0, self.limits.sleep)
+            next.clamp(0.0, self.limits.event_loop.max_sleep)
         } else {
             0.0
         };
-        let (sockets, signalled) = self.net.wait(sleep)?;
+        let (sockets, signals) = self.reactor.poll(sleep)?;
         // Since the last look: what the work of the last turn took, and a sleep longer than asked for.
         let woken = self.clock.now();
         let stall = (now - self.woken_at) + (woken - now - sleep).max(0.0);
         // A signal that ends a standstill can end the sleep with nothing told: what is there at once after that
         // was there before.
-        let carried = if self.woke_without_events && woken - now < self.limits.at_once {
-            self.event_loop_delay
-        } else {
-            0.0
-        };
+        let carried =
+            if self.woke_without_events && woken - now < self.limits.event_loop.immediate_wake {
+                self.event_loop_delay
+            } else {
+                0.0
+            };
         (
             self.event_loop_delay,
             self.woken_at,
             self.woke_without_events,
         ) = (stall.max(carried), woken, sockets.is_empty());
-        if self.event_loop_delay > self.limits.stalled {
+        if self.event_loop_delay > self.limits.event_loop.delay_warning {
             slog::warn!(self.log, "this process stood still"; "seconds" => self.event_loop_delay);
         }
-        if signalled.stop {
+        if signals.stop {
             self.on_shutdown_requested();
         }
         // In the order of ranks, clients come last anyway; who is both ready and due again is served once more.
@@ -312,11 +323,11 @@
         }
         self.stage_next_part();
         // Only what was due before anything was read: answers that are here go before time-outs.
-        while let Some(due) = self.timers.due(woken) {
+        while let Some(due) = self.timers.pop_due(woken) {
             self.due(due);
             self.process_pending();
         }
-        Ok(match signalled.reread {
+        Ok(match signals.reload {
             _ if self.is_over() => Turn::Over,
             true => Turn::Reread,
             false => Turn::Next,
@@ -397,7 +408,7 @@
     }
 
     fn schedule(&mut self, at: f64, due: TimerEvent) {
-        if !self.timers.set(at, due) {
+        if !self.timers.schedule(at, due) {
             slog::error!(self.log, "an alarm was dropped, too many are set"; "due" => ?due);
         }
     }
@@ -413,8 +424,14 @@
 
     fn expire_idle(&mut self) {
         let now = self.clock.now();
-        self.schedule(now + self.limits.sweep, TimerEvent::ExpireIdle);
-        for id in self.pools.take_unused_since(now - self.limits.idle_time) {
+        self.schedule(
+            now + self.limits.event_loop.expiry_interval,
+            TimerEvent::ExpireIdle,
+        );
+        for id in self
+            .idle_connections
+            .take_unused_since(now - self.limits.upstream.idle_timeout)
+        {
             self.close_upstream(id);
         }
         self.check_platform_silence(now);
@@ -427,9 +444,12 @@
             .map(UpstreamConnection::host)
             .collect();
         self.endpoints.forget_gone(&using);
-        if let Some(line) = self.metrics.line(now, self.limits.tell_state) {
+        if let Some(line) = self
+            .metrics
+            .line(now, self.limits.event_loop.state_log_interval)
+        {
             info!(self.log, "state"; "open" => self.admitted.len(), "clients" => self.clients.len(),
-                "links" => self.upstreams.len(), "idle" => self.pools.count(), "counts" => line);
+                "links" => self.upstreams.len(), "idle" => self.idle_connections.count(), "counts" => line);
         }
     }
 }
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -10,7 +10,7 @@
 use super::{PLATFORM, ReadyReason, Routing, TimerEvent};
 use crate::limits::Limits;
 use crate::protocol::platform::{self, State, Told};
-use crate::transport::{Fill, SocketId, Stream};
+use crate::transport::{ReadStatus, SocketId, Stream};
 
 /// A vote that has no answer yet.
 struct PendingVote {
@@ -33,7 +33,7 @@
 
 impl PlatformClient {
     pub(super) fn new(at: SocketAddr, limits: &Limits) -> Self {
-        let (votes, wait) = (BTreeMap::new(), limits.retry[0]);
+        let (votes, wait) = (BTreeMap::new(), limits.reconnect_backoff.initial);
         PlatformClient {
             at,
             stream: None,
@@ -77,7 +77,7 @@
         else {
             return;
         };
-        match Stream::connect(&mut self.net, platform.at, PLATFORM) {
+        match Stream::connect(&mut self.reactor, platform.at, PLATFORM) {
             Ok(mut stream) => {
                 let call = platform.next_call();
                 platform::write_follow(stream.output(), call);
@@ -101,7 +101,7 @@
         self.on_platform_readable();
         self.close_platform();
         if let Some(platform) = &mut self.platform {
-            (platform.at, platform.wait) = (at, self.limits.retry[0]);
+            (platform.at, platform.wait) = (at, self.limits.reconnect_backoff.initial);
         }
         self.connect_platform();
     }
@@ -117,7 +117,7 @@
             age: 0.0,
             answers_vote: true,
         };
-        let most = self.limits.votes;
+        let most = self.limits.platform.pending_votes;
         let open = |platform: &&mut PlatformClient| {
             platform.stream.is_some() && platform.votes.len() < most
         };
@@ -137,7 +137,10 @@
         );
         self.metrics.votes += 1;
         info!(self.log, "vote cast"; "build" => build.0, "stage" => stage, "vote" => ?vote);
-        self.schedule(now + self.limits.vote_time, TimerEvent::VoteTimeout(call));
+        self.schedule(
+            now + self.limits.platform.vote_timeout,
+            TimerEvent::VoteTimeout(call),
+        );
         self.on_platform_readable();
     }
 
@@ -151,7 +154,7 @@
                 return;
             };
             match stream
-                .is_up()
+                .is_connected()
                 .and_then(|up| if up { stream.flush() } else { Ok(false) })
             {
                 Ok(true) => platform
@@ -161,9 +164,9 @@
                 Ok(false) => return,
                 Err(e) => return self.on_platform_lost(&e.to_string()),
             }
-            let filled = stream.fill(
-                self.limits.line + self.limits.read_step,
-                self.limits.read_step,
+            let filled = stream.read_available(
+                self.limits.platform.line_bytes + self.limits.event_loop.read_bytes_per_turn,
+                self.limits.event_loop.read_bytes_per_turn,
             );
             if !stream.input().is_empty() {
                 platform.last = now;
@@ -173,9 +176,9 @@
             }
             self.watch_incomplete_line(now);
             match filled {
-                Fill::Ended => return self.on_platform_lost("the connection ended"),
-                Fill::Drained => return,
-                Fill::More => {}
+                ReadStatus::Closed => return self.on_platform_lost("the connection ended"),
+                ReadStatus::Drained => return,
+                ReadStatus::More => {}
             }
         }
     }
@@ -190,7 +193,7 @@
             return false;
         };
         let broken = loop {
-            match platform::read(stream.input(), self.limits.line) {
+            match platform::read(stream.input(), self.limits.platform.line_bytes) {
                 Ok(None) => break None,
                 Ok(Some((told, used))) => {
                     self.on_platform_message(told);
@@ -221,13 +224,16 @@
         let due = open && platform.begun.is_none();
         platform.begun = open.then_some(now);
         if due {
-            self.schedule(now + self.limits.news_rest, TimerEvent::PlatformLineTimeout);
+            self.schedule(
+                now + self.limits.message_stall_timeout,
+                TimerEvent::PlatformLineTimeout,
+            );
         }
     }
 
     pub(super) fn on_line_timeout(&mut self) {
         let begun = self.platform.as_ref().and_then(|platform| platform.begun);
-        let Some(until) = begun.map(|last| last + self.limits.news_rest) else {
+        let Some(until) = begun.map(|last| last + self.limits.message_stall_timeout) else {
             return;
         };
         if self.clock.now() < until {
@@ -242,13 +248,13 @@
         };
         match told {
             Told::State(state) => {
-                platform.wait = self.limits.retry[0];
+                platform.wait = self.limits.reconnect_backoff.initial;
                 platform.heard = true;
                 self.on_rollout_state(&state, false);
                 self.mark_ready(ReadyReason::Observed);
             }
             Told::Result { call, state } => {
-                platform.wait = self.limits.retry[0];
+                platform.wait = self.limits.reconnect_backoff.initial;
                 if let Some(vote) = platform.votes.remove(&call) {
                     match state {
                         Some(state) => self.on_rollout_state(&state, true),
@@ -322,9 +328,10 @@
             return;
         };
         // At once where the connection had stood for long; else later each time, never in step with others.
-        let stood = platform.stream.is_some() && now - platform.since >= self.limits.retry[1];
+        let stood = platform.stream.is_some()
+            && now - platform.since >= self.limits.reconnect_backoff.maximum;
         let again = now + if stood { 0.0 } else { spread * platform.wait };
-        platform.wait = (2.0 * platform.wait).min(self.limits.retry[1]);
+        platform.wait = (2.0 * platform.wait).min(self.limits.reconnect_backoff.maximum);
         self.close_platform();
         self.schedule(again, TimerEvent::PlatformReconnect);
     }
@@ -336,7 +343,7 @@
         };
         platform.begun = None;
         if let Some(stream) = platform.stream.take() {
-            stream.close(&self.net);
+            stream.close(&self.reactor);
         }
         for vote in std::mem::take(&mut platform.votes).into_values() {
             let what = if vote.written {
@@ -349,7 +356,7 @@
     }
 
     pub(super) fn check_platform_silence(&mut self, now: f64) {
-        let silence = self.limits.platform_silence;
+        let silence = self.limits.platform.silence_timeout;
         if self
             .platform
             .as_ref()
--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -10,7 +10,7 @@
 use crate::protocol::Malformed;
 use crate::protocol::host::{self, Answer};
 use crate::protocol::resp::write_bulk;
-use crate::transport::{Fill, SocketId, Stream, out_of_descriptors};
+use crate::transport::{ReadStatus, SocketId, Stream, out_of_descriptors};
 
 const MILLIS: f64 = 1e3;
 
@@ -113,8 +113,8 @@
             .values()
             .filter(|upstream| matches!(upstream.current_use, ConnectionUse::HealthCheck))
             .count();
-        let room = health_checks < self.limits.probes;
-        let (longest, write_within) = (f64::INFINITY, self.limits.connect_time);
+        let room = health_checks < self.limits.upstream.probes_in_flight;
+        let (longest, write_within) = (f64::INFINITY, self.limits.upstream.connect_timeout);
         let any = ConnectionRequirements {
             max_idle: longest,
             min_rest: 0.0,
@@ -140,7 +140,7 @@
             id,
             ConnectionUse::HealthCheck,
             now,
-            (self.limits.probe_time, write_within),
+            (self.limits.upstream.probe_timeout, write_within),
         );
     }
 
@@ -166,7 +166,7 @@
             .get(&id)
             .is_some_and(|upstream| !upstream.written)
         {
-            let within = self.limits.connect_time.min(write_within);
+            let within = self.limits.upstream.connect_timeout.min(write_within);
             self.schedule(now + within, TimerEvent::UpstreamWriteTimeout(id, number));
         }
     }
@@ -179,16 +179,20 @@
         now: f64,
         on: ConnectionRequirements,
     ) -> Option<SocketId> {
-        while let Some((id, since)) = self.pools.take(host, now - on.min_rest, on.max_resting) {
+        while let Some((id, since)) =
+            self.idle_connections
+                .take_rested(host, now - on.min_rest, on.max_resting)
+        {
             // Its host may be closing it by now; what is written then is reset, and may not be repeated.
-            if now - since > on.max_idle.min(self.limits.idle_time) {
+            if now - since > on.max_idle.min(self.limits.upstream.idle_timeout) {
                 self.close_upstream(id);
                 self.close_idle_connections(host);
                 break;
             }
             // What lies on it would become the next answer; a late copy may have come since the last look.
             let look = |upstream: &mut UpstreamConnection| {
-                upstream.stream.fill(1, 1) == Fill::Drained && upstream.stream.input().is_empty()
+                upstream.stream.read_available(1, 1) == ReadStatus::Drained
+                    && upstream.stream.input().is_empty()
             };
             if self.upstreams.get_mut(&id).is_some_and(look) {
                 if let Some(upstream) = self.upstreams.get_mut(&id) {
@@ -199,20 +203,20 @@
             self.close_upstream(id);
         }
         let to = self.endpoints.address(host)?;
-        if self.upstreams.len() >= self.limits.host_links {
-            let oldest = self.pools.take_oldest()?;
+        if self.upstreams.len() >= self.limits.upstream.connections {
+            let oldest = self.idle_connections.take_oldest()?;
             self.close_upstream(oldest);
         }
-        let stream = match Stream::connect(&mut self.net, to, UPSTREAMS) {
+        let stream = match Stream::connect(&mut self.reactor, to, UPSTREAMS) {
             Ok(stream) => stream,
             Err(e) => {
                 debug!(self.log, "no connection to a host"; "to" => %to, "error" => %e);
                 if !out_of_descriptors(&e) {
                     return None;
                 }
-                let oldest = self.pools.take_oldest()?;
+                let oldest = self.idle_connections.take_oldest()?;
                 self.close_upstream(oldest);
-                Stream::connect(&mut self.net, to, UPSTREAMS).ok()?
+                Stream::connect(&mut self.reactor, to, UPSTREAMS).ok()?
             }
         };
         let id = stream.id;
@@ -236,7 +240,7 @@
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return false;
         };
-        let flushed = upstream.stream.is_up().and_then(|up| {
+        let flushed = upstream.stream.is_connected().and_then(|up| {
             if up {
                 upstream.stream.flush()
             } else {
@@ -264,17 +268,18 @@
             let Some(upstream) = self.upstreams.get_mut(&id) else {
                 return;
             };
-            if !matches!(upstream.stream.is_up(), Ok(true)) {
+            if !matches!(upstream.stream.is_connected(), Ok(true)) {
                 return;
             }
-            let filled = upstream
-                .stream
-                .fill(self.limits.resp.message, self.limits.read_step);
-            self.read_upstream(id, filled == Fill::Ended);
-            if filled == Fill::Ended {
+            let filled = upstream.stream.read_available(
+                self.limits.resp.message,
+                self.limits.event_loop.read_bytes_per_turn,
+            );
+            self.read_upstream(id, filled == ReadStatus::Closed);
+            if filled == ReadStatus::Closed {
                 return self.on_upstream_failed(id);
             }
-            if filled == Fill::Drained {
+            if filled == ReadStatus::Drained {
                 return;
             }
         }
@@ -400,9 +405,9 @@
             upstream.stream.input().is_empty() && upstream.stream.unwritten() == 0 && !ended;
         // The host may be gone, or another machine have its id by now.
         let wanted = self.endpoints.is_usable(upstream.host, upstream.to)
-            && self.pools.count() < self.limits.idle_links;
+            && self.idle_connections.count() < self.limits.upstream.idle_connections;
         if clean && wanted {
-            self.pools.put(upstream.host, id, now);
+            self.idle_connections.insert(upstream.host, id, now);
         } else {
             self.close_upstream(id);
         }
@@ -428,12 +433,12 @@
             return;
         };
         if !matches!(upstream.current_use, ConnectionUse::Idle)
-            && matches!(upstream.stream.is_up(), Ok(true))
+            && matches!(upstream.stream.is_connected(), Ok(true))
         {
             let filled = upstream
                 .stream
-                .fill(self.limits.resp.message, self.limits.resp.message);
-            self.read_upstream(id, filled == Fill::Ended);
+                .read_available(self.limits.resp.message, self.limits.resp.message);
+            self.read_upstream(id, filled == ReadStatus::Closed);
         }
     }
 
@@ -445,7 +450,7 @@
         let (outcome, host) = (outcome(upstream.written), upstream.host);
         let took = self.clock.now() - upstream.since;
         match upstream.current_use {
-            ConnectionUse::Idle => self.pools.forget(host, id),
+            ConnectionUse::Idle => self.idle_connections.remove(host, id),
             ConnectionUse::Attempt(out) => self.finish_attempt(
                 out,
                 host,
@@ -462,7 +467,7 @@
                 });
             }
         }
-        upstream.stream.close(&self.net);
+        upstream.stream.close(&self.reactor);
     }
 
     /// Gives up the attempts whose clients are gone and whose command is not written whole, so that no host has begun
@@ -486,13 +491,13 @@
 
     pub(super) fn close_upstream(&mut self, id: SocketId) {
         if let Some(upstream) = self.upstreams.remove(&id) {
-            upstream.stream.close(&self.net);
+            upstream.stream.close(&self.reactor);
         }
     }
 
     /// Closes what is without use and leads to hosts that are gone, drained or elsewhere.
     pub(super) fn close_unusable_connections(&mut self) {
-        let idle = self.pools.ids();
+        let idle = self.idle_connections.ids();
         let unwanted = |id: &SocketId| {
             self.upstreams
                 .get(id)
