--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use kestreltide::interface::*;
-use kestreltide_settings::{Reports, TransportSettings};
+use kestreltide_settings::{LoadReporting, TransportSettings};
 use slog::{debug, warn};
 
 use super::{Routing, TimerEvent, UPSTREAMS};
@@ -133,7 +133,7 @@
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             host::write_probe(
                 upstream.stream.output(),
-                self.transport.reports != Reports::Off,
+                self.transport.load_reporting != LoadReporting::Off,
             );
         }
         self.begin_use(
@@ -342,7 +342,7 @@
                         (AttemptOutcome::Error, None)
                     }
                 };
-                let load = load.filter(|_| self.transport.reports == Reports::Inline);
+                let load = load.filter(|_| self.transport.load_reporting == LoadReporting::Inline);
                 let load = load
                     .map(TransportSettings::load_by_name)
                     .unwrap_or_default();
--- a/simulator-adapter/src/codec.rs
+++ b/simulator-adapter/src/codec.rs
@@ -10,7 +10,7 @@
     AttemptNumber, AttemptOutcome, BuildId, CellId, Effect, Event, HostEntry, HostId, HostState,
     KeyId, OperationId, Phase, Request, RequestId, RolloutStatus, RouterId, TimerKey, Vote,
 };
-use kestreltide_settings::{Fields, Names, TransportSettings, seconds};
+use kestreltide_settings::{Fields, NameTable, TransportSettings, seconds};
 
 use crate::error::LineError;
 use crate::line::microseconds;
@@ -25,14 +25,14 @@
 /// # Errors
 ///
 /// A field is missing, or its value is not of the protocol.
-pub(crate) fn decode_entry(line: &Fields, names: &mut Names) -> Result<HostEntry, LineError> {
-    let started: u64 = line.maybe_whole("since")?.unwrap_or(0);
+pub(crate) fn decode_entry(line: &Fields, names: &mut NameTable) -> Result<HostEntry, LineError> {
+    let started: u64 = line.optional_integer("since")?.unwrap_or(0);
     let state = host_state(line)?;
     Ok(HostEntry {
-        host: HostId(line.whole("host")?),
+        host: HostId(line.integer("host")?),
         build: BuildId(line.number("runs")? as u16),
         zone: names.zone(line.text("locality")?),
-        cell: CellId(line.whole("block")?),
+        cell: CellId(line.integer("block")?),
         kind: names.kind(line.text("family_type")?),
         size: line.number("heft")?,
         started: (started > 0).then(|| seconds(started)),
@@ -57,7 +57,7 @@
 }
 
 fn outcome(line: &Fields) -> Result<AttemptOutcome, LineError> {
-    Ok(match line.whole::<u32>("verdict")? {
+    Ok(match line.integer::<u32>("verdict")? {
         0 => AttemptOutcome::Succeeded,
         1 => AttemptOutcome::Error,
         2 => AttemptOutcome::Rejected,
@@ -76,7 +76,7 @@
 }
 
 fn phase(line: &Fields) -> Result<Phase, LineError> {
-    match line.maybe_whole::<u32>("course")?.unwrap_or(0) {
+    match line.optional_integer::<u32>("course")?.unwrap_or(0) {
         0 => Ok(Phase::Canary),
         1 => Ok(Phase::RollingBack),
         2 => Ok(Phase::Released),
@@ -97,11 +97,11 @@
 }
 
 fn attempt_number(line: &Fields) -> Result<AttemptNumber, LineError> {
-    Ok(AttemptNumber(line.whole("leg")?))
+    Ok(AttemptNumber(line.integer("leg")?))
 }
 
 fn host_id(line: &Fields) -> Result<HostId, LineError> {
-    Ok(HostId(line.whole("host")?))
+    Ok(HostId(line.integer("host")?))
 }
 
 fn operation(line: &Fields, transport: &TransportSettings) -> Result<OperationId, LineError> {
@@ -134,7 +134,7 @@
             request: request_id(line)?,
         },
         "DUE" => Event::TimerExpired {
-            key: TimerKey(line.whole("key_back")?),
+            key: TimerKey(line.integer("key_back")?),
         },
         "PING_RESULT" => Event::HealthCheckFinished {
             host: host_id(line)?,
@@ -143,7 +143,7 @@
             load: transport.load_in_order(&line.numbers("telemetry")?),
         },
         "PEER" => Event::GossipReceived {
-            from: RouterId(line.whole("src_peer")?),
+            from: RouterId(line.integer("src_peer")?),
             payload: decode_payload(line)?,
         },
         "PHASE_TOLD" => Event::RolloutStatusReceived(rollout_status(line)?),
@@ -161,9 +161,9 @@
     Ok(Request {
         id: request_id(line)?,
         operation: operation(line, transport)?,
-        key: line.maybe("affinity").map(|key| KeyId(key.into())),
+        key: line.get("affinity").map(|key| KeyId(key.into())),
         time_left: line.time("time_budget")?,
-        work: line.maybe_whole("cost")?.map(seconds),
+        work: line.optional_integer("cost")?.map(seconds),
         again: line.flag("retry")?,
         pool: None,
     })
@@ -185,25 +185,25 @@
 fn rollout_status(line: &Fields) -> Result<RolloutStatus, LineError> {
     Ok(RolloutStatus {
         outcome: outcome(line)?,
-        build: BuildId(line.maybe_whole("rel")?.unwrap_or(0)),
-        stage: line.maybe_whole("wave")?.unwrap_or(0),
+        build: BuildId(line.optional_integer("rel")?.unwrap_or(0)),
+        stage: line.optional_integer("wave")?.unwrap_or(0),
         phase: phase(line)?,
-        cap: match line.maybe("cap") {
+        cap: match line.get("cap") {
             Some(_) => line.number("cap")?,
             None => 0.0,
         },
-        age: line.maybe_whole("behind")?.map_or(0.0, seconds),
+        age: line.optional_integer("behind")?.map_or(0.0, seconds),
         answers_vote: line.flag("sense")?,
     })
 }
 
 fn build_metrics(line: &Fields, transport: &TransportSettings) -> Result<Event, LineError> {
     Ok(Event::BuildMetrics {
-        build: BuildId(line.whole("rel")?),
+        build: BuildId(line.integer("rel")?),
         operation: operation(line, transport)?,
         attempts: line.number("samples")?,
         failed: line.number("bad")?,
-        mean_time: line.maybe_whole("cost_time")?.map_or(0.0, seconds),
+        mean_time: line.optional_integer("cost_time")?.map_or(0.0, seconds),
         age: line.time("behind")?,
     })
 }
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -2,6 +2,7 @@
 
 use std::io;
 
+use kestreltide_settings::SettingsError;
 use thiserror::Error;
 
 /// Why a line of the simulator cannot be translated.
@@ -27,8 +28,8 @@
         message: String,
     },
     /// A field is missing, or its value is out of range.
-    #[error("{0}")]
-    Field(String),
+    #[error(transparent)]
+    Field(#[from] SettingsError),
     /// The value of a field is none of the words or numbers of the protocol.
     #[error("{field} {value} is not known")]
     UnknownValue {
@@ -73,12 +74,6 @@
     NothingToRetire(String),
 }
 
-impl From<String> for LineError {
-    fn from(problem: String) -> Self {
-        LineError::Field(problem)
-    }
-}
-
 /// Why the adapter ends before its input does.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
