--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -63,7 +63,7 @@
             None => {
                 let (mut at, node) = pattern
                     .instance(self.schema)
-                    .map_err(|why| no_instance(shown, &why))?;
+                    .map_err(|why| no_instance(shown, &why.to_string()))?;
                 match at.0.pop() {
                     Some(step) => (at, node, step),
                     None => (
@@ -89,7 +89,7 @@
     /// The parent and the node of a list or leaf-list that a pattern names without keys.
     fn whole_list(&self, pattern: &Pattern) -> Option<(InstancePath, NodeId)> {
         let (last, above) = pattern.0.split_last()?;
-        if !last.keys.is_empty() || last.deep {
+        if !last.keys.is_empty() || last.any_depth {
             return None;
         }
         let (parent, parent_node) = Pattern(above.to_vec()).instance(self.schema).ok()?;
--- a/management/src/gnmi/paths.rs
+++ b/management/src/gnmi/paths.rs
@@ -29,8 +29,9 @@
                 .collect();
             (elem.name.as_str(), keys)
         });
-        let steps = Pattern::from_steps(steps)
-            .map_err(|why| invalid_argument(&shown, &why, &shown, "names with their keys"))?;
+        let steps = Pattern::from_steps(steps).map_err(|why| {
+            invalid_argument(&shown, &why.to_string(), &shown, "names with their keys")
+        })?;
         all = steps.below(&all);
     }
     Ok(all)
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -12,9 +12,9 @@
 use super::Service;
 use super::connections::accept_connections;
 use super::snapshot::follow_published;
-use crate::Limits;
 use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::g_nmi_server::GNmiServer;
+use crate::{Limits, ServeError};
 
 /// What TLS needs, in PEM.
 pub struct Tls {
@@ -27,13 +27,17 @@
 }
 
 /// Serves until the listener fails for good.
+///
+/// # Errors
+///
+/// When the certificate cannot be used, and when the listener fails.
 pub async fn serve(
     log: Logger,
     commit_service: CommitServiceHandle,
     limits: Limits,
     listener: TcpListener,
     tls: Tls,
-) -> Result<(), String> {
+) -> Result<(), ServeError> {
     let schema = kestreltide_yang::published()?;
     let binding = Arc::new(Binding::new(schema)?);
     let snapshot = {
@@ -56,7 +60,7 @@
     let config = tls_config(tls, &limits);
     let server = Server::builder()
         .tls_config(config)
-        .map_err(|e| format!("certificate: cannot be used: {e}"))?;
+        .map_err(ServeError::Certificate)?;
     let alive = Duration::from_secs_f64(limits.alive);
     let mut server = server
         .max_concurrent_streams(limits.streams)
@@ -71,7 +75,7 @@
         .await
         .map_err(|e| {
             warn!(log, "gNMI ended"; "error" => %e);
-            e.to_string()
+            ServeError::Transport(e)
         })
 }
 
--- a/management/src/lib.rs
+++ b/management/src/lib.rs
@@ -5,6 +5,7 @@
 //! Both fronts run in a thread of their own, with a runtime of their own.
 
 pub mod commit_service;
+mod error;
 pub mod gnmi;
 pub mod netconf;
 pub mod state;
@@ -21,6 +22,7 @@
 }
 
 pub use commit_service::{CommitServiceHandle, CommitServiceRequest, Notification};
+pub use error::ServeError;
 pub use russh::keys;
 
 /// What sessions may hold. Sizes in bytes, times in seconds.
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -24,7 +24,7 @@
 use super::framing::{Frames, Framing, write};
 use super::session::{DatastoreOperation, Session, Step};
 use crate::commit_service::{CommitServiceHandle, Notification};
-use crate::{Limits, state};
+use crate::{Limits, ServeError, state};
 
 /// All that sessions share.
 pub struct Shared {
@@ -43,12 +43,16 @@
 }
 
 impl Shared {
-    /// Reads the published model; an error says what is wrong with it.
+    /// What sessions share, with the published model.
+    ///
+    /// # Errors
+    ///
+    /// When the published model is wrong, which is a defect.
     pub fn new(
         log: Logger,
         commit_service: CommitServiceHandle,
         limits: Limits,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, ServeError> {
         let schema = kestreltide_yang::published()?;
         let binding = Arc::new(Binding::new(schema)?);
         Ok(Shared {
--- a/management/src/netconf/session/filter.rs
+++ b/management/src/netconf/session/filter.rs
@@ -1,6 +1,7 @@
 //! Filters of `get` and `get-config`: subtree (RFC 6241, section 6) and XPath.
 
-use kestreltide_yang::path::{Filter, Pattern};
+use kestreltide_yang::filter::Filter;
+use kestreltide_yang::path::Pattern;
 use kestreltide_yang::xml::Element;
 
 use super::Session;
@@ -29,21 +30,22 @@
                     vec![error.with_bad_attribute("select", "filter")]
                 };
                 let select = of("select").ok_or_else(missing)?;
-                let wrong = |why: String| {
+                let wrong = |why: &str| {
                     vec![RpcError::invalid(
                         "filter/select",
-                        &why,
+                        why,
                         select,
                         "absolute paths of names, *, // and keys",
                     )]
                 };
-                let patterns = Pattern::parse_xpath(select).map_err(wrong)?;
+                let patterns =
+                    Pattern::parse_xpath(select).map_err(|error| wrong(&error.to_string()))?;
                 match patterns
                     .iter()
                     .all(|pattern| pattern.matches_schema(self.schema))
                 {
                     true => Ok(Filter::Paths(patterns)),
-                    false => Err(wrong("leads nowhere in the model".into())),
+                    false => Err(wrong("leads nowhere in the model")),
                 }
             }
             other => {
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -20,7 +20,7 @@
 use kestreltide_datastore::{Author, Candidate, Rights, Source};
 use kestreltide_yang::Schema;
 use kestreltide_yang::binding::Binding;
-use kestreltide_yang::xml::{self, Element, XmlLimits, escaped};
+use kestreltide_yang::xml::{self, Attribute, Element, XmlLimits, escaped};
 
 pub use self::capabilities::BASE;
 use self::capabilities::CAPABILITIES;
@@ -139,9 +139,9 @@
         let Ok(text) = std::str::from_utf8(bytes) else {
             return self.malformed("is not UTF-8");
         };
-        let element = match xml::read(text, &XmlLimits::default()) {
+        let element = match xml::parse(text, &XmlLimits::default()) {
             Ok(element) => element,
-            Err(why) => return self.malformed(&why),
+            Err(why) => return self.malformed(&why.to_string()),
         };
         if !self.greeted {
             return self.client_hello(&element);
@@ -150,11 +150,11 @@
             return self.malformed("is no rpc");
         }
         self.attributes.clear();
-        for (_, name, value) in element
+        let unqualified = element
             .attributes
             .iter()
-            .filter(|(namespace, ..)| namespace.is_empty())
-        {
+            .filter(|attribute| attribute.namespace.is_empty());
+        for Attribute { name, value, .. } in unqualified {
             let _ = write!(self.attributes, " {name}=\"{}\"", escaped(value));
         }
         if element.attribute("", "message-id").is_none() {
--- a/router/src/fronts/management.rs
+++ b/router/src/fronts/management.rs
@@ -205,7 +205,7 @@
                 tokio::spawn(serve_netconf(Arc::new(shared), listener, key.clone()));
             }
             (Err(e), _) => error!(log, "NETCONF cannot be served"; "error" => %e),
-            (_, Err(why)) => error!(log, "NETCONF cannot be served"; "error" => why),
+            (_, Err(why)) => error!(log, "NETCONF cannot be served"; "error" => %why),
         }
     }
     if let Some((listener, files)) = gnmi {
@@ -224,7 +224,7 @@
                 let (log, desk) = (log.clone(), desk.clone());
                 tokio::spawn(async move {
                     if let Err(why) = gnmi::serve(log.clone(), desk, limits, listener, tls).await {
-                        error!(log, "gNMI cannot be served"; "error" => why);
+                        error!(log, "gNMI cannot be served"; "error" => %why);
                     }
                 });
             }
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -64,7 +64,7 @@
 
 impl Models {
     pub(super) fn run(&self) -> Result<(), String> {
-        let schema = kestreltide_yang::published()?;
+        let schema = kestreltide_yang::published().map_err(|error| error.to_string())?;
         let Some(name) = &self.module else {
             (0..schema.modules.len()).for_each(|module| {
                 println!("{}", kestreltide_yang::tree_diagram::print(schema, module))
--- a/yang/src/binding.rs
+++ b/yang/src/binding.rs
@@ -1,5 +1,5 @@
-//! How the schema's nodes and the datastore's leaves belong together. Names are the same on both sides; that every
-//! node that can be set has its leaf, and every leaf its node, is checked when the schema is read.
+//! The binding of the schema to the datastore. Names are the same on both sides; that every configuration node has
+//! its leaf in the datastore, and every leaf its node, is checked when the binding is made.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, UNIX_EPOCH};
@@ -8,10 +8,12 @@
     Container, HostName, Leaf, Path, RouteName, Tree, ValidationError, Value,
 };
 
+use thiserror::Error;
+
 use crate::data::{DataBuilder, DataNode, Step};
 use crate::schema::{NodeId, NodeKind, Schema};
 
-/// Where each place's leaves stand in the schema.
+/// The schema nodes that hold the leaves of each container of the datastore.
 const LEAF_PARENTS: [(Container, &[&str]); 4] = [
     (Container::Host, &["router", "hosts", "host"]),
     (Container::Guards, &["router", "guards"]),
@@ -19,6 +21,27 @@
     (Container::Rollout, &["router", "ring"]),
 ];
 
+/// Why model and datastore do not fit together.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum BindingError {
+    /// The schema has no node for a part of the datastore.
+    #[error("the model has no {0}")]
+    MissingNode(String),
+    /// The datastore has no leaf for a configuration node.
+    #[error("the datastore has no {0}")]
+    MissingLeaf(String),
+}
+
+/// The key of an entry is no name.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("the name {0}")]
+pub struct InvalidName(String);
+
+fn invalid_name(error: impl ToString) -> InvalidName {
+    InvalidName(error.to_string())
+}
+
+/// What a schema node stands for in the datastore.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NodeBinding {
     Router,
@@ -31,25 +54,33 @@
     Leaf(Leaf),
 }
 
-/// A place in the operators' tree.
+/// A node of the configuration in the datastore.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigNode {
-    /// Above all.
+    /// What holds `/router`.
     Root,
+    /// `/router`.
     Router,
+    /// `/router/hosts`.
     Hosts,
+    /// An entry of `/router/hosts/host`.
     Host(HostName),
+    /// `/router/guards`.
     Guards,
+    /// `/router/routes`.
     Routes,
+    /// An entry of `/router/routes/route`.
     Route(RouteName),
+    /// `/router/ring`.
     Rollout,
+    /// A leaf.
     Leaf(Path),
     /// All values of a leaf-list.
     Values(Path),
 }
 
 impl ConfigNode {
-    /// Whether anything is set there.
+    /// Whether anything is configured there.
     pub fn is_set(&self, tree: &Tree) -> bool {
         match self {
             ConfigNode::Root | ConfigNode::Router => *tree != Tree::default(),
@@ -63,6 +94,7 @@
         }
     }
 
+    /// Removes what is configured there.
     pub fn clear(&self, tree: &mut Tree) {
         match self {
             ConfigNode::Root | ConfigNode::Router => *tree = Tree::default(),
@@ -72,12 +104,13 @@
             ConfigNode::Routes => tree.routes.clear(),
             ConfigNode::Route(name) => drop(tree.routes.remove(name)),
             ConfigNode::Rollout => tree.rollout = Default::default(),
-            // Nothing is of every type.
+            // Removing a value cannot fail: it fits every type.
             ConfigNode::Leaf(path) | ConfigNode::Values(path) => drop(tree.set(path, None)),
         }
     }
 }
 
+/// The binding of a schema to the datastore.
 #[derive(Clone, Debug)]
 pub struct Binding {
     nodes: BTreeMap<NodeId, NodeBinding>,
@@ -85,28 +118,31 @@
 }
 
 impl Binding {
-    /// An error where model and datastore have drifted apart: a defect.
-    pub fn new(schema: &Schema) -> Result<Self, String> {
-        let at = |names: &[&str]| {
-            schema
-                .find(names)
-                .ok_or_else(|| format!("the model has no {}", names.join("/")))
+    /// Binds a schema.
+    ///
+    /// # Errors
+    ///
+    /// When model and datastore do not have the same nodes, which is a defect.
+    pub fn new(schema: &Schema) -> Result<Self, BindingError> {
+        let node_at = |names: &[&str]| {
+            let node = schema.find(names);
+            node.ok_or_else(|| BindingError::MissingNode(names.join("/")))
         };
-        let router = at(&["router"])?;
+        let router = node_at(&["router"])?;
         let mut nodes: BTreeMap<_, _> = [
             (router, NodeBinding::Router),
-            (at(&["router", "hosts"])?, NodeBinding::Hosts),
-            (at(&["router", "hosts", "host"])?, NodeBinding::Host),
-            (at(&["router", "guards"])?, NodeBinding::Guards),
-            (at(&["router", "routes"])?, NodeBinding::Routes),
-            (at(&["router", "routes", "route"])?, NodeBinding::Route),
-            (at(&["router", "ring"])?, NodeBinding::Rollout),
+            (node_at(&["router", "hosts"])?, NodeBinding::Hosts),
+            (node_at(&["router", "hosts", "host"])?, NodeBinding::Host),
+            (node_at(&["router", "guards"])?, NodeBinding::Guards),
+            (node_at(&["router", "routes"])?, NodeBinding::Routes),
+            (node_at(&["router", "routes", "route"])?, NodeBinding::Route),
+            (node_at(&["router", "ring"])?, NodeBinding::Rollout),
         ]
         .into();
         for (container, names) in LEAF_PARENTS {
             for leaf in Leaf::all_of(container) {
                 nodes.insert(
-                    at(&[names, &[leaf.name()]].concat())?,
+                    node_at(&[names, &[leaf.name()]].concat())?,
                     NodeBinding::Leaf(leaf),
                 );
             }
@@ -125,21 +161,22 @@
             .filter(settable)
             .find(|id| !nodes.contains_key(id))
         {
-            Some(other) => Err(format!(
-                "the datastore has no {}",
-                schema.schema_path(other)
-            )),
+            Some(other) => Err(BindingError::MissingLeaf(schema.schema_path(other))),
             None => Ok(Binding { nodes, router }),
         }
     }
 
-    /// The place of a node below another; none where nobody sets it.
+    /// The configuration node of a schema node below its parent; none if the node is state of the router.
+    ///
+    /// # Errors
+    ///
+    /// When the key of an entry is no name.
     pub fn resolve(
         &self,
         parent: &ConfigNode,
         node: NodeId,
         step: &Step,
-    ) -> Result<Option<ConfigNode>, String> {
+    ) -> Result<Option<ConfigNode>, InvalidName> {
         let key = || step.keys.first().map_or("", |(_, value)| value.as_str());
         let Some(binding) = self.nodes.get(&node).copied() else {
             return Ok(None);
@@ -150,16 +187,8 @@
             (NodeBinding::Guards, _) => ConfigNode::Guards,
             (NodeBinding::Routes, _) => ConfigNode::Routes,
             (NodeBinding::Rollout, _) => ConfigNode::Rollout,
-            (NodeBinding::Host, _) => ConfigNode::Host(
-                key()
-                    .parse()
-                    .map_err(|why: String| format!("the name {why}"))?,
-            ),
-            (NodeBinding::Route, _) => ConfigNode::Route(
-                key()
-                    .parse()
-                    .map_err(|why: String| format!("the name {why}"))?,
-            ),
+            (NodeBinding::Host, _) => ConfigNode::Host(key().parse().map_err(invalid_name)?),
+            (NodeBinding::Route, _) => ConfigNode::Route(key().parse().map_err(invalid_name)?),
             (NodeBinding::Leaf(leaf), ConfigNode::Host(name)) => {
                 ConfigNode::Leaf(Path::Host(name.clone(), leaf))
             }
@@ -174,6 +203,11 @@
         }))
     }
 
+    /// Sets a leaf to the value of a text.
+    ///
+    /// # Errors
+    ///
+    /// When the text is no value of the leaf.
     pub fn set_leaf(
         &self,
         tree: &mut Tree,
@@ -181,9 +215,9 @@
         text: &str,
     ) -> Result<(), ValidationError> {
         let leaf = path.leaf();
-        let value = leaf
-            .parse(text)
-            .map_err(|why| ValidationError::new(path, why, text, leaf.expected_format()))?;
+        let value = leaf.parse(text).map_err(|error| {
+            ValidationError::new(path, error.to_string(), text, leaf.expected_format())
+        })?;
         tree.set(path, Some(value))
     }
 
@@ -194,16 +228,19 @@
         }
     }
 
+    /// Whether a leaf-list has a value.
     pub fn contains_value(&self, tree: &Tree, path: &Path, value: &str) -> bool {
         self.values(tree, path).contains(value)
     }
 
+    /// Adds a value to a leaf-list.
     pub fn add_value(&self, tree: &mut Tree, path: &Path, value: &str) {
         let mut values = self.values(tree, path);
         values.insert(value.into());
         let _ = tree.set(path, Some(Value::Names(values)));
     }
 
+    /// Removes a value from a leaf-list, and the leaf-list with its last value.
     pub fn remove_value(&self, tree: &mut Tree, path: &Path, value: &str) {
         let mut values = self.values(tree, path);
         values.remove(value);
@@ -213,7 +250,7 @@
         );
     }
 
-    /// The operators' tree as data.
+    /// The configuration as data of the schema.
     pub fn tree_data(&self, schema: &Schema, tree: &Tree) -> DataNode {
         let mut router = DataBuilder::new(schema, self.router);
         if !tree.hosts.is_empty() {
@@ -275,7 +312,7 @@
     }
 }
 
-/// A value in the model's form.
+/// A value in the canonical form of the model.
 pub fn value_text(leaf: Leaf, value: &Value) -> String {
     match value {
         Value::Number(at) if leaf == Leaf::Started => format_time(*at),
@@ -284,18 +321,18 @@
     }
 }
 
-/// Seconds since 1970 as a date and time.
+/// A time in Unix seconds as an RFC 3339 date and time with microseconds.
 pub fn format_time(at: f64) -> String {
     let since = Duration::try_from_secs_f64(at).unwrap_or_default();
     humantime::format_rfc3339_micros(UNIX_EPOCH + since).to_string()
 }
 
-/// With the digits that the model's decimals have.
+/// A number with the six fraction digits of the model's decimals.
 pub fn format_decimal(number: f64) -> String {
     format!("{number:.6}")
 }
 
-/// Whether a node holds values rather than nodes.
+/// Whether a node is a leaf or leaf-list.
 pub fn is_leaf(schema: &Schema, node: NodeId) -> bool {
     matches!(
         schema.node_of(node).kind,
--- a/yang/src/data.rs
+++ b/yang/src/data.rs
@@ -1,24 +1,29 @@
-//! Data by the schema, and where in it something stands.
+//! Data that follows the schema, and paths of instances in it.
 
 use std::fmt;
 
 use crate::schema::{NodeId, NodeKind, Schema};
 
-/// A node with what it holds: an entry of a list and a value of a leaf-list are nodes of their own.
+/// A data node: a container, an entry of a list, a leaf, or one value of a leaf-list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DataNode {
+    /// Its schema node.
     pub node: NodeId,
+    /// What it holds.
     pub content: Content,
 }
 
+/// What a data node holds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
-    /// In its canonical form.
+    /// The value of a leaf in its canonical form.
     Leaf(String),
+    /// The children of a container or an entry of a list.
     Inner(Vec<DataNode>),
 }
 
 impl DataNode {
+    /// A leaf or a value of a leaf-list; the value is in its canonical form.
     pub fn leaf(node: NodeId, value: impl Into<String>) -> Self {
         DataNode {
             node,
@@ -26,6 +31,7 @@
         }
     }
 
+    /// A container or an entry of a list.
     pub fn inner(node: NodeId, children: Vec<DataNode>) -> Self {
         DataNode {
             node,
@@ -33,6 +39,7 @@
         }
     }
 
+    /// Its children; none for a leaf.
     pub fn children(&self) -> &[DataNode] {
         match &self.content {
             Content::Inner(children) => children,
@@ -40,6 +47,7 @@
         }
     }
 
+    /// The value of a leaf.
     pub fn text(&self) -> Option<&str> {
         match &self.content {
             Content::Leaf(text) => Some(text),
@@ -47,6 +55,7 @@
         }
     }
 
+    /// The first child with a name.
     pub fn child(&self, schema: &Schema, name: &str) -> Option<&DataNode> {
         self.children()
             .iter()
@@ -64,17 +73,18 @@
     }
 }
 
-/// Collects data by names child one node of the schema. Names that the schema does not have are left out: a story
-/// shows that none is.
+/// Builds the children of one schema node by their names. Names that the schema does not have are left out and noted.
 pub struct DataBuilder<'a> {
     schema: &'a Schema,
     node: NodeId,
+    /// The children so far.
     pub children: Vec<DataNode>,
-    /// Names that were not found.
+    /// Names that the schema does not have.
     pub unknown_names: Vec<String>,
 }
 
 impl<'a> DataBuilder<'a> {
+    /// A builder of the children of a schema node.
     pub fn new(schema: &'a Schema, node: NodeId) -> Self {
         DataBuilder {
             schema,
@@ -92,7 +102,7 @@
         found
     }
 
-    /// A leaf or one value of a leaf-list, in the canonical form of its type.
+    /// Adds a leaf or one value of a leaf-list, in the canonical form of its type.
     pub fn put(&mut self, name: &str, value: impl fmt::Display) -> &mut Self {
         let text = value.to_string();
         if let Some(node) = self.find_child(name) {
@@ -107,7 +117,7 @@
         self
     }
 
-    /// The same, where there is one.
+    /// Adds a leaf if there is a value.
     pub fn put_optional(&mut self, name: &str, value: Option<impl fmt::Display>) -> &mut Self {
         if let Some(value) = value {
             self.put(name, value);
@@ -115,7 +125,7 @@
         self
     }
 
-    /// A container or an entry of a list.
+    /// Adds a container or an entry of a list.
     pub fn put_inner(&mut self, name: &str, fill: impl FnOnce(&mut DataBuilder)) -> &mut Self {
         if let Some(node) = self.find_child(name) {
             let mut child = DataBuilder::new(self.schema, node);
@@ -131,24 +141,27 @@
         self
     }
 
+    /// The data node with its children.
     pub fn build(self) -> DataNode {
         DataNode::inner(self.node, self.children)
     }
 }
 
-/// One step on the way to an instance.
+/// One step of the path of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Step {
+    /// The name of the node.
     pub name: String,
-    /// In the order of the list's keys.
+    /// Names and values of the keys of an entry, in the order of the schema.
     pub keys: Vec<(String, String)>,
 }
 
-/// Where an instance stands.
+/// The path of an instance from the top of the data.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstancePath(pub Vec<Step>);
 
 impl InstancePath {
+    /// The path one step further.
     pub fn child(&self, step: Step) -> InstancePath {
         InstancePath(self.0.iter().cloned().chain([step]).collect())
     }
--- a/yang/src/edit.rs
+++ b/yang/src/edit.rs
@@ -9,7 +9,7 @@
 use crate::binding::{Binding, ConfigNode};
 use crate::data::{InstancePath, Step};
 use crate::schema::{NodeId, NodeKind, Schema};
-use crate::xml::Element;
+use crate::xml::{Attribute, Element};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
@@ -179,8 +179,13 @@
         return None;
     }
     let mut operation = None;
-    for (of, attribute, value) in &element.attributes {
-        if of != NETCONF || attribute != "operation" {
+    for Attribute {
+        namespace,
+        name: attribute,
+        value,
+    } in &element.attributes
+    {
+        if namespace != NETCONF || attribute != "operation" {
             let what = "an attribute that is not known";
             errors.push(EditError::new(
                 ErrorTag::UnknownAttribute,
@@ -326,7 +331,7 @@
                 ErrorTag::InvalidValue,
                 &schema.node_of(node).name,
                 at,
-                why,
+                why.to_string(),
                 given,
                 leaf_type.expected(),
             ));
@@ -607,7 +612,7 @@
                     ErrorTag::InvalidValue,
                     &node.name,
                     &path,
-                    &why,
+                    &why.to_string(),
                     "this name",
                     "a name",
                 );
--- a/yang/src/json.rs
+++ b/yang/src/json.rs
@@ -1,4 +1,4 @@
-//! Data by the schema as JSON (RFC 7951).
+//! Data as JSON (RFC 7951).
 
 use serde_json::{Map, Value};
 
@@ -6,7 +6,8 @@
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::types::Type;
 
-/// Members for these nodes, those of one list together; names carry their module where it changes.
+/// The members of an object for some nodes, the entries of a list together; a name carries its module if that
+/// differs from its parent's.
 pub fn members(schema: &Schema, data: &[DataNode], parent: Option<NodeId>) -> Map<String, Value> {
     let mut out = Map::new();
     for one in data {
@@ -31,7 +32,7 @@
     out
 }
 
-/// The value of one node: an object, or a leaf's own form.
+/// The value of one node: an object, or the value of a leaf in the form of its type.
 pub fn value(schema: &Schema, data: &DataNode) -> Value {
     match (&data.content, &schema.node_of(data.node).kind) {
         (
--- a/yang/src/lib.rs
+++ b/yang/src/lib.rs
@@ -1,12 +1,13 @@
-//! The published models, and data by them. The modules in `models/` are read at start by the reader in [`statement`]
-//! and give the schema that drives both codecs, so that model and code cannot drift apart: what a module uses and
-//! the reader does not know is refused with line and statement.
+//! The published YANG models, and data that follows them. The modules in `models/` are parsed at start ([`statement`],
+//! [`schema`]) and drive the codecs of XML and JSON, so that models and code cannot drift apart: a statement that is
+//! not supported is rejected with its line.
 //!
-//! Free of I/O.
+//! This crate does no I/O.
 
 pub mod binding;
 pub mod data;
 pub mod edit;
+pub mod filter;
 pub mod json;
 pub mod path;
 pub mod schema;
@@ -18,8 +19,9 @@
 use std::sync::OnceLock;
 
 pub use data::{Content, DataNode};
-pub use path::{Filter, Pattern};
-pub use schema::{NodeId, NodeKind, Schema};
+pub use filter::Filter;
+pub use path::Pattern;
+pub use schema::{NodeId, NodeKind, Schema, SchemaError};
 
 /// The published modules as they stand in `models/`.
 pub const MODULES: [(&str, &str); 2] = [
@@ -33,9 +35,13 @@
     ),
 ];
 
-/// The schema of the published modules; they are read once. An error is a defect of the modules.
-pub fn published() -> Result<&'static Schema, String> {
-    static SCHEMA: OnceLock<Result<Schema, String>> = OnceLock::new();
+/// The schema of the published modules, which are parsed once.
+///
+/// # Errors
+///
+/// When the published modules are wrong, which is a defect.
+pub fn published() -> Result<&'static Schema, SchemaError> {
+    static SCHEMA: OnceLock<Result<Schema, SchemaError>> = OnceLock::new();
     SCHEMA
         .get_or_init(|| Schema::parse(&MODULES))
         .as_ref()
--- a/yang/src/path.rs
+++ b/yang/src/path.rs
@@ -1,34 +1,78 @@
-//! Which data is meant: paths as gNMI and NETCONF's XPath have them (the common part: names, `*`, `//`, keys), and
-//! NETCONF's subtree filters. Both prune data to what matches, with what leads to it.
+//! Path patterns: the common part of gNMI paths and of XPath, that is names, `*`, `//` and keys.
 
+use thiserror::Error;
 use winnow::combinator::{alt, cut_err, delimited, opt, preceded, repeat, separated, terminated};
 use winnow::error::{ContextError, ErrMode};
 use winnow::prelude::*;
 use winnow::token::{take_till, take_while};
 
-use crate::data::{Content, DataNode, InstancePath, Step};
-use crate::schema::{NodeId, NodeKind, Schema};
-use crate::xml::Element;
+use crate::data::{DataNode, InstancePath, Step};
+use crate::schema::{NodeId, Schema};
 
 /// One step of a pattern.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PatternStep {
-    /// Any where none is given.
+    /// The name of the node; none for any.
     pub name: Option<String>,
-    /// Keys that are fixed, by name.
+    /// Names and values of the keys that an entry has to have.
     pub keys: Vec<(String, String)>,
-    /// At any depth below.
-    pub deep: bool,
+    /// Whether the node may stand at any depth below the previous step.
+    pub any_depth: bool,
 }
 
-/// A path that several instances may match; without steps it is everything.
+/// A path that several instances may match; without steps it matches everything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pattern(pub Vec<PatternStep>);
 
-/// Steps of a path, and paths of a filter, at most.
+/// Steps of one path, at most.
 const MAX_STEPS: usize = 32;
+/// Paths of one XPath, at most.
 const MAX_PATHS: usize = 64;
 
+/// Why a path is not accepted.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum PathError {
+    /// The text is not in the supported part of XPath.
+    #[error("is no path that is read here, from character {0}")]
+    Syntax(usize),
+    /// There are too many paths, or a path has too many steps.
+    #[error("has more than {MAX_PATHS} paths or {MAX_STEPS} steps")]
+    TooLong,
+    /// A path has too many steps.
+    #[error("has more than {MAX_STEPS} steps")]
+    TooManySteps,
+    /// A step has no name.
+    #[error("a step has no name")]
+    UnnamedStep,
+    /// The path may match several instances.
+    #[error("leaves open which instance is meant")]
+    Ambiguous,
+    /// The schema has no such node.
+    #[error("{parent} has no {name}")]
+    UnknownNode {
+        /// The path up to the missing node.
+        parent: InstancePath,
+        /// The name of the missing node.
+        name: String,
+    },
+    /// A list has no such key.
+    #[error("{list} has no key {key}")]
+    UnknownKey {
+        /// The name of the list.
+        list: String,
+        /// The name of the key.
+        key: String,
+    },
+    /// A list needs keys that the path does not give.
+    #[error("{list} needs its keys, {keys}")]
+    MissingKeys {
+        /// The name of the list.
+        list: String,
+        /// The names of its keys.
+        keys: String,
+    },
+}
+
 type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
 fn name<'a>(input: &mut &'a str) -> ParseResult<&'a str> {
@@ -38,15 +82,15 @@
         })
         .parse_next(input)
     };
-    // A prefix or a module's name says nothing more here: names are not given twice.
+    // A prefix can be ignored: the names of the models are unique without it.
     let (first, second): (&str, Option<&str>) =
         (word, opt(preceded(':', word))).parse_next(input)?;
     Ok(second.unwrap_or(first))
 }
 
 fn text(input: &mut &str) -> ParseResult<String> {
-    let of = |quote: char| delimited(quote, take_till(0.., quote), cut_err(quote));
-    alt((of('\''), of('"')))
+    let quoted = |quote: char| delimited(quote, take_till(0.., quote), cut_err(quote));
+    alt((quoted('\''), quoted('"')))
         .map(str::to_owned)
         .parse_next(input)
 }
@@ -61,10 +105,14 @@
 }
 
 fn pattern_step(input: &mut &str) -> ParseResult<PatternStep> {
-    let deep = preceded('/', opt('/')).parse_next(input)?.is_some();
+    let any_depth = preceded('/', opt('/')).parse_next(input)?.is_some();
     let name = alt(('*'.value(None), name.map(|name| Some(name.to_owned())))).parse_next(input)?;
     let keys = repeat(0.., key).parse_next(input)?;
-    Ok(PatternStep { name, keys, deep })
+    Ok(PatternStep {
+        name,
+        keys,
+        any_depth,
+    })
 }
 
 fn paths(input: &mut &str) -> ParseResult<Vec<Vec<PatternStep>>> {
@@ -77,119 +125,153 @@
     separated(1.., path, '|').parse_next(input)
 }
 
+impl PatternStep {
+    /// Whether a data node has the name and the keys of this step.
+    pub(crate) fn matches(&self, schema: &Schema, data: &DataNode) -> bool {
+        let name = &schema.node_of(data.node).name;
+        let has_key = |(key, value): &(String, String)| {
+            data.child(schema, key).and_then(DataNode::text) == Some(value)
+        };
+        self.name.as_ref().is_none_or(|wanted| wanted == name) && self.keys.iter().all(has_key)
+    }
+
+    /// The values of all keys of a list, in their order.
+    fn complete_keys(
+        &self,
+        list: &str,
+        list_keys: &[String],
+    ) -> Result<Vec<(String, String)>, PathError> {
+        if let Some((key, _)) = self.keys.iter().find(|(key, _)| !list_keys.contains(key)) {
+            return Err(PathError::UnknownKey {
+                list: list.into(),
+                key: key.clone(),
+            });
+        }
+        let value = |key: &String| self.keys.iter().find(|(name, _)| name == key).cloned();
+        let keys: Vec<_> = list_keys.iter().filter_map(value).collect();
+        if keys.len() < list_keys.len() {
+            return Err(PathError::MissingKeys {
+                list: list.into(),
+                keys: list_keys.join(" "),
+            });
+        }
+        Ok(keys)
+    }
+}
+
 impl Pattern {
-    /// Reads the common part of XPath: absolute paths, several joined by `|`.
-    pub fn parse_xpath(text: &str) -> Result<Vec<Pattern>, String> {
+    /// Parses the supported part of XPath: absolute paths, several joined by `|`.
+    ///
+    /// # Errors
+    ///
+    /// When the text is no such path, or has too many paths or steps.
+    pub fn parse_xpath(text: &str) -> Result<Vec<Pattern>, PathError> {
         if ["", "/"].contains(&text.trim()) {
             return Ok(vec![Pattern::default()]);
         }
-        let read = terminated(paths, winnow::combinator::eof).parse(text);
-        let read = read.map_err(|e| {
-            format!(
-                "is no path that is read here, from character {}",
-                e.offset()
-            )
-        })?;
-        if read.len() > MAX_PATHS || read.iter().any(|steps| steps.len() > MAX_STEPS) {
-            return Err(format!(
-                "has more than {MAX_PATHS} paths or {MAX_STEPS} steps"
-            ));
+        let parsed = terminated(paths, winnow::combinator::eof).parse(text);
+        let parsed = parsed.map_err(|error| PathError::Syntax(error.offset()))?;
+        if parsed.len() > MAX_PATHS || parsed.iter().any(|steps| steps.len() > MAX_STEPS) {
+            return Err(PathError::TooLong);
         }
-        Ok(read.into_iter().map(Pattern).collect())
+        Ok(parsed.into_iter().map(Pattern).collect())
     }
 
-    /// A path of steps, in which `*` is any name or key, and `...` any depth.
+    /// A pattern of names with keys, in which `*` is any name or key, and `...` any depth.
+    ///
+    /// # Errors
+    ///
+    /// When a step has no name, or there are too many steps.
     pub fn from_steps<'a>(
         steps: impl IntoIterator<Item = (&'a str, Vec<(String, String)>)>,
-    ) -> Result<Pattern, String> {
-        let (mut wanted, mut deep) = (vec![], false);
+    ) -> Result<Pattern, PathError> {
+        let mut pattern_steps = vec![];
+        let mut any_depth = false;
         for (name, keys) in steps {
             if name == "..." {
-                deep = true;
+                any_depth = true;
                 continue;
             }
-            let plain = name.rsplit_once(':').map_or(name, |(_, plain)| plain);
-            if plain.is_empty() {
-                return Err("a step has no name".into());
+            let local_name = name.rsplit_once(':').map_or(name, |(_, local)| local);
+            if local_name.is_empty() {
+                return Err(PathError::UnnamedStep);
             }
-            let name = (plain != "*").then(|| plain.to_owned());
             let mut keys: Vec<_> = keys.into_iter().filter(|(_, value)| value != "*").collect();
             keys.sort();
-            wanted.push(PatternStep {
-                name,
+            pattern_steps.push(PatternStep {
+                name: (local_name != "*").then(|| local_name.to_owned()),
                 keys,
-                deep: std::mem::take(&mut deep),
+                any_depth: std::mem::take(&mut any_depth),
             });
         }
-        if wanted.len() > MAX_STEPS {
-            return Err(format!("has more than {MAX_STEPS} steps"));
+        if pattern_steps.len() > MAX_STEPS {
+            return Err(PathError::TooManySteps);
         }
-        Ok(Pattern(wanted))
+        Ok(Pattern(pattern_steps))
     }
 
-    /// This path below another one.
+    /// This path below a prefix.
     pub fn below(&self, prefix: &Pattern) -> Pattern {
         Pattern(prefix.0.iter().chain(&self.0).cloned().collect())
     }
 
-    /// The one instance that is meant, where the path leaves nothing open, and its node.
-    pub fn instance(&self, schema: &Schema) -> Result<(InstancePath, Option<NodeId>), String> {
-        let (mut instance, mut node) = (InstancePath::default(), None);
-        for wanted in &self.0 {
-            let Some(name) = wanted.name.as_ref().filter(|_| !wanted.deep) else {
-                return Err("leaves open which instance is meant".into());
+    /// The only instance that can match, and its node; none for the empty path.
+    ///
+    /// # Errors
+    ///
+    /// When the path may match several instances or leads nowhere in the schema.
+    pub fn instance(&self, schema: &Schema) -> Result<(InstancePath, Option<NodeId>), PathError> {
+        let mut instance = InstancePath::default();
+        let mut node = None;
+        for step in &self.0 {
+            let Some(name) = step.name.as_ref().filter(|_| !step.any_depth) else {
+                return Err(PathError::Ambiguous);
             };
-            let below = schema
+            let child = schema
                 .children_of(node)
                 .iter()
                 .copied()
                 .find(|id| schema.node_of(*id).name == *name);
-            let below = below.ok_or_else(|| format!("{instance} has no {name}"))?;
-            let of_list = schema.keys(below);
-            if let Some((key, _)) = wanted.keys.iter().find(|(key, _)| !of_list.contains(key)) {
-                return Err(format!("{name} has no key {key}"));
-            }
-            let value = |key: &String| wanted.keys.iter().find(|(name, _)| name == key).cloned();
-            let keys: Vec<_> = of_list.iter().filter_map(value).collect();
-            if keys.len() < of_list.len() {
-                return Err(format!("{name} needs its keys, {}", of_list.join(" ")));
-            }
+            let child = child.ok_or_else(|| PathError::UnknownNode {
+                parent: instance.clone(),
+                name: name.clone(),
+            })?;
+            let keys = step.complete_keys(name, schema.keys(child))?;
             instance = instance.child(Step {
                 name: name.clone(),
                 keys,
             });
-            node = Some(below);
+            node = Some(child);
         }
         Ok((instance, node))
     }
 
-    /// Whether the names lead anywhere in the schema: a path that cannot match is a mistake.
+    /// Whether a node of the schema can match; a path that cannot is a mistake of the client.
     pub fn matches_schema(&self, schema: &Schema) -> bool {
-        let mut at: Vec<Option<NodeId>> = vec![None];
-        for wanted in &self.0 {
+        let mut matched: Vec<Option<NodeId>> = vec![None];
+        for step in &self.0 {
             let mut next: Vec<NodeId> = vec![];
-            for from in &at {
-                let mut below: Vec<NodeId> = schema.children_of(*from).to_vec();
-                let mut place = 0;
-                while wanted.deep && place < below.len() {
-                    below.extend(schema.children_of(Some(below[place])));
-                    place += 1;
+            for parent in &matched {
+                let mut candidates = schema.children_of(*parent).to_vec();
+                let mut index = 0;
+                while step.any_depth && index < candidates.len() {
+                    candidates.extend(schema.children_of(Some(candidates[index])));
+                    index += 1;
                 }
-                next.extend(below.into_iter().filter(|id| {
-                    wanted
-                        .name
+                next.extend(candidates.into_iter().filter(|id| {
+                    step.name
                         .as_ref()
-                        .is_none_or(|n| *n == schema.node_of(*id).name)
+                        .is_none_or(|name| *name == schema.node_of(*id).name)
                 }));
             }
             next.sort();
             next.dedup();
-            at = next.into_iter().map(Some).collect();
+            matched = next.into_iter().map(Some).collect();
         }
-        !at.is_empty()
+        !matched.is_empty()
     }
 
-    /// Each instance that matches, and where it stands.
+    /// The instances that match, with their paths.
     pub fn select<'a>(
         &self,
         schema: &Schema,
@@ -201,18 +283,6 @@
     }
 }
 
-fn step_matches(schema: &Schema, data: &DataNode, wanted: &PatternStep) -> bool {
-    let name = wanted
-        .name
-        .as_ref()
-        .is_none_or(|name| *name == schema.node_of(data.node).name);
-    let value = |key: &str| data.child(schema, key).and_then(DataNode::text);
-    name && wanted
-        .keys
-        .iter()
-        .all(|(key, wants)| value(key) == Some(wants))
-}
-
 fn collect_matches<'a>(
     schema: &Schema,
     data: &'a [DataNode],
@@ -225,165 +295,15 @@
     };
     for child in data {
         let here = at.child(child.step(schema));
-        if step_matches(schema, child, first) {
+        if first.matches(schema, child) {
             if rest.is_empty() {
                 found.push((here.clone(), child));
             } else {
                 collect_matches(schema, child.children(), rest, &here, found);
             }
         }
-        if first.deep {
+        if first.any_depth {
             collect_matches(schema, child.children(), steps, &here, found);
         }
     }
 }
-
-/// What a reader wants of the data.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Filter {
-    All,
-    Paths(Vec<Pattern>),
-    Subtree(Vec<Element>),
-}
-
-impl Filter {
-    pub fn prune(&self, schema: &Schema, data: &[DataNode]) -> Vec<DataNode> {
-        match self {
-            Filter::All => data.to_vec(),
-            Filter::Paths(patterns) => {
-                let active: Vec<_> = patterns
-                    .iter()
-                    .map(|pattern| pattern.0.as_slice())
-                    .collect();
-                if active.iter().any(|steps| steps.is_empty()) {
-                    data.to_vec()
-                } else {
-                    prune_paths(schema, data, &active)
-                }
-            }
-            Filter::Subtree(elements) => data
-                .iter()
-                .filter_map(|data| prune_subtree(schema, data, elements))
-                .collect(),
-        }
-    }
-}
-
-/// Keeps what matches one of the paths, with its ancestors and their keys.
-fn prune_paths(schema: &Schema, data: &[DataNode], active: &[&[PatternStep]]) -> Vec<DataNode> {
-    let mut kept = Vec::new();
-    for child in data {
-        let mut next: Vec<&[PatternStep]> = Vec::new();
-        let mut whole = false;
-        for steps in active {
-            let Some((first, rest)) = steps.split_first() else {
-                continue;
-            };
-            if step_matches(schema, child, first) {
-                whole |= rest.is_empty();
-                next.push(rest);
-            }
-            if first.deep {
-                next.push(steps);
-            }
-        }
-        if whole {
-            kept.push(child.clone());
-            continue;
-        }
-        next.retain(|steps| !steps.is_empty());
-        if let (Content::Inner(inner), false) = (&child.content, next.is_empty()) {
-            let below = prune_paths(schema, inner, &next);
-            if !below.is_empty() {
-                kept.push(DataNode::inner(child.node, with_keys(schema, child, below)));
-            }
-        }
-    }
-    kept
-}
-
-/// The keys of a list's entry first, whatever else of it is kept.
-fn with_keys(schema: &Schema, of: &DataNode, kept: Vec<DataNode>) -> Vec<DataNode> {
-    let keys = schema.keys(of.node);
-    let is_key = |data: &DataNode| keys.contains(&schema.node_of(data.node).name);
-    let first = of.children().iter().filter(|child| is_key(child)).cloned();
-    first
-        .chain(kept.into_iter().filter(|child| !is_key(child)))
-        .collect()
-}
-
-/// A subtree filter (RFC 6241, section 6): the elements of one level, of which any may match.
-fn prune_subtree(schema: &Schema, data: &DataNode, filters: &[Element]) -> Option<DataNode> {
-    let node = schema.node_of(data.node);
-    let namespace = &schema.module_of(data.node).namespace;
-    let mine = filters.iter().filter(|filter| {
-        filter.name == node.name && (filter.namespace.is_empty() || filter.namespace == *namespace)
-    });
-    let mut kept: Option<DataNode> = None;
-    for filter in mine {
-        let found = match &data.content {
-            // With a text it is a content match, which its parent has looked at; else it selects.
-            Content::Leaf(text) => {
-                (filter.text.trim().is_empty() || filter.text.trim() == text).then(|| data.clone())
-            }
-            Content::Inner(children) => {
-                let is_match =
-                    |inner: &&Element| inner.children.is_empty() && !inner.text.trim().is_empty();
-                let matches: Vec<_> = filter.children.iter().filter(is_match).collect();
-                let meets = |wants: &&Element| {
-                    let same = |child: &&DataNode| schema.node_of(child.node).name == wants.name;
-                    children
-                        .iter()
-                        .filter(same)
-                        .any(|child| child.text() == Some(wants.text.trim()))
-                };
-                if !matches.iter().all(meets) {
-                    continue;
-                }
-                let selects = filter.children.len() > matches.len();
-                if filter.children.is_empty() || !selects {
-                    Some(data.clone())
-                } else {
-                    let inner: Vec<_> = children
-                        .iter()
-                        .filter_map(|child| prune_subtree(schema, child, &filter.children))
-                        .collect();
-                    // Only content matches were met: nothing that was selected is there.
-                    let matched = |child: &DataNode| {
-                        matches
-                            .iter()
-                            .any(|wants| wants.name == schema.node_of(child.node).name)
-                    };
-                    let more = inner.iter().any(|child| !matched(child));
-                    more.then(|| DataNode::inner(data.node, with_keys(schema, data, inner)))
-                }
-            }
-        };
-        kept = match (kept, found) {
-            (Some(one), Some(other)) => Some(merge(schema, one, other)),
-            (one, other) => one.or(other),
-        };
-    }
-    kept
-}
-
-/// What two filters kept of one node.
-fn merge(schema: &Schema, one: DataNode, other: DataNode) -> DataNode {
-    let (Content::Inner(mut kept), Content::Inner(more)) = (one.content.clone(), other.content)
-    else {
-        return one;
-    };
-    for child in more {
-        let step = child.step(schema);
-        let same = |there: &DataNode| there.node == child.node && there.step(schema) == step;
-        let list = matches!(schema.node_of(child.node).kind, NodeKind::LeafList { .. });
-        match kept
-            .iter()
-            .position(|there| if list { *there == child } else { same(there) })
-        {
-            Some(place) => kept[place] = merge(schema, kept[place].clone(), child),
-            None => kept.push(child),
-        }
-    }
-    DataNode::inner(one.node, kept)
-}
--- a/yang/src/statement.rs
+++ b/yang/src/statement.rs
@@ -1,6 +1,7 @@
-//! The reader of YANG statements (RFC 7950, section 6): keywords, arguments, blocks, and where each stands. What
-//! statements mean is `schema`'s matter.
+//! The syntax of YANG statements (RFC 7950, section 6): keywords, arguments, blocks and their lines. What statements
+//! mean is read by [`crate::schema`].
 
+use thiserror::Error;
 use winnow::ascii::multispace1;
 use winnow::combinator::{alt, cut_err, delimited, preceded, repeat, separated, terminated};
 use winnow::error::{ContextError, ErrMode, StrContext, StrContextValue};
@@ -8,29 +9,35 @@
 use winnow::stream::{LocatingSlice, Location, Stream};
 use winnow::token::{any, none_of, take_till, take_until, take_while};
 
-/// A statement with all that stands in it.
+/// A statement with its substatements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
+    /// The keyword, with its prefix if it has one.
     pub keyword: String,
+    /// The argument, unquoted; empty if there is none.
     pub argument: String,
+    /// The line of the keyword, from 1.
     pub line: usize,
+    /// The statements of its block.
     pub substatements: Vec<Statement>,
 }
 
 impl Statement {
+    /// The substatements of a keyword, in order.
     pub fn substatements_of<'a>(&'a self, keyword: &'a str) -> impl Iterator<Item = &'a Statement> {
         self.substatements
             .iter()
             .filter(move |statement| statement.keyword == keyword)
     }
 
+    /// The first substatement of a keyword.
     pub fn substatement(&self, keyword: &str) -> Option<&Statement> {
         self.substatements
             .iter()
             .find(|statement| statement.keyword == keyword)
     }
 
-    /// The argument of the one statement of this keyword.
+    /// The argument of the first substatement of a keyword.
     pub fn argument_of(&self, keyword: &str) -> Option<&str> {
         self.substatement(keyword)
             .map(|statement| statement.argument.as_str())
@@ -40,7 +47,7 @@
 type Input<'a> = LocatingSlice<&'a str>;
 type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
-/// Statements in statements at most: a text of braces is no reason to run out of stack.
+/// Nested statements at most, so that a text of braces cannot overflow the stack.
 const MAX_DEPTH: usize = 32;
 
 fn comment(input: &mut Input) -> ParseResult<()> {
@@ -102,7 +109,7 @@
     .parse_next(input)
 }
 
-/// A text, or several joined by plus signs.
+/// A quoted string, or several joined by plus signs.
 fn quoted(input: &mut Input) -> ParseResult<String> {
     let parts: Vec<String> = separated(
         1..,
@@ -110,7 +117,7 @@
         (optional_separator, '+', optional_separator),
     )
     .parse_next(input)?;
-    // Lines of a long text are joined as they would be read.
+    // Indentation of continued lines is not part of the text.
     let text = parts.concat();
     let joined = text.split('\n').enumerate().map(|(number, line)| {
         if number == 0 {
@@ -181,33 +188,47 @@
     .parse_next(input)
 }
 
-/// Reads a module; an error names the line.
-pub fn parse(text: &str) -> Result<Statement, String> {
+/// Why a text is no module.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("line {line}: {problem}")]
+pub struct SyntaxError {
+    /// The line of the error, from 1.
+    pub line: usize,
+    /// What was expected there.
+    pub problem: String,
+}
+
+/// Parses the text of a module.
+///
+/// # Errors
+///
+/// When the text is not exactly one statement.
+pub fn parse(text: &str) -> Result<Statement, SyntaxError> {
     let mut module = delimited(
         optional_separator,
         |input: &mut Input| statement(input, MAX_DEPTH),
         optional_separator,
     );
-    let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
-    let mut root = terminated(module.by_ref(), winnow::combinator::eof)
-        .parse(LocatingSlice::new(text))
-        .map_err(|e| {
-            let why = e.inner().to_string().replace('\n', ", ");
-            format!(
-                "line {}: {}",
-                line(e.offset()),
-                if why.is_empty() {
-                    "no statement".into()
-                } else {
-                    why
-                }
-            )
-        })?;
+    let line = |offset: usize| text[..offset.min(text.len())].matches('\n').count() + 1;
+    let parsed =
+        terminated(module.by_ref(), winnow::combinator::eof).parse(LocatingSlice::new(text));
+    let mut root = parsed.map_err(|error| {
+        let expected = error.inner().to_string().replace('\n', ", ");
+        let is_unknown = expected.is_empty();
+        SyntaxError {
+            line: line(error.offset()),
+            problem: if is_unknown {
+                "no statement".into()
+            } else {
+                expected
+            },
+        }
+    })?;
     offsets_to_lines(&mut root, &line);
     Ok(root)
 }
 
-/// Places become lines.
+/// Replaces the offsets that parsing left in the `line` fields by lines.
 fn offsets_to_lines(statement: &mut Statement, line: &impl Fn(usize) -> usize) {
     statement.line = line(statement.line);
     statement
--- a/yang/src/tree_diagram.rs
+++ b/yang/src/tree_diagram.rs
@@ -1,10 +1,10 @@
-//! The schema as a printed tree (RFC 8340).
+//! The schema as a YANG tree diagram (RFC 8340).
 
 use std::fmt::Write;
 
 use crate::schema::{NodeId, NodeKind, Schema};
 
-/// The tree of a module, a line each node.
+/// The tree diagram of a module, by its index: one line for each node.
 pub fn print(schema: &Schema, module: usize) -> String {
     let mut out = format!("module: {}\n", schema.modules[module].name);
     let own = |id: &&NodeId| schema.node_of(**id).module == module;
--- /dev/null
+++ b/yang/src/types/mod.rs
@@ -0,0 +1,371 @@
+//! Types of leaves: which texts are values, and which form a value has in XML and JSON (RFC 7950, section 9).
+
+mod decimal;
+mod range;
+
+use regex::Regex;
+use thiserror::Error;
+
+use self::decimal::{DECIMAL_LIMIT, format_decimal, parse_decimal};
+pub use self::range::Range;
+use self::range::{any_contains, format_ranges, restricted_ranges};
+
+/// An integer wide enough for the values of all numeric types.
+pub type Integer = i128;
+
+/// Bits of the integer types whose values are JSON strings (RFC 7951, section 6.1).
+const JSON_STRING_BITS: u8 = 64;
+
+/// The type of a leaf, with its restrictions.
+#[derive(Clone, Debug)]
+pub enum Type {
+    /// `string`.
+    String {
+        /// Allowed lengths in characters; empty for any length.
+        lengths: Vec<Range<u64>>,
+        /// Patterns that a value has to match, all of them.
+        patterns: Vec<Regex>,
+    },
+    /// `int8` to `int64` and `uint8` to `uint64`.
+    Integer {
+        /// Allowed values.
+        ranges: Vec<Range<Integer>>,
+        /// Bits of a value.
+        bits: u8,
+        /// Whether negative values are possible.
+        signed: bool,
+    },
+    /// `decimal64`.
+    Decimal {
+        /// Digits behind the decimal point.
+        digits: u8,
+        /// Allowed values, in units of the last fraction digit.
+        ranges: Vec<Range<Integer>>,
+    },
+    /// `boolean`.
+    Boolean,
+    /// `enumeration`, with its names.
+    Enumeration(Vec<String>),
+    /// `empty`.
+    Empty,
+    /// `union`, with its member types in order.
+    Union(Vec<Type>),
+}
+
+/// Why a text is no value of a type.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ValueError {
+    /// A string is too short or too long.
+    #[error("is {length} characters long, not {allowed}")]
+    Length {
+        /// Length of the text in characters.
+        length: u64,
+        /// Allowed lengths.
+        allowed: String,
+    },
+    /// A string holds control characters.
+    #[error("has characters that no text has")]
+    ControlCharacter,
+    /// A string does not match a pattern.
+    #[error("does not match {0}")]
+    PatternMismatch(String),
+    /// The text is no integer.
+    #[error("is no whole number")]
+    NotAnInteger,
+    /// A number is outside of the allowed ranges.
+    #[error("is not in {0}")]
+    OutOfRange(String),
+    /// The text is no decimal number.
+    #[error("is no decimal number")]
+    NotADecimal,
+    /// A decimal number has more fraction digits than its type.
+    #[error("has more than {0} digits behind the point")]
+    TooManyFractionDigits(u8),
+    /// A decimal number does not fit into `decimal64`.
+    #[error("is beyond all decimal numbers")]
+    DecimalOverflow,
+    /// The text is no boolean.
+    #[error("is neither true nor false")]
+    NotABoolean,
+    /// The text is none of the names of an enumeration.
+    #[error("is none of {0}")]
+    NotInEnumeration(String),
+    /// A value of type `empty` has a text.
+    #[error("has a value, and takes none")]
+    NotEmpty,
+    /// The text is a value of no member type of a union.
+    #[error("is a value of none of its types")]
+    NoUnionMember,
+}
+
+/// Why a restriction cannot be applied to a type.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum RestrictionError {
+    /// A bound of an integer range is no number.
+    #[error("{0} is no number")]
+    NotANumber(String),
+    /// A bound of a decimal range is no value of the type.
+    #[error("{bound} {error}")]
+    DecimalBound {
+        /// The bound as written.
+        bound: String,
+        /// Why it is no value.
+        error: ValueError,
+    },
+    /// A bound of a length is no number.
+    #[error("{0} is no length")]
+    NotALength(String),
+    /// A part is not within the ranges of the restricted type, or not ascending.
+    #[error("{0} is no part of what the type has")]
+    NotASubset(String),
+    /// A range restricts a type without ranges.
+    #[error("a range is for numbers")]
+    RangeOfNonNumber,
+    /// A length restricts a type other than `string`.
+    #[error("a length is for texts")]
+    LengthOfNonString,
+    /// A pattern restricts a type other than `string`.
+    #[error("a pattern is for texts")]
+    PatternOfNonString,
+    /// A pattern is no regular expression.
+    #[error(transparent)]
+    Pattern(#[from] regex::Error),
+}
+
+impl Type {
+    /// `string` without restrictions.
+    pub fn string() -> Self {
+        Type::String {
+            lengths: vec![],
+            patterns: vec![],
+        }
+    }
+
+    /// An integer type with all values of its bits.
+    pub fn integer(bits: u8, signed: bool) -> Self {
+        let limit: Integer = 1 << (bits - u8::from(signed));
+        let range = Range {
+            minimum: if signed { -limit } else { 0 },
+            maximum: limit - 1,
+        };
+        Type::Integer {
+            ranges: vec![range],
+            bits,
+            signed,
+        }
+    }
+
+    /// `decimal64` with so many fraction digits.
+    pub fn decimal(digits: u8) -> Self {
+        let range = Range {
+            minimum: -DECIMAL_LIMIT,
+            maximum: DECIMAL_LIMIT - 1,
+        };
+        Type::Decimal {
+            digits,
+            ranges: vec![range],
+        }
+    }
+
+    /// The value of a text in its canonical form (RFC 7950, section 9).
+    ///
+    /// # Errors
+    ///
+    /// When the text is no value of this type.
+    pub fn canonical(&self, text: &str) -> Result<String, ValueError> {
+        match self {
+            Type::String { lengths, patterns } => {
+                check_string(text, lengths, patterns)?;
+                Ok(text.into())
+            }
+            Type::Integer { ranges, .. } => {
+                let value = parse_integer(text.trim(), ranges)?;
+                check_range(value, ranges, |value| value.to_string())?;
+                Ok(value.to_string())
+            }
+            Type::Decimal { digits, ranges } => {
+                let value = parse_decimal(text.trim(), *digits)?;
+                check_range(value, ranges, |value| format_decimal(value, *digits))?;
+                Ok(format_decimal(value, *digits))
+            }
+            Type::Boolean if ["true", "false"].contains(&text) => Ok(text.into()),
+            Type::Boolean => Err(ValueError::NotABoolean),
+            Type::Enumeration(names) if names.iter().any(|name| name == text) => Ok(text.into()),
+            Type::Enumeration(names) => Err(ValueError::NotInEnumeration(names.join(", "))),
+            Type::Empty if text.is_empty() => Ok(String::new()),
+            Type::Empty => Err(ValueError::NotEmpty),
+            Type::Union(members) => members
+                .iter()
+                .find_map(|member| member.canonical(text).ok())
+                .ok_or(ValueError::NoUnionMember),
+        }
+    }
+
+    /// Whether JSON has values of this type as strings (RFC 7951, section 6).
+    pub fn is_json_string(&self) -> bool {
+        match self {
+            Type::String { .. } | Type::Decimal { .. } | Type::Enumeration(_) => true,
+            Type::Integer { bits, .. } => *bits == JSON_STRING_BITS,
+            Type::Boolean | Type::Empty => false,
+            Type::Union(members) => members.first().is_some_and(Type::is_json_string),
+        }
+    }
+
+    /// A description of the values, for error messages.
+    pub fn expected(&self) -> String {
+        match self {
+            Type::String { lengths, .. } if lengths.is_empty() => "a text".into(),
+            Type::String { lengths, .. } => {
+                let lengths = format_ranges(lengths, |length| length.to_string());
+                format!("a text of {lengths} characters")
+            }
+            Type::Integer { ranges, .. } => {
+                let ranges = format_ranges(ranges, |value| value.to_string());
+                format!("a whole number, {ranges}")
+            }
+            Type::Decimal { digits, ranges } => {
+                let ranges = format_ranges(ranges, |value| format_decimal(value, *digits));
+                format!("a number with up to {digits} digits behind the point, {ranges}")
+            }
+            Type::Boolean => "true or false".into(),
+            Type::Enumeration(names) => format!("one of {}", names.join(", ")),
+            Type::Empty => "nothing".into(),
+            Type::Union(members) => members
+                .iter()
+                .map(Type::expected)
+                .collect::<Vec<_>>()
+                .join(", or "),
+        }
+    }
+
+    /// The name of the built-in type.
+    pub fn name(&self) -> String {
+        match self {
+            Type::String { .. } => "string".into(),
+            Type::Integer { bits, signed, .. } => {
+                format!("{}int{bits}", if *signed { "" } else { "u" })
+            }
+            Type::Decimal { .. } => "decimal64".into(),
+            Type::Boolean => "boolean".into(),
+            Type::Enumeration(_) => "enumeration".into(),
+            Type::Empty => "empty".into(),
+            Type::Union(_) => "union".into(),
+        }
+    }
+
+    /// This type with a `range` restriction.
+    ///
+    /// # Errors
+    ///
+    /// When the type is not numeric, or the text is no range within that of the type.
+    pub fn with_range(self, text: &str) -> Result<Self, RestrictionError> {
+        match self {
+            Type::Integer {
+                ranges,
+                bits,
+                signed,
+            } => {
+                let ranges = restricted_ranges(text, &ranges, |bound| {
+                    bound
+                        .parse()
+                        .map_err(|_| RestrictionError::NotANumber(bound.into()))
+                })?;
+                Ok(Type::Integer {
+                    ranges,
+                    bits,
+                    signed,
+                })
+            }
+            Type::Decimal { digits, ranges } => {
+                let ranges = restricted_ranges(text, &ranges, |bound| {
+                    parse_decimal(bound, digits).map_err(|error| RestrictionError::DecimalBound {
+                        bound: bound.into(),
+                        error,
+                    })
+                })?;
+                Ok(Type::Decimal { digits, ranges })
+            }
+            _ => Err(RestrictionError::RangeOfNonNumber),
+        }
+    }
+
+    /// This type with a `length` restriction.
+    ///
+    /// # Errors
+    ///
+    /// When the type is not `string`, or the text is no range of lengths.
+    pub fn with_length(self, text: &str) -> Result<Self, RestrictionError> {
+        let Type::String { patterns, .. } = self else {
+            return Err(RestrictionError::LengthOfNonString);
+        };
+        let any_length = Range {
+            minimum: 0,
+            maximum: u64::MAX,
+        };
+        let lengths = restricted_ranges(text, &[any_length], |bound| {
+            bound
+                .parse()
+                .map_err(|_| RestrictionError::NotALength(bound.into()))
+        })?;
+        Ok(Type::String { lengths, patterns })
+    }
+
+    /// This type with one more `pattern` restriction.
+    ///
+    /// # Errors
+    ///
+    /// When the type is not `string`, or the pattern is no regular expression.
+    pub fn with_pattern(self, pattern: &str) -> Result<Self, RestrictionError> {
+        let Type::String {
+            lengths,
+            mut patterns,
+        } = self
+        else {
+            return Err(RestrictionError::PatternOfNonString);
+        };
+        patterns.push(Regex::new(&format!("^(?:{pattern})$"))?);
+        Ok(Type::String { lengths, patterns })
+    }
+}
+
+fn check_string(text: &str, lengths: &[Range<u64>], patterns: &[Regex]) -> Result<(), ValueError> {
+    let length = text.chars().count() as u64;
+    if !lengths.is_empty() && !any_contains(lengths, &length) {
+        let allowed = format_ranges(lengths, |length| length.to_string());
+        return Err(ValueError::Length { length, allowed });
+    }
+    let is_forbidden = |c: char| c.is_control() && !"\t\n\r".contains(c);
+    if text.chars().any(is_forbidden) {
+        return Err(ValueError::ControlCharacter);
+    }
+    match patterns.iter().find(|pattern| !pattern.is_match(text)) {
+        Some(pattern) => {
+            let source = pattern.as_str();
+            let written = source.trim_start_matches("^(?:").trim_end_matches(")$");
+            Err(ValueError::PatternMismatch(written.into()))
+        }
+        None => Ok(()),
+    }
+}
+
+fn parse_integer(text: &str, ranges: &[Range<Integer>]) -> Result<Integer, ValueError> {
+    let signed = text.strip_prefix('+').unwrap_or(text);
+    let digits = signed.strip_prefix('-').unwrap_or(signed);
+    if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(ValueError::NotAnInteger);
+    }
+    let out_of_range = || ValueError::OutOfRange(format_ranges(ranges, |value| value.to_string()));
+    signed.parse().map_err(|_| out_of_range())
+}
+
+fn check_range(
+    value: Integer,
+    ranges: &[Range<Integer>],
+    format: impl Fn(Integer) -> String,
+) -> Result<(), ValueError> {
+    if any_contains(ranges, &value) {
+        Ok(())
+    } else {
+        Err(ValueError::OutOfRange(format_ranges(ranges, format)))
+    }
+}
