--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -153,7 +153,7 @@
         }
         _ => vec![],
     };
-    let path = Some(instance(&error.at)).filter(|path| !path.is_empty());
+    let path = Some(instance(&error.path)).filter(|path| !path.is_empty());
     RpcError {
         path,
         info,
--- /dev/null
+++ b/yang/src/edit/from_json.rs
@@ -0,0 +1,216 @@
+//! Edits from JSON (RFC 7951).
+
+use kestreltide_datastore::tree_builder::printable;
+use serde_json::{Map, Value as Json};
+
+use super::reader::EditReader;
+use super::{Edit, EditError, ErrorTag};
+use crate::data::{InstancePath, Step};
+use crate::schema::{NodeId, NodeKind, Schema};
+use crate::types::Type;
+
+/// Reads the edits of an object below a node, at the top for none; adds an error for each member that is no edit.
+pub fn edits_from_json(
+    schema: &Schema,
+    parent: Option<NodeId>,
+    path: &InstancePath,
+    object: &Json,
+    errors: &mut Vec<EditError>,
+) -> Vec<Edit> {
+    EditReader { schema, errors }.edits_from_object(parent, path, object)
+}
+
+/// Reads the edits of a member's value: a list or leaf-list is an array of its entries or values.
+pub fn edits_from_json_value(
+    schema: &Schema,
+    node: NodeId,
+    parent_path: &InstancePath,
+    value: &Json,
+    errors: &mut Vec<EditError>,
+) -> Vec<Edit> {
+    EditReader { schema, errors }.edits_from_value(node, parent_path, value)
+}
+
+/// Reads the edit of one container, entry of a list, leaf or value of a leaf-list.
+pub fn edit_from_json(
+    schema: &Schema,
+    node: NodeId,
+    parent_path: &InstancePath,
+    value: &Json,
+    errors: &mut Vec<EditError>,
+) -> Option<Edit> {
+    EditReader { schema, errors }.edit_from_value(node, parent_path, value)
+}
+
+impl EditReader<'_> {
+    fn edits_from_object(
+        &mut self,
+        parent: Option<NodeId>,
+        path: &InstancePath,
+        object: &Json,
+    ) -> Vec<Edit> {
+        let Json::Object(members) = object else {
+            self.error(
+                ErrorTag::InvalidValue,
+                "",
+                path,
+                "is no object",
+                shortened(object),
+                "an object",
+            );
+            return vec![];
+        };
+        let mut edits = Vec::new();
+        for (member, value) in members {
+            match self.node_of_member(parent, member) {
+                Some(node) => edits.extend(self.edits_from_value(node, path, value)),
+                None => self.unknown_child(parent, member, path),
+            }
+        }
+        edits
+    }
+
+    /// The schema node of a member, whose name may carry the module.
+    fn node_of_member(&self, parent: Option<NodeId>, member: &str) -> Option<NodeId> {
+        let (module, name) = match member.split_once(':') {
+            Some((module, name)) => (Some(module), name),
+            None => (None, member),
+        };
+        let node = self.child_named(parent, name)?;
+        let is_of_module = module.is_none_or(|module| self.schema.module_of(node).name == module);
+        is_of_module.then_some(node)
+    }
+
+    fn edits_from_value(
+        &mut self,
+        node: NodeId,
+        parent_path: &InstancePath,
+        value: &Json,
+    ) -> Vec<Edit> {
+        let schema = self.schema;
+        let name = &schema.node_of(node).name;
+        let kind = &schema.node_of(node).kind;
+        if !matches!(kind, NodeKind::List { .. } | NodeKind::LeafList { .. }) {
+            let edit = self.edit_from_value(node, parent_path, value);
+            return edit.into_iter().collect();
+        }
+        let Json::Array(items) = value else {
+            self.error(
+                ErrorTag::InvalidValue,
+                name,
+                parent_path,
+                format!("{name} is no array"),
+                shortened(value),
+                "an array",
+            );
+            return vec![];
+        };
+        items
+            .iter()
+            .filter_map(|item| self.edit_from_value(node, parent_path, item))
+            .collect()
+    }
+
+    fn edit_from_value(
+        &mut self,
+        node: NodeId,
+        parent_path: &InstancePath,
+        value: &Json,
+    ) -> Option<Edit> {
+        if self.leaf_type(node).is_some() {
+            return self.edit_from_leaf_value(node, parent_path, value);
+        }
+        let name = &self.schema.node_of(node).name;
+        let Json::Object(members) = value else {
+            self.error(
+                ErrorTag::InvalidValue,
+                name,
+                parent_path,
+                format!("{name} is no object"),
+                shortened(value),
+                "an object",
+            );
+            return None;
+        };
+        let step = self.read_step(node, parent_path, |key| key_text(members, key))?;
+        let path = parent_path.child(step.clone());
+        let children = self.edits_from_object(Some(node), &path, value);
+        Some(Edit {
+            node,
+            operation: None,
+            value: None,
+            step,
+            children,
+        })
+    }
+
+    fn edit_from_leaf_value(
+        &mut self,
+        node: NodeId,
+        parent_path: &InstancePath,
+        value: &Json,
+    ) -> Option<Edit> {
+        let schema = self.schema;
+        let step = Step {
+            name: schema.node_of(node).name.clone(),
+            keys: vec![],
+        };
+        let path = parent_path.child(step.clone());
+        let leaf_type = self.leaf_type(node)?;
+        let Some(text) = leaf_text(leaf_type, value) else {
+            let form = if leaf_type.is_json_string() {
+                "as a JSON string"
+            } else {
+                "as JSON's own"
+            };
+            let expected = format!("{}, {form}", leaf_type.expected());
+            self.error(
+                ErrorTag::InvalidValue,
+                &step.name,
+                &path,
+                "is of another form",
+                shortened(value),
+                expected,
+            );
+            return None;
+        };
+        let value = self.canonical_value(node, &path, &text)?;
+        Some(Edit {
+            node,
+            operation: None,
+            value: Some(value),
+            step,
+            children: vec![],
+        })
+    }
+}
+
+/// The text of a JSON value in the form of its type (RFC 7951, section 6): an integer of 64 bits is a string, since a
+/// JSON number would lose digits on its way.
+fn leaf_text(leaf_type: &Type, value: &Json) -> Option<String> {
+    match value {
+        Json::String(text) if leaf_type.is_json_string() => Some(text.clone()),
+        Json::Number(number) if !leaf_type.is_json_string() => Some(number.to_string()),
+        Json::Bool(flag) if !leaf_type.is_json_string() => Some(flag.to_string()),
+        Json::Array(items) if leaf_type.name() == "empty" && *items == [Json::Null] => {
+            Some(String::new())
+        }
+        _ => None,
+    }
+}
+
+/// The text of a key among the members of an entry.
+fn key_text(members: &Map<String, Json>, key: &str) -> Option<String> {
+    let (_, value) = members
+        .iter()
+        .find(|(member, _)| member.rsplit(':').next() == Some(key))?;
+    match value {
+        Json::String(text) => Some(text.clone()),
+        Json::Number(number) => Some(number.to_string()),
+        _ => None,
+    }
+}
+
+fn shortened(value: &Json) -> String {
+    printable(&value.to_string())
+}
