--- a/src/candidates.rs
+++ b/src/candidates.rs
@@ -1,5 +1,7 @@
-//! The hosts that a request may go to. Hosts that stand out are listed one by one; all others are counted by arm,
-//! as the index keeps them. Records only: which host may be chosen, and in which tier, is decided in `decisions`.
+//! The hosts that a request may go to.
+//!
+//! Hosts that stand out are listed one by one; all others are counted by arm, as the index keeps them. Which host
+//! may be chosen, and in which tier, is decided in [`crate::decisions`].
 
 use crate::arm::{Arm, PerArm};
 use crate::host_group::HostSum;
@@ -11,7 +13,7 @@
     pub(crate) arm: Arm,
     /// Hosts of a lower tier go first.
     pub(crate) tier: u8,
-    /// Size times weight times warmth.
+    /// Size times weight times warm-up fraction.
     pub(crate) share: f64,
     pub(crate) warming_up: bool,
     pub(crate) weight: f64,
@@ -57,6 +59,7 @@
         }
     }
 
+    /// The number and share of all hosts of one arm and tier.
     pub(crate) fn sum(&self, arm: Arm, tier: u8) -> HostSum {
         let add = |sum: HostSum, of: &Candidate| HostSum {
             hosts: sum.hosts + 1,
@@ -81,6 +84,7 @@
         counted + listed.map(|candidate| candidate.share).sum::<f64>()
     }
 
+    /// Leaves out the hosts that are warming up.
     pub(crate) fn remove_warming_up(&mut self) {
         self.listed.retain(|candidate| !candidate.warming_up);
         self.with_warming_up = false;
--- a/src/decisions/host_table.rs
+++ b/src/decisions/host_table.rs
@@ -6,7 +6,7 @@
 use super::outlier_detection::{HostHealth, is_failing};
 use super::settings::DecisionSettings;
 use crate::host_group::Group;
-use crate::host_index::{HostIndex, Indexed};
+use crate::host_index::{HostIndex, IndexedHost};
 use crate::interface::{BuildId, HostEntry, HostId, HostState, OperatorOverrides, Revision};
 use crate::operator_weights::{EffectiveWeight, apply_weights};
 
@@ -117,10 +117,10 @@
 
     /// Its entry in the index; none while it is not in use. Hosts that warm up, are ejected or fail are looked at
     /// for each request, all others by their groups.
-    fn indexed(&self, settings: &DecisionSettings, now: f64) -> Option<Indexed> {
+    fn indexed(&self, settings: &DecisionSettings, now: f64) -> Option<IndexedHost> {
         let is_well = self.health.ejected_until <= now && !is_failing(self.health.failure_rate);
         let is_warm = settings.warm_up_fraction(&self.entry, now) >= 1.0;
-        self.usable.then_some(Indexed {
+        self.usable.then_some(IndexedHost {
             group: Group::of(&self.entry, settings.idempotency_by_cell),
             size: self.entry.size,
             weight: self.weight,
--- a/src/decisions/least_loaded.rs
+++ b/src/decisions/least_loaded.rs
@@ -10,7 +10,7 @@
 use crate::hashing::hash_mix;
 use crate::host_group::{Group, Requirements};
 use crate::interface::HostId;
-use crate::rendezvous::highest_two;
+use crate::rendezvous::{RankedHost, WeightedHost, highest_two};
 
 /// Routers that keep connections to a host, by their traffic: hosts accept few.
 const ROUTERS_PER_HOST: f64 = 60.0;
@@ -90,11 +90,17 @@
         let salt = self.pair_salt(count, choice.key_hash);
         let two = if candidates.counted(choice.arm, choice.tier).hosts == 0 {
             let listed = candidates.listed(choice.arm, choice.tier);
-            highest_two(salt, listed.map(|of| (of.host, of.weight)))
+            let listed = listed.map(|of| WeightedHost {
+                host: of.host,
+                weight: of.weight,
+            });
+            highest_two(salt, listed)
         } else {
             self.highest_two_indexed(now, salt, choice, candidates, requirements)
         };
-        let known = two.into_iter().filter_map(|(_, id)| self.hosts.get(id));
+        let known = two
+            .into_iter()
+            .filter_map(|ranked| self.hosts.get(ranked.host));
         let loads = known.map(|host| {
             let id = host.entry.host;
             let weight = candidates.weight(id).unwrap_or(host.weight);
@@ -111,7 +117,7 @@
         choice: &ArmChoice,
         candidates: &Candidates,
         requirements: &Requirements,
-    ) -> Vec<(f64, HostId)> {
+    ) -> Vec<RankedHost> {
         let of_arm = requirements.arms.iter().filter(|of| of.1 == choice.arm);
         let groups: Vec<Group> = of_arm.map(|of| of.0).collect();
         let mut index = std::mem::take(&mut self.hosts.index);
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -29,6 +29,7 @@
 mod thompson_sampling;
 mod timers;
 mod traffic_rates;
+mod vote_tables;
 mod voting;
 
 use std::sync::Arc;
--- a/src/decisions/rollout.rs
+++ b/src/decisions/rollout.rs
@@ -3,7 +3,8 @@
 use rand::RngExt;
 
 use super::evidence::Signal;
-use super::voting::{VoteInput, voter_rank};
+use super::vote_tables::VoteInput;
+use super::voting::voter_rank;
 use super::{MIN_DIVISOR, Router};
 use crate::arm::Arm;
 use crate::interface::{
--- /dev/null
+++ b/src/decisions/vote_tables.rs
@@ -0,0 +1,141 @@
+//! The two tables of voting: the vote that an assessment asks for, and the states of a vote at the platform.
+
+use super::canary_assessment::Assessment;
+use crate::interface::Vote;
+
+/// What a router's vote should be, by the assessment of the canary.
+struct DesiredVote {
+    assessment: Assessment,
+    /// Where votes move a build; none keeps the last.
+    by_votes: Option<Vote>,
+    /// Where a timer moves it; none keeps the last.
+    by_clock: Option<Vote>,
+}
+
+/// The desired vote of each assessment.
+const DESIRED_VOTES: [DesiredVote; 5] = [
+    DesiredVote {
+        assessment: Assessment::Worse,
+        by_votes: Some(Vote::RollBack),
+        by_clock: Some(Vote::RollBack),
+    },
+    DesiredVote {
+        assessment: Assessment::Fine,
+        by_votes: Some(Vote::Promote),
+        by_clock: Some(Vote::Abstain),
+    },
+    DesiredVote {
+        assessment: Assessment::Unclear,
+        by_votes: None,
+        by_clock: Some(Vote::Hold),
+    },
+    DesiredVote {
+        assessment: Assessment::SlowingAll,
+        by_votes: Some(Vote::Abstain),
+        by_clock: Some(Vote::Hold),
+    },
+    DesiredVote {
+        assessment: Assessment::Starved,
+        by_votes: None,
+        by_clock: Some(Vote::Abstain),
+    },
+];
+
+/// The state of this router's vote at the platform.
+#[derive(Clone, Copy, Default, PartialEq, Eq)]
+pub(super) enum VoteState {
+    /// None is cast.
+    #[default]
+    NoVote,
+    /// It is cast, and not answered.
+    Pending,
+    /// The platform has counted it.
+    Counted,
+}
+
+/// What may change the state of the vote.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum VoteInput {
+    /// The desired vote is to be cast now.
+    Due,
+    /// The platform has counted the vote.
+    Counted,
+    /// The vote was turned away, or its answer did not come.
+    Uncertain,
+    /// A new build, stage or phase has begun.
+    NewStage,
+}
+
+/// A row of the table of the vote's states.
+pub(super) struct VoteTransition {
+    from: VoteState,
+    input: VoteInput,
+    pub(super) to: VoteState,
+    /// Whether the desired vote is cast.
+    pub(super) casts: bool,
+}
+
+/// All transitions; any other input changes nothing.
+const VOTE_TRANSITIONS: [VoteTransition; 7] = [
+    VoteTransition {
+        from: VoteState::NoVote,
+        input: VoteInput::Due,
+        to: VoteState::Pending,
+        casts: true,
+    },
+    VoteTransition {
+        from: VoteState::Pending,
+        input: VoteInput::Due,
+        to: VoteState::Pending,
+        casts: true,
+    },
+    VoteTransition {
+        from: VoteState::Counted,
+        input: VoteInput::Due,
+        to: VoteState::Pending,
+        casts: true,
+    },
+    VoteTransition {
+        from: VoteState::Pending,
+        input: VoteInput::Counted,
+        to: VoteState::Counted,
+        casts: false,
+    },
+    VoteTransition {
+        from: VoteState::Pending,
+        input: VoteInput::Uncertain,
+        to: VoteState::NoVote,
+        casts: false,
+    },
+    VoteTransition {
+        from: VoteState::Pending,
+        input: VoteInput::NewStage,
+        to: VoteState::NoVote,
+        casts: false,
+    },
+    VoteTransition {
+        from: VoteState::Counted,
+        input: VoteInput::NewStage,
+        to: VoteState::NoVote,
+        casts: false,
+    },
+];
+
+/// The vote that an assessment asks for; none keeps the last.
+pub(super) fn desired_vote(assessment: Assessment, is_clock_gated: bool) -> Option<Vote> {
+    let row = DESIRED_VOTES
+        .iter()
+        .find(|row| row.assessment == assessment)?;
+    if is_clock_gated {
+        row.by_clock
+    } else {
+        row.by_votes
+    }
+}
+
+/// The transition of a state by an input; none changes nothing.
+pub(super) fn transition(from: VoteState, input: VoteInput) -> Option<&'static VoteTransition> {
+    VOTE_TRANSITIONS
+        .iter()
+        .find(|row| row.from == from && row.input == input)
+}
--- a/src/decisions/voting.rs
+++ b/src/decisions/voting.rs
@@ -7,6 +7,7 @@
 use super::canary_assessment::Assessment;
 use super::evidence::Signal;
 use super::gossip::GOSSIP_INTERVAL;
+use super::vote_tables::{VoteInput, VoteState, desired_vote, transition};
 use crate::arm::Arm;
 use crate::hashing::hash_mix;
 use crate::interface::{
@@ -46,123 +47,6 @@
 /// Seconds that a vote goes unmet before the next routers in the hash's order cast it too.
 const STAND_IN_DELAY: f64 = 1.5;
 
-/// What a router's vote should be, by the assessment of the canary.
-struct DesiredVote {
-    assessment: Assessment,
-    /// Where votes move a build; none keeps the last.
-    by_votes: Option<Vote>,
-    /// Where a timer moves it; none keeps the last.
-    by_clock: Option<Vote>,
-}
-
-const DESIRED_VOTES: [DesiredVote; 5] = [
-    DesiredVote {
-        assessment: Assessment::Worse,
-        by_votes: Some(Vote::RollBack),
-        by_clock: Some(Vote::RollBack),
-    },
-    DesiredVote {
-        assessment: Assessment::Fine,
-        by_votes: Some(Vote::Promote),
-        by_clock: Some(Vote::Abstain),
-    },
-    DesiredVote {
-        assessment: Assessment::Unclear,
-        by_votes: None,
-        by_clock: Some(Vote::Hold),
-    },
-    DesiredVote {
-        assessment: Assessment::SlowingAll,
-        by_votes: Some(Vote::Abstain),
-        by_clock: Some(Vote::Hold),
-    },
-    DesiredVote {
-        assessment: Assessment::Starved,
-        by_votes: None,
-        by_clock: Some(Vote::Abstain),
-    },
-];
-
-/// The state of this router's vote at the platform.
-#[derive(Clone, Copy, Default, PartialEq, Eq)]
-enum VoteState {
-    /// None is cast.
-    #[default]
-    NoVote,
-    /// It is cast, and not answered.
-    Pending,
-    /// The platform has counted it.
-    Counted,
-}
-
-/// What may change the state of the vote.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum VoteInput {
-    /// The desired vote is to be cast now.
-    Due,
-    /// The platform has counted the vote.
-    Counted,
-    /// The vote was turned away, or its answer did not come.
-    Uncertain,
-    /// A new build, stage or phase has begun.
-    NewStage,
-}
-
-/// A row of the table of the vote's states.
-struct VoteTransition {
-    from: VoteState,
-    input: VoteInput,
-    to: VoteState,
-    /// Whether the desired vote is cast.
-    casts: bool,
-}
-
-/// All transitions; any other input changes nothing.
-const VOTE_TRANSITIONS: [VoteTransition; 7] = [
-    VoteTransition {
-        from: VoteState::NoVote,
-        input: VoteInput::Due,
-        to: VoteState::Pending,
-        casts: true,
-    },
-    VoteTransition {
-        from: VoteState::Pending,
-        input: VoteInput::Due,
-        to: VoteState::Pending,
-        casts: true,
-    },
-    VoteTransition {
-        from: VoteState::Counted,
-        input: VoteInput::Due,
-        to: VoteState::Pending,
-        casts: true,
-    },
-    VoteTransition {
-        from: VoteState::Pending,
-        input: VoteInput::Counted,
-        to: VoteState::Counted,
-        casts: false,
-    },
-    VoteTransition {
-        from: VoteState::Pending,
-        input: VoteInput::Uncertain,
-        to: VoteState::NoVote,
-        casts: false,
-    },
-    VoteTransition {
-        from: VoteState::Pending,
-        input: VoteInput::NewStage,
-        to: VoteState::NoVote,
-        casts: false,
-    },
-    VoteTransition {
-        from: VoteState::Counted,
-        input: VoteInput::NewStage,
-        to: VoteState::NoVote,
-        casts: false,
-    },
-];
-
 /// How many routers vote, and how fast the platform takes their calls; times are in seconds.
 pub(super) struct VotePacing {
     voters: u32,
@@ -314,7 +198,8 @@
             .override_of(status.build)
             .filter(|asked| asked.roll_back || asked.hold && assessment != Assessment::Worse);
         let assessment = with_override(assessment, asked.as_ref());
-        let vote = self.desired_vote(assessment);
+        let vote = desired_vote(assessment, self.settings.clock_gated);
+        let vote = vote.unwrap_or(self.voting.desired);
         let vote = if vote == Vote::Hold && asked.is_none() {
             self.limit_hold()
         } else {
@@ -330,21 +215,6 @@
         }
     }
 
-    /// The vote that an assessment asks for.
-    fn desired_vote(&self, assessment: Assessment) -> Vote {
-        let row = DESIRED_VOTES
-            .iter()
-            .find(|row| row.assessment == assessment);
-        let vote = row.and_then(|row| {
-            if self.settings.clock_gated {
-                row.by_clock
-            } else {
-                row.by_votes
-            }
-        });
-        vote.unwrap_or(self.voting.desired)
-    }
-
     /// Holds for one more gossip interval, or no more where the canary was held for long in this stage.
     fn limit_hold(&mut self) -> Vote {
         self.voting.hold_time += GOSSIP_INTERVAL;
@@ -357,11 +227,7 @@
 
     /// Moves the vote by the table of transitions, and casts it where the table says so.
     pub(super) fn advance_vote(&mut self, now: f64, input: VoteInput, effects: &mut Vec<Effect>) {
-        let state = self.voting.state;
-        let row = VOTE_TRANSITIONS
-            .iter()
-            .find(|row| row.from == state && row.input == input);
-        let Some(row) = row else {
+        let Some(row) = transition(self.voting.state, input) else {
             return;
         };
         self.voting.state = row.to;
--- a/src/host_index.rs
+++ b/src/host_index.rs
@@ -1,35 +1,38 @@
-//! An index of the hosts in use, kept up to date by what happens to each host, so that a request need not look at
-//! all of them. Hosts that a request cannot tell apart form a [`Group`]; those that stand out (warming up, ejected
-//! or failing) are listed one by one. Records only: what stands out is decided in `decisions`.
+//! An index of the hosts in use, so that a request need not look at all of them.
+//!
+//! It is kept up to date by what happens to each host. Hosts that a request cannot tell apart form a [`Group`]; those
+//! that stand out (warming up, ejected or failing) are listed one by one. What stands out is decided in
+//! [`crate::decisions`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::arm::PerArm;
 use crate::host_group::{Group, HostSum, Requirements};
 use crate::interface::{BuildId, HostId};
-use crate::rendezvous::RendezvousRankings;
+use crate::rendezvous::{RankedHost, RendezvousRankings, WeightedHost};
 
 /// More changed hosts than this at once are not followed one by one in the rankings, which are filled anew.
 const FOLLOWED_AT_ONCE: usize = 64;
 
 /// What the index keeps of one host.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Indexed {
+pub(crate) struct IndexedHost {
     pub(crate) group: Group,
     pub(crate) size: f64,
     /// Its weight among the hosts in use, 1 being an even share.
     pub(crate) weight: f64,
     /// Neither warming up nor ejected nor failing: until something happens to it, it stays so.
     pub(crate) settled: bool,
-    /// The share of its attempts that came to nothing, and its relative slowdown.
+    /// The fraction of its attempts that came to nothing.
     pub(crate) failure_rate: f64,
+    /// The time of its answers over that of quick ones.
     pub(crate) slowdown: f64,
 }
 
-impl Indexed {
+impl IndexedHost {
     /// Whether both count alike in the sums of their group.
-    fn counts_as(&self, other: &Indexed) -> bool {
-        let of = |of: &Indexed| (of.group, of.size, of.weight, of.settled);
+    fn counts_as(&self, other: &IndexedHost) -> bool {
+        let of = |of: &IndexedHost| (of.group, of.size, of.weight, of.settled);
         of(self) == of(other)
     }
 }
@@ -51,14 +54,14 @@
 }
 
 impl BuildSums {
-    fn add(&mut self, host: &Indexed) {
+    fn add(&mut self, host: &IndexedHost) {
         self.hosts += 1;
         self.size += host.size;
         self.failure_rate += host.failure_rate;
         self.slowdown += host.slowdown;
     }
 
-    fn subtract(&mut self, host: &Indexed) {
+    fn subtract(&mut self, host: &IndexedHost) {
         self.hosts -= 1;
         self.size -= host.size;
         self.failure_rate -= host.failure_rate;
@@ -66,7 +69,7 @@
     }
 
     /// The sums without one host, where it is of them.
-    pub(crate) fn without(mut self, host: Option<&Indexed>) -> Self {
+    pub(crate) fn without(mut self, host: Option<&IndexedHost>) -> Self {
         if let Some(host) = host {
             self.subtract(host);
         }
@@ -74,9 +77,10 @@
     }
 }
 
+/// All hosts in use, by group and by build.
 #[derive(Default)]
 pub(crate) struct HostIndex {
-    hosts: BTreeMap<HostId, Indexed>,
+    hosts: BTreeMap<HostId, IndexedHost>,
     groups: BTreeMap<Group, Members>,
     builds: BTreeMap<BuildId, BuildSums>,
     unsettled: BTreeSet<HostId>,
@@ -84,23 +88,26 @@
 }
 
 impl HostIndex {
+    /// The number of hosts in use.
     pub(crate) fn len(&self) -> usize {
         self.hosts.len()
     }
 
-    pub(crate) fn get(&self, host: HostId) -> Option<&Indexed> {
+    /// What the index keeps of a host; none while it is not in use.
+    pub(crate) fn get(&self, host: HostId) -> Option<&IndexedHost> {
         self.hosts.get(&host)
     }
 
+    /// The groups that have hosts, in ascending order.
     pub(crate) fn groups(&self) -> impl Iterator<Item = &Group> {
         self.groups.keys()
     }
 
     /// By arm, the settled hosts that a request may go to with the sum of size times weight, but for those that it has
     /// tried; and the latter, where they are settled.
-    pub(crate) fn settled(&self, wanted: &Requirements) -> (PerArm<HostSum>, Vec<HostId>) {
+    pub(crate) fn settled(&self, requirements: &Requirements) -> (PerArm<HostSum>, Vec<HostId>) {
         let mut sums = PerArm::<HostSum>::default();
-        for (group, arm) in &wanted.arms {
+        for (group, arm) in &requirements.arms {
             let Some(members) = self.groups.get(group) else {
                 continue;
             };
@@ -108,11 +115,14 @@
             sums[*arm].share += members.settled.share;
         }
         let mut tried = vec![];
-        for host in &wanted.tried {
+        for host in &requirements.tried {
             let Some(of) = self.hosts.get(host).filter(|of| of.settled) else {
                 continue;
             };
-            let Some(arm) = wanted.arm(&of.group).filter(|_| !tried.contains(host)) else {
+            let Some(arm) = requirements
+                .arm(&of.group)
+                .filter(|_| !tried.contains(host))
+            else {
                 continue;
             };
             sums[arm].hosts -= 1;
@@ -122,6 +132,7 @@
         (sums, tried)
     }
 
+    /// The builds that have hosts, in ascending order.
     pub(crate) fn builds(&self) -> impl Iterator<Item = BuildId> {
         self.builds.keys().copied()
     }
@@ -135,6 +146,7 @@
         })
     }
 
+    /// The sums over the hosts of one build.
     pub(crate) fn build(&self, build: BuildId) -> BuildSums {
         self.builds.get(&build).copied().unwrap_or_default()
     }
@@ -145,7 +157,7 @@
     }
 
     /// Brings hosts up to date; none: a host is not in use.
-    pub(crate) fn update(&mut self, hosts: impl Iterator<Item = (HostId, Option<Indexed>)>) {
+    pub(crate) fn update(&mut self, hosts: impl Iterator<Item = (HostId, Option<IndexedHost>)>) {
         let changed: Vec<_> = hosts
             .filter(|(host, now)| self.hosts.get(host) != now.as_ref())
             .collect();
@@ -177,7 +189,7 @@
         salt: u64,
         groups: &[Group],
         accepts: impl Fn(HostId) -> bool,
-    ) -> Vec<(f64, HostId)> {
+    ) -> Vec<RankedHost> {
         let mut builds: Vec<_> = groups.iter().map(|group| group.build).collect();
         builds.dedup();
         let mut rankings = std::mem::take(&mut self.rankings);
@@ -189,24 +201,28 @@
                 .unwrap_or_else(|| {
                     let of_request =
                         |group: &Group| group.build == build && groups.binary_search(group).is_ok();
-                    let accepted = self.members(of_request).filter(|(host, _)| accepts(*host));
+                    let accepted = self.members(of_request).filter(|of| accepts(of.host));
                     crate::rendezvous::highest_two(salt, accepted)
                 });
             found.extend(ranked);
         }
         self.rankings = rankings;
-        found.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        found.sort_by(RankedHost::order);
         found.truncate(2);
         found
     }
 
-    fn members(&self, of: impl Fn(&Group) -> bool) -> impl Iterator<Item = (HostId, f64)> {
+    fn members(&self, of: impl Fn(&Group) -> bool) -> impl Iterator<Item = WeightedHost> {
         let groups = self.groups.iter().filter(move |(group, _)| of(group));
-        groups.flat_map(|(_, members)| members.hosts.iter().map(|(host, weight)| (*host, *weight)))
+        let hosts = groups.flat_map(|(_, members)| &members.hosts);
+        hosts.map(|(host, weight)| WeightedHost {
+            host: *host,
+            weight: *weight,
+        })
     }
 
-    /// Only its faults and slowdown have changed, as with nearly every outcome.
-    fn replace(&mut self, host: HostId, before: &Indexed, now: Indexed) {
+    /// Only its failure rate and slowdown have changed, as with nearly every outcome.
+    fn replace(&mut self, host: HostId, before: &IndexedHost, now: IndexedHost) {
         if let Some(sums) = self.builds.get_mut(&before.group.build) {
             sums.subtract(before);
             sums.add(&now);
@@ -215,21 +231,22 @@
     }
 
     /// The rankings go by builds and weights alone.
-    fn follow(&mut self, host: HostId, before: Option<Indexed>, now: Option<Indexed>) {
-        let place = |of: Option<Indexed>| of.map(|of| (of.group.build, of.weight));
-        let (before, now) = (place(before), place(now));
+    fn follow(&mut self, host: HostId, before: Option<IndexedHost>, now: Option<IndexedHost>) {
+        let place = |of: Option<IndexedHost>| of.map(|of| (of.group.build, of.weight));
+        let before = place(before);
+        let now = place(now);
         if before == now {
             return;
         }
         if let Some((build, weight)) = before {
-            self.rankings.remove(build, host, weight);
+            self.rankings.remove(build, WeightedHost { host, weight });
         }
         if let Some((build, weight)) = now {
-            self.rankings.insert(build, host, weight);
+            self.rankings.insert(build, WeightedHost { host, weight });
         }
     }
 
-    fn insert(&mut self, host: HostId, now: Indexed) {
+    fn insert(&mut self, host: HostId, now: IndexedHost) {
         self.hosts.insert(host, now);
         self.builds.entry(now.group.build).or_default().add(&now);
         let members = self.groups.entry(now.group).or_default();
@@ -242,7 +259,7 @@
         }
     }
 
-    fn remove(&mut self, host: HostId, before: &Indexed) {
+    fn remove(&mut self, host: HostId, before: &IndexedHost) {
         self.hosts.remove(&host);
         self.unsettled.remove(&host);
         if let Some(sums) = self.builds.get_mut(&before.group.build) {
--- a/src/host_index/tests.rs
+++ b/src/host_index/tests.rs
@@ -15,8 +15,8 @@
     }
 }
 
-fn indexed(group: Group, settled: bool) -> Indexed {
-    Indexed {
+fn indexed(group: Group, settled: bool) -> IndexedHost {
+    IndexedHost {
         group,
         size: 1.0,
         weight: 1.0,
@@ -40,7 +40,7 @@
 }
 
 /// A request that may go to all of them, and has been sent to these.
-fn wanted(tried: Vec<HostId>) -> Requirements {
+fn requirements(tried: Vec<HostId>) -> Requirements {
     let arms = [(7, Arm::Baseline), (8, Arm::Canary)].into_iter();
     let arms = arms
         .flat_map(|(build, arm)| [0, 1].map(|zone| (group(build, zone), arm)))
@@ -57,7 +57,7 @@
 fn sums_are_those_of_the_hosts_in_use_after_any_changes() {
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let mut index = filled(100);
-    let mut plain: BTreeMap<HostId, Indexed> = index.hosts.clone();
+    let mut plain: BTreeMap<HostId, IndexedHost> = index.hosts.clone();
     for _ in 0..3000 {
         let host = HostId(hash_mix(random.random_range(0..120)));
         let of = indexed(
@@ -75,7 +75,7 @@
                 .values()
                 .filter(move |of| of.settled && of.group.build.0 == 7 + arm)
         };
-        let (sums, _) = index.settled(&wanted(vec![]));
+        let (sums, _) = index.settled(&requirements(vec![]));
         for (arm, sum) in [(0, sums.baseline), (1, sums.canary)] {
             assert_eq!(sum.hosts, settled(arm).count());
             assert!((sum.share - settled(arm).count() as f64).abs() < 1e-9);
@@ -98,7 +98,7 @@
     let mut index = filled(40);
     let (tried, ejected) = (HostId(hash_mix(3)), HostId(hash_mix(5)));
     index.update([(ejected, Some(indexed(group(8, 0), false)))].into_iter());
-    let (sums, named) = index.settled(&wanted(vec![tried, ejected, HostId(1), tried]));
+    let (sums, named) = index.settled(&requirements(vec![tried, ejected, HostId(1), tried]));
     assert_eq!([sums.baseline.hosts, sums.canary.hosts], [20, 18]);
     assert_eq!(named, [tried]);
 }
--- a/src/rendezvous/tests.rs
+++ b/src/rendezvous/tests.rs
@@ -14,12 +14,15 @@
         .collect()
 }
 
-fn listed(hosts: &BTreeMap<HostId, f64>) -> impl Iterator<Item = (HostId, f64)> {
-    hosts.iter().map(|(host, weight)| (*host, *weight))
+fn listed(hosts: &BTreeMap<HostId, f64>) -> impl Iterator<Item = WeightedHost> {
+    hosts.iter().map(|(host, weight)| WeightedHost {
+        host: *host,
+        weight: *weight,
+    })
 }
 
-fn ids(found: Vec<(f64, HostId)>) -> Vec<HostId> {
-    found.into_iter().map(|(_, host)| host).collect()
+fn ids(found: Vec<RankedHost>) -> Vec<HostId> {
+    found.into_iter().map(|ranked| ranked.host).collect()
 }
 
 #[test]
@@ -29,16 +32,16 @@
     for round in 0..2000u64 {
         let host = HostId(hash_mix(random.random_range(0..400)));
         if let Some(weight) = present.remove(&host) {
-            rankings.remove(BUILD, host, weight);
+            rankings.remove(BUILD, WeightedHost { host, weight });
         }
         if random.random::<f64>() < 0.7 {
             let weight = f64::from(random.random_range(1..4u8));
-            rankings.insert(BUILD, host, weight);
+            rankings.insert(BUILD, WeightedHost { host, weight });
             present.insert(host, weight);
         }
         let (salt, refused) = (round % 20, random.random_range(0..5u64));
         let accepts = |host: HostId| host.0 % 5 != refused;
-        let all = highest_two(salt, listed(&present).filter(|(host, _)| accepts(*host)));
+        let all = highest_two(salt, listed(&present).filter(|of| accepts(of.host)));
         if let Some(found) = rankings.highest_two(salt, BUILD, || listed(&present), accepts) {
             assert_eq!(ids(found), ids(all), "round {round}");
         }
@@ -84,7 +87,7 @@
     let gone = before[0][0];
     let mut fewer = present.clone();
     let weight = fewer.remove(&gone).expect("a host that is there");
-    rankings.remove(BUILD, gone, weight);
+    rankings.remove(BUILD, WeightedHost { host: gone, weight });
     let mut pair = |salt| {
         rankings
             .highest_two(salt, BUILD, || listed(&fewer), |_| true)
@@ -121,7 +124,7 @@
     let mut rankings = RendezvousRankings::default();
     let first = (0..3000).filter(|salt| {
         let found = rankings.highest_two(hash_mix(*salt), BUILD, || listed(&present), |_| true);
-        found.is_some_and(|found| found[0].1 == heavy)
+        found.is_some_and(|found| found[0].host == heavy)
     });
     // 5 of 54 parts are 278 of 3,000.
     assert!((220..340).contains(&first.count()));
