--- a/testkit/src/config.rs
+++ b/testkit/src/config.rs
@@ -1,7 +1,11 @@
-//! Configurations and lists as the program reads them.
+//! Configurations and endpoint lists in the form that the router reads.
 
 use std::net::SocketAddr;
 
+/// Writes an endpoint list as discovery sends it.
+///
+/// `rev` is the list's version; `all` says whether it is complete or only the changes; each host is given by name,
+/// address and state.
 pub fn endpoint_list(rev: u32, all: bool, hosts: &[(&str, SocketAddr, &str)]) -> String {
     let target = |(uid, at, state): &(&str, SocketAddr, &str)| {
         format!(
@@ -30,7 +34,9 @@
     {"name":"switch","effect":"once","slo":5000000,"give_up":6000000,"credit":1.0,"late_worth":0.1,
     "stream":false}]}"#;
 
-/// A whole configuration; what is in it may be replaced.
+/// Writes a complete configuration of a router with this discovery server and this cached endpoint list.
+///
+/// Tests replace parts of the text where they need other settings.
 pub fn router_config(discovery: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,12 +1,26 @@
-//! Stand-ins on loopback sockets for tests and measurements: hosts, discovery, the platform, clients, and the
-//! program itself as a process. Each can be told to be slow, silent or torn; none uses a fixed port, and every
-//! wait ends by what is seen.
+//! Test servers and clients on loopback sockets: hosts, discovery, the platform, clients of a router, management
+//! clients, and the router itself as a process.
+//!
+//! No server uses a fixed port, and every wait ends when the awaited event is observed or after [`TEST_TIMEOUT`].
+//! All functions panic where the test cannot go on; nothing here is part of a shipped program.
+
+#![deny(
+    missing_docs,
+    unreachable_pub,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::wildcard_imports
+)]
 
 mod client;
 mod config;
+mod credentials;
 mod discovery;
 mod fleet;
-mod management_client;
+mod gnmi;
+mod netconf;
 mod platform;
 mod program;
 mod servers;
@@ -17,9 +31,11 @@
 
 pub use client::Client;
 pub use config::{endpoint_list, router_config};
+pub use credentials::{ManagementClient, TestCredentials};
 pub use discovery::Discovery;
 pub use fleet::{AttemptLog, Fleet, TestHost};
-pub use management_client::{ManagementClient, Netconf, TestCredentials, proto};
+pub use gnmi::proto;
+pub use netconf::{Netconf, NetconfError};
 pub use platform::{Platform, RolloutState};
 pub use program::Program;
 pub use servers::{
@@ -28,5 +44,5 @@
 };
 pub use test_listener::TestListener;
 
-/// What is waited for longer than this never comes.
+/// The longest time that anything here waits for an event before the test fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/testkit/src/platform.rs
+++ b/testkit/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: it says where the newest build stands, counts votes, and moves the build by them.
+//! A test platform: it reports the state of the rollout and records the votes of routers.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,12 +10,16 @@
 
 use crate::spawn_server;
 
-/// Where the build stands.
+/// The state of a rollout, as the platform reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutState {
+    /// The newest build.
     pub build: u16,
+    /// The stage of its rollout, from 0.
     pub stage: u32,
+    /// The word of the platform's protocol for the phase: `testing`, `recalling`, `live`, ...
     pub progress: &'static str,
+    /// The largest share of requests that the build may get, from 0 to 1.
     pub cap: f64,
 }
 
@@ -25,7 +29,9 @@
     subscribers: Vec<TcpStream>,
 }
 
+/// A platform server; its votes are read by [`Platform::votes`].
 pub struct Platform {
+    /// The address that routers connect to.
     pub at: SocketAddr,
     state: Arc<Mutex<State>>,
     votes: Receiver<(u32, String)>,
@@ -45,6 +51,7 @@
 }
 
 impl Platform {
+    /// Starts a platform that reports this state.
     pub fn start(rollout: RolloutState) -> Self {
         let state = Arc::new(Mutex::new(State {
             rollout,
@@ -89,10 +96,11 @@
         Platform { at, state, votes }
     }
 
-    /// The build stands so from now on, and all who follow are told.
+    /// Changes the state and notifies all subscribers.
     pub fn publish(&self, rollout: RolloutState) {
         let mut state = self.state.lock().expect("no panic before");
-        (state.rollout, state.since) = (rollout, Instant::now());
+        state.rollout = rollout;
+        state.since = Instant::now();
         let notification =
             json!({"jsonrpc": "2.0", "method": "progress", "params": state.progress()}).to_string()
                 + "\n";
@@ -101,6 +109,7 @@
             .retain(|subscriber| (&*subscriber).write_all(notification.as_bytes()).is_ok());
     }
 
+    /// Sends a ping to all subscribers.
     pub fn ping(&self) {
         let line = "{\"jsonrpc\":\"2.0\",\"method\":\"ping\"}\n";
         let mut state = self.state.lock().expect("no panic before");
@@ -109,7 +118,7 @@
             .retain(|subscriber| (&*subscriber).write_all(line.as_bytes()).is_ok());
     }
 
-    /// Votes cast since the last look: the stage, and what it says.
+    /// Returns the votes since the last call: the stage and the opinion.
     pub fn votes(&self) -> Vec<(u32, String)> {
         self.votes.try_iter().collect()
     }
--- a/testkit/src/program.rs
+++ b/testkit/src/program.rs
@@ -1,4 +1,4 @@
-//! The program as a process of its own.
+//! A router as a process of its own.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -11,17 +11,20 @@
 
 use crate::{Client, TEST_TIMEOUT};
 
-/// The program, started with a configuration on its own.
+/// A running router with a configuration file of its own; killed when dropped.
 pub struct Program {
+    /// The process.
     pub child: Child,
+    /// The address at which the router listens for clients.
     pub at: SocketAddr,
-    /// What it said before it listened.
+    /// The lines of its log before the one that says it listens.
     pub startup_log: Vec<String>,
     config: PathBuf,
     log: Receiver<String>,
 }
 
 impl Program {
+    /// Prepares a sub-command of the program with a new configuration file, its output piped.
     pub fn command(binary: &str, verb: &str, config: &str) -> Command {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let name = format!(
@@ -44,10 +47,12 @@
         command
     }
 
+    /// Starts a router and waits until it listens.
     pub fn start(binary: &str, config: &str) -> Self {
         Self::start_with(binary, config, &[])
     }
 
+    /// As [`Program::start`], with these environment variables.
     pub fn start_with(binary: &str, config: &str, environment: &[(&str, String)]) -> Self {
         let mut command = Self::command(binary, "serve", config);
         command.envs(environment.iter().cloned());
@@ -89,7 +94,7 @@
         program
     }
 
-    /// The address that a line before `listening` told.
+    /// Returns the address in the first line of the startup log that contains this text.
     pub fn address_in_startup_log(&self, what: &str) -> Option<SocketAddr> {
         let line = self.startup_log.iter().find(|line| line.contains(what))?;
         line.split("at: ")
@@ -100,11 +105,11 @@
             .ok()
     }
 
-    /// Waits for a line of the log that says this.
+    /// Waits for a line of the log that contains this text.
     pub fn wait_for_log(&self, what: &str) -> String {
         let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            // Other lines may come for ever.
+            // Lines that do not match may come without end.
             let left = until.saturating_duration_since(Instant::now());
             let line = self
                 .log
@@ -116,7 +121,7 @@
         }
     }
 
-    /// Waits for a line that other threads of the program may have said before it listened, too.
+    /// As [`Program::wait_for_log`], for a line that may have been written before the router listened.
     pub fn wait_for_log_since_start(&self, what: &str) -> String {
         self.startup_log
             .iter()
@@ -125,6 +130,7 @@
             .unwrap_or_else(|| self.wait_for_log(what))
     }
 
+    /// Returns the lines of the log before the next one that contains this text.
     pub fn log_lines_until(&self, what: &str) -> Vec<String> {
         let next = || {
             self.log
@@ -135,12 +141,13 @@
         std::iter::from_fn(next).collect()
     }
 
-    /// Replaces the configuration and tells the program so.
+    /// Replaces the configuration file and sends SIGHUP, at which the router reads it again.
     pub fn reload(&self, config: &str) {
         fs::write(&self.config, config).expect("a writable folder");
         self.signal("HUP");
     }
 
+    /// Sends a signal by name, without `SIG`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .arg(format!("-{name}"))
@@ -149,7 +156,7 @@
         assert!(sent.expect("kill is there").success());
     }
 
-    /// Stops the process, and waits until it stands still: it may be at work when the signal is sent.
+    /// Stops the process and waits until the kernel reports it as stopped; it may still run when the signal is sent.
     pub fn freeze(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -158,6 +165,7 @@
         }
     }
 
+    /// Connects a new client.
     pub fn client(&self) -> Client {
         Client::connect(self.at)
     }
--- a/testkit/src/servers.rs
+++ b/testkit/src/servers.rs
@@ -1,4 +1,4 @@
-//! Parties by closures: what one does with a connection, a host with a command, discovery with a question.
+//! Test servers made of closures that handle a connection, a command or a discovery request.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A party that serves every connection in a thread of its own.
+/// Starts a server that handles every connection in a thread of its own; returns its address.
 pub fn spawn_server(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let at = listener.local_addr().expect("an address");
@@ -20,7 +20,7 @@
     at
 }
 
-/// An address at which nobody listens, nor will: all fakes keep to another one of the loopback range.
+/// Returns an address at which nothing listens, now or later: all test servers use another loopback address.
 pub fn unused_address() -> SocketAddr {
     let port = TcpListener::bind("127.0.0.1:0")
         .and_then(|listener| listener.local_addr())
@@ -28,7 +28,7 @@
     ([127, 77, 0, 1], port.port()).into()
 }
 
-/// The next command or array on a connection, None at its end.
+/// Reads the next command, an array of bulk strings; `None` at the end of the connection.
 pub fn read_command(from: &mut impl BufRead) -> Option<Vec<String>> {
     let mut line = String::new();
     from.read_line(&mut line)
@@ -47,14 +47,14 @@
     (0..count).map(word).collect()
 }
 
-/// A tiny fake host on a socket: `None` as an answer closes the connection, an empty one keeps silent.
+/// Starts a host that replies by `answer`: `None` closes the connection, an empty text sends nothing.
 pub fn fake_host(
     answer: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
 ) -> SocketAddr {
     spawn_server(move |stream| serve_commands(stream, &answer))
 }
 
-/// Answers the commands of one connection, one after another.
+/// Replies to the commands of one connection, one after another, by `answer` as in [`fake_host`].
 pub fn serve_commands(stream: TcpStream, answer: impl Fn(&[String]) -> Option<String>) {
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
     while let Some(words) = read_command(&mut reader) {
@@ -65,12 +65,12 @@
     }
 }
 
-/// A host's answer with a value.
+/// Writes a host's reply with this value and neither a load report nor a further part.
 pub fn value_reply(text: &str) -> Option<String> {
     Some(format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()))
 }
 
-/// Discovery: each question takes the next of these answers, as long as there are any.
+/// Starts a discovery server that sends the next of these bodies to each request, as long as there are any.
 pub fn fake_discovery(answers: Receiver<String>) -> SocketAddr {
     let answers = Mutex::new(answers);
     spawn_server(move |stream| {
