--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -14,7 +14,7 @@
 
 use super::config::{self, When};
 use super::operator;
-use crate::fronts::{Held, load};
+use crate::management_threads::{PendingVersion, load};
 
 /// say all that is wrong with an operator file and the files it names, and end
 #[derive(FromArgs)]
@@ -64,7 +64,7 @@
 
 impl Models {
     pub(super) fn run(&self) -> Result<(), String> {
-        let schema = kestreltide_yang::published()?;
+        let schema = kestreltide_yang::published().map_err(|error| error.to_string())?;
         let Some(name) = &self.module else {
             (0..schema.modules.len()).for_each(|module| {
                 println!("{}", kestreltide_yang::tree_diagram::print(schema, module))
@@ -215,7 +215,7 @@
         );
         let newest = memory.history.iter().rev().take(self.newest);
         newest.for_each(|record| println!("{}", line(record)));
-        if let Some(Held {
+        if let Some(PendingVersion {
             since,
             author,
             errors,
--- a/router/tests/golden_stored_state.rs
+++ b/router/tests/golden_stored_state.rs
@@ -21,7 +21,7 @@
 
 use kestreltide_datastore::commit_coordinator::PendingCommit;
 use kestreltide_datastore::{Author, DatastoreState, Source, ValidationError};
-use kestreltide_router::fronts::{Held, Remembered, load};
+use kestreltide_router::management_threads::{PendingVersion, PersistedState, load};
 use kestreltide_testkit::{Program, TEST_TIMEOUT, endpoint_list, router_config, unused_address};
 use rstest::rstest;
 use serde_json::Value;
@@ -237,7 +237,7 @@
 }
 
 /// What the golden file holds, with a memory that is the datastore's golden one.
-fn remembered() -> Remembered {
+fn remembered() -> PersistedState {
     let memory: DatastoreState = datastore_golden("memory.json");
     let [of_a_session, by_name]: [PendingCommit; 2] = datastore_golden("pending.json");
     let author = Author {
@@ -246,19 +246,19 @@
         version: "winter".into(),
     };
     let error = ValidationError::new("hosts/d", "no such host is listed", "out", "a listed host");
-    Remembered {
+    PersistedState {
         router: "n0".into(),
         written: WRITTEN,
         files: (*memory.tree).clone(),
         memory,
         generation: "spring".into(),
-        held: Some(Held {
+        held: Some(PendingVersion {
             since: WRITTEN - 50.0,
             author,
-            errors: error.passing(WRITTEN + 50.0).into(),
+            errors: error.with_retry_at(WRITTEN + 50.0).into(),
         }),
         pending: Some(PendingCommit {
-            persist: by_name.persist,
+            persist_id: by_name.persist_id,
             ..of_a_session
         }),
         taken: 5,
@@ -266,9 +266,9 @@
     }
 }
 
-fn without_later_fields(mut remembered: Remembered) -> Remembered {
+fn without_later_fields(mut remembered: PersistedState) -> PersistedState {
     let mut tree = (*remembered.memory.tree).clone();
-    (tree.routes, tree.ring) = Default::default();
+    (tree.routes, tree.rollout) = Default::default();
     remembered.files = tree.clone();
     remembered.memory.tree = tree.into();
     remembered.pending = None;
--- a/simulator-adapter/src/line.rs
+++ b/simulator-adapter/src/line.rs
@@ -34,7 +34,7 @@
                 message: message.into(),
             });
         };
-        if !fields.add(key, value) {
+        if !fields.insert(key, value) {
             return Err(LineError::UnnamedOrRepeatedField {
                 key: key.into(),
                 message: message.into(),
