--- a/yang/src/json.rs
+++ b/yang/src/json.rs
@@ -1,13 +1,14 @@
-//! Data by the schema as JSON (RFC 7951).
+//! Data as JSON (RFC 7951).
 
 use serde_json::{Map, Value};
 
-use crate::data::{Content, Data};
+use crate::data::{Content, DataNode};
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::types::Type;
 
-/// Members for these nodes, those of one list together; names carry their module where it changes.
-pub fn members(schema: &Schema, data: &[Data], parent: Option<NodeId>) -> Map<String, Value> {
+/// The members of an object for some nodes, the entries of a list together; a name carries its module if that
+/// differs from its parent's.
+pub fn members(schema: &Schema, data: &[DataNode], parent: Option<NodeId>) -> Map<String, Value> {
     let mut out = Map::new();
     for one in data {
         let node = schema.node_of(one.node);
@@ -31,22 +32,23 @@
     out
 }
 
-/// The value of one node: an object, or a leaf's own form.
-pub fn value(schema: &Schema, data: &Data) -> Value {
+/// The value of one node: an object, or the value of a leaf in the form of its type.
+pub fn value(schema: &Schema, data: &DataNode) -> Value {
     match (&data.content, &schema.node_of(data.node).kind) {
-        (Content::Leaf(text), NodeKind::Leaf { of, .. } | NodeKind::LeafList { of }) => {
-            leaf(of, text)
-        }
+        (
+            Content::Leaf(text),
+            NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type },
+        ) => leaf(leaf_type, text),
         (Content::Leaf(text), _) => Value::String(text.clone()),
         (Content::Inner(children), _) => Value::Object(members(schema, children, Some(data.node))),
     }
 }
 
-fn leaf(of: &Type, text: &str) -> Value {
-    match of {
+fn leaf(leaf_type: &Type, text: &str) -> Value {
+    match leaf_type {
         Type::Boolean => Value::Bool(text == "true"),
         Type::Empty => Value::Array(vec![Value::Null]),
-        _ if of.json_text() => Value::String(text.into()),
+        _ if leaf_type.is_json_string() => Value::String(text.into()),
         _ => text
             .parse::<i64>()
             .map_or_else(|_| Value::String(text.into()), Value::from),
