--- a/router/src/management_threads/interface_thread.rs
+++ b/router/src/management_threads/interface_thread.rs
@@ -15,7 +15,7 @@
 
 use super::settings::ManagementSettings;
 use super::supervise;
-use crate::routing::Pulse;
+use crate::routing::Heartbeat;
 use crate::transport::Clock;
 
 /// What was opened and read at start, so that a fault is told there.
@@ -120,7 +120,7 @@
         log: &Logger,
         clock: Clock,
         desk: CommitServiceHandle,
-        pulse: Pulse,
+        heartbeat: Heartbeat,
     ) -> std::io::Result<()> {
         let OpenedListeners {
             netconf,
@@ -175,7 +175,7 @@
                     return error!(of_log, "the management fronts cannot be started"; "error" => %e);
                 }
             };
-            runtime.block_on(run(&of_log, clock, &desk, &pulse, &netconf, &gnmi));
+            runtime.block_on(run(&of_log, clock, &desk, &heartbeat, &netconf, &gnmi));
         })?;
         Ok(())
     }
@@ -185,7 +185,7 @@
     log: &Logger,
     clock: Clock,
     desk: &CommitServiceHandle,
-    pulse: &Pulse,
+    heartbeat: &Heartbeat,
     netconf: &Option<(TcpListener, russh_key::PrivateKey)>,
     gnmi: &Option<(TcpListener, Files)>,
 ) {
@@ -205,7 +205,7 @@
                 tokio::spawn(serve_netconf(Arc::new(shared), listener, key.clone()));
             }
             (Err(e), _) => error!(log, "NETCONF cannot be served"; "error" => %e),
-            (_, Err(why)) => error!(log, "NETCONF cannot be served"; "error" => why),
+            (_, Err(why)) => error!(log, "NETCONF cannot be served"; "error" => %why),
         }
     }
     if let Some((listener, files)) = gnmi {
@@ -224,7 +224,7 @@
                 let (log, desk) = (log.clone(), desk.clone());
                 tokio::spawn(async move {
                     if let Err(why) = gnmi::serve(log.clone(), desk, limits, listener, tls).await {
-                        error!(log, "gNMI cannot be served"; "error" => why);
+                        error!(log, "gNMI cannot be served"; "error" => %why);
                     }
                 });
             }
@@ -232,7 +232,7 @@
         }
     }
     loop {
-        pulse.beat(clock.now());
+        heartbeat.record(clock.now());
         tokio::time::sleep(std::time::Duration::from_millis(500)).await;
     }
 }
--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -17,7 +17,7 @@
 use super::settings::OperatorSettings;
 use super::supervise;
 use crate::limits::Limits;
-use crate::routing::{FrontBox, Pulse};
+use crate::routing::{Heartbeat, ManagementInbox};
 use crate::transport::{Clock, Reactor};
 
 /// The threads beside the loop, as the program holds them.
@@ -25,7 +25,7 @@
     asks: SyncSender<DatastoreRequest>,
     wake: Option<SyncSender<()>>,
     keeper: JoinHandle<u32>,
-    pub pulses: Vec<Pulse>,
+    pub heartbeats: Vec<Heartbeat>,
 }
 
 /// Seconds that the program waits for the keeper to save what it has.
@@ -63,7 +63,7 @@
 }
 
 /// The loop's end, what it starts with, and the threads.
-pub type StartedThreads = (FrontBox, Option<Arc<Snapshot>>, ManagementThreads);
+pub type StartedThreads = (ManagementInbox, Option<Arc<Snapshot>>, ManagementThreads);
 
 impl ThreadContext<'_> {
     /// Starts the threads that the operator file asks for; none where it asks for none.
@@ -89,8 +89,9 @@
             .as_ref()
             .map(|terms| OpenedListeners::open(&log, terms))
             .transpose()?;
-        let (open, of_loop) =
-            FrontBox::open(reactor, self.limits.management.inbox_messages).map_err(failed)?;
+        let (open, loop_handle) =
+            ManagementInbox::open(reactor, self.limits.management.inbox_messages)
+                .map_err(failed)?;
         let rules = RuleSettings::new(
             self.terms,
             self.operations.clone(),
@@ -114,22 +115,22 @@
         let (first, known) = keeper.begin(watching.as_ref(), &facts)?;
         let (asks, asked) = sync_channel(self.limits.management.datastore_requests);
         let (published, told) = keeper.published();
-        let (kept, of_keeper) = (Pulse::new("keeper"), of_loop.clone());
-        let mut pulses = vec![kept.clone()];
+        let (kept, of_keeper) = (Heartbeat::new("keeper"), loop_handle.clone());
+        let mut heartbeats = vec![kept.clone()];
         let keeper = supervise(log.clone(), "keeper", move || {
             keeper.run(&asked, &of_keeper.view, &of_keeper.post, &kept);
         });
         let keeper = keeper.map_err(failed)?;
         let mut wake = None;
         if let Some(watching) = watching {
-            let ((waker, nudged), tell, pulse) =
-                (wake_channel(), asks.clone(), Pulse::new("watch"));
+            let ((waker, nudged), tell, heartbeat) =
+                (wake_channel(), asks.clone(), Heartbeat::new("watch"));
             wake = Some(waker.clone());
-            pulses.push(pulse.clone());
+            heartbeats.push(heartbeat.clone());
             let mut known = known;
             supervise(log.clone(), "watch", move || {
                 // After a death everything is told anew; what is in force already changes nothing.
-                let alive = || pulse.beat(clock.now());
+                let alive = || heartbeat.record(clock.now());
                 let says = |contents: &[kestreltide_file_watch::Content]| {
                     parse_files(&watching.files, contents)
                 };
@@ -142,7 +143,7 @@
                     says,
                     tell,
                 );
-                pulse.beat(0.0);
+                heartbeat.record(0.0);
             })
             .map_err(failed)?;
         }
@@ -153,14 +154,14 @@
                     ask.try_send(DatastoreRequest::Management(asked)).is_ok()
                 }),
                 published,
-                view: of_loop.view.clone(),
-                in_force: of_loop.in_force.clone(),
+                view: loop_handle.view.clone(),
+                in_force: loop_handle.in_force.clone(),
                 notifications: told,
                 keys: opened.keys.clone(),
             };
-            let pulse = Pulse::new("management");
-            pulses.push(pulse.clone());
-            opened.start(&log, clock, desk, pulse).map_err(failed)?;
+            let heartbeat = Heartbeat::new("management");
+            heartbeats.push(heartbeat.clone());
+            opened.start(&log, clock, desk, heartbeat).map_err(failed)?;
         }
         Ok(Some((
             open,
@@ -169,7 +170,7 @@
                 asks,
                 wake,
                 keeper,
-                pulses,
+                heartbeats,
             },
         )))
     }
