--- a/router/src/routing/route.rs
+++ b/router/src/routing/route.rs
@@ -51,7 +51,14 @@
             Effect::CastVote { build, stage, vote } => self.cast(build, stage, vote),
             Effect::SubscribeEndpointList { on } => self.follow(on),
             Effect::FetchEndpointList => self.fetch_list(),
-            Effect::WriteLog { text } => info!(self.log, "decision"; "note" => text),
+            Effect::ExplainVote(evidence) => info!(self.log, "vote evidence";
+                "build" => evidence.build.0,
+                "stage" => evidence.stage,
+                "vote" => ?evidence.vote,
+                "in_time" => %evidence.in_time,
+                "no_error" => %evidence.no_error,
+                "quick" => %evidence.quick,
+                "relative_slowdown" => format!("{:.2}", evidence.relative_slowdown)),
         }
     }
 }
--- a/simulator-adapter/src/codec.rs
+++ b/simulator-adapter/src/codec.rs
@@ -9,6 +9,7 @@
 use kestreltide::interface::{
     AttemptNumber, AttemptOutcome, BuildId, CellId, Effect, Event, HostEntry, HostId, HostState,
     KeyId, OperationId, Phase, Request, RequestId, RolloutStatus, RouterId, TimerKey, Vote,
+    VoteEvidence,
 };
 use kestreltide_settings::{Fields, NameTable, TransportSettings, seconds};
 
@@ -229,7 +230,7 @@
         Effect::CastVote { .. } => "SAY_SO",
         Effect::SubscribeEndpointList { .. } => "TAIL",
         Effect::FetchEndpointList => "LOOKUP",
-        Effect::WriteLog { .. } => "JOURNAL_LINE",
+        Effect::ExplainVote(_) => "JOURNAL_LINE",
     }
 }
 
@@ -272,9 +273,34 @@
         }
         Effect::SubscribeEndpointList { on } => format!(" enable={}", u8::from(*on)),
         Effect::FetchEndpointList => String::new(),
-        Effect::WriteLog { text } => {
-            format!(" reason_text={}", text.replace(['\n', '\r'], " "))
-        }
+        Effect::ExplainVote(evidence) => format!(" reason_text={}", encode_evidence(evidence)),
+    }
+}
+
+/// The line that explains a vote; of each signal, the fraction of good outcomes and all of them, for both arms.
+fn encode_evidence(evidence: &VoteEvidence) -> String {
+    let VoteEvidence {
+        in_time,
+        no_error,
+        quick,
+        relative_slowdown,
+        ..
+    } = evidence;
+    let vote = vote_word(evidence.vote);
+    let build = evidence.build.0;
+    let stage = evidence.stage;
+    format!(
+        "vote {vote} build {build} stage {stage}, in time, no error, quick {in_time} {no_error} {quick}, drag {relative_slowdown:.2}"
+    )
+}
+
+/// The word of a vote in the line that explains it.
+fn vote_word(vote: Vote) -> &'static str {
+    match vote {
+        Vote::Abstain => "None",
+        Vote::Promote => "On",
+        Vote::Hold => "Hold",
+        Vote::RollBack => "Back",
     }
 }
 
--- a/simulator-adapter/src/codec/tests.rs
+++ b/simulator-adapter/src/codec/tests.rs
@@ -5,7 +5,9 @@
 
 use super::*;
 use crate::line::parse;
-use kestreltide::interface::{ConnectionRequirements, LoadReport};
+use kestreltide::interface::{
+    ConnectionRequirements, LoadReport, SignalComparison, SignalEvidence,
+};
 use rstest::rstest;
 
 const LOAD: LoadReport = LoadReport {
@@ -244,9 +246,21 @@
 #[case::follow(Effect::SubscribeEndpointList { on: true }, "TAIL who=router_0 enable=1\n")]
 #[case::follow_no_more(Effect::SubscribeEndpointList { on: false }, "TAIL who=router_0 enable=0\n")]
 #[case::fetch_list(Effect::FetchEndpointList, "LOOKUP who=router_0\n")]
-#[case::note(
-    Effect::WriteLog { text: "two hosts\nknown".into() },
-    "JOURNAL_LINE who=router_0 reason_text=two hosts known\n"
+#[case::explain_none(
+    explanation(Vote::Abstain),
+    "JOURNAL_LINE who=router_0 reason_text=vote None build 8 stage 3, in time, no error, quick 0.98/120:0.50/7 1.00/121:0.90/8 0.41/99:0.00/0, drag 1.25\n"
+)]
+#[case::explain_on(
+    explanation(Vote::Promote),
+    "JOURNAL_LINE who=router_0 reason_text=vote On build 8 stage 3, in time, no error, quick 0.98/120:0.50/7 1.00/121:0.90/8 0.41/99:0.00/0, drag 1.25\n"
+)]
+#[case::explain_hold(
+    explanation(Vote::Hold),
+    "JOURNAL_LINE who=router_0 reason_text=vote Hold build 8 stage 3, in time, no error, quick 0.98/120:0.50/7 1.00/121:0.90/8 0.41/99:0.00/0, drag 1.25\n"
+)]
+#[case::explain_back(
+    explanation(Vote::RollBack),
+    "JOURNAL_LINE who=router_0 reason_text=vote Back build 8 stage 3, in time, no error, quick 0.98/120:0.50/7 1.00/121:0.90/8 0.41/99:0.00/0, drag 1.25\n"
 )]
 fn each_effect(#[case] effect: Effect, #[case] line: &str) {
     let mut written = String::new();
@@ -254,6 +268,28 @@
     assert_eq!(written, line);
 }
 
+fn explanation(vote: Vote) -> Effect {
+    let signal = |baseline: (f64, f64), canary: (f64, f64)| {
+        let of_arm = |(good_fraction, outcomes)| SignalEvidence {
+            good_fraction,
+            outcomes,
+        };
+        SignalComparison {
+            baseline: of_arm(baseline),
+            canary: of_arm(canary),
+        }
+    };
+    Effect::ExplainVote(VoteEvidence {
+        build: BuildId(8),
+        stage: 3,
+        vote,
+        in_time: signal((0.98, 120.2), (0.5, 6.6)),
+        no_error: signal((1.0, 121.0), (0.9, 8.0)),
+        quick: signal((0.41, 99.0), (0.0, 0.0)),
+        relative_slowdown: 1.25,
+    })
+}
+
 fn vote(vote: Vote) -> Effect {
     Effect::CastVote {
         build: BuildId(8),
--- a/src/decisions/voting.rs
+++ b/src/decisions/voting.rs
@@ -11,7 +11,8 @@
 use crate::arm::Arm;
 use crate::hashing::hash_mix;
 use crate::interface::{
-    BuildId, Effect, Phase, RolloutOverride, RolloutStatus, RouterId, ServiceSettings, Vote,
+    BuildId, Effect, Phase, RolloutOverride, RolloutStatus, RouterId, ServiceSettings,
+    SignalComparison, SignalEvidence, Vote, VoteEvidence,
 };
 
 /// Routers that vote, at least: few enough to agree soon, more than one may be dead.
@@ -252,36 +253,35 @@
             vote,
         });
         if !is_renewal && (vote == Vote::RollBack || self.voting.rank < VOTERS) {
-            effects.push(Effect::WriteLog {
-                text: self.vote_evidence(status),
-            });
+            effects.push(Effect::ExplainVote(self.vote_evidence(status)));
         }
     }
 
-    /// What speaks for the vote.
-    fn vote_evidence(&self, status: &RolloutStatus) -> String {
-        let of_arm = |signal, arm| {
-            let counts = self.evidence.merged.counts(None, signal, arm);
-            format!("{:.2}/{:.0}", counts.good_fraction(), counts.total())
-        };
-        let of_arms = |signal| Arm::BOTH.map(|arm| of_arm(signal, arm)).join(":");
-        let signals = Signal::ALL.map(of_arms).join(" ");
-        let slowdown = self.peers.shared_slowdown;
-        let vote = vote_word(self.voting.desired);
-        let build = status.build.0;
-        let stage = status.stage;
-        format!(
-            "vote {vote} build {build} stage {stage}, in time, no error, quick {signals}, drag {slowdown:.2}"
-        )
+    /// What speaks for the desired vote.
+    fn vote_evidence(&self, status: &RolloutStatus) -> VoteEvidence {
+        VoteEvidence {
+            build: status.build,
+            stage: status.stage,
+            vote: self.voting.desired,
+            in_time: self.compare(Signal::InTime),
+            no_error: self.compare(Signal::NoError),
+            quick: self.compare(Signal::Quick),
+            relative_slowdown: self.peers.shared_slowdown,
+        }
     }
-}
 
-/// The word of a vote in the line that explains it; the simulator's journal holds it.
-fn vote_word(vote: Vote) -> &'static str {
-    match vote {
-        Vote::Abstain => "None",
-        Vote::Promote => "On",
-        Vote::Hold => "Hold",
-        Vote::RollBack => "Back",
+    /// The merged evidence of both arms by one signal, over all operations.
+    fn compare(&self, signal: Signal) -> SignalComparison {
+        let of_arm = |arm| {
+            let counts = self.evidence.merged.counts(None, signal, arm);
+            SignalEvidence {
+                good_fraction: counts.good_fraction(),
+                outcomes: counts.total(),
+            }
+        };
+        SignalComparison {
+            baseline: of_arm(Arm::Baseline),
+            canary: of_arm(Arm::Canary),
+        }
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -4,6 +4,7 @@
 //! All times are seconds as `f64`, durations and points in time alike; a point in time is counted from an origin
 //! that the carrier chooses once. Nothing here decides, and nothing here knows a wire protocol.
 
+use std::fmt;
 use std::sync::Arc;
 
 /// Identifies a client's request, as its carrier names it; never reused.
@@ -584,6 +585,57 @@
     pub write_within: f64,
 }
 
+/// What the merged evidence says of one arm by one quality signal.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SignalEvidence {
+    /// The fraction of good outcomes; 0 where there are hardly any.
+    pub good_fraction: f64,
+    /// The outcomes, weighted and faded.
+    pub outcomes: f64,
+}
+
+/// Written as fraction and outcomes: `0.98/120`.
+impl fmt::Display for SignalEvidence {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:.2}/{:.0}", self.good_fraction, self.outcomes)
+    }
+}
+
+/// One quality signal of both arms.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SignalComparison {
+    /// The build, or builds, before the canary.
+    pub baseline: SignalEvidence,
+    /// The canary.
+    pub canary: SignalEvidence,
+}
+
+/// Written as baseline and canary: `0.98/120:0.71/14`.
+impl fmt::Display for SignalComparison {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}:{}", self.baseline, self.canary)
+    }
+}
+
+/// What speaks for a vote.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct VoteEvidence {
+    /// The build that the vote is about.
+    pub build: BuildId,
+    /// Its stage.
+    pub stage: u32,
+    /// The vote.
+    pub vote: Vote,
+    /// Answers within the latency objective.
+    pub in_time: SignalComparison,
+    /// Answers without an error.
+    pub no_error: SignalComparison,
+    /// Answers as quick as the quick ones of the baseline.
+    pub quick: SignalComparison,
+    /// How many times slower hosts are than before the canary, as all routers see it.
+    pub relative_slowdown: f64,
+}
+
 /// What a router wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
@@ -657,9 +709,6 @@
     },
     /// Fetch the endpoint list once.
     FetchEndpointList,
-    /// Write a line to the log.
-    WriteLog {
-        /// The line.
-        text: String,
-    },
+    /// Log why a vote is cast.
+    ExplainVote(VoteEvidence),
 }
