--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -23,7 +23,7 @@
         self.may_read(&request)?;
         let asked = request.into_inner();
         let encoding = encoding(asked.encoding)?;
-        let data = state::all(
+        let data = state::operational_data(
             self.schema,
             &self.binding,
             &self.commit_service.view.load(),
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -132,7 +132,7 @@
         let (binding, view, published) = (binding.clone(), view.clone(), published.clone());
         Arc::new(Snapshot::new(
             number,
-            Box::new(move || vec![state::all(schema, &binding, &view, &published)]),
+            Box::new(move || vec![state::operational_data(schema, &binding, &view, &published)]),
         ))
     };
     let (mut view, mut published) = (
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -459,11 +459,11 @@
     Some(match told {
         Notification::Committed(record) => (
             record.at,
-            state::committed(shared.schema, node("revision-committed")?, record, missed),
+            state::revision_committed(shared.schema, node("revision-committed")?, record, missed),
         ),
         Notification::Rejected(refusal) => (
             refusal.at,
-            state::refused(shared.schema, node("candidate-refused")?, refusal),
+            state::candidate_refused(shared.schema, node("candidate-refused")?, refusal),
         ),
     })
 }
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -78,7 +78,7 @@
         }
         let filter = self.filter(of.child("filter"))?;
         let data = if of.name == "get" {
-            state::all(
+            state::operational_data(
                 self.schema,
                 &self.binding,
                 &commit_service.view.load(),
--- a/management/tests/netconf.rs
+++ b/management/tests/netconf.rs
@@ -484,7 +484,9 @@
     let schema = rig.rpc(&mut session, "<get-schema xmlns='urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring'><identifier>kestreltide-types</identifier></get-schema>");
     assert!(schema.contains("typedef weight"), "{schema}");
     let read = published().expect("well");
-    assert!(state::state(read, &rig.handle.view.load(), &rig.handle.published.load()).is_some());
+    assert!(
+        state::router_state(read, &rig.handle.view.load(), &rig.handle.published.load()).is_some()
+    );
 }
 
 /// Messages that are none; the session answers or ends, and never takes them for something.
--- a/yang/src/schema/error.rs
+++ b/yang/src/schema/error.rs
@@ -28,7 +28,7 @@
         /// The argument of the statement.
         argument: String,
         /// What is wrong with the statement.
-        problem: StatementProblem,
+        problem: Box<StatementProblem>,
     },
 }
 
--- a/yang/src/schema/parser.rs
+++ b/yang/src/schema/parser.rs
@@ -98,7 +98,7 @@
         line: statement.line,
         keyword: statement.keyword.clone(),
         argument: statement.argument.clone(),
-        problem,
+        problem: Box::new(problem),
     }
 }
 
--- a/yang/tests/model.rs
+++ b/yang/tests/model.rs
@@ -342,71 +342,93 @@
     );
 }
 
+fn leaf_text(tree: &Tree, at: &str) -> Option<String> {
+    tree.get(&path(at)).map(|value| value.to_string())
+}
+
 #[test]
-fn operations_do_what_they_say() {
-    let tree = some();
-    let get = |tree: &Tree, at: &str| tree.get(&path(at)).map(|value| value.to_string());
+fn replace_of_a_container_removes_the_other_entries() {
     let replaced = edited(
-        &tree,
+        &some(),
         "<hosts nc:operation='replace'><host><name>c</name><weight>3</weight></host></hosts>",
         Operation::Merge,
     );
     let replaced = replaced.expect("well");
     assert_eq!(
-        (replaced.hosts.len(), get(&replaced, "hosts/c/weight")),
+        (replaced.hosts.len(), leaf_text(&replaced, "hosts/c/weight")),
         (1, Some("3".into()))
     );
-    let one = edited(
-        &tree,
+}
+
+#[test]
+fn replace_of_an_entry_removes_its_other_leaves() {
+    let replaced = edited(
+        &some(),
         "<hosts><host nc:operation='replace'><name>a</name><size>2</size></host></hosts>",
         Operation::Merge,
     )
     .expect("well");
     assert_eq!(
         (
-            get(&one, "hosts/a/weight"),
-            get(&one, "hosts/a/size"),
-            one.hosts.len()
+            leaf_text(&replaced, "hosts/a/weight"),
+            leaf_text(&replaced, "hosts/a/size"),
+            replaced.hosts.len()
         ),
         (None, Some("2".into()), 2)
     );
-    let gone = edited(
-        &tree,
+}
+
+#[test]
+fn remove_takes_away_what_is_there_and_accepts_what_is_not() {
+    let removed = edited(
+        &some(),
         "<hosts><host nc:operation='remove'><name>a</name></host><host nc:operation='remove'><name>z</name></host></hosts>",
         Operation::Merge,
     );
-    assert_eq!(gone.expect("well").hosts.len(), 1);
+    assert_eq!(removed.expect("well").hosts.len(), 1);
+}
+
+#[test]
+fn values_of_a_leaf_list_are_added_and_deleted_one_by_one() {
     let values = edited(
-        &tree,
+        &some(),
         "<routes><route><name>r</name><operation nc:operation='delete'>set</operation><zone>north</zone></route></routes>",
         Operation::Merge,
     );
     let values = values.expect("well");
     assert_eq!(
         (
-            get(&values, "routes/r/operation"),
-            get(&values, "routes/r/zone")
+            leaf_text(&values, "routes/r/operation"),
+            leaf_text(&values, "routes/r/zone")
         ),
         (Some("read".into()), Some("north".into()))
     );
-    let none = edited(
-        &tree,
+}
+
+#[test]
+fn none_only_leads_to_nodes_that_exist() {
+    let merged = edited(
+        &some(),
         "<hosts><host><name>a</name><weight nc:operation='merge'>9</weight></host></hosts>",
         Operation::None,
     )
     .expect("well");
-    assert_eq!(get(&none, "hosts/a/weight"), Some("9".into()));
-    let way = edited(
-        &tree,
+    assert_eq!(leaf_text(&merged, "hosts/a/weight"), Some("9".into()));
+    let missing = edited(
+        &some(),
         "<hosts><host><name>z</name><weight nc:operation='merge'>9</weight></host></hosts>",
         Operation::None,
     );
     assert_eq!(
-        way.expect_err("the way is not there")[0].0,
+        missing.expect_err("the way is not there")[0].0,
         ErrorTag::DataMissing
     );
+}
+
+#[test]
+fn delete_of_containers_removes_all_their_entries() {
     let all = edited(
-        &tree,
+        &some(),
         "<hosts nc:operation='delete'/><routes nc:operation='delete'/>",
         Operation::Merge,
     )
