--- a/management/src/gnmi/arbitration.rs
+++ b/management/src/gnmi/arbitration.rs
@@ -10,9 +10,12 @@
 
 impl Service {
     /// Only who has the highest election id of a role may set.
-    pub(super) fn check_master(&self, said: &MasterArbitration) -> Result<(), Status> {
-        let role = said.role.as_ref().map_or("", |role| role.id.as_str());
-        let id = said.election_id.as_ref().map(|id| (id.high, id.low));
+    pub(super) fn check_master(&self, arbitration: &MasterArbitration) -> Result<(), Status> {
+        let role = arbitration
+            .role
+            .as_ref()
+            .map_or("", |role| role.id.as_str());
+        let id = arbitration.election_id.as_ref().map(|id| (id.high, id.low));
         let id = id.ok_or_else(|| {
             invalid_argument(
                 "master_arbitration",
@@ -30,11 +33,11 @@
         }
         let highest = masters.entry(role.into()).or_insert(id);
         if id < *highest {
-            let what = format!(
+            let problem = format!(
                 "master_arbitration: another client is master (given: {}.{}; taken: {}.{})",
                 id.0, id.1, highest.0, highest.1
             );
-            return Err(Status::permission_denied(what));
+            return Err(Status::permission_denied(problem));
         }
         *highest = id;
         Ok(())
--- a/management/src/gnmi/confirmed_commit.rs
+++ b/management/src/gnmi/confirmed_commit.rs
@@ -7,7 +7,7 @@
 use tonic::Status;
 
 use super::Service;
-use super::errors::{invalid_argument, refusal_status};
+use super::errors::{commit_error_status, invalid_argument};
 use crate::proto::gnmi_ext::Commit as CommitExt;
 use crate::proto::gnmi_ext::commit::Action;
 
@@ -31,24 +31,24 @@
     pub(super) async fn confirm_or_cancel(
         &self,
         key: &Key,
-        said: &CommitExt,
+        commit: &CommitExt,
     ) -> Result<bool, Status> {
-        let persist = Some(said.id.clone());
-        match &said.action {
+        let persist_id = Some(commit.id.clone());
+        match &commit.action {
             Some(Action::Confirm(_)) => {
                 let session = self.confirming_session(key).await;
                 self.commit_service
-                    .confirm(session, persist)
+                    .confirm(session, persist_id)
                     .await
-                    .map_err(|refused| refusal_status(&refused))?;
+                    .map_err(|error| commit_error_status(&error))?;
                 Ok(true)
             }
             Some(Action::Cancel(_)) => {
                 let session = self.confirming_session(key).await;
                 self.commit_service
-                    .cancel(session, persist)
+                    .cancel(session, persist_id)
                     .await
-                    .map_err(|refused| refusal_status(&refused))?;
+                    .map_err(|error| commit_error_status(&error))?;
                 Ok(true)
             }
             Some(Action::SetRollbackDuration(_)) => Err(Status::unimplemented(
--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -41,7 +41,7 @@
         let target = self.edit_target(&pattern, &shown)?;
         let mut edits = vec![];
         if operation == Operation::Remove || operation == Operation::Replace {
-            edits.extend(self.removals(&target, &shown)?);
+            edits.extend(self.removal_edits(&target, &shown)?);
         }
         if operation == Operation::Remove {
             return Ok(edits);
@@ -55,7 +55,7 @@
 
     /// What a path leads to: one instance, or a list or leaf-list as a whole where its keys are left away.
     fn edit_target(&self, pattern: &Pattern, shown: &str) -> Result<EditTarget, Status> {
-        let (parent, node, step) = match self.whole_list(pattern) {
+        let (parent, node, step) = match self.list_without_keys(pattern) {
             Some((parent, node)) => {
                 let name = self.schema.node_of(node).name.clone();
                 (parent, Some(node), Step { name, keys: vec![] })
@@ -87,7 +87,7 @@
     }
 
     /// The parent and the node of a list or leaf-list that a pattern names without keys.
-    fn whole_list(&self, pattern: &Pattern) -> Option<(InstancePath, NodeId)> {
+    fn list_without_keys(&self, pattern: &Pattern) -> Option<(InstancePath, NodeId)> {
         let (last, above) = pattern.0.split_last()?;
         if !last.keys.is_empty() || last.any_depth {
             return None;
@@ -111,8 +111,8 @@
     }
 
     /// Edits that remove what stands at the target, all entries of a list as well.
-    fn removals(&self, target: &EditTarget, shown: &str) -> Result<Vec<Edit>, Status> {
-        let there = self.entries_to_remove(target.node, &target.step, target.list);
+    fn removal_edits(&self, target: &EditTarget, shown: &str) -> Result<Vec<Edit>, Status> {
+        let removal_edits = self.entries_to_remove(target.node, &target.step, target.list);
         let removal = |(node, step)| Edit {
             node,
             operation: Some(Operation::Remove),
@@ -120,7 +120,7 @@
             step,
             children: vec![],
         };
-        there
+        removal_edits
             .into_iter()
             .map(|found| self.place(&target.parent, removal(found), shown))
             .collect()
@@ -139,9 +139,9 @@
             step,
             list,
         } = target;
-        let json = self.json_of(shown, *node, value)?;
+        let json = self.json_value_of(shown, *node, value)?;
         let mut errors = vec![];
-        let read = match (*node, *list) {
+        let edits = match (*node, *list) {
             (Some(node), Some(_)) => {
                 edits_from_json_value(self.schema, node, parent, &json, &mut errors)
             }
@@ -152,25 +152,26 @@
                     .collect()
             }
             (None, _) => {
-                let here = if step.name.is_empty() {
+                let path = if step.name.is_empty() {
                     parent.clone()
                 } else {
                     parent.child(step.clone())
                 };
-                edits_from_json(self.schema, None, &here, &json, &mut errors)
+                edits_from_json(self.schema, None, &path, &json, &mut errors)
             }
         };
         if !errors.is_empty() {
             return Err(edit_errors_status(&errors));
         }
         if node.is_none() {
-            return Ok(read);
+            return Ok(edits);
         }
         let merge = |edit| Edit {
             operation: Some(Operation::Merge),
             ..edit
         };
-        read.into_iter()
+        edits
+            .into_iter()
             .map(|edit| self.place(parent, merge(edit), shown))
             .collect()
     }
--- a/management/src/gnmi/encoding.rs
+++ b/management/src/gnmi/encoding.rs
@@ -14,9 +14,9 @@
 use crate::proto::gnmi::typed_value::Value;
 use crate::proto::gnmi::{Encoding, ScalarArray, TypedValue, Update};
 
-pub(super) fn encoding(of: i32) -> Result<Encoding, Status> {
-    match Encoding::try_from(of) {
-        Ok(of @ (Encoding::Json | Encoding::JsonIetf | Encoding::Proto)) => Ok(of),
+pub(super) fn supported_encoding(encoding: i32) -> Result<Encoding, Status> {
+    match Encoding::try_from(encoding) {
+        Ok(encoding @ (Encoding::Json | Encoding::JsonIetf | Encoding::Proto)) => Ok(encoding),
         _ => Err(Status::unimplemented(
             "encoding: is not served here (given: another; taken: JSON_IETF, JSON or PROTO)",
         )),
@@ -24,9 +24,9 @@
 }
 
 impl Service {
-    pub(super) fn json_value(&self, data: &DataNode, of: Encoding) -> TypedValue {
+    pub(super) fn json_value(&self, data: &DataNode, encoding: Encoding) -> TypedValue {
         let bytes = json::value(self.schema, data).to_string().into_bytes();
-        let value = if of == Encoding::Json {
+        let value = if encoding == Encoding::Json {
             Value::JsonVal(bytes)
         } else {
             Value::JsonIetfVal(bytes)
@@ -35,15 +35,15 @@
     }
 
     /// A value in JSON's form, whatever it came in.
-    pub(super) fn json_of(
+    pub(super) fn json_value_of(
         &self,
         at: &str,
         node: Option<NodeId>,
         value: &Value,
     ) -> Result<Json, Status> {
         let typed = |text: String| {
-            let of = node.map(|node| &self.schema.node_of(node).kind);
-            match of {
+            let kind = node.map(|node| &self.schema.node_of(node).kind);
+            match kind {
                 Some(NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type })
                     if !leaf_type.is_json_string() =>
                 {
@@ -73,7 +73,7 @@
                 let items = all.element.iter().filter_map(|item| item.value.as_ref());
                 Json::Array(
                     items
-                        .map(|item| self.json_of(at, node, item))
+                        .map(|item| self.json_value_of(at, node, item))
                         .collect::<Result<_, _>>()?,
                 )
             }
@@ -97,23 +97,23 @@
     }
 }
 
-pub(super) fn collect(
+pub(super) fn collect_leaves(
     schema: &Schema,
-    of: Encoding,
+    encoding: Encoding,
     at: &InstancePath,
     data: &DataNode,
     out: &mut BTreeMap<InstancePath, TypedValue>,
 ) {
     match &data.content {
         Content::Inner(children) => {
-            children
-                .iter()
-                .for_each(|child| collect(schema, of, &at.child(child.step(schema)), child, out));
+            children.iter().for_each(|child| {
+                collect_leaves(schema, encoding, &at.child(child.step(schema)), child, out)
+            });
         }
         Content::Leaf(text) => {
             let list = matches!(schema.node_of(data.node).kind, NodeKind::LeafList { .. });
             let value = json::value(schema, data);
-            let value = match (of, value) {
+            let value = match (encoding, value) {
                 (Encoding::Proto, Json::Bool(flag)) => Value::BoolVal(flag),
                 (Encoding::Proto, Json::Number(number)) => match number.as_u64() {
                     Some(number) => Value::UintVal(number),
--- a/management/src/gnmi/errors.rs
+++ b/management/src/gnmi/errors.rs
@@ -4,10 +4,10 @@
 use kestreltide_yang::edit::EditError;
 use tonic::Status;
 
-pub(super) fn invalid_argument(path: &str, what: &str, given: &str, taken: &str) -> Status {
-    let given = kestreltide_datastore::tree_builder::printable(given);
+pub(super) fn invalid_argument(path: &str, problem: &str, found: &str, expected: &str) -> Status {
+    let found = kestreltide_datastore::tree_builder::printable(found);
     Status::invalid_argument(
-        kestreltide_datastore::ValidationError::new(path, what, given, taken).to_string(),
+        kestreltide_datastore::ValidationError::new(path, problem, found, expected).to_string(),
     )
 }
 
@@ -19,8 +19,8 @@
     Status::invalid_argument(all.join("\n"))
 }
 
-pub(super) fn refusal_status(refused: &CommitError) -> Status {
-    match refused {
+pub(super) fn commit_error_status(error: &CommitError) -> Status {
+    match error {
         // Another's change of the same leaf, or a rule: the request is well, the time or the set is not.
         CommitError::Invalid(errors)
             if errors
@@ -28,13 +28,13 @@
                 .iter()
                 .any(|error| error.problem.starts_with("was changed since")) =>
         {
-            Status::aborted(refused.to_string())
+            Status::aborted(error.to_string())
         }
         CommitError::Invalid(_) | CommitError::NoPendingCommit | CommitError::LockNotHeld => {
-            Status::failed_precondition(refused.to_string())
+            Status::failed_precondition(error.to_string())
         }
         CommitError::Locked(_) | CommitError::CommitPending(_) => {
-            Status::unavailable(refused.to_string())
+            Status::unavailable(error.to_string())
         }
     }
 }
--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -7,7 +7,7 @@
 use kestreltide_yang::path::Pattern;
 use tonic::{Request, Response, Status};
 
-use super::encoding::{collect, encoding};
+use super::encoding::{collect_leaves, supported_encoding};
 use super::paths::{leads_nowhere, path_of, path_text, pattern, select};
 use super::{Service, nanos};
 use crate::proto::gnmi::{
@@ -21,29 +21,29 @@
         request: Request<GetRequest>,
     ) -> Result<Response<GetResponse>, Status> {
         self.may_read(&request)?;
-        let asked = request.into_inner();
-        let encoding = encoding(asked.encoding)?;
+        let request = request.into_inner();
+        let encoding = supported_encoding(request.encoding)?;
         let data = state::operational_data(
             self.schema,
             &self.binding,
             &self.commit_service.view.load(),
             &self.commit_service.published.load(),
         );
-        let data = self.filter_by_type(data, asked.r#type);
+        let data = self.retain_type(data, request.r#type);
         let timestamp = nanos();
         let mut notification = Vec::new();
         let everything = [Path::default()];
-        for path in if asked.path.is_empty() {
+        for path in if request.path.is_empty() {
             &everything[..]
         } else {
-            &asked.path
+            &request.path
         } {
-            let wanted = pattern(asked.prefix.as_ref(), path)?;
-            if !wanted.matches_schema(self.schema) {
+            let pattern = pattern(request.prefix.as_ref(), path)?;
+            if !pattern.matches_schema(self.schema) {
                 return Err(leads_nowhere(path));
             }
-            let update = self.updates(&wanted, &data, encoding);
-            if update.is_empty() && wanted.instance(self.schema).is_ok() && !wanted.0.is_empty() {
+            let update = self.updates_of(&pattern, &data, encoding);
+            if update.is_empty() && pattern.instance(self.schema).is_ok() && !pattern.0.is_empty() {
                 return Err(Status::not_found(format!(
                     "{}: is not there (given: {0}; taken: what is there)",
                     path_text(path)
@@ -64,11 +64,11 @@
     }
 
     /// What of everything is asked for: what operators set, or the router's own.
-    fn filter_by_type(&self, mut data: DataNode, of: i32) -> Vec<DataNode> {
+    fn retain_type(&self, mut data: DataNode, data_type: i32) -> Vec<DataNode> {
         use get_request::DataType;
         if let Content::Inner(children) = &mut data.content {
             let config = |child: &DataNode| self.schema.node_of(child.node).config;
-            match DataType::try_from(of) {
+            match DataType::try_from(data_type) {
                 Ok(DataType::Config) => children.retain(config),
                 Ok(DataType::State | DataType::Operational) => {
                     children.retain(|child| !config(child))
@@ -79,13 +79,13 @@
         vec![data]
     }
 
-    fn updates(&self, wanted: &Pattern, data: &[DataNode], of: Encoding) -> Vec<Update> {
-        let found = select(self.schema, wanted, data);
-        if of == Encoding::Proto {
+    fn updates_of(&self, pattern: &Pattern, data: &[DataNode], encoding: Encoding) -> Vec<Update> {
+        let found = select(self.schema, pattern, data);
+        if encoding == Encoding::Proto {
             let mut leaves = BTreeMap::new();
-            found
-                .iter()
-                .for_each(|(at, data)| collect(self.schema, of, at, data, &mut leaves));
+            found.iter().for_each(|(at, data)| {
+                collect_leaves(self.schema, encoding, at, data, &mut leaves)
+            });
             return leaves
                 .into_iter()
                 .map(|(at, val)| Update {
@@ -97,7 +97,7 @@
         }
         let update = |(at, data): (InstancePath, &DataNode)| Update {
             path: Some(path_of(&at)),
-            val: Some(self.json_value(data, of)),
+            val: Some(self.json_value(data, encoding)),
             duplicates: 0,
         };
         found.into_iter().map(update).collect()
--- a/management/src/gnmi/path_subscription.rs
+++ b/management/src/gnmi/path_subscription.rs
@@ -19,11 +19,11 @@
     pub(super) selection: Selection,
     on_change: bool,
     /// Between samples, and between signs of life; none: never.
-    sample: Option<Duration>,
-    heartbeat: Option<Duration>,
-    suppress: bool,
-    due: Option<Instant>,
-    beat: Option<Instant>,
+    sample_interval: Option<Duration>,
+    heartbeat_interval: Option<Duration>,
+    suppress_redundant: bool,
+    next_sample: Option<Instant>,
+    next_heartbeat: Option<Instant>,
     /// What was sent last.
     pub(super) sent: Arc<Leaves>,
 }
@@ -31,68 +31,71 @@
 impl PathSubscription {
     pub(super) fn new(
         selection: Selection,
-        of: &crate::proto::gnmi::Subscription,
+        subscription: &crate::proto::gnmi::Subscription,
         limits: &Limits,
     ) -> Result<Self, Status> {
-        let mode = SubscriptionMode::try_from(of.mode).map_err(|_| {
+        let mode = SubscriptionMode::try_from(subscription.mode).map_err(|_| {
             invalid_argument(
                 "subscription/mode",
                 "no such mode",
-                &of.mode.to_string(),
+                &subscription.mode.to_string(),
                 "ON_CHANGE or SAMPLE",
             )
         })?;
         let on_change = mode != SubscriptionMode::Sample;
-        let least = Duration::from_secs_f64(limits.sample);
-        let interval = Duration::from_nanos(of.sample_interval);
-        if !on_change && of.sample_interval > 0 && interval < least {
-            let taken = format!("0, or at least {} ns", least.as_nanos());
+        let min_interval = Duration::from_secs_f64(limits.min_sample_interval);
+        let interval = Duration::from_nanos(subscription.sample_interval);
+        if !on_change && subscription.sample_interval > 0 && interval < min_interval {
+            let expected = format!("0, or at least {} ns", min_interval.as_nanos());
             return Err(invalid_argument(
                 "subscription/sample_interval",
                 "is too short",
-                &of.sample_interval.to_string(),
-                &taken,
+                &subscription.sample_interval.to_string(),
+                &expected,
             ));
         }
-        let sample = (!on_change).then(|| interval.max(least));
-        let heartbeat = (of.heartbeat_interval > 0)
-            .then(|| Duration::from_nanos(of.heartbeat_interval).max(least));
+        let sample_interval = (!on_change).then(|| interval.max(min_interval));
+        let heartbeat_interval = (subscription.heartbeat_interval > 0)
+            .then(|| Duration::from_nanos(subscription.heartbeat_interval).max(min_interval));
         let (now, sent) = (Instant::now(), Arc::default());
-        let (due, beat) = (
-            sample.map(|every| now + every),
-            heartbeat.map(|every| now + every),
+        let (next_sample, next_heartbeat) = (
+            sample_interval.map(|interval| now + interval),
+            heartbeat_interval.map(|interval| now + interval),
         );
         Ok(PathSubscription {
             selection,
             on_change,
-            sample,
-            heartbeat,
-            suppress: of.suppress_redundant,
-            due,
-            beat,
+            sample_interval,
+            heartbeat_interval,
+            suppress_redundant: subscription.suppress_redundant,
+            next_sample,
+            next_heartbeat,
             sent,
         })
     }
 
     /// When the next of its timers runs out.
     pub(super) fn next_timer(&self) -> Option<Instant> {
-        [self.due, self.beat].into_iter().flatten().min()
+        [self.next_sample, self.next_heartbeat]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// What it is to be sent, if anything; timers that have run out begin anew.
     pub(super) fn due_at(&mut self, now: Instant, changed: bool) -> Option<Due> {
-        let sampled = self.due.is_some_and(|due| due <= now);
-        let beat = self.beat.is_some_and(|beat| beat <= now);
-        if sampled {
-            self.due = self.sample.map(|every| now + every);
+        let sample_due = self.next_sample.is_some_and(|at| at <= now);
+        let heartbeat_due = self.next_heartbeat.is_some_and(|at| at <= now);
+        if sample_due {
+            self.next_sample = self.sample_interval.map(|interval| now + interval);
         }
-        if beat {
-            self.beat = self.heartbeat.map(|every| now + every);
+        if heartbeat_due {
+            self.next_heartbeat = self.heartbeat_interval.map(|interval| now + interval);
         }
-        if !(self.on_change && changed || sampled || beat) {
+        if !(self.on_change && changed || sample_due || heartbeat_due) {
             return None;
         }
-        Some(if beat || sampled && !self.suppress {
+        Some(if heartbeat_due || sample_due && !self.suppress_redundant {
             Due::Everything
         } else {
             Due::Changes
@@ -101,7 +104,7 @@
 
     /// The updates and deletions that bring it to a snapshot, which counts as sent from here on. What has changed
     /// carries the count of changes that it stands for.
-    pub(super) fn take_updates(
+    pub(super) fn updates_since_last(
         &mut self,
         schema: &Schema,
         snapshot: &Snapshot,
@@ -115,7 +118,7 @@
             .map(|(at, value)| update(at, value, coalesced))
             .collect();
         if due == Due::Everything {
-            let told = |at: &InstancePath| {
+            let is_changed = |at: &InstancePath| {
                 changes
                     .updates
                     .binary_search_by(|(changed, _)| changed.cmp(at))
@@ -123,7 +126,7 @@
             };
             updates.extend(
                 now.iter()
-                    .filter(|(at, _)| !told(at))
+                    .filter(|(at, _)| !is_changed(at))
                     .map(|(at, value)| update(at, value, 0)),
             );
         }
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -56,22 +56,22 @@
         streams: Arc::default(),
         number: AtomicU32::new(1),
     };
-    let service = GNmiServer::new(service).max_decoding_message_size(limits.message);
+    let service = GNmiServer::new(service).max_decoding_message_size(limits.max_message_bytes);
     let config = tls_config(tls, &limits);
     let server = Server::builder()
         .tls_config(config)
         .map_err(ServeError::Certificate)?;
-    let alive = Duration::from_secs_f64(limits.alive);
+    let alive = Duration::from_secs_f64(limits.keepalive_interval);
     let mut server = server
-        .max_concurrent_streams(limits.streams)
-        .concurrency_limit_per_connection(limits.streams as usize)
+        .max_concurrent_streams(limits.max_streams)
+        .concurrency_limit_per_connection(limits.max_streams as usize)
         .http2_keepalive_interval(Some(alive))
-        .http2_keepalive_timeout(Some(alive * limits.missed as u32))
-        .http2_max_pending_accept_reset_streams(Some(limits.streams as usize))
+        .http2_keepalive_timeout(Some(alive * limits.max_missed_keepalives as u32))
+        .http2_max_pending_accept_reset_streams(Some(limits.max_streams as usize))
         .tcp_nodelay(true);
     server
         .add_service(service)
-        .serve_with_incoming(accept_connections(listener, limits.connections))
+        .serve_with_incoming(accept_connections(listener, limits.max_connections))
         .await
         .map_err(|e| {
             warn!(log, "gNMI ended"; "error" => %e);
@@ -86,5 +86,5 @@
     ServerTlsConfig::new()
         .identity(identity)
         .client_ca_root(clients)
-        .timeout(Duration::from_secs_f64(limits.enter))
+        .timeout(Duration::from_secs_f64(limits.login_timeout))
 }
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -8,7 +8,7 @@
 use kestreltide_yang::edit::{Operation, apply};
 use tonic::{Request, Response, Status};
 
-use super::errors::{edit_errors_status, invalid_argument, refusal_status};
+use super::errors::{commit_error_status, edit_errors_status, invalid_argument};
 use super::{Service, nanos};
 use crate::proto::gnmi::{SetRequest, SetResponse, Update, UpdateResult, update_result};
 use crate::proto::gnmi_ext::commit::Action;
@@ -24,18 +24,20 @@
         request: Request<SetRequest>,
     ) -> Result<Response<SetResponse>, Status> {
         let (key, rights) = self.key(&request)?;
-        let asked = request.into_inner();
-        if let Some(said) = extension(&asked.extension, as_arbitration) {
-            self.check_master(said)?;
+        let request = request.into_inner();
+        if let Some(arbitration) = find_extension(&request.extension, as_arbitration) {
+            self.check_master(arbitration)?;
         }
-        let confirm = match extension(&asked.extension, as_commit) {
-            Some(said) if self.confirm_or_cancel(&key, said).await? => return settled(&asked),
-            Some(said) => Some(confirm_of(said)?),
+        let confirm = match find_extension(&request.extension, as_commit) {
+            Some(commit) if self.confirm_or_cancel(&key, commit).await? => {
+                return empty_edit_response(&request);
+            }
+            Some(commit) => Some(confirmed_commit(commit)?),
             None => None,
         };
         let published = self.commit_service.published.load_full();
         let mut candidate = Candidate::new(&published.in_force);
-        let response = self.edit_candidate(&mut candidate, &asked)?;
+        let response = self.edit_candidate(&mut candidate, &request)?;
         let author = self.next_author(&key);
         if let Err(error) = rights.check(&published.in_force.tree.differences(&candidate.tree)) {
             (self.commit_service.submit)(crate::CommitServiceRequest::Denied {
@@ -55,7 +57,7 @@
             .await
         {
             Ok(CommitOutcome::Applied(_) | CommitOutcome::Unchanged) => {
-                let prefix = asked.prefix.clone();
+                let prefix = request.prefix.clone();
                 Ok(Response::new(SetResponse {
                     prefix,
                     response,
@@ -63,7 +65,7 @@
                     extension: vec![],
                 }))
             }
-            Err(refused) => Err(refusal_status(&refused)),
+            Err(error) => Err(commit_error_status(&error)),
         }
     }
 
@@ -71,35 +73,36 @@
     fn edit_candidate(
         &self,
         candidate: &mut Candidate,
-        asked: &SetRequest,
+        request: &SetRequest,
     ) -> Result<Vec<UpdateResult>, Status> {
-        let prefix = asked.prefix.as_ref();
+        let prefix = request.prefix.as_ref();
         let mut response = Vec::new();
         let update =
             |update: &Update| (update.path.clone().unwrap_or_default(), update.val.clone());
-        let deletes = asked.delete.iter().map(|path| {
+        let deletes = request.delete.iter().map(|path| {
             (
                 (path.clone(), None),
                 Operation::Remove,
                 update_result::Operation::Delete,
             )
         });
-        let replaces = asked.replace.iter().map(|u| {
+        let replaces = request.replace.iter().map(|entry| {
             (
-                update(u),
+                update(entry),
                 Operation::Replace,
                 update_result::Operation::Replace,
             )
         });
-        let updates = asked.update.iter().map(|u| {
+        let updates = request.update.iter().map(|entry| {
             (
-                update(u),
+                update(entry),
                 Operation::Merge,
                 update_result::Operation::Update,
             )
         });
-        for ((path, value), op, told) in deletes.chain(replaces).chain(updates) {
-            let edits = self.edit(prefix, &path, value.as_ref(), op)?;
+        for ((path, value), operation, response_operation) in deletes.chain(replaces).chain(updates)
+        {
+            let edits = self.edit(prefix, &path, value.as_ref(), operation)?;
             apply(
                 self.schema,
                 &self.binding,
@@ -110,7 +113,7 @@
             .map_err(|errors| edit_errors_status(&errors))?;
             response.push(UpdateResult {
                 path: Some(path),
-                op: told.into(),
+                op: response_operation.into(),
             });
         }
         Ok(response)
@@ -128,8 +131,9 @@
 }
 
 /// The reply to a request that confirmed or cancelled a commit; it may not edit too.
-fn settled(asked: &SetRequest) -> Result<Response<SetResponse>, Status> {
-    let empty = asked.delete.is_empty() && asked.replace.is_empty() && asked.update.is_empty();
+fn empty_edit_response(request: &SetRequest) -> Result<Response<SetResponse>, Status> {
+    let empty =
+        request.delete.is_empty() && request.replace.is_empty() && request.update.is_empty();
     if !empty {
         return Err(invalid_argument(
             "commit",
@@ -139,53 +143,53 @@
         ));
     }
     Ok(Response::new(SetResponse {
-        prefix: asked.prefix.clone(),
+        prefix: request.prefix.clone(),
         timestamp: nanos(),
         ..SetResponse::default()
     }))
 }
 
 /// Within which time a commit wants to be confirmed, and by which id.
-fn confirm_of(said: &CommitExt) -> Result<ConfirmedCommit, Status> {
-    let said_time = match &said.action {
+fn confirmed_commit(commit: &CommitExt) -> Result<ConfirmedCommit, Status> {
+    let rollback_duration = match &commit.action {
         Some(Action::Commit(request)) => request.rollback_duration.as_ref(),
         _ => None,
     };
-    let within = said_time.map_or(DEFAULT_CONFIRM_SECONDS, |time| {
+    let timeout = rollback_duration.map_or(DEFAULT_CONFIRM_SECONDS, |time| {
         time.seconds as f64 + f64::from(time.nanos) / 1e9
     });
-    if !(0.1..=86_400.0).contains(&within) || said.id.is_empty() {
+    if !(0.1..=86_400.0).contains(&timeout) || commit.id.is_empty() {
         return Err(invalid_argument(
             "commit",
             "has no id, or a time out of range",
-            &within.to_string(),
+            &timeout.to_string(),
             "an id, 0.1 to 86400 seconds",
         ));
     }
     Ok(ConfirmedCommit {
-        timeout: within,
-        persist_id: Some(said.id.clone()),
+        timeout,
+        persist_id: Some(commit.id.clone()),
     })
 }
 
 fn as_arbitration(ext: &Ext) -> Option<&MasterArbitration> {
-    if let Ext::MasterArbitration(said) = ext {
-        Some(said)
+    if let Ext::MasterArbitration(arbitration) = ext {
+        Some(arbitration)
     } else {
         None
     }
 }
 
 fn as_commit(ext: &Ext) -> Option<&CommitExt> {
-    if let Ext::Commit(said) = ext {
-        Some(said)
+    if let Ext::Commit(commit) = ext {
+        Some(commit)
     } else {
         None
     }
 }
 
-fn extension<'a, T>(all: &'a [Extension], of: impl Fn(&'a Ext) -> Option<T>) -> Option<T> {
+fn find_extension<'a, T>(all: &'a [Extension], select: impl Fn(&'a Ext) -> Option<T>) -> Option<T> {
     all.iter()
         .filter_map(|extension| extension.ext.as_ref())
-        .find_map(of)
+        .find_map(select)
 }
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use super::encoding::collect;
+use super::encoding::collect_leaves;
 use super::paths::{path_of, select};
 use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::{Encoding, Path, TypedValue};
@@ -24,9 +24,9 @@
 pub(super) struct Snapshot {
     /// How often something changed so far, each revision counted.
     pub(super) number: u64,
-    make: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>,
+    make_data: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>,
     data: OnceLock<Vec<DataNode>>,
-    found: Mutex<BTreeMap<Selection, Arc<Leaves>>>,
+    leaves_by_selection: Mutex<BTreeMap<Selection, Arc<Leaves>>>,
     differences: Mutex<BTreeMap<(Selection, usize), Difference>>,
 }
 
@@ -46,25 +46,29 @@
 }
 
 impl Snapshot {
-    fn new(number: u64, make: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>) -> Self {
-        let (data, found, differences) = (OnceLock::new(), Mutex::default(), Mutex::default());
+    fn new(number: u64, make_data: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>) -> Self {
+        let (data, leaves_by_selection, differences) =
+            (OnceLock::new(), Mutex::default(), Mutex::default());
         Snapshot {
             number,
-            make,
+            make_data,
             data,
-            found,
+            leaves_by_selection,
             differences,
         }
     }
 
     fn data(&self) -> &[DataNode] {
-        self.data.get_or_init(&self.make)
+        self.data.get_or_init(&self.make_data)
     }
 
     /// All leaves that a path wants, in an encoding.
     pub(super) fn leaves(&self, schema: &Schema, selection: &Selection) -> Arc<Leaves> {
-        let mut found = self.found.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(leaves) = found.get(selection) {
+        let mut leaves_by_selection = self
+            .leaves_by_selection
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(leaves) = leaves_by_selection.get(selection) {
             return leaves.clone();
         }
         let (pattern, encoding) = (
@@ -75,10 +79,10 @@
         let mut leaves = Leaves::new();
         instances
             .iter()
-            .for_each(|(at, data)| collect(schema, encoding, at, data, &mut leaves));
+            .for_each(|(at, data)| collect_leaves(schema, encoding, at, data, &mut leaves));
         let leaves = Arc::new(leaves);
         // Bounded by what streams there are; the next change begins anew.
-        found.insert(selection.clone(), leaves.clone());
+        leaves_by_selection.insert(selection.clone(), leaves.clone());
         leaves
     }
 
@@ -120,7 +124,7 @@
 }
 
 /// Between looks at what is published.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Follows what is published, and says when something changed. Streams share what they make of it.
 pub(super) fn follow_published(
@@ -144,7 +148,7 @@
         let mut number = 0;
         while !sender.is_closed() {
             // Nobody has to tell: a look costs two pointers.
-            sleep(LOOK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
             let (now, published_now) = (
                 commit_service.view.load_full(),
                 commit_service.published.load_full(),
--- a/management/src/gnmi/stream.rs
+++ b/management/src/gnmi/stream.rs
@@ -17,8 +17,8 @@
 use super::path_subscription::PathSubscription;
 use super::snapshot::Snapshot;
 use crate::commit_service::CommitServiceHandle;
-use crate::proto::gnmi::subscribe_request::Request as Asked;
-use crate::proto::gnmi::subscribe_response::Response as Told;
+use crate::proto::gnmi::subscribe_request::Request as RequestKind;
+use crate::proto::gnmi::subscribe_response::Response as ResponseKind;
 use crate::proto::gnmi::subscription_list::Mode;
 use crate::proto::gnmi::{Notification, Path, SubscribeRequest, SubscribeResponse, Update};
 
@@ -40,17 +40,17 @@
 }
 
 impl SubscribeStream {
-    pub(super) async fn run(mut self, mode: Mode, asks: Streaming<SubscribeRequest>) {
+    pub(super) async fn run(mut self, mode: Mode, requests: Streaming<SubscribeRequest>) {
         info!(self.context.log, "a gNMI stream began"; "key" => &self.key.name, "mode" => ?mode);
-        let why = match mode {
-            Mode::Once => self.serve_once().await,
-            Mode::Poll => self.serve_polls(asks).await,
-            Mode::Stream => self.serve_changes(asks).await,
+        let reason = match mode {
+            Mode::Once => self.run_once().await,
+            Mode::Poll => self.run_poll(requests).await,
+            Mode::Stream => self.run_stream(requests).await,
         };
-        info!(self.context.log, "a gNMI stream ended"; "key" => &self.key.name, "why" => why);
+        info!(self.context.log, "a gNMI stream ended"; "key" => &self.key.name, "why" => reason);
     }
 
-    async fn send(&self, response: Told) -> bool {
+    async fn send(&self, response: ResponseKind) -> bool {
         self.sender
             .send(Ok(SubscribeResponse {
                 response: Some(response),
@@ -61,22 +61,23 @@
     }
 
     /// Everything that is wanted, then that it was everything.
-    async fn send_all(&mut self, silent: bool) -> bool {
+    async fn send_all(&mut self, updates_only: bool) -> bool {
         let snapshot = self.context.snapshot.borrow().clone();
-        for place in 0..self.subscriptions.len() {
-            let now = snapshot.leaves(self.context.schema, &self.subscriptions[place].selection);
+        for index in 0..self.subscriptions.len() {
+            let now = snapshot.leaves(self.context.schema, &self.subscriptions[index].selection);
             let update: Vec<_> = now.iter().map(|(at, value)| update(at, value, 0)).collect();
-            self.subscriptions[place].sent = now;
-            if !silent && !update.is_empty() && !self.send_notification(update, vec![]).await {
+            self.subscriptions[index].sent = now;
+            if !updates_only && !update.is_empty() && !self.send_notification(update, vec![]).await
+            {
                 return false;
             }
         }
-        self.send(Told::SyncResponse(true)).await
+        self.send(ResponseKind::SyncResponse(true)).await
     }
 
     async fn send_notification(&self, update: Vec<Update>, delete: Vec<Path>) -> bool {
         let prefix = self.prefix.clone();
-        self.send(Told::Update(Notification {
+        self.send(ResponseKind::Update(Notification {
             timestamp: nanos(),
             prefix,
             update,
@@ -86,7 +87,7 @@
         .await
     }
 
-    async fn serve_once(&mut self) -> &'static str {
+    async fn run_once(&mut self) -> &'static str {
         if self.send_all(self.updates_only).await {
             "all was sent"
         } else {
@@ -94,16 +95,16 @@
         }
     }
 
-    async fn serve_polls(&mut self, mut asks: Streaming<SubscribeRequest>) -> &'static str {
+    async fn run_poll(&mut self, mut requests: Streaming<SubscribeRequest>) -> &'static str {
         if !self.send_all(self.updates_only).await {
             return "it went away";
         }
-        while let Some(Ok(ask)) = asks.next().await {
-            match ask.request {
-                Some(Asked::Poll(_)) if !self.may_still_read() => {
+        while let Some(Ok(request)) = requests.next().await {
+            match request.request {
+                Some(RequestKind::Poll(_)) if !self.may_still_read() => {
                     return "its key is no longer in the file of keys";
                 }
-                Some(Asked::Poll(_)) => {
+                Some(RequestKind::Poll(_)) => {
                     if !self.send_all(false).await {
                         return "it went away";
                     }
@@ -134,15 +135,15 @@
             .is_some_and(|rights| rights.read)
     }
 
-    async fn serve_changes(&mut self, mut asks: Streaming<SubscribeRequest>) -> &'static str {
+    async fn run_stream(&mut self, mut requests: Streaming<SubscribeRequest>) -> &'static str {
         let mut changes = self.context.snapshot.clone();
         let mut seen = changes.borrow_and_update().number;
         if !self.send_all(self.updates_only).await {
             return "it went away";
         }
         loop {
-            if let Err(why) = self.wait(&mut changes, &mut asks).await {
-                return why;
+            if let Err(reason) = self.wait_for_event(&mut changes, &mut requests).await {
+                return reason;
             }
             if !self.may_still_read() {
                 let _ = self
@@ -164,10 +165,10 @@
 
     /// Waits for a change, for a timer of a subscription or for the next look at the keys; an error says what ends
     /// the stream.
-    async fn wait(
+    async fn wait_for_event(
         &self,
         changes: &mut watch::Receiver<Arc<Snapshot>>,
-        asks: &mut Streaming<SubscribeRequest>,
+        requests: &mut Streaming<SubscribeRequest>,
     ) -> Result<(), &'static str> {
         let next = self
             .subscriptions
@@ -175,11 +176,11 @@
             .filter_map(PathSubscription::next_timer)
             .min();
         // Keys may go at any time, also while nothing changes.
-        let look = Instant::now() + Duration::from_secs(1);
+        let key_check = Instant::now() + Duration::from_secs(1);
         tokio::select! {
             changed = changes.changed() => changed.map_err(|_| "the router stops"),
-            _ = sleep_until(next.map_or(look, |next| next.min(look))) => Ok(()),
-            ask = asks.next() => match ask {
+            _ = sleep_until(next.map_or(key_check, |next| next.min(key_check))) => Ok(()),
+            request = requests.next() => match request {
                 None => Err("it asked no more"),
                 Some(Err(_)) => Err("it went away"),
                 Some(Ok(_)) => {
@@ -196,13 +197,17 @@
     /// Sends what each subscription is due; false where nobody takes it any more.
     async fn send_due(&mut self, snapshot: &Snapshot, progress: Progress) -> bool {
         let now = Instant::now();
-        for place in 0..self.subscriptions.len() {
-            let subscription = &mut self.subscriptions[place];
+        for index in 0..self.subscriptions.len() {
+            let subscription = &mut self.subscriptions[index];
             let Some(due) = subscription.due_at(now, progress.changed) else {
                 continue;
             };
-            let (updates, deleted) =
-                subscription.take_updates(self.context.schema, snapshot, due, progress.coalesced);
+            let (updates, deleted) = subscription.updates_since_last(
+                self.context.schema,
+                snapshot,
+                due,
+                progress.coalesced,
+            );
             if (!updates.is_empty() || !deleted.is_empty())
                 && !self.send_notification(updates, deleted).await
             {
--- a/management/src/gnmi/subscribe.rs
+++ b/management/src/gnmi/subscribe.rs
@@ -10,12 +10,12 @@
 use tonic::{Request, Response, Status, Streaming};
 
 use super::Service;
-use super::encoding::encoding;
+use super::encoding::supported_encoding;
 use super::errors::invalid_argument;
 use super::path_subscription::PathSubscription;
 use super::paths::{leads_nowhere, pattern};
 use super::stream::{StreamContext, SubscribeStream};
-use crate::proto::gnmi::subscribe_request::Request as Asked;
+use crate::proto::gnmi::subscribe_request::Request as RequestKind;
 use crate::proto::gnmi::subscription_list::Mode;
 use crate::proto::gnmi::{Encoding, Path, SubscribeRequest, SubscribeResponse, SubscriptionList};
 
@@ -30,11 +30,11 @@
         request: Request<Streaming<SubscribeRequest>>,
     ) -> Result<Response<Responses>, Status> {
         let key = self.may_read(&request)?;
-        let mut asks = request.into_inner();
+        let mut requests = request.into_inner();
         let Some(Ok(SubscribeRequest {
-            request: Some(Asked::Subscribe(list)),
+            request: Some(RequestKind::Subscribe(list)),
             ..
-        })) = asks.next().await
+        })) = requests.next().await
         else {
             return Err(invalid_argument(
                 "subscribe",
@@ -43,7 +43,7 @@
                 "a list of subscriptions",
             ));
         };
-        if self.streams.load(Relaxed) >= self.limits.sessions {
+        if self.streams.load(Relaxed) >= self.limits.max_sessions {
             return Err(Status::resource_exhausted(
                 "subscribe: no room for one more stream",
             ));
@@ -56,7 +56,7 @@
                 "STREAM, ONCE or POLL",
             )
         })?;
-        let encoding = encoding(list.encoding)?;
+        let encoding = supported_encoding(list.encoding)?;
         let subscriptions = self.path_subscriptions(&list, encoding)?;
         let (sender, receiver) = mpsc::channel(4);
         let stream = SubscribeStream {
@@ -70,7 +70,7 @@
         self.streams.fetch_add(1, Relaxed);
         let streams = self.streams.clone();
         tokio::spawn(async move {
-            stream.run(mode, asks).await;
+            stream.run(mode, requests).await;
             streams.fetch_sub(1, Relaxed);
         });
         Ok(Response::new(Box::pin(ReceiverStream::new(receiver))))
@@ -83,15 +83,15 @@
         encoding: Encoding,
     ) -> Result<Vec<PathSubscription>, Status> {
         let mut subscriptions = Vec::new();
-        for one in &list.subscription {
-            let path = one.path.clone().unwrap_or_default();
+        for subscription in &list.subscription {
+            let path = subscription.path.clone().unwrap_or_default();
             let pattern = pattern(list.prefix.as_ref(), &path)?;
             if !pattern.matches_schema(self.schema) {
                 return Err(leads_nowhere(&path));
             }
             subscriptions.push(PathSubscription::new(
                 (pattern, encoding.into()),
-                one,
+                subscription,
                 &self.limits,
             )?);
         }
--- a/management/src/lib.rs
+++ b/management/src/lib.rs
@@ -29,37 +29,37 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Of one message, and of one gNMI request.
-    pub message: usize,
+    pub max_message_bytes: usize,
     /// Open connections of one front.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Sessions and streams of one front whose client has proved who it is.
-    pub sessions: usize,
+    pub max_sessions: usize,
     /// To prove who one is, and to say hello.
-    pub enter: f64,
+    pub login_timeout: f64,
     /// Between keepalive messages on a quiet connection.
-    pub alive: f64,
+    pub keepalive_interval: f64,
     /// Keepalive messages in a row that may stay without an answer.
-    pub missed: usize,
+    pub max_missed_keepalives: usize,
     /// Notifications that wait for one session.
-    pub notifications: usize,
+    pub max_queued_notifications: usize,
     /// Requests and streams of one gNMI connection.
-    pub streams: u32,
+    pub max_streams: u32,
     /// The least time between samples.
-    pub sample: f64,
+    pub min_sample_interval: f64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            message: 4 << 20,
-            connections: 1200,
-            sessions: 1100,
-            enter: 10.0,
-            alive: 10.0,
-            missed: 3,
-            notifications: 1024,
-            streams: 32,
-            sample: 0.05,
+            max_message_bytes: 4 << 20,
+            max_connections: 1200,
+            max_sessions: 1100,
+            login_timeout: 10.0,
+            keepalive_interval: 10.0,
+            max_missed_keepalives: 3,
+            max_queued_notifications: 1024,
+            max_streams: 32,
+            min_sample_interval: 0.05,
         }
     }
 }
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -92,8 +92,8 @@
         auth_rejection_time_initial: Some(Duration::ZERO),
         max_auth_attempts: 4,
         keys: vec![host_key],
-        keepalive_interval: Some(Duration::from_secs_f64(limits.alive)),
-        keepalive_max: limits.missed,
+        keepalive_interval: Some(Duration::from_secs_f64(limits.keepalive_interval)),
+        keepalive_max: limits.max_missed_keepalives,
         inactivity_timeout: None,
         nodelay: true,
         ..Default::default()
@@ -103,7 +103,7 @@
 /// Serves until the listener fails for good.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener, host_key: PrivateKey) {
     let config = Arc::new(ssh_config(host_key, &shared.limits));
-    let room = Arc::new(Semaphore::new(shared.limits.connections));
+    let permits = Arc::new(Semaphore::new(shared.limits.max_connections));
     loop {
         let (stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
@@ -114,14 +114,14 @@
                 continue;
             }
         };
-        let Ok(place) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             drop(stream);
             continue;
         };
         let (shared, config) = (shared.clone(), config.clone());
         tokio::spawn(async move {
             serve_connection(shared.clone(), config, stream).await;
-            drop(place);
+            drop(permit);
             slog::debug!(shared.log, "a NETCONF connection ended"; "from" => %from);
         });
     }
@@ -133,29 +133,35 @@
     config: Arc<russh::server::Config>,
     stream: TcpStream,
 ) {
-    let entered = Arc::new(AtomicBool::new(false));
-    let patience = Duration::from_secs_f64(shared.limits.enter);
+    let authenticated = Arc::new(AtomicBool::new(false));
+    let login_timeout = Duration::from_secs_f64(shared.limits.login_timeout);
     let handler = Connection {
         shared,
-        entered: entered.clone(),
+        authenticated: authenticated.clone(),
         key: None,
         channels: BTreeMap::new(),
     };
-    let running = timeout(patience, russh::server::run_stream(config, stream, handler)).await;
-    let Ok(Ok(running)) = running else { return };
-    tokio::pin!(running);
+    let connection = timeout(
+        login_timeout,
+        russh::server::run_stream(config, stream, handler),
+    )
+    .await;
+    let Ok(Ok(connection)) = connection else {
+        return;
+    };
+    tokio::pin!(connection);
     tokio::select! {
-        _ = &mut running => return,
-        _ = sleep(patience) => {}
+        _ = &mut connection => return,
+        _ = sleep(login_timeout) => {}
     }
-    if entered.load(Relaxed) {
-        let _ = running.await;
+    if authenticated.load(Relaxed) {
+        let _ = connection.await;
     }
 }
 
 struct Connection {
     shared: Arc<Shared>,
-    entered: Arc<AtomicBool>,
+    authenticated: Arc<AtomicBool>,
     key: Option<Key>,
     /// Opened, and not asked for anything yet.
     channels: BTreeMap<ChannelId, Channel<Msg>>,
@@ -173,7 +179,7 @@
             .and_then(|proof| self.shared.commit_service.keys.load().find(&proof).cloned());
         Ok(match known.filter(|key| key.name == user) {
             Some(key) => {
-                self.entered.store(true, Relaxed);
+                self.authenticated.store(true, Relaxed);
                 self.key = Some(key);
                 Auth::Accept
             }
@@ -231,17 +237,17 @@
     let Some(id) = shared.commit_service.open().await else {
         return;
     };
-    let killed = Arc::new(Notify::new());
-    let room = shared.with_sessions(|sessions| {
-        let room = sessions.len() < shared.limits.sessions;
-        if room {
-            sessions.insert(id, killed.clone());
+    let kill_signal = Arc::new(Notify::new());
+    let is_admitted = shared.with_sessions(|sessions| {
+        let is_admitted = sessions.len() < shared.limits.max_sessions;
+        if is_admitted {
+            sessions.insert(id, kill_signal.clone());
         }
-        room
+        is_admitted
     });
-    if room {
+    if is_admitted {
         info!(shared.log, "a NETCONF session began"; "session" => id.0, "key" => &key.name);
-        let why = exchange_messages(&shared, id, &key, channel, &killed).await;
+        let why = exchange_messages(&shared, id, &key, channel, &kill_signal).await;
         info!(shared.log, "a NETCONF session ended"; "session" => id.0, "key" => &key.name, "why" => why);
     } else {
         warn!(shared.log, "no room for one more NETCONF session"; "key" => &key.name);
@@ -257,11 +263,11 @@
     id: SessionId,
     key: &Key,
     channel: Channel<Msg>,
-    killed: &Notify,
+    kill_signal: &Notify,
 ) -> &'static str {
     let (reading, writing) = tokio::io::split(channel.into_stream());
     let session = Session::new(id, &key.name, shared.schema, shared.binding.clone());
-    let frames = Frames::new(shared.limits.message);
+    let frames = Frames::new(shared.limits.max_message_bytes);
     let mut exchange = Exchange {
         shared,
         id,
@@ -269,10 +275,10 @@
         session,
         frames,
         writing,
-        news: None,
+        notifications: None,
         missed: 0,
     };
-    match exchange.run(reading, killed).await {
+    match exchange.run(reading, kill_signal).await {
         Err(why) => why,
     }
 }
@@ -286,23 +292,23 @@
     frames: Frames,
     writing: W,
     /// Commits and refusals, once the client has subscribed to them.
-    news: Option<broadcast::Receiver<Notification>>,
+    notifications: Option<broadcast::Receiver<Notification>>,
     /// Notifications that were lost since the last that was sent.
     missed: u64,
 }
 
 /// That a session is over, and why.
-type Over = &'static str;
+type EndReason = &'static str;
 
-const WENT_AWAY: Over = "it went away";
-const KEY_GONE: Over = "its key is no longer in the file of keys";
+const WENT_AWAY: EndReason = "it went away";
+const KEY_GONE: EndReason = "its key is no longer in the file of keys";
 
 impl<W: AsyncWrite + Unpin> Exchange<'_, W> {
     async fn run(
         &mut self,
         mut reading: impl AsyncRead + Unpin,
-        killed: &Notify,
-    ) -> Result<Infallible, Over> {
+        kill_signal: &Notify,
+    ) -> Result<Infallible, EndReason> {
         self.send(&write(Framing::EndMark, &self.session.hello()))
             .await?;
         let mut buffer = vec![0; 16 * 1024];
@@ -310,40 +316,45 @@
         let begun = tokio::time::Instant::now();
         loop {
             tokio::select! {
-                _ = killed.notified() => return Err("it was killed"),
+                _ = kill_signal.notified() => return Err("it was killed"),
                 _ = key_check.tick() => self.check_key_and_hello(begun.elapsed())?,
-                told = next_news(&mut self.news) => self.send_news(told).await?,
+                notification = next_notification(&mut self.notifications) => self.send_notification(notification).await?,
                 read = reading.read(&mut buffer) => match read {
                     Ok(0) | Err(_) => return Err(WENT_AWAY),
-                    Ok(count) => self.take_bytes(&buffer[..count]).await?,
+                    Ok(count) => self.handle_bytes(&buffer[..count]).await?,
                 },
             }
         }
     }
 
-    async fn send(&mut self, bytes: &[u8]) -> Result<(), Over> {
+    async fn send(&mut self, bytes: &[u8]) -> Result<(), EndReason> {
         self.writing.write_all(bytes).await.map_err(|_| WENT_AWAY)?;
         self.writing.flush().await.map_err(|_| WENT_AWAY)
     }
 
     /// Keys may go at any time; a hello has to come in its time.
-    fn check_key_and_hello(&self, since_begin: Duration) -> Result<(), Over> {
+    fn check_key_and_hello(&self, elapsed: Duration) -> Result<(), EndReason> {
         if self.shared.rights(self.key).is_none() {
             return Err(KEY_GONE);
         }
-        let waits_for_hello = !self.session.chunked()
+        let is_waiting_for_hello = !self.session.chunked()
             && self.frames.framing() == Framing::EndMark
-            && !self.session.greeted();
-        if waits_for_hello && since_begin.as_secs_f64() > self.shared.limits.enter {
+            && !self.session.hello_received();
+        if is_waiting_for_hello && elapsed.as_secs_f64() > self.shared.limits.login_timeout {
             return Err("it did not say hello");
         }
         Ok(())
     }
 
     /// Sends a notification of what happened; what was lost before it is counted and told with the next.
-    async fn send_news(&mut self, told: Result<Notification, RecvError>) -> Result<(), Over> {
-        let data = match told {
-            Ok(told) => notification(self.shared, &told, std::mem::take(&mut self.missed)),
+    async fn send_notification(
+        &mut self,
+        notification: Result<Notification, RecvError>,
+    ) -> Result<(), EndReason> {
+        let data = match notification {
+            Ok(notification) => {
+                notification_data(self.shared, &notification, std::mem::take(&mut self.missed))
+            }
             Err(RecvError::Lagged(count)) => {
                 self.missed += count;
                 return Ok(());
@@ -358,41 +369,41 @@
     }
 
     /// Answers all messages that are whole with these bytes.
-    async fn take_bytes(&mut self, bytes: &[u8]) -> Result<(), Over> {
+    async fn handle_bytes(&mut self, bytes: &[u8]) -> Result<(), EndReason> {
         self.frames.push(bytes);
         while let Some(message) = self
             .frames
             .message()
             .map_err(|_| "its messages cannot be read")?
         {
-            self.answer(&message).await?;
+            self.handle_message(&message).await?;
         }
         Ok(())
     }
 
-    async fn answer(&mut self, message: &[u8]) -> Result<(), Over> {
+    async fn handle_message(&mut self, message: &[u8]) -> Result<(), EndReason> {
         let rights = self.shared.rights(self.key).ok_or(KEY_GONE)?;
         let step = self
             .session
             .message(message, rights, &self.shared.commit_service);
-        let (reply, over) = match step {
+        let (reply, end_reason) = match step {
             Step::Reply(reply) => (reply, None),
             Step::Close(reply) => (reply, Some("it closed")),
-            Step::Over(why) => return Err(why),
+            Step::Abort(why) => return Err(why),
             Step::Subscribe(reply) => {
-                self.news = Some(self.shared.commit_service.notifications.subscribe());
+                self.notifications = Some(self.shared.commit_service.notifications.subscribe());
                 (reply, None)
             }
             Step::Kill(other, reply) => {
                 let found = self
                     .shared
                     .with_sessions(|sessions| sessions.get(&other).cloned());
-                found.inspect(|killed| killed.notify_one());
+                found.inspect(|kill_signal| kill_signal.notify_one());
                 (reply, None)
             }
-            Step::Perform(asked) => {
-                let answer = ask_commit_service(self.shared, self.id, &self.session, &asked).await;
-                (self.session.answered(&asked, answer), None)
+            Step::Perform(operation) => {
+                let result = perform(self.shared, self.id, &self.session, &operation).await;
+                (self.session.complete(&operation, result), None)
             }
         };
         let text = if reply.is_empty() {
@@ -405,30 +416,30 @@
             self.frames.use_chunks();
         }
         self.send(&text).await?;
-        let Some(why) = over else { return Ok(()) };
+        let Some(why) = end_reason else { return Ok(()) };
         let _ = self.writing.shutdown().await;
         Err(why)
     }
 }
 
 /// The next of what happened; never comes where nobody has subscribed.
-async fn next_news(
-    news: &mut Option<broadcast::Receiver<Notification>>,
+async fn next_notification(
+    notifications: &mut Option<broadcast::Receiver<Notification>>,
 ) -> Result<Notification, RecvError> {
-    match news {
-        Some(news) => news.recv().await,
+    match notifications {
+        Some(notifications) => notifications.recv().await,
         None => std::future::pending().await,
     }
 }
 
-async fn ask_commit_service(
+async fn perform(
     shared: &Shared,
     id: SessionId,
     session: &Session,
-    asked: &DatastoreOperation,
+    operation: &DatastoreOperation,
 ) -> Result<(), CommitError> {
     let commit_service = &shared.commit_service;
-    match asked.clone() {
+    match operation.clone() {
         DatastoreOperation::Lock(target) => commit_service.lock(id, target).await,
         DatastoreOperation::Unlock(target) => commit_service.unlock(id, target).await,
         DatastoreOperation::Validate(candidate) => commit_service.validate(candidate).await,
@@ -437,7 +448,7 @@
             confirm,
             persist_id,
         } => commit_service
-            .commit(Some(id), candidate, session.asked_by(), confirm, persist_id)
+            .commit(Some(id), candidate, session.author(), confirm, persist_id)
             .await
             .map(|_| ()),
         DatastoreOperation::Confirm { persist_id } => {
@@ -450,13 +461,13 @@
 }
 
 /// What happened, as a notification and when; none where the model has no such.
-fn notification(
+fn notification_data(
     shared: &Shared,
-    told: &Notification,
+    notification: &Notification,
     missed: u64,
 ) -> Option<(f64, kestreltide_yang::DataNode)> {
     let node = |name: &str| -> Option<NodeId> { shared.schema.notifications.get(name).copied() };
-    Some(match told {
+    Some(match notification {
         Notification::Committed(record) => (
             record.at,
             state::revision_committed(shared.schema, node("revision-committed")?, record, missed),
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -15,35 +15,35 @@
 impl Session {
     pub(super) fn commit(
         &mut self,
-        of: &Element,
+        operation: &Element,
         rights: Rights,
         commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
-        let persist_id = text(of, "persist-id");
-        let confirm = match of.child("confirmed") {
+        let persist_id = text(operation, "persist-id");
+        let confirm = match operation.child("confirmed") {
             None => None,
             Some(_) => {
-                let said = text(of, "confirm-timeout");
-                let within = match &said {
+                let value = text(operation, "confirm-timeout");
+                let timeout = match &value {
                     None => Some(CONFIRM[0]),
-                    Some(said) => said
+                    Some(value) => value
                         .parse::<u32>()
                         .ok()
                         .map(f64::from)
                         .filter(|time| (1.0..=CONFIRM[1]).contains(time)),
                 };
-                let wrong = || {
-                    let taken = format!("1 to {} seconds", CONFIRM[1]);
+                let invalid = || {
+                    let expected = format!("1 to {} seconds", CONFIRM[1]);
                     vec![RpcError::invalid(
                         "confirm-timeout",
                         "is out of range",
-                        said.as_deref().unwrap_or_default(),
-                        &taken,
+                        value.as_deref().unwrap_or_default(),
+                        &expected,
                     )]
                 };
                 Some(ConfirmedCommit {
-                    timeout: within.ok_or_else(wrong)?,
-                    persist_id: text(of, "persist"),
+                    timeout: timeout.ok_or_else(invalid)?,
+                    persist_id: text(operation, "persist"),
                 })
             }
         };
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -20,9 +20,9 @@
 }
 
 impl EditOptions {
-    fn of(of: &Element) -> Result<Self, Vec<RpcError>> {
-        let default = text(of, "default-operation").unwrap_or_else(|| "merge".into());
-        let wrong = || {
+    fn of(operation: &Element) -> Result<Self, Vec<RpcError>> {
+        let default = text(operation, "default-operation").unwrap_or_else(|| "merge".into());
+        let invalid = || {
             vec![RpcError::invalid(
                 "default-operation",
                 "no such operation",
@@ -30,14 +30,18 @@
                 "merge, replace or none",
             )]
         };
-        let default = Operation::from_default_operation(&default).ok_or_else(wrong)?;
+        let default = Operation::from_default_operation(&default).ok_or_else(invalid)?;
         // Whichever it is, an edit that cannot be done whole is not done at all.
         option(
-            of,
+            operation,
             "error-option",
             ["stop-on-error", "continue-on-error", "rollback-on-error"],
         )?;
-        let test = option(of, "test-option", ["test-then-set", "set", "test-only"])?;
+        let test = option(
+            operation,
+            "test-option",
+            ["test-then-set", "set", "test-only"],
+        )?;
         Ok(EditOptions {
             default,
             test_only: test == "test-only",
@@ -46,18 +50,18 @@
 }
 
 /// An option that takes one of three values; the first where it is not given.
-fn option(of: &Element, name: &str, taken: [&str; 3]) -> Result<String, Vec<RpcError>> {
-    let [first, second, third] = taken;
-    let given = text(of, name).unwrap_or_else(|| first.into());
-    if taken.contains(&given.as_str()) {
-        return Ok(given);
+fn option(operation: &Element, name: &str, expected: [&str; 3]) -> Result<String, Vec<RpcError>> {
+    let [first, second, third] = expected;
+    let found = text(operation, name).unwrap_or_else(|| first.into());
+    if expected.contains(&found.as_str()) {
+        return Ok(found);
     }
-    let taken = format!("{first}, {second} or {third}");
+    let expected = format!("{first}, {second} or {third}");
     Err(vec![RpcError::invalid(
         name,
         "no such option",
-        &given,
-        &taken,
+        &found,
+        &expected,
     )])
 }
 
@@ -96,13 +100,13 @@
 
     pub(super) fn edit_config(
         &mut self,
-        of: &Element,
+        operation: &Element,
         rights: Rights,
         commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
-        let target = target(of, "target")?;
-        let options = EditOptions::of(of)?;
-        let config = of
+        let target = target(operation, "target")?;
+        let options = EditOptions::of(operation)?;
+        let config = operation
             .child("config")
             .ok_or_else(|| vec![RpcError::missing("config")])?;
         let mut candidate = match target {
--- a/management/src/netconf/session/filter.rs
+++ b/management/src/netconf/session/filter.rs
@@ -30,7 +30,7 @@
                     vec![error.with_bad_attribute("select", "filter")]
                 };
                 let select = of("select").ok_or_else(missing)?;
-                let wrong = |why: &str| {
+                let invalid = |why: &str| {
                     vec![RpcError::invalid(
                         "filter/select",
                         why,
@@ -39,13 +39,13 @@
                     )]
                 };
                 let patterns =
-                    Pattern::parse_xpath(select).map_err(|error| wrong(&error.to_string()))?;
+                    Pattern::parse_xpath(select).map_err(|error| invalid(&error.to_string()))?;
                 match patterns
                     .iter()
                     .all(|pattern| pattern.matches_schema(self.schema))
                 {
                     true => Ok(Filter::Paths(patterns)),
-                    false => Err(wrong("leads nowhere in the model")),
+                    false => Err(invalid("leads nowhere in the model")),
                 }
             }
             other => {
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -11,8 +11,8 @@
 mod filter;
 mod operations;
 mod reply;
+mod rollout_operations;
 mod rpc_error;
-mod trial;
 
 use std::fmt::Write;
 
@@ -24,7 +24,7 @@
 
 pub use self::capabilities::BASE;
 use self::capabilities::CAPABILITIES;
-use self::rpc_error::{RpcError, refusal_errors};
+use self::rpc_error::{RpcError, commit_errors};
 use crate::commit_service::CommitServiceHandle;
 
 /// What the commit service is asked for a message.
@@ -71,7 +71,7 @@
     /// The reply; from then on what happens is told.
     Subscribe(String),
     /// It is over without a reply: no messages can be read any more.
-    Over(&'static str),
+    Abort(&'static str),
 }
 
 /// The state of one session.
@@ -81,8 +81,8 @@
     name: String,
     schema: &'static Schema,
     binding: std::sync::Arc<Binding>,
-    greeted: bool,
-    chunks: bool,
+    hello_received: bool,
+    peer_chunks: bool,
     candidate: Option<Candidate>,
     subscribed: bool,
     /// Attributes of the rpc that is being answered.
@@ -97,14 +97,15 @@
         schema: &'static Schema,
         binding: std::sync::Arc<Binding>,
     ) -> Self {
-        let (greeted, chunks, subscribed, attributes) = (false, false, false, String::new());
+        let (hello_received, peer_chunks, subscribed, attributes) =
+            (false, false, false, String::new());
         Session {
             id,
             name: name.into(),
             schema,
             binding,
-            greeted,
-            chunks,
+            hello_received,
+            peer_chunks,
             candidate: None,
             subscribed,
             attributes,
@@ -112,21 +113,13 @@
     }
 
     /// Whether the client has said hello.
-    pub fn greeted(&self) -> bool {
-        self.greeted
+    pub fn hello_received(&self) -> bool {
+        self.hello_received
     }
 
     /// Whether messages are chunked from now on: both have said base:1.1.
     pub fn chunked(&self) -> bool {
-        self.greeted && self.chunks
-    }
-
-    fn author(&self) -> Author {
-        Author {
-            source: Source::Management,
-            name: self.name.clone(),
-            version: format!("netconf session {}", self.id),
-        }
+        self.hello_received && self.peer_chunks
     }
 
     /// What a message leads to.
@@ -143,7 +136,7 @@
             Ok(element) => element,
             Err(why) => return self.malformed(&why.to_string()),
         };
-        if !self.greeted {
+        if !self.hello_received {
             return self.client_hello(&element);
         }
         if element.name != "rpc" || element.namespace != BASE {
@@ -178,25 +171,25 @@
             .child("capabilities")
             .filter(|_| element.name == "hello" && element.namespace == BASE);
         let Some(capabilities) = capabilities else {
-            return Step::Over("the first message is no hello");
+            return Step::Abort("the first message is no hello");
         };
-        let says = |base: &str| {
+        let supports = |base: &str| {
             capabilities
                 .children
                 .iter()
                 .any(|child| child.text.trim() == base)
         };
-        if !says(CAPABILITIES[0]) && !says(CAPABILITIES[1]) {
-            return Step::Over("no base version in common");
+        if !supports(CAPABILITIES[0]) && !supports(CAPABILITIES[1]) {
+            return Step::Abort("no base version in common");
         }
-        (self.greeted, self.chunks) = (true, says(CAPABILITIES[1]));
+        (self.hello_received, self.peer_chunks) = (true, supports(CAPABILITIES[1]));
         Step::Reply(String::new())
     }
 
     fn malformed(&self, why: &str) -> Step {
         // There is no message-id to answer with (RFC 6241, section 4.1); the session goes on.
-        if !self.greeted {
-            return Step::Over("the first message is no hello");
+        if !self.hello_received {
+            return Step::Abort("the first message is no hello");
         }
         let error = RpcError::new(
             "rpc",
@@ -209,27 +202,31 @@
     }
 
     /// The commit service's answer to what was asked.
-    pub fn answered(
+    pub fn complete(
         &mut self,
-        asked: &DatastoreOperation,
-        answer: Result<(), CommitError>,
+        operation: &DatastoreOperation,
+        result: Result<(), CommitError>,
     ) -> String {
-        match answer {
+        match result {
             Ok(()) => {
                 if matches!(
-                    asked,
+                    operation,
                     DatastoreOperation::Commit { .. } | DatastoreOperation::Cancel { .. }
                 ) {
                     self.candidate = None;
                 }
                 self.ok()
             }
-            Err(refused) => self.errors(&refusal_errors(&refused)),
+            Err(error) => self.errors(&commit_errors(&error)),
         }
     }
 
-    /// Who asks, for the commit service's records.
-    pub fn asked_by(&self) -> Author {
-        self.author()
+    /// The author of the revisions that the session commits.
+    pub fn author(&self) -> Author {
+        Author {
+            source: Source::Management,
+            name: self.name.clone(),
+            version: format!("netconf session {}", self.id),
+        }
     }
 }
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -14,7 +14,7 @@
 impl Session {
     pub(super) fn operation(
         &mut self,
-        of: &Element,
+        operation: &Element,
         rights: Rights,
         commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
@@ -22,14 +22,14 @@
             .schema
             .modules
             .iter()
-            .find(|module| module.namespace == of.namespace);
+            .find(|module| module.namespace == operation.namespace);
         if let Some(module) = own {
-            let name = format!("{}:{}", module.name, of.name);
-            return self.trial(of, &name, rights, commit_service);
+            let name = format!("{}:{}", module.name, operation.name);
+            return self.rollout_operation(operation, &name, rights, commit_service);
         }
-        match (of.namespace.as_str(), of.name.as_str()) {
-            (BASE, "get" | "get-config") => self.get(of, rights, commit_service),
-            (BASE, "edit-config") => self.edit_config(of, rights, commit_service),
+        match (operation.namespace.as_str(), operation.name.as_str()) {
+            (BASE, "get" | "get-config") => self.get(operation, rights, commit_service),
+            (BASE, "edit-config") => self.edit_config(operation, rights, commit_service),
             (BASE, "copy-config") => {
                 Err(vec![unsupported("copy-config", "edit-config with replace")])
             }
@@ -38,24 +38,24 @@
                 "edit-config with delete",
             )]),
             (BASE, "lock") => Ok(Step::Perform(DatastoreOperation::Lock(target(
-                of, "target",
+                operation, "target",
             )?))),
             (BASE, "unlock") => Ok(Step::Perform(DatastoreOperation::Unlock(target(
-                of, "target",
+                operation, "target",
             )?))),
-            (BASE, "validate") => self.validate(of, commit_service),
-            (BASE, "commit") => self.commit(of, rights, commit_service),
+            (BASE, "validate") => self.validate(operation, commit_service),
+            (BASE, "commit") => self.commit(operation, rights, commit_service),
             (BASE, "cancel-commit") => Ok(Step::Perform(DatastoreOperation::Cancel {
-                persist_id: text(of, "persist-id"),
+                persist_id: text(operation, "persist-id"),
             })),
             (BASE, "discard-changes") => {
                 self.candidate = None;
                 Ok(Step::Reply(self.ok()))
             }
             (BASE, "close-session") => Ok(Step::Close(self.ok())),
-            (BASE, "kill-session") => self.kill_session(of),
-            (NOTIFICATIONS, "create-subscription") => self.create_subscription(of, rights),
-            (MONITORING, "get-schema") => self.get_schema(of),
+            (BASE, "kill-session") => self.kill_session(operation),
+            (NOTIFICATIONS, "create-subscription") => self.create_subscription(operation, rights),
+            (MONITORING, "get-schema") => self.get_schema(operation),
             (_, other) => {
                 let error = RpcError::unknown(other);
                 Err(vec![RpcError {
@@ -69,15 +69,15 @@
     /// `get`: what operators set and the router's own state. `get-config`: what operators set, in one datastore.
     fn get(
         &mut self,
-        of: &Element,
+        operation: &Element,
         rights: Rights,
         commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
         if !rights.read {
             return Err(vec![denied("reading", rights)]);
         }
-        let filter = self.filter(of.child("filter"))?;
-        let data = if of.name == "get" {
+        let filter = self.filter(operation.child("filter"))?;
+        let data = if operation.name == "get" {
             state::operational_data(
                 self.schema,
                 &self.binding,
@@ -85,7 +85,7 @@
                 &commit_service.published.load(),
             )
         } else {
-            let tree = match target(of, "source")? {
+            let tree = match target(operation, "source")? {
                 Target::Running => commit_service.published.load().in_force.tree.clone(),
                 Target::Candidate => {
                     std::sync::Arc::new(self.candidate(commit_service).tree.clone())
@@ -98,10 +98,10 @@
 
     fn validate(
         &mut self,
-        of: &Element,
+        operation: &Element,
         commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
-        let source = of
+        let source = operation
             .child("source")
             .ok_or_else(|| vec![RpcError::missing("source")])?;
         let candidate = match source.child("config") {
@@ -111,7 +111,7 @@
                 self.edited(&mut candidate.tree, config, Operation::Merge)?;
                 candidate
             }
-            None => match target(of, "source")? {
+            None => match target(operation, "source")? {
                 Target::Running => Candidate::new(&commit_service.published.load().in_force),
                 Target::Candidate => self.candidate(commit_service).clone(),
             },
@@ -119,25 +119,33 @@
         Ok(Step::Perform(DatastoreOperation::Validate(candidate)))
     }
 
-    fn kill_session(&self, of: &Element) -> Result<Step, Vec<RpcError>> {
-        let said = text(of, "session-id").ok_or_else(|| vec![RpcError::missing("session-id")])?;
-        let session = said
+    fn kill_session(&self, operation: &Element) -> Result<Step, Vec<RpcError>> {
+        let value =
+            text(operation, "session-id").ok_or_else(|| vec![RpcError::missing("session-id")])?;
+        let session = value
             .parse()
             .ok()
             .filter(|number| *number != self.id.0 && *number > 0);
-        let wrong = || {
+        let invalid = || {
             vec![RpcError::invalid(
                 "session-id",
                 "is no other session",
-                &said,
+                &value,
                 "another session's id",
             )]
         };
-        Ok(Step::Kill(SessionId(session.ok_or_else(wrong)?), self.ok()))
+        Ok(Step::Kill(
+            SessionId(session.ok_or_else(invalid)?),
+            self.ok(),
+        ))
     }
 
     /// A subscription to all notifications from now on (RFC 5277, section 2.1.1).
-    fn create_subscription(&mut self, of: &Element, rights: Rights) -> Result<Step, Vec<RpcError>> {
+    fn create_subscription(
+        &mut self,
+        operation: &Element,
+        rights: Rights,
+    ) -> Result<Step, Vec<RpcError>> {
         if !rights.read {
             return Err(vec![denied("reading", rights)]);
         }
@@ -148,7 +156,7 @@
                 "this session is subscribed already",
             )]);
         }
-        let stream = text(of, "stream").unwrap_or_else(|| "NETCONF".into());
+        let stream = text(operation, "stream").unwrap_or_else(|| "NETCONF".into());
         if stream != "NETCONF" {
             return Err(vec![RpcError::invalid(
                 "stream",
@@ -159,7 +167,7 @@
         }
         if let Some(other) = ["startTime", "stopTime", "filter"]
             .into_iter()
-            .find(|name| of.child(name).is_some())
+            .find(|name| operation.child(name).is_some())
         {
             return Err(vec![unsupported(
                 other,
@@ -171,8 +179,9 @@
     }
 
     /// The text of a module (RFC 6022, section 3.1).
-    fn get_schema(&self, of: &Element) -> Result<Step, Vec<RpcError>> {
-        let name = text(of, "identifier").ok_or_else(|| vec![RpcError::missing("identifier")])?;
+    fn get_schema(&self, operation: &Element) -> Result<Step, Vec<RpcError>> {
+        let name =
+            text(operation, "identifier").ok_or_else(|| vec![RpcError::missing("identifier")])?;
         let module = self
             .schema
             .modules
@@ -203,13 +212,15 @@
     }
 }
 
-pub(super) fn text(of: &Element, name: &str) -> Option<String> {
-    of.child(name).map(|child| child.text.trim().to_owned())
+pub(super) fn text(operation: &Element, name: &str) -> Option<String> {
+    operation
+        .child(name)
+        .map(|child| child.text.trim().to_owned())
 }
 
 /// Which datastore an operation names.
-pub(super) fn target(of: &Element, name: &str) -> Result<Target, Vec<RpcError>> {
-    let named = of
+pub(super) fn target(operation: &Element, name: &str) -> Result<Target, Vec<RpcError>> {
+    let named = operation
         .child(name)
         .ok_or_else(|| vec![RpcError::missing(name)])?;
     match named.children.first().map(|child| child.name.as_str()) {
--- a/management/src/netconf/session/trial.rs
+++ b/management/src/netconf/session/rollout_operations.rs
@@ -11,16 +11,21 @@
 
 impl Session {
     /// The model's own operations: what is asked of the build on trial.
-    pub(super) fn trial(
+    pub(super) fn rollout_operation(
         &mut self,
-        of: &Element,
+        operation: &Element,
         name: &str,
         rights: Rights,
         commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
-        let Some(input) = self.schema.rpcs.get(&of.name).copied() else {
+        let Some(input) = self.schema.rpcs.get(&operation.name).copied() else {
             let known: Vec<_> = self.schema.rpcs.keys().map(String::as_str).collect();
-            let error = RpcError::invalid(name, "no such operation", &of.name, &known.join(", "));
+            let error = RpcError::invalid(
+                name,
+                "no such operation",
+                &operation.name,
+                &known.join(", "),
+            );
             return Err(vec![RpcError {
                 tag: "operation-not-supported".into(),
                 ..error
@@ -31,7 +36,7 @@
             self.schema,
             Some(input),
             &InstancePath::default(),
-            &of.children,
+            &operation.children,
             &mut errors,
         );
         if !errors.is_empty() {
@@ -43,16 +48,16 @@
             .and_then(|edit| edit.value.clone());
         let mut candidate = Candidate::new(&commit_service.published.load().in_force);
         let before = candidate.tree.clone();
-        if of.name == "let-trial-go" {
+        if operation.name == "let-trial-go" {
             candidate.tree.rollout = Default::default();
         } else {
             let build = build.ok_or_else(|| vec![RpcError::missing("build")])?;
-            let ask = if of.name == "hold-trial" {
+            let leaf = if operation.name == "hold-trial" {
                 "ring/hold"
             } else {
                 "ring/back"
             };
-            for (at, text) in [("ring/build", build.as_str()), (ask, "true")] {
+            for (at, text) in [("ring/build", build.as_str()), (leaf, "true")] {
                 let path: Path = at.parse().map_err(|error| vec![validation_error(&error)])?;
                 self.binding
                     .set_leaf(&mut candidate.tree, &path, text)
--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -58,12 +58,12 @@
         RpcError { info, ..self }
     }
 
-    pub(super) fn invalid(path: &str, what: &str, given: &str, taken: &str) -> Self {
-        let given = kestreltide_datastore::tree_builder::printable(given);
+    pub(super) fn invalid(path: &str, problem: &str, found: &str, expected: &str) -> Self {
+        let found = kestreltide_datastore::tree_builder::printable(found);
         Self::new(
             "protocol",
             "invalid-value",
-            ValidationError::new(path, what, given, taken).to_string(),
+            ValidationError::new(path, problem, found, expected).to_string(),
         )
     }
 
@@ -165,8 +165,8 @@
     }
 }
 
-pub(super) fn refusal_errors(refused: &CommitError) -> Vec<RpcError> {
-    match refused {
+pub(super) fn commit_errors(commit_error: &CommitError) -> Vec<RpcError> {
+    match commit_error {
         CommitError::Invalid(invalid) => {
             let mut errors: Vec<_> = invalid.first.iter().map(validation_error).collect();
             if invalid.more > 0 {
@@ -179,14 +179,14 @@
             errors
         }
         CommitError::Locked(holder) => {
-            let error = RpcError::new("protocol", "lock-denied", refused.to_string());
+            let error = RpcError::new("protocol", "lock-denied", commit_error.to_string());
             vec![RpcError {
                 info: vec![("session-id", holder.to_string())],
                 ..error
             }]
         }
         CommitError::CommitPending(pending) => {
-            let error = RpcError::new("protocol", "in-use", refused.to_string());
+            let error = RpcError::new("protocol", "in-use", commit_error.to_string());
             vec![RpcError {
                 info: vec![(
                     "session-id",
@@ -198,30 +198,30 @@
         CommitError::NoPendingCommit => vec![RpcError::new(
             "protocol",
             "invalid-value",
-            refused.to_string(),
+            commit_error.to_string(),
         )],
         CommitError::LockNotHeld => vec![RpcError::new(
             "protocol",
             "operation-failed",
-            refused.to_string(),
+            commit_error.to_string(),
         )],
     }
 }
 
-pub(super) fn denied(what: &str, rights: Rights) -> RpcError {
+pub(super) fn denied(problem: &str, rights: Rights) -> RpcError {
     RpcError::new(
         "protocol",
         "access-denied",
         format!(
-            "{what}: is beyond the rights of this key (given: {rights}; taken: the right read)"
+            "{problem}: is beyond the rights of this key (given: {rights}; taken: the right read)"
         ),
     )
 }
 
-pub(super) fn unsupported(what: &str, taken: &str) -> RpcError {
+pub(super) fn unsupported(problem: &str, expected: &str) -> RpcError {
     RpcError::new(
         "protocol",
         "operation-not-supported",
-        format!("{what}: is not served here (given: {what}; taken: {taken})"),
+        format!("{problem}: is not served here (given: {problem}; taken: {expected})"),
     )
 }
--- a/management/tests/netconf.rs
+++ b/management/tests/netconf.rs
@@ -111,11 +111,11 @@
             | Step::Close(reply)
             | Step::Kill(_, reply)
             | Step::Subscribe(reply) => reply,
-            Step::Over(why) => panic!("over: {why}"),
+            Step::Abort(why) => panic!("over: {why}"),
             Step::Perform(asked) => {
-                let answer = self.ask(session.id, session.asked_by(), &asked);
+                let answer = self.ask(session.id, session.author(), &asked);
                 self.handle.published.store(Arc::new(self.desk.status()));
-                session.answered(&asked, answer)
+                session.complete(&asked, answer)
             }
         }
     }
@@ -540,7 +540,7 @@
     );
     assert!(matches!(
         session.message(message.as_bytes(), ALL, &rig.handle),
-        Step::Over(_)
+        Step::Abort(_)
     ));
 }
 
