--- a/datastore/tests/golden_stored_state.rs
+++ b/datastore/tests/golden_stored_state.rs
@@ -19,7 +19,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use kestreltide_datastore::commit_coordinator::{Pending, SessionId};
+use kestreltide_datastore::commit_coordinator::{PendingCommit, SessionId};
 use kestreltide_datastore::store::RejectedCommit;
 use kestreltide_datastore::{
     Author, DatastoreState, Path, RevisionRecord, Rule, Source, Tree, ValidationError,
@@ -94,31 +94,36 @@
     tree
 }
 
-fn refusals() -> VecDeque<RejectedCommit> {
+fn rejected_commits() -> VecDeque<RejectedCommit> {
     let mut first = ValidationErrors::default();
     let rules = [
         Rule::OneAnswer,
         Rule::NoEffectTwice,
         Rule::DrainsKept,
-        Rule::ColdHostsCarried,
+        Rule::WarmUpRespected,
         Rule::ExposureCapped,
     ];
     for (number, rule) in rules.into_iter().enumerate() {
         let path = format!("hosts/h{number}/state");
-        first.push(ValidationError::new(path, "breaks a rule", "out", "in-service").by(rule));
+        first
+            .push(ValidationError::new(path, "breaks a rule", "out", "in-service").with_rule(rule));
     }
     first.more = 3;
     let passing = ValidationError::new("running", "is locked", "a commit", "the same later");
-    let last = ValidationErrors::from(passing.by(Rule::DrainsKept).passing(START + 400.5));
-    let refusal = |after: f64, stays, author, errors| RejectedCommit {
+    let last = ValidationErrors::from(
+        passing
+            .with_rule(Rule::DrainsKept)
+            .with_retry_at(START + 400.5),
+    );
+    let rejected = |after: f64, revision, author, errors| RejectedCommit {
         at: START + after,
         author,
-        stays,
+        revision,
         errors,
     };
     VecDeque::from([
-        refusal(150.0, 2, author(Source::Management, "eva", ""), first),
-        refusal(350.5, 4, author(Source::Files, "operators", "autumn"), last),
+        rejected(150.0, 2, author(Source::Management, "eva", ""), first),
+        rejected(350.5, 4, author(Source::Files, "operators", "autumn"), last),
     ])
 }
 
@@ -151,20 +156,20 @@
     DatastoreState {
         revision: 5,
         tree: Arc::new(trees[5].clone()),
-        seen: Arc::new([(host("b"), START + 0.25), (host("c"), START + 0.5)].into()),
+        first_listed: Arc::new([(host("b"), START + 0.25), (host("c"), START + 0.5)].into()),
         drained: [(host("b"), START + 0.75)].into(),
         history: history.collect(),
-        refusals: refusals(),
+        rejections: rejected_commits(),
     }
 }
 
 /// A pending commit of a session, and one that outlives its session by a name.
-fn stored_pending() -> [Pending; 2] {
-    let pending = |session, persist| Pending {
-        to: 4,
-        until: START + 1000.5,
+fn stored_pending() -> [PendingCommit; 2] {
+    let pending = |session, persist_id| PendingCommit {
+        rolls_back_to: 4,
+        expires_at: START + 1000.5,
         session,
-        persist,
+        persist_id,
         author: author(Source::Management, "ana", "8"),
     };
     [
@@ -211,7 +216,7 @@
     let bytes = golden("older-tree.json");
     let read: Tree = serde_json::from_str(&bytes).expect("it is still read");
     let mut expected = (*stored_state().tree).clone();
-    (expected.routes, expected.ring) = Default::default();
+    (expected.routes, expected.rollout) = Default::default();
     assert_eq!(read, expected);
 }
 
