--- a/router/src/management_threads/datastore_thread.rs
+++ b/router/src/management_threads/datastore_thread.rs
@@ -25,7 +25,7 @@
 
 use super::persistence::{self, PendingVersion, PersistedState};
 use super::settings::FileWatchSettings;
-use crate::routing::{Notice, Pulse};
+use crate::routing::{Heartbeat, ManagementMessage};
 use crate::transport::{Clock, InboxSender};
 
 /// What is asked of the keeper.
@@ -194,12 +194,12 @@
         &mut self,
         asked: &Receiver<DatastoreRequest>,
         view: &ArcSwap<View>,
-        post: &InboxSender<Notice>,
-        pulse: &Pulse,
+        post: &InboxSender<ManagementMessage>,
+        heartbeat: &Heartbeat,
     ) {
         loop {
             let now = self.clock.now();
-            pulse.beat(now);
+            heartbeat.record(now);
             let due = self
                 .waiting
                 .as_ref()
@@ -227,7 +227,7 @@
             for snapshot in undone.into_iter().chain(reply.taken.clone()) {
                 self.posted.push_back(snapshot.clone());
                 // A full box holds this thread up, never the loop; a loop that is gone needs nothing more.
-                gone |= post.send(Notice::Revision(snapshot)).is_err();
+                gone |= post.send(ManagementMessage::Revision(snapshot)).is_err();
             }
             self.publish();
             // Whoever is told that it is committed can read it.
@@ -248,7 +248,7 @@
         }
         self.saved = f64::MIN;
         self.save(Some(&view.load()));
-        pulse.beat(0.0);
+        heartbeat.record(0.0);
     }
 
     /// What fronts hold to reach this thread.
