--- /dev/null
+++ b/tests/connections.rs
@@ -0,0 +1,51 @@
+//! Connections: pairs of hosts in large fleets, and idle connections that are dropped.
+
+mod fake;
+
+use fake::*;
+use kestreltide::interface::*;
+use rstest::rstest;
+
+#[rstest]
+#[case::hundreds(600, 4..=30)]
+#[case::a_few(4, 90..=120)]
+fn a_router_keeps_to_the_hosts_that_its_traffic_keeps_connected(
+    #[case] routers: u32,
+    #[case] met: std::ops::RangeInclusive<usize>,
+) {
+    let mut fake = Fake::new(ServiceSettings { routers, ..terms() }, 120);
+    (1..26).for_each(|from| peer_tells(&mut fake, from, 100.0));
+    fake.run(0.3, |_, _| (AttemptOutcome::Succeeded, 0.1));
+    (1..26).for_each(|from| peer_tells(&mut fake, from, 100.0));
+    let (_, sent) = fake.run(2.0, |_, _| (AttemptOutcome::Succeeded, 0.1));
+    (1..26).for_each(|from| peer_tells(&mut fake, from, 100.0));
+    let (_, more) = fake.run(20.0, |_, _| (AttemptOutcome::Succeeded, 0.1));
+    let more = if routers > 100 { vec![] } else { more };
+    let hosts: std::collections::BTreeSet<_> = sent.iter().chain(&more).map(|h| h.host).collect();
+    assert!(met.contains(&hosts.len()), "{}", hosts.len());
+}
+
+#[test]
+fn connections_lost_after_time_without_use_are_closed_before_the_next() {
+    let mut fake = Fake::new(terms(), 1);
+    let mut closed = |_| {
+        fake.now += 1.0;
+        let (id, effects) = fake.ask(READ, None);
+        let fresh = effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::CloseIdleConnections { .. }));
+        let how = if fresh {
+            (AttemptOutcome::Succeeded, 0.1)
+        } else {
+            (AttemptOutcome::Reset, 0.1)
+        };
+        let more = fake.end(&id, 0, how.0, how.1);
+        (sent_to(&more).is_some()).then(|| fake.end(&id, 1, AttemptOutcome::Succeeded, 0.1));
+        fresh
+    };
+    let closed: Vec<_> = (0..20).map(&mut closed).collect();
+    assert!(
+        !closed[0] && closed[5..].iter().filter(|fresh| **fresh).count() >= 12,
+        "{closed:?}"
+    );
+}
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -243,3 +243,31 @@
         _ => None,
     })
 }
+
+/// Every fourth host already runs the new build, started long before.
+pub fn on_trial(terms: ServiceSettings, hosts: u64) -> Fake {
+    on_trial_after(0.1, terms, hosts)
+}
+
+/// The same, after the hosts have answered in this time.
+pub fn on_trial_after(took: f64, terms: ServiceSettings, hosts: u64) -> Fake {
+    let mut fake = Fake::new(terms, hosts);
+    fake.run(4.0, |_, _| (AttemptOutcome::Succeeded, took));
+    fake.feed(news(NEW, 0, Phase::Canary, 0.3));
+    let build = |id: u64| if id.is_multiple_of(4) { NEW } else { OLD };
+    fake.list((0..hosts).map(|id| host(id, build(id), None)).collect());
+    fake
+}
+
+/// What a peer that took so many invocations tells; it knows nothing of the build yet.
+pub fn peer_tells(fake: &mut Fake, from: u32, taken: f32) {
+    let mut payload = vec![0, 0, 7, 0];
+    [taken, 1.0]
+        .iter()
+        .for_each(|figure| payload.extend(&figure.to_le_bytes()[2..]));
+    payload.resize(payload.len() + 2 * 36, 0);
+    fake.feed(Event::GossipReceived {
+        from: RouterId(from),
+        payload,
+    });
+}
--- /dev/null
+++ b/tests/retries.rs
@@ -0,0 +1,85 @@
+//! Retries and hedged attempts: idempotency, windows and the budget.
+
+mod fake;
+
+use fake::*;
+use kestreltide::interface::*;
+use rstest::rstest;
+
+#[test]
+fn what_follows_a_reset_is_not_paid_by_what_is_saved_for_further_dispatches() {
+    let mut fake = Fake::new(terms(), 4);
+    let again = |fake: &mut Fake, outcome| {
+        let (id, _) = fake.ask(READ, None);
+        let sent = sent_to(&fake.end(&id, 0, outcome, 0.01)).is_some();
+        fake.end(&id, 1, AttemptOutcome::Succeeded, 0.01);
+        sent
+    };
+    assert!((0..40).all(|_| again(&mut fake, AttemptOutcome::Reset)));
+    assert!(!(0..40).all(|_| again(&mut fake, AttemptOutcome::Error)));
+}
+
+#[rstest]
+#[case::error(AttemptOutcome::Error, false)]
+#[case::timed_out(AttemptOutcome::TimedOut, false)]
+#[case::reset(AttemptOutcome::Reset, false)]
+#[case::turned_away(AttemptOutcome::Rejected, true)]
+#[case::out_of_reach(AttemptOutcome::NoConnection, true)]
+fn a_side_effecting_invocation_that_may_have_run_is_never_repeated(
+    #[case] outcome: AttemptOutcome,
+    #[case] again: bool,
+) {
+    let mut fake = Fake::new(terms(), 4);
+    let (id, _) = fake.ask(ONCE, None);
+    let effects = fake.end(&id, 0, outcome, 0.1);
+    assert_eq!(sent_to(&effects).is_some(), again);
+    assert_eq!(
+        effects.contains(&Effect::FailRequest { request: id }),
+        !again
+    );
+}
+
+#[test]
+fn a_fingerprinted_invocation_is_not_repeated_once_hosts_forget_it() {
+    let mut fake = Fake::new(terms(), 4);
+    let (early, _) = fake.ask(CHANGE, None);
+    fake.now += 0.2;
+    assert!(sent_to(&fake.end(&early, 0, AttemptOutcome::Error, 0.2)).is_some());
+    let (late, _) = fake.ask(CHANGE, None);
+    fake.now += 0.6;
+    assert_eq!(
+        fake.end(&late, 0, AttemptOutcome::Error, 0.6),
+        [Effect::FailRequest { request: late }]
+    );
+}
+
+#[rstest]
+#[case::one_at_a_time(false)]
+#[case::copies_allowed(true)]
+fn two_dispatches_are_out_at_once_only_where_copies_are_allowed(#[case] may_hedge: bool) {
+    let mut fake = Fake::new(
+        ServiceSettings {
+            may_hedge,
+            ..terms()
+        },
+        4,
+    );
+    let (_, effects) = fake.ask(READ, None);
+    assert!(sent_to(&effects).is_some());
+    let alarms = effects.iter().filter_map(|effect| match effect {
+        Effect::ScheduleTimer { at, key } => Some((*at, *key)),
+        _ => None,
+    });
+    let copies = alarms.collect::<Vec<_>>().into_iter().filter(|(at, key)| {
+        fake.now = *at;
+        sent_to(&fake.feed(Event::TimerExpired { key: *key })).is_some()
+    });
+    assert_eq!(copies.count(), usize::from(may_hedge));
+}
+
+#[test]
+fn hosts_that_are_full_draw_no_storm_of_further_dispatches() {
+    let mut fake = Fake::new(terms(), 4);
+    let (_, sent) = fake.run(4.0, |_, _| (AttemptOutcome::Rejected, 0.01));
+    assert!(sent.len() <= 240, "{}", sent.len());
+}
