--- a/datastore/tests/golden_stored_state.rs
+++ b/datastore/tests/golden_stored_state.rs
@@ -94,7 +94,7 @@
     tree
 }
 
-fn refusals() -> VecDeque<RejectedCommit> {
+fn rejected_commits() -> VecDeque<RejectedCommit> {
     let mut first = ValidationErrors::default();
     let rules = [
         Rule::OneAnswer,
@@ -115,15 +115,15 @@
             .with_rule(Rule::DrainsKept)
             .with_retry_at(START + 400.5),
     );
-    let refusal = |after: f64, stays, author, errors| RejectedCommit {
+    let rejected = |after: f64, revision, author, errors| RejectedCommit {
         at: START + after,
         author,
-        revision: stays,
+        revision,
         errors,
     };
     VecDeque::from([
-        refusal(150.0, 2, author(Source::Management, "eva", ""), first),
-        refusal(350.5, 4, author(Source::Files, "operators", "autumn"), last),
+        rejected(150.0, 2, author(Source::Management, "eva", ""), first),
+        rejected(350.5, 4, author(Source::Files, "operators", "autumn"), last),
     ])
 }
 
@@ -159,17 +159,17 @@
         first_listed: Arc::new([(host("b"), START + 0.25), (host("c"), START + 0.5)].into()),
         drained: [(host("b"), START + 0.75)].into(),
         history: history.collect(),
-        rejections: refusals(),
+        rejections: rejected_commits(),
     }
 }
 
 /// A pending commit of a session, and one that outlives its session by a name.
 fn stored_pending() -> [PendingCommit; 2] {
-    let pending = |session, persist| PendingCommit {
+    let pending = |session, persist_id| PendingCommit {
         rolls_back_to: 4,
         expires_at: START + 1000.5,
         session,
-        persist_id: persist,
+        persist_id,
         author: author(Source::Management, "ana", "8"),
     };
     [
