--- a/file-watch/src/ini.rs
+++ b/file-watch/src/ini.rs
@@ -1,5 +1,6 @@
-//! INI as all operators' files have it: sections, keys, and the line of each for whoever has to mend it. The
-//! reading itself is rust-ini's; it does not tell lines, which are found again in the text.
+//! INI as all operators' files have it: sections, keys, and the line of each for whoever has to correct it.
+//!
+//! The parser is rust-ini's; it gives no line numbers, which are found again in the text.
 
 use ini::{Ini, ParseOption};
 use kestreltide_datastore::tree_builder::printable;
@@ -27,7 +28,11 @@
     pub keys: Vec<Key>,
 }
 
-/// The sections of a text in their order, those of one name apart.
+/// The sections of a text in their order, those of one name apart; `place` is the text as it is shown.
+///
+/// # Errors
+///
+/// The first line that is no INI.
 pub fn sections(place: &str, text: &str) -> Result<Vec<Section>, ValidationError> {
     if let Some(at) = text.find('\0') {
         let line = text[..at].matches('\n').count() + 1;
@@ -43,7 +48,7 @@
         enabled_escape: false,
         ..ParseOption::default()
     };
-    let read = Ini::load_from_str_opt(text, options).map_err(|e| {
+    let parsed = Ini::load_from_str_opt(text, options).map_err(|e| {
         let found = text
             .lines()
             .nth(e.line.saturating_sub(1))
@@ -55,105 +60,102 @@
             "[section] or key = value",
         )
     })?;
-    let mut lines = Lines::of(text);
-    let mut all: Vec<Section> = Vec::new();
-    for (name, keys) in read.iter() {
+    let mut lines = LineFinder::new(text);
+    let mut sections: Vec<Section> = Vec::new();
+    for (name, keys) in parsed.iter() {
         let name = name.unwrap_or_default().trim().to_owned();
-        if name.is_empty() && keys.is_empty() && all.is_empty() {
+        if name.is_empty() && keys.is_empty() && sections.is_empty() {
             continue;
         }
-        let line = lines.section(&name);
-        let keys = keys.iter().map(|(key, value)| {
-            let (name, value) = (key.trim().to_owned(), value.trim().to_owned());
+        let line = lines.line_of_section(&name);
+        let keys = keys.iter().map(|(name, value)| {
+            let name = name.trim().to_owned();
             Key {
-                line: lines.key(&name),
+                line: lines.line_of_key(&name),
                 name,
-                value,
+                value: value.trim().to_owned(),
             }
         });
-        all.push(Section {
-            line,
-            name,
-            keys: keys.collect(),
-        });
+        let keys = keys.collect();
+        sections.push(Section { line, name, keys });
     }
-    Ok(all)
+    Ok(sections)
 }
 
-/// Lines of the text, walked once from top to bottom as rust-ini gives sections and keys in their order.
-struct Lines<'a> {
-    text: Vec<&'a str>,
-    at: usize,
+/// Finds the lines of sections and keys, once from top to bottom, as rust-ini gives them in their order.
+struct LineFinder<'a> {
+    lines: Vec<&'a str>,
+    /// Where the next search begins.
+    next: usize,
 }
 
-impl<'a> Lines<'a> {
-    fn of(text: &'a str) -> Self {
-        Lines {
-            text: text.lines().map(str::trim).collect(),
-            at: 0,
+impl<'a> LineFinder<'a> {
+    fn new(text: &'a str) -> Self {
+        LineFinder {
+            lines: text.lines().map(str::trim).collect(),
+            next: 0,
         }
     }
 
-    fn find(&mut self, is: impl Fn(&str) -> bool) -> usize {
+    /// The number of the next line that fulfils a condition, from 1; 0 where there is none.
+    fn find(&mut self, condition: impl Fn(&str) -> bool) -> usize {
         // Where the order is not that of the text, the search begins anew.
-        let found = (self.at..self.text.len())
-            .chain(0..self.at)
-            .find(|line| is(self.text[*line]));
-        self.at = found.map_or(self.at, |line| line + 1);
-        found.map_or(0, |line| line + 1)
+        let found = (self.next..self.lines.len())
+            .chain(0..self.next)
+            .find(|line| condition(self.lines[*line]));
+        match found {
+            Some(line) => {
+                self.next = line + 1;
+                line + 1
+            }
+            None => 0,
+        }
     }
 
-    fn section(&mut self, name: &str) -> usize {
+    fn line_of_section(&mut self, name: &str) -> usize {
         if name.is_empty() {
             return 1;
         }
         self.find(|line| {
             line.strip_prefix('[')
                 .and_then(|rest| rest.split(']').next())
-                .is_some_and(|is| is.trim() == name)
+                .is_some_and(|found| found.trim() == name)
         })
     }
 
-    fn key(&mut self, name: &str) -> usize {
+    fn line_of_key(&mut self, name: &str) -> usize {
         self.find(|line| {
             line.split(['=', ':'])
                 .next()
-                .is_some_and(|is| is.trim() == name)
+                .is_some_and(|found| found.trim() == name)
         })
     }
 }
 
-/// The known name that is nearest, for who mistyped one.
+/// The known name that is nearest to a mistyped one.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    let near = known
+    known
         .into_iter()
-        .map(|known| (strsim::damerau_levenshtein(name, known), known));
-    near.min_by_key(|(distance, _)| *distance)
-        .map(|(_, known)| known)
+        .min_by_key(|known| strsim::damerau_levenshtein(name, known))
 }
 
-/// That a name is not known, and which may have been meant.
+/// The error of a name that is not known, with the one that may have been meant; `kind` is what it names.
 pub fn unknown_name<'a>(
     path: &str,
-    what: &str,
+    kind: &str,
     name: &str,
     known: impl IntoIterator<Item = &'a str> + Clone,
 ) -> ValidationError {
     let names: Vec<_> = known.clone().into_iter().collect();
-    let taken = match nearest(name, known) {
-        Some(near) => format!("{near}? All: {}", names.join(", ")),
+    let expected = match nearest(name, known) {
+        Some(nearest) => format!("{nearest}? All: {}", names.join(", ")),
         None => "nothing".into(),
     };
-    ValidationError::new(path, format!("no such {what}"), printable(name), taken)
+    ValidationError::new(path, format!("no such {kind}"), printable(name), expected)
 }
 
-/// Pushes a fault for each key that stands twice, or is not among these.
-pub fn check_keys(
-    place: &str,
-    section: &Section,
-    known: &[&str],
-    validation_errors: &mut ValidationErrors,
-) {
+/// Adds an error for each key that is there twice, or is not known.
+pub fn check_keys(place: &str, section: &Section, known: &[&str], errors: &mut ValidationErrors) {
     for (number, key) in section.keys.iter().enumerate() {
         let path = format!(
             "{place}:{}: [{}] {}",
@@ -162,12 +164,12 @@
             printable(&key.name)
         );
         if !known.contains(&key.name.as_str()) {
-            validation_errors.push(unknown_name(&path, "key", &key.name, known.iter().copied()));
+            errors.push(unknown_name(&path, "key", &key.name, known.iter().copied()));
         } else if section.keys[..number]
             .iter()
             .any(|before| before.name == key.name)
         {
-            validation_errors.push(ValidationError::new(
+            errors.push(ValidationError::new(
                 path,
                 "stands twice",
                 printable(&key.value),
--- a/file-watch/src/lib.rs
+++ b/file-watch/src/lib.rs
@@ -1,8 +1,8 @@
-//! Files that operators edit by hand, taken in whole versions or not at all.
+//! Files that operators edit by hand, read as complete versions or not at all.
 //!
-//! `ini` reads INI with places, `form` what the files say, `debounce` decides when what was read is a version
-//! (both without I/O); `read` reads files that may be anything, `notifier` hears of changes, and `watch` joins
-//! them in a thread of its own.
+//! [`ini`] reads INI with line numbers, [`parse`] what the files give, and [`debounce`] decides when what was read is a
+//! version, all three without I/O. [`read_file`] reads files that may be anything, [`notifier`] is notified of changes,
+//! and [`watch`] joins them in a thread of its own.
 
 pub mod debounce;
 pub mod ini;
@@ -14,4 +14,6 @@
 pub use debounce::{DebounceAction, DebounceSettings, Debouncer};
 pub use parse::{FileKind, Parsed, Version, parse_keys, parse_version};
 pub use read_file::{Content, ReadError};
-pub use watch::{WatchEvent, WatchSettings, parse_files, poll_files, run};
+pub use watch::{
+    WakeChannel, WatchEvent, WatchSettings, parse_files, poll_files, run, wake_channel,
+};
--- a/file-watch/src/notifier.rs
+++ b/file-watch/src/notifier.rs
@@ -1,5 +1,6 @@
-//! Notices of changes in the folders of the watched files, through the machine's own. They only say that it is
-//! time to look: a lost or surplus one does no harm, as looks go on without any.
+//! Notifications of changes in the folders of the watched files, from the operating system.
+//!
+//! They only say that it is time to look: a lost or surplus one does no harm, as looks go on without any.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -9,70 +10,82 @@
 
 use notify::{Event, RecommendedWatcher, RecursiveMode, Watcher};
 
+/// What makes a folder the same one, whatever its path.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct FolderId {
+    device: u64,
+    inode: u64,
+}
+
+impl FolderId {
+    fn at(path: &Path) -> Option<Self> {
+        let metadata = fs::metadata(path).ok()?;
+        Some(FolderId {
+            device: metadata.dev(),
+            inode: metadata.ino(),
+        })
+    }
+}
+
 /// The watches on the folders of all files.
 pub struct FileNotifier {
     watcher: Option<RecommendedWatcher>,
-    /// Which folder was found at each path when its watch began: another one needs another watch.
-    folders: BTreeMap<PathBuf, Option<(u64, u64)>>,
-}
-
-fn identity(path: &Path) -> Option<(u64, u64)> {
-    fs::metadata(path)
-        .ok()
-        .map(|found| (found.dev(), found.ino()))
+    /// Which folder is watched at each path: another one there needs another watch.
+    folders: BTreeMap<PathBuf, Option<FolderId>>,
 }
 
 impl FileNotifier {
-    /// Where the machine gives no notices, looks alone do.
-    pub fn open(files: &[PathBuf], wake: SyncSender<()>) -> Self {
-        let told = move |told: notify::Result<Event>| {
-            // Reading a file is no change. One notice that waits says all; overflows come as errors or rescans.
-            if !told.is_ok_and(|event| event.kind.is_access()) {
+    /// Watches the folders of these files. Where the operating system notifies nothing, looks alone find changes.
+    pub fn new(files: &[PathBuf], wake: SyncSender<()>) -> Self {
+        let on_event = move |event: notify::Result<Event>| {
+            // Reading a file is no change; lost notifications come as errors or rescans.
+            let is_access = event.is_ok_and(|event| event.kind.is_access());
+            if !is_access {
+                // A message that waits already stands for this one too.
                 let _ = wake.try_send(());
             }
         };
-        let watcher = notify::recommended_watcher(told).ok();
-        let mut folders = BTreeMap::new();
-        for file in files {
-            let given = file
-                .parent()
-                .filter(|folder| !folder.as_os_str().is_empty())
-                .unwrap_or(Path::new("."));
-            folders.insert(given.to_owned(), None);
-            // A link's own folder tells when the link is swapped, the target's when the file is.
-            if let Some(folder) = fs::canonicalize(file)
-                .ok()
-                .and_then(|at| at.parent().map(Path::to_owned))
-            {
-                folders.insert(folder, None);
-            }
-        }
-        let mut notifier = FileNotifier { watcher, folders };
+        let mut notifier = FileNotifier {
+            watcher: notify::recommended_watcher(on_event).ok(),
+            folders: folders_of(files).map(|folder| (folder, None)).collect(),
+        };
         notifier.renew_watches();
         notifier
     }
 
-    /// Watches anew what is another folder now, or has come back. True where something was.
+    /// Watches anew what is another folder now, or has come back; true where something was.
     pub fn renew_watches(&mut self) -> bool {
         let Some(watcher) = &mut self.watcher else {
             return false;
         };
-        let mut renewed = false;
-        for (path, known) in &mut self.folders {
-            let found = identity(path);
-            if found != *known {
+        let mut is_renewed = false;
+        for (path, watched) in &mut self.folders {
+            let found = FolderId::at(path);
+            if found != *watched {
+                // Nothing may have been watched there.
                 let _ = watcher.unwatch(path);
-                let watched =
+                let is_watched =
                     found.is_some() && watcher.watch(path, RecursiveMode::NonRecursive).is_ok();
-                *known = found.filter(|_| watched);
-                renewed = true;
+                *watched = found.filter(|_| is_watched);
+                is_renewed = true;
             }
         }
-        renewed
+        is_renewed
     }
+}
 
-    /// Whether notices come at all.
-    pub fn is_active(&self) -> bool {
-        self.watcher.is_some() && self.folders.values().any(Option::is_some)
-    }
+/// The folder of each file, and the folder of the file that a link leads to: the one changes when the link is swapped,
+/// the other when the file is.
+fn folders_of(files: &[PathBuf]) -> impl Iterator<Item = PathBuf> {
+    files.iter().flat_map(|file| {
+        let own_folder = file
+            .parent()
+            .filter(|folder| !folder.as_os_str().is_empty())
+            .unwrap_or(Path::new("."));
+        let target = fs::canonicalize(file).ok();
+        let target_folder = target.and_then(|target| target.parent().map(Path::to_owned));
+        [Some(own_folder.to_owned()), target_folder]
+            .into_iter()
+            .flatten()
+    })
 }
--- a/router/src/management_threads/interface_thread.rs
+++ b/router/src/management_threads/interface_thread.rs
@@ -129,7 +129,8 @@
             watched,
             digest,
         } = self;
-        let ((wake, nudged), of_log, of_keys) = (wake_channel(), log.clone(), log.clone());
+        let wake = wake_channel();
+        let (of_log, of_keys) = (log.clone(), log.clone());
         let mut known = Some(digest);
         supervise(log.clone(), "keys", move || {
             let at = place(&watched);
@@ -156,14 +157,7 @@
                 }
                 true
             };
-            kestreltide_file_watch::run(
-                &watched,
-                known.take(),
-                (wake.clone(), &nudged),
-                || (),
-                says,
-                tell,
-            );
+            kestreltide_file_watch::run(&watched, known.take(), &wake, || (), says, tell);
         })?;
         supervise(log.clone(), "management", move || {
             let runtime = match tokio::runtime::Builder::new_current_thread()
--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -123,9 +123,9 @@
         let keeper = keeper.map_err(failed)?;
         let mut wake = None;
         if let Some(watching) = watching {
-            let ((waker, nudged), tell, heartbeat) =
-                (wake_channel(), asks.clone(), Heartbeat::new("watch"));
-            wake = Some(waker.clone());
+            let wake_channel = wake_channel();
+            let (tell, heartbeat) = (asks.clone(), Heartbeat::new("watch"));
+            wake = Some(wake_channel.sender.clone());
             heartbeats.push(heartbeat.clone());
             let mut known = known;
             supervise(log.clone(), "watch", move || {
@@ -138,7 +138,7 @@
                 kestreltide_file_watch::run(
                     &watching.watched,
                     known.take(),
-                    (waker.clone(), &nudged),
+                    &wake_channel,
                     alive,
                     says,
                     tell,
