--- a/measure/src/capacity/fleet_run/net/clients.rs
+++ b/measure/src/capacity/fleet_run/net/clients.rs
@@ -160,7 +160,7 @@
     stream.write_all(command).await?;
     let mut input = Vec::new();
     loop {
-        match resp::reply(&input, &RESP) {
+        match resp::parse_reply(&input, &RESP) {
             Ok(Some((reply, used))) if used == input.len() => return Ok(Some(ending(&reply))),
             Ok(None) => {}
             Ok(Some(_)) | Err(_) => return Ok(Some(Ending::Lost)),
--- a/measure/src/capacity/fleet_run/net/discovery/tests.rs
+++ b/measure/src/capacity/fleet_run/net/discovery/tests.rs
@@ -1,12 +1,16 @@
 use std::net::SocketAddr;
 
-use kestreltide_router::protocol::discovery::write_get;
+use kestreltide_router::protocol::discovery::{ListWatch, write_list_request};
 
 use super::*;
 
 fn asked(watch: Option<(u64, u64)>) -> Vec<u8> {
     let mut bytes = vec![];
-    write_get(&mut bytes, SocketAddr::from(([127, 0, 0, 1], 1)), watch);
+    let watch = watch.map(|(known_revision, hold_millis)| ListWatch {
+        known_revision,
+        hold_millis,
+    });
+    write_list_request(&mut bytes, SocketAddr::from(([127, 0, 0, 1], 1)), watch);
     bytes
 }
 
--- a/measure/src/capacity/fleet_run/net/hosts.rs
+++ b/measure/src/capacity/fleet_run/net/hosts.rs
@@ -57,7 +57,7 @@
 }
 
 fn request(bytes: &[u8]) -> Result<Option<Request>, NotARequest> {
-    let read = resp::command(bytes, &RESP).map_err(|_| NotARequest)?;
+    let read = resp::parse_command(bytes, &RESP).map_err(|_| NotARequest)?;
     let Some((words, used)) = read else {
         return Ok(None);
     };
--- a/measure/src/capacity/fleet_run/registry/tests.rs
+++ b/measure/src/capacity/fleet_run/registry/tests.rs
@@ -28,7 +28,7 @@
 fn the_whole_list_is_read_by_the_routers_own_codec() {
     let mut registry = registry();
     let answer = registry.answer(Scope(2), None);
-    let list = discovery::list(answer.body.as_bytes()).unwrap();
+    let list = discovery::parse_list(answer.body.as_bytes()).unwrap();
     assert!(list.all);
     assert_eq!((list.rev, list.targets.len()), (1, 2));
     assert_eq!(
@@ -50,7 +50,7 @@
         (answer.version, answer.whole, &*answer.told),
         (3, false, &[(1, true)][..])
     );
-    let list = discovery::list(answer.body.as_bytes()).unwrap();
+    let list = discovery::parse_list(answer.body.as_bytes()).unwrap();
     assert_eq!(
         (list.targets.len(), list.targets[0].state()),
         (1, HostState::Gone)
@@ -61,7 +61,7 @@
     );
     let whole = registry.answer(Scope(9), None);
     assert_eq!(
-        discovery::list(whole.body.as_bytes())
+        discovery::parse_list(whole.body.as_bytes())
             .unwrap()
             .targets
             .len(),
--- a/router/src/program/config.rs
+++ b/router/src/program/config.rs
@@ -14,8 +14,8 @@
 use serde_path_to_error::Track;
 
 use crate::limits::{Limits, MemoryBudget, MemoryBudgetError};
-use crate::protocol::discovery::{self, List};
-use crate::protocol::platform::StateForm;
+use crate::protocol::discovery::{self, EndpointList};
+use crate::protocol::platform::RolloutStateFields;
 
 use super::unique::Unique;
 
@@ -51,7 +51,7 @@
 #[derive(Deserialize)]
 pub struct Platform {
     pub address: SocketAddr,
-    pub news: Option<StateForm>,
+    pub news: Option<RolloutStateFields>,
 }
 
 /// All that a router is told at start.
@@ -65,7 +65,7 @@
     pub peers: Vec<SocketAddr>,
     pub peers_all: Option<SocketAddr>,
     pub platform: Option<Platform>,
-    pub known: Option<List<'a>>,
+    pub known: Option<EndpointList<'a>>,
     pub terms: ServiceSettings,
     pub transport: TransportSettings,
     /// What memory is left for the hosts that are listed.
@@ -204,10 +204,10 @@
     read.map_err(|error| at("settings", &track.path().to_string(), &error))
 }
 
-fn known_hosts<'a>(raw: &'a RawValue, budget: &MemoryBudget) -> Result<List<'a>, String> {
-    let list = discovery::list(raw.get().as_bytes()).map_err(|error| {
+fn known_hosts<'a>(raw: &'a RawValue, budget: &MemoryBudget) -> Result<EndpointList<'a>, String> {
+    let list = discovery::parse_list(raw.get().as_bytes()).map_err(|error| {
         let dot = if error.path.is_empty() { "" } else { "." };
-        format!("known{dot}{}: {}", error.path, unplaced(&error.why))
+        format!("known{dot}{}: {}", error.path, unplaced(&error.reason))
     })?;
     let (field, count) = ("known.targets", list.targets.len());
     budget
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -146,10 +146,10 @@
         .platform
         .as_ref()
         .and_then(|platform| platform.news.as_ref());
-    let news = news.map(|news| news.state().news(false));
+    let news = news.map(|news| news.state().to_status(false));
     let of_fronts = known.as_ref().filter(|_| operators.any());
     let listed: Option<Vec<HostRecord>> =
-        of_fronts.map(|known| known.targets.iter().map(|t| t.listed()).collect());
+        of_fronts.map(|known| known.targets.iter().map(|t| t.to_host_record()).collect());
     let operations = told.transport.operations.keys().cloned().collect();
     let (router, terms) = (&told.name, &told.terms);
     let open = Opening {
--- a/router/src/protocol/discovery.rs
+++ b/router/src/protocol/discovery.rs
@@ -1,4 +1,6 @@
-//! Discovery's lists in HTTP/1.1 answers.
+//! Discovery's endpoint lists: the JSON objects, and the requests for them.
+
+mod http;
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -6,52 +8,72 @@
 use kestreltide::interface::{BuildId, HostState};
 use kestreltide_datastore::HostRecord;
 use serde::Deserialize;
+use thiserror::Error;
+
+pub use http::{ChunkedBody, Response, parse_response};
 
-use super::{Malformed, Read};
-use crate::limits::{Limits, ResponseLimits};
+use super::Malformed;
+use crate::limits::Limits;
 
+/// An endpoint list, or what has changed in it.
+// The names of the types are part of serde's error texts, here and below.
 #[derive(Debug, Deserialize)]
-pub struct List<'a> {
+#[serde(rename = "List")]
+pub struct EndpointList<'a> {
+    /// The list's version.
     pub rev: u64,
-    /// The whole list, not only what changed.
+    /// It is the full list, not only what changed.
     pub all: bool,
+    /// The hosts.
     #[serde(borrow)]
-    pub targets: Vec<Target<'a>>,
+    pub targets: Vec<ListedEndpoint<'a>>,
 }
 
+/// A host as discovery lists it.
 #[derive(Debug, Deserialize)]
-pub struct Target<'a> {
+#[serde(rename = "Target")]
+pub struct ListedEndpoint<'a> {
+    /// The host's name.
     #[serde(borrow)]
     pub uid: Cow<'a, str>,
+    /// Where it serves.
     pub endpoint: SocketAddr,
+    /// The name of its zone.
     #[serde(borrow)]
     pub az: Cow<'a, str>,
+    /// The name of its machine kind.
     #[serde(borrow)]
     pub model: Cow<'a, str>,
+    /// The number of its cell.
     pub pod_group: u32,
-    state: State,
+    state: ListedState,
+    /// Its size in comparison to other hosts.
     pub capacity_hint: f64,
     boot_ms: u64,
+    /// The number of its build.
     pub build: u16,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
-enum State {
+#[serde(rename = "State")]
+enum ListedState {
     Ready,
     Terminating,
     Gone,
 }
 
-impl Target<'_> {
+impl ListedEndpoint<'_> {
+    /// Whether it runs.
     pub fn state(&self) -> HostState {
         match self.state {
-            State::Ready => HostState::Running,
-            State::Terminating => HostState::Stopping,
-            State::Gone => HostState::Gone,
+            ListedState::Ready => HostState::Running,
+            ListedState::Terminating => HostState::Stopping,
+            ListedState::Gone => HostState::Gone,
         }
     }
 
-    pub fn listed(&self) -> HostRecord {
+    /// The host as the datastore keeps it.
+    pub fn to_host_record(&self) -> HostRecord {
         HostRecord {
             name: self.uid.as_ref().into(),
             endpoint: self.endpoint,
@@ -65,65 +87,76 @@
         }
     }
 
-    /// When it last started, in Unix time.
+    /// When it started last, in Unix time in seconds.
     pub fn started(&self) -> Option<f64> {
         (self.boot_ms > 0).then(|| self.boot_ms as f64 / 1e3)
     }
 }
 
-/// Why a list is none, and where in it.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListError {
-    /// Empty where the whole is no list.
+/// Why bytes are not an endpoint list.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{}{reason}", prefix(.path))]
+pub struct EndpointListError {
+    /// The path of the value that is wrong; empty where the whole is no list.
     pub path: String,
-    pub why: String,
+    /// What is wrong with it.
+    pub reason: String,
+}
+
+fn prefix(path: &str) -> String {
+    if path.is_empty() {
+        String::new()
+    } else {
+        format!("{path}: ")
+    }
 }
 
-impl From<ListError> for Malformed {
-    fn from(error: ListError) -> Self {
-        Malformed(if error.path.is_empty() {
-            error.why
-        } else {
-            format!("{}: {}", error.path, error.why)
-        })
+impl From<EndpointListError> for Malformed {
+    fn from(error: EndpointListError) -> Self {
+        Malformed::new(error.to_string())
     }
 }
 
-pub fn list(body: &[u8]) -> Result<List<'_>, ListError> {
-    let list: List = serde_json::from_slice(body).map_err(|error| located(body, &error))?;
-    list.targets
-        .iter()
-        .enumerate()
-        .try_for_each(|(place, target)| names_short(place, target))?;
+/// Parses an endpoint list.
+///
+/// # Errors
+///
+/// Where the body is no JSON object of this form, or a name in it is too long.
+pub fn parse_list(body: &[u8]) -> Result<EndpointList<'_>, EndpointListError> {
+    let list: EndpointList =
+        serde_json::from_slice(body).map_err(|error| locate_error(body, &error))?;
+    for (place, endpoint) in list.targets.iter().enumerate() {
+        check_name_lengths(place, endpoint)?;
+    }
     Ok(list)
 }
 
-/// Read once more, as keeping the path would cost each list that is well.
-fn located(body: &[u8], error: &serde_json::Error) -> ListError {
+/// Finds the path of an error by parsing once more, as tracking paths would cost every well-formed list.
+fn locate_error(body: &[u8], error: &serde_json::Error) -> EndpointListError {
     let reader = &mut serde_json::Deserializer::from_slice(body);
-    let again: Result<List, _> = serde_path_to_error::deserialize(reader);
-    let path = again
+    let result: Result<EndpointList, _> = serde_path_to_error::deserialize(reader);
+    let path = result
         .err()
         .map(|error| error.path().to_string())
         .filter(|path| path != ".");
-    ListError {
+    EndpointListError {
         path: path.unwrap_or_default(),
-        why: error.to_string(),
+        reason: error.to_string(),
     }
 }
 
-fn names_short(place: usize, target: &Target) -> Result<(), ListError> {
+fn check_name_lengths(place: usize, endpoint: &ListedEndpoint) -> Result<(), EndpointListError> {
     let names = [
-        ("uid", &target.uid),
-        ("az", &target.az),
-        ("model", &target.model),
+        ("uid", &endpoint.uid),
+        ("az", &endpoint.az),
+        ("model", &endpoint.model),
     ];
     let Some((field, name)) = names.iter().find(|(_, name)| name.len() > Limits::NAME) else {
         return Ok(());
     };
-    Err(ListError {
+    Err(EndpointListError {
         path: format!("targets[{place}].{field}"),
-        why: format!(
+        reason: format!(
             "is too long ({} bytes; {} at most)",
             name.len(),
             Limits::NAME
@@ -131,131 +164,25 @@
     })
 }
 
-/// An answer in chunks as far as it has come: each chunk is read once, however many pieces the answer comes in.
-#[derive(Debug, Default)]
-pub struct Chunks {
-    /// Bytes behind the head that have been read.
-    used: usize,
-    body: Vec<u8>,
-}
-
-#[derive(Debug, PartialEq, Eq)]
-pub struct Response<'a> {
-    pub status: u16,
-    pub body: Cow<'a, [u8]>,
-    pub stays_open: bool,
+/// How a list is watched.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ListWatch {
+    /// The version that is known; the response holds what has changed since.
+    pub known_revision: u64,
+    /// Without a change, discovery responds after this time, in milliseconds.
+    pub hold_millis: u64,
 }
 
-/// An answer within these limits; `come` is what has been read of it before, a new one for each answer. An
-/// answer that says neither its length nor comes in chunks cannot be told from a cut one and is malformed.
-pub fn response<'a>(
-    bytes: &'a [u8],
-    limits: &ResponseLimits,
-    come: &mut Chunks,
-) -> Read<Response<'a>> {
-    let mut room = vec![httparse::EMPTY_HEADER; limits.headers];
-    let mut head = httparse::Response::new(&mut room);
-    let status = head
-        .parse(bytes)
-        .map_err(|e| Malformed::new(e.to_string()))?;
-    let length = if let httparse::Status::Complete(start) = status {
-        start
-    } else {
-        bytes.len()
-    };
-    if length > limits.head {
-        return Err(too_long("head", length, limits.head));
-    }
-    let httparse::Status::Complete(start) = status else {
-        return Ok(None);
-    };
-    let value = |name: &str| {
-        let header = head
-            .headers
-            .iter()
-            .find(|header| header.name.eq_ignore_ascii_case(name));
-        header.map(|header| std::str::from_utf8(header.value).unwrap_or_default().trim())
-    };
-    let stays_open = !value("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
-    let status = head.code.unwrap_or_default();
-    let found =
-        if value("transfer-encoding").is_some_and(|value| value.eq_ignore_ascii_case("chunked")) {
-            come.read(&bytes[start..], limits)?
-                .map(|(body, used)| (Cow::Owned(body), used))
-        } else {
-            let length = value("content-length").and_then(|value| value.parse::<usize>().ok());
-            let length = length.ok_or_else(|| Malformed::new("no length"))?;
-            if length > limits.body {
-                return Err(too_long("content-length", length, limits.body));
-            }
-            bytes
-                .get(start..start + length)
-                .map(|body| (Cow::Borrowed(body), length))
-        };
-    Ok(found.map(|(body, used)| {
-        (
-            Response {
-                status,
-                body,
-                stays_open,
-            },
-            start + used,
+/// Writes a request for the list; without `watch`, for the full list now.
+pub fn write_list_request(out: &mut Vec<u8>, host: SocketAddr, watch: Option<ListWatch>) {
+    let query = watch.map_or_else(String::new, |watch| {
+        format!(
+            "?from={}&hold_ms={}",
+            watch.known_revision, watch.hold_millis
         )
-    }))
-}
-
-fn too_long(what: &str, bytes: usize, most: usize) -> Malformed {
-    Malformed::new(format!(
-        "{what}: the answer is too long ({bytes} bytes; {most} at most)"
-    ))
-}
-
-impl Chunks {
-    /// The whole body and how many bytes it took, once its last chunk has come.
-    fn read(&mut self, bytes: &[u8], limits: &ResponseLimits) -> Read<Vec<u8>> {
-        loop {
-            let left = bytes.get(self.used..).unwrap_or_default();
-            let size = httparse::parse_chunk_size(left);
-            let (head, size) =
-                match size.map_err(|_| Malformed::new("a chunk's size is no number"))? {
-                    httparse::Status::Complete((head, size)) => (head, size as usize),
-                    httparse::Status::Partial if left.len() > limits.head => {
-                        return Err(too_long("a chunk's size", left.len(), limits.head));
-                    }
-                    httparse::Status::Partial => return Ok(None),
-                };
-            let length = size.saturating_add(self.body.len());
-            if length > limits.body {
-                return Err(too_long("chunks", length, limits.body));
-            }
-            let Some(chunk) = left.get(head..head + size + 2) else {
-                return Ok(None);
-            };
-            if !chunk.ends_with(b"\r\n") {
-                return Err(Malformed::new("a chunk does not end where it says"));
-            }
-            self.body.extend_from_slice(&chunk[..size]);
-            self.used += head + size + 2;
-            if size == 0 {
-                return Ok(Some((std::mem::take(&mut self.body), self.used)));
-            }
-            if self.used > limits.max_total() {
-                return Err(too_long(
-                    "chunks with their sizes",
-                    self.used,
-                    limits.max_total(),
-                ));
-            }
-        }
-    }
-}
-
-pub fn write_get(out: &mut Vec<u8>, host: SocketAddr, watch: Option<(u64, u64)>) {
-    let query = watch.map_or(String::new(), |(from, hold)| {
-        format!("?from={from}&hold_ms={hold}")
     });
-    let get = format!(
+    let request = format!(
         "GET /registry/instances{query} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
     );
-    out.extend_from_slice(get.as_bytes());
+    out.extend_from_slice(request.as_bytes());
 }
--- a/router/src/protocol/mod.rs
+++ b/router/src/protocol/mod.rs
@@ -1,5 +1,4 @@
-//! Bytes to messages and back, without any input or output. A message is made of slices of the buffer that it
-//! was read from.
+//! Messages to and from bytes, without any I/O. A parsed message borrows from the buffer that it was read from.
 
 pub mod client;
 pub mod discovery;
@@ -7,23 +6,19 @@
 pub mod platform;
 pub mod resp;
 
-use std::fmt;
+use thiserror::Error;
 
-/// Why bytes are no message.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Malformed(pub String);
+/// Why bytes are not a message.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{0}")]
+pub struct Malformed(String);
 
 impl Malformed {
-    pub fn new(why: impl Into<String>) -> Self {
-        Malformed(why.into())
+    /// The error with this text.
+    pub fn new(problem: impl Into<String>) -> Self {
+        Malformed(problem.into())
     }
 }
 
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-/// A message and how many bytes it took; None where its end has not come yet.
-pub type Read<T> = Result<Option<(T, usize)>, Malformed>;
+/// A message and the number of bytes that it took; none where its end has not been received yet.
+pub type ParseResult<T> = Result<Option<(T, usize)>, Malformed>;
--- a/router/src/protocol/platform.rs
+++ b/router/src/protocol/platform.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC 2.0, one object a line, as the platform speaks it.
+//! The platform's protocol: JSON-RPC 2.0, one object a line.
 
 use std::borrow::Cow;
 
@@ -6,42 +6,61 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use super::{Malformed, Read};
+use super::{Malformed, ParseResult};
 
-/// What a line says.
+/// A message of the platform.
 #[derive(Debug, PartialEq)]
-pub enum Told<'a> {
-    State(State),
+pub enum PlatformMessage<'a> {
+    /// The rollout has changed.
+    Rollout(RolloutState),
+    /// A client disputes the answers of a host.
     Complaint {
+        /// The host's name.
         host: Cow<'a, str>,
+        /// The operation's name.
         operation: Cow<'a, str>,
+        /// How long ago that was, in seconds.
         age: f64,
     },
-    SignOfLife,
+    /// The connection is alive.
+    Ping,
+    /// A call has succeeded.
     Result {
+        /// The call's number.
         call: u64,
-        state: Option<State>,
+        /// The rollout after it, if the result holds one.
+        state: Option<RolloutState>,
     },
+    /// A call has failed.
     Error {
+        /// The call's number.
         call: u64,
+        /// What that means.
         outcome: AttemptOutcome,
     },
+    /// A notification that is not known here.
     Unknown,
 }
 
-/// Where the newest build stands.
+/// Where the rollout of the newest build stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct State {
+pub struct RolloutState {
+    /// The newest build.
     pub build: BuildId,
+    /// The number of its stage.
     pub stage: u32,
+    /// Whether it is tried, released or taken back.
     pub phase: Phase,
+    /// The greatest fraction of the requests that it may get.
     pub cap: f64,
+    /// How old this is, in seconds.
     pub age: f64,
 }
 
-impl State {
-    pub fn news(&self, answers_vote: bool) -> RolloutStatus {
-        let State {
+impl RolloutState {
+    /// The state as an event of the decisions.
+    pub fn to_status(&self, answers_vote: bool) -> RolloutStatus {
+        let RolloutState {
             build,
             stage,
             phase,
@@ -88,8 +107,11 @@
     Recalled,
 }
 
+/// The state of a rollout by its names on the wire.
+// The name of the type is part of serde's error texts, here and below.
 #[derive(Deserialize)]
-pub struct StateForm {
+#[serde(rename = "StateForm")]
+pub struct RolloutStateFields {
     image: u16,
     ring: u32,
     progress: Progress,
@@ -97,27 +119,28 @@
     lag_ms: f64,
 }
 
-impl StateForm {
-    pub fn state(&self) -> State {
+impl RolloutStateFields {
+    /// The state in the terms of the decisions.
+    pub fn state(&self) -> RolloutState {
         let phase = match self.progress {
             Progress::Testing => Phase::Canary,
             Progress::Recalling => Phase::RollingBack,
             Progress::Live => Phase::Released,
             Progress::Recalled => Phase::RolledBack,
         };
-        let (build, stage, cap) = (BuildId(self.image), self.ring, self.ceiling.clamp(0.0, 1.0));
-        State {
-            build,
-            stage,
+        RolloutState {
+            build: BuildId(self.image),
+            stage: self.ring,
             phase,
-            cap,
-            age: self.lag_ms.max(0.0) / 1e3,
+            cap: self.ceiling.clamp(0.0, 1.0),
+            age: age_seconds(self.lag_ms),
         }
     }
 }
 
 #[derive(Deserialize)]
-struct ComplaintForm<'a> {
+#[serde(rename = "ComplaintForm")]
+struct ComplaintFields<'a> {
     #[serde(borrow)]
     host: Cow<'a, str>,
     #[serde(borrow, rename = "type")]
@@ -125,70 +148,93 @@
     lag_ms: f64,
 }
 
-fn parse<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, Malformed> {
+fn age_seconds(lag_ms: f64) -> f64 {
+    lag_ms.max(0.0) / 1e3
+}
+
+fn parse_json<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, Malformed> {
     serde_json::from_str(text).map_err(|e| Malformed::new(e.to_string()))
 }
 
-/// One line, if its end has come.
-pub fn read(bytes: &[u8], most: usize) -> Read<Told<'_>> {
-    let Some(end) = bytes.iter().take(most).position(|byte| *byte == b'\n') else {
-        let long = bytes.len() >= most;
-        let why = || Malformed::new(format!("a line is too long ({most} bytes at most)"));
-        return if long { Err(why()) } else { Ok(None) };
+/// Parses one line, if its end has been received.
+///
+/// # Errors
+///
+/// Where the line has more than `max_bytes` bytes, is no UTF-8, or is no message of the platform.
+pub fn parse_line(bytes: &[u8], max_bytes: usize) -> ParseResult<PlatformMessage<'_>> {
+    let Some(end) = bytes.iter().take(max_bytes).position(|byte| *byte == b'\n') else {
+        if bytes.len() >= max_bytes {
+            let problem = format!("a line is too long ({max_bytes} bytes at most)");
+            return Err(Malformed::new(problem));
+        }
+        return Ok(None);
     };
     let text =
         std::str::from_utf8(&bytes[..end]).map_err(|_| Malformed::new("a line is not UTF-8"))?;
-    Ok(Some((told(text.trim_end())?, end + 1)))
+    Ok(Some((parse_message(text.trim_end())?, end + 1)))
 }
 
-fn told(text: &str) -> Result<Told<'_>, Malformed> {
-    let line: Line = parse(text)?;
+fn parse_message(text: &str) -> Result<PlatformMessage<'_>, Malformed> {
+    let line: Line = parse_json(text)?;
     if let (Some(call), Some(error)) = (line.id, &line.error) {
-        let outcome = match error.message.as_ref() {
-            "too_many_calls" => AttemptOutcome::Rejected,
-            "out_of_date" => AttemptOutcome::Irrelevant,
-            _ => AttemptOutcome::Error,
-        };
-        return Ok(Told::Error { call, outcome });
+        let outcome = call_outcome(&error.message);
+        return Ok(PlatformMessage::Error { call, outcome });
     }
     if let (Some(call), Some(result)) = (line.id, line.result) {
-        let state = result
-            .get()
-            .starts_with('{')
-            .then(|| parse::<StateForm>(result.get()))
-            .transpose()?;
-        return Ok(Told::Result {
-            call,
-            state: state.map(|form| form.state()),
-        });
+        let state = result_state(result)?;
+        return Ok(PlatformMessage::Result { call, state });
+    }
+    parse_notification(&line)
+}
+
+fn call_outcome(message: &str) -> AttemptOutcome {
+    match message {
+        "too_many_calls" => AttemptOutcome::Rejected,
+        "out_of_date" => AttemptOutcome::Irrelevant,
+        _ => AttemptOutcome::Error,
     }
+}
+
+fn result_state(result: &RawValue) -> Result<Option<RolloutState>, Malformed> {
+    if !result.get().starts_with('{') {
+        return Ok(None);
+    }
+    let fields: RolloutStateFields = parse_json(result.get())?;
+    Ok(Some(fields.state()))
+}
+
+fn parse_notification<'a>(line: &Line<'a>) -> Result<PlatformMessage<'a>, Malformed> {
     let params = || {
         line.params
             .map(RawValue::get)
             .ok_or_else(|| Malformed::new("params is missing"))
     };
     Ok(match line.method.as_deref() {
-        Some("progress") => Told::State(parse::<StateForm>(params()?)?.state()),
+        Some("progress") => {
+            let fields: RolloutStateFields = parse_json(params()?)?;
+            PlatformMessage::Rollout(fields.state())
+        }
         Some("complaint") => {
-            let form: ComplaintForm = parse(params()?)?;
-            Told::Complaint {
-                host: form.host,
-                operation: form.operation,
-                age: form.lag_ms.max(0.0) / 1e3,
+            let fields: ComplaintFields = parse_json(params()?)?;
+            PlatformMessage::Complaint {
+                host: fields.host,
+                operation: fields.operation,
+                age: age_seconds(fields.lag_ms),
             }
         }
-        Some("ping") => Told::SignOfLife,
-        Some(_) => Told::Unknown,
+        Some("ping") => PlatformMessage::Ping,
+        Some(_) => PlatformMessage::Unknown,
         None => return Err(Malformed::new("neither an answer nor a notification")),
     })
 }
 
+/// Writes the call that subscribes to the rollout.
 pub fn write_follow(out: &mut Vec<u8>, call: u64) {
-    out.extend_from_slice(
-        format!("{{\"jsonrpc\":\"2.0\",\"id\":{call},\"method\":\"follow\"}}\n").as_bytes(),
-    );
+    let line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{call},\"method\":\"follow\"}}\n");
+    out.extend_from_slice(line.as_bytes());
 }
 
+/// Writes the call that casts a vote on a build's stage.
 pub fn write_vote(out: &mut Vec<u8>, call: u64, build: BuildId, stage: u32, vote: Vote) {
     let opinion = match vote {
         Vote::Abstain => "none",
--- a/router/src/protocol/resp.rs
+++ b/router/src/protocol/resp.rs
@@ -1,199 +1,260 @@
-//! RESP2: replies, commands, and writing both.
+//! RESP2, the protocol of clients and hosts: parsing replies and commands, and writing both.
+//!
+//! What cannot become a message any more is an error at its first wrong byte, not only at its end.
 
 use std::io::Write;
 
-use super::{Malformed, Read};
+use super::{Malformed, ParseResult};
 use crate::limits::RespLimits;
 
+/// A reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply<'a> {
+    /// A status line.
     Simple(&'a [u8]),
+    /// An error line.
     Error(&'a [u8]),
+    /// An integer.
     Number(i64),
+    /// A bulk string; none for the null string.
     Bulk(Option<&'a [u8]>),
+    /// An array; none for the null array.
     Array(Option<Vec<Reply<'a>>>),
 }
 
-/// An answer is an array of plain values.
-const DEPTH: usize = 2;
+/// Arrays are not nested: a reply is at most an array of plain values.
+const MAX_DEPTH: usize = 2;
+/// The length that stands for a null string or array.
+const NULL: i64 = -1;
+const LINE_END: &[u8] = b"\r\n";
 
-fn line(bytes: &[u8], most: usize) -> Read<&[u8]> {
-    match bytes.iter().take(most).position(|byte| *byte == b'\n') {
+fn parse_text_line(bytes: &[u8], max_bytes: usize) -> ParseResult<&[u8]> {
+    match bytes.iter().take(max_bytes).position(|byte| *byte == b'\n') {
         Some(end) if end > 0 && bytes[end - 1] == b'\r' => Ok(Some((&bytes[..end - 1], end + 1))),
         Some(_) => Err(Malformed::new("a line does not end in CR LF")),
-        None if bytes.len() >= most => Err(Malformed::new("a line is too long")),
+        None if bytes.len() >= max_bytes => Err(Malformed::new("a line is too long")),
         None => Ok(None),
     }
 }
 
-/// A length or number and its line end: anything else is certain at its first wrong byte.
-fn digits(bytes: &[u8], most: usize) -> Read<i64> {
+/// A length or number with its line end.
+fn parse_number_line(bytes: &[u8], max_digits: usize) -> ParseResult<i64> {
     let sign = usize::from(bytes.first() == Some(&b'-'));
-    let count = bytes[sign..]
+    let digits = bytes[sign..]
         .iter()
-        .take(most + 1)
+        .take(max_digits + 1)
         .take_while(|byte| byte.is_ascii_digit())
         .count();
-    let (text, rest) = bytes.split_at(sign + count);
-    let fits = count <= most
-        && (count > 0 || rest.is_empty())
-        && b"\r\n".starts_with(&rest[..rest.len().min(2)]);
-    match rest.len() {
-        _ if !fits => Err(Malformed::new("a length or number is not one")),
-        0 | 1 => Ok(None),
-        _ => Ok(Some((number(text)?, text.len() + 2))),
+    let (text, rest) = bytes.split_at(sign + digits);
+    let is_possible = digits <= max_digits
+        && (digits > 0 || rest.is_empty())
+        && LINE_END.starts_with(&rest[..rest.len().min(LINE_END.len())]);
+    if !is_possible {
+        return Err(not_a_number());
     }
+    if rest.len() < LINE_END.len() {
+        return Ok(None);
+    }
+    Ok(Some((parse_number(text)?, text.len() + LINE_END.len())))
 }
 
-fn number(text: &[u8]) -> Result<i64, Malformed> {
+fn parse_number(text: &[u8]) -> Result<i64, Malformed> {
     let digits = text.strip_prefix(b"-").unwrap_or(text);
-    let plain = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
+    let is_plain = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
     let parsed = std::str::from_utf8(text)
         .ok()
-        .filter(|_| plain)
+        .filter(|_| is_plain)
         .and_then(|text| text.parse().ok());
-    parsed.ok_or_else(|| Malformed::new("a length or number is not one"))
+    parsed.ok_or_else(not_a_number)
+}
+
+fn not_a_number() -> Malformed {
+    Malformed::new("a length or number is not one")
 }
 
-/// The bytes of a bulk string of this length and its line end; so much of the message came before it.
-fn bulk<'a>(bytes: &'a [u8], length: i64, before: usize, limits: &RespLimits) -> Read<&'a [u8]> {
-    let fits = |length: &usize| *length <= limits.value && before + length + 2 <= limits.message;
-    let length = usize::try_from(length).ok().filter(fits);
-    let length = length.ok_or_else(|| Malformed::new("a bulk string is too long"))?;
+/// The bytes of a bulk string and its line end, after the line with its length. `before` is how much of the message
+/// came before them.
+fn parse_bulk_string<'a>(
+    bytes: &'a [u8],
+    length: i64,
+    before: usize,
+    limits: &RespLimits,
+) -> ParseResult<&'a [u8]> {
+    let fits = |length: &usize| {
+        *length <= limits.value && before + length + LINE_END.len() <= limits.message
+    };
+    let length = usize::try_from(length)
+        .ok()
+        .filter(fits)
+        .ok_or_else(|| Malformed::new("a bulk string is too long"))?;
     let end = bytes.get(length..).unwrap_or_default();
-    let end = &end[..end.len().min(2)];
-    match end {
-        b"\r\n" => Ok(Some((&bytes[..length], length + 2))),
+    match &end[..end.len().min(LINE_END.len())] {
+        b"\r\n" => Ok(Some((&bytes[..length], length + LINE_END.len()))),
         b"" | b"\r" => Ok(None),
         _ => Err(Malformed::new("a bulk string does not end where it says")),
     }
 }
 
-pub fn reply<'a>(bytes: &'a [u8], limits: &RespLimits) -> Read<Reply<'a>> {
-    nested(bytes, 0, limits, DEPTH)
+/// Parses a reply.
+///
+/// # Errors
+///
+/// Where the bytes are no RESP reply, or it exceeds the limits.
+pub fn parse_reply<'a>(bytes: &'a [u8], limits: &RespLimits) -> ParseResult<Reply<'a>> {
+    parse_nested(bytes, 0, limits, MAX_DEPTH)
 }
 
-/// The reply that begins after so many bytes of the message.
-fn nested<'a>(
+/// The reply that begins after `before` bytes of the message.
+fn parse_nested<'a>(
     message: &'a [u8],
     before: usize,
     limits: &RespLimits,
     depth: usize,
-) -> Read<Reply<'a>> {
+) -> ParseResult<Reply<'a>> {
     let bytes = &message[before..];
-    let Some(kind) = bytes.first() else {
+    let Some(marker) = bytes.first() else {
         return Ok(None);
     };
-    if !b"+-:$*".contains(kind) {
-        return Err(Malformed::new(
+    match marker {
+        b'+' | b'-' => {
+            let line = parse_text_line(&bytes[1..], limits.line)?;
+            let reply = |text| match marker {
+                b'+' => Reply::Simple(text),
+                _ => Reply::Error(text),
+            };
+            Ok(line.map(|(text, length)| (reply(text), 1 + length)))
+        }
+        b':' | b'$' | b'*' => {
+            let Some((number, length)) = parse_number_line(&bytes[1..], limits.digits)? else {
+                return Ok(None);
+            };
+            let header = 1 + length;
+            match marker {
+                b':' => Ok(Some((Reply::Number(number), header))),
+                b'$' => parse_bulk_reply(message, before, header, number, limits),
+                _ => parse_array(message, before, header, number, limits, depth),
+            }
+        }
+        _ => Err(Malformed::new(
             "a reply begins with none of the known marks",
-        ));
+        )),
     }
-    if b"+-".contains(kind) {
-        let read = line(&bytes[1..], limits.line)?;
-        let reply = |text| {
-            if *kind == b'+' {
-                Reply::Simple(text)
-            } else {
-                Reply::Error(text)
-            }
+}
+
+/// A bulk string whose line with the length took `header` bytes.
+fn parse_bulk_reply<'a>(
+    message: &'a [u8],
+    before: usize,
+    header: usize,
+    length: i64,
+    limits: &RespLimits,
+) -> ParseResult<Reply<'a>> {
+    if length == NULL {
+        return Ok(Some((Reply::Bulk(None), header)));
+    }
+    let start = before + header;
+    let string = parse_bulk_string(&message[start..], length, start, limits)?;
+    Ok(string.map(|(value, length)| (Reply::Bulk(Some(value)), header + length)))
+}
+
+/// An array whose line with the length took `header` bytes.
+fn parse_array<'a>(
+    message: &'a [u8],
+    before: usize,
+    header: usize,
+    length: i64,
+    limits: &RespLimits,
+    depth: usize,
+) -> ParseResult<Reply<'a>> {
+    if length == NULL {
+        return Ok(Some((Reply::Array(None), header)));
+    }
+    let count = usize::try_from(length)
+        .ok()
+        .filter(|count| *count <= limits.words && depth > 1)
+        .ok_or_else(|| Malformed::new("an array is too long or too deep"))?;
+    let mut used = header;
+    let mut items = Vec::with_capacity(count);
+    for _ in 0..count {
+        let Some((item, length)) = parse_nested(message, before + used, limits, depth - 1)? else {
+            return Ok(None);
         };
-        return Ok(read.map(|(text, after)| (reply(text), 1 + after)));
+        used += length;
+        items.push(item);
     }
-    let Some((number, after)) = digits(&bytes[1..], limits.digits)? else {
-        return Ok(None);
-    };
-    let mut used = 1 + after;
-    let reply = match kind {
-        b':' => Reply::Number(number),
-        b'$' => match number {
-            -1 => Reply::Bulk(None),
-            length => {
-                let Some((value, after)) = bulk(&bytes[used..], length, before + used, limits)?
-                else {
-                    return Ok(None);
-                };
-                used += after;
-                Reply::Bulk(Some(value))
-            }
-        },
-        _ => match number {
-            -1 => Reply::Array(None),
-            count => {
-                let count = usize::try_from(count)
-                    .ok()
-                    .filter(|count| *count <= limits.words && depth > 1);
-                let count =
-                    count.ok_or_else(|| Malformed::new("an array is too long or too deep"))?;
-                let mut items = Vec::with_capacity(count);
-                for _ in 0..count {
-                    let read = nested(message, before + used, limits, depth - 1)?;
-                    let Some((item, after)) = read else {
-                        return Ok(None);
-                    };
-                    used += after;
-                    items.push(item);
-                }
-                Reply::Array(Some(items))
-            }
-        },
-    };
-    Ok(Some((reply, used)))
+    Ok(Some((Reply::Array(Some(items)), used)))
 }
 
-/// A command: an array of bulk strings, at least one.
-pub fn command<'a>(bytes: &'a [u8], limits: &RespLimits) -> Read<Vec<&'a [u8]>> {
-    let Some(kind) = bytes.first() else {
+/// Parses a command, which is an array of one or more bulk strings.
+///
+/// # Errors
+///
+/// Where the bytes are no RESP command, or it exceeds the limits.
+pub fn parse_command<'a>(bytes: &'a [u8], limits: &RespLimits) -> ParseResult<Vec<&'a [u8]>> {
+    let Some(marker) = bytes.first() else {
         return Ok(None);
     };
-    if *kind != b'*' {
+    if *marker != b'*' {
         return Err(Malformed::new("a command is an array of bulk strings"));
     }
-    let Some((count, after)) = digits(&bytes[1..], limits.digits)? else {
+    let Some((count, length)) = parse_number_line(&bytes[1..], limits.digits)? else {
         return Ok(None);
     };
-    let mut used = 1 + after;
+    let mut used = 1 + length;
     let count = usize::try_from(count)
         .ok()
-        .filter(|count| (1..=limits.words).contains(count));
-    let count = count.ok_or_else(|| Malformed::new("a command has no words or too many"))?;
-    let mut read = Vec::with_capacity(count);
+        .filter(|count| (1..=limits.words).contains(count))
+        .ok_or_else(|| Malformed::new("a command has no words or too many"))?;
+    let mut words = Vec::with_capacity(count);
     for _ in 0..count {
-        match bytes.get(used) {
-            Some(b'$') => {}
-            Some(_) => return Err(Malformed::new("a word of a command is no bulk string")),
-            None => return Ok(None),
-        }
-        let Some((length, after)) = digits(&bytes[used + 1..], limits.digits)? else {
+        let Some((word, length)) = parse_word(bytes, used, limits)? else {
             return Ok(None);
         };
-        used += 1 + after;
-        let Some((word, after)) = bulk(&bytes[used..], length, used, limits)? else {
-            return Ok(None);
-        };
-        used += after;
-        read.push(word);
+        used += length;
+        words.push(word);
+    }
+    Ok(Some((words, used)))
+}
+
+/// The word of a command that begins after `before` bytes of the message.
+fn parse_word<'a>(bytes: &'a [u8], before: usize, limits: &RespLimits) -> ParseResult<&'a [u8]> {
+    match bytes.get(before) {
+        Some(b'$') => {}
+        Some(_) => return Err(Malformed::new("a word of a command is no bulk string")),
+        None => return Ok(None),
     }
-    Ok(Some((read, used)))
+    let Some((length, line)) = parse_number_line(&bytes[before + 1..], limits.digits)? else {
+        return Ok(None);
+    };
+    let header = 1 + line;
+    let start = before + header;
+    let string = parse_bulk_string(&bytes[start..], length, start, limits)?;
+    Ok(string.map(|(word, length)| (word, header + length)))
 }
 
-// Writing to a vector does not fail.
+// Writing to a vector cannot fail, so that the results of the writers below are ignored.
 
+/// Writes a command.
 pub fn write_command(out: &mut Vec<u8>, words: &[&[u8]]) {
     let _ = write!(out, "*{}\r\n", words.len());
-    words.iter().for_each(|word| write_bulk(out, word));
+    for word in words {
+        write_bulk(out, word);
+    }
 }
 
+/// Writes a bulk string.
 pub fn write_bulk(out: &mut Vec<u8>, value: &[u8]) {
     let _ = write!(out, "${}\r\n", value.len());
     out.extend_from_slice(value);
-    out.extend_from_slice(b"\r\n");
+    out.extend_from_slice(LINE_END);
 }
 
+/// Writes a status line.
 pub fn write_simple(out: &mut Vec<u8>, text: &str) {
     let _ = write!(out, "+{text}\r\n");
 }
 
+/// Writes an error line.
 pub fn write_error(out: &mut Vec<u8>, text: &str) {
     let _ = write!(out, "-{text}\r\n");
 }
--- a/router/src/routing/admit.rs
+++ b/router/src/routing/admit.rs
@@ -6,7 +6,7 @@
 
 use super::Routing;
 use super::take_in::Waiting;
-use crate::protocol::client::{self, Kept};
+use crate::protocol::client::{self, StoredCommand};
 use crate::transport::SocketId;
 
 /// An invocation as it was taken in.
@@ -17,13 +17,13 @@
     pub(super) pool: Option<Arc<Pool>>,
     pub(super) time_left: f64,
     pub(super) again: bool,
-    pub(super) kept: Kept,
+    pub(super) kept: StoredCommand,
 }
 
 /// An invocation that owes its client an answer.
 pub(super) struct Admitted {
     pub(super) client: SocketId,
-    pub(super) kept: Kept,
+    pub(super) kept: StoredCommand,
     pub(super) attempts: u32,
     /// The client is gone, which the decisions are still to hear.
     pub(super) left: bool,
@@ -46,7 +46,7 @@
             || self.has_given_up()
         {
             self.tally.no_room += 1;
-            return self.reply(client, |out| client::write_throttled(out, None));
+            return self.reply(client, |out| client::write_busy(out, None));
         }
         // The client's own id goes to hosts unchanged; here a number stands for it, which nobody can repeat.
         self.last_inv += 1;
--- a/router/src/routing/book.rs
+++ b/router/src/routing/book.rs
@@ -12,7 +12,7 @@
 use kestreltide_datastore::{HostRecord, Snapshot};
 use kestreltide_routes::Route;
 
-use crate::protocol::discovery::Target;
+use crate::protocol::discovery::ListedEndpoint;
 
 /// Where hosts are: what discovery told last, under what operators have set.
 pub(super) struct Hosts {
@@ -77,13 +77,13 @@
     }
 
     /// Notes one entry of discovery's list; None where there is no room for one more host.
-    pub(super) fn note(&mut self, target: &Target) -> Option<Noted> {
+    pub(super) fn note(&mut self, target: &ListedEndpoint) -> Option<Noted> {
         let host = HostId::named(&target.uid);
         if !self.told.contains_key(&host) && self.told.len() >= self.most {
             return None;
         }
         let old = self.in_force(host).map(Cow::into_owned);
-        self.told.insert(host, target.listed());
+        self.told.insert(host, target.to_host_record());
         let new = self.in_force(host)?;
         let moved = old.is_some_and(|old| old.is_replaced_by(&new));
         Some(Noted {
--- a/router/src/routing/discovery.rs
+++ b/router/src/routing/discovery.rs
@@ -10,7 +10,7 @@
 use super::{Due, NEWS, Routing};
 use crate::limits::Limits;
 use crate::protocol::Malformed;
-use crate::protocol::discovery::{self, Chunks, List, Target};
+use crate::protocol::discovery::{self, ChunkedBody, EndpointList, ListWatch, ListedEndpoint};
 use crate::transport::{ReadStatus, SocketId, Stream};
 
 const MILLIS: f64 = 1e3;
@@ -34,7 +34,7 @@
     /// Of an answer that has begun and is not whole: how much has come, and when the last of it.
     begun: Option<(usize, f64)>,
     /// The same, where it comes in chunks: what has been read of it.
-    chunks: Chunks,
+    chunks: ChunkedBody,
 }
 
 pub(super) struct Discovery {
@@ -110,7 +110,7 @@
 
 impl Routing {
     /// What this router knew of the hosts before it was started.
-    pub fn remember(&mut self, list: &List) {
+    pub fn remember(&mut self, list: &EndpointList) {
         self.take_list(list, ListScope::Cached);
         // What has changed since then is asked for in one call, where a whole list and a watch are two: after a
         // mass restart discovery has as many to serve.
@@ -170,7 +170,7 @@
         match Stream::connect(&mut self.reactor, self.discovery.at, NEWS) {
             Ok(stream) => {
                 let (id, now) = (stream.id, self.clock.now());
-                let chunks = Chunks::default();
+                let chunks = ChunkedBody::default();
                 let call = Call {
                     stream,
                     asked,
@@ -203,11 +203,14 @@
         self.discovery.number += 1;
         self.tally.lists += 1;
         (call.asked, call.number, call.begun) = (asked, self.discovery.number, None);
-        (call.taken, call.chunks) = (self.discovery.taken, Chunks::default());
+        (call.taken, call.chunks) = (self.discovery.taken, ChunkedBody::default());
         let watch = rev
             .filter(|_| asked == Asked::Changes)
-            .map(|rev| (rev, (hold * MILLIS) as u64));
-        discovery::write_get(call.stream.output(), at, watch);
+            .map(|rev| ListWatch {
+                known_revision: rev,
+                hold_millis: (hold * MILLIS) as u64,
+            });
+        discovery::write_list_request(call.stream.output(), at, watch);
         let in_turn = self.discovery.on_demand && hold <= 0.0 || asked == Asked::Once;
         let spare = if in_turn {
             self.limits.discovery.list_poll_timeout
@@ -281,7 +284,8 @@
 
     fn take_response(&mut self, call: &mut Call) -> Result<Option<(usize, bool)>, Malformed> {
         let (bytes, limits) = (call.stream.input(), self.limits.discovery.response);
-        let Some((response, used)) = discovery::response(bytes, &limits, &mut call.chunks)? else {
+        let Some((response, used)) = discovery::parse_response(bytes, &limits, &mut call.chunks)?
+        else {
             let room = bytes.len() < limits.max_total();
             // Nothing more of it would ever be read.
             let long = || {
@@ -295,7 +299,7 @@
         if response.status != 200 {
             return Err(Malformed::new(format!("status {}", response.status)));
         }
-        let list = discovery::list(&response.body)?;
+        let list = discovery::parse_list(&response.body)?;
         let scope = if list.all {
             ListScope::Full
         } else {
@@ -335,7 +339,7 @@
         Ok(Some((used, response.stays_open)))
     }
 
-    fn take_list(&mut self, list: &List, scope: ListScope) {
+    fn take_list(&mut self, list: &EndpointList, scope: ListScope) {
         self.discovery.told = true;
         self.finish_staging();
         let whole = scope != ListScope::Delta;
@@ -353,7 +357,7 @@
             let (entry, drop_idle) = match self.hosts.note(target) {
                 Some(noted) => (noted.entry, noted.drop_idle),
                 // It takes no room, and whoever still sends to it has to hear of it.
-                None if goes => (target.listed().entry(), true),
+                None if goes => (target.to_host_record().entry(), true),
                 None => {
                     left_out.push(target.uid.as_ref());
                     continue;
@@ -390,7 +394,7 @@
     }
 
     /// A whole list names each host once; changes may tell that one went and came again.
-    fn tell_doubled(&self, list: &List) {
+    fn tell_doubled(&self, list: &EndpointList) {
         let mut hosts: Vec<_> = list
             .targets
             .iter()
@@ -406,13 +410,13 @@
 
     /// Who has left makes room for who comes, and is taken after them: both would else be kept together until the
     /// next sweep, and at the limit who comes be left out.
-    fn make_room(&mut self, targets: &mut [&Target], whole: bool) {
-        let host = |target: &&Target| HostId::named(&target.uid);
+    fn make_room(&mut self, targets: &mut [&ListedEndpoint], whole: bool) {
+        let host = |target: &&ListedEndpoint| HostId::named(&target.uid);
         let last: BTreeMap<_, _> = targets
             .iter()
             .map(|target| (host(target), target.state()))
             .collect();
-        let goes = |target: &&Target| last.get(&host(target)) == Some(&HostState::Gone);
+        let goes = |target: &&ListedEndpoint| last.get(&host(target)) == Some(&HostState::Gone);
         targets.sort_by_key(goes);
         for target in targets.iter().filter(|target| goes(target)) {
             self.hosts.note(target);
@@ -420,7 +424,7 @@
         if whole {
             let listed: Vec<_> = targets
                 .iter()
-                .map(|target| target.listed().entry())
+                .map(|target| target.to_host_record().entry())
                 .collect();
             for host in self.hosts.only(&listed) {
                 self.close_idle(host);
--- a/router/src/routing/platform.rs
+++ b/router/src/routing/platform.rs
@@ -9,7 +9,7 @@
 
 use super::{Due, PLATFORM, Routing};
 use crate::limits::Limits;
-use crate::protocol::platform::{self, State, Told};
+use crate::protocol::platform::{self, PlatformMessage, RolloutState};
 use crate::transport::{ReadStatus, SocketId, Stream};
 
 /// A vote that has no answer yet.
@@ -189,7 +189,7 @@
             return false;
         };
         let broken = loop {
-            match platform::read(stream.input(), self.limits.platform.line_bytes) {
+            match platform::parse_line(stream.input(), self.limits.platform.line_bytes) {
                 Ok(None) => break None,
                 Ok(Some((told, used))) => {
                     self.platform_told(told);
@@ -235,18 +235,18 @@
         self.platform_broke("a line does not end");
     }
 
-    fn platform_told(&mut self, told: Told) {
+    fn platform_told(&mut self, told: PlatformMessage) {
         let Some(platform) = &mut self.platform else {
             return;
         };
         match told {
-            Told::State(state) => {
+            PlatformMessage::Rollout(state) => {
                 platform.wait = self.limits.reconnect_backoff.initial;
                 platform.heard = true;
                 self.news(&state, false);
                 self.ready_by("news");
             }
-            Told::Result { call, state } => {
+            PlatformMessage::Result { call, state } => {
                 platform.wait = self.limits.reconnect_backoff.initial;
                 if let Some(vote) = platform.votes.remove(&call) {
                     match state {
@@ -258,7 +258,7 @@
                     }
                 }
             }
-            Told::Error { call, outcome } => {
+            PlatformMessage::Error { call, outcome } => {
                 if let Some(vote) = platform.votes.remove(&call) {
                     self.tally.votes_away += 1;
                     debug!(self.log, "a vote does not count"; "verdict" => ?outcome);
@@ -271,7 +271,7 @@
                     warn!(self.log, "the platform refuses to be followed"; "verdict" => ?outcome);
                 }
             }
-            Told::Complaint {
+            PlatformMessage::Complaint {
                 host,
                 operation,
                 age,
@@ -286,13 +286,13 @@
                     });
                 }
             }
-            Told::SignOfLife => {}
-            Told::Unknown => debug!(self.log, "the platform told something unknown"),
+            PlatformMessage::Ping => {}
+            PlatformMessage::Unknown => debug!(self.log, "the platform told something unknown"),
         }
     }
 
-    fn news(&mut self, state: &State, answers_vote: bool) {
-        let State {
+    fn news(&mut self, state: &RolloutState, answers_vote: bool) {
+        let RolloutState {
             build,
             stage,
             phase,
@@ -301,7 +301,7 @@
         } = *state;
         info!(self.log, "platform"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
             "age" => age, "answers_vote" => answers_vote);
-        self.told_news(state.news(answers_vote));
+        self.told_news(state.to_status(answers_vote));
     }
 
     fn told_news(&mut self, news: RolloutStatus) {
--- a/router/src/routing/route.rs
+++ b/router/src/routing/route.rs
@@ -38,7 +38,7 @@
             } => {
                 self.tally.throttled += 1;
                 let millis = retry_after.map(|time| (time * MILLIS).ceil().max(0.0) as u64);
-                self.answer(&request, |out| client::write_throttled(out, millis));
+                self.answer(&request, |out| client::write_busy(out, millis));
             }
             Effect::FailRequest { request } => {
                 self.tally.terminated += 1;
--- a/router/src/routing/send.rs
+++ b/router/src/routing/send.rs
@@ -8,7 +8,7 @@
 
 use super::{Due, HOSTS, Routing};
 use crate::protocol::Malformed;
-use crate::protocol::host::{self, Answer};
+use crate::protocol::host::{self, HostResponse};
 use crate::protocol::resp::write_bulk;
 use crate::transport::{ReadStatus, SocketId, Stream, out_of_descriptors};
 
@@ -299,7 +299,7 @@
             Use::Idle if bytes.is_empty() => Ok(None),
             Use::Idle => Err(Malformed::new("nothing was asked")),
             Use::Dispatch(out) => {
-                let Some((answer, used)) = host::answer(bytes, &self.limits.resp)? else {
+                let Some((answer, used)) = host::parse_response(bytes, &self.limits.resp)? else {
                     let room = bytes.len() < self.limits.resp.message;
                     return if room {
                         Ok(None)
@@ -309,18 +309,18 @@
                 };
                 let (outcome, load) = match answer {
                     // No host has begun it.
-                    Answer::Value { .. } if !link.written => {
+                    HostResponse::Value { .. } if !link.written => {
                         return Err(Malformed::new(
                             "a value for a command that has not been written",
                         ));
                     }
-                    Answer::Value { value, load } => {
+                    HostResponse::Value { value, load } => {
                         self.relay_value(&out.request, value);
                         (AttemptOutcome::Succeeded, load)
                     }
-                    Answer::Error { load } => (AttemptOutcome::Error, load),
-                    Answer::Full { load } => (AttemptOutcome::Rejected, load),
-                    Answer::Refused(line) => {
+                    HostResponse::Error { load } => (AttemptOutcome::Error, load),
+                    HostResponse::Rejected { load } => (AttemptOutcome::Rejected, load),
+                    HostResponse::UnknownCommand(line) => {
                         warn!(self.log, "a host refused the form of a command"; "line" => line.to_owned());
                         (AttemptOutcome::Error, None)
                     }
@@ -342,7 +342,8 @@
                 Ok(Some(used))
             }
             Use::Probe => {
-                let Some(((well, load), used)) = host::probed(bytes, &self.limits.resp)? else {
+                let Some((response, used)) = host::parse_probe_response(bytes, &self.limits.resp)?
+                else {
                     let room = bytes.len() < self.limits.resp.message;
                     return if room {
                         Ok(None)
@@ -350,12 +351,13 @@
                         Err(Malformed::new("an answer is too long"))
                     };
                 };
-                let outcome = if well {
+                let outcome = if response.is_healthy {
                     AttemptOutcome::Succeeded
                 } else {
                     AttemptOutcome::Error
                 };
-                let load = load
+                let load = response
+                    .load
                     .map(TransportSettings::load_by_name)
                     .unwrap_or_default();
                 self.events.push_back(Event::HealthCheckFinished {
--- a/router/src/routing/shutdown.rs
+++ b/router/src/routing/shutdown.rs
@@ -6,7 +6,7 @@
 
 use super::take_in::Client;
 use super::{Due, Routing};
-use crate::protocol::client::write_throttled;
+use crate::protocol::client::write_busy;
 use crate::protocol::resp::write_error;
 use crate::transport::SocketId;
 
@@ -315,7 +315,7 @@
         for (request, attempts) in open {
             self.answer(&request, |out| match attempts {
                 // There is no room any more, and it has run nowhere.
-                0 => write_throttled(out, None),
+                0 => write_busy(out, None),
                 _ => write_error(out, "ERR failed"),
             });
         }
--- a/router/src/routing/take_in.rs
+++ b/router/src/routing/take_in.rs
@@ -9,7 +9,7 @@
 use super::admit::Taken;
 use super::arrivals::Arrivals;
 use super::{CLIENTS, Due, Routing};
-use crate::protocol::client::{self, Command, Kept};
+use crate::protocol::client::{self, Command, StoredCommand};
 use crate::protocol::{Malformed, resp};
 use crate::transport::{ReadStatus, SocketId, Stream, out_of_descriptors};
 
@@ -288,7 +288,7 @@
             let Some(client) = self.clients.get(&id) else {
                 return false;
             };
-            let read = client::read(client.stream.input(), &limits.resp);
+            let read = client::parse_command(client.stream.input(), &limits.resp);
             let whole = client.stream.input().len() < limits.resp.message;
             let (step, used) = match read {
                 Ok(Some((command, used))) => match self.step(command, client.arrivals.of(used)) {
@@ -348,7 +348,7 @@
         match self.idempotency.get(operation.0) {
             Some(Idempotency::Idempotent) if asked.idempotent => {}
             Some(Idempotency::IdempotencyKey { .. })
-                if !asked.idempotent && !asked.fingerprinted =>
+                if !asked.idempotent && !asked.has_idempotency_key =>
             {
                 return Err(Malformed::new("no fingerprint (k)"));
             }
@@ -372,7 +372,7 @@
         if asked.time_millis as f64 > self.limits.clients.max_time_limit * 1e3 {
             return Err(Malformed::new("the time (d) is beyond all sense"));
         }
-        let kept: Kept = asked.keep();
+        let kept: StoredCommand = asked.to_stored();
         let key = (!asked.key.is_empty()).then(|| KeyId(asked.key.into()));
         let pool = self
             .hosts
@@ -389,7 +389,7 @@
             key,
             pool,
             time_left,
-            again: asked.again,
+            again: asked.is_retry,
             kept,
         }))
     }
