--- a/measure/src/capacity/fleet_run/net/hollow_router.rs
+++ b/measure/src/capacity/fleet_run/net/hollow_router.rs
@@ -225,7 +225,7 @@
 }
 
 fn malformed(why: kestreltide_router::protocol::Malformed) -> io::Error {
-    io::Error::other(why.0)
+    io::Error::other(why.to_string())
 }
 
 fn taken(response: &discovery::Response, version: &mut Option<u64>) -> io::Result<Input> {
@@ -239,7 +239,7 @@
     } else {
         ListScope::Delta
     };
-    let entries = list.targets.iter().map(|target| target.listed().entry());
+    let entries = list.targets.iter().map(|target| target.to_host_record().entry());
     Ok(Input::List {
         scope,
         entries: entries.collect(),
