--- a/measure/src/capacity/fleet_run/net/hollow_router.rs
+++ b/measure/src/capacity/fleet_run/net/hollow_router.rs
@@ -239,7 +239,10 @@
     } else {
         ListScope::Delta
     };
-    let entries = list.targets.iter().map(|target| target.to_host_record().entry());
+    let entries = list
+        .targets
+        .iter()
+        .map(|target| target.to_host_record().entry());
     Ok(Input::List {
         scope,
         entries: entries.collect(),
