--- a/datastore/tests/golden_stored_state.rs
+++ b/datastore/tests/golden_stored_state.rs
@@ -19,8 +19,8 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
+use kestreltide_datastore::RejectedCommit;
 use kestreltide_datastore::commit_coordinator::{PendingCommit, SessionId};
-use kestreltide_datastore::store::RejectedCommit;
 use kestreltide_datastore::{
     Author, DatastoreState, Path, RevisionRecord, Rule, Source, Tree, ValidationError,
     ValidationErrors,
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -2,9 +2,8 @@
 
 use kestreltide::interface::{HostState, Phase};
 use kestreltide_datastore::commit_coordinator::CoordinatorStatus;
-use kestreltide_datastore::store::RejectedCommit;
 use kestreltide_datastore::view::View;
-use kestreltide_datastore::{Author, RevisionRecord, ValidationError, check};
+use kestreltide_datastore::{Author, RejectedCommit, RevisionRecord, ValidationError, merge};
 use kestreltide_yang::binding::{Binding, format_decimal, format_time};
 use kestreltide_yang::data::DataBuilder;
 use kestreltide_yang::{Content, DataNode, NodeId, Schema};
@@ -97,10 +96,10 @@
 /// The hosts of the configuration and of discovery, together.
 fn put_hosts(state: &mut DataBuilder, view: &View, published: &CoordinatorStatus) {
     let in_force = &published.in_force;
-    let hosts = check::merged(
+    let hosts = merge::merge_all(
         &in_force.tree,
         in_force.first_listed(),
-        &view.facts(view.at),
+        view.discovery.as_deref(),
     );
     let discovered = view.discovery.as_deref().unwrap_or_default();
     for host in hosts.values() {
