--- a/yang/src/edit/reader.rs
+++ b/yang/src/edit/reader.rs
@@ -21,7 +21,7 @@
         tag: ErrorTag,
         subject: &str,
         path: &InstancePath,
-        problem: impl Into<String>,
+        problem: impl fmt::Display,
         found: impl fmt::Display,
         expected: impl fmt::Display,
     ) {
