--- a/datastore/src/check/routes.rs
+++ b/datastore/src/check/routes.rs
@@ -72,7 +72,7 @@
 pub(super) fn check_precedence_is_clear(context: &Context, errors: &mut ValidationErrors) {
     let routes = build_routes(context.after.tree);
     // More pairs than errors are shown need not be found.
-    for (route, other) in kestreltide_routes::unordered(&routes, MAX_KEPT_ERRORS) {
+    for (route, other) in kestreltide_routes::ambiguous_pairs(&routes, MAX_KEPT_ERRORS) {
         let found = route
             .precedence
             .map_or("no precedence".into(), |precedence| precedence.to_string());
--- a/datastore/src/route_table.rs
+++ b/datastore/src/route_table.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use kestreltide::interface::{HostId, KindId, Pool, ZoneId};
-use kestreltide_routes::{Match, Route};
+use kestreltide_routes::{Route, RouteMatch};
 
 use crate::tree::{RouteConfig, RouteName, Tree};
 
@@ -17,14 +17,14 @@
 }
 
 fn build_route(name: &RouteName, config: &RouteConfig) -> Route {
-    let matches = Match {
+    let matches = RouteMatch {
         operations: config.operations.clone().unwrap_or_default(),
         key_prefix: config.key_prefix.clone().unwrap_or_default(),
     };
     Route {
         name: name.shared(),
         precedence: config.precedence,
-        of: matches,
+        matcher: matches,
         pool: Arc::new(build_pool(config)),
     }
 }
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -67,7 +67,7 @@
 
     /// The route of an invocation; none: all hosts are for it.
     pub(super) fn route(&self, operation: &str, key: &str) -> Option<&Route> {
-        self.revision.routes.of(operation, key)
+        self.revision.routes.find(operation, key)
     }
 
     /// Whether a connection to this host at this address may be used again.
--- a/routes/tests/routes.rs
+++ b/routes/tests/routes.rs
@@ -1,21 +1,21 @@
-//! Stories of routes.
+//! Matching of routes, overlapping routes, and pools.
 
 use std::sync::Arc;
 
 use kestreltide::interface::*;
-use kestreltide_routes::{Match, Route, Routes, unordered};
+use kestreltide_routes::{Route, RouteMatch, Routes, ambiguous_pairs};
 use rstest::rstest;
 
 fn route(name: &str, precedence: Option<u32>, operations: &[&str], prefix: &str) -> Route {
     let operations = operations.iter().map(|name| Arc::from(*name)).collect();
-    let of = Match {
+    let matcher = RouteMatch {
         operations,
         key_prefix: prefix.into(),
     };
     Route {
         name: name.into(),
         precedence,
-        of,
+        matcher,
         pool: Arc::new(Pool::default()),
     }
 }
@@ -25,7 +25,7 @@
 #[case::by_operation("read", "c-7", Some("wide"))]
 #[case::none("set", "c-7", None)]
 #[case::no_key("read", "", Some("wide"))]
-fn the_first_route_that_fits_is_taken(
+fn the_first_matching_route_is_used(
     #[case] operation: &str,
     #[case] key: &str,
     #[case] expected: Option<&str>,
@@ -36,7 +36,7 @@
     ];
     assert_eq!(
         Routes::new(routes)
-            .of(operation, key)
+            .find(operation, key)
             .map(|route| &*route.name),
         expected
     );
@@ -50,7 +50,7 @@
 #[case::any_operation(None, None, &[], "b", true)]
 #[case::other_key(None, None, &["read"], "c", false)]
 #[case::longer_key(None, None, &["read"], "bc", true)]
-fn routes_that_overlap_need_an_order(
+fn overlapping_routes_need_different_precedences(
     #[case] a: Option<u32>,
     #[case] b: Option<u32>,
     #[case] operations: &[&str],
@@ -61,26 +61,28 @@
         route("one", a, &["read"], "b"),
         route("two", b, operations, prefix),
     ];
-    assert_eq!(!unordered(&routes, 1).is_empty(), found);
+    assert_eq!(!ambiguous_pairs(&routes, 1).is_empty(), found);
 }
 
-/// However many pairs there are, no more are kept than are asked for.
+/// However many pairs there are, no more than the maximum are returned.
 #[test]
-fn of_routes_that_all_overlap_some_pairs_are_told() {
+fn ambiguous_pairs_are_limited_in_number() {
     let routes: Vec<_> = (0..2000)
         .map(|number| route(&format!("r{number}"), None, &[], ""))
         .collect();
-    let told = unordered(&routes, 100);
-    assert_eq!(told.len(), 100);
-    assert!(told.iter().all(|(one, other)| one.name != other.name));
+    let pairs = ambiguous_pairs(&routes, 100);
+    assert_eq!(pairs.len(), 100);
+    assert!(pairs.iter().all(|(one, other)| one.name != other.name));
 }
 
 /// Nanoseconds that this thread has run on a core, whatever else the machine does. The kernel counts them up when
 /// the thread goes to sleep.
 fn run_time() -> u64 {
     std::thread::sleep(std::time::Duration::from_micros(50));
-    let told = std::fs::read_to_string("/proc/thread-self/schedstat").expect("the kernel counts");
-    told.split(' ')
+    let schedstat =
+        std::fs::read_to_string("/proc/thread-self/schedstat").expect("the kernel counts");
+    schedstat
+        .split(' ')
         .next()
         .and_then(|text| text.parse().ok())
         .expect("a number")
@@ -96,7 +98,7 @@
             .collect();
         let once = || {
             let began = run_time();
-            assert!(unordered(&routes, 1).is_empty());
+            assert!(ambiguous_pairs(&routes, 1).is_empty());
             run_time() - began
         };
         (0..5).map(|_| once()).min().expect("five")
@@ -111,7 +113,7 @@
 #[case::other_zone(Pool { zones: vec![ZoneId(2)], ..Pool::default() }, false)]
 #[case::zone_and_kind(Pool { zones: vec![ZoneId(1)], kinds: vec![KindId(9)], ..Pool::default() }, false)]
 #[case::by_name(Pool { hosts: vec![HostId(5), HostId(7)], ..Pool::default() }, true)]
-fn a_pool_holds_what_all_its_conditions_fit(#[case] pool: Pool, #[case] holds: bool) {
+fn a_pool_contains_hosts_that_match_all_its_conditions(#[case] pool: Pool, #[case] holds: bool) {
     let (build, zone, cell, kind) = (BuildId(1), ZoneId(1), CellId(0), KindId(1));
     let state = HostState::Running;
     let entry = HostEntry {
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that are none: each is refused by its path, and nothing is put in the place of what is missing.
+//! Invalid settings: each is refused by its path, and nothing is assumed in the place of a missing value.
 
 use kestreltide_settings::{Fields, NameTable, decode};
 use rstest::rstest;
@@ -25,7 +25,7 @@
     })
 }
 
-fn refusal(settings: &Value) -> Option<String> {
+fn error_text(settings: &Value) -> Option<String> {
     decode(
         &Fields::from_json("settings", settings),
         &mut NameTable::Hashed,
@@ -42,13 +42,13 @@
 }
 
 #[test]
-fn the_least_that_is_well_is_taken() {
-    assert_eq!(refusal(&settings()), None);
+fn minimal_settings_are_accepted() {
+    assert_eq!(error_text(&settings()), None);
 }
 
 #[test]
-fn whatever_is_missing_is_refused_by_its_path() {
-    // These say what nobody needs: no load fields, no tenants' figures.
+fn a_missing_value_is_refused_by_its_path() {
+    // Optional: load fields and the figures of tenants.
     let free = [
         "telemetry.fields",
         "accounts.0.quota_per_s",
@@ -82,7 +82,7 @@
         let mut settings = settings();
         *at(&mut settings, path) = Value::Null;
         assert_eq!(
-            refusal(&settings),
+            error_text(&settings),
             Some(format!("settings.{path}: is missing"))
         );
     }
@@ -94,7 +94,7 @@
 #[case::time_with_fractions("request_classes.0.give_up", json!(1.5))]
 #[case::no_time_at_all("request_classes.1.window", json!(0))]
 #[case::time_in_other_units("request_classes.0.give_up", json!(2_500_000_000_000_u64))]
-#[case::time_beyond_sense("permissions.keepalive", json!(1e30))]
+#[case::time_out_of_range("permissions.keepalive", json!(1e30))]
 #[case::share_over_all("guarantees.cold_share", json!(1.5))]
 #[case::negative_share("extra.flag_share", json!(-0.1))]
 #[case::one_bad_share_of_a_list("extra.rings", json!([0.5, 7.0]))]
@@ -104,31 +104,31 @@
 #[case::endless("guarantees.fall_multiple", json!("inf"))]
 #[case::negative_cost("request_classes.1.credit", json!(-3.0))]
 #[case::late_value_fraction("request_classes.1.late_worth", json!(2))]
-#[case::no_dispatch("permissions.max_attempts", json!(0))]
-#[case::no_invocation("permissions.max_open", json!(0))]
+#[case::no_attempt("permissions.max_attempts", json!(0))]
+#[case::no_open_connection("permissions.max_open", json!(0))]
 #[case::no_router("group_size", json!(0))]
 #[case::another_router("me", json!(3))]
 #[case::unknown_word("extra.replace_mode", json!("sideways"))]
 #[case::unknown_count("extra.counts", json!("none"))]
-#[case::unknown_worth("worth_by", json!("weight"))]
+#[case::unknown_weighting("worth_by", json!("weight"))]
 #[case::no_flag("permissions.cancel", json!("perhaps"))]
 #[case::tenants_share("accounts.0.fraction", json!(-1))]
 #[case::tenants_quota("accounts.0.quota_per_s", json!("many"))]
-fn what_is_no_such_value_is_refused_by_its_path(#[case] path: &str, #[case] value: Value) {
+fn an_invalid_value_is_refused_by_its_path(#[case] path: &str, #[case] value: Value) {
     let mut settings = settings();
     *at(&mut settings, path) = value;
-    let why = refusal(&settings).expect("it is refused");
+    let why = error_text(&settings).expect("it is refused");
     assert!(why.starts_with(&format!("settings.{path}: ")), "{why}");
 }
 
 #[rstest]
 #[case::operation("request_classes", "request_classes.2.name")]
 #[case::tenant("accounts", "accounts.1.name")]
-fn who_is_named_twice_is_refused(#[case] list: &str, #[case] named: &str) {
+fn a_duplicate_name_is_refused(#[case] list: &str, #[case] named: &str) {
     let mut settings = settings();
     let first = settings[list][0].clone();
     settings[list].as_array_mut().expect("a list").push(first);
-    let why = refusal(&settings).expect("it is refused");
+    let why = error_text(&settings).expect("it is refused");
     assert!(
         why.starts_with(&format!(
             "settings.{named}: stands at {list}.0.name already"
@@ -149,8 +149,10 @@
 /// the thread goes to sleep.
 fn run_time() -> u64 {
     std::thread::sleep(std::time::Duration::from_micros(50));
-    let told = std::fs::read_to_string("/proc/thread-self/schedstat").expect("the kernel counts");
-    told.split(' ')
+    let schedstat =
+        std::fs::read_to_string("/proc/thread-self/schedstat").expect("the kernel counts");
+    schedstat
+        .split(' ')
         .next()
         .and_then(|text| text.parse().ok())
         .expect("a number")
@@ -158,12 +160,12 @@
 
 /// Sixteen times the tenants are to cost some sixteen times as much, not two hundred and fifty-six.
 #[test]
-fn names_are_told_apart_without_comparing_each_with_each() {
+fn duplicate_names_are_found_in_linear_time() {
     let cost = |count: usize| {
         let settings = with_tenants(count);
         let once = || {
             let began = run_time();
-            assert_eq!(refusal(&settings), None);
+            assert_eq!(error_text(&settings), None);
             run_time() - began
         };
         (0..3).map(|_| once()).min().expect("three")
@@ -173,23 +175,23 @@
 }
 
 #[rstest]
-#[case::most(65_536, None)]
+#[case::maximum(65_536, None)]
 #[case::one_more(
     65_537,
     Some("settings.accounts.count: is not within 0 and 65536 (65537 was given)")
 )]
-fn as_many_tenants_as_are_taken_and_one_more(#[case] count: usize, #[case] why: Option<&str>) {
-    assert_eq!(refusal(&with_tenants(count)).as_deref(), why);
+fn the_number_of_tenants_is_limited(#[case] count: usize, #[case] why: Option<&str>) {
+    assert_eq!(error_text(&with_tenants(count)).as_deref(), why);
 }
 
 /// Each value below a long path would repeat it whole: a text of some megabytes would take all memory.
 #[test]
-fn what_stands_below_a_long_path_is_passed_over() {
+fn values_below_a_long_path_are_ignored() {
     let mut settings = settings();
     let long = "k".repeat(257);
     settings[&long] = json!({"a": 1, "b": [{"c": 2}]});
     let fields = Fields::from_json("settings", &settings);
     assert_eq!(fields.get(&format!("{long}.a")), None);
     assert_eq!(fields.get(&format!("{long}.b.0.c")), None);
-    assert_eq!(refusal(&settings), None);
+    assert_eq!(error_text(&settings), None);
 }
