--- a/management/src/gnmi/mod.rs
+++ b/management/src/gnmi/mod.rs
@@ -58,7 +58,7 @@
 }
 
 fn nanos() -> i64 {
-    (crate::netconf::server::now() * 1e9) as i64
+    (crate::clock::unix_seconds() * 1e9) as i64
 }
 
 impl Service {
--- a/management/src/lib.rs
+++ b/management/src/lib.rs
@@ -4,6 +4,7 @@
 //!
 //! Both fronts run in a thread of their own, with a runtime of their own.
 
+mod clock;
 pub mod commit_service;
 mod error;
 pub mod gnmi;
--- a/management/src/netconf/framing.rs
+++ b/management/src/netconf/framing.rs
@@ -1,194 +1,233 @@
-//! Messages of NETCONF over SSH (RFC 6242, section 4): by an end mark until both sides have said hello, in chunks
-//! after. What a length promises is neither waited for beyond the limit nor allocated.
+//! Framing of NETCONF messages over SSH (RFC 6242, section 4): an end-of-message mark until both sides have sent their
+//! hello, chunks afterwards. Memory is bounded by the limit of a message, whatever length a chunk announces.
 
-use std::fmt;
+use thiserror::Error;
 
-/// How messages end.
+/// How messages are framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// Each message ends with `]]>]]>`.
     EndMark,
-    /// Each message comes in chunks with their lengths.
+    /// Each message is sent in chunks with their lengths.
     Chunks,
 }
 
-const END: &[u8] = b"]]>]]>";
-/// Digits of a chunk's length.
-const DIGITS: usize = 10;
-
-/// Why the bytes are no messages; the session is over then.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Malformed(pub &'static str);
-
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.0)
-    }
+/// The end-of-message mark.
+const END_MARK: &[u8] = b"]]>]]>";
+/// Digits of the length of a chunk, at most.
+const MAX_CHUNK_DIGITS: usize = 10;
+/// `LF # # LF`, which ends a message in chunks, in bytes.
+const END_OF_CHUNKS_LENGTH: usize = 4;
+
+/// Why bytes are not messages; nothing behind them can be decoded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum FramingError {
+    /// A message exceeds the limit.
+    #[error("a message is too long")]
+    MessageTooLong,
+    /// A message in chunks has none.
+    #[error("a message has no chunk")]
+    NoChunk,
+    /// A chunk does not begin with a valid header.
+    #[error("a chunk begins wrongly")]
+    InvalidChunkHeader,
+    /// A chunk is longer than any may be (RFC 6242, section 4.2).
+    #[error("a chunk is longer than any may be")]
+    ChunkTooLong,
 }
 
-/// Cuts the bytes of one direction into messages.
+/// Decodes the bytes of one direction into messages.
 #[derive(Debug)]
-pub struct Frames {
+pub struct FrameDecoder {
     framing: Framing,
-    most: usize,
-    /// Read and not used.
+    max_message_bytes: usize,
+    /// Bytes that have been received and not decoded.
     buffer: Vec<u8>,
-    /// Up to here no end mark begins.
-    looked: usize,
-    /// Chunks of the message so far, and how much of the present chunk is to come.
+    /// Bytes of the buffer in which no end mark begins.
+    scanned: usize,
+    /// The chunks of the current message so far.
     message: Vec<u8>,
-    chunk: usize,
-    chunks: usize,
+    /// Bytes of the current chunk that are to come.
+    chunk_remaining: usize,
+    /// Chunks of the current message so far.
+    chunk_count: usize,
 }
 
-impl Frames {
-    /// Messages of so many bytes at most.
-    pub fn new(most: usize) -> Self {
-        let (buffer, message) = (vec![], vec![]);
-        Frames {
+impl FrameDecoder {
+    /// A decoder of messages up to a size, framed by end marks at first.
+    pub fn new(max_message_bytes: usize) -> Self {
+        FrameDecoder {
             framing: Framing::EndMark,
-            most,
-            buffer,
-            looked: 0,
-            message,
-            chunk: 0,
-            chunks: 0,
+            max_message_bytes,
+            buffer: vec![],
+            scanned: 0,
+            message: vec![],
+            chunk_remaining: 0,
+            chunk_count: 0,
         }
     }
 
-    /// How messages end at present.
+    /// The framing of the next message.
     pub fn framing(&self) -> Framing {
         self.framing
     }
 
-    /// From the next message on.
+    /// Expects chunks from the next message on.
     pub fn use_chunks(&mut self) {
         self.framing = Framing::Chunks;
     }
 
-    /// Adds bytes that have come.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message; none where its end has not come.
-    pub fn message(&mut self) -> Result<Option<Vec<u8>>, Malformed> {
+    /// The next message; none if its end has not been received.
+    ///
+    /// # Errors
+    ///
+    /// When the bytes are no message or it is too long; the session has to end then.
+    pub fn message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         match self.framing {
-            Framing::EndMark => self.by_mark(),
-            Framing::Chunks => self.by_chunks(),
+            Framing::EndMark => self.decode_to_end_mark(),
+            Framing::Chunks => self.decode_chunks(),
         }
     }
 
-    fn by_mark(&mut self) -> Result<Option<Vec<u8>>, Malformed> {
-        let found = self.buffer[self.looked..]
-            .windows(END.len())
-            .position(|window| window == END);
-        match found {
-            Some(place) => {
-                let end = self.looked + place;
-                if end > self.most {
-                    return Err(Malformed("a message is too long"));
-                }
-                let message = self.buffer[..end].to_vec();
-                self.buffer.drain(..end + END.len());
-                self.looked = 0;
-                Ok(Some(message))
-            }
-            None if self.buffer.len() > self.most + END.len() => {
-                Err(Malformed("a message is too long"))
-            }
-            None => {
-                self.looked = self.buffer.len().saturating_sub(END.len() - 1);
-                Ok(None)
+    fn decode_to_end_mark(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
+        let mark = self.buffer[self.scanned..]
+            .windows(END_MARK.len())
+            .position(|window| window == END_MARK);
+        let Some(offset) = mark else {
+            if self.buffer.len() > self.max_message_bytes + END_MARK.len() {
+                return Err(FramingError::MessageTooLong);
             }
+            self.scanned = self.buffer.len().saturating_sub(END_MARK.len() - 1);
+            return Ok(None);
+        };
+        let end = self.scanned + offset;
+        if end > self.max_message_bytes {
+            return Err(FramingError::MessageTooLong);
         }
+        let message = self.buffer[..end].to_vec();
+        self.buffer.drain(..end + END_MARK.len());
+        self.scanned = 0;
+        Ok(Some(message))
     }
 
-    fn by_chunks(&mut self) -> Result<Option<Vec<u8>>, Malformed> {
+    fn decode_chunks(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         let mut used = 0;
-        let done = loop {
-            let rest = &self.buffer[used..];
-            if self.chunk > 0 {
-                let take = self.chunk.min(rest.len());
-                self.message.extend_from_slice(&rest[..take]);
-                (self.chunk, used) = (self.chunk - take, used + take);
-                if self.chunk > 0 {
-                    break Ok(None);
+        let result = self.decode_chunks_from(&mut used);
+        self.buffer.drain(..used);
+        result
+    }
+
+    /// Decodes chunks from `used` on, which is moved behind each byte that is done with.
+    fn decode_chunks_from(&mut self, used: &mut usize) -> Result<Option<Vec<u8>>, FramingError> {
+        loop {
+            let rest = &self.buffer[*used..];
+            if self.chunk_remaining > 0 {
+                let available = self.chunk_remaining.min(rest.len());
+                self.message.extend_from_slice(&rest[..available]);
+                self.chunk_remaining -= available;
+                *used += available;
+                if self.chunk_remaining > 0 {
+                    return Ok(None);
                 }
                 continue;
             }
-            match header(rest) {
-                Ok(None) => break Ok(None),
-                Err(why) => break Err(why),
-                Ok(Some((Header::End, length))) => {
-                    used += length;
-                    if self.chunks == 0 {
-                        break Err(Malformed("a message has no chunk"));
-                    }
-                    self.chunks = 0;
-                    break Ok(Some(std::mem::take(&mut self.message)));
-                }
-                Ok(Some((Header::Chunk(size), length))) => {
-                    used += length;
-                    if size > self.most || self.message.len() + size > self.most {
-                        break Err(Malformed("a message is too long"));
-                    }
-                    (self.chunk, self.chunks) = (size, self.chunks + 1);
-                }
+            let Some(header) = parse_header(rest)? else {
+                return Ok(None);
+            };
+            *used += header.length;
+            match header.kind {
+                HeaderKind::EndOfChunks => return self.finish_message().map(Some),
+                HeaderKind::Chunk(size) => self.begin_chunk(size)?,
             }
-        };
-        self.buffer.drain(..used);
-        done
+        }
     }
+
+    fn begin_chunk(&mut self, size: usize) -> Result<(), FramingError> {
+        if size > self.max_message_bytes || self.message.len() + size > self.max_message_bytes {
+            return Err(FramingError::MessageTooLong);
+        }
+        self.chunk_remaining = size;
+        self.chunk_count += 1;
+        Ok(())
+    }
+
+    fn finish_message(&mut self) -> Result<Vec<u8>, FramingError> {
+        if self.chunk_count == 0 {
+            return Err(FramingError::NoChunk);
+        }
+        self.chunk_count = 0;
+        Ok(std::mem::take(&mut self.message))
+    }
+}
+
+/// The header of a chunk, or the end of all chunks.
+struct Header {
+    kind: HeaderKind,
+    /// Bytes of the header itself.
+    length: usize,
 }
 
-enum Header {
+enum HeaderKind {
+    /// A chunk of so many bytes follows.
     Chunk(usize),
-    End,
+    /// The message is complete.
+    EndOfChunks,
 }
 
-/// `LF # length LF` or `LF # # LF`; anything else is certain at its first wrong byte.
-fn header(bytes: &[u8]) -> Result<Option<(Header, usize)>, Malformed> {
-    const WRONG: Malformed = Malformed("a chunk begins wrongly");
-    let begun = &b"\n#"[..bytes.len().min(2)];
-    if !bytes.starts_with(begun) {
-        return Err(WRONG);
+/// Parses `LF # length LF` or `LF # # LF`; none if more bytes are needed. Anything else fails at its first wrong byte.
+fn parse_header(bytes: &[u8]) -> Result<Option<Header>, FramingError> {
+    const INVALID: FramingError = FramingError::InvalidChunkHeader;
+    let expected_start = &b"\n#"[..bytes.len().min(2)];
+    if !bytes.starts_with(expected_start) {
+        return Err(INVALID);
     }
     let Some(first) = bytes.get(2) else {
         return Ok(None);
     };
     if *first == b'#' {
         return match bytes.get(3) {
-            Some(b'\n') => Ok(Some((Header::End, 4))),
-            Some(_) => Err(WRONG),
+            Some(b'\n') => Ok(Some(Header {
+                kind: HeaderKind::EndOfChunks,
+                length: END_OF_CHUNKS_LENGTH,
+            })),
+            Some(_) => Err(INVALID),
             None => Ok(None),
         };
     }
     let digits = bytes[2..]
         .iter()
-        .take(DIGITS + 1)
+        .take(MAX_CHUNK_DIGITS + 1)
         .take_while(|byte| byte.is_ascii_digit())
         .count();
-    if digits > DIGITS || *first == b'0' || digits == 0 {
-        return Err(WRONG);
+    if digits > MAX_CHUNK_DIGITS || *first == b'0' || digits == 0 {
+        return Err(INVALID);
     }
     match bytes.get(2 + digits) {
         None => Ok(None),
-        Some(b'\n') => {
-            let text = std::str::from_utf8(&bytes[2..2 + digits]).map_err(|_| WRONG)?;
-            let size: u64 = text.parse().map_err(|_| WRONG)?;
-            let size =
-                u32::try_from(size).map_err(|_| Malformed("a chunk is longer than any may be"))?;
-            Ok(Some((Header::Chunk(size as usize), 2 + digits + 1)))
-        }
-        Some(_) => Err(WRONG),
+        Some(b'\n') => Ok(Some(Header {
+            kind: HeaderKind::Chunk(parse_chunk_size(&bytes[2..2 + digits])?),
+            length: 2 + digits + 1,
+        })),
+        Some(_) => Err(INVALID),
     }
 }
 
-/// A message as it goes out.
-pub fn write(framing: Framing, message: &str) -> Vec<u8> {
+fn parse_chunk_size(digits: &[u8]) -> Result<usize, FramingError> {
+    let text = std::str::from_utf8(digits).map_err(|_| FramingError::InvalidChunkHeader)?;
+    let size: u64 = text.parse().map_err(|_| FramingError::InvalidChunkHeader)?;
+    let size = u32::try_from(size).map_err(|_| FramingError::ChunkTooLong)?;
+    Ok(size as usize)
+}
+
+/// A message with its framing.
+pub fn encode(framing: Framing, message: &str) -> Vec<u8> {
     match framing {
-        Framing::EndMark => [message.as_bytes(), END].concat(),
+        Framing::EndMark => [message.as_bytes(), END_MARK].concat(),
         Framing::Chunks => format!("\n#{}\n{message}\n##\n", message.len()).into_bytes(),
     }
 }
--- /dev/null
+++ b/management/src/netconf/ssh_connection.rs
@@ -0,0 +1,116 @@
+//! The SSH side of a NETCONF connection: authentication by the file of keys, and the subsystem `netconf`.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
+
+use kestreltide_datastore::{Key, Proof};
+use russh::keys::PublicKey;
+use russh::server::{
+    Auth, ChannelOpenHandle, Handler, Msg, Session as SshSession, VerifiedPublicKey,
+};
+use russh::{Channel, ChannelId, ChannelOpenFailure};
+
+use super::server::Shared;
+use super::session_task::serve_session;
+
+/// Channels of one connection that no subsystem has been requested for, at most.
+const MAX_IDLE_CHANNELS: usize = 4;
+/// The name of the SSH subsystem (RFC 6242, section 3).
+const SUBSYSTEM: &str = "netconf";
+
+/// The kind and text of a key, as the file of keys has them.
+fn proof(key: &PublicKey) -> Option<Proof> {
+    let text = key.to_openssh().ok()?;
+    let mut words = text.split_whitespace();
+    Some(Proof::Ssh(format!("{} {}", words.next()?, words.next()?)))
+}
+
+/// The handler of one SSH connection.
+pub(super) struct SshConnection {
+    shared: Arc<Shared>,
+    /// Set once the client has authenticated.
+    authenticated: Arc<AtomicBool>,
+    /// The key that the client has authenticated with.
+    key: Option<Key>,
+    /// Open channels that no subsystem has been requested for.
+    channels: BTreeMap<ChannelId, Channel<Msg>>,
+}
+
+impl SshConnection {
+    /// A connection whose client has not authenticated; `authenticated` is set once it has.
+    pub(super) fn new(shared: Arc<Shared>, authenticated: Arc<AtomicBool>) -> Self {
+        SshConnection {
+            shared,
+            authenticated,
+            key: None,
+            channels: BTreeMap::new(),
+        }
+    }
+}
+
+impl Handler for SshConnection {
+    type Error = russh::Error;
+
+    async fn auth_publickey(
+        &mut self,
+        user: &str,
+        key: VerifiedPublicKey<'_>,
+    ) -> Result<Auth, Self::Error> {
+        let known = proof(key.public_key)
+            .and_then(|proof| self.shared.commit_service.keys.load().find(&proof).cloned());
+        Ok(match known.filter(|key| key.name == user) {
+            Some(key) => {
+                self.authenticated.store(true, Relaxed);
+                self.key = Some(key);
+                Auth::Accept
+            }
+            None => Auth::reject(),
+        })
+    }
+
+    async fn channel_open_session(
+        &mut self,
+        channel: Channel<Msg>,
+        reply: ChannelOpenHandle,
+        _: &mut SshSession,
+    ) -> Result<(), Self::Error> {
+        // A client needs one channel; it may open and close a few.
+        if self.channels.len() < MAX_IDLE_CHANNELS {
+            self.channels.insert(channel.id(), channel);
+            reply.accept().await;
+        } else {
+            reply.reject(ChannelOpenFailure::ResourceShortage).await;
+        }
+        Ok(())
+    }
+
+    async fn subsystem_request(
+        &mut self,
+        id: ChannelId,
+        name: &str,
+        session: &mut SshSession,
+    ) -> Result<(), Self::Error> {
+        let (Some(channel), Some(key)) = (self.channels.remove(&id), self.key.clone()) else {
+            return session.channel_failure(id);
+        };
+        if name != SUBSYSTEM {
+            return session.channel_failure(id);
+        }
+        session.channel_success(id)?;
+        // A connection ends with its session.
+        let shared = self.shared.clone();
+        let ssh = session.handle();
+        tokio::spawn(async move {
+            serve_session(shared, key, channel).await;
+            let _ = ssh
+                .disconnect(
+                    russh::Disconnect::ByApplication,
+                    "the session is over".into(),
+                    "en".into(),
+                )
+                .await;
+        });
+        Ok(())
+    }
+}
