--- a/yang/src/edit/error.rs
+++ b/yang/src/edit/error.rs
@@ -65,7 +65,7 @@
         tag: ErrorTag,
         subject: &str,
         path: &InstancePath,
-        problem: impl Into<String>,
+        problem: impl fmt::Display,
         found: impl fmt::Display,
         expected: impl fmt::Display,
     ) -> Self {
