--- a/tests/regions.rs
+++ b/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Builds on trial while a rack, a zone or the other region is lost, or most routers start anew. Each has to be let
+//! Canary builds while a rack, a zone or the other region is lost, or most routers start anew. Each has to be let
 //! on or voted back as it deserves, within the cap, and all routers have to agree afterwards.
 
 mod fake;
@@ -80,7 +80,7 @@
     assert_next_is_right(&mut regions, bad);
 }
 
-/// The regions lose each other during one trial, and find each other during the next.
+/// The regions lose each other during one canary, and find each other during the next.
 #[rstest]
 #[case::good(false)]
 #[case::bad(true)]
@@ -151,7 +151,7 @@
     assert_next_is_right(&mut regions, bad);
 }
 
-/// The build on trial runs in the first region only, and the second hears nothing of it. Those who see it fail have
+/// The canary build runs in the first region only, and the second hears nothing of it. Those who see it fail have
 /// traffic enough to say so before the others move on what they have not seen.
 #[test]
 fn a_bad_build_that_one_region_alone_sees_goes_back_from_its_first_stage() {
