--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -61,12 +61,14 @@
     let server = Server::builder()
         .tls_config(config)
         .map_err(ServeError::Certificate)?;
-    let alive = Duration::from_secs_f64(limits.keepalive_interval);
+    let keepalive_interval = Duration::from_secs_f64(limits.keepalive_interval);
     let mut server = server
         .max_concurrent_streams(limits.max_streams)
         .concurrency_limit_per_connection(limits.max_streams as usize)
-        .http2_keepalive_interval(Some(alive))
-        .http2_keepalive_timeout(Some(alive * limits.max_missed_keepalives as u32))
+        .http2_keepalive_interval(Some(keepalive_interval))
+        .http2_keepalive_timeout(Some(
+            keepalive_interval * limits.max_missed_keepalives as u32,
+        ))
         .http2_max_pending_accept_reset_streams(Some(limits.max_streams as usize))
         .tcp_nodelay(true);
     server
@@ -74,7 +76,7 @@
         .serve_with_incoming(accept_connections(listener, limits.max_connections))
         .await
         .map_err(|e| {
-            warn!(log, "gNMI ended"; "error" => %e);
+            warn!(log, "gNMI server stopped"; "error" => %e);
             ServeError::Transport(e)
         })
 }
--- a/management/src/gnmi/stream.rs
+++ b/management/src/gnmi/stream.rs
@@ -1,4 +1,4 @@
-//! The task of one Subscribe stream: what it sends, when, and what ends it.
+//! The task of one Subscribe stream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,12 +17,16 @@
 use super::path_subscription::PathSubscription;
 use super::snapshot::Snapshot;
 use crate::commit_service::CommitServiceHandle;
+use crate::end_reason::EndReason;
 use crate::proto::gnmi::subscribe_request::Request as RequestKind;
 use crate::proto::gnmi::subscribe_response::Response as ResponseKind;
 use crate::proto::gnmi::subscription_list::Mode;
 use crate::proto::gnmi::{Notification, Path, SubscribeRequest, SubscribeResponse, Update};
 
-/// What a stream holds of the service.
+/// Time between checks whether the key of a stream may still read.
+const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// What a stream needs of the service.
 pub(super) struct StreamContext {
     pub(super) schema: &'static Schema,
     pub(super) snapshot: watch::Receiver<Arc<Snapshot>>,
@@ -41,13 +45,13 @@
 
 impl SubscribeStream {
     pub(super) async fn run(mut self, mode: Mode, requests: Streaming<SubscribeRequest>) {
-        info!(self.context.log, "a gNMI stream began"; "key" => &self.key.name, "mode" => ?mode);
+        info!(self.context.log, "gNMI stream opened"; "key" => &self.key.name, "mode" => ?mode);
         let reason = match mode {
             Mode::Once => self.run_once().await,
             Mode::Poll => self.run_poll(requests).await,
             Mode::Stream => self.run_stream(requests).await,
         };
-        info!(self.context.log, "a gNMI stream ended"; "key" => &self.key.name, "why" => reason);
+        info!(self.context.log, "gNMI stream closed"; "key" => &self.key.name, "reason" => %reason);
     }
 
     async fn send(&self, response: ResponseKind) -> bool {
@@ -60,7 +64,7 @@
             .is_ok()
     }
 
-    /// Everything that is wanted, then that it was everything.
+    /// Sends all leaves of all subscriptions unless `updates_only`, and the sync response.
     async fn send_all(&mut self, updates_only: bool) -> bool {
         let snapshot = self.context.snapshot.borrow().clone();
         for index in 0..self.subscriptions.len() {
@@ -87,26 +91,26 @@
         .await
     }
 
-    async fn run_once(&mut self) -> &'static str {
+    async fn run_once(&mut self) -> EndReason {
         if self.send_all(self.updates_only).await {
-            "all was sent"
+            EndReason::Completed
         } else {
-            "it went away"
+            EndReason::Disconnected
         }
     }
 
-    async fn run_poll(&mut self, mut requests: Streaming<SubscribeRequest>) -> &'static str {
+    async fn run_poll(&mut self, mut requests: Streaming<SubscribeRequest>) -> EndReason {
         if !self.send_all(self.updates_only).await {
-            return "it went away";
+            return EndReason::Disconnected;
         }
         while let Some(Ok(request)) = requests.next().await {
             match request.request {
                 Some(RequestKind::Poll(_)) if !self.may_still_read() => {
-                    return "its key is no longer in the file of keys";
+                    return EndReason::KeyRevoked;
                 }
                 Some(RequestKind::Poll(_)) => {
                     if !self.send_all(false).await {
-                        return "it went away";
+                        return EndReason::Disconnected;
                     }
                 }
                 _ => {
@@ -119,11 +123,11 @@
                             "a poll",
                         )))
                         .await;
-                    return "it sent something else than a poll";
+                    return EndReason::UnexpectedRequest;
                 }
             }
         }
-        "it asked no more"
+        EndReason::NoMoreRequests
     }
 
     fn may_still_read(&self) -> bool {
@@ -135,11 +139,11 @@
             .is_some_and(|rights| rights.read)
     }
 
-    async fn run_stream(&mut self, mut requests: Streaming<SubscribeRequest>) -> &'static str {
+    async fn run_stream(&mut self, mut requests: Streaming<SubscribeRequest>) -> EndReason {
         let mut changes = self.context.snapshot.clone();
         let mut seen = changes.borrow_and_update().number;
         if !self.send_all(self.updates_only).await {
-            return "it went away";
+            return EndReason::Disconnected;
         }
         loop {
             if let Err(reason) = self.wait_for_event(&mut changes, &mut requests).await {
@@ -152,49 +156,52 @@
                         "certificate: is no longer in the file of keys",
                     )))
                     .await;
-                return "its key is no longer in the file of keys";
+                return EndReason::KeyRevoked;
             }
             let snapshot = changes.borrow_and_update().clone();
             let progress = Progress::between(seen, snapshot.number);
             seen = snapshot.number;
             if !self.send_due(&snapshot, progress).await {
-                return "it went away";
+                return EndReason::Disconnected;
             }
         }
     }
 
-    /// Waits for a change, for a timer of a subscription or for the next look at the keys; an error says what ends
-    /// the stream.
+    /// Waits for a change, for a timer of a subscription or for the next check of the key.
+    ///
+    /// # Errors
+    ///
+    /// With the reason why the stream ends.
     async fn wait_for_event(
         &self,
         changes: &mut watch::Receiver<Arc<Snapshot>>,
         requests: &mut Streaming<SubscribeRequest>,
-    ) -> Result<(), &'static str> {
+    ) -> Result<(), EndReason> {
         let next = self
             .subscriptions
             .iter()
             .filter_map(PathSubscription::next_timer)
             .min();
-        // Keys may go at any time, also while nothing changes.
-        let key_check = Instant::now() + Duration::from_secs(1);
+        // A key may be revoked while nothing changes.
+        let key_check = Instant::now() + KEY_CHECK_INTERVAL;
         tokio::select! {
-            changed = changes.changed() => changed.map_err(|_| "the router stops"),
+            changed = changes.changed() => changed.map_err(|_| EndReason::RouterStopping),
             _ = sleep_until(next.map_or(key_check, |next| next.min(key_check))) => Ok(()),
             request = requests.next() => match request {
-                None => Err("it asked no more"),
-                Some(Err(_)) => Err("it went away"),
+                None => Err(EndReason::NoMoreRequests),
+                Some(Err(_)) => Err(EndReason::Disconnected),
                 Some(Ok(_)) => {
                     let what = "a stream takes no more requests";
                     let error = invalid_argument("subscribe", what, "another", "none");
                     let _ = self.sender.send(Err(error)).await;
-                    Err("it sent something else")
+                    Err(EndReason::UnexpectedRequest)
                 }
             },
-            _ = self.sender.closed() => Err("it went away"),
+            _ = self.sender.closed() => Err(EndReason::Disconnected),
         }
     }
 
-    /// Sends what each subscription is due; false where nobody takes it any more.
+    /// Sends what is due for each subscription; false if the client has gone.
     async fn send_due(&mut self, snapshot: &Snapshot, progress: Progress) -> bool {
         let now = Instant::now();
         for index in 0..self.subscriptions.len() {
@@ -218,12 +225,11 @@
     }
 }
 
-/// How far what is published has moved on since a stream read it last.
+/// The progress of the published data since a stream read it last.
 #[derive(Clone, Copy)]
 struct Progress {
     changed: bool,
-    /// Changes that the newest stands for beside itself: who reads slowly gets the newest, and is told how many
-    /// changes that stands for.
+    /// Changes before the newest one that are not sent one by one, since the client reads slowly.
     coalesced: u32,
 }
 
--- a/management/src/lib.rs
+++ b/management/src/lib.rs
@@ -6,6 +6,7 @@
 
 mod clock;
 pub mod commit_service;
+mod end_reason;
 mod error;
 pub mod gnmi;
 pub mod netconf;
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -108,7 +108,7 @@
             Ok(accepted) => accepted,
             Err(e) => {
                 // Most likely out of file descriptors: sessions go on, and accepting is retried.
-                warn!(shared.log, "a NETCONF client cannot be accepted"; "error" => %e);
+                warn!(shared.log, "NETCONF connection not accepted"; "error" => %e);
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -121,7 +121,7 @@
         tokio::spawn(async move {
             serve_connection(shared.clone(), config, stream).await;
             drop(permit);
-            debug!(shared.log, "a NETCONF connection ended"; "from" => %from);
+            debug!(shared.log, "NETCONF connection closed"; "client" => %from);
         });
     }
 }
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -21,6 +21,7 @@
 use kestreltide_yang::Schema;
 use kestreltide_yang::binding::Binding;
 use kestreltide_yang::xml::{self, Attribute, Element, XmlLimits, escaped};
+use thiserror::Error;
 
 pub use self::capabilities::BASE;
 use self::capabilities::CAPABILITIES;
@@ -57,6 +58,17 @@
     },
 }
 
+/// Why a session ends without a reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum AbortReason {
+    /// The first message is not a hello.
+    #[error("first message is not a hello")]
+    NoHello,
+    /// Client and server have no version of the base protocol in common.
+    #[error("no common base version")]
+    NoCommonVersion,
+}
+
 /// What to do after a message.
 #[derive(Debug)]
 pub enum Step {
@@ -70,8 +82,8 @@
     Kill(SessionId, String),
     /// The reply; from then on what happens is told.
     Subscribe(String),
-    /// It is over without a reply: no messages can be read any more.
-    Abort(&'static str),
+    /// End the session without a reply.
+    Abort(AbortReason),
 }
 
 /// The state of one session.
@@ -171,7 +183,7 @@
             .child("capabilities")
             .filter(|_| element.name == "hello" && element.namespace == BASE);
         let Some(capabilities) = capabilities else {
-            return Step::Abort("the first message is no hello");
+            return Step::Abort(AbortReason::NoHello);
         };
         let supports = |base: &str| {
             capabilities
@@ -180,7 +192,7 @@
                 .any(|child| child.text.trim() == base)
         };
         if !supports(CAPABILITIES[0]) && !supports(CAPABILITIES[1]) {
-            return Step::Abort("no base version in common");
+            return Step::Abort(AbortReason::NoCommonVersion);
         }
         (self.hello_received, self.peer_chunks) = (true, supports(CAPABILITIES[1]));
         Step::Reply(String::new())
@@ -189,7 +201,7 @@
     fn malformed(&self, why: &str) -> Step {
         // There is no message-id to answer with (RFC 6241, section 4.1); the session goes on.
         if !self.hello_received {
-            return Step::Abort("the first message is no hello");
+            return Step::Abort(AbortReason::NoHello);
         }
         let error = RpcError::new(
             "rpc",
--- a/management/src/netconf/session_task.rs
+++ b/management/src/netconf/session_task.rs
@@ -10,7 +10,6 @@
 use russh::Channel;
 use russh::server::Msg;
 use slog::{info, warn};
-use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::broadcast::error::RecvError;
 use tokio::sync::{Notify, broadcast};
@@ -20,6 +19,7 @@
 use super::server::Shared;
 use super::session::{DatastoreOperation, Session, Step};
 use crate::commit_service::Notification;
+use crate::end_reason::EndReason;
 use crate::state;
 
 /// Bytes that are read from a channel at once.
@@ -41,11 +41,11 @@
         is_admitted
     });
     if is_admitted {
-        info!(shared.log, "a NETCONF session began"; "session" => id.0, "key" => &key.name);
+        info!(shared.log, "NETCONF session opened"; "session" => id.0, "key" => &key.name);
         let reason = exchange_messages(&shared, id, &key, channel, &kill_signal).await;
-        info!(shared.log, "a NETCONF session ended"; "session" => id.0, "key" => &key.name, "why" => %reason);
+        info!(shared.log, "NETCONF session closed"; "session" => id.0, "key" => &key.name, "reason" => %reason);
     } else {
-        warn!(shared.log, "no room for one more NETCONF session"; "key" => &key.name);
+        warn!(shared.log, "NETCONF session rejected"; "key" => &key.name, "reason" => "too many sessions");
     }
     shared.with_sessions(|sessions| sessions.remove(&id));
     // Releases its locks, and rolls back the commit that only it could confirm.
@@ -92,27 +92,6 @@
     missed: u64,
 }
 
-/// Why a session ended.
-#[derive(Clone, Copy, Debug, Error)]
-enum EndReason {
-    #[error("it went away")]
-    Disconnected,
-    #[error("its key is no longer in the file of keys")]
-    KeyRevoked,
-    #[error("it was killed")]
-    Killed,
-    #[error("it did not say hello")]
-    HelloTimeout,
-    #[error("the router stops")]
-    RouterStopping,
-    #[error("its messages cannot be read")]
-    InvalidFraming,
-    #[error("it closed")]
-    Closed,
-    #[error("{0}")]
-    Aborted(&'static str),
-}
-
 impl<W: AsyncWrite + Unpin> Exchange<'_, W> {
     async fn run(
         &mut self,
--- a/router/tests/management.rs
+++ b/router/tests/management.rs
@@ -539,7 +539,7 @@
                 .contains("holds the lock")
         );
         one.abandon().await;
-        site.program.wait_for_log("a NETCONF session ended");
+        site.program.wait_for_log("NETCONF session closed");
         site.program.wait_for_log("the files are taken");
         gnmi.set(set).await.expect("free");
     });
