--- a/datastore/src/commit_coordinator.rs
+++ b/datastore/src/commit_coordinator.rs
@@ -3,7 +3,6 @@
 //!
 //! Free of I/O: the datastore's thread hands in the time and what the router knows.
 
-use std::fmt;
 use std::sync::Arc;
 
 use kestreltide::interface::Revision;
@@ -12,6 +11,7 @@
 
 use crate::candidate::{Candidate, InForce};
 use crate::facts::Facts;
+pub use crate::locks::{Locks, SessionId, Target};
 use crate::revision::{Author, RejectedCommit, RevisionRecord, Source};
 use crate::store::{CommitOutcome, Datastore};
 use crate::validation::{ValidationError, ValidationErrors};
@@ -21,70 +21,9 @@
 /// The version that the author of a roll-back of an unconfirmed commit has.
 const NOT_CONFIRMED: &str = "not confirmed";
 
-/// A session of a management interface.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct SessionId(pub u32);
-
-impl fmt::Display for SessionId {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.fmt(f)
-    }
-}
-
-/// The datastore that a lock is of. Either lock keeps others from committing: each session has a candidate of its own.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Target {
-    /// The running datastore.
-    Running,
-    /// The candidate datastore.
-    Candidate,
-}
-
 /// Who asks: a session, or none, as watched files have none.
 pub type CommitOwner = Option<SessionId>;
 
-/// The sessions that hold the locks.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Locks {
-    /// The holder of the lock of the running datastore.
-    pub running: Option<SessionId>,
-    /// The holder of the lock of the candidate datastore.
-    pub candidate: Option<SessionId>,
-}
-
-impl Locks {
-    /// The holder of a lock.
-    pub fn holder(&self, target: Target) -> Option<SessionId> {
-        match target {
-            Target::Running => self.running,
-            Target::Candidate => self.candidate,
-        }
-    }
-
-    fn set_holder(&mut self, target: Target, holder: Option<SessionId>) {
-        match target {
-            Target::Running => self.running = holder,
-            Target::Candidate => self.candidate = holder,
-        }
-    }
-
-    fn release_all(&mut self, session: SessionId) {
-        for target in [Target::Running, Target::Candidate] {
-            if self.holder(target) == Some(session) {
-                self.set_holder(target, None);
-            }
-        }
-    }
-
-    /// A session other than the one that asks which holds a lock.
-    fn held_by_other(&self, asker: CommitOwner) -> Option<SessionId> {
-        let is_other = |holder: &SessionId| Some(*holder) != asker;
-        self.running
-            .filter(is_other)
-            .or(self.candidate.filter(is_other))
-    }
-}
-
 /// A commit that is rolled back unless it is confirmed in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfirmedCommit {
@@ -183,10 +122,9 @@
         if let Some(holder) = self.locks.holder(target) {
             return Err(CommitError::Locked(holder));
         }
-        if let Some(pending) = &self.pending {
-            if pending.session != Some(session) {
-                return Err(CommitError::CommitPending(pending.clone()));
-            }
+        let pending = self.pending.as_ref();
+        if let Some(other) = pending.filter(|pending| pending.session != Some(session)) {
+            return Err(CommitError::CommitPending(other.clone()));
         }
         self.locks.set_holder(target, Some(session));
         Ok(())
--- a/datastore/src/lib.rs
+++ b/datastore/src/lib.rs
@@ -6,12 +6,25 @@
 //!
 //! Free of I/O: the time, what the router knows of hosts and builds, and who asks are arguments.
 
+#![deny(missing_docs, unreachable_pub)]
+#![deny(
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::unwrap_used,
+    clippy::wildcard_imports
+)]
+
 pub mod access;
 mod candidate;
 mod check;
 pub mod commit_coordinator;
 mod facts;
+mod history;
 mod host_record;
+mod locks;
 pub mod merge;
 mod revision;
 mod route_table;
@@ -27,12 +40,13 @@
 pub use candidate::{Candidate, InForce};
 pub use check::{DrainedHosts, exceeded_maximums};
 pub use facts::Facts;
+pub use history::HistoryLimits;
 pub use host_record::HostRecord;
 pub use merge::FirstListed;
 pub use revision::{Author, RejectedCommit, RevisionRecord, Source};
 pub use settings::{Maximums, MemorySettings, RuleSettings};
 pub use snapshot::Snapshot;
-pub use store::{CommitOutcome, Datastore, DatastoreState, HistoryLimits};
+pub use store::{CommitOutcome, Datastore, DatastoreState};
 pub use tree::{
     AdminState, Container, Difference, Guards, HostConfig, HostName, Leaf, NameError, Path,
     RolloutConfig, RouteConfig, RouteName, Tree, Value, ValueError,
--- a/datastore/src/route_table.rs
+++ b/datastore/src/route_table.rs
@@ -9,7 +9,7 @@
 use crate::tree::{RouteConfig, RouteName, Tree};
 
 /// The routes of a tree, each with its pool, in the order of their names.
-pub fn build_routes(tree: &Tree) -> Vec<Route> {
+pub(crate) fn build_routes(tree: &Tree) -> Vec<Route> {
     tree.routes
         .iter()
         .map(|(name, config)| build_route(name, config))
--- a/datastore/src/store.rs
+++ b/datastore/src/store.rs
@@ -13,6 +13,7 @@
 use crate::candidate::{Candidate, InForce};
 use crate::check::{Context, DrainedHosts, HostsOfTree, check};
 use crate::facts::Facts;
+use crate::history::{History, HistoryLimits};
 use crate::merge::{FirstListed, merge_all};
 use crate::revision::{Author, RejectedCommit, RevisionRecord, Source};
 use crate::settings::RuleSettings;
@@ -20,30 +21,6 @@
 use crate::tree::{AdminState, Difference, HostConfig, Tree};
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// How much of the past is kept.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HistoryLimits {
-    /// Revisions.
-    pub revisions: usize,
-    /// Changed leaves of all kept revisions together.
-    pub changes: usize,
-    /// Rejected commits.
-    pub rejections: usize,
-    /// Drained hosts.
-    pub drained: usize,
-}
-
-impl Default for HistoryLimits {
-    fn default() -> Self {
-        HistoryLimits {
-            revisions: 1000,
-            changes: 10_000,
-            rejections: 16,
-            drained: 64 * 1024,
-        }
-    }
-}
-
 /// The state that is persisted: all that a start needs to go on where the last one ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DatastoreState {
@@ -82,12 +59,9 @@
 /// The running tree, its history, and the checks that a candidate passes.
 pub struct Datastore {
     settings: RuleSettings,
-    limits: HistoryLimits,
     in_force: Arc<InForce>,
     snapshot: Arc<Snapshot>,
-    drained: DrainedHosts,
-    history: VecDeque<RevisionRecord>,
-    rejections: VecDeque<RejectedCommit>,
+    history: History,
 }
 
 impl Datastore {
@@ -119,17 +93,12 @@
             tree: state.tree,
             first_listed: state.first_listed,
         };
-        let mut store = Datastore {
+        Datastore {
             settings,
-            limits,
             in_force: Arc::new(in_force),
             snapshot: Arc::new(snapshot),
-            drained: state.drained,
-            history: state.history,
-            rejections: state.rejections,
-        };
-        store.trim_history();
-        store
+            history: History::new(limits, state.history, state.rejections, state.drained),
+        }
     }
 
     /// The state to persist.
@@ -138,9 +107,9 @@
             revision: self.in_force.revision.0,
             tree: self.in_force.tree.clone(),
             first_listed: self.in_force.first_listed.clone(),
-            drained: self.drained.clone(),
-            history: self.history.clone(),
-            rejections: self.rejections.clone(),
+            drained: self.history.drained().clone(),
+            history: self.history.revisions().clone(),
+            rejections: self.history.rejections().clone(),
         }
     }
 
@@ -151,12 +120,12 @@
 
     /// The kept revisions, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &RevisionRecord> {
-        self.history.iter()
+        self.history.revisions().iter()
     }
 
     /// The kept rejected commits, oldest first.
     pub fn rejections(&self) -> impl DoubleEndedIterator<Item = &RejectedCommit> {
-        self.rejections.iter()
+        self.history.rejections().iter()
     }
 
     /// The revision in force for an event loop that has none yet.
@@ -223,14 +192,13 @@
             tree: Arc::new(checked.tree),
             first_listed: Arc::new(checked.first_listed),
         });
-        self.history.push_back(RevisionRecord {
+        self.history.push_revision(RevisionRecord {
             number: revision.0,
             based_on: based_on.0,
             at: facts.now,
             author,
             changes: checked.differences.into(),
         });
-        self.trim_history();
         self.snapshot.clone()
     }
 
@@ -265,10 +233,7 @@
     /// The revision is not kept.
     pub fn tree_at(&self, revision: Revision) -> Result<Tree, ValidationError> {
         let newest = self.in_force.revision.0;
-        let oldest = self
-            .history
-            .front()
-            .map_or(newest, |first| first.number - 1);
+        let oldest = self.history.oldest_base().unwrap_or(newest);
         if !(oldest..=newest).contains(&revision.0) {
             return Err(ValidationError::new(
                 "revision",
@@ -278,12 +243,7 @@
             ));
         }
         let mut tree = (*self.in_force.tree).clone();
-        let later = self
-            .history
-            .iter()
-            .rev()
-            .take_while(|record| record.number > revision.0);
-        for record in later {
+        for record in self.history.revisions_after(revision) {
             for change in record.changes.iter() {
                 tree.set(&change.path, change.old.clone())?;
             }
@@ -294,20 +254,12 @@
     /// Records a rejection, also of what never became a candidate, such as a file that cannot be read. `at` is in Unix
     /// seconds.
     pub fn record_rejection(&mut self, author: Author, at: f64, errors: ValidationErrors) {
-        // Repeated attempts count as one rejection.
-        let last = self.rejections.back_mut();
-        let repeated = last.filter(|last| last.author == author && last.errors == errors);
-        if let Some(last) = repeated {
-            last.at = at;
-            return;
-        }
-        self.rejections.push_back(RejectedCommit {
+        self.history.push_rejection(RejectedCommit {
             at,
             author,
             revision: self.in_force.revision.0,
             errors,
         });
-        self.trim_history();
     }
 
     /// Puts a candidate on top of the revision in force and checks it.
@@ -329,7 +281,7 @@
             facts,
             before: HostsOfTree::new(&in_force.tree, &in_force.first_listed, facts),
             after: HostsOfTree::new(&tree, &first_listed, facts),
-            drained: &self.drained,
+            drained: self.history.drained(),
             differences: &differences,
         };
         check(&context).into_result()?;
@@ -391,9 +343,7 @@
         ours: &Difference,
         theirs: &Difference,
     ) -> ValidationError {
-        let changed_path =
-            |record: &&RevisionRecord| record.changes.iter().any(|change| change.path == ours.path);
-        let last = self.history.iter().rev().find(changed_path);
+        let last = self.history.last_change_of(&ours.path);
         let changed_by = last.map_or("somebody".into(), |record| {
             let at = UNIX_EPOCH + Duration::from_secs_f64(record.at.max(0.0));
             format!(
@@ -423,41 +373,7 @@
         let hosts = merge_all(tree, first_listed, facts.discovery.as_deref());
         for (name, _) in tree.hosts.iter().filter(|(_, config)| is_draining(config)) {
             let started = hosts.get(name.as_str()).and_then(|host| host.started);
-            let recorded = self.drained.get(name).copied();
-            // A start that is not known lies before the drain.
-            let process = started.unwrap_or(recorded.unwrap_or(facts.now));
-            let latest = recorded.map_or(process, |recorded| recorded.max(process));
-            self.drained.insert(name.clone(), latest);
-        }
-    }
-
-    /// Drops the oldest of all that exceeds the limits.
-    fn trim_history(&mut self) {
-        while self.rejections.len() > self.limits.rejections {
-            self.rejections.pop_front();
-        }
-        let mut changes: usize = self.history.iter().map(|record| record.changes.len()).sum();
-        // The newest revision is kept whatever its size.
-        while self.history.len() > 1
-            && (self.history.len() > self.limits.revisions || changes > self.limits.changes)
-        {
-            let dropped = self.history.pop_front();
-            changes -= dropped.map_or(0, |record| record.changes.len());
-        }
-        while self.drained.len() > self.limits.drained {
-            self.drop_oldest_drained_host();
-        }
-    }
-
-    /// The one whose process is oldest is the least likely to be listed again.
-    fn drop_oldest_drained_host(&mut self) {
-        let oldest = self
-            .drained
-            .iter()
-            .min_by(|first, second| first.1.total_cmp(second.1))
-            .map(|(name, _)| name.clone());
-        if let Some(name) = oldest {
-            self.drained.remove(&name);
+            self.history.record_drained(name, started, facts.now);
         }
     }
 }
--- a/file-watch/src/lib.rs
+++ b/file-watch/src/lib.rs
@@ -4,6 +4,17 @@
 //! version, all three without I/O. [`read_file`] reads files that may be anything, [`notifier`] is notified of changes,
 //! and [`watch`] joins them in a thread of its own.
 
+#![deny(missing_docs, unreachable_pub)]
+#![deny(
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::unwrap_used,
+    clippy::wildcard_imports
+)]
+
 pub mod debounce;
 pub mod ini;
 pub mod notifier;
--- a/file-watch/src/watch.rs
+++ b/file-watch/src/watch.rs
@@ -104,7 +104,7 @@
         .then(|| FileNotifier::new(&settings.files, wake.sender.clone()));
     loop {
         heartbeat();
-        let event = watcher.look(&now, &parse);
+        let event = watcher.look(now, &parse);
         if event.is_some_and(|event| !notify(event)) {
             return;
         }
