--- /dev/null
+++ b/router/src/management_threads/datastore_thread/management_requests.rs
@@ -0,0 +1,159 @@
+//! Requests of management interfaces: sessions, locks and commits.
+
+use std::sync::Arc;
+
+use kestreltide_datastore::commit_coordinator::{CommitError, CommitOwner};
+use kestreltide_datastore::store::CommitOutcome;
+use kestreltide_datastore::{Author, Facts, Snapshot, ValidationError, ValidationErrors};
+use kestreltide_management::CommitServiceRequest;
+use kestreltide_management::commit_service::CommitRequest;
+use slog::info;
+use tokio::sync::oneshot;
+
+use super::{DatastoreThread, applied_snapshot};
+
+/// What a request led to.
+pub(super) struct HandledRequest {
+    /// To be sent to the event loop.
+    pub(super) snapshot: Option<Arc<Snapshot>>,
+    /// Sends the reply, which has to wait until the snapshot is sent and the status published.
+    reply: Option<Box<dyn FnOnce()>>,
+}
+
+impl HandledRequest {
+    /// Nobody waits for a reply, or it was sent already.
+    pub(super) fn without_reply(snapshot: Option<Arc<Snapshot>>) -> Self {
+        HandledRequest {
+            snapshot,
+            reply: None,
+        }
+    }
+
+    fn with_reply<T: 'static>(
+        snapshot: Option<Arc<Snapshot>>,
+        reply: oneshot::Sender<T>,
+        content: T,
+    ) -> Self {
+        HandledRequest {
+            snapshot,
+            reply: Some(Box::new(move || send(reply, content))),
+        }
+    }
+
+    /// Sends the reply, if one is left to send.
+    pub(super) fn send_reply(self) {
+        if let Some(reply) = self.reply {
+            reply();
+        }
+    }
+}
+
+/// Sends a reply; a requester that does not wait for it any more gets none.
+fn send<T>(reply: oneshot::Sender<T>, content: T) {
+    let _ = reply.send(content);
+}
+
+impl DatastoreThread {
+    pub(super) fn handle_management_request(
+        &mut self,
+        request: CommitServiceRequest,
+        facts: &Facts,
+    ) -> HandledRequest {
+        match request {
+            CommitServiceRequest::Open { reply } => send(reply, self.coordinator.open_session()),
+            CommitServiceRequest::Ended { session } => {
+                let rolled_back = self
+                    .coordinator
+                    .close_session(session, facts)
+                    .and_then(|outcome| self.log_rollback(outcome));
+                return HandledRequest::without_reply(rolled_back);
+            }
+            CommitServiceRequest::Lock {
+                session,
+                target,
+                reply,
+            } => send(reply, self.coordinator.lock(session, target)),
+            CommitServiceRequest::Unlock {
+                session,
+                target,
+                reply,
+            } => send(reply, self.coordinator.unlock(session, target)),
+            CommitServiceRequest::Validate { candidate, reply } => {
+                send(reply, self.coordinator.validate(&candidate, facts));
+            }
+            CommitServiceRequest::Confirm {
+                requester,
+                persist_id,
+                reply,
+            } => send(
+                reply,
+                self.coordinator.confirm(requester, persist_id.as_deref()),
+            ),
+            CommitServiceRequest::Cancel {
+                requester,
+                persist_id,
+                reply,
+            } => return self.cancel_commit(requester, persist_id.as_deref(), reply, facts),
+            CommitServiceRequest::Denied { author, error } => {
+                self.record_denied_edit(author, error, facts);
+            }
+            CommitServiceRequest::Commit(request) => return self.commit(*request, facts),
+        }
+        HandledRequest::without_reply(None)
+    }
+
+    fn cancel_commit(
+        &mut self,
+        requester: CommitOwner,
+        persist_id: Option<&str>,
+        reply: oneshot::Sender<Result<(), CommitError>>,
+        facts: &Facts,
+    ) -> HandledRequest {
+        let cancelled = self.coordinator.cancel(requester, persist_id, facts);
+        let snapshot = cancelled.as_ref().ok().and_then(applied_snapshot);
+        HandledRequest::with_reply(snapshot, reply, cancelled.map(|_| ()))
+    }
+
+    fn record_denied_edit(&mut self, author: Author, error: ValidationError, facts: &Facts) {
+        let errors = ValidationErrors::from(error);
+        self.log_rejection(
+            "an edit is beyond the rights of who tries it",
+            &author.name,
+            &errors,
+        );
+        self.coordinator
+            .store
+            .record_rejection(author, facts.now, errors);
+    }
+
+    fn commit(&mut self, request: CommitRequest, facts: &Facts) -> HandledRequest {
+        let author = request.author.clone();
+        let committed = self.coordinator.commit(
+            request.requester,
+            &request.candidate,
+            request.author,
+            request.confirm,
+            request.persist_id.as_deref(),
+            facts,
+        );
+        self.log_commit(&author, &committed);
+        let snapshot = committed.as_ref().ok().and_then(applied_snapshot);
+        HandledRequest::with_reply(snapshot, request.reply, committed)
+    }
+
+    fn log_commit(&mut self, author: &Author, committed: &Result<CommitOutcome, CommitError>) {
+        match committed {
+            Ok(CommitOutcome::Applied(snapshot)) => {
+                let record = self.coordinator.store.history().next_back();
+                info!(self.log, "a commit is taken"; "by" => %author,
+                    "revision" => snapshot.revision().0,
+                    "changes" => record.map_or(0, |record| record.changes.len()));
+            }
+            Err(CommitError::Invalid(errors)) => {
+                self.log_rejection("a commit is refused", &author.to_string(), errors);
+            }
+            // Locks and other commits that wait are the requester's affair.
+            Ok(CommitOutcome::Unchanged) | Err(_) => {}
+        }
+    }
+}
--- /dev/null
+++ b/router/src/management_threads/datastore_thread/mod.rs
@@ -0,0 +1,343 @@
+//! The datastore thread: the only owner of the datastore, which serves all requests one after another.
+//!
+//! Watched files and management interfaces send it [`DatastoreRequest`]s. Every snapshot that a commit leads to is
+//! sent to the event loop, which never waits for this thread. What the interfaces read is published without a lock.
+
+mod management_requests;
+mod rejection_log;
+mod state_saver;
+mod status_publisher;
+mod watched_files;
+
+use std::collections::VecDeque;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::sync::mpsc::{Receiver, RecvTimeoutError};
+use std::time::Duration;
+
+use arc_swap::ArcSwap;
+use kestreltide_datastore::commit_coordinator::{CommitCoordinator, CoordinatorStatus};
+use kestreltide_datastore::store::CommitOutcome;
+use kestreltide_datastore::view::View;
+use kestreltide_datastore::{
+    Datastore, Facts, HistoryLimits, RuleSettings, Snapshot, ValidationErrors,
+};
+use kestreltide_file_watch::parse::Version;
+use kestreltide_file_watch::watch::WatchEvent;
+use kestreltide_management::{CommitServiceRequest, Notification};
+use slog::{Logger, info, warn};
+use tokio::sync::broadcast;
+
+use self::management_requests::HandledRequest;
+use self::rejection_log::RejectionLog;
+use self::state_saver::StateSaver;
+use self::status_publisher::StatusPublisher;
+use self::watched_files::WatchedFiles;
+use super::error::StartError;
+use super::persistence::{self, PersistedState};
+use super::settings::FileWatchSettings;
+use crate::routing::{Loop, Notice, Pulse};
+use crate::transport::Clock;
+
+/// The longest wait for a request, in seconds: what is due by time is done at least this often.
+const MAX_WAIT: f64 = 0.25;
+
+/// A request to the datastore thread.
+#[derive(Debug)]
+pub(super) enum DatastoreRequest {
+    /// The watched files have changed.
+    WatchedFiles(WatchEvent<Version>),
+    /// A management interface asks the commit service.
+    Management(CommitServiceRequest),
+    /// The thread saves what is not saved yet, and ends.
+    Stop,
+}
+
+/// Settings of the datastore thread.
+#[derive(Clone, Debug)]
+pub(super) struct DatastoreThreadSettings {
+    /// Name of this router.
+    pub(super) router: String,
+    /// What each commit is checked against.
+    pub(super) rules: RuleSettings,
+    /// How much of the past is kept.
+    pub(super) history: HistoryLimits,
+    /// The state directory; none: nothing outlives the process.
+    pub(super) state_directory: Option<PathBuf>,
+}
+
+/// What a router starts to serve with.
+pub(super) struct InitialState {
+    /// The snapshot in force; none where there is no revision yet.
+    pub(super) snapshot: Option<Arc<Snapshot>>,
+    /// Digest of the watched files as they were read; none without any.
+    pub(super) files_digest: Option<u64>,
+}
+
+/// The event loop has ended and takes no snapshots any more.
+struct EventLoopClosed;
+
+/// The datastore and all that the thread keeps between two requests.
+pub(super) struct DatastoreThread {
+    log: Logger,
+    clock: Clock,
+    coordinator: CommitCoordinator,
+    status: StatusPublisher,
+    rejection_log: RejectionLog,
+    saver: StateSaver,
+    files: WatchedFiles,
+    /// Snapshots that were sent and that the event loop may still hold. They are kept so that the memory of a long
+    /// list is freed by this thread, not by the event loop.
+    sent_snapshots: VecDeque<Arc<Snapshot>>,
+}
+
+impl DatastoreThread {
+    /// Restores the persisted state, if there is any; a damaged file is quarantined.
+    ///
+    /// # Errors
+    ///
+    /// A damaged file that cannot be quarantined.
+    pub(super) fn restore(
+        log: Logger,
+        clock: Clock,
+        settings: DatastoreThreadSettings,
+    ) -> Result<Self, StartError> {
+        let state = match &settings.state_directory {
+            Some(folder) => load_or_quarantine(&log, folder)?,
+            None => PersistedState::default(),
+        };
+        let store = Datastore::from_state(settings.rules, settings.history, state.datastore);
+        let files = WatchedFiles::new(state.files, state.generation, store.in_force().clone());
+        let coordinator = CommitCoordinator::new(store, state.pending_commit);
+        Ok(DatastoreThread {
+            status: StatusPublisher::new(&coordinator),
+            rejection_log: RejectionLog::new(log.clone()),
+            saver: StateSaver::new(log.clone(), settings.router, settings.state_directory),
+            log,
+            clock,
+            coordinator,
+            files,
+            sent_snapshots: VecDeque::new(),
+        })
+    }
+
+    /// Applies the watched files; where they are invalid, the last good revision stays in force.
+    ///
+    /// # Errors
+    ///
+    /// Invalid files where there is no last good revision.
+    pub(super) fn prepare(
+        &mut self,
+        file_watch: Option<&FileWatchSettings>,
+        facts: &Facts,
+    ) -> Result<InitialState, StartError> {
+        let files_digest = file_watch
+            .map(|settings| self.apply_initial_files(settings, facts))
+            .transpose()?;
+        self.publish_status();
+        let snapshot = self.coordinator.store.snapshot();
+        let has_revision = snapshot.revision().0 > 0;
+        Ok(InitialState {
+            snapshot: has_revision.then(|| snapshot.clone()),
+            files_digest,
+        })
+    }
+
+    /// Serves requests until one of them is to stop, no sender is left or the event loop has ended.
+    pub(super) fn run(
+        &mut self,
+        requests: &Receiver<DatastoreRequest>,
+        event_loop: &Loop,
+        heartbeat: &Pulse,
+    ) {
+        loop {
+            let now = self.clock.now();
+            heartbeat.beat(now);
+            let request = match requests.recv_timeout(self.max_wait(now)) {
+                Ok(DatastoreRequest::Stop) | Err(RecvTimeoutError::Disconnected) => break,
+                Ok(request) => Some(request),
+                Err(RecvTimeoutError::Timeout) => None,
+            };
+            if self.serve(request, event_loop).is_err() {
+                break;
+            }
+            let view = event_loop.view.load();
+            self.drop_replaced_snapshots(&view);
+            self.save_if_due(&view);
+        }
+        self.saver.make_due();
+        self.save_if_due(&event_loop.view.load());
+        // Zero says that the thread has ended.
+        heartbeat.beat(0.0);
+    }
+
+    /// What management interfaces read.
+    pub(super) fn published_status(&self) -> Arc<ArcSwap<CoordinatorStatus>> {
+        self.status.published()
+    }
+
+    /// Where management interfaces subscribe to commits and rejections.
+    pub(super) fn notifications(&self) -> broadcast::Sender<Notification> {
+        self.status.notifications()
+    }
+
+    /// How long to wait for the next request.
+    fn max_wait(&self, now: f64) -> Duration {
+        let deadline = self
+            .files
+            .next_retry()
+            .into_iter()
+            .chain(self.coordinator.next_expiry())
+            .fold(now + MAX_WAIT, f64::min);
+        Duration::from_secs_f64((deadline - now).clamp(0.0, MAX_WAIT))
+    }
+
+    /// Handles what is due by time and one request, and sends the new snapshots to the event loop.
+    fn serve(
+        &mut self,
+        request: Option<DatastoreRequest>,
+        event_loop: &Loop,
+    ) -> Result<(), EventLoopClosed> {
+        let facts = event_loop.view.load().facts(self.clock.now());
+        let rolled_back = self
+            .coordinator
+            .expire_pending(&facts)
+            .and_then(|outcome| self.log_rollback(outcome));
+        let handled = self.handle(request, &facts);
+        let mut is_closed = false;
+        for snapshot in rolled_back.into_iter().chain(handled.snapshot.clone()) {
+            self.sent_snapshots.push_back(snapshot.clone());
+            // A full inbox makes this thread wait, never the event loop.
+            is_closed |= event_loop.post.send(Notice::Revision(snapshot)).is_err();
+        }
+        self.publish_status();
+        // The reply comes last: who is told of a commit can read it.
+        handled.send_reply();
+        if is_closed {
+            Err(EventLoopClosed)
+        } else {
+            Ok(())
+        }
+    }
+
+    fn handle(&mut self, request: Option<DatastoreRequest>, facts: &Facts) -> HandledRequest {
+        match request {
+            Some(DatastoreRequest::WatchedFiles(event)) => {
+                HandledRequest::without_reply(self.handle_watch_event(event, facts))
+            }
+            Some(DatastoreRequest::Management(request)) => {
+                self.handle_management_request(request, facts)
+            }
+            Some(DatastoreRequest::Stop) | None => {
+                HandledRequest::without_reply(self.retry_held_back(facts))
+            }
+        }
+    }
+
+    /// Logs the rollback of a commit that was not confirmed, and returns the snapshot that is to be sent.
+    fn log_rollback(
+        &mut self,
+        outcome: Result<CommitOutcome, ValidationErrors>,
+    ) -> Option<Arc<Snapshot>> {
+        match outcome {
+            Ok(outcome) => {
+                info!(self.log, "a commit that was not confirmed is undone";
+                    "revision" => self.revision());
+                applied_snapshot(&outcome)
+            }
+            Err(errors) => {
+                self.log_rejection(
+                    "a commit that was not confirmed cannot be undone",
+                    "",
+                    &errors,
+                );
+                None
+            }
+        }
+    }
+
+    /// Logs why something is not applied.
+    fn log_rejection(
+        &mut self,
+        message: &'static str,
+        generation: &str,
+        errors: &ValidationErrors,
+    ) {
+        let revision = self.revision();
+        self.rejection_log
+            .warn(self.clock.now(), message, generation, errors, revision);
+    }
+
+    fn publish_status(&mut self) {
+        if self.status.publish(&self.coordinator) {
+            self.saver.mark_changed();
+        }
+    }
+
+    /// Drops the snapshots that the event loop has replaced: it holds the one in force, and lets the one before go
+    /// as it applies the next.
+    fn drop_replaced_snapshots(&mut self, view: &View) {
+        while self
+            .sent_snapshots
+            .get(1)
+            .is_some_and(|next| next.revision() <= view.revision)
+        {
+            self.sent_snapshots.pop_front();
+        }
+    }
+
+    fn save_if_due(&mut self, view: &View) {
+        let now = self.clock.now();
+        if !self.saver.is_due(now) {
+            return;
+        }
+        let state = PersistedState {
+            router: self.saver.router().to_owned(),
+            written_at: now,
+            datastore: self.coordinator.store.state(),
+            files: self.files.applied_tree().clone(),
+            generation: self.files.applied_generation().to_owned(),
+            pending_version: self.files.pending_version().cloned(),
+            pending_commit: self.coordinator.pending().cloned(),
+            revisions_applied: view.revisions_applied,
+            longest_apply_time: view.longest_apply_time,
+        };
+        self.saver.save(now, &state);
+    }
+
+    /// The revision in force.
+    fn revision(&self) -> u64 {
+        self.coordinator.store.in_force().revision.0
+    }
+}
+
+/// The persisted state of a state directory, or an empty one where there is none or it is damaged.
+fn load_or_quarantine(log: &Logger, folder: &Path) -> Result<PersistedState, StartError> {
+    let error = match persistence::load(folder) {
+        Ok(None) => return Ok(PersistedState::default()),
+        Ok(Some(state)) => {
+            info!(log, "the last good revision is remembered"; "revision" => state.datastore.revision);
+            return Ok(state);
+        }
+        Err(error) => error,
+    };
+    let moved_to = match persistence::quarantine(folder) {
+        Ok(path) => path.display().to_string(),
+        Err(source) => {
+            return Err(StartError::Quarantine {
+                damage: error,
+                source,
+            });
+        }
+    };
+    warn!(log, "what was remembered cannot be used"; "why" => %error, "put_aside" => moved_to);
+    Ok(PersistedState::default())
+}
+
+/// The snapshot that a commit led to; none where it changed nothing.
+fn applied_snapshot(outcome: &CommitOutcome) -> Option<Arc<Snapshot>> {
+    match outcome {
+        CommitOutcome::Applied(snapshot) => Some(snapshot.clone()),
+        CommitOutcome::Unchanged => None,
+    }
+}
--- /dev/null
+++ b/router/src/management_threads/datastore_thread/watched_files.rs
@@ -0,0 +1,296 @@
+//! Versions of the watched files: commits them, and holds back those that are valid but not yet allowed.
+
+use std::sync::Arc;
+
+use kestreltide_datastore::commit_coordinator::into_validation_errors;
+use kestreltide_datastore::store::{CommitOutcome, InForce};
+use kestreltide_datastore::{
+    Author, Candidate, Facts, Snapshot, Source, Tree, ValidationError, ValidationErrors,
+};
+use kestreltide_file_watch::parse::{Parsed, Version};
+use kestreltide_file_watch::watch::{WatchEvent, parse_files, poll_files};
+use slog::{info, warn};
+
+use super::DatastoreThread;
+use crate::management_threads::error::StartError;
+use crate::management_threads::persistence::PendingVersion;
+use crate::management_threads::settings::FileWatchSettings;
+
+/// Seconds before a version that is held back is tried again, at least.
+const MIN_RETRY_DELAY: f64 = 0.05;
+
+/// A version that would be valid later.
+struct HeldBackVersion {
+    version: Version,
+    pending: PendingVersion,
+    /// Unix seconds.
+    retry_at: f64,
+}
+
+/// Whether a version is tried for the first time; that it is held back is logged once.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Attempt {
+    First,
+    Retry,
+}
+
+/// The version of the files that was applied last, and one that waits.
+pub(super) struct WatchedFiles {
+    applied_tree: Tree,
+    applied_generation: String,
+    /// What was in force when that version was applied.
+    base: Arc<InForce>,
+    held_back: Option<HeldBackVersion>,
+    /// Files of different generations: some of them are still to be written.
+    mismatched: Option<PendingVersion>,
+}
+
+impl WatchedFiles {
+    pub(super) fn new(applied_tree: Tree, applied_generation: String, base: Arc<InForce>) -> Self {
+        WatchedFiles {
+            applied_tree,
+            applied_generation,
+            base,
+            held_back: None,
+            mismatched: None,
+        }
+    }
+
+    /// What the files configured when a version of them was applied last.
+    pub(super) fn applied_tree(&self) -> &Tree {
+        &self.applied_tree
+    }
+
+    /// Generation of the version that was applied last.
+    pub(super) fn applied_generation(&self) -> &str {
+        &self.applied_generation
+    }
+
+    /// The version that waits, if any.
+    pub(super) fn pending_version(&self) -> Option<&PendingVersion> {
+        self.held_back
+            .as_ref()
+            .map(|held_back| &held_back.pending)
+            .or(self.mismatched.as_ref())
+    }
+
+    /// When the version that is held back is to be tried again, in Unix seconds.
+    pub(super) fn next_retry(&self) -> Option<f64> {
+        self.held_back.as_ref().map(|held_back| held_back.retry_at)
+    }
+
+    fn take_due(&mut self, now: f64) -> Option<HeldBackVersion> {
+        self.held_back
+            .take_if(|held_back| held_back.retry_at <= now)
+    }
+
+    /// What the files changed since they were last applied, as changes of what was in force then: a leaf that
+    /// somebody else has changed meanwhile is a conflict, and not overwritten.
+    fn candidate(&self, version: &Version) -> Result<Candidate, ValidationErrors> {
+        let is_same_generation = version.generation == self.applied_generation;
+        if is_same_generation && version.tree != self.applied_tree {
+            // A file of another version that is half written looks like this, too.
+            return Err(ValidationError::new(
+                "generation",
+                "is that of the version in force, and the content is another",
+                &version.generation,
+                "a name for each version",
+            )
+            .into());
+        }
+        let mut candidate = Candidate::new(&self.base);
+        let changes = self.applied_tree.differences(&version.tree);
+        candidate.tree = candidate.tree.patched(&changes, false)?;
+        Ok(candidate)
+    }
+}
+
+impl DatastoreThread {
+    /// Reads and applies the files at the start, and returns the digest of their content.
+    pub(super) fn apply_initial_files(
+        &mut self,
+        settings: &FileWatchSettings,
+        facts: &Facts,
+    ) -> Result<u64, StartError> {
+        let (parsed, digest) = poll_files(&settings.watched, |contents| {
+            parse_files(&settings.files, contents)
+        });
+        let applied = match parsed {
+            Parsed::Complete(version) => self.apply_version(version, facts, Attempt::First),
+            Parsed::Mismatched(errors) | Parsed::Incomplete(errors) | Parsed::Invalid(errors) => {
+                self.reject_files("", errors.clone());
+                Err(errors)
+            }
+        };
+        let Err(errors) = applied else {
+            return Ok(digest);
+        };
+        if self.revision() > 0 {
+            warn!(self.log, "the start is with the last good revision, not with what the files say";
+                "revision" => self.revision());
+            return Ok(digest);
+        }
+        // Hosts that discovery has not listed yet are no reason not to start: those that it lists serve until then.
+        let may_pass = settings.discovery && errors.retry_at().is_some();
+        if may_pass {
+            Ok(digest)
+        } else {
+            Err(StartError::InvalidFiles(errors))
+        }
+    }
+
+    pub(super) fn handle_watch_event(
+        &mut self,
+        event: WatchEvent<Version>,
+        facts: &Facts,
+    ) -> Option<Arc<Snapshot>> {
+        // The files have changed since this version was read.
+        self.files.held_back = None;
+        match event {
+            WatchEvent::Version(version) => {
+                self.files.mismatched = None;
+                self.apply_version(version, facts, Attempt::First)
+                    .ok()
+                    .flatten()
+            }
+            WatchEvent::Rejected(errors) => {
+                self.files.mismatched = None;
+                self.reject_files("", errors);
+                None
+            }
+            WatchEvent::Pending(errors) => {
+                self.log_rejection("files do not belong together yet", "", &errors);
+                self.files.mismatched = Some(PendingVersion {
+                    since: facts.now,
+                    author: files_author(""),
+                    errors,
+                });
+                self.saver.mark_changed();
+                None
+            }
+        }
+    }
+
+    /// Tries the version that is held back again, if it is due.
+    pub(super) fn retry_held_back(&mut self, facts: &Facts) -> Option<Arc<Snapshot>> {
+        let held_back = self.files.take_due(facts.now)?;
+        // Validating alone records no rejection: it was logged when it was held back first.
+        let validated = self
+            .files
+            .candidate(&held_back.version)
+            .and_then(|candidate| self.coordinator.validate(&candidate, facts));
+        match validated.err().and_then(|errors| errors.retry_at()) {
+            Some(at) => {
+                self.files.held_back = Some(HeldBackVersion {
+                    retry_at: next_retry(at, facts),
+                    ..held_back
+                });
+                None
+            }
+            // Valid by now, but a lock of somebody may still hold it back.
+            None => self
+                .apply_version(held_back.version, facts, Attempt::Retry)
+                .ok()
+                .flatten(),
+        }
+    }
+
+    /// Commits a version; one that may be valid later is held back.
+    fn apply_version(
+        &mut self,
+        version: Version,
+        facts: &Facts,
+        attempt: Attempt,
+    ) -> Result<Option<Arc<Snapshot>>, ValidationErrors> {
+        self.saver.mark_changed();
+        let candidate = match self.files.candidate(&version) {
+            Ok(candidate) => candidate,
+            Err(errors) => {
+                self.reject_files(&version.generation, errors.clone());
+                return Err(errors);
+            }
+        };
+        let author = files_author(&version.generation);
+        let committed = self
+            .coordinator
+            .commit(None, &candidate, author, None, None, facts);
+        // A lock or a pending commit passes, and operators still want what the files configure.
+        let lock_retry_at = facts.now + MIN_RETRY_DELAY;
+        match committed.map_err(|error| into_validation_errors(error, lock_retry_at)) {
+            Ok(outcome) => Ok(self.record_applied(version, outcome)),
+            Err(errors) => {
+                match errors.retry_at() {
+                    Some(at) => {
+                        self.hold_back(version, &errors, next_retry(at, facts), facts, attempt)
+                    }
+                    None => {
+                        self.log_rejection("the files are refused", &version.generation, &errors)
+                    }
+                }
+                Err(errors)
+            }
+        }
+    }
+
+    fn record_applied(
+        &mut self,
+        version: Version,
+        outcome: CommitOutcome,
+    ) -> Option<Arc<Snapshot>> {
+        let snapshot = super::applied_snapshot(&outcome);
+        let changes = snapshot
+            .as_ref()
+            .map_or(0, |snapshot| snapshot.changed.len());
+        info!(self.log, "the files are taken"; "generation" => &version.generation,
+            "revision" => self.revision(), "changes" => changes);
+        self.files.applied_tree = version.tree;
+        self.files.applied_generation = version.generation;
+        self.files.base = self.coordinator.store.in_force().clone();
+        snapshot
+    }
+
+    fn hold_back(
+        &mut self,
+        version: Version,
+        errors: &ValidationErrors,
+        retry_at: f64,
+        facts: &Facts,
+        attempt: Attempt,
+    ) {
+        let pending = PendingVersion {
+            since: facts.now,
+            author: files_author(&version.generation),
+            errors: errors.clone(),
+        };
+        if attempt == Attempt::First {
+            self.log_rejection("the files are held back", &version.generation, errors);
+        }
+        self.files.held_back = Some(HeldBackVersion {
+            version,
+            pending,
+            retry_at,
+        });
+    }
+
+    /// Records files of which no candidate can be made.
+    fn reject_files(&mut self, generation: &str, errors: ValidationErrors) {
+        self.log_rejection("the files are refused", generation, &errors);
+        self.coordinator
+            .store
+            .record_rejection(files_author(generation), self.clock.now(), errors);
+        self.saver.mark_changed();
+    }
+}
+
+fn next_retry(at: f64, facts: &Facts) -> f64 {
+    at.max(facts.now + MIN_RETRY_DELAY)
+}
+
+/// The author that revisions of the watched files have.
+fn files_author(generation: &str) -> Author {
+    Author {
+        source: Source::Files,
+        name: "operators".into(),
+        version: generation.into(),
+    }
+}
--- /dev/null
+++ b/router/src/management_threads/error.rs
@@ -0,0 +1,61 @@
+//! Why the management threads cannot start.
+
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use kestreltide_datastore::ValidationErrors;
+use kestreltide_management::keys;
+use thiserror::Error;
+
+use super::persistence::PersistenceError;
+
+/// Why the management threads cannot start.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// A thread, or the inbox by which it reaches the event loop, cannot be created.
+    #[error("a thread cannot be started: {0}")]
+    Thread(#[source] io::Error),
+    /// The persisted state is damaged, and its file cannot be moved out of the way.
+    #[error("{damage}; it cannot be put aside: {source}")]
+    Quarantine {
+        /// Why the state cannot be loaded.
+        damage: PersistenceError,
+        /// Why its file cannot be moved.
+        source: io::Error,
+    },
+    /// The watched files or the file of keys are invalid.
+    #[error("{0}")]
+    InvalidFiles(ValidationErrors),
+    /// An interface cannot listen on its address.
+    #[error("[management] {option}: {address} cannot be listened on: {source}")]
+    Listen {
+        /// Key of the operator file that sets the address.
+        option: &'static str,
+        /// The address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// A file that an interface needs cannot be read.
+    #[error("[management] {option}: {} cannot be read: {source}", .path.display())]
+    ReadFile {
+        /// Key of the operator file that names the file.
+        option: &'static str,
+        /// The file.
+        path: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The file of the SSH host key holds no private key.
+    #[error("[management] ssh-host-key: {} is no private key: {source}", .path.display())]
+    HostKey {
+        /// The file.
+        path: PathBuf,
+        /// Why it cannot be decoded.
+        source: keys::Error,
+    },
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/router/src/management_threads/keys_file.rs
@@ -0,0 +1,125 @@
+//! The file of keys: who may use the management interfaces, watched while the router serves.
+
+use std::io;
+use std::sync::Arc;
+
+use arc_swap::ArcSwap;
+use kestreltide_datastore::{Keys, ValidationErrors};
+use kestreltide_file_watch::Content;
+use kestreltide_file_watch::parse::{Parsed, parse_keys};
+use kestreltide_file_watch::watch::{WatchEvent, WatchSettings, poll_files, wake_channel};
+use slog::{Logger, info, warn};
+
+use super::error::StartError;
+use super::supervise::supervise;
+
+/// The file of keys as it was read at the start.
+pub(super) struct KeysFile {
+    keys: Arc<ArcSwap<Keys>>,
+    settings: WatchSettings,
+    /// Digest of the content that was read.
+    digest: u64,
+}
+
+impl KeysFile {
+    /// Reads the file.
+    ///
+    /// # Errors
+    ///
+    /// A file that cannot be read or is invalid.
+    pub(super) fn load(settings: &WatchSettings) -> Result<Self, StartError> {
+        let path = display_path(settings);
+        let (parsed, digest) = poll_files(settings, |contents| parse(&path, contents));
+        match parsed {
+            Parsed::Complete(keys) => Ok(KeysFile {
+                keys: Arc::new(ArcSwap::from_pointee(keys)),
+                settings: settings.clone(),
+                digest,
+            }),
+            Parsed::Mismatched(errors) | Parsed::Incomplete(errors) | Parsed::Invalid(errors) => {
+                Err(StartError::InvalidFiles(errors))
+            }
+        }
+    }
+
+    /// The keys in force.
+    pub(super) fn keys(&self) -> Arc<ArcSwap<Keys>> {
+        self.keys.clone()
+    }
+
+    /// Logs which keys are in force.
+    pub(super) fn log_loaded(&self, log: &Logger) {
+        log_applied(log, &self.keys.load());
+    }
+
+    /// Starts the thread that applies each new version of the file.
+    ///
+    /// # Errors
+    ///
+    /// A thread that cannot be created.
+    pub(super) fn watch(self, log: &Logger) -> io::Result<()> {
+        let KeysFile {
+            keys,
+            settings,
+            digest,
+        } = self;
+        let (wake, woken) = wake_channel();
+        let thread_log = log.clone();
+        let path = display_path(&settings);
+        // A thread that is started again reads the file anew.
+        let mut known_digest = Some(digest);
+        supervise(log.clone(), "keys", move || {
+            kestreltide_file_watch::run(
+                &settings,
+                known_digest.take(),
+                (wake.clone(), &woken),
+                || (),
+                |contents| parse(&path, contents),
+                |event| {
+                    apply(&thread_log, &keys, event);
+                    true
+                },
+            );
+        })?;
+        Ok(())
+    }
+}
+
+/// Puts a new version of the keys in force; the keys stay as they are where it is invalid.
+fn apply(log: &Logger, keys: &ArcSwap<Keys>, event: WatchEvent<Keys>) {
+    match event {
+        WatchEvent::Version(version) => {
+            let version = Arc::new(version);
+            // Stored before it is logged: who reads the line finds these keys in force.
+            keys.store(version.clone());
+            log_applied(log, &version);
+        }
+        WatchEvent::Rejected(errors) | WatchEvent::Pending(errors) => {
+            let first = errors
+                .first
+                .first()
+                .map(ToString::to_string)
+                .unwrap_or_default();
+            warn!(log, "the file of keys is refused, the keys stay as they are"; "why" => first);
+        }
+    }
+}
+
+fn log_applied(log: &Logger, keys: &Keys) {
+    info!(log, "keys are taken"; "generation" => &keys.generation, "keys" => keys.keys.len());
+}
+
+fn parse(path: &str, contents: &[Content]) -> Parsed<Keys> {
+    match contents.first() {
+        Some(content) => parse_keys(path, content),
+        None => Parsed::Incomplete(ValidationErrors::default()),
+    }
+}
+
+/// Path of the file as errors name it.
+fn display_path(settings: &WatchSettings) -> String {
+    settings
+        .files
+        .first()
+        .map_or(String::new(), |path| path.display().to_string())
+}
--- a/router/src/management_threads/mod.rs
+++ b/router/src/management_threads/mod.rs
@@ -1,17 +1,32 @@
-//! Threads beside the loop, for other installations: each is started only where the operator file says so,
-//! posts to the loop and reads its view, and is started again when it dies.
+//! Threads beside the event loop: the datastore, the watched files and the management interfaces.
+//!
+//! Each is started only where the operator file asks for it, sends messages to the event loop and reads the view that
+//! the loop publishes, and is started again after a panic.
+
+#![deny(
+    missing_docs,
+    unreachable_pub,
+    clippy::wildcard_imports,
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    clippy::type_complexity,
+    clippy::missing_errors_doc,
+    clippy::unwrap_used,
+    clippy::expect_used
+)]
 
 mod datastore_thread;
-mod interface_thread;
+mod error;
+mod interfaces;
+mod keys_file;
 mod persistence;
 mod settings;
 mod startup;
 mod supervise;
 
-pub use datastore_thread::{DatastoreRequest, DatastoreThread, DatastoreThreadSettings};
-pub use persistence::{PendingVersion, PersistedState, load};
+pub use error::StartError;
+pub use persistence::{Damage, PendingVersion, PersistedState, PersistenceError, load};
 pub use settings::{
     FileWatchSettings, GnmiSettings, ManagementSettings, NetconfSettings, OperatorSettings,
 };
-pub use startup::{ManagementThreads, ThreadContext};
-pub use supervise::supervise;
+pub use startup::{ManagementThreads, StartedThreads, ThreadContext};
--- a/router/src/management_threads/persistence.rs
+++ b/router/src/management_threads/persistence.rs
@@ -1,5 +1,8 @@
-//! What outlives the process, where the operator file names a folder for it: one file, replaced whole, with a
-//! check over all of it. The program's commands read it too, as no listener may be opened on the platform.
+//! The state that outlives the process: one file in the state directory, replaced as a whole.
+//!
+//! The file has three lines: its format, the state as JSON, and a checksum of the first two (without the line break at
+//! the end of the second).
+//! The program's commands read it too, as a router opens no further listener on the platform.
 
 use std::fs::{self, File};
 use std::io::{self, BufWriter, ErrorKind, Write};
@@ -8,116 +11,203 @@
 use kestreltide_datastore::commit_coordinator::PendingCommit;
 use kestreltide_datastore::{Author, DatastoreState, Tree, ValidationErrors};
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-const NAME: &str = "revisions.json";
-/// The first line of the file, and how the last one begins, which has the check over all before it.
-const FORM: &str = "kestreltide-revisions 1";
-const CHECK: &str = "check ";
+/// Name of the file in the state directory.
+const FILE_NAME: &str = "revisions.json";
+/// The first line of the file.
+const FORMAT_LINE: &str = "kestreltide-revisions 1";
+/// How the last line begins, before the checksum (CRC-32) in hexadecimal.
+const CHECKSUM_PREFIX: &str = "check ";
+/// Characters of the checksum.
+const CHECKSUM_DIGITS: usize = 8;
 
-/// A version that waits for something to pass.
+/// Why the state cannot be loaded or saved.
+#[derive(Debug, Error)]
+pub enum PersistenceError {
+    /// The file or its directory cannot be read or written.
+    #[error("{}: {source}", .path.display())]
+    Io {
+        /// The file or directory.
+        path: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The file is not one that was saved as a whole.
+    #[error("{}: is damaged: {damage}", .path.display())]
+    Damaged {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        damage: Damage,
+    },
+}
+
+/// What is wrong with a damaged file.
+#[derive(Debug, Error)]
+pub enum Damage {
+    /// It is shorter than its last line.
+    #[error("it is too short")]
+    TooShort,
+    /// The checksum is not that of the content.
+    #[error("its check is not that of its content")]
+    ChecksumMismatch,
+    /// The first line names another format.
+    #[error("its form is not known")]
+    UnknownFormat,
+    /// The content is no persisted state.
+    #[error("{0}")]
+    InvalidContent(serde_json::Error),
+}
+
+/// A version of the watched files that is not in force yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PendingVersion {
-    /// Unix seconds.
+    /// Since when it waits, in Unix seconds.
     pub since: f64,
+    /// Whose version it is.
     pub author: Author,
+    /// What it waits for.
     #[serde(rename = "faults")]
     pub errors: ValidationErrors,
 }
 
+/// All that is kept in the state directory.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PersistedState {
+    /// Name of the router that saved it.
     pub router: String,
-    /// Unix seconds.
-    pub written: f64,
-    pub memory: DatastoreState,
-    /// What the files said when a version of them was last taken.
+    /// When it was saved, in Unix seconds.
+    #[serde(rename = "written")]
+    pub written_at: f64,
+    /// What is in force, and its history.
+    #[serde(rename = "memory")]
+    pub datastore: DatastoreState,
+    /// What the watched files configured when a version of them was applied last.
     pub files: Tree,
+    /// Generation of that version.
     pub generation: String,
-    pub held: Option<PendingVersion>,
-    /// A commit that waits to be confirmed: a start undoes it.
-    #[serde(default)]
-    pub pending: Option<PendingCommit>,
-    /// Revisions that the loop took, and its longest pause for one, in seconds, since the program's start.
-    pub taken: u64,
-    pub longest_pause: f64,
+    /// A version of the files that waits.
+    #[serde(rename = "held")]
+    pub pending_version: Option<PendingVersion>,
+    /// A commit that waits to be confirmed: a start rolls it back.
+    #[serde(default, rename = "pending")]
+    pub pending_commit: Option<PendingCommit>,
+    /// Revisions that the event loop has applied since the program's start.
+    #[serde(rename = "taken")]
+    pub revisions_applied: u64,
+    /// The longest that the event loop stood still for one of them, in seconds.
+    #[serde(rename = "longest_pause")]
+    pub longest_apply_time: f64,
 }
 
-pub fn path(folder: &Path) -> PathBuf {
-    folder.join(NAME)
+/// Path of the file in a state directory.
+fn state_file(folder: &Path) -> PathBuf {
+    folder.join(FILE_NAME)
 }
 
-/// Writes on, and knows the check over all that it wrote.
-struct Checked<W> {
-    to: W,
-    check: crc32fast::Hasher,
+/// The last line of the file, with the line break before it.
+fn checksum_line(checksum: u32) -> String {
+    format!("\n{CHECKSUM_PREFIX}{checksum:0CHECKSUM_DIGITS$x}\n")
 }
 
-impl<W: Write> Write for Checked<W> {
+/// A writer that computes the checksum of all that is written through it.
+struct ChecksumWriter<W> {
+    inner: W,
+    checksum: crc32fast::Hasher,
+}
+
+impl<W: Write> Write for ChecksumWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let written = self.to.write(bytes)?;
-        self.check.update(&bytes[..written]);
+        let written = self.inner.write(bytes)?;
+        self.checksum.update(&bytes[..written]);
         Ok(written)
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        self.to.flush()
+        self.inner.flush()
     }
 }
 
-/// Replaces the file whole; after a crash there is the old one or the new one.
-pub fn save(folder: &Path, remembered: &PersistedState) -> Result<(), String> {
-    let unsaved = |e: io::Error| format!("{}: {e}", folder.display());
-    let new = folder.join(format!("{NAME}.new"));
-    let file = BufWriter::new(File::create(&new).map_err(unsaved)?);
-    let mut file = Checked {
-        to: file,
-        check: crc32fast::Hasher::new(),
+/// Saves the state; after a crash either the old file or the new one is there as a whole.
+///
+/// # Errors
+///
+/// A state directory that cannot be written.
+pub(super) fn save(folder: &Path, state: &PersistedState) -> Result<(), PersistenceError> {
+    replace_file(folder, state).map_err(|source| PersistenceError::Io {
+        path: folder.to_owned(),
+        source,
+    })
+}
+
+fn replace_file(folder: &Path, state: &PersistedState) -> io::Result<()> {
+    let new_path = folder.join(format!("{FILE_NAME}.new"));
+    let file = write_file(&new_path, state)?;
+    file.sync_all()?;
+    fs::rename(&new_path, state_file(folder))?;
+    // The name belongs to the directory, which has to reach the disk as well.
+    File::open(folder)?.sync_all()
+}
+
+fn write_file(path: &Path, state: &PersistedState) -> io::Result<File> {
+    let mut writer = ChecksumWriter {
+        inner: BufWriter::new(File::create(path)?),
+        checksum: crc32fast::Hasher::new(),
     };
-    // Piece by piece: a long history once is no reason to hold its text in memory.
-    writeln!(file, "{FORM}").map_err(unsaved)?;
-    serde_json::to_writer(&mut file, remembered).map_err(|e| unsaved(e.into()))?;
-    let check = file.check.finalize();
-    writeln!(file.to, "\n{CHECK}{check:08x}").map_err(unsaved)?;
-    let file = file.to.into_inner().map_err(|e| unsaved(e.into_error()))?;
-    file.sync_all()
-        .and_then(|()| fs::rename(&new, path(folder)))
-        .map_err(unsaved)?;
-    // The name itself is kept by the folder.
-    File::open(folder)
-        .and_then(|folder| folder.sync_all())
-        .map_err(unsaved)
+    writeln!(writer, "{FORMAT_LINE}")?;
+    // Written piece by piece: the text of a long history would need much memory.
+    serde_json::to_writer(&mut writer, state)?;
+    let ChecksumWriter {
+        mut inner,
+        checksum,
+    } = writer;
+    inner.write_all(checksum_line(checksum.finalize()).as_bytes())?;
+    inner.into_inner().map_err(io::IntoInnerError::into_error)
 }
 
-/// What was remembered; `None` where nothing ever was. A damaged file is an error.
-pub fn load(folder: &Path) -> Result<Option<PersistedState>, String> {
-    let at = path(folder);
-    let bytes = match fs::read(&at) {
+/// Loads the state of a state directory; `None` where none was ever saved.
+///
+/// # Errors
+///
+/// A file that cannot be read, or that is damaged.
+pub fn load(folder: &Path) -> Result<Option<PersistedState>, PersistenceError> {
+    let path = state_file(folder);
+    let bytes = match fs::read(&path) {
         Ok(bytes) => bytes,
-        Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
-        Err(e) => return Err(format!("{}: {e}", at.display())),
+        Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
+        Err(source) => return Err(PersistenceError::Io { path, source }),
     };
-    let damaged = |why: &str| format!("{}: is damaged: {why}", at.display());
-    let tail = format!("\n{CHECK}").len() + 9;
-    let place = bytes
+    match parse(&bytes) {
+        Ok(state) => Ok(Some(state)),
+        Err(damage) => Err(PersistenceError::Damaged { path, damage }),
+    }
+}
+
+fn parse(bytes: &[u8]) -> Result<PersistedState, Damage> {
+    let checksum_start = bytes
         .len()
-        .checked_sub(tail)
-        .ok_or_else(|| damaged("it is too short"))?;
-    let (said, check) = bytes.split_at(place);
-    if check != format!("\n{CHECK}{:08x}\n", crc32fast::hash(said)).as_bytes() {
-        return Err(damaged("its check is not that of its content"));
+        .checked_sub(checksum_line(0).len())
+        .ok_or(Damage::TooShort)?;
+    let (content, checksum) = bytes.split_at(checksum_start);
+    if checksum != checksum_line(crc32fast::hash(content)).as_bytes() {
+        return Err(Damage::ChecksumMismatch);
     }
-    let body = said
-        .strip_prefix(format!("{FORM}\n").as_bytes())
-        .ok_or_else(|| damaged("its form is not known"))?;
-    serde_json::from_slice(body)
-        .map(Some)
-        .map_err(|e| damaged(&e.to_string()))
+    let json = content
+        .strip_prefix(format!("{FORMAT_LINE}\n").as_bytes())
+        .ok_or(Damage::UnknownFormat)?;
+    serde_json::from_slice(json).map_err(Damage::InvalidContent)
 }
 
-/// Puts a damaged file aside, so that it can be looked at and is not met again.
-pub fn quarantine(folder: &Path) -> std::io::Result<PathBuf> {
-    let aside = folder.join(format!("{NAME}.damaged"));
-    fs::rename(path(folder), &aside).map(|()| aside)
+/// Moves a damaged file out of the way, so that it can be examined and is not loaded again. Returns its new path.
+///
+/// # Errors
+///
+/// A file that cannot be renamed.
+pub(super) fn quarantine(folder: &Path) -> io::Result<PathBuf> {
+    let quarantined = folder.join(format!("{FILE_NAME}.damaged"));
+    fs::rename(state_file(folder), &quarantined)?;
+    Ok(quarantined)
 }
 
 #[cfg(test)]
--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -1,8 +1,8 @@
-//! Opens what the operator file asks for beside the loop: everything that can be wrong is told before the router
-//! serves.
+//! Starts the threads that the operator file asks for. Whatever is wrong is reported before the router serves.
 
+use std::io;
 use std::sync::Arc;
-use std::sync::mpsc::{SyncSender, sync_channel};
+use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
@@ -13,164 +13,246 @@
 use slog::Logger;
 
 use super::datastore_thread::{DatastoreRequest, DatastoreThread, DatastoreThreadSettings};
-use super::interface_thread::OpenedListeners;
-use super::settings::OperatorSettings;
-use super::supervise;
+use super::error::StartError;
+use super::interfaces::ManagementInterfaces;
+use super::settings::{FileWatchSettings, OperatorSettings};
+use super::supervise::supervise;
 use crate::limits::Limits;
-use crate::routing::{FrontBox, Pulse};
+use crate::routing::{FrontBox, Loop, Pulse};
 use crate::transport::{Clock, Reactor};
 
-/// The threads beside the loop, as the program holds them.
+/// How long the program waits, when it ends, for the datastore thread to save.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time between two looks whether the datastore thread has ended.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// The running threads, as the program holds them.
 pub struct ManagementThreads {
-    asks: SyncSender<DatastoreRequest>,
-    wake: Option<SyncSender<()>>,
-    keeper: JoinHandle<u32>,
-    pub pulses: Vec<Pulse>,
+    requests: SyncSender<DatastoreRequest>,
+    /// Wakes the thread that watches files; none where none are watched.
+    wake_file_watch: Option<SyncSender<()>>,
+    datastore_thread: JoinHandle<u32>,
+    heartbeats: Vec<Pulse>,
 }
 
-/// Seconds that the program waits for the keeper to save what it has.
-const LAST_SAVE: f64 = 1.0;
-
 impl ManagementThreads {
-    /// The watched files are looked at now, whatever notices say.
+    /// The heartbeats of the threads, for the event loop to check.
+    pub fn heartbeats(&self) -> Vec<Pulse> {
+        self.heartbeats.clone()
+    }
+
+    /// Has the watched files read now, whether or not a change was noticed.
     pub fn poll_files(&self) {
-        if let Some(wake) = &self.wake {
+        if let Some(wake) = &self.wake_file_watch {
+            // A full channel says that a wake-up is waiting already.
             let _ = wake.try_send(());
         }
     }
 
-    pub fn end(self) {
-        let until = Instant::now() + Duration::from_secs_f64(LAST_SAVE);
-        // Questions may stand before it.
-        while self.asks.try_send(DatastoreRequest::Stop).is_err() && Instant::now() < until {
-            thread::sleep(Duration::from_millis(5));
+    /// Has the datastore thread save its state, and waits for it, at most for [`SHUTDOWN_TIMEOUT`].
+    pub fn shut_down(self) {
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
+        // The queue may be full of requests.
+        while self.requests.try_send(DatastoreRequest::Stop).is_err() && Instant::now() < deadline {
+            thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
-        while !self.keeper.is_finished() && Instant::now() < until {
-            thread::sleep(Duration::from_millis(5));
+        while !self.datastore_thread.is_finished() && Instant::now() < deadline {
+            thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
     }
 }
 
-/// What opening needs of the program.
+/// What the threads need of the program.
 pub struct ThreadContext<'a> {
+    /// The program's log.
     pub log: &'a Logger,
+    /// The program's clock.
     pub clock: Clock,
+    /// The program's limits.
     pub limits: &'a Limits,
+    /// Name of this router.
     pub router: &'a str,
-    pub terms: &'a ServiceSettings,
+    /// Settings of the service that commits are checked against.
+    pub service_settings: &'a ServiceSettings,
     /// Names of the service's operations.
     pub operations: Vec<String>,
 }
 
-/// The loop's end, what it starts with, and the threads.
-pub type StartedThreads = (FrontBox, Option<Arc<Snapshot>>, ManagementThreads);
+/// Threads that were started, and what the event loop needs of them.
+pub struct StartedThreads {
+    /// The event loop's end of the message queue.
+    pub inbox: FrontBox,
+    /// What the router starts to serve with; none where there is no revision yet.
+    pub snapshot: Option<Arc<Snapshot>>,
+    /// The threads.
+    pub threads: ManagementThreads,
+}
 
 impl ThreadContext<'_> {
-    /// Starts the threads that the operator file asks for; none where it asks for none.
-    pub fn fronts(
+    /// Starts the threads that the operator file asks for; `None` where it asks for none. `known_hosts` are those that
+    /// discovery listed last, as far as that is known.
+    ///
+    /// # Errors
+    ///
+    /// Files that are invalid or cannot be read, an address that cannot be listened on, or a thread that cannot be
+    /// created.
+    pub fn start_threads(
         &self,
         reactor: &mut Reactor,
-        operators: &OperatorSettings,
-        listed: Option<Vec<HostRecord>>,
-        news: Option<RolloutStatus>,
-    ) -> Result<Option<StartedThreads>, String> {
-        if !operators.any() {
+        settings: &OperatorSettings,
+        known_hosts: Option<Vec<HostRecord>>,
+        rollout: Option<RolloutStatus>,
+    ) -> Result<Option<StartedThreads>, StartError> {
+        if !settings.has_threads() {
             return Ok(None);
         }
-        let OperatorSettings {
-            folder,
-            history,
-            watching,
-            management,
-        } = operators.clone();
-        let failed = |e: std::io::Error| format!("a thread cannot be started: {e}");
-        let (log, clock) = (self.log.clone(), self.clock);
-        let opened = management
+        let interfaces = settings
+            .management
             .as_ref()
-            .map(|terms| OpenedListeners::open(&log, terms))
+            .map(|management| ManagementInterfaces::open(self.log, management))
             .transpose()?;
-        let (open, of_loop) =
-            FrontBox::open(reactor, self.limits.management.inbox_messages).map_err(failed)?;
+        let inbox_messages = self.limits.management.inbox_messages;
+        let (inbox, event_loop) =
+            FrontBox::open(reactor, inbox_messages).map_err(StartError::Thread)?;
+        let mut datastore = self.restore_datastore(settings)?;
+        let facts = self.initial_facts(settings, known_hosts, rollout);
+        let initial = datastore.prepare(settings.file_watch.as_ref(), &facts)?;
+        let file_watch = settings
+            .file_watch
+            .clone()
+            .map(|settings| (settings, initial.files_digest));
+        let threads = self
+            .spawn_threads(datastore, file_watch, interfaces, &event_loop)
+            .map_err(StartError::Thread)?;
+        Ok(Some(StartedThreads {
+            inbox,
+            snapshot: initial.snapshot,
+            threads,
+        }))
+    }
+
+    fn restore_datastore(
+        &self,
+        settings: &OperatorSettings,
+    ) -> Result<DatastoreThread, StartError> {
         let rules = RuleSettings::new(
-            self.terms,
+            self.service_settings,
             self.operations.clone(),
             self.limits.management.maximums,
         );
-        let terms = DatastoreThreadSettings {
+        let datastore_settings = DatastoreThreadSettings {
             router: self.router.into(),
             rules,
-            history,
-            folder,
+            history: settings.history,
+            state_directory: settings.state_directory.clone(),
         };
-        let mut keeper = DatastoreThread::start(log.clone(), clock, terms)?;
-        let heard = listed.is_some() || operators.alone();
-        let discovery = (!operators.alone()).then(|| listed.unwrap_or_default().into());
-        let facts = Facts {
-            now: clock.now(),
-            discovery,
-            discovery_received: heard,
-            rollout: news,
+        DatastoreThread::restore(self.log.clone(), self.clock, datastore_settings)
+    }
+
+    fn initial_facts(
+        &self,
+        settings: &OperatorSettings,
+        known_hosts: Option<Vec<HostRecord>>,
+        rollout: Option<RolloutStatus>,
+    ) -> Facts {
+        let has_discovery = !settings.replaces_discovery();
+        Facts {
+            now: self.clock.now(),
+            discovery_received: known_hosts.is_some() || !has_discovery,
+            discovery: has_discovery.then(|| known_hosts.unwrap_or_default().into()),
+            rollout,
+        }
+    }
+
+    fn spawn_threads(
+        &self,
+        datastore: DatastoreThread,
+        file_watch: Option<(FileWatchSettings, Option<u64>)>,
+        interfaces: Option<ManagementInterfaces>,
+        event_loop: &Loop,
+    ) -> io::Result<ManagementThreads> {
+        let (requests, received) = sync_channel(self.limits.management.datastore_requests);
+        let published = datastore.published_status();
+        let notifications = datastore.notifications();
+        let mut heartbeats = vec![];
+        let mut new_heartbeat = |name| {
+            let heartbeat = Pulse::new(name);
+            heartbeats.push(heartbeat.clone());
+            heartbeat
         };
-        let (first, known) = keeper.begin(watching.as_ref(), &facts)?;
-        let (asks, asked) = sync_channel(self.limits.management.datastore_requests);
-        let (published, told) = keeper.published();
-        let (kept, of_keeper) = (Pulse::new("keeper"), of_loop.clone());
-        let mut pulses = vec![kept.clone()];
-        let keeper = supervise(log.clone(), "keeper", move || {
-            keeper.run(&asked, &of_keeper.view, &of_keeper.post, &kept);
-        });
-        let keeper = keeper.map_err(failed)?;
-        let mut wake = None;
-        if let Some(watching) = watching {
-            let ((waker, nudged), tell, pulse) =
-                (wake_channel(), asks.clone(), Pulse::new("watch"));
-            wake = Some(waker.clone());
-            pulses.push(pulse.clone());
-            let mut known = known;
-            supervise(log.clone(), "watch", move || {
-                // After a death everything is told anew; what is in force already changes nothing.
-                let alive = || pulse.beat(clock.now());
-                let says = |contents: &[kestreltide_file_watch::Content]| {
-                    parse_files(&watching.files, contents)
-                };
-                let tell = |told| tell.send(DatastoreRequest::WatchedFiles(told)).is_ok();
-                kestreltide_file_watch::run(
-                    &watching.watched,
-                    known.take(),
-                    (waker.clone(), &nudged),
-                    alive,
-                    says,
-                    tell,
-                );
-                pulse.beat(0.0);
-            })
-            .map_err(failed)?;
+        let heartbeat = new_heartbeat("keeper");
+        let datastore_thread =
+            self.spawn_datastore_thread(datastore, received, event_loop.clone(), heartbeat)?;
+        let mut wake_file_watch = None;
+        if let Some((settings, digest)) = file_watch {
+            let heartbeat = new_heartbeat("watch");
+            let requests = requests.clone();
+            wake_file_watch =
+                Some(self.spawn_file_watch_thread(settings, digest, requests, heartbeat)?);
         }
-        if let Some(opened) = opened {
-            let ask = asks.clone();
-            let desk = CommitServiceHandle {
-                submit: Arc::new(move |asked| {
-                    ask.try_send(DatastoreRequest::Management(asked)).is_ok()
+        if let Some(interfaces) = interfaces {
+            let requests = requests.clone();
+            let commit_service = CommitServiceHandle {
+                submit: Arc::new(move |request| {
+                    requests
+                        .try_send(DatastoreRequest::Management(request))
+                        .is_ok()
                 }),
                 published,
-                view: of_loop.view.clone(),
-                in_force: of_loop.in_force.clone(),
-                notifications: told,
-                keys: opened.keys.clone(),
+                view: event_loop.view.clone(),
+                in_force: event_loop.in_force.clone(),
+                notifications,
+                keys: interfaces.keys(),
             };
-            let pulse = Pulse::new("management");
-            pulses.push(pulse.clone());
-            opened.start(&log, clock, desk, pulse).map_err(failed)?;
+            let heartbeat = new_heartbeat("management");
+            interfaces.start(self.log, self.clock, commit_service, heartbeat)?;
         }
-        Ok(Some((
-            open,
-            first,
-            ManagementThreads {
-                asks,
-                wake,
-                keeper,
-                pulses,
-            },
-        )))
+        Ok(ManagementThreads {
+            requests,
+            wake_file_watch,
+            datastore_thread,
+            heartbeats,
+        })
+    }
+
+    fn spawn_datastore_thread(
+        &self,
+        mut datastore: DatastoreThread,
+        requests: Receiver<DatastoreRequest>,
+        event_loop: Loop,
+        heartbeat: Pulse,
+    ) -> io::Result<JoinHandle<u32>> {
+        supervise(self.log.clone(), "keeper", move || {
+            datastore.run(&requests, &event_loop, &heartbeat);
+        })
+    }
+
+    /// Starts the thread that watches the files, and returns what wakes it. `digest` is that of the files as they were
+    /// read at the start.
+    fn spawn_file_watch_thread(
+        &self,
+        settings: FileWatchSettings,
+        digest: Option<u64>,
+        requests: SyncSender<DatastoreRequest>,
+        heartbeat: Pulse,
+    ) -> io::Result<SyncSender<()>> {
+        let clock = self.clock;
+        let (wake, woken) = wake_channel();
+        let thread_wake = wake.clone();
+        // A thread that is started again reports all files anew: what is in force already changes nothing.
+        let mut known_digest = digest;
+        supervise(self.log.clone(), "watch", move || {
+            kestreltide_file_watch::run(
+                &settings.watched,
+                known_digest.take(),
+                (thread_wake.clone(), &woken),
+                || heartbeat.beat(clock.now()),
+                |contents| parse_files(&settings.files, contents),
+                |event| requests.send(DatastoreRequest::WatchedFiles(event)).is_ok(),
+            );
+            // Zero says that the thread has ended.
+            heartbeat.beat(0.0);
+        })?;
+        Ok(wake)
     }
 }
--- a/router/src/management_threads/supervise.rs
+++ b/router/src/management_threads/supervise.rs
@@ -1,46 +1,56 @@
-//! A thread that is started again when it dies, later each time.
+//! A thread that is started again after a panic, with a growing delay.
 
+use std::any::Any;
+use std::io;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
 use slog::{Logger, error, warn};
 
-/// Seconds before a front that died is started again, at first and at most; one that lived longer than the
-/// latter begins at the first again.
-const AGAIN: [f64; 2] = [0.1, 10.0];
+/// Delay of the first restart; it doubles with each further one.
+const MIN_RESTART_DELAY: Duration = Duration::from_millis(100);
+/// The longest delay of a restart. A thread that has run for longer than this begins again with the shortest one.
+const MAX_RESTART_DELAY: Duration = Duration::from_secs(10);
 
-/// Runs a front in a thread of its own until it ends by itself. What it works on must be whole between its steps:
-/// it goes on with that after a panic.
-pub fn supervise(
+/// Runs a function in a thread of its own until it returns, and starts it again after a panic. Its state has to be
+/// consistent between its steps, as it goes on with it after a panic. The thread returns the number of panics.
+///
+/// # Errors
+///
+/// A thread that cannot be created.
+pub(super) fn supervise(
     log: Logger,
     name: &'static str,
     mut run: impl FnMut() + Send + 'static,
-) -> std::io::Result<JoinHandle<u32>> {
+) -> io::Result<JoinHandle<u32>> {
     thread::Builder::new().name(name.into()).spawn(move || {
-        let (mut wait, mut deaths) = (AGAIN[0], 0);
+        let mut delay = MIN_RESTART_DELAY;
+        let mut panics = 0;
         loop {
-            let begun = Instant::now();
-            match catch_unwind(AssertUnwindSafe(&mut run)) {
-                Ok(()) => return deaths,
-                Err(panic) => {
-                    deaths += 1;
-                    let why = panic.downcast_ref::<&str>().map(|why| (*why).to_owned());
-                    let why = why
-                        .or_else(|| panic.downcast_ref::<String>().cloned())
-                        .unwrap_or_default();
-                    error!(log, "a front died"; "front" => name, "deaths" => deaths, "why" => why);
-                }
+            let started = Instant::now();
+            let Err(panic) = catch_unwind(AssertUnwindSafe(&mut run)) else {
+                return panics;
+            };
+            panics += 1;
+            error!(log, "a front died"; "front" => name, "deaths" => panics, "why" => panic_message(&*panic));
+            if started.elapsed() > MAX_RESTART_DELAY {
+                delay = MIN_RESTART_DELAY;
             }
-            if begun.elapsed().as_secs_f64() > AGAIN[1] {
-                wait = AGAIN[0];
-            }
-            thread::sleep(Duration::from_secs_f64(wait));
-            wait = (2.0 * wait).min(AGAIN[1]);
+            thread::sleep(delay);
+            delay = (2 * delay).min(MAX_RESTART_DELAY);
             warn!(log, "a front is started again"; "front" => name);
         }
     })
 }
 
+/// The message of a panic; empty where it is no text.
+fn panic_message(panic: &(dyn Any + Send)) -> String {
+    if let Some(message) = panic.downcast_ref::<&str>() {
+        return (*message).to_owned();
+    }
+    panic.downcast_ref::<String>().cloned().unwrap_or_default()
+}
+
 #[cfg(test)]
 mod tests;
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -91,7 +91,7 @@
 impl CheckOperator {
     pub(super) fn run(&self) -> Result<(), String> {
         let terms = operator::load(&self.file)?;
-        if let Some(watching) = &terms.watching {
+        if let Some(watching) = &terms.file_watch {
             let version = match poll_files(&watching.watched, |contents| {
                 parse_files(&watching.files, contents)
             })
@@ -180,13 +180,14 @@
     pub(super) fn run(&self) -> Result<(), String> {
         let folder = match &self.state {
             Some(folder) => folder.clone(),
-            None => super::operators(&self.operator)?.folder.ok_or(
+            None => super::operators(&self.operator)?.state_directory.ok_or(
                 "no state directory: neither --state nor [datastore] state-directory names one",
             )?,
         };
-        let remembered = load(&folder)?
+        let remembered = load(&folder)
+            .map_err(|error| error.to_string())?
             .ok_or_else(|| format!("{}: no revision is remembered", folder.display()))?;
-        let memory = &remembered.memory;
+        let memory = &remembered.datastore;
         if let Some(number) = self.diff {
             let held = || memory.history.iter().map(|record| record.number);
             let found = memory
@@ -209,9 +210,9 @@
              as of {}",
             remembered.router,
             memory.revision,
-            remembered.taken,
-            1e3 * remembered.longest_pause,
-            time(remembered.written)
+            remembered.revisions_applied,
+            1e3 * remembered.longest_apply_time,
+            time(remembered.written_at)
         );
         let newest = memory.history.iter().rev().take(self.newest);
         newest.for_each(|record| println!("{}", line(record)));
@@ -219,7 +220,7 @@
             since,
             author,
             errors,
-        }) = &remembered.held
+        }) = &remembered.pending_version
         {
             println!("held back since {}: {author}", time(*since));
             errors
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -140,27 +140,28 @@
         peers: told.peers,
         peers_all: told.peers_all,
     };
-    let alone = operators.alone();
+    let alone = operators.replaces_discovery();
     let known = told.known.filter(|_| !alone);
     let news = told
         .platform
         .as_ref()
         .and_then(|platform| platform.news.as_ref());
     let news = news.map(|news| news.state().news(false));
-    let of_fronts = known.as_ref().filter(|_| operators.any());
+    let of_fronts = known.as_ref().filter(|_| operators.has_threads());
     let listed: Option<Vec<HostRecord>> =
         of_fronts.map(|known| known.targets.iter().map(|t| t.listed()).collect());
     let operations = told.transport.operations.keys().cloned().collect();
-    let (router, terms) = (&told.name, &told.terms);
-    let open = ThreadContext {
+    let context = ThreadContext {
         log: &log,
         clock,
         limits: &limits,
-        router,
-        terms,
+        router: &told.name,
+        service_settings: &told.terms,
         operations,
     };
-    let joined = open.fronts(&mut reactor, &operators, listed, news)?;
+    let started_threads = context
+        .start_threads(&mut reactor, &operators, listed, news)
+        .map_err(|error| error.to_string())?;
     let terms = (told.terms, told.transport);
     let started = Routing::start(
         log.clone(),
@@ -172,9 +173,9 @@
     );
     let mut routing =
         started.map_err(|e| format!("listen: {} cannot be listened on: {e}", told.listen))?;
-    let fronts = joined.map(|(open, first, fronts)| {
-        routing.join(open, fronts.pulses.clone(), !alone);
-        (first, fronts)
+    let started_threads = started_threads.map(|started| {
+        routing.join(started.inbox, started.threads.heartbeats(), !alone);
+        (started.snapshot, started.threads)
     });
     if let Some(known) = known {
         routing.remember(&known);
@@ -182,9 +183,11 @@
     if let Some(news) = news {
         routing.remember_state(news);
     }
-    let fronts = fronts.map(|(first, fronts)| {
-        first.iter().for_each(|first| routing.take_revision(first));
-        fronts
+    let management_threads = started_threads.map(|(snapshot, threads)| {
+        if let Some(snapshot) = snapshot {
+            routing.take_revision(&snapshot);
+        }
+        threads
     });
     routing.begin();
     let ended = loop {
@@ -195,7 +198,9 @@
                 if let Err(why) = reread(&log, &mut routing, serve, &fixed) {
                     warn!(log, "the configuration read again is not taken"; "why" => why);
                 }
-                fronts.iter().for_each(ManagementThreads::poll_files);
+                management_threads
+                    .iter()
+                    .for_each(ManagementThreads::poll_files);
                 if self::operators(&serve.operator).as_ref() != Ok(&operators) {
                     warn!(
                         log,
@@ -208,8 +213,8 @@
         }
     };
     drop(routing);
-    if let Some(fronts) = fronts {
-        fronts.end();
+    if let Some(threads) = management_threads {
+        threads.shut_down();
     }
     match &ended {
         Ok(()) => info!(log, "stopped"),
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -348,13 +348,13 @@
         .parse()
         .unwrap_or(HistoryLimits::default().revisions);
     Ok(OperatorSettings {
-        folder: path("datastore", "state-directory"),
+        state_directory: path("datastore", "state-directory"),
         history: HistoryLimits {
             revisions,
             ..HistoryLimits::default()
         },
         management,
-        watching: watch.map(|_| FileWatchSettings {
+        file_watch: watch.map(|_| FileWatchSettings {
             files,
             watched,
             discovery,
