--- a/management/tests/netconf.rs
+++ b/management/tests/netconf.rs
@@ -368,7 +368,7 @@
         "{reply}"
     );
     assert!(
-        xml::read(&reply, &xml::XmlLimits::default()).is_ok(),
+        xml::parse(&reply, &xml::XmlLimits::default()).is_ok(),
         "{reply}"
     );
     assert_eq!(rig.desk.store.in_force().revision, before);
@@ -484,7 +484,9 @@
     let schema = rig.rpc(&mut session, "<get-schema xmlns='urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring'><identifier>kestreltide-types</identifier></get-schema>");
     assert!(schema.contains("typedef weight"), "{schema}");
     let read = published().expect("well");
-    assert!(state::state(read, &rig.handle.view.load(), &rig.handle.published.load()).is_some());
+    assert!(
+        state::router_state(read, &rig.handle.view.load(), &rig.handle.published.load()).is_some()
+    );
 }
 
 /// Messages that are none; the session answers or ends, and never takes them for something.
@@ -619,7 +621,7 @@
         let mut session = rig.session();
         let message = format!("<rpc xmlns='{BASE}' message-id='1'>{inner}</rpc>");
         if let Step::Reply(reply) = session.message(message.as_bytes(), ALL, &rig.handle) {
-            prop_assert!(xml::read(&reply, &xml::XmlLimits::default()).is_ok(), "{}", reply);
+            prop_assert!(xml::parse(&reply, &xml::XmlLimits::default()).is_ok(), "{}", reply);
         }
     }
 }
--- a/router/src/management_threads/datastore_thread/mod.rs
+++ b/router/src/management_threads/datastore_thread/mod.rs
@@ -36,7 +36,7 @@
 use super::error::StartError;
 use super::persistence::{self, PersistedState};
 use super::settings::FileWatchSettings;
-use crate::routing::{Loop, Notice, Pulse};
+use crate::routing::{Heartbeat, LoopHandle, ManagementMessage};
 use crate::transport::Clock;
 
 /// The longest wait for a request, in seconds: what is due by time is done at least this often.
@@ -147,12 +147,12 @@
     pub(super) fn run(
         &mut self,
         requests: &Receiver<DatastoreRequest>,
-        event_loop: &Loop,
-        heartbeat: &Pulse,
+        event_loop: &LoopHandle,
+        heartbeat: &Heartbeat,
     ) {
         loop {
             let now = self.clock.now();
-            heartbeat.beat(now);
+            heartbeat.record(now);
             let request = match requests.recv_timeout(self.max_wait(now)) {
                 Ok(DatastoreRequest::Stop) | Err(RecvTimeoutError::Disconnected) => break,
                 Ok(request) => Some(request),
@@ -168,7 +168,7 @@
         self.saver.make_due();
         self.save_if_due(&event_loop.view.load());
         // Zero says that the thread has ended.
-        heartbeat.beat(0.0);
+        heartbeat.record(0.0);
     }
 
     /// What management interfaces read.
@@ -196,7 +196,7 @@
     fn serve(
         &mut self,
         request: Option<DatastoreRequest>,
-        event_loop: &Loop,
+        event_loop: &LoopHandle,
     ) -> Result<(), EventLoopClosed> {
         let facts = event_loop.view.load().facts(self.clock.now());
         let rolled_back = self
@@ -208,7 +208,10 @@
         for snapshot in rolled_back.into_iter().chain(handled.snapshot.clone()) {
             self.sent_snapshots.push_back(snapshot.clone());
             // A full inbox makes this thread wait, never the event loop.
-            is_closed |= event_loop.post.send(Notice::Revision(snapshot)).is_err();
+            is_closed |= event_loop
+                .post
+                .send(ManagementMessage::Revision(snapshot))
+                .is_err();
         }
         self.publish_status();
         // The reply comes last: who is told of a commit can read it.
--- a/router/src/management_threads/interfaces.rs
+++ b/router/src/management_threads/interfaces.rs
@@ -20,7 +20,7 @@
 use super::keys_file::KeysFile;
 use super::settings::{GnmiSettings, ManagementSettings, NetconfSettings};
 use super::supervise::supervise;
-use crate::routing::Pulse;
+use crate::routing::Heartbeat;
 use crate::transport::Clock;
 
 /// Time between two heartbeats of the thread.
@@ -90,7 +90,7 @@
         log: &Logger,
         clock: Clock,
         commit_service: CommitServiceHandle,
-        heartbeat: Pulse,
+        heartbeat: Heartbeat,
     ) -> io::Result<()> {
         self.keys_file.watch(log)?;
         let listeners = self.listeners;
@@ -192,7 +192,7 @@
     log: &Logger,
     clock: Clock,
     commit_service: &CommitServiceHandle,
-    heartbeat: &Pulse,
+    heartbeat: &Heartbeat,
     listeners: &Listeners,
 ) {
     let limits = Limits::default();
@@ -203,7 +203,7 @@
         gnmi.spawn(log, commit_service, limits);
     }
     loop {
-        heartbeat.beat(clock.now());
+        heartbeat.record(clock.now());
         tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -18,7 +18,7 @@
 use super::settings::{FileWatchSettings, OperatorSettings};
 use super::supervise::supervise;
 use crate::limits::Limits;
-use crate::routing::{FrontBox, Loop, Pulse};
+use crate::routing::{Heartbeat, LoopHandle, ManagementInbox};
 use crate::transport::{Clock, Reactor};
 
 /// How long the program waits, when it ends, for the datastore thread to save.
@@ -32,12 +32,12 @@
     /// Wakes the thread that watches files; none where none are watched.
     wake_file_watch: Option<SyncSender<()>>,
     datastore_thread: JoinHandle<u32>,
-    heartbeats: Vec<Pulse>,
+    heartbeats: Vec<Heartbeat>,
 }
 
 impl ManagementThreads {
     /// The heartbeats of the threads, for the event loop to check.
-    pub fn heartbeats(&self) -> Vec<Pulse> {
+    pub fn heartbeats(&self) -> Vec<Heartbeat> {
         self.heartbeats.clone()
     }
 
@@ -81,7 +81,7 @@
 /// Threads that were started, and what the event loop needs of them.
 pub struct StartedThreads {
     /// The event loop's end of the message queue.
-    pub inbox: FrontBox,
+    pub inbox: ManagementInbox,
     /// What the router starts to serve with; none where there is no revision yet.
     pub snapshot: Option<Arc<Snapshot>>,
     /// The threads.
@@ -113,7 +113,7 @@
             .transpose()?;
         let inbox_messages = self.limits.management.inbox_messages;
         let (inbox, event_loop) =
-            FrontBox::open(reactor, inbox_messages).map_err(StartError::Thread)?;
+            ManagementInbox::open(reactor, inbox_messages).map_err(StartError::Thread)?;
         let mut datastore = self.restore_datastore(settings)?;
         let facts = self.initial_facts(settings, known_hosts, rollout);
         let initial = datastore.prepare(settings.file_watch.as_ref(), &facts)?;
@@ -169,14 +169,14 @@
         datastore: DatastoreThread,
         file_watch: Option<(FileWatchSettings, Option<u64>)>,
         interfaces: Option<ManagementInterfaces>,
-        event_loop: &Loop,
+        event_loop: &LoopHandle,
     ) -> io::Result<ManagementThreads> {
         let (requests, received) = sync_channel(self.limits.management.datastore_requests);
         let published = datastore.published_status();
         let notifications = datastore.notifications();
         let mut heartbeats = vec![];
         let mut new_heartbeat = |name| {
-            let heartbeat = Pulse::new(name);
+            let heartbeat = Heartbeat::new(name);
             heartbeats.push(heartbeat.clone());
             heartbeat
         };
@@ -219,8 +219,8 @@
         &self,
         mut datastore: DatastoreThread,
         requests: Receiver<DatastoreRequest>,
-        event_loop: Loop,
-        heartbeat: Pulse,
+        event_loop: LoopHandle,
+        heartbeat: Heartbeat,
     ) -> io::Result<JoinHandle<u32>> {
         supervise(self.log.clone(), "keeper", move || {
             datastore.run(&requests, &event_loop, &heartbeat);
@@ -234,7 +234,7 @@
         settings: FileWatchSettings,
         digest: Option<u64>,
         requests: SyncSender<DatastoreRequest>,
-        heartbeat: Pulse,
+        heartbeat: Heartbeat,
     ) -> io::Result<SyncSender<()>> {
         let clock = self.clock;
         let (wake, woken) = wake_channel();
@@ -246,12 +246,12 @@
                 &settings.watched,
                 known_digest.take(),
                 (thread_wake.clone(), &woken),
-                || heartbeat.beat(clock.now()),
+                || heartbeat.record(clock.now()),
                 |contents| parse_files(&settings.files, contents),
                 |event| requests.send(DatastoreRequest::WatchedFiles(event)).is_ok(),
             );
             // Zero says that the thread has ended.
-            heartbeat.beat(0.0);
+            heartbeat.record(0.0);
         })?;
         Ok(wake)
     }
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::limits::Limits;
 use crate::management_threads::{ManagementThreads, OperatorSettings, ThreadContext};
-use crate::routing::{Parties, Routing, Turn};
+use crate::routing::{Addresses, Routing, Turn};
 use crate::transport::{Clock, Reactor};
 use config::{Fixed, Told, When};
 
@@ -132,7 +132,7 @@
     let (log, guard) = logs::start(&told.name, serve.log.unwrap_or(slog::Level::Info), &limits);
     info!(log, "starting"; "version" => env!("CARGO_PKG_VERSION"), "routers" => told.terms.routers,
         "me" => told.terms.me.0);
-    let parties = Parties {
+    let addresses = Addresses {
         listen: told.listen,
         discovery: told.discovery,
         platform: told.platform.as_ref().map(|platform| platform.address),
@@ -168,24 +168,24 @@
         (limits, clock),
         reactor,
         terms,
-        parties,
+        addresses,
         told.seed,
     );
     let mut routing =
         started.map_err(|e| format!("listen: {} cannot be listened on: {e}", told.listen))?;
     let started_threads = started_threads.map(|started| {
-        routing.join(started.inbox, started.threads.heartbeats(), !alone);
+        routing.attach_management(started.inbox, started.threads.heartbeats(), !alone);
         (started.snapshot, started.threads)
     });
     if let Some(known) = known {
-        routing.remember(&known);
+        routing.restore_endpoint_list(&known);
     }
     if let Some(news) = news {
-        routing.remember_state(news);
+        routing.restore_rollout_status(news);
     }
     let management_threads = started_threads.map(|(snapshot, threads)| {
         if let Some(snapshot) = snapshot {
-            routing.take_revision(&snapshot);
+            routing.apply_revision(&snapshot);
         }
         threads
     });
@@ -247,6 +247,6 @@
     let platform = told.platform.map(|platform| platform.address);
     info!(log, "the configuration was read again"; "discovery" => %told.discovery,
         "platform" => platform.map_or("none".into(), |at| at.to_string()));
-    routing.moved(told.discovery, platform);
+    routing.change_addresses(told.discovery, platform);
     Ok(())
 }
