--- a/router/src/management_threads/datastore_thread/management_requests.rs
+++ b/router/src/management_threads/datastore_thread/management_requests.rs
@@ -3,8 +3,9 @@
 use std::sync::Arc;
 
 use kestreltide_datastore::commit_coordinator::{CommitError, CommitOwner};
-use kestreltide_datastore::store::CommitOutcome;
-use kestreltide_datastore::{Author, Facts, Snapshot, ValidationError, ValidationErrors};
+use kestreltide_datastore::{
+    Author, CommitOutcome, Facts, Snapshot, ValidationError, ValidationErrors,
+};
 use kestreltide_management::CommitServiceRequest;
 use kestreltide_management::commit_service::CommitRequest;
 use slog::info;
--- a/router/src/management_threads/datastore_thread/mod.rs
+++ b/router/src/management_threads/datastore_thread/mod.rs
@@ -17,10 +17,9 @@
 
 use arc_swap::ArcSwap;
 use kestreltide_datastore::commit_coordinator::{CommitCoordinator, CoordinatorStatus};
-use kestreltide_datastore::store::CommitOutcome;
 use kestreltide_datastore::view::View;
 use kestreltide_datastore::{
-    Datastore, Facts, HistoryLimits, RuleSettings, Snapshot, ValidationErrors,
+    CommitOutcome, Datastore, Facts, HistoryLimits, RuleSettings, Snapshot, ValidationErrors,
 };
 use kestreltide_file_watch::parse::Version;
 use kestreltide_file_watch::watch::WatchEvent;
--- a/router/src/management_threads/datastore_thread/watched_files.rs
+++ b/router/src/management_threads/datastore_thread/watched_files.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use kestreltide_datastore::commit_coordinator::into_validation_errors;
-use kestreltide_datastore::store::{CommitOutcome, InForce};
 use kestreltide_datastore::{
-    Author, Candidate, Facts, Snapshot, Source, Tree, ValidationError, ValidationErrors,
+    Author, Candidate, CommitOutcome, Facts, InForce, Snapshot, Source, Tree, ValidationError,
+    ValidationErrors,
 };
 use kestreltide_file_watch::parse::{Parsed, Version};
 use kestreltide_file_watch::watch::{WatchEvent, parse_files, poll_files};
@@ -100,7 +100,7 @@
         }
         let mut candidate = Candidate::new(&self.base);
         let changes = self.applied_tree.differences(&version.tree);
-        candidate.tree = candidate.tree.patched(&changes, false)?;
+        candidate.tree = candidate.tree.with_changes(&changes)?;
         Ok(candidate)
     }
 }
