--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -146,10 +146,10 @@
         .platform
         .as_ref()
         .and_then(|platform| platform.news.as_ref());
-    let news = news.map(|news| news.state().news(false));
-    let of_fronts = known.as_ref().filter(|_| operators.has_threads());
+    let news = news.map(|news| news.state().to_status(false));
+    let known_to_threads = known.as_ref().filter(|_| operators.has_threads());
     let listed: Option<Vec<HostRecord>> =
-        of_fronts.map(|known| known.targets.iter().map(|t| t.listed()).collect());
+        known_to_threads.map(|known| known.targets.iter().map(|t| t.to_host_record()).collect());
     let operations = told.transport.operations.keys().cloned().collect();
     let context = ThreadContext {
         log: &log,
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -9,7 +9,7 @@
 
 use super::{PLATFORM, ReadyReason, Routing, TimerEvent};
 use crate::limits::Limits;
-use crate::protocol::platform::{self, State, Told};
+use crate::protocol::platform::{self, PlatformMessage, RolloutState};
 use crate::transport::{ReadStatus, SocketId, Stream};
 
 /// A vote that has no answer yet.
@@ -193,7 +193,7 @@
             return false;
         };
         let broken = loop {
-            match platform::read(stream.input(), self.limits.platform.line_bytes) {
+            match platform::parse_line(stream.input(), self.limits.platform.line_bytes) {
                 Ok(None) => break None,
                 Ok(Some((told, used))) => {
                     self.on_platform_message(told);
@@ -242,18 +242,18 @@
         self.on_platform_lost("a line does not end");
     }
 
-    fn on_platform_message(&mut self, told: Told) {
+    fn on_platform_message(&mut self, told: PlatformMessage) {
         let Some(platform) = &mut self.platform else {
             return;
         };
         match told {
-            Told::State(state) => {
+            PlatformMessage::Rollout(state) => {
                 platform.wait = self.limits.reconnect_backoff.initial;
                 platform.heard = true;
                 self.on_rollout_state(&state, false);
                 self.mark_ready(ReadyReason::Observed);
             }
-            Told::Result { call, state } => {
+            PlatformMessage::Result { call, state } => {
                 platform.wait = self.limits.reconnect_backoff.initial;
                 if let Some(vote) = platform.votes.remove(&call) {
                     match state {
@@ -265,7 +265,7 @@
                     }
                 }
             }
-            Told::Error { call, outcome } => {
+            PlatformMessage::Error { call, outcome } => {
                 if let Some(vote) = platform.votes.remove(&call) {
                     self.metrics.votes_not_counted += 1;
                     debug!(self.log, "a vote does not count"; "verdict" => ?outcome);
@@ -278,7 +278,7 @@
                     warn!(self.log, "the platform refuses to be followed"; "verdict" => ?outcome);
                 }
             }
-            Told::Complaint {
+            PlatformMessage::Complaint {
                 host,
                 operation,
                 age,
@@ -293,13 +293,13 @@
                     });
                 }
             }
-            Told::SignOfLife => {}
-            Told::Unknown => debug!(self.log, "the platform told something unknown"),
+            PlatformMessage::Ping => {}
+            PlatformMessage::Unknown => debug!(self.log, "the platform told something unknown"),
         }
     }
 
-    fn on_rollout_state(&mut self, state: &State, answers_vote: bool) {
-        let State {
+    fn on_rollout_state(&mut self, state: &RolloutState, answers_vote: bool) {
+        let RolloutState {
             build,
             stage,
             phase,
@@ -308,7 +308,7 @@
         } = *state;
         info!(self.log, "platform"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
             "age" => age, "answers_vote" => answers_vote);
-        self.apply_rollout_status(state.news(answers_vote));
+        self.apply_rollout_status(state.to_status(answers_vote));
     }
 
     fn apply_rollout_status(&mut self, news: RolloutStatus) {
