--- a/router/src/management_threads/keys_file.rs
+++ b/router/src/management_threads/keys_file.rs
@@ -63,7 +63,7 @@
             settings,
             digest,
         } = self;
-        let (wake, woken) = wake_channel();
+        let wake_channel = wake_channel();
         let thread_log = log.clone();
         let path = display_path(&settings);
         // A thread that is started again reads the file anew.
@@ -72,7 +72,7 @@
             kestreltide_file_watch::run(
                 &settings,
                 known_digest.take(),
-                (wake.clone(), &woken),
+                &wake_channel,
                 || (),
                 |contents| parse(&path, contents),
                 |event| {
--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -237,15 +237,15 @@
         heartbeat: Heartbeat,
     ) -> io::Result<SyncSender<()>> {
         let clock = self.clock;
-        let (wake, woken) = wake_channel();
-        let thread_wake = wake.clone();
+        let wake_channel = wake_channel();
+        let wake = wake_channel.sender.clone();
         // A thread that is started again reports all files anew: what is in force already changes nothing.
         let mut known_digest = digest;
         supervise(self.log.clone(), "watch", move || {
             kestreltide_file_watch::run(
                 &settings.watched,
                 known_digest.take(),
-                (thread_wake.clone(), &woken),
+                &wake_channel,
                 || heartbeat.record(clock.now()),
                 |contents| parse_files(&settings.files, contents),
                 |event| requests.send(DatastoreRequest::WatchedFiles(event)).is_ok(),
