--- a/management/src/gnmi/arbitration.rs
+++ b/management/src/gnmi/arbitration.rs
@@ -1,21 +1,49 @@
 //! Master arbitration: which client of a role may set (gNMI extension `MasterArbitration`).
 
+use std::fmt;
 use std::sync::PoisonError;
 
 use tonic::Status;
 
 use super::Service;
 use super::errors::invalid_argument;
-use crate::proto::gnmi_ext::MasterArbitration;
+use crate::proto::gnmi_ext::{MasterArbitration, Uint128};
+
+/// Roles with a master, at most; an error text names it.
+const MAX_ROLES: usize = 64;
+
+/// The id of an election: the client with the highest one of a role is its master.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ElectionId {
+    /// The upper 64 bits.
+    high: u64,
+    /// The lower 64 bits.
+    low: u64,
+}
+
+impl From<&Uint128> for ElectionId {
+    fn from(id: &Uint128) -> Self {
+        ElectionId {
+            high: id.high,
+            low: id.low,
+        }
+    }
+}
+
+impl fmt::Display for ElectionId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}.{}", self.high, self.low)
+    }
+}
 
 impl Service {
-    /// Only who has the highest election id of a role may set.
+    /// Rejects a client whose election id is lower than the highest one of its role.
     pub(super) fn check_master(&self, arbitration: &MasterArbitration) -> Result<(), Status> {
         let role = arbitration
             .role
             .as_ref()
             .map_or("", |role| role.id.as_str());
-        let id = arbitration.election_id.as_ref().map(|id| (id.high, id.low));
+        let id = arbitration.election_id.as_ref().map(ElectionId::from);
         let id = id.ok_or_else(|| {
             invalid_argument(
                 "master_arbitration",
@@ -25,8 +53,8 @@
             )
         })?;
         let mut masters = self.masters.lock().unwrap_or_else(PoisonError::into_inner);
-        // Roles that nobody has are not kept without end.
-        if masters.len() >= 64 && !masters.contains_key(role) {
+        // Roles are never forgotten, so their number is limited.
+        if masters.len() >= MAX_ROLES && !masters.contains_key(role) {
             return Err(Status::resource_exhausted(
                 "master_arbitration/role: too many roles (given: one more; taken: 64)",
             ));
@@ -34,8 +62,7 @@
         let highest = masters.entry(role.into()).or_insert(id);
         if id < *highest {
             let problem = format!(
-                "master_arbitration: another client is master (given: {}.{}; taken: {}.{})",
-                id.0, id.1, highest.0, highest.1
+                "master_arbitration: another client is master (given: {id}; taken: {highest})"
             );
             return Err(Status::permission_denied(problem));
         }
--- a/management/src/gnmi/mod.rs
+++ b/management/src/gnmi/mod.rs
@@ -1,5 +1,5 @@
-//! gNMI (published specification 0.10) over TLS: Capabilities, Get, Set as one transaction, Subscribe once, polled and
-//! streamed. Who comes in is known by the certificate that the TLS handshake proved.
+//! gNMI (specification 0.10.0) over TLS: Capabilities, Get, Set as one transaction, and Subscribe in all its modes. A
+//! client is identified by the certificate of its TLS connection.
 
 mod access;
 mod arbitration;
@@ -28,6 +28,7 @@
 use tokio::sync::watch;
 use tonic::{Request, Response, Status, Streaming};
 
+use self::arbitration::ElectionId;
 pub use self::serve::{Tls, serve};
 use self::snapshot::Snapshot;
 use self::subscribe::Responses;
@@ -39,6 +40,7 @@
     SetRequest, SetResponse, SubscribeRequest,
 };
 
+/// The version of the gNMI specification.
 const VERSION: &str = "0.10.0";
 
 /// The gNMI service, shared by all connections.
@@ -49,14 +51,17 @@
     schema: &'static Schema,
     binding: Arc<Binding>,
     snapshot: watch::Receiver<Arc<Snapshot>>,
-    /// The highest election id of each role: who has it may set.
-    masters: Mutex<BTreeMap<String, (u64, u64)>>,
-    /// Sessions at the commit service of those whose commits wait to be confirmed, by name.
+    /// The highest election id of each role; the client that has it is the master.
+    masters: Mutex<BTreeMap<String, ElectionId>>,
+    /// Sessions at the commit service that own pending commits, by the names of the keys.
     sessions: Mutex<BTreeMap<String, SessionId>>,
+    /// Open Subscribe streams.
     streams: Arc<AtomicUsize>,
-    number: AtomicU32,
+    /// The number of the next Set request.
+    next_set: AtomicU32,
 }
 
+/// The time in Unix nanoseconds, as gNMI has it.
 fn nanos() -> i64 {
     (crate::clock::unix_seconds() * 1e9) as i64
 }
--- a/management/src/gnmi/path_subscription.rs
+++ b/management/src/gnmi/path_subscription.rs
@@ -1,4 +1,4 @@
-//! One subscription of a stream: what it wants, how often, and what was sent for it last.
+//! One subscription of a stream: what it selects, when it is due, and what was sent last.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,13 +18,14 @@
 pub(super) struct PathSubscription {
     pub(super) selection: Selection,
     on_change: bool,
-    /// Between samples, and between signs of life; none: never.
+    /// Time between samples; none without sampling.
     sample_interval: Option<Duration>,
+    /// Time between heartbeats, at which all leaves are sent; none without heartbeats.
     heartbeat_interval: Option<Duration>,
     suppress_redundant: bool,
     next_sample: Option<Instant>,
     next_heartbeat: Option<Instant>,
-    /// What was sent last.
+    /// The leaves that were sent last.
     pub(super) sent: Arc<Leaves>,
 }
 
@@ -43,7 +44,7 @@
             )
         })?;
         let on_change = mode != SubscriptionMode::Sample;
-        let min_interval = Duration::from_secs_f64(limits.min_sample_interval);
+        let min_interval = limits.min_sample_interval;
         let interval = Duration::from_nanos(subscription.sample_interval);
         if !on_change && subscription.sample_interval > 0 && interval < min_interval {
             let expected = format!("0, or at least {} ns", min_interval.as_nanos());
@@ -57,24 +58,20 @@
         let sample_interval = (!on_change).then(|| interval.max(min_interval));
         let heartbeat_interval = (subscription.heartbeat_interval > 0)
             .then(|| Duration::from_nanos(subscription.heartbeat_interval).max(min_interval));
-        let (now, sent) = (Instant::now(), Arc::default());
-        let (next_sample, next_heartbeat) = (
-            sample_interval.map(|interval| now + interval),
-            heartbeat_interval.map(|interval| now + interval),
-        );
+        let now = Instant::now();
         Ok(PathSubscription {
             selection,
             on_change,
             sample_interval,
             heartbeat_interval,
             suppress_redundant: subscription.suppress_redundant,
-            next_sample,
-            next_heartbeat,
-            sent,
+            next_sample: sample_interval.map(|interval| now + interval),
+            next_heartbeat: heartbeat_interval.map(|interval| now + interval),
+            sent: Arc::default(),
         })
     }
 
-    /// When the next of its timers runs out.
+    /// When its next timer expires.
     pub(super) fn next_timer(&self) -> Option<Instant> {
         [self.next_sample, self.next_heartbeat]
             .into_iter()
@@ -82,7 +79,7 @@
             .min()
     }
 
-    /// What it is to be sent, if anything; timers that have run out begin anew.
+    /// What is due to be sent, if anything; expired timers start again.
     pub(super) fn due_at(&mut self, now: Instant, changed: bool) -> Option<Due> {
         let sample_due = self.next_sample.is_some_and(|at| at <= now);
         let heartbeat_due = self.next_heartbeat.is_some_and(|at| at <= now);
@@ -102,8 +99,8 @@
         })
     }
 
-    /// The updates and deletions that bring it to a snapshot, which counts as sent from here on. What has changed
-    /// carries the count of changes that it stands for.
+    /// The updates and deletions that lead to a snapshot, which counts as sent from now on. Updates of changed leaves
+    /// carry the number of coalesced changes.
     pub(super) fn updates_since_last(
         &mut self,
         schema: &Schema,
@@ -135,11 +132,11 @@
     }
 }
 
-/// What a subscription is to be sent.
+/// What is due to be sent for a subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Due {
-    /// What differs from what was sent last.
+    /// The changes since the last time.
     Changes,
-    /// That, and all else that it wants.
+    /// All selected leaves.
     Everything,
 }
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -2,7 +2,6 @@
 
 use std::sync::atomic::AtomicU32;
 use std::sync::{Arc, Mutex};
-use std::time::Duration;
 
 use kestreltide_yang::binding::Binding;
 use slog::{Logger, warn};
@@ -40,10 +39,7 @@
 ) -> Result<(), ServeError> {
     let schema = kestreltide_yang::published()?;
     let binding = Arc::new(Binding::new(schema)?);
-    let snapshot = {
-        let (commit_service, binding) = (commit_service.clone(), binding.clone());
-        follow_published(schema, binding, commit_service)
-    };
+    let snapshot = follow_published(schema, binding.clone(), commit_service.clone());
     let service = Service {
         log: log.clone(),
         commit_service,
@@ -54,14 +50,14 @@
         masters: Mutex::default(),
         sessions: Mutex::default(),
         streams: Arc::default(),
-        number: AtomicU32::new(1),
+        next_set: AtomicU32::new(1),
     };
     let service = GNmiServer::new(service).max_decoding_message_size(limits.max_message_bytes);
     let config = tls_config(tls, &limits);
     let server = Server::builder()
         .tls_config(config)
         .map_err(ServeError::Certificate)?;
-    let keepalive_interval = Duration::from_secs_f64(limits.keepalive_interval);
+    let keepalive_interval = limits.keepalive_interval;
     let mut server = server
         .max_concurrent_streams(limits.max_streams)
         .concurrency_limit_per_connection(limits.max_streams as usize)
@@ -88,5 +84,5 @@
     ServerTlsConfig::new()
         .identity(identity)
         .client_ca_root(clients)
-        .timeout(Duration::from_secs_f64(limits.login_timeout))
+        .timeout(limits.login_timeout)
 }
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -121,7 +121,7 @@
 
     /// The author of the next revision, with a number of its own.
     fn next_author(&self, key: &Key) -> Author {
-        let number = self.number.fetch_add(1, Relaxed);
+        let number = self.next_set.fetch_add(1, Relaxed);
         Author {
             source: Source::Management,
             name: key.name.clone(),
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -1,5 +1,5 @@
-//! What all streams read: one snapshot a change of what is published, with the leaves of each path and the differences
-//! between snapshots worked out once for all streams that want them.
+//! Snapshots of the published data, one for each change. The leaves of a path and the differences between snapshots are
+//! computed once for all streams that need them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
@@ -20,41 +20,55 @@
 use crate::proto::gnmi::{Encoding, Path, TypedValue};
 use crate::state;
 
-/// What all streams read, made when the first of them wants it: what many want is worked out once.
+/// The published data at one time, computed when the first stream needs it.
 pub(super) struct Snapshot {
-    /// How often something changed so far, each revision counted.
+    /// The number of changes so far, each revision counted.
     pub(super) number: u64,
     make_data: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>,
     data: OnceLock<Vec<DataNode>>,
     leaves_by_selection: Mutex<BTreeMap<Selection, Arc<Leaves>>>,
-    differences: Mutex<BTreeMap<(Selection, usize), Difference>>,
+    differences: Mutex<BTreeMap<DifferenceKey, Difference>>,
 }
 
-/// What a subscription selects: a path, and the encoding of what is sent for it.
-pub(super) type Selection = (Pattern, i32);
-/// Leaf by leaf, where it stands and its value.
+/// What a subscription selects.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Selection {
+    /// The path of the subscription.
+    pub(super) pattern: Pattern,
+    /// The encoding of the values.
+    pub(super) encoding: Encoding,
+}
+
+/// The values of leaves by their paths.
 pub(super) type Leaves = BTreeMap<InstancePath, TypedValue>;
 
-/// From which leaves, and what differs.
-type Difference = (Arc<Leaves>, Arc<Changes>);
+/// Identifies a difference: the selection, and the address of the leaves that were sent.
+type DifferenceKey = (Selection, usize);
 
-/// What differs between two times, and what is gone.
+/// The difference from leaves that were sent.
+struct Difference {
+    /// Kept so that no other leaves can have their address.
+    _sent: Arc<Leaves>,
+    changes: Arc<Changes>,
+}
+
+/// What differs between two snapshots.
 #[derive(Default)]
 pub(super) struct Changes {
+    /// Leaves that are new or have another value.
     pub(super) updates: Vec<(InstancePath, TypedValue)>,
+    /// Paths of leaves that are gone.
     pub(super) deleted: Vec<Path>,
 }
 
 impl Snapshot {
     fn new(number: u64, make_data: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>) -> Self {
-        let (data, leaves_by_selection, differences) =
-            (OnceLock::new(), Mutex::default(), Mutex::default());
         Snapshot {
             number,
             make_data,
-            data,
-            leaves_by_selection,
-            differences,
+            data: OnceLock::new(),
+            leaves_by_selection: Mutex::default(),
+            differences: Mutex::default(),
         }
     }
 
@@ -62,7 +76,7 @@
         self.data.get_or_init(&self.make_data)
     }
 
-    /// All leaves that a path wants, in an encoding.
+    /// The selected leaves.
     pub(super) fn leaves(&self, schema: &Schema, selection: &Selection) -> Arc<Leaves> {
         let mut leaves_by_selection = self
             .leaves_by_selection
@@ -71,22 +85,18 @@
         if let Some(leaves) = leaves_by_selection.get(selection) {
             return leaves.clone();
         }
-        let (pattern, encoding) = (
-            &selection.0,
-            Encoding::try_from(selection.1).unwrap_or_default(),
-        );
-        let instances = select(schema, pattern, self.data());
+        let instances = select(schema, &selection.pattern, self.data());
         let mut leaves = Leaves::new();
-        instances
-            .iter()
-            .for_each(|(at, data)| collect_leaves(schema, encoding, at, data, &mut leaves));
+        instances.iter().for_each(|(at, data)| {
+            collect_leaves(schema, selection.encoding, at, data, &mut leaves)
+        });
         let leaves = Arc::new(leaves);
-        // Bounded by what streams there are; the next change begins anew.
+        // Bounded by the number of streams; the next change begins with an empty cache.
         leaves_by_selection.insert(selection.clone(), leaves.clone());
         leaves
     }
 
-    /// What differs from what a stream has sent.
+    /// The selected leaves, and their difference from those that a stream has sent.
     pub(super) fn changes(
         &self,
         schema: &Schema,
@@ -97,14 +107,13 @@
         if Arc::ptr_eq(&now, sent) {
             return (now, Arc::default());
         }
-        // Held with it, so that the place in memory stays that of these leaves.
         let key = (selection.clone(), Arc::as_ptr(sent) as usize);
         let mut differences = self
             .differences
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if let Some((_, changes)) = differences.get(&key) {
-            return (now, changes.clone());
+        if let Some(difference) = differences.get(&key) {
+            return (now, difference.changes.clone());
         }
         let differs = |(at, value): &(&InstancePath, &TypedValue)| sent.get(*at) != Some(*value);
         let updates = now
@@ -118,52 +127,55 @@
             .map(path_of)
             .collect();
         let changes = Arc::new(Changes { updates, deleted });
-        differences.insert(key, (sent.clone(), changes.clone()));
+        let difference = Difference {
+            _sent: sent.clone(),
+            changes: changes.clone(),
+        };
+        differences.insert(key, difference);
         (now, changes)
     }
 }
 
-/// Between looks at what is published.
+/// Time between checks for changes of the published data.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Follows what is published, and says when something changed. Streams share what they make of it.
+/// Follows the published data in a task of its own; gives a snapshot after each change.
 pub(super) fn follow_published(
     schema: &'static Schema,
     binding: Arc<Binding>,
     commit_service: CommitServiceHandle,
 ) -> watch::Receiver<Arc<Snapshot>> {
     let snapshot = move |number, view: &Arc<View>, published: &Arc<CoordinatorStatus>| {
-        let (binding, view, published) = (binding.clone(), view.clone(), published.clone());
+        let binding = binding.clone();
+        let view = view.clone();
+        let published = published.clone();
         Arc::new(Snapshot::new(
             number,
             Box::new(move || vec![state::operational_data(schema, &binding, &view, &published)]),
         ))
     };
-    let (mut view, mut published) = (
-        commit_service.view.load_full(),
-        commit_service.published.load_full(),
-    );
+    let mut view = commit_service.view.load_full();
+    let mut published = commit_service.published.load_full();
     let (sender, receiver) = watch::channel(snapshot(0, &view, &published));
     tokio::spawn(async move {
         let mut number = 0;
         while !sender.is_closed() {
-            // Nobody has to tell: a look costs two pointers.
+            // Comparing two pointers is cheaper than a notification of each change.
             sleep(POLL_INTERVAL).await;
-            let (now, published_now) = (
-                commit_service.view.load_full(),
-                commit_service.published.load_full(),
-            );
-            if Arc::ptr_eq(&now, &view) && Arc::ptr_eq(&published_now, &published) {
+            let new_view = commit_service.view.load_full();
+            let new_published = commit_service.published.load_full();
+            if Arc::ptr_eq(&new_view, &view) && Arc::ptr_eq(&new_published, &published) {
                 continue;
             }
-            // Each revision counts, also those that came between two looks: who is told of the newest is told how
-            // many it stands for.
-            let revisions = published_now
+            // Revisions between two checks count one by one, so that streams can report how many they coalesce.
+            let revisions = new_published
                 .in_force
                 .revision
                 .0
                 .saturating_sub(published.in_force.revision.0);
-            (view, published, number) = (now, published_now, number + revisions.max(1));
+            view = new_view;
+            published = new_published;
+            number += revisions.max(1);
             let _ = sender.send(snapshot(number, &view, &published));
         }
     });
--- a/management/src/gnmi/subscribe.rs
+++ b/management/src/gnmi/subscribe.rs
@@ -14,6 +14,7 @@
 use super::errors::invalid_argument;
 use super::path_subscription::PathSubscription;
 use super::paths::{leads_nowhere, pattern};
+use super::snapshot::Selection;
 use super::stream::{StreamContext, SubscribeStream};
 use crate::proto::gnmi::subscribe_request::Request as RequestKind;
 use crate::proto::gnmi::subscription_list::Mode;
@@ -21,7 +22,7 @@
 
 pub(super) type Responses = Pin<Box<dyn Stream<Item = Result<SubscribeResponse, Status>> + Send>>;
 
-/// Subscriptions of one stream.
+/// Subscriptions of one stream, at most.
 const MAX_SUBSCRIPTIONS: usize = 64;
 
 impl Service {
@@ -90,7 +91,7 @@
                 return Err(leads_nowhere(&path));
             }
             subscriptions.push(PathSubscription::new(
-                (pattern, encoding.into()),
+                Selection { pattern, encoding },
                 subscription,
                 &self.limits,
             )?);
--- a/management/src/lib.rs
+++ b/management/src/lib.rs
@@ -1,8 +1,6 @@
-//! Management fronts: NETCONF over SSH and gNMI over TLS, by the published models. Nothing here writes to the
-//! router: every edit is a candidate that the commit service checks and commits, and what is read is what it has
-//! published.
-//!
-//! Both fronts run in a thread of their own, with a runtime of their own.
+//! The management interfaces: NETCONF over SSH and gNMI over TLS, by the published models. They never change the router
+//! themselves: an edit is a candidate that the commit service checks and commits, and what clients read is what the
+//! commit service has published.
 
 mod clock;
 pub mod commit_service;
@@ -23,45 +21,49 @@
     }
 }
 
+use std::time::Duration;
+
 pub use commit_service::{CommitServiceHandle, CommitServiceRequest, Notification};
 pub use error::ServeError;
 pub use russh::keys;
 
-/// What sessions may hold. Sizes in bytes, times in seconds.
+/// The limits of connections, sessions and subscriptions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Of one message, and of one gNMI request.
+    /// Size of a NETCONF message and of a gNMI request, in bytes.
     pub max_message_bytes: usize,
-    /// Open connections of one front.
+    /// Open connections of each protocol.
     pub max_connections: usize,
-    /// Sessions and streams of one front whose client has proved who it is.
+    /// NETCONF sessions, and gNMI streams.
     pub max_sessions: usize,
-    /// To prove who one is, and to say hello.
-    pub login_timeout: f64,
-    /// Between keepalive messages on a quiet connection.
-    pub keepalive_interval: f64,
-    /// Keepalive messages in a row that may stay without an answer.
+    /// Time of a client to authenticate, and to send its hello.
+    pub login_timeout: Duration,
+    /// Time between keepalive messages on an idle connection.
+    pub keepalive_interval: Duration,
+    /// Keepalive messages in a row without a reply before a connection is closed.
     pub max_missed_keepalives: usize,
-    /// Notifications that wait for one session.
+    /// Notifications that are queued for one session.
     pub max_queued_notifications: usize,
-    /// Requests and streams of one gNMI connection.
+    /// Concurrent requests and streams of one gNMI connection.
     pub max_streams: u32,
-    /// The least time between samples.
-    pub min_sample_interval: f64,
+    /// Shortest time between samples and between heartbeats of a subscription.
+    pub min_sample_interval: Duration,
 }
 
+const MEBIBYTE: usize = 1 << 20;
+
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            max_message_bytes: 4 << 20,
+            max_message_bytes: 4 * MEBIBYTE,
             max_connections: 1200,
             max_sessions: 1100,
-            login_timeout: 10.0,
-            keepalive_interval: 10.0,
+            login_timeout: Duration::from_secs(10),
+            keepalive_interval: Duration::from_secs(10),
             max_missed_keepalives: 3,
             max_queued_notifications: 1024,
             max_streams: 32,
-            min_sample_interval: 0.05,
+            min_sample_interval: Duration::from_millis(50),
         }
     }
 }
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -91,7 +91,7 @@
         auth_rejection_time_initial: Some(Duration::ZERO),
         max_auth_attempts: MAX_AUTH_ATTEMPTS,
         keys: vec![host_key],
-        keepalive_interval: Some(Duration::from_secs_f64(limits.keepalive_interval)),
+        keepalive_interval: Some(limits.keepalive_interval),
         keepalive_max: limits.max_missed_keepalives,
         inactivity_timeout: None,
         nodelay: true,
@@ -133,7 +133,7 @@
     stream: TcpStream,
 ) {
     let authenticated = Arc::new(AtomicBool::new(false));
-    let login_timeout = Duration::from_secs_f64(shared.limits.login_timeout);
+    let login_timeout = shared.limits.login_timeout;
     let handler = SshConnection::new(shared, authenticated.clone());
     let connection = timeout(
         login_timeout,
--- a/management/src/netconf/session/capabilities.rs
+++ b/management/src/netconf/session/capabilities.rs
@@ -8,11 +8,18 @@
 
 /// The namespace of NETCONF messages.
 pub const BASE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
+/// The capability of version 1.0 of the base protocol.
+pub(super) const BASE_1_0: &str = "urn:ietf:params:netconf:base:1.0";
+/// The capability of version 1.1 of the base protocol, which brings chunked framing.
+pub(super) const BASE_1_1: &str = "urn:ietf:params:netconf:base:1.1";
+/// The namespace of notifications (RFC 5277).
 pub(super) const NOTIFICATIONS: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
+/// The namespace of `get-schema` (RFC 6022).
 pub(super) const MONITORING: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
-pub(super) const CAPABILITIES: [&str; 11] = [
-    "urn:ietf:params:netconf:base:1.0",
-    "urn:ietf:params:netconf:base:1.1",
+/// The capabilities of the server beside its modules.
+const CAPABILITIES: [&str; 11] = [
+    BASE_1_0,
+    BASE_1_1,
     "urn:ietf:params:netconf:capability:writable-running:1.0",
     "urn:ietf:params:netconf:capability:candidate:1.0",
     "urn:ietf:params:netconf:capability:confirmed-commit:1.1",
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -1,4 +1,5 @@
-//! `commit`: of the session's candidate, at once or until it is confirmed, or as that confirmation.
+//! `commit` (RFC 6241, section 8.3.4): commits the candidate of the session, for good or until it is confirmed, or
+//! confirms the pending commit.
 
 use kestreltide_datastore::Rights;
 use kestreltide_datastore::commit_coordinator::ConfirmedCommit;
@@ -9,8 +10,10 @@
 use super::{DatastoreOperation, Session, Step};
 use crate::commit_service::CommitServiceHandle;
 
-/// Seconds: how long a commit waits to be confirmed where nothing is said (RFC 6241, section 8.4.5.1), and at most.
-const CONFIRM: [f64; 2] = [600.0, 86_400.0];
+/// The time to confirm a commit if the request has none, in seconds (RFC 6241, section 8.4.5.1).
+const DEFAULT_CONFIRM_SECONDS: f64 = 600.0;
+/// The longest time to confirm a commit, in seconds.
+const MAX_CONFIRM_SECONDS: f64 = 86_400.0;
 
 impl Session {
     pub(super) fn commit(
@@ -21,38 +24,15 @@
     ) -> Result<Step, Vec<RpcError>> {
         let persist_id = text(operation, "persist-id");
         let confirm = match operation.child("confirmed") {
+            Some(_) => Some(confirmed_commit(operation)?),
             None => None,
-            Some(_) => {
-                let value = text(operation, "confirm-timeout");
-                let timeout = match &value {
-                    None => Some(CONFIRM[0]),
-                    Some(value) => value
-                        .parse::<u32>()
-                        .ok()
-                        .map(f64::from)
-                        .filter(|time| (1.0..=CONFIRM[1]).contains(time)),
-                };
-                let invalid = || {
-                    let expected = format!("1 to {} seconds", CONFIRM[1]);
-                    vec![RpcError::invalid(
-                        "confirm-timeout",
-                        "is out of range",
-                        value.as_deref().unwrap_or_default(),
-                        &expected,
-                    )]
-                };
-                Some(ConfirmedCommit {
-                    timeout: timeout.ok_or_else(invalid)?,
-                    persist_id: text(operation, "persist"),
-                })
-            }
         };
         let published = commit_service.published.load();
         let changed = self
             .candidate
             .as_ref()
             .is_some_and(|candidate| !candidate.is_unchanged());
-        // Without anything to commit it confirms, where something waits for that.
+        // Without a change it confirms the pending commit, if there is one.
         if !changed && confirm.is_none() && (published.pending.is_some() || persist_id.is_some()) {
             return Ok(Step::Perform(DatastoreOperation::Confirm { persist_id }));
         }
@@ -70,3 +50,29 @@
         }))
     }
 }
+
+/// The time and the id of a confirmed commit (RFC 6241, section 8.4).
+fn confirmed_commit(operation: &Element) -> Result<ConfirmedCommit, Vec<RpcError>> {
+    let value = text(operation, "confirm-timeout");
+    let timeout = match &value {
+        None => Some(DEFAULT_CONFIRM_SECONDS),
+        Some(value) => value
+            .parse::<u32>()
+            .ok()
+            .map(f64::from)
+            .filter(|seconds| (1.0..=MAX_CONFIRM_SECONDS).contains(seconds)),
+    };
+    let invalid = || {
+        let expected = format!("1 to {MAX_CONFIRM_SECONDS} seconds");
+        vec![RpcError::invalid(
+            "confirm-timeout",
+            "is out of range",
+            value.as_deref().unwrap_or_default(),
+            &expected,
+        )]
+    };
+    Ok(ConfirmedCommit {
+        timeout: timeout.ok_or_else(invalid)?,
+        persist_id: text(operation, "persist"),
+    })
+}
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -24,7 +24,7 @@
 use thiserror::Error;
 
 pub use self::capabilities::BASE;
-use self::capabilities::CAPABILITIES;
+use self::capabilities::{BASE_1_0, BASE_1_1};
 use self::rpc_error::{RpcError, commit_errors};
 use crate::commit_service::CommitServiceHandle;
 
@@ -109,18 +109,16 @@
         schema: &'static Schema,
         binding: std::sync::Arc<Binding>,
     ) -> Self {
-        let (hello_received, peer_chunks, subscribed, attributes) =
-            (false, false, false, String::new());
         Session {
             id,
             name: name.into(),
             schema,
             binding,
-            hello_received,
-            peer_chunks,
+            hello_received: false,
+            peer_chunks: false,
             candidate: None,
-            subscribed,
-            attributes,
+            subscribed: false,
+            attributes: String::new(),
         }
     }
 
@@ -191,10 +189,11 @@
                 .iter()
                 .any(|child| child.text.trim() == base)
         };
-        if !supports(CAPABILITIES[0]) && !supports(CAPABILITIES[1]) {
+        if !supports(BASE_1_0) && !supports(BASE_1_1) {
             return Step::Abort(AbortReason::NoCommonVersion);
         }
-        (self.hello_received, self.peer_chunks) = (true, supports(CAPABILITIES[1]));
+        self.hello_received = true;
+        self.peer_chunks = supports(BASE_1_1);
         Step::Reply(String::new())
     }
 
--- a/management/src/netconf/session/rollout_operations.rs
+++ b/management/src/netconf/session/rollout_operations.rs
@@ -1,6 +1,6 @@
-//! The model's own operations on the build on trial, each a commit of one edit.
+//! The RPCs of the published model: they hold, roll back and release the canary build, each by a commit.
 
-use kestreltide_datastore::{Candidate, Path, Rights};
+use kestreltide_datastore::{Candidate, Path, Rights, Tree};
 use kestreltide_yang::data::InstancePath;
 use kestreltide_yang::edit::edits_from_xml;
 use kestreltide_yang::xml::Element;
@@ -10,7 +10,7 @@
 use crate::commit_service::CommitServiceHandle;
 
 impl Session {
-    /// The model's own operations: what is asked of the build on trial.
+    /// An RPC of the published model; `name` carries its module.
     pub(super) fn rollout_operation(
         &mut self,
         operation: &Element,
@@ -18,34 +18,7 @@
         rights: Rights,
         commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
-        let Some(input) = self.schema.rpcs.get(&operation.name).copied() else {
-            let known: Vec<_> = self.schema.rpcs.keys().map(String::as_str).collect();
-            let error = RpcError::invalid(
-                name,
-                "no such operation",
-                &operation.name,
-                &known.join(", "),
-            );
-            return Err(vec![RpcError {
-                tag: "operation-not-supported".into(),
-                ..error
-            }]);
-        };
-        let mut errors = vec![];
-        let edits = edits_from_xml(
-            self.schema,
-            Some(input),
-            &InstancePath::default(),
-            &operation.children,
-            &mut errors,
-        );
-        if !errors.is_empty() {
-            return Err(errors.iter().map(edit_error).collect());
-        }
-        let build = edits
-            .iter()
-            .find(|edit| edit.step.name == "build")
-            .and_then(|edit| edit.value.clone());
+        let build = self.build_of(operation, name)?;
         let mut candidate = Candidate::new(&commit_service.published.load().in_force);
         let before = candidate.tree.clone();
         if operation.name == "let-trial-go" {
@@ -57,12 +30,8 @@
             } else {
                 "ring/back"
             };
-            for (at, text) in [("ring/build", build.as_str()), (leaf, "true")] {
-                let path: Path = at.parse().map_err(|error| vec![validation_error(&error)])?;
-                self.binding
-                    .set_leaf(&mut candidate.tree, &path, text)
-                    .map_err(|error| vec![validation_error(&error)])?;
-            }
+            self.set_leaf(&mut candidate.tree, "ring/build", &build)?;
+            self.set_leaf(&mut candidate.tree, leaf, "true")?;
         }
         self.check_rights(&before, &candidate.tree, rights, commit_service)?;
         Ok(Step::Perform(DatastoreOperation::Commit {
@@ -71,4 +40,43 @@
             persist_id: None,
         }))
     }
+
+    /// The build that the input of an RPC names, if any.
+    fn build_of(&self, operation: &Element, name: &str) -> Result<Option<String>, Vec<RpcError>> {
+        let Some(input) = self.schema.rpcs.get(&operation.name).copied() else {
+            return Err(vec![self.unknown_rpc(operation, name)]);
+        };
+        let mut errors = vec![];
+        let edits = edits_from_xml(
+            self.schema,
+            Some(input),
+            &InstancePath::default(),
+            &operation.children,
+            &mut errors,
+        );
+        if !errors.is_empty() {
+            return Err(errors.iter().map(edit_error).collect());
+        }
+        let build = edits.into_iter().find(|edit| edit.step.name == "build");
+        Ok(build.and_then(|edit| edit.value))
+    }
+
+    fn unknown_rpc(&self, operation: &Element, name: &str) -> RpcError {
+        let known: Vec<_> = self.schema.rpcs.keys().map(String::as_str).collect();
+        let known = known.join(", ");
+        let error = RpcError::invalid(name, "no such operation", &operation.name, &known);
+        RpcError {
+            tag: "operation-not-supported".into(),
+            ..error
+        }
+    }
+
+    fn set_leaf(&self, tree: &mut Tree, path: &str, text: &str) -> Result<(), Vec<RpcError>> {
+        let path: Path = path
+            .parse()
+            .map_err(|error| vec![validation_error(&error)])?;
+        self.binding
+            .set_leaf(tree, &path, text)
+            .map_err(|error| vec![validation_error(&error)])
+    }
 }
--- a/management/src/netconf/session_task.rs
+++ b/management/src/netconf/session_task.rs
@@ -135,7 +135,7 @@
         let is_waiting_for_hello = !self.session.chunked()
             && self.decoder.framing() == Framing::EndMark
             && !self.session.hello_received();
-        if is_waiting_for_hello && elapsed.as_secs_f64() > self.shared.limits.login_timeout {
+        if is_waiting_for_hello && elapsed > self.shared.limits.login_timeout {
             return Err(EndReason::HelloTimeout);
         }
         Ok(())
