--- a/management/src/commit_service.rs
+++ b/management/src/commit_service.rs
@@ -1,4 +1,4 @@
-//! How fronts reach the commit service: what they ask, what they read, and what they are told.
+//! The way from the management interfaces to the commit service: requests, published data and notifications.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -15,69 +15,69 @@
 use kestreltide_datastore::{CommitOutcome, RejectedCommit};
 use tokio::sync::{broadcast, oneshot};
 
-/// What a front asks of the commit service. Whoever asks waits for the reply; the commit service waits for nobody.
+/// A request to the commit service. The requester waits for the reply; the commit service never waits.
 #[derive(Debug)]
 pub enum CommitServiceRequest {
-    /// Opens a session, which may hold locks and commits that wait to be confirmed.
+    /// Opens a session, which can hold locks and pending commits.
     Open {
-        /// Gets the id of the session.
+        /// Receives the id of the session.
         reply: oneshot::Sender<SessionId>,
     },
-    /// A session is over: its locks are released and commits that only it could confirm are rolled back.
+    /// Ends a session: releases its locks, and rolls back a pending commit that only it could confirm.
     Ended {
         /// The session that ended.
         session: SessionId,
     },
     /// Locks a datastore for a session.
     Lock {
-        /// Who wants the lock.
+        /// The session that wants the lock.
         session: SessionId,
         /// The datastore to lock.
         target: Target,
-        /// Refused where another session holds the lock.
+        /// Receives an error if another session holds the lock.
         reply: oneshot::Sender<Result<(), CommitError>>,
     },
     /// Releases a lock.
     Unlock {
-        /// Who holds the lock.
+        /// The session that holds the lock.
         session: SessionId,
         /// The datastore to unlock.
         target: Target,
-        /// Refused where the session does not hold the lock.
+        /// Receives an error if the session does not hold the lock.
         reply: oneshot::Sender<Result<(), CommitError>>,
     },
     /// Checks a candidate without committing it.
     Validate {
-        /// What to check.
+        /// The candidate to check.
         candidate: Candidate,
-        /// Gets the validation errors, if any.
+        /// Receives the validation errors, if any.
         reply: oneshot::Sender<Result<(), ValidationErrors>>,
     },
     /// Checks a candidate and puts it in force.
     Commit(Box<CommitRequest>),
-    /// Confirms the commit that waits for it.
+    /// Confirms the pending commit.
     Confirm {
-        /// Who confirms; none for a party without a session.
+        /// The session that confirms; none for a client without one.
         requester: CommitOwner,
-        /// The id of the commit that waits, where whoever began it gave one.
+        /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
-        /// Refused where nothing waits or another has to confirm it.
+        /// Receives an error if no commit is pending or another session owns it.
         reply: oneshot::Sender<Result<(), CommitError>>,
     },
-    /// Rolls back the commit that waits to be confirmed.
+    /// Rolls back the pending commit.
     Cancel {
-        /// Who cancels; none for a party without a session.
+        /// The session that cancels; none for a client without one.
         requester: CommitOwner,
-        /// The id of the commit that waits, where whoever began it gave one.
+        /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
-        /// Refused where nothing waits or another has to confirm it.
+        /// Receives an error if no commit is pending or another session owns it.
         reply: oneshot::Sender<Result<(), CommitError>>,
     },
-    /// Somebody who may not has tried; it is remembered and told as any other refusal.
+    /// Records an edit that was denied, as any other rejected commit.
     Denied {
-        /// Who tried.
+        /// The author of the edit.
         author: Author,
-        /// Which right was missing, for which change.
+        /// The missing right, and the change that needs it.
         error: ValidationError,
     },
 }
@@ -85,51 +85,54 @@
 /// A candidate to commit.
 #[derive(Debug)]
 pub struct CommitRequest {
-    /// Who commits; none for a party without a session.
+    /// The session that commits; none for a client without one.
     pub requester: CommitOwner,
-    /// What to commit.
+    /// The candidate to commit.
     pub candidate: Candidate,
-    /// Whom the revision names as its author.
+    /// The author of the revision.
     pub author: Author,
-    /// Within which time the commit has to be confirmed; none: it stays.
+    /// The time in which the commit has to be confirmed; none if it is final.
     pub confirm: Option<ConfirmedCommit>,
-    /// The id of the commit that waits, where whoever began it gave one.
+    /// The persist-id of the pending commit, if it has one.
     pub persist_id: Option<String>,
-    /// Gets the revision, or why there is none.
+    /// Receives the outcome, or why nothing was committed.
     pub reply: oneshot::Sender<Result<CommitOutcome, CommitError>>,
 }
 
-/// What happened at the commit service.
+/// An event at the commit service.
 #[derive(Clone, Debug)]
 pub enum Notification {
     /// A revision is in force.
     Committed(Arc<RevisionRecord>),
-    /// A candidate was refused.
+    /// A candidate was rejected.
     Rejected(Arc<RejectedCommit>),
 }
 
-/// What every front holds.
+/// What the management interfaces hold of the commit service.
 #[derive(Clone)]
 pub struct CommitServiceHandle {
-    /// False where the commit service has no room for one more question, or is gone.
+    /// Queues a request; false if the queue is full or the commit service has stopped.
     pub submit: Arc<dyn Fn(CommitServiceRequest) -> bool + Send + Sync>,
-    /// What is in force, its history and what waits.
+    /// The revision in force, its history and the pending commit.
     pub published: Arc<ArcSwap<CoordinatorStatus>>,
-    /// The state of the router as it showed it last.
+    /// The latest view of the state of the router.
     pub view: Arc<ArcSwap<View>>,
-    /// The revision that the loop has in force.
+    /// The revision that the event loop has applied.
     pub in_force: Arc<AtomicU64>,
-    /// Commits and refusals, to all who subscribe.
+    /// Commits and rejections, for all subscribers.
     pub notifications: broadcast::Sender<Notification>,
-    /// Who may come in, with which rights.
+    /// The keys of clients, with their rights.
     pub keys: Arc<ArcSwap<Keys>>,
 }
 
-/// How long a reply to a commit waits for the loop to take it.
-const TAKEN: Duration = Duration::from_millis(50);
+/// Longest time that the reply to a commit waits for the event loop to apply it.
+const APPLY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// That the commit service does not answer.
-pub fn busy() -> CommitError {
+/// Time between checks whether the event loop has applied a commit.
+const APPLY_CHECK_INTERVAL: Duration = Duration::from_millis(1);
+
+/// The error if the commit service does not reply.
+fn unavailable() -> CommitError {
     CommitError::Invalid(
         ValidationError::new(
             "running",
@@ -146,20 +149,24 @@
         &self,
         make: impl FnOnce(oneshot::Sender<T>) -> CommitServiceRequest,
     ) -> Option<T> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         if !(self.submit)(make(reply)) {
             return None;
         }
-        answer.await.ok()
+        response.await.ok()
     }
 
-    /// Opens a session; none where the commit service does not answer.
+    /// Opens a session; none if the commit service does not reply.
     pub async fn open(&self) -> Option<SessionId> {
         self.request(|reply| CommitServiceRequest::Open { reply })
             .await
     }
 
-    /// Locks a datastore for a session; refused where another holds the lock or nobody answers.
+    /// Locks a datastore for a session.
+    ///
+    /// # Errors
+    ///
+    /// When another session holds the lock, or the commit service does not reply.
     pub async fn lock(&self, session: SessionId, target: Target) -> Result<(), CommitError> {
         self.request(|reply| CommitServiceRequest::Lock {
             session,
@@ -167,10 +174,14 @@
             reply,
         })
         .await
-        .unwrap_or(Err(busy()))
+        .unwrap_or(Err(unavailable()))
     }
 
-    /// Releases a lock; refused where the session does not hold it or nobody answers.
+    /// Releases a lock.
+    ///
+    /// # Errors
+    ///
+    /// When the session does not hold the lock, or the commit service does not reply.
     pub async fn unlock(&self, session: SessionId, target: Target) -> Result<(), CommitError> {
         self.request(|reply| CommitServiceRequest::Unlock {
             session,
@@ -178,19 +189,28 @@
             reply,
         })
         .await
-        .unwrap_or(Err(busy()))
+        .unwrap_or(Err(unavailable()))
     }
 
-    /// Checks a candidate; refused with its validation errors, or where nobody answers.
+    /// Checks a candidate.
+    ///
+    /// # Errors
+    ///
+    /// With the validation errors, or when the commit service does not reply.
     pub async fn validate(&self, candidate: Candidate) -> Result<(), CommitError> {
         let answer = self
             .request(|reply| CommitServiceRequest::Validate { candidate, reply })
             .await;
-        answer.map_or(Err(busy()), |answer| answer.map_err(CommitError::Invalid))
+        answer.map_or(Err(unavailable()), |answer| {
+            answer.map_err(CommitError::Invalid)
+        })
     }
 
-    /// Confirms the commit that waits; refused where nothing waits, where another has to confirm it, or where nobody
-    /// answers.
+    /// Confirms the pending commit.
+    ///
+    /// # Errors
+    ///
+    /// When no commit is pending, another session owns it, or the commit service does not reply.
     pub async fn confirm(
         &self,
         requester: CommitOwner,
@@ -202,10 +222,14 @@
             reply,
         })
         .await
-        .unwrap_or(Err(busy()))
+        .unwrap_or(Err(unavailable()))
     }
 
-    /// Rolls back the commit that waits; refused as a confirmation is.
+    /// Rolls back the pending commit.
+    ///
+    /// # Errors
+    ///
+    /// As [`CommitServiceHandle::confirm`].
     pub async fn cancel(
         &self,
         requester: CommitOwner,
@@ -217,11 +241,14 @@
             reply,
         })
         .await
-        .unwrap_or(Err(busy()))
+        .unwrap_or(Err(unavailable()))
     }
 
-    /// Commits, and answers once the loop has the revision in force: whoever is told that it is committed can rely
-    /// on it. A loop that does not come round in time is not waited for.
+    /// Commits a candidate, and returns once the event loop has applied the revision, or after 50 ms.
+    ///
+    /// # Errors
+    ///
+    /// When the candidate is invalid or locked, another commit is pending, or the commit service does not reply.
     pub async fn commit(
         &self,
         requester: CommitOwner,
@@ -240,11 +267,11 @@
                 reply,
             }))
         };
-        let commit = self.request(make).await.unwrap_or(Err(busy()))?;
+        let commit = self.request(make).await.unwrap_or(Err(unavailable()))?;
         if let CommitOutcome::Applied(snapshot) = &commit {
-            let until = Instant::now() + TAKEN;
-            while self.in_force.load(Relaxed) < snapshot.revision().0 && Instant::now() < until {
-                tokio::time::sleep(Duration::from_millis(1)).await;
+            let deadline = Instant::now() + APPLY_TIMEOUT;
+            while self.in_force.load(Relaxed) < snapshot.revision().0 && Instant::now() < deadline {
+                tokio::time::sleep(APPLY_CHECK_INTERVAL).await;
             }
         }
         Ok(commit)
--- a/management/src/gnmi/access.rs
+++ b/management/src/gnmi/access.rs
@@ -1,4 +1,4 @@
-//! Who sends a request, by the certificate of its connection, and which rights that key has.
+//! Authentication and authorization of requests, by the certificate of their connection.
 
 use kestreltide_datastore::{Key, Proof, Rights};
 use tonic::{Request, Status};
@@ -6,6 +6,7 @@
 use super::Service;
 
 impl Service {
+    /// The key of the client of a request, and its rights.
     pub(super) fn key<T>(&self, request: &Request<T>) -> Result<(Key, Rights), Status> {
         let denied = || {
             Status::unauthenticated(
@@ -27,6 +28,7 @@
         Ok((key, rights))
     }
 
+    /// The key of the client of a request, which may read.
     pub(super) fn may_read<T>(&self, request: &Request<T>) -> Result<Key, Status> {
         let (key, rights) = self.key(request)?;
         let denied = format!(
--- a/management/src/gnmi/confirmed_commit.rs
+++ b/management/src/gnmi/confirmed_commit.rs
@@ -1,4 +1,4 @@
-//! Commits that wait to be confirmed (gNMI extension `Commit`): whose they are, and how they are settled.
+//! Confirmed commits (gNMI extension `Commit`): the sessions that own them, and how they are confirmed or cancelled.
 
 use std::sync::PoisonError;
 
@@ -12,7 +12,7 @@
 use crate::proto::gnmi_ext::commit::Action;
 
 impl Service {
-    /// The session at the commit service of who has this key: commits that wait are its.
+    /// The session at the commit service that owns the pending commits of a key; none if the service does not reply.
     pub(super) async fn confirming_session(&self, key: &Key) -> Option<SessionId> {
         if let Some(session) = self
             .sessions
@@ -27,7 +27,7 @@
         Some(*sessions.entry(key.name.clone()).or_insert(session))
     }
 
-    /// A commit-confirmed request that edits nothing: confirm or cancel what waits.
+    /// Confirms or cancels the pending commit if the extension asks for that; false if it starts a commit.
     pub(super) async fn confirm_or_cancel(
         &self,
         key: &Key,
--- a/management/src/gnmi/connections.rs
+++ b/management/src/gnmi/connections.rs
@@ -12,7 +12,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::server::{Connected, TcpConnectInfo};
 
-/// A connection that has its place among those that may be open.
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// A connection within the limit of open connections.
 pub(super) struct AdmittedConnection {
     stream: TcpStream,
     _permit: OwnedSemaphorePermit,
@@ -54,20 +57,21 @@
     }
 }
 
-/// Connections that come, those beyond so many closed at once: half a handshake holds a place, not the service.
+/// The connections of a listener; those beyond the limit are closed at once. A connection counts from its first byte,
+/// before the TLS handshake.
 pub(super) fn accept_connections(
     listener: TcpListener,
     limit: usize,
 ) -> ReceiverStream<std::io::Result<AdmittedConnection>> {
     let (sender, receiver) = mpsc::channel(1);
-    let room = Arc::new(Semaphore::new(limit));
+    let permits = Arc::new(Semaphore::new(limit));
     tokio::spawn(async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(Duration::from_millis(100)).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            let Ok(permit) = room.clone().try_acquire_owned() else {
+            let Ok(permit) = permits.clone().try_acquire_owned() else {
                 continue;
             };
             if sender
--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -16,19 +16,19 @@
 use crate::proto::gnmi::typed_value::Value;
 use crate::proto::gnmi::{Path, TypedValue};
 
-/// What a path of a Set request leads to.
+/// The target of a path of a Set request.
 struct EditTarget {
     parent: InstancePath,
-    /// None at the top of the model.
+    /// The schema node; none at the top of the model.
     node: Option<NodeId>,
-    /// The last step of the path; without a name at the top.
+    /// The last step of the path, whose name is empty at the top.
     step: Step,
-    /// The node again where it is a list or leaf-list meant as a whole.
+    /// The node again if it is a list or leaf-list without keys, that is with all its entries.
     list: Option<NodeId>,
 }
 
 impl Service {
-    /// Edits of one update, replacement or deletion.
+    /// The edits of one update, replacement or deletion.
     pub(super) fn edit(
         &self,
         prefix: Option<&Path>,
@@ -53,30 +53,24 @@
         Ok(edits)
     }
 
-    /// What a path leads to: one instance, or a list or leaf-list as a whole where its keys are left away.
+    /// The target of a path: one instance, or all entries of a list or leaf-list without keys.
     fn edit_target(&self, pattern: &Pattern, shown: &str) -> Result<EditTarget, Status> {
-        let (parent, node, step) = match self.list_without_keys(pattern) {
-            Some((parent, node)) => {
-                let name = self.schema.node_of(node).name.clone();
-                (parent, Some(node), Step { name, keys: vec![] })
-            }
-            None => {
-                let (mut at, node) = pattern
-                    .instance(self.schema)
-                    .map_err(|why| no_instance(shown, &why.to_string()))?;
-                match at.0.pop() {
-                    Some(step) => (at, node, step),
-                    None => (
-                        at,
-                        None,
-                        Step {
-                            name: String::new(),
-                            keys: vec![],
-                        },
-                    ),
-                }
-            }
-        };
+        if let Some((parent, node)) = self.list_without_keys(pattern) {
+            let name = self.schema.node_of(node).name.clone();
+            return Ok(EditTarget {
+                parent,
+                node: Some(node),
+                step: Step { name, keys: vec![] },
+                list: Some(node),
+            });
+        }
+        let (mut parent, node) = pattern
+            .instance(self.schema)
+            .map_err(|error| no_instance(shown, &error.to_string()))?;
+        let step = parent.0.pop().unwrap_or(Step {
+            name: String::new(),
+            keys: vec![],
+        });
         let list = node.filter(|node| step.keys.is_empty() && self.is_list(*node));
         Ok(EditTarget {
             parent,
@@ -110,7 +104,7 @@
         )
     }
 
-    /// Edits that remove what stands at the target, all entries of a list as well.
+    /// Edits that remove the target, or all its entries.
     fn removal_edits(&self, target: &EditTarget, shown: &str) -> Result<Vec<Edit>, Status> {
         let removal_edits = self.entries_to_remove(target.node, &target.step, target.list);
         let removal = |(node, step)| Edit {
@@ -181,7 +175,7 @@
         edit_at_path(self.schema, parent, edit).ok_or_else(|| no_instance(shown, "leads nowhere"))
     }
 
-    /// What a removal at this place has to take away.
+    /// The instances that a removal of the target has to remove.
     fn entries_to_remove(
         &self,
         node: Option<NodeId>,
@@ -226,7 +220,7 @@
     invalid_argument(shown, why, shown, "one instance, with its keys")
 }
 
-/// The keys that a path has already said need not stand in the value again.
+/// Adds the keys of the path to a value that does not repeat them.
 fn with_keys(json: Json, step: &Step) -> Json {
     match json {
         Json::Object(mut members) => {
--- a/management/src/gnmi/encoding.rs
+++ b/management/src/gnmi/encoding.rs
@@ -1,4 +1,4 @@
-//! Values in the encodings that are served (JSON_IETF, JSON, PROTO), to and from the model's data.
+//! Values in the supported encodings: JSON_IETF, JSON and PROTO.
 
 use std::collections::BTreeMap;
 
@@ -14,6 +14,7 @@
 use crate::proto::gnmi::typed_value::Value;
 use crate::proto::gnmi::{Encoding, ScalarArray, TypedValue, Update};
 
+/// The encoding of a request, if it is supported.
 pub(super) fn supported_encoding(encoding: i32) -> Result<Encoding, Status> {
     match Encoding::try_from(encoding) {
         Ok(encoding @ (Encoding::Json | Encoding::JsonIetf | Encoding::Proto)) => Ok(encoding),
@@ -34,7 +35,7 @@
         TypedValue { value: Some(value) }
     }
 
-    /// A value in JSON's form, whatever it came in.
+    /// A received value as JSON, whatever its encoding.
     pub(super) fn json_value_of(
         &self,
         at: &str,
@@ -89,6 +90,7 @@
     }
 }
 
+/// The update of one leaf.
 pub(super) fn update(at: &InstancePath, value: &TypedValue, duplicates: u32) -> Update {
     Update {
         path: Some(path_of(at)),
@@ -97,6 +99,7 @@
     }
 }
 
+/// Collects the leaves of a data node with their values; the values of a leaf-list are one array.
 pub(super) fn collect_leaves(
     schema: &Schema,
     encoding: Encoding,
@@ -147,7 +150,7 @@
     }
 }
 
-/// Numbers of 64 bits and decimals are text in JSON, and numbers in PROTO.
+/// The PROTO value of a leaf that is a string in JSON: integers of 64 bits and decimals are numbers in PROTO.
 fn proto_text(schema: &Schema, node: NodeId, text: &str) -> Value {
     use kestreltide_yang::types::Type;
     match &schema.node_of(node).kind {
--- a/management/src/gnmi/errors.rs
+++ b/management/src/gnmi/errors.rs
@@ -21,7 +21,7 @@
 
 pub(super) fn commit_error_status(error: &CommitError) -> Status {
     match error {
-        // Another's change of the same leaf, or a rule: the request is well, the time or the set is not.
+        // A concurrent change of the same leaf: the client can read again and retry.
         CommitError::Invalid(errors)
             if errors
                 .first
--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -1,4 +1,4 @@
-//! Get: what is published, below the paths asked for, in the encoding asked for.
+//! Get: the published data below the requested paths, in the requested encoding.
 
 use std::collections::BTreeMap;
 
@@ -63,7 +63,7 @@
         }))
     }
 
-    /// What of everything is asked for: what operators set, or the router's own.
+    /// The part of the data that a type names: configuration, state or both.
     fn retain_type(&self, mut data: DataNode, data_type: i32) -> Vec<DataNode> {
         use get_request::DataType;
         if let Content::Inner(children) = &mut data.content {
--- a/management/src/gnmi/paths.rs
+++ b/management/src/gnmi/paths.rs
@@ -1,4 +1,4 @@
-//! Paths of gNMI to and from the model's patterns and instances.
+//! Conversion of gNMI paths to patterns, and of instance paths to gNMI paths.
 
 use kestreltide_yang::Schema;
 use kestreltide_yang::data::{DataNode, InstancePath, Step};
@@ -8,7 +8,7 @@
 use super::errors::invalid_argument;
 use crate::proto::gnmi::{Path, PathElem};
 
-/// A path below a prefix; an origin other than the models' own is refused.
+/// The pattern of a path below a prefix; rejects unknown origins.
 pub(super) fn pattern(prefix: Option<&Path>, path: &Path) -> Result<Pattern, Status> {
     let shown = path_text(path);
     let mut all = Pattern::default();
@@ -49,7 +49,7 @@
     if out.is_empty() { "/".into() } else { out }
 }
 
-/// That a path names nothing of the model.
+/// The error for a path that matches no node of the model.
 pub(super) fn leads_nowhere(path: &Path) -> Status {
     Status::not_found(format!(
         "{}: leads nowhere in the model (given: {0}; taken: a path of it)",
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -1,4 +1,4 @@
-//! Serves gNMI on a listener: TLS with clients' certificates, and the limits of a connection.
+//! Serves gNMI on a listener, with TLS, client certificates and limits.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::{Arc, Mutex};
@@ -15,13 +15,13 @@
 use crate::proto::gnmi::g_nmi_server::GNmiServer;
 use crate::{Limits, ServeError};
 
-/// What TLS needs, in PEM.
+/// The certificates and the key of TLS, in PEM.
 pub struct Tls {
     /// The certificate chain of the server.
     pub certificate: Vec<u8>,
     /// The private key of the server.
     pub key: Vec<u8>,
-    /// Who signs clients' certificates.
+    /// The certificate that signs the certificates of clients.
     pub clients: Vec<u8>,
 }
 
@@ -77,7 +77,7 @@
         })
 }
 
-/// TLS that takes only clients with a certificate, and gives up a handshake after its time.
+/// TLS that requires client certificates and limits the time of a handshake.
 fn tls_config(tls: Tls, limits: &Limits) -> ServerTlsConfig {
     let clients = Certificate::from_pem(tls.clients);
     let identity = Identity::from_pem(tls.certificate, tls.key);
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -15,8 +15,12 @@
 use crate::proto::gnmi_ext::extension::Ext;
 use crate::proto::gnmi_ext::{Commit as CommitExt, Extension, MasterArbitration};
 
-/// Seconds that a commit waits to be confirmed where nothing is said.
+/// The time to confirm a commit if the request has none, in seconds.
 const DEFAULT_CONFIRM_SECONDS: f64 = 600.0;
+/// The shortest time to confirm a commit, in seconds; an error text names it.
+const MIN_CONFIRM_SECONDS: f64 = 0.1;
+/// The longest time to confirm a commit, in seconds; an error text names it.
+const MAX_CONFIRM_SECONDS: f64 = 86_400.0;
 
 impl Service {
     pub(super) async fn apply_set(
@@ -119,7 +123,7 @@
         Ok(response)
     }
 
-    /// The author of the next revision, with a number of its own.
+    /// The author of the next revision, with the number of the request.
     fn next_author(&self, key: &Key) -> Author {
         let number = self.next_set.fetch_add(1, Relaxed);
         Author {
@@ -130,7 +134,7 @@
     }
 }
 
-/// The reply to a request that confirmed or cancelled a commit; it may not edit too.
+/// The response to a request that confirmed or cancelled a commit; it may not have edits.
 fn empty_edit_response(request: &SetRequest) -> Result<Response<SetResponse>, Status> {
     let empty =
         request.delete.is_empty() && request.replace.is_empty() && request.update.is_empty();
@@ -149,7 +153,7 @@
     }))
 }
 
-/// Within which time a commit wants to be confirmed, and by which id.
+/// The time and the id of a confirmed commit.
 fn confirmed_commit(commit: &CommitExt) -> Result<ConfirmedCommit, Status> {
     let rollback_duration = match &commit.action {
         Some(Action::Commit(request)) => request.rollback_duration.as_ref(),
@@ -158,7 +162,7 @@
     let timeout = rollback_duration.map_or(DEFAULT_CONFIRM_SECONDS, |time| {
         time.seconds as f64 + f64::from(time.nanos) / 1e9
     });
-    if !(0.1..=86_400.0).contains(&timeout) || commit.id.is_empty() {
+    if !(MIN_CONFIRM_SECONDS..=MAX_CONFIRM_SECONDS).contains(&timeout) || commit.id.is_empty() {
         return Err(invalid_argument(
             "commit",
             "has no id, or a time out of range",
--- a/management/src/gnmi/subscribe.rs
+++ b/management/src/gnmi/subscribe.rs
@@ -77,7 +77,7 @@
         Ok(Response::new(Box::pin(ReceiverStream::new(receiver))))
     }
 
-    /// The subscriptions of a list, each with a path that the model knows.
+    /// The subscriptions of a list, whose paths have to match the model.
     fn path_subscriptions(
         &self,
         list: &SubscriptionList,
@@ -117,7 +117,7 @@
     }
 }
 
-/// The prefix that notifications repeat: its target alone, where it has one.
+/// The prefix of notifications: only the target of the requested prefix, if it has one.
 fn target_only(prefix: &Path) -> Option<Path> {
     let target = prefix.target.clone();
     (!target.is_empty()).then(|| Path {
--- a/management/src/lib.rs
+++ b/management/src/lib.rs
@@ -10,9 +10,9 @@
 pub mod netconf;
 pub mod state;
 
-/// The gNMI service as its published specification describes it.
+/// The generated code of the gNMI service.
 pub mod proto {
-    #![allow(missing_docs, clippy::all)]
+    #![allow(missing_docs, clippy::all, clippy::pedantic)]
     pub mod gnmi {
         tonic::include_proto!("gnmi");
     }
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -104,7 +104,7 @@
     let config = Arc::new(ssh_config(host_key, &shared.limits));
     let permits = Arc::new(Semaphore::new(shared.limits.max_connections));
     loop {
-        let (stream, from) = match listener.accept().await {
+        let (stream, client) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(e) => {
                 // Most likely out of file descriptors: sessions go on, and accepting is retried.
@@ -117,11 +117,12 @@
             drop(stream);
             continue;
         };
-        let (shared, config) = (shared.clone(), config.clone());
+        let shared = shared.clone();
+        let config = config.clone();
         tokio::spawn(async move {
             serve_connection(shared.clone(), config, stream).await;
             drop(permit);
-            debug!(shared.log, "NETCONF connection closed"; "client" => %from);
+            debug!(shared.log, "NETCONF connection closed"; "client" => %client);
         });
     }
 }
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -1,4 +1,4 @@
-//! `edit-config`: edits of the session's candidate or of what runs, and whether the rights cover them.
+//! `edit-config` (RFC 6241, section 7.2): edits of the candidate of the session or of the running datastore.
 
 use kestreltide_datastore::commit_coordinator::Target;
 use kestreltide_datastore::{Candidate, Rights, Tree};
@@ -11,16 +11,16 @@
 use super::{DatastoreOperation, Session, Step};
 use crate::commit_service::CommitServiceHandle;
 
-/// How an edit-config is done.
+/// The parameters of an edit-config.
 struct EditOptions {
-    /// The operation of elements that name none.
+    /// The operation of elements without one.
     default: Operation,
     /// Whether the result is only checked.
     test_only: bool,
 }
 
 impl EditOptions {
-    fn of(operation: &Element) -> Result<Self, Vec<RpcError>> {
+    fn parse(operation: &Element) -> Result<Self, Vec<RpcError>> {
         let default = text(operation, "default-operation").unwrap_or_else(|| "merge".into());
         let invalid = || {
             vec![RpcError::invalid(
@@ -31,7 +31,7 @@
             )]
         };
         let default = Operation::from_default_operation(&default).ok_or_else(invalid)?;
-        // Whichever it is, an edit that cannot be done whole is not done at all.
+        // Edits are applied all or none, whatever the option.
         option(
             operation,
             "error-option",
@@ -49,7 +49,7 @@
     }
 }
 
-/// An option that takes one of three values; the first where it is not given.
+/// The value of a parameter that has three values, of which the first is the default.
 fn option(operation: &Element, name: &str, expected: [&str; 3]) -> Result<String, Vec<RpcError>> {
     let [first, second, third] = expected;
     let found = text(operation, name).unwrap_or_else(|| first.into());
@@ -71,8 +71,8 @@
             .get_or_insert_with(|| Candidate::new(&commit_service.published.load().in_force))
     }
 
-    /// Edits a tree by a `config` element, whole or not at all.
-    pub(super) fn edited(
+    /// Edits a tree by a `config` element, all or none.
+    pub(super) fn apply_config(
         &self,
         tree: &mut Tree,
         config: &Element,
@@ -105,7 +105,7 @@
         commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
         let target = target(operation, "target")?;
-        let options = EditOptions::of(operation)?;
+        let options = EditOptions::parse(operation)?;
         let config = operation
             .child("config")
             .ok_or_else(|| vec![RpcError::missing("config")])?;
@@ -120,7 +120,7 @@
         } else {
             options.default
         };
-        self.edited(&mut candidate.tree, config, by_default)?;
+        self.apply_config(&mut candidate.tree, config, by_default)?;
         self.check_rights(&before, &candidate.tree, rights, commit_service)?;
         if options.test_only {
             return Ok(Step::Perform(DatastoreOperation::Validate(candidate)));
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Whether the rights cover the changes; who tries without is told and remembered.
+    /// Rejects changes that the rights do not cover; the commit service records them.
     pub(super) fn check_rights(
         &self,
         before: &Tree,
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -1,9 +1,9 @@
-//! One NETCONF session: what each message leads to. Free of I/O: a message gives a step, some of which ask the
-//! commit service and come back with its answer.
+//! One NETCONF session, without I/O: a message leads to a step, and some steps come back with the result of the commit
+//! service.
 //!
-//! Each session has a candidate of its own, made from the revision that was in force when it began; who commits
-//! second is told which leaf both changed (draft-ietf-netconf-privcand has the same idea). Edits are all or
-//! nothing whatever the error-option says.
+//! Each session has a candidate of its own, based on the revision that was in force when the candidate began. If two
+//! sessions change the same leaf, the second commit fails and names the leaf (as draft-ietf-netconf-privcand has it).
+//! Edits are applied all or none, whatever their error-option.
 
 mod capabilities;
 mod commit;
@@ -28,7 +28,7 @@
 use self::rpc_error::{RpcError, commit_errors};
 use crate::commit_service::CommitServiceHandle;
 
-/// What the commit service is asked for a message.
+/// An operation of the commit service that a message leads to.
 #[derive(Clone, Debug)]
 pub enum DatastoreOperation {
     /// Lock a datastore.
@@ -37,23 +37,23 @@
     Unlock(Target),
     /// Check a candidate without committing it.
     Validate(Candidate),
-    /// Of the session's own candidate, or of one edit of what runs.
+    /// Commit the candidate of the session, or one edit of the running datastore.
     Commit {
-        /// What to commit.
+        /// The candidate to commit.
         candidate: Candidate,
-        /// Within which time it has to be confirmed; none: it stays.
+        /// The time in which it has to be confirmed; none if it is final.
         confirm: Option<ConfirmedCommit>,
-        /// The id of the commit that waits, where whoever began it gave one.
+        /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
-    /// Confirm the commit that waits.
+    /// Confirm the pending commit.
     Confirm {
-        /// The id of the commit that waits, where whoever began it gave one.
+        /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
-    /// Roll back the commit that waits.
+    /// Roll back the pending commit.
     Cancel {
-        /// The id of the commit that waits, where whoever began it gave one.
+        /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
 }
@@ -74,13 +74,13 @@
 pub enum Step {
     /// Send the reply; an empty one is not sent.
     Reply(String),
-    /// Perform it, and give the answer to [`Session::answered`].
+    /// Perform the operation, and pass its result to [`Session::complete`].
     Perform(DatastoreOperation),
-    /// The reply, then the session is over.
+    /// Send the reply and end the session.
     Close(String),
-    /// Another session is to be ended; the reply.
+    /// End another session and send the reply.
     Kill(SessionId, String),
-    /// The reply; from then on what happens is told.
+    /// Send the reply, and notifications from then on.
     Subscribe(String),
     /// End the session without a reply.
     Abort(AbortReason),
@@ -97,12 +97,12 @@
     peer_chunks: bool,
     candidate: Option<Candidate>,
     subscribed: bool,
-    /// Attributes of the rpc that is being answered.
+    /// The attributes of the current rpc, which its reply repeats.
     attributes: String,
 }
 
 impl Session {
-    /// A session before the hello of its client; `name` is that of the key of the client.
+    /// A session that has not received a hello; `name` is that of the key of the client.
     pub fn new(
         id: SessionId,
         name: &str,
@@ -122,17 +122,17 @@
         }
     }
 
-    /// Whether the client has said hello.
+    /// Whether the hello of the client has been received.
     pub fn hello_received(&self) -> bool {
         self.hello_received
     }
 
-    /// Whether messages are chunked from now on: both have said base:1.1.
+    /// Whether messages are chunked from now on, since both sides support version 1.1.
     pub fn chunked(&self) -> bool {
         self.hello_received && self.peer_chunks
     }
 
-    /// What a message leads to.
+    /// Handles a message of the client.
     pub fn message(
         &mut self,
         bytes: &[u8],
@@ -212,7 +212,7 @@
         Step::Reply(out + "</rpc-reply>")
     }
 
-    /// The commit service's answer to what was asked.
+    /// The reply to a message whose operation the commit service has performed.
     pub fn complete(
         &mut self,
         operation: &DatastoreOperation,
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -1,4 +1,4 @@
-//! Which operation an rpc asks for, and what each that needs no module of its own leads to.
+//! The operations of rpcs, and those that need no module of their own.
 
 use kestreltide_datastore::commit_coordinator::{SessionId, Target};
 use kestreltide_datastore::{Candidate, Rights, Tree};
@@ -12,6 +12,7 @@
 use crate::state;
 
 impl Session {
+    /// Handles the operation of an rpc.
     pub(super) fn operation(
         &mut self,
         operation: &Element,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// `get`: what operators set and the router's own state. `get-config`: what operators set, in one datastore.
+    /// `get`: the configuration in force and the state of the router. `get-config`: the configuration of one datastore.
     fn get(
         &mut self,
         operation: &Element,
@@ -108,7 +109,7 @@
             Some(config) => {
                 let mut candidate = Candidate::new(&commit_service.published.load().in_force);
                 candidate.tree = Tree::default();
-                self.edited(&mut candidate.tree, config, Operation::Merge)?;
+                self.apply_config(&mut candidate.tree, config, Operation::Merge)?;
                 candidate
             }
             None => match target(operation, "source")? {
@@ -140,7 +141,7 @@
         ))
     }
 
-    /// A subscription to all notifications from now on (RFC 5277, section 2.1.1).
+    /// Subscribes to all notifications from now on (RFC 5277, section 2.1.1).
     fn create_subscription(
         &mut self,
         operation: &Element,
@@ -178,7 +179,7 @@
         Ok(Step::Subscribe(self.ok()))
     }
 
-    /// The text of a module (RFC 6022, section 3.1).
+    /// Replies with the text of a module (RFC 6022, section 3.1).
     fn get_schema(&self, operation: &Element) -> Result<Step, Vec<RpcError>> {
         let name =
             text(operation, "identifier").ok_or_else(|| vec![RpcError::missing("identifier")])?;
@@ -218,7 +219,7 @@
         .map(|child| child.text.trim().to_owned())
 }
 
-/// Which datastore an operation names.
+/// The datastore that a parameter of an operation names.
 pub(super) fn target(operation: &Element, name: &str) -> Result<Target, Vec<RpcError>> {
     let named = operation
         .child(name)
--- a/management/src/netconf/session/reply.rs
+++ b/management/src/netconf/session/reply.rs
@@ -27,7 +27,7 @@
         out + "</data></rpc-reply>"
     }
 
-    /// A notification as it goes out (RFC 5277, section 4).
+    /// A notification at a time in Unix seconds, as XML (RFC 5277, section 4).
     pub fn notification(&self, at: f64, data: &DataNode) -> String {
         let at = kestreltide_yang::binding::format_time(at);
         let mut out =
--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -8,14 +8,14 @@
 use kestreltide_yang::edit::{EditError, ErrorTag};
 use kestreltide_yang::xml::escaped;
 
-/// An rpc-error.
+/// An `rpc-error` element.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct RpcError {
     pub(super) kind: &'static str,
     pub(super) tag: String,
     pub(super) path: Option<String>,
     pub(super) message: String,
-    /// Name and content of what stands in error-info.
+    /// Names and contents of the elements of `error-info`.
     pub(super) info: Vec<(&'static str, String)>,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// That an attribute is not as it has to be, on which element.
+    /// This error, about an attribute of an element.
     pub(super) fn with_bad_attribute(self, attribute: &str, element: &str) -> Self {
         let info = vec![
             ("bad-attribute", attribute.into()),
@@ -97,7 +97,7 @@
     }
 }
 
-/// Where a leaf of the datastore stands in the model, as an XPath.
+/// The path of a leaf of the datastore as an XPath of the model.
 pub(super) fn xpath(path: &Path) -> String {
     let leaf = path.leaf().name();
     match path {
--- a/yang/src/data.rs
+++ b/yang/src/data.rs
@@ -62,7 +62,7 @@
             .find(|child| schema.node_of(child.node).name == name)
     }
 
-    /// Where it stands child its parent.
+    /// The step from its parent to it.
     pub fn step(&self, schema: &Schema) -> Step {
         let value = |key: &String| Some((key.clone(), self.child(schema, key)?.text()?.to_owned()));
         let keys = schema.keys(self.node).iter().filter_map(value).collect();
--- a/yang/src/filter.rs
+++ b/yang/src/filter.rs
@@ -73,7 +73,7 @@
     kept
 }
 
-/// The keys of a list's entry first, whatever else of it is kept.
+/// The keys of an entry, followed by what else of it is kept.
 fn with_keys(schema: &Schema, of: &DataNode, kept: Vec<DataNode>) -> Vec<DataNode> {
     let keys = schema.keys(of.node);
     let is_key = |data: &DataNode| keys.contains(&schema.node_of(data.node).name);
