--- a/src/decisions/service_slowdown.rs
+++ b/src/decisions/service_slowdown.rs
@@ -43,11 +43,11 @@
 const CAME_WITH_STAGE: f64 = HOLD_TIME / 2.0;
 
 /// Seconds of a slowdown that came with the stage before the vote to roll back.
-const ROLL_BACK_DELAY: f64 = 12.0;
+const STAGE_ROLL_BACK_DELAY: f64 = 12.0;
 
 /// Seconds of any other slowdown before the vote to roll back: it must outlast common troubles. The same where no
 /// baseline host is left, as going back stops all for a while.
-const ROLL_BACK_DELAY_OTHER: f64 = 16.0;
+const LATE_ROLL_BACK_DELAY: f64 = 16.0;
 
 /// What a router remembers of the service's slowdown.
 #[derive(Default)]
@@ -145,9 +145,9 @@
         let lasted = now - self.since;
         let came_with_stage = self.since < stage.latest_start + CAME_WITH_STAGE;
         let delay = if !observed.has_baseline || !came_with_stage {
-            ROLL_BACK_DELAY_OTHER
+            LATE_ROLL_BACK_DELAY
         } else {
-            ROLL_BACK_DELAY
+            STAGE_ROLL_BACK_DELAY
         };
         SlowdownAssessment {
             is_of_canary,
