--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -91,7 +91,7 @@
         auth_rejection_time_initial: Some(Duration::ZERO),
         max_auth_attempts: MAX_AUTH_ATTEMPTS,
         keys: vec![host_key],
-        keepalive_interval: Some(Duration::from_secs_f64(limits.keepalive_interval)),
+        keepalive_interval: Some(limits.keepalive_interval),
         keepalive_max: limits.max_missed_keepalives,
         inactivity_timeout: None,
         nodelay: true,
@@ -108,7 +108,7 @@
             Ok(accepted) => accepted,
             Err(e) => {
                 // Most likely out of file descriptors: sessions go on, and accepting is retried.
-                warn!(shared.log, "a NETCONF client cannot be accepted"; "error" => %e);
+                warn!(shared.log, "NETCONF connection not accepted"; "error" => %e);
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -121,7 +121,7 @@
         tokio::spawn(async move {
             serve_connection(shared.clone(), config, stream).await;
             drop(permit);
-            debug!(shared.log, "a NETCONF connection ended"; "from" => %from);
+            debug!(shared.log, "NETCONF connection closed"; "client" => %from);
         });
     }
 }
@@ -133,7 +133,7 @@
     stream: TcpStream,
 ) {
     let authenticated = Arc::new(AtomicBool::new(false));
-    let login_timeout = Duration::from_secs_f64(shared.limits.login_timeout);
+    let login_timeout = shared.limits.login_timeout;
     let handler = SshConnection::new(shared, authenticated.clone());
     let connection = timeout(
         login_timeout,
