--- a/datastore/src/check/builds.rs
+++ b/datastore/src/check/builds.rs
@@ -2,7 +2,7 @@
 
 use kestreltide::interface::{Phase, RolloutStatus};
 
-use super::Context;
+use super::context::Context;
 use crate::host_record::HostRecord;
 use crate::validation::{Rule, ValidationError, ValidationErrors};
 
--- a/datastore/src/check/context.rs
+++ b/datastore/src/check/context.rs
@@ -12,6 +12,9 @@
 use crate::settings::RuleSettings;
 use crate::tree::{Difference, Tree};
 
+/// Seconds after which a candidate that waits for discovery is checked again.
+pub(super) const RETRY_DELAY: f64 = 0.2;
+
 /// A tree, and all hosts as they count under it.
 pub(crate) struct HostsOfTree<'a> {
     pub(super) tree: &'a Tree,
--- a/datastore/src/check/drains.rs
+++ b/datastore/src/check/drains.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::Context;
+use super::context::Context;
 use crate::tree::{HostName, Leaf, Path};
 use crate::validation::{Rule, ValidationError, ValidationErrors};
 
--- a/datastore/src/check/hosts.rs
+++ b/datastore/src/check/hosts.rs
@@ -5,7 +5,7 @@
 
 use kestreltide::interface::{HostId, HostState};
 
-use super::{Context, RETRY_DELAY};
+use super::context::{Context, RETRY_DELAY};
 use crate::host_record::HostRecord;
 use crate::tree::{HostConfig, HostName, Leaf, Path};
 use crate::validation::{Rule, ValidationError, ValidationErrors};
--- a/datastore/src/check/maximums.rs
+++ b/datastore/src/check/maximums.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::Context;
+use super::context::Context;
 use crate::settings::{Maximums, MemorySettings};
 use crate::tree::{RouteConfig, Tree};
 use crate::validation::{ValidationError, ValidationErrors};
--- a/datastore/src/check/mod.rs
+++ b/datastore/src/check/mod.rs
@@ -15,11 +15,9 @@
 pub use self::drains::DrainedHosts;
 pub use self::maximums::exceeded_maximums;
 
+use self::context::RETRY_DELAY;
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// Seconds after which a candidate that waits for discovery is checked again.
-const RETRY_DELAY: f64 = 0.2;
-
 /// Adds all that it finds wrong with a candidate.
 type Check = fn(&Context, &mut ValidationErrors);
 
--- a/datastore/src/check/removal.rs
+++ b/datastore/src/check/removal.rs
@@ -4,7 +4,7 @@
 
 use kestreltide::interface::Phase;
 
-use super::Context;
+use super::context::Context;
 use crate::host_record::HostRecord;
 use crate::validation::{ValidationError, ValidationErrors};
 
--- a/datastore/src/check/rollout.rs
+++ b/datastore/src/check/rollout.rs
@@ -2,7 +2,7 @@
 
 use kestreltide::interface::RolloutStatus;
 
-use super::Context;
+use super::context::Context;
 use crate::tree::RolloutConfig;
 use crate::validation::{Rule, ValidationError, ValidationErrors};
 
--- a/datastore/src/check/routes.rs
+++ b/datastore/src/check/routes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::Context;
+use super::context::Context;
 use crate::host_record::HostRecord;
 use crate::route_table::build_routes;
 use crate::tree::{Leaf, Path, RouteConfig, RouteName};
--- a/datastore/src/check/slow_start.rs
+++ b/datastore/src/check/slow_start.rs
@@ -8,7 +8,7 @@
 
 use kestreltide::operator_weights::{self, EffectiveWeight};
 
-use super::{Context, HostsOfTree};
+use super::context::{Context, HostsOfTree};
 use crate::settings::RuleSettings;
 use crate::tree::{AdminState, HostName, Leaf, Path, Value};
 use crate::validation::{Rule, ValidationError, ValidationErrors};
--- a/datastore/src/tree/difference.rs
+++ b/datastore/src/tree/difference.rs
@@ -6,7 +6,6 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Tree;
 use super::leaf::{Container, Leaf};
 use super::path::Path;
 use super::value::Value;
@@ -50,46 +49,8 @@
     }
 }
 
-/// The leaves that differ between two trees, in the order of their paths.
-pub(super) fn between(old: &Tree, new: &Tree) -> Vec<Difference> {
-    let mut found = Vec::new();
-    for_each_changed(&old.hosts, &new.hosts, |name, old, new| {
-        add_leaves(
-            &mut found,
-            Container::Host,
-            |leaf| Path::Host(name.clone(), leaf),
-            |leaf| old.get(leaf),
-            |leaf| new.get(leaf),
-        );
-    });
-    add_leaves(
-        &mut found,
-        Container::Guards,
-        Path::Guards,
-        |leaf| old.guards.get(leaf),
-        |leaf| new.guards.get(leaf),
-    );
-    for_each_changed(&old.routes, &new.routes, |name, old, new| {
-        add_leaves(
-            &mut found,
-            Container::Route,
-            |leaf| Path::Route(name.clone(), leaf),
-            |leaf| old.get(leaf),
-            |leaf| new.get(leaf),
-        );
-    });
-    add_leaves(
-        &mut found,
-        Container::Rollout,
-        Path::Rollout,
-        |leaf| old.rollout.get(leaf),
-        |leaf| new.rollout.get(leaf),
-    );
-    found
-}
-
 /// Adds the leaves of a container that differ.
-fn add_leaves(
+pub(super) fn add_leaves(
     found: &mut Vec<Difference>,
     container: Container,
     path: impl Fn(Leaf) -> Path,
@@ -107,7 +68,7 @@
 }
 
 /// Walks two maps in the order of their keys and visits those whose values differ; a missing value is the default.
-fn for_each_changed<K: Ord, V: Default + PartialEq>(
+pub(super) fn for_each_changed<K: Ord, V: Default + PartialEq>(
     old: &BTreeMap<K, V>,
     new: &BTreeMap<K, V>,
     mut visit: impl FnMut(&K, &V, &V),
--- a/datastore/src/tree/mod.rs
+++ b/datastore/src/tree/mod.rs
@@ -20,6 +20,7 @@
 pub use self::path::Path;
 pub use self::value::{AdminState, MAX_WEIGHT, MIN_WEIGHT, Value, ValueError};
 
+use self::difference::{add_leaves, for_each_changed};
 use crate::validation::{ValidationError, ValidationErrors};
 
 /// All that operators have set.
@@ -91,7 +92,40 @@
 
     /// The leaves that differ, in the order of their paths.
     pub fn differences(&self, new: &Tree) -> Vec<Difference> {
-        difference::between(self, new)
+        let mut found = Vec::new();
+        for_each_changed(&self.hosts, &new.hosts, |name, old, new| {
+            add_leaves(
+                &mut found,
+                Container::Host,
+                |leaf| Path::Host(name.clone(), leaf),
+                |leaf| old.get(leaf),
+                |leaf| new.get(leaf),
+            );
+        });
+        add_leaves(
+            &mut found,
+            Container::Guards,
+            Path::Guards,
+            |leaf| self.guards.get(leaf),
+            |leaf| new.guards.get(leaf),
+        );
+        for_each_changed(&self.routes, &new.routes, |name, old, new| {
+            add_leaves(
+                &mut found,
+                Container::Route,
+                |leaf| Path::Route(name.clone(), leaf),
+                |leaf| old.get(leaf),
+                |leaf| new.get(leaf),
+            );
+        });
+        add_leaves(
+            &mut found,
+            Container::Rollout,
+            Path::Rollout,
+            |leaf| self.rollout.get(leaf),
+            |leaf| new.rollout.get(leaf),
+        );
+        found
     }
 
     /// The tree after these changes.
--- a/file-watch/src/parse/configuration.rs
+++ b/file-watch/src/parse/configuration.rs
@@ -3,8 +3,8 @@
 use kestreltide_datastore::tree_builder::printable;
 use kestreltide_datastore::{Container, HostName, Leaf, Path, TreeBuilder, ValidationError};
 
+use super::file::{END_SECTION, FileErrors, FileKind};
 use super::frame::{Generation, parse_framed};
-use super::{END_SECTION, FileErrors, FileKind};
 use crate::ini::{self, Section, unknown_name};
 
 /// Reads one file into the tree.
--- a/file-watch/src/parse/frame.rs
+++ b/file-watch/src/parse/frame.rs
@@ -3,7 +3,7 @@
 use kestreltide_datastore::ValidationError;
 use kestreltide_datastore::tree_builder::printable;
 
-use super::{END_SECTION, FileErrors, FileKind, GENERATION_KEY};
+use super::file::{END_SECTION, FileErrors, FileKind, GENERATION_KEY};
 use crate::ini::{self, Section};
 
 /// Characters of a generation's name, at most.
--- a/file-watch/src/parse/keys.rs
+++ b/file-watch/src/parse/keys.rs
@@ -3,8 +3,8 @@
 use kestreltide_datastore::tree_builder::printable;
 use kestreltide_datastore::{Key, Keys, Proof, Rights, ValidationError, ValidationErrors};
 
+use super::file::{END_SECTION, FileErrors, FileKind, Parsed, TextError, text_of};
 use super::frame::{Generation, parse_framed};
-use super::{END_SECTION, FileErrors, FileKind, Parsed, TextError, text_of};
 use crate::ini::{self, Section, unknown_name};
 use crate::read_file::Content;
 
--- a/file-watch/src/parse/mod.rs
+++ b/file-watch/src/parse/mod.rs
@@ -5,44 +5,19 @@
 //! the same generation.
 
 mod configuration;
+mod file;
 mod frame;
 mod keys;
 
-use std::str;
-
 use kestreltide_datastore::tree_builder::printable;
 use kestreltide_datastore::{Tree, TreeBuilder, ValidationError, ValidationErrors};
 
-use self::frame::Generation;
+pub use self::file::{FileKind, Parsed};
 pub use self::keys::parse_keys;
-use crate::read_file::Content;
-
-/// The name of the section that ends a file.
-const END_SECTION: &str = "end";
-/// The key of the generation, at the head and at the end of a file.
-const GENERATION_KEY: &str = "generation";
 
-/// What a file holds.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FileKind {
-    /// `[host NAME]` with the leaves of each host, and `[guards]`.
-    Hosts,
-    /// `[weights]` and `[states]`, by the names of hosts.
-    Weights,
-    /// `[key NAME]` of each key, with its rights.
-    Keys,
-}
-
-impl FileKind {
-    /// The key at the end of a file that counts its entries.
-    fn count_key(self) -> &'static str {
-        match self {
-            FileKind::Hosts => "hosts",
-            FileKind::Weights => "entries",
-            FileKind::Keys => "keys",
-        }
-    }
-}
+use self::file::{FileErrors, TextError, text_of};
+use self::frame::Generation;
+use crate::read_file::Content;
 
 /// What all files together give.
 #[derive(Clone, Debug, PartialEq)]
@@ -53,44 +28,6 @@
     pub tree: Tree,
 }
 
-/// The result of parsing files.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Parsed<V> {
-    /// The files are complete, belong together and are valid.
-    Complete(V),
-    /// Each file is complete, but they do not belong together: one may still be written.
-    Mismatched(ValidationErrors),
-    /// A file is not complete: it may still be written.
-    Incomplete(ValidationErrors),
-    /// The files are complete and not valid.
-    Invalid(ValidationErrors),
-}
-
-/// Why a file has no text.
-enum TextError {
-    /// It may still be written.
-    Incomplete(ValidationError),
-    /// It holds something else.
-    Invalid(ValidationError),
-}
-
-/// The place of a file, as it is shown, and the errors found in it.
-struct FileErrors<'a> {
-    place: &'a str,
-    errors: &'a mut ValidationErrors,
-}
-
-impl FileErrors<'_> {
-    /// A line of the file, as it is shown.
-    fn line(&self, line: usize) -> String {
-        format!("{}:{line}", self.place)
-    }
-
-    fn push(&mut self, error: ValidationError) {
-        self.errors.push(error);
-    }
-}
-
 /// What these files give together; each with the place by which it is shown.
 pub fn parse_version(files: &[(FileKind, &str, &Content)]) -> Parsed<Version> {
     let mut tree = TreeBuilder::default();
@@ -154,22 +91,3 @@
         "one generation for all files",
     ))
 }
-
-/// The text of a file.
-fn text_of<'a>(place: &str, content: &'a Content) -> Result<&'a str, TextError> {
-    let bytes = content.as_ref().map_err(|why| {
-        let error = ValidationError::new(place, "cannot be read", why, "a file of text");
-        TextError::Incomplete(error)
-    })?;
-    str::from_utf8(bytes).map_err(|e| {
-        let problem = format!("is not UTF-8 from byte {}", e.valid_up_to());
-        let error = ValidationError::new(place, problem, "other bytes", "UTF-8");
-        // A character that is cut at the end is a file that is cut there.
-        let is_cut = e.error_len().is_none();
-        if is_cut {
-            TextError::Incomplete(error)
-        } else {
-            TextError::Invalid(error)
-        }
-    })
-}
