--- /dev/null
+++ b/datastore/tests/datastore/commits.rs
@@ -0,0 +1,144 @@
+//! Commits, rejected candidates, and candidates of an earlier revision.
+
+use std::collections::BTreeSet;
+
+use kestreltide::interface::*;
+use kestreltide_datastore::*;
+
+use crate::support::*;
+
+#[test]
+fn a_commit_is_one_revision_and_its_snapshot_says_what_changed() {
+    let mut store = fleet(4);
+    let taken = try_edits(
+        &mut store,
+        &[("hosts/h1/weight", "2"), ("hosts/h3/state", "draining")],
+        &facts(0.0),
+    );
+    let Ok(CommitOutcome::Applied(snapshot)) = taken else {
+        panic!("taken: {taken:?}")
+    };
+    assert_eq!(snapshot.revision(), Revision(2));
+    let named = |name| HostId::named(name);
+    let mut changed = vec![named("h1"), named("h3")];
+    changed.sort();
+    assert_eq!(*snapshot.changed, changed);
+    assert_eq!(*snapshot.overrides.weights, [(named("h1"), 2.0)]);
+    let state = snapshot
+        .configured(named("h3"))
+        .and_then(|said| said.entry)
+        .map(|entry| entry.state);
+    assert_eq!(state, Some(HostState::Stopping));
+    let again = try_edits(&mut store, &[("hosts/h1/weight", "2")], &facts(0.0));
+    assert!(
+        matches!(again, Ok(CommitOutcome::Unchanged)),
+        "nothing changes, and no number is used up"
+    );
+}
+
+#[test]
+fn all_faults_of_a_candidate_are_told_and_nothing_of_it_stays() {
+    let mut store = fleet(4);
+    let before = store.state();
+    let edits = [
+        ("hosts/new/endpoint", "127.0.0.1:7001"),
+        ("hosts/new/zone", "north"),
+        ("hosts/nobody/weight", "3"),
+        ("hosts/h0/started", "9000000"),
+        ("hosts/h1/weight", "2"),
+    ];
+    let errors = refused(try_edits(&mut store, &edits, &facts(0.0)));
+    let paths: BTreeSet<_> = errors.iter().map(|error| error.path.as_str()).collect();
+    let expected = [
+        "hosts/h0/started",
+        "hosts/new/build",
+        "hosts/new/kind",
+        "hosts/nobody",
+    ];
+    assert_eq!(paths, expected.into_iter().collect());
+    let after = store.state();
+    assert_eq!(
+        (after.tree, after.revision, after.history.len()),
+        (before.tree, before.revision, 1)
+    );
+    let Some(RejectedCommit {
+        revision: stays,
+        errors,
+        ..
+    }) = store.rejections().next_back()
+    else {
+        panic!("it is remembered")
+    };
+    assert_eq!((*stays, errors.first.len()), (1, 4));
+    assert!(
+        errors.to_string().contains(
+            "hosts/nobody: no such host is listed, by discovery or here (given: no entry"
+        )
+    );
+}
+
+#[test]
+fn of_two_who_change_one_leaf_the_second_is_told_who_was_first() {
+    let mut store = fleet(4);
+    let (mut one, mut two) = (
+        Candidate::new(store.in_force()),
+        Candidate::new(store.in_force()),
+    );
+    edit(
+        &mut one.tree,
+        &[("hosts/h1/weight", "2"), ("hosts/h2/weight", "2")],
+    );
+    edit(
+        &mut two.tree,
+        &[("hosts/h0/weight", "3"), ("hosts/h1/weight", "3")],
+    );
+    store
+        .commit(&one, author("ana"), &facts(0.0))
+        .expect("the first");
+    let errors = refused(store.commit(&two, author("rui"), &facts(0.3)));
+    let [error] = errors.as_slice() else {
+        panic!("one leaf: {errors:?}")
+    };
+    assert_eq!(
+        (error.path.as_str(), error.found.as_str()),
+        ("hosts/h1/weight", "3")
+    );
+    assert!(
+        error
+            .problem
+            .contains("since revision 1 by revision 2 (files by ana, 1970-01-12T13:46:40.000Z)"),
+        "{error}"
+    );
+    assert_eq!(
+        store.in_force().tree.get(&path("hosts/h0/weight")),
+        None,
+        "nothing of it stays"
+    );
+}
+
+#[test]
+fn who_changes_other_leaves_is_taken_on_top_and_checked_with_what_is_there() {
+    let mut store = fleet(4);
+    let (mut one, mut two) = (
+        Candidate::new(store.in_force()),
+        Candidate::new(store.in_force()),
+    );
+    let mut three = two.clone();
+    edit(&mut one.tree, &[("hosts/h1/state", "out")]);
+    edit(
+        &mut two.tree,
+        &[("hosts/h2/weight", "2"), ("hosts/h1/state", "out")],
+    );
+    edit(&mut three.tree, &[("hosts/h3/state", "out")]);
+    store
+        .commit(&one, author("ana"), &facts(0.0))
+        .expect("the first");
+    store
+        .commit(&two, author("rui"), &facts(0.0))
+        .expect("another leaf, and the same value");
+    let errors = refused(store.commit(&three, author("eva"), &facts(0.0)));
+    assert!(
+        errors[0].problem.contains("zone south would be left"),
+        "well alone, not with the running set"
+    );
+}
--- /dev/null
+++ b/datastore/tests/datastore/main.rs
@@ -0,0 +1,13 @@
+//! Tests of the datastore: each way in which a change could be applied in part, applied wrongly or lost.
+
+mod commits;
+mod discovery;
+mod drains;
+mod guards;
+mod history;
+mod maximums;
+mod rollout;
+mod routes;
+mod slow_start;
+mod support;
+mod values;
