--- a/management/tests/netconf.rs
+++ b/management/tests/netconf.rs
@@ -1,4 +1,4 @@
-//! Stories of NETCONF without a network: messages in, replies out, a desk between.
+//! NETCONF sessions without a network: messages in, replies out, and a commit coordinator between.
 
 use std::sync::Arc;
 
@@ -22,14 +22,14 @@
     rollout: true,
 };
 
-/// A desk with four hosts, and what fronts hold of it.
-struct Rig {
-    desk: CommitCoordinator,
+/// A commit coordinator with four hosts, and the handle of the management interfaces.
+struct Fixture {
+    coordinator: CommitCoordinator,
     handle: CommitServiceHandle,
     now: f64,
 }
 
-impl Rig {
+impl Fixture {
     fn new() -> Self {
         let rules = RuleSettings {
             operations: vec!["read".into()],
@@ -39,9 +39,9 @@
             overload_multiple: 3.0,
             maximums: Maximums::default(),
         };
-        let mut desk =
+        let mut coordinator =
             CommitCoordinator::new(Datastore::new(rules, HistoryLimits::default()), None);
-        let mut candidate = Candidate::new(desk.store.in_force());
+        let mut candidate = Candidate::new(coordinator.store.in_force());
         for number in 0..4 {
             for (leaf, text) in [
                 ("endpoint", format!("127.0.0.1:{}", 7000 + number)),
@@ -61,11 +61,12 @@
             name: "files".into(),
             version: String::new(),
         };
-        desk.commit(None, &candidate, author, None, None, &facts(-100.0))
+        coordinator
+            .commit(None, &candidate, author, None, None, &facts(-100.0))
             .expect("well");
         let handle = CommitServiceHandle {
             submit: Arc::new(|_| true),
-            published: Arc::new(arc_swap::ArcSwap::from_pointee(desk.status())),
+            published: Arc::new(arc_swap::ArcSwap::from_pointee(coordinator.status())),
             view: Arc::new(arc_swap::ArcSwap::from_pointee(View {
                 discovery_received: true,
                 ..View::default()
@@ -74,8 +75,8 @@
             notifications: tokio::sync::broadcast::channel(4).0,
             keys: Arc::default(),
         };
-        Rig {
-            desk,
+        Fixture {
+            coordinator,
             handle,
             now: 0.0,
         }
@@ -84,7 +85,7 @@
     fn session(&mut self) -> Session {
         let schema = published().expect("well");
         let binding = Arc::new(Binding::new(schema).expect("well"));
-        let mut session = Session::new(self.desk.open_session(), "ana", schema, binding);
+        let mut session = Session::new(self.coordinator.open_session(), "ana", schema, binding);
         assert!(
             session
                 .hello()
@@ -112,33 +113,35 @@
             | Step::Kill(_, reply)
             | Step::Subscribe(reply) => reply,
             Step::Abort(why) => panic!("over: {why}"),
-            Step::Perform(asked) => {
-                let answer = self.ask(session.id, session.author(), &asked);
-                self.handle.published.store(Arc::new(self.desk.status()));
-                session.complete(&asked, answer)
+            Step::Perform(operation) => {
+                let result = self.perform(session.id, session.author(), &operation);
+                self.handle
+                    .published
+                    .store(Arc::new(self.coordinator.status()));
+                session.complete(&operation, result)
             }
         }
     }
 
-    fn ask(
+    fn perform(
         &mut self,
         id: SessionId,
         author: Author,
-        asked: &DatastoreOperation,
+        operation: &DatastoreOperation,
     ) -> Result<(), kestreltide_datastore::commit_coordinator::CommitError> {
         let facts = facts(self.now);
-        match asked.clone() {
-            DatastoreOperation::Lock(target) => self.desk.lock(id, target),
-            DatastoreOperation::Unlock(target) => self.desk.unlock(id, target),
+        match operation.clone() {
+            DatastoreOperation::Lock(target) => self.coordinator.lock(id, target),
+            DatastoreOperation::Unlock(target) => self.coordinator.unlock(id, target),
             DatastoreOperation::Validate(candidate) => {
-                Ok(self.desk.validate(&candidate, &facts)?)
+                Ok(self.coordinator.validate(&candidate, &facts)?)
             }
             DatastoreOperation::Commit {
                 candidate,
                 confirm,
                 persist_id,
             } => self
-                .desk
+                .coordinator
                 .commit(
                     Some(id),
                     &candidate,
@@ -149,24 +152,26 @@
                 )
                 .map(|_| ()),
             DatastoreOperation::Confirm { persist_id } => {
-                self.desk.confirm(Some(id), persist_id.as_deref())
+                self.coordinator.confirm(Some(id), persist_id.as_deref())
             }
             DatastoreOperation::Cancel { persist_id } => self
-                .desk
+                .coordinator
                 .cancel(Some(id), persist_id.as_deref(), &facts)
                 .map(|_| ()),
         }
     }
 
-    fn tick(&mut self, now: f64) {
+    fn advance_to(&mut self, now: f64) {
         self.now = now;
-        self.desk.expire_pending(&facts(now));
-        self.handle.published.store(Arc::new(self.desk.status()));
+        self.coordinator.expire_pending(&facts(now));
+        self.handle
+            .published
+            .store(Arc::new(self.coordinator.status()));
     }
 
     fn weight(&self, host: &str) -> Option<String> {
         let path = format!("hosts/{host}/weight").parse().expect("a path");
-        self.desk
+        self.coordinator
             .store
             .in_force()
             .tree
@@ -214,16 +219,16 @@
 
 #[test]
 fn an_edit_of_the_candidate_runs_only_once_it_is_committed() {
-    let mut rig = Rig::new();
-    let mut session = rig.session();
+    let mut fixture = Fixture::new();
+    let mut session = fixture.session();
     assert!(ok(
-        &rig.rpc(&mut session, &edit("candidate", &weight("h1", "2")))
+        &fixture.rpc(&mut session, &edit("candidate", &weight("h1", "2")))
     ));
-    let running = rig.rpc(
+    let running = fixture.rpc(
         &mut session,
         "<get-config><source><running/></source></get-config>",
     );
-    let candidate = rig.rpc(
+    let candidate = fixture.rpc(
         &mut session,
         "<get-config><source><candidate/></source></get-config>",
     );
@@ -232,35 +237,39 @@
             && candidate.contains("<name>h1</name><endpoint>127.0.0.1:7001</endpoint>")
             && candidate.contains("<weight>2.0</weight>")
     );
-    let other = rig.session();
+    let other = fixture.session();
     drop(other);
-    assert!(ok(&rig.rpc(&mut session, "<commit/>")) && rig.weight("h1") == Some("2".into()));
     assert!(
-        ok(&rig.rpc(&mut session, &edit("candidate", &weight("h1", "3"))))
-            && ok(&rig.rpc(&mut session, "<discard-changes/>"))
+        ok(&fixture.rpc(&mut session, "<commit/>")) && fixture.weight("h1") == Some("2".into())
     );
-    assert!(ok(&rig.rpc(&mut session, "<commit/>")) && rig.weight("h1") == Some("2".into()));
     assert!(
-        ok(&rig.rpc(&mut session, &edit("running", &weight("h1", "4"))))
-            && rig.weight("h1") == Some("4".into())
+        ok(&fixture.rpc(&mut session, &edit("candidate", &weight("h1", "3"))))
+            && ok(&fixture.rpc(&mut session, "<discard-changes/>"))
+    );
+    assert!(
+        ok(&fixture.rpc(&mut session, "<commit/>")) && fixture.weight("h1") == Some("2".into())
+    );
+    assert!(
+        ok(&fixture.rpc(&mut session, &edit("running", &weight("h1", "4"))))
+            && fixture.weight("h1") == Some("4".into())
     );
 }
 
 #[test]
 fn of_two_who_commit_the_same_leaf_one_wins_and_the_other_is_told_who_when_and_which() {
-    let mut rig = Rig::new();
-    let (mut one, mut two) = (rig.session(), rig.session());
+    let mut fixture = Fixture::new();
+    let (mut one, mut two) = (fixture.session(), fixture.session());
     assert!(ok(
-        &rig.rpc(&mut one, &edit("candidate", &weight("h1", "2")))
+        &fixture.rpc(&mut one, &edit("candidate", &weight("h1", "2")))
     ));
     assert!(ok(
-        &rig.rpc(&mut two, &edit("candidate", &weight("h1", "3")))
+        &fixture.rpc(&mut two, &edit("candidate", &weight("h1", "3")))
     ));
     assert!(ok(
-        &rig.rpc(&mut two, &edit("candidate", &weight("h2", "3")))
+        &fixture.rpc(&mut two, &edit("candidate", &weight("h2", "3")))
     ));
-    assert!(ok(&rig.rpc(&mut one, "<commit/>")));
-    let reply = rig.rpc(&mut two, "<commit/>");
+    assert!(ok(&fixture.rpc(&mut one, "<commit/>")));
+    let reply = fixture.rpc(&mut two, "<commit/>");
     for part in [
         "<error-type>application</error-type><error-tag>operation-failed</error-tag>",
         "<error-path xmlns:kr=\"urn:kestreltide:yang:router\">/kr:router/kr:hosts/kr:host[kr:name=&apos;h1&apos;]/kr:weight</error-path>",
@@ -269,15 +278,15 @@
         assert!(reply.contains(part), "{part} in {reply}");
     }
     assert_eq!(
-        (rig.weight("h1"), rig.weight("h2")),
+        (fixture.weight("h1"), fixture.weight("h2")),
         (Some("2".into()), None),
         "nothing of it stays"
     );
     assert!(
-        ok(&rig.rpc(&mut two, "<discard-changes/>"))
-            && ok(&rig.rpc(&mut two, &edit("candidate", &weight("h1", "3"))))
+        ok(&fixture.rpc(&mut two, "<discard-changes/>"))
+            && ok(&fixture.rpc(&mut two, &edit("candidate", &weight("h1", "3"))))
     );
-    assert!(ok(&rig.rpc(&mut two, "<commit/>")) && rig.weight("h1") == Some("3".into()));
+    assert!(ok(&fixture.rpc(&mut two, "<commit/>")) && fixture.weight("h1") == Some("3".into()));
 }
 
 /// Operations that are refused, with the tag and a part of the reason; afterwards nothing has changed.
@@ -359,10 +368,10 @@
     #[case] tag: &str,
     #[case] part: &str,
 ) {
-    let mut rig = Rig::new();
-    let mut session = rig.session();
-    let before = rig.desk.store.in_force().revision;
-    let reply = rig.rpc(&mut session, operation);
+    let mut fixture = Fixture::new();
+    let mut session = fixture.session();
+    let before = fixture.coordinator.store.in_force().revision;
+    let reply = fixture.rpc(&mut session, operation);
     assert!(
         reply.contains(&format!("<error-tag>{tag}</error-tag>")) && reply.contains(part),
         "{reply}"
@@ -371,60 +380,62 @@
         xml::parse(&reply, &xml::XmlLimits::default()).is_ok(),
         "{reply}"
     );
-    assert_eq!(rig.desk.store.in_force().revision, before);
+    assert_eq!(fixture.coordinator.store.in_force().revision, before);
 }
 
 #[test]
 fn a_lock_keeps_others_out_and_says_who_has_it() {
-    let mut rig = Rig::new();
-    let (mut one, mut two) = (rig.session(), rig.session());
+    let mut fixture = Fixture::new();
+    let (mut one, mut two) = (fixture.session(), fixture.session());
     assert!(ok(
-        &rig.rpc(&mut one, "<lock><target><candidate/></target></lock>")
+        &fixture.rpc(&mut one, "<lock><target><candidate/></target></lock>")
     ));
-    let reply = rig.rpc(&mut two, "<lock><target><candidate/></target></lock>");
+    let reply = fixture.rpc(&mut two, "<lock><target><candidate/></target></lock>");
     assert!(
         reply.contains("<error-tag>lock-denied</error-tag>")
             && reply.contains("<session-id>1</session-id>"),
         "{reply}"
     );
-    let reply = rig.rpc(&mut two, &edit("running", &weight("h1", "2")));
+    let reply = fixture.rpc(&mut two, &edit("running", &weight("h1", "2")));
     assert!(
         reply.contains("<error-tag>lock-denied</error-tag>"),
         "{reply}"
     );
-    rig.desk.close_session(one.id, &facts(1.0));
-    assert!(ok(&rig.rpc(&mut two, &edit("running", &weight("h1", "2")))));
+    fixture.coordinator.close_session(one.id, &facts(1.0));
+    assert!(ok(
+        &fixture.rpc(&mut two, &edit("running", &weight("h1", "2")))
+    ));
 }
 
 #[test]
 fn a_confirmed_commit_is_confirmed_cancelled_or_undone_in_time() {
-    let mut rig = Rig::new();
-    let mut session = rig.session();
+    let mut fixture = Fixture::new();
+    let mut session = fixture.session();
     let confirmed = "<commit><confirmed/><confirm-timeout>30</confirm-timeout></commit>";
-    let change = |rig: &mut Rig, session: &mut Session, to: &str| {
+    let change = |fixture: &mut Fixture, session: &mut Session, to: &str| {
         assert!(
-            ok(&rig.rpc(session, &edit("candidate", &weight("h1", to))))
-                && ok(&rig.rpc(session, confirmed))
+            ok(&fixture.rpc(session, &edit("candidate", &weight("h1", to))))
+                && ok(&fixture.rpc(session, confirmed))
         );
     };
-    change(&mut rig, &mut session, "2");
-    assert!(ok(&rig.rpc(&mut session, "<commit/>")));
-    rig.tick(100.0);
-    assert_eq!(rig.weight("h1"), Some("2".into()));
-    change(&mut rig, &mut session, "3");
-    assert!(ok(&rig.rpc(&mut session, "<cancel-commit/>")));
-    assert_eq!(rig.weight("h1"), Some("2".into()));
-    change(&mut rig, &mut session, "4");
-    let mut other = rig.session();
-    let reply = rig.rpc(&mut other, &edit("running", &weight("h2", "2")));
+    change(&mut fixture, &mut session, "2");
+    assert!(ok(&fixture.rpc(&mut session, "<commit/>")));
+    fixture.advance_to(100.0);
+    assert_eq!(fixture.weight("h1"), Some("2".into()));
+    change(&mut fixture, &mut session, "3");
+    assert!(ok(&fixture.rpc(&mut session, "<cancel-commit/>")));
+    assert_eq!(fixture.weight("h1"), Some("2".into()));
+    change(&mut fixture, &mut session, "4");
+    let mut other = fixture.session();
+    let reply = fixture.rpc(&mut other, &edit("running", &weight("h2", "2")));
     assert!(
         reply.contains("<error-tag>in-use</error-tag>") && reply.contains("waits to be confirmed"),
         "{reply}"
     );
-    rig.tick(131.0);
-    assert_eq!(rig.weight("h1"), Some("2".into()));
+    fixture.advance_to(131.0);
+    assert_eq!(fixture.weight("h1"), Some("2".into()));
     assert!(ok(
-        &rig.rpc(&mut other, &edit("running", &weight("h2", "2")))
+        &fixture.rpc(&mut other, &edit("running", &weight("h2", "2")))
     ));
 }
 
@@ -446,9 +457,9 @@
 #[case::no_read("weights", "<get/>", false)]
 #[case::read("read", "<get/>", true)]
 fn rights_say_what_a_key_may_do(#[case] rights: &str, #[case] operation: &str, #[case] may: bool) {
-    let mut rig = Rig::new();
-    let mut session = rig.session();
-    let reply = rig.rpc_as(
+    let mut fixture = Fixture::new();
+    let mut session = fixture.session();
+    let reply = fixture.rpc_as(
         &mut session,
         operation,
         Rights::parse(rights).expect("rights"),
@@ -463,11 +474,11 @@
 
 #[test]
 fn all_of_the_state_is_in_the_model_and_filters_choose_from_it() {
-    let mut rig = Rig::new();
-    let mut session = rig.session();
-    let reply = rig.rpc(&mut session, &edit("running", &weight("nobody", "2")));
+    let mut fixture = Fixture::new();
+    let mut session = fixture.session();
+    let reply = fixture.rpc(&mut session, &edit("running", &weight("nobody", "2")));
     assert!(reply.contains("rpc-error"));
-    let all = rig.rpc(&mut session, "<get/>");
+    let all = fixture.rpc(&mut session, "<get/>");
     for part in [
         "<revision-record><number>1</number>",
         "<last-refusal>",
@@ -476,16 +487,21 @@
     ] {
         assert!(all.contains(part), "{part} in {all}");
     }
-    let one = rig.rpc(
+    let one = fixture.rpc(
         &mut session,
         "<get><filter type='xpath' select='/router/state/counts/taken'/></get>",
     );
     assert!(one.contains("<data><router xmlns=\"urn:kestreltide:yang:router\"><state><counts><taken>0</taken></counts></state></router></data>"), "{one}");
-    let schema = rig.rpc(&mut session, "<get-schema xmlns='urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring'><identifier>kestreltide-types</identifier></get-schema>");
+    let schema = fixture.rpc(&mut session, "<get-schema xmlns='urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring'><identifier>kestreltide-types</identifier></get-schema>");
     assert!(schema.contains("typedef weight"), "{schema}");
     let read = published().expect("well");
     assert!(
-        state::router_state(read, &rig.handle.view.load(), &rig.handle.published.load()).is_some()
+        state::router_state(
+            read,
+            &fixture.handle.view.load(),
+            &fixture.handle.published.load()
+        )
+        .is_some()
     );
 }
 
@@ -507,9 +523,9 @@
     "missing-element"
 )]
 fn a_message_that_is_no_rpc_costs_an_error(#[case] message: &[u8], #[case] tag: &str) {
-    let mut rig = Rig::new();
-    let mut session = rig.session();
-    let Step::Reply(reply) = session.message(message, ALL, &rig.handle) else {
+    let mut fixture = Fixture::new();
+    let mut session = fixture.session();
+    let Step::Reply(reply) = session.message(message, ALL, &fixture.handle) else {
         panic!("an error")
     };
     assert!(
@@ -517,7 +533,7 @@
         "{reply}"
     );
     assert!(
-        ok(&rig.rpc(&mut session, "<discard-changes/>")),
+        ok(&fixture.rpc(&mut session, "<discard-changes/>")),
         "the session goes on"
     );
 }
@@ -530,16 +546,16 @@
     "<hello xmlns='urn:ietf:params:xml:ns:netconf:base:1.0'><capabilities><capability>x</capability></capabilities></hello>"
 )]
 fn who_does_not_say_hello_first_is_not_served(#[case] message: &str) {
-    let mut rig = Rig::new();
+    let mut fixture = Fixture::new();
     let schema = published().expect("well");
     let mut session = Session::new(
-        rig.desk.open_session(),
+        fixture.coordinator.open_session(),
         "ana",
         schema,
         Arc::new(Binding::new(schema).expect("well")),
     );
     assert!(matches!(
-        session.message(message.as_bytes(), ALL, &rig.handle),
+        session.message(message.as_bytes(), ALL, &fixture.handle),
         Step::Abort(_)
     ));
 }
@@ -557,19 +573,19 @@
 #[case::no_chunk(b"\n##\n")]
 #[case::shorter_than_said(b"\n#2\nabcd\n##\n")]
 fn a_chunk_that_lies_ends_the_session(#[case] bytes: &[u8]) {
-    let mut frames = FrameDecoder::new(100);
-    frames.use_chunks();
-    frames.push(bytes);
-    assert!(frames.message().is_err());
+    let mut decoder = FrameDecoder::new(100);
+    decoder.use_chunks();
+    decoder.push(bytes);
+    assert!(decoder.message().is_err());
 }
 
 #[test]
 fn a_message_without_end_is_not_kept() {
-    let mut frames = FrameDecoder::new(100);
+    let mut decoder = FrameDecoder::new(100);
     let mut wrong = false;
     for _ in 0..50 {
-        frames.push(b"0123456789");
-        wrong |= frames.message().is_err();
+        decoder.push(b"0123456789");
+        wrong |= decoder.message().is_err();
     }
     assert!(wrong);
 }
@@ -583,16 +599,16 @@
         prop_assume!(messages.iter().all(|message| !message.contains("]]>")));
         let framing = if chunked { Framing::Chunks } else { Framing::EndMark };
         let bytes: Vec<u8> = messages.iter().flat_map(|message| encode(framing, message)).collect();
-        let mut frames = FrameDecoder::new(100);
+        let mut decoder = FrameDecoder::new(100);
         if chunked {
-            frames.use_chunks();
+            decoder.use_chunks();
         }
         let (mut read, mut rest, mut cuts) = (vec![], bytes.as_slice(), cuts.iter().cycle());
         while !rest.is_empty() {
             let cut = cuts.next().copied().unwrap_or(1).min(rest.len());
-            frames.push(&rest[..cut]);
+            decoder.push(&rest[..cut]);
             rest = &rest[cut..];
-            while let Some(message) = frames.message().expect("well") {
+            while let Some(message) = decoder.message().expect("well") {
                 read.push(String::from_utf8(message).expect("text"));
             }
         }
@@ -601,13 +617,13 @@
 
     #[test]
     fn any_bytes_are_framed_or_refused(bytes in prop::collection::vec(prop::sample::select(b"\n#0123]>a".to_vec()), 0..80), chunked in any::<bool>()) {
-        let mut frames = FrameDecoder::new(40);
+        let mut decoder = FrameDecoder::new(40);
         if chunked {
-            frames.use_chunks();
+            decoder.use_chunks();
         }
         for byte in bytes {
-            frames.push(&[byte]);
-            match frames.message() {
+            decoder.push(&[byte]);
+            match decoder.message() {
                 Ok(Some(message)) => prop_assert!(message.len() <= 40),
                 Ok(None) => {}
                 Err(_) => break,
@@ -617,10 +633,10 @@
 
     #[test]
     fn any_message_gets_a_reply_that_can_be_read(inner in "(<(get|edit-config|target|running|config|commit|confirmed|lock|filter)( type='(xpath|x)')?( select='[/a-z*]{0,8}')?/?>|</(get|edit-config|target|config|commit|lock)>|[a-z<&]){0,12}") {
-        let mut rig = Rig::new();
-        let mut session = rig.session();
+        let mut fixture = Fixture::new();
+        let mut session = fixture.session();
         let message = format!("<rpc xmlns='{BASE}' message-id='1'>{inner}</rpc>");
-        if let Step::Reply(reply) = session.message(message.as_bytes(), ALL, &rig.handle) {
+        if let Step::Reply(reply) = session.message(message.as_bytes(), ALL, &fixture.handle) {
             prop_assert!(xml::parse(&reply, &xml::XmlLimits::default()).is_ok(), "{}", reply);
         }
     }
