--- a/measure/src/capacity/fleet_run/budget.rs
+++ b/measure/src/capacity/fleet_run/budget.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     rate: f64,
-    most: f64,
+    maximum: f64,
     left: f64,
     at: f64,
 }
@@ -16,7 +16,7 @@
     pub fn with_burst(rate: f64, bursts: f64, now: f64) -> Self {
         Budget {
             rate,
-            most: rate * bursts,
+            maximum: rate * bursts,
             left: rate * bursts,
             at: now,
         }
@@ -27,7 +27,7 @@
     }
 
     fn refill(&mut self, now: f64) {
-        self.left = (self.left + self.rate * (now - self.at).max(0.0)).min(self.most);
+        self.left = (self.left + self.rate * (now - self.at).max(0.0)).min(self.maximum);
         self.at = self.at.max(now);
     }
 
--- a/measure/src/capacity/fleet_run/comparison.rs
+++ b/measure/src/capacity/fleet_run/comparison.rs
@@ -64,7 +64,7 @@
 
 /// Seconds until a build is decided on, and whether that is not as wanted.
 async fn verdict(fleet: &mut Fleet, good: bool) -> (f64, bool) {
-    fleet.begin_trial(if good { GOOD } else { BAD });
+    fleet.begin_canary(if good { GOOD } else { BAD });
     let seconds = fleet
         .run_until(VERDICT, |fleet| fleet.progress() != Progress::Testing)
         .await;
@@ -146,7 +146,7 @@
         real: mean(&real, of),
         hollow: mean(&hollow, of),
     };
-    let trials = f64::from(rounds.good + rounds.bad);
+    let canary_runs = f64::from(rounds.good + rounds.bad);
     Ok(vec![
         compared("gossip messages/s a router", &|of| {
             gossip(&of.rates).messages
@@ -156,7 +156,7 @@
             of.rates[Cause::List as usize].messages + of.rates[Cause::Watch as usize].messages
         }),
         compared("control bytes/s a router", &|of| control_bytes(&of.rates)),
-        compared("votes cast a trial", &|of| of.votes / trials),
+        compared("votes cast a trial", &|of| of.votes / canary_runs),
         compared("s until a good build is let on", &|of| of.let_on),
         compared("s until a bad build is voted back", &|of| of.voted_back),
         compared("undecided or wrongly decided", &|of| {
--- a/measure/src/capacity/fleet_run/fleet.rs
+++ b/measure/src/capacity/fleet_run/fleet.rs
@@ -152,14 +152,14 @@
     }
 
     /// Runs until something is so, at most so many seconds; after how many it was so.
-    pub async fn run_until(&mut self, most: f64, is_so: impl Fn(&Fleet) -> bool) -> Option<f64> {
+    pub async fn run_until(&mut self, maximum: f64, is_so: impl Fn(&Fleet) -> bool) -> Option<f64> {
         let begun = self.shared.now();
         loop {
             let seconds = self.shared.now() - begun;
             if is_so(self) {
                 return Some(seconds);
             }
-            if seconds >= most {
+            if seconds >= maximum {
                 return None;
             }
             self.turn().await;
@@ -167,7 +167,7 @@
     }
 
     /// The next build goes on trial.
-    pub fn begin_trial(&mut self, quality: Quality) {
+    pub fn begin_canary(&mut self, quality: Quality) {
         let now = self.shared.now();
         let build = self
             .shared
--- a/measure/src/capacity/fleet_run/hollow.rs
+++ b/measure/src/capacity/fleet_run/hollow.rs
@@ -88,7 +88,7 @@
 /// Counts of drawn requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DrawnRequests {
-    pub asked: u64,
+    pub requested: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
@@ -148,7 +148,7 @@
             },
             Input::List { scope, entries } => Event::EndpointList { scope, entries },
             Input::ListFailed => Event::EndpointListFailed,
-            Input::Stage(news) => Event::RolloutStatusReceived(news),
+            Input::Stage(rollout_status) => Event::RolloutStatusReceived(rollout_status),
         });
         self.settle(moment, out);
     }
@@ -182,7 +182,7 @@
         self.last_request += 1;
         let id = RequestId(self.last_request.to_string().into());
         let once = self.chance.random::<f64>() < WITH_SIDE_EFFECTS;
-        self.requests.asked += 1;
+        self.requests.requested += 1;
         self.open.insert(id.clone(), 0);
         self.events.push_back(Event::RequestReceived(Request {
             id,
--- a/measure/src/capacity/fleet_run/hollow/tests.rs
+++ b/measure/src/capacity/fleet_run/hollow/tests.rs
@@ -101,8 +101,8 @@
     );
     let out = run(&mut router, 10.0, 50.0);
     let requests = router.requests;
-    assert!((400..600).contains(&requests.asked), "{requests:?}");
-    assert!(requests.served + 10 > requests.asked, "{requests:?}");
+    assert!((400..600).contains(&requests.requested), "{requests:?}");
+    assert!(requests.served + 10 > requests.requested, "{requests:?}");
     let gossip = out
         .iter()
         .filter(|output| matches!(output, Output::Datagram { .. }))
--- a/measure/src/capacity/fleet_run/host_table.rs
+++ b/measure/src/capacity/fleet_run/host_table.rs
@@ -120,8 +120,8 @@
 
 /// More than this in a cold time push a host over: the fall multiple of its fair share, and what chance may add.
 fn allowed(fair: f64) -> f64 {
-    let most = FALL_MULTIPLE * fair;
-    most + DEVIATIONS * most.sqrt() + DEVIATIONS
+    let maximum = FALL_MULTIPLE * fair;
+    maximum + DEVIATIONS * maximum.sqrt() + DEVIATIONS
 }
 
 impl HostTable {
--- a/measure/src/capacity/fleet_run/measures.rs
+++ b/measure/src/capacity/fleet_run/measures.rs
@@ -55,11 +55,11 @@
     rates
 }
 
-fn mean_and_most(values: impl Iterator<Item = f64>) -> [f64; 2] {
-    let (sum, count, most) = values.fold((0.0, 0.0, 0.0f64), |(sum, count, most), value| {
-        (sum + value, count + 1.0, most.max(value))
+fn mean_and_maximum(values: impl Iterator<Item = f64>) -> [f64; 2] {
+    let (sum, count, maximum) = values.fold((0.0, 0.0, 0.0f64), |(sum, count, maximum), value| {
+        (sum + value, count + 1.0, maximum.max(value))
     });
-    [sum / f64::max(count, 1.0), most]
+    [sum / f64::max(count, 1.0), maximum]
 }
 
 impl Row {
@@ -73,8 +73,8 @@
         // Processes that have lived through all of it.
         let cores = after.costs.iter().filter_map(|cost| {
             let same = |of: &&Cost| (of.router, of.starts) == (cost.router, cost.starts);
-            let earlier = before.costs.iter().find(same)?;
-            Some(cost.core_time.since(earlier.core_time))
+            let baseline = before.costs.iter().find(same)?;
+            Some(cost.core_time.since(baseline.core_time))
         });
         let mut cores: Vec<_> = cores.collect();
         if cores.is_empty() {
@@ -88,14 +88,14 @@
         Row {
             name,
             seconds,
-            requests: since(after.seen.asked, before.seen.asked),
-            processor: mean_and_most(cores.iter().map(|of| percent(of.ran))),
-            waited: mean_and_most(cores.iter().map(|of| percent(of.waited)))[0],
+            requests: since(after.seen.requested, before.seen.requested),
+            processor: mean_and_maximum(cores.iter().map(|of| percent(of.ran))),
+            waited: mean_and_maximum(cores.iter().map(|of| percent(of.waited)))[0],
             hollow_parts: CoreTime {
                 ran: hollow_parts.ran / seconds,
                 waited: hollow_parts.waited / seconds,
             },
-            memory: mean_and_most(
+            memory: mean_and_maximum(
                 after
                     .costs
                     .iter()
@@ -161,7 +161,7 @@
         "hollow ran+waited"
     );
     for (phase, row) in rows.iter().enumerate() {
-        let pair = |[mean, most]: [f64; 2]| format!("{mean:.1} ({most:.1})");
+        let pair = |[mean, maximum]: [f64; 2]| format!("{mean:.1} ({maximum:.1})");
         let force = |way| match in_force(changes, phase, way) {
             (0, _) => "-".to_owned(),
             (count, longest) => format!("{longest:.2} of {count}"),
--- a/measure/src/capacity/fleet_run/mod.rs
+++ b/measure/src/capacity/fleet_run/mod.rs
@@ -72,7 +72,7 @@
         return cannot(&why);
     }
     resources::print(&plan);
-    let whole = async {
+    let complete = async {
         if small {
             // Side by side, to be done sooner.
             return tokio::try_join!(comparison::run(ROUNDS[size]), scenario::run(plan.clone()));
@@ -82,7 +82,7 @@
     };
     let done = runtime().and_then(|runtime| {
         let limit = Duration::from_secs(ENDS_AFTER[size]);
-        let done = runtime.block_on(async { tokio::time::timeout(limit, whole).await });
+        let done = runtime.block_on(async { tokio::time::timeout(limit, complete).await });
         runtime.shutdown_background();
         done.map_err(|_| io::Error::other("not done in its time"))?
     });
--- a/measure/src/capacity/fleet_run/net/clients.rs
+++ b/measure/src/capacity/fleet_run/net/clients.rs
@@ -107,25 +107,25 @@
     let begun = shared.now();
     let mut stream = pooled(at, router, &pool, &shared);
     let mut was_used = stream.is_some();
-    let mut asked = false;
+    let mut requested = false;
     let ending = loop {
         let mut connected = match stream.take() {
             Some(stream) => stream,
             // Refused: nobody has taken it.
             None => match TcpStream::connect(at).await {
                 Ok(stream) => stream,
-                Err(_) if asked => break Ending::Lost,
+                Err(_) if requested => break Ending::Lost,
                 Err(_) => return,
             },
         };
         let _ = connected.set_nodelay(true);
-        if !asked {
+        if !requested {
             shared
                 .rules
                 .lock()
                 .expect("no panic before")
-                .asked(router, shared.now());
-            asked = true;
+                .record_request(router, shared.now());
+            requested = true;
         }
         let limit = Duration::from_secs_f64(TIME_LIMIT + LOOKS_ON);
         match tokio::time::timeout(limit, exchange(&mut connected, &request.command)).await {
--- a/measure/src/capacity/fleet_run/net/discovery.rs
+++ b/measure/src/capacity/fleet_run/net/discovery.rs
@@ -124,7 +124,7 @@
     if wait > 0.0 {
         tokio::time::sleep(Duration::from_secs_f64(wait)).await;
     }
-    let cause = if answer.whole {
+    let cause = if answer.complete {
         Cause::List
     } else {
         Cause::Watch
@@ -149,8 +149,8 @@
     }
     let now = shared.now();
     let mut rules = shared.rules.lock().expect("no panic before");
-    for (host, ended) in answer.told.iter() {
-        rules.told_host(router, *host, *ended, now);
+    for (host, ended) in answer.received.iter() {
+        rules.notified_host(router, *host, *ended, now);
     }
 }
 
--- a/measure/src/capacity/fleet_run/net/discovery/tests.rs
+++ b/measure/src/capacity/fleet_run/net/discovery/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-fn asked(watch: Option<(u64, u64)>) -> Vec<u8> {
+fn requested(watch: Option<(u64, u64)>) -> Vec<u8> {
     let mut bytes = vec![];
     write_get(&mut bytes, SocketAddr::from(([127, 0, 0, 1], 1)), watch);
     bytes
@@ -12,17 +12,17 @@
 
 #[test]
 fn what_routers_write_is_read() {
-    let whole = asked(None);
+    let complete = requested(None);
     assert_eq!(
-        question(&whole),
+        question(&complete),
         Some(Question {
             watch: None,
-            bytes: whole.len()
+            bytes: complete.len()
         })
     );
-    let mut watch = asked(Some((41, 5_000)));
+    let mut watch = requested(Some((41, 5_000)));
     let bytes = watch.len();
-    watch.extend(asked(None));
+    watch.extend(requested(None));
     assert_eq!(
         question(&watch),
         Some(Question {
@@ -30,5 +30,5 @@
             bytes
         })
     );
-    assert_eq!(question(&whole[..whole.len() - 1]), None);
+    assert_eq!(question(&complete[..complete.len() - 1]), None);
 }
--- a/measure/src/capacity/fleet_run/net/hollow_router.rs
+++ b/measure/src/capacity/fleet_run/net/hollow_router.rs
@@ -204,7 +204,7 @@
             loop {
                 let read = discovery::response(&input, &ANSWER, &mut chunks).map_err(malformed)?;
                 if let Some((response, used)) = read {
-                    break taken(&response, version).map(|input| (input, used));
+                    break accepted(&response, version).map(|input| (input, used));
                 }
                 if stream.read_buf(&mut input).await? == 0 {
                     break Err(io::ErrorKind::UnexpectedEof.into());
@@ -224,7 +224,7 @@
     io::Error::other(why.0)
 }
 
-fn taken(response: &discovery::Response, version: &mut Option<u64>) -> io::Result<Input> {
+fn accepted(response: &discovery::Response, version: &mut Option<u64>) -> io::Result<Input> {
     if response.status != 200 {
         return Err(io::Error::other("turned away"));
     }
@@ -328,9 +328,9 @@
                     return Ok(());
                 }
                 *wait = RETRY[0];
-                while let Some((told, used)) = platform::read(&input, LINE).map_err(malformed)? {
-                    if let Some(news) = news(&told, open) {
-                        let _ = inputs.send(Input::Stage(news)).await;
+                while let Some((received, used)) = platform::read(&input, LINE).map_err(malformed)? {
+                    if let Some(rollout_status) = rollout_status(&received, open) {
+                        let _ = inputs.send(Input::Stage(rollout_status)).await;
                     }
                     input.drain(..used);
                 }
@@ -358,8 +358,11 @@
     }
 }
 
-fn news(told: &platform::Told, open: &mut BTreeMap<u64, OpenVote>) -> Option<RolloutStatus> {
-    match told {
+fn rollout_status(
+    received: &platform::Told,
+    open: &mut BTreeMap<u64, OpenVote>,
+) -> Option<RolloutStatus> {
+    match received {
         platform::Told::State(state) => Some(state.news(false)),
         platform::Told::Result { call, state } => {
             let vote = open.remove(call)?;
--- a/measure/src/capacity/fleet_run/net/platform.rs
+++ b/measure/src/capacity/fleet_run/net/platform.rs
@@ -60,13 +60,13 @@
                     let cause = if first { Cause::News } else { Cause::Vote };
                     shared.counters.add(router, cause, 1, line.len() + 1 + said.len());
                     if first {
-                        said += &news(router, &shared);
+                        said += &rollout_status(router, &shared);
                     }
                     said
                 }
                 None => return Ok(()),
             },
-            _ = standings.changed(), if follows => news(router, &shared),
+            _ = standings.changed(), if follows => rollout_status(router, &shared),
             _ = signs.tick(), if follows => SIGN_OF_LIFE.to_owned(),
         };
         if said == SIGN_OF_LIFE {
@@ -77,7 +77,7 @@
     }
 }
 
-fn news(router: u32, shared: &Shared) -> String {
+fn rollout_status(router: u32, shared: &Shared) -> String {
     let now = shared.now();
     let (standing, text) = {
         let rollout = shared.rollout.lock().expect("no panic before");
@@ -90,7 +90,7 @@
             .rules
             .lock()
             .expect("no panic before")
-            .told_standing(router, standing, now);
+            .received_rollout(router, standing, now);
     }
     said
 }
--- a/measure/src/capacity/fleet_run/partition/tests.rs
+++ b/measure/src/capacity/fleet_run/partition/tests.rs
@@ -7,8 +7,8 @@
         zone: 0,
         rack: 0,
     });
-    let whole = Partition::default();
-    assert!(whole.reaches(here, there) && whole.reaches_control(there));
+    let complete = Partition::default();
+    assert!(complete.reaches(here, there) && complete.reaches_control(there));
     let apart = Partition {
         regions_apart: true,
     };
--- a/measure/src/capacity/fleet_run/real_router.rs
+++ b/measure/src/capacity/fleet_run/real_router.rs
@@ -11,7 +11,7 @@
 use super::layout::Party;
 use super::net::shared::Shared;
 use super::processes::{self, CoreTime};
-use crate::rig::{self, AS_ROUTER};
+use crate::router_process::{self, AS_ROUTER};
 
 const MEMORY_MB: u32 = 256;
 const SOCKETS: u32 = 512;
@@ -136,8 +136,8 @@
             self.read += new.len() as u64;
             text += &String::from_utf8_lossy(&new);
         }
-        let whole = text.rfind('\n').map_or(0, |end| end + 1);
-        self.rest = text.split_off(whole);
+        let complete = text.rfind('\n').map_or(0, |end| end + 1);
+        self.rest = text.split_off(complete);
         text.lines().filter_map(said).collect()
     }
 
@@ -146,7 +146,7 @@
     }
 
     pub fn resident_kib(&self) -> u64 {
-        rig::memory(self.child.id())
+        router_process::resident_memory_kib(self.child.id())
     }
 
     pub fn terminate(&self) {
--- a/measure/src/capacity/fleet_run/registry.rs
+++ b/measure/src/capacity/fleet_run/registry.rs
@@ -56,10 +56,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     pub version: u64,
-    pub whole: bool,
+    pub complete: bool,
     pub body: Arc<str>,
     /// The hosts that it tells, and whether it says that they are being shut down or gone.
-    pub told: Arc<[(u32, bool)]>,
+    pub received: Arc<[(u32, bool)]>,
 }
 
 #[derive(Default)]
@@ -139,21 +139,21 @@
             }
         };
         entries.retain(|entry| entry.host < scope.0);
-        let (version, whole) = (self.version, known.is_none());
-        let mut body = format!("{{\"rev\":{version},\"all\":{whole},\"targets\":[");
+        let (version, complete) = (self.version, known.is_none());
+        let mut body = format!("{{\"rev\":{version},\"all\":{complete},\"targets\":[");
         for (place, entry) in entries.iter().enumerate() {
             body.push_str(if place > 0 { "," } else { "" });
             entry.render(&mut body);
         }
         body.push_str("]}");
-        let told = entries
+        let received = entries
             .iter()
             .map(|entry| (entry.host, entry.state != Listed::Ready));
         Answer {
             version,
-            whole,
+            complete,
             body: body.into(),
-            told: told.collect(),
+            received: received.collect(),
         }
     }
 }
--- a/measure/src/capacity/fleet_run/registry/tests.rs
+++ b/measure/src/capacity/fleet_run/registry/tests.rs
@@ -47,7 +47,7 @@
     registry.publish();
     let answer = registry.answer(Scope(9), Some(1));
     assert_eq!(
-        (answer.version, answer.whole, &*answer.told),
+        (answer.version, answer.complete, &*answer.received),
         (3, false, &[(1, true)][..])
     );
     let list = discovery::list(answer.body.as_bytes()).unwrap();
@@ -59,9 +59,9 @@
         registry.answer(Scope(9), Some(3)).body.as_ref(),
         "{\"rev\":3,\"all\":false,\"targets\":[]}"
     );
-    let whole = registry.answer(Scope(9), None);
+    let complete = registry.answer(Scope(9), None);
     assert_eq!(
-        discovery::list(whole.body.as_bytes())
+        discovery::list(complete.body.as_bytes())
             .unwrap()
             .targets
             .len(),
--- a/measure/src/capacity/fleet_run/rollout.rs
+++ b/measure/src/capacity/fleet_run/rollout.rs
@@ -61,7 +61,7 @@
     bake: f64,
     votes: BTreeMap<u32, (Opinion, f64)>,
     /// The most votes on and back that stood at once in this stage.
-    pub most: [usize; 2],
+    pub maximum: [usize; 2],
 }
 
 impl Rollout {
@@ -79,7 +79,7 @@
             needed: needed as usize,
             bake,
             votes: BTreeMap::new(),
-            most: [0; 2],
+            maximum: [0; 2],
         }
     }
 
@@ -97,7 +97,7 @@
             since: now,
         };
         self.votes.clear();
-        self.most = [0; 2];
+        self.maximum = [0; 2];
     }
 
     /// The next build goes on trial.
@@ -158,7 +158,7 @@
             return false;
         }
         let standing = [Opinion::On, Opinion::Back].map(|opinion| self.count(opinion, now));
-        self.most = [0, 1].map(|of| self.most[of].max(standing[of]));
+        self.maximum = [0, 1].map(|of| self.maximum[of].max(standing[of]));
         if standing[1] >= self.needed {
             self.stand(stage, Progress::Recalling, 0.0, now);
             return true;
--- a/measure/src/capacity/fleet_run/rollout/tests.rs
+++ b/measure/src/capacity/fleet_run/rollout/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn on_trial() -> Rollout {
+fn with_canary() -> Rollout {
     let mut rollout = Rollout::new(41, 2, 3.0, 0.0);
     assert_eq!(rollout.begin(10.0), 42);
     rollout
@@ -13,7 +13,7 @@
 
 #[test]
 fn half_of_the_routers_move_it_on_once_it_has_baked() {
-    let mut rollout = on_trial();
+    let mut rollout = with_canary();
     vote(&mut rollout, Opinion::On, 11.0);
     assert!(!rollout.decide(12.0));
     assert!(rollout.decide(13.0));
@@ -37,7 +37,7 @@
 
 #[test]
 fn one_vote_is_not_enough_and_old_ones_do_not_count() {
-    let mut rollout = on_trial();
+    let mut rollout = with_canary();
     assert!(rollout.cast(7, 42, 0, Opinion::On, 11.0));
     assert!(!rollout.decide(14.0));
     assert!(rollout.cast(8, 42, 0, Opinion::On, 11.0 + BALLOT_LIFE));
@@ -48,7 +48,7 @@
 
 #[test]
 fn votes_back_recall_it_at_once() {
-    let mut rollout = on_trial();
+    let mut rollout = with_canary();
     vote(&mut rollout, Opinion::Back, 10.5);
     assert!(rollout.decide(10.5));
     assert_eq!(
--- a/measure/src/capacity/fleet_run/rules.rs
+++ b/measure/src/capacity/fleet_run/rules.rs
@@ -30,7 +30,7 @@
 /// Counts over a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Seen {
-    pub asked: u64,
+    pub requested: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
@@ -49,7 +49,7 @@
 #[derive(Default)]
 struct RouterSeen {
     /// Times of the requests taken lately, and of the attempts at the build on trial.
-    taken: VecDeque<f64>,
+    accepted: VecDeque<f64>,
     exposed: VecDeque<f64>,
     /// The build that these attempts were at.
     exposed_to: u16,
@@ -81,11 +81,11 @@
         }
     }
 
-    pub fn asked(&mut self, router: u32, now: f64) {
-        self.seen.asked += 1;
-        let taken = &mut self.routers.entry(router).or_default().taken;
-        forget(taken, now - EXPOSURE_WINDOW - SOCKETS);
-        taken.push_back(now);
+    pub fn record_request(&mut self, router: u32, now: f64) {
+        self.seen.requested += 1;
+        let accepted = &mut self.routers.entry(router).or_default().accepted;
+        forget(accepted, now - EXPOSURE_WINDOW - SOCKETS);
+        accepted.push_back(now);
     }
 
     pub fn answered(&mut self, router: u32, id: &str, ending: Ending, took: f64) {
@@ -117,7 +117,7 @@
     }
 
     /// Discovery has written to a router that this host is being shut down or gone; or that it serves.
-    pub fn told_host(&mut self, router: u32, host: u32, ended: bool, now: f64) {
+    pub fn notified_host(&mut self, router: u32, host: u32, ended: bool, now: f64) {
         let hosts = &mut self.routers.entry(router).or_default().ended;
         if ended {
             hosts.entry(host).or_insert(now);
@@ -127,7 +127,7 @@
     }
 
     /// The platform has written to a router where the build stands.
-    pub fn told_standing(&mut self, router: u32, standing: Standing, now: f64) {
+    pub fn received_rollout(&mut self, router: u32, standing: Standing, now: f64) {
         let standings = &mut self.routers.entry(router).or_default().standings;
         if standings[0].is_none_or(|(_, last)| last != standing) {
             *standings = [Some((now, standing)), standings[0]];
@@ -143,7 +143,7 @@
     pub fn attempt(&mut self, router: u32, host: u32, build: u16, id: &str, once: bool, now: f64) {
         self.seen.attempts += 1;
         let of = self.routers.entry(router).or_default();
-        let past = of.ended.get(&host).map_or(0.0, |told| now - told);
+        let past = of.ended.get(&host).map_or(0.0, |received| now - received);
         let may = of.may_expose(build, now);
         if past > DRAIN_GRACE + SOCKETS {
             self.seen.past_drain += 1;
@@ -182,11 +182,11 @@
 impl RouterSeen {
     /// Whether one more attempt at this build is within the cap that this router knows of.
     fn may_expose(&mut self, build: u16, now: f64) -> Exposure {
-        let [Some((told, last)), before] = self.standings else {
+        let [Some((received, last)), before] = self.standings else {
             return Exposure::Baseline;
         };
         let before = before
-            .filter(|_| now - told < LOWER_CAP_BINDS + SOCKETS)
+            .filter(|_| now - received < LOWER_CAP_BINDS + SOCKETS)
             .map(|(_, standing)| standing);
         let known = [Some(last), before].into_iter().flatten();
         let of_build: Vec<_> = known.filter(|standing| standing.build == build).collect();
@@ -201,7 +201,7 @@
             .iter()
             .filter(|standing| standing.progress == Progress::Testing);
         let Some(cap) = testing.map(|standing| standing.cap).reduce(f64::max) else {
-            return Exposure::Over(format!("{:?} since {:.3} s", last.progress, now - told));
+            return Exposure::Over(format!("{:?} since {:.3} s", last.progress, now - received));
         };
         if self.exposed_to != build {
             self.exposed.clear();
@@ -209,17 +209,17 @@
         }
         forget(&mut self.exposed, now - EXPOSURE_WINDOW + SOCKETS);
         self.exposed.push_back(now);
-        let taken = self
-            .taken
+        let accepted = self
+            .accepted
             .iter()
             .filter(|at| now - **at <= EXPOSURE_WINDOW + SOCKETS)
             .count() as f64;
-        let most = EXPOSURE_SPARE + MORE_ATTEMPTS + MORE_CAP * cap * taken;
-        if self.exposed.len() as f64 <= most {
+        let maximum = EXPOSURE_SPARE + MORE_ATTEMPTS + MORE_CAP * cap * accepted;
+        if self.exposed.len() as f64 <= maximum {
             return Exposure::Within;
         }
         Exposure::Over(format!(
-            "{} attempts where {most:.1} are allowed, cap {cap}",
+            "{} attempts where {maximum:.1} are allowed, cap {cap}",
             self.exposed.len()
         ))
     }
--- a/measure/src/capacity/fleet_run/scenario.rs
+++ b/measure/src/capacity/fleet_run/scenario.rs
@@ -58,22 +58,22 @@
         &mut self.rows[place]
     }
 
-    async fn trial(&mut self, name: &'static str, good: bool, most: f64) {
-        self.fleet.begin_trial(if good { GOOD } else { BAD });
-        let converged = self.await_verdict(good, most).await;
+    async fn canary(&mut self, name: &'static str, good: bool, maximum: f64) {
+        self.fleet.begin_canary(if good { GOOD } else { BAD });
+        let converged = self.await_verdict(good, maximum).await;
         if !good {
             self.fleet
-                .run_until(most, |fleet| fleet.progress() != Progress::Recalling)
+                .run_until(maximum, |fleet| fleet.progress() != Progress::Recalling)
                 .await;
         }
         self.end_phase(name).converged = Some(converged);
     }
 
     /// Seconds until the build is let on or is voted back; the opposite of what is wanted, or neither, is an error.
-    async fn await_verdict(&mut self, good: bool, most: f64) -> Result<f64, &'static str> {
+    async fn await_verdict(&mut self, good: bool, maximum: f64) -> Result<f64, &'static str> {
         let begun = self.fleet.shared.now();
         self.fleet
-            .run_until(most, |fleet| fleet.progress() != Progress::Testing)
+            .run_until(maximum, |fleet| fleet.progress() != Progress::Testing)
             .await;
         let seconds = self.fleet.shared.now() - begun;
         self.say_votes();
@@ -90,7 +90,7 @@
     /// Says how near a vote without an end has come.
     fn say_votes(&self) {
         let rollout = self.fleet.shared.rollout.lock().expect("no panic before");
-        let (standing, [on, back]) = (rollout.standing(), rollout.most);
+        let (standing, [on, back]) = (rollout.standing(), rollout.maximum);
         if standing.progress == Progress::Testing {
             let needed = self.fleet.shared.plan.votes_needed();
             eprintln!(
@@ -124,13 +124,13 @@
     /// The regions lose each other during a trial, and find each other again.
     async fn split(&mut self) {
         let lengths = self.fleet.shared.plan.lengths;
-        self.fleet.begin_trial(GOOD);
+        self.fleet.begin_canary(GOOD);
         let begun = self.fleet.shared.now();
         self.fleet.run_for(0.25 * lengths.split).await;
         self.fleet.part_regions(true);
         self.fleet.run_for(lengths.split).await;
         self.fleet.part_regions(false);
-        let converged = self.await_verdict(true, lengths.trial).await;
+        let converged = self.await_verdict(true, lengths.canary).await;
         let seconds = self.fleet.shared.now() - begun;
         self.end_phase("region split").converged = Some(converged.map(|_| seconds));
     }
@@ -161,8 +161,8 @@
     // Trials run in true time, so they stand outside the compressed day: in it hosts start so often that the
     // seconds without a start, which a stage has to have, would hardly come.
     run.fleet.set_rates(plan.peak_rate, plan.drawn_rate);
-    run.trial("good trial", true, lengths.trial).await;
-    run.trial("bad trial", false, lengths.trial).await;
+    run.canary("good trial", true, lengths.canary).await;
+    run.canary("bad trial", false, lengths.canary).await;
     run.split().await;
     run.fleet.begin_day(&day);
     run.fleet.run_for(lengths.peak).await;
--- a/measure/src/capacity/fleet_run/verdict.rs
+++ b/measure/src/capacity/fleet_run/verdict.rs
@@ -24,16 +24,16 @@
 }
 
 fn sizes(report: &mut Report, layout: &Layout, done: &Done) {
-    report.tell("routers", "routers", layout.routers);
-    report.tell("real", "of them real", layout.real);
-    report.tell("hosts", "hosts", layout.hosts);
-    report.tell(
+    report.record("routers", "routers", layout.routers);
+    report.record("real", "of them real", layout.real);
+    report.record("hosts", "hosts", layout.hosts);
+    report.record(
         "factor",
         "a day's seconds in one of the run",
         format!("{:.0}", done.day.factor),
     );
-    report.tell("restarts", "restarts of the day", done.day.restarts);
-    report.tell(
+    report.record("restarts", "restarts of the day", done.day.restarts);
+    report.record(
         "changes",
         "changes of configuration of the day",
         done.day.changes,
@@ -43,30 +43,30 @@
 fn requests(report: &mut Report, done: &Done) {
     let mut rules = done.fleet.shared.rules.lock().expect("no panic before");
     let seen = rules.seen;
-    report.tell("asked", "requests at real routers", seen.asked);
-    report.tell("served", "served", seen.served);
-    report.tell("refused", "refused", seen.refused);
-    report.tell("failed", "failed", seen.failed);
-    report.tell("died", "gone with a machine that vanished", seen.died);
-    report.never("lost", "requests without a final answer", seen.lost);
-    report.never("late", "answers half a second after their time", seen.late);
-    report.never(
+    report.record("asked", "requests at real routers", seen.requested);
+    report.record("served", "served", seen.served);
+    report.record("refused", "refused", seen.refused);
+    report.record("failed", "failed", seen.failed);
+    report.record("died", "gone with a machine that vanished", seen.died);
+    report.check_none("lost", "requests without a final answer", seen.lost);
+    report.check_none("late", "answers half a second after their time", seen.late);
+    report.check_none(
         "answered_twice",
         "answers that nobody waited for",
         seen.answered_twice,
     );
-    report.never(
+    report.check_none(
         "ran_twice",
         "requests with side effects that ran twice",
         seen.ran_twice,
     );
-    report.never(
+    report.check_none(
         "past_drain",
         "attempts past the drain grace",
         seen.past_drain,
     );
-    report.tell("exposed", "attempts at builds on trial", seen.exposed);
-    report.never("over_cap", "attempts over the exposure cap", seen.over_cap);
+    report.record("exposed", "attempts at builds on trial", seen.exposed);
+    report.check_none("over_cap", "attempts over the exposure cap", seen.over_cap);
     rules
         .examples
         .drain(..)
@@ -80,8 +80,8 @@
         .iter()
         .filter(|share| share.got as f64 > share.allowed)
         .collect();
-    report.tell("cold", "cold starts of hosts", done.fleet.cold.len());
-    report.never(
+    report.record("cold", "cold starts of hosts", done.fleet.cold.len());
+    report.check_none(
         "cold_over",
         "cold hosts over their allowance",
         over.len() as u64,
@@ -93,26 +93,26 @@
 
 fn changes(report: &mut Report, done: &Done) {
     let changes = done.fleet.shared.changes.lock().expect("no panic before");
-    report.tell(
+    report.record(
         "in_force",
         "changes in force at every router",
         changes.in_force.len(),
     );
     drop(changes);
-    report.most(
+    report.check_at_most(
         "in_force_s",
         "longest until in force at the last, s",
         worst_in_force(done),
         IN_FORCE_WITHIN,
     );
     let changes = done.fleet.shared.changes.lock().expect("no panic before");
-    report.never(
+    report.check_none(
         "missed",
         "routers that missed a change",
         changes.missed.len() as u64,
     );
     let first = format!("{:.1}", changes.first_list);
-    report.tell(
+    report.record(
         "first_list_s",
         "longest from a router's start to its first list, s",
         first,
@@ -141,7 +141,7 @@
             Some(Err(why)) => (why.replace(' ', "-"), false),
             None => ("not-run".into(), false),
         };
-        report.ask(key, what, said, "decided so", holds);
+        report.check(key, what, said, "decided so", holds);
     }
 }
 
@@ -159,14 +159,14 @@
         ),
     ] {
         let said = seconds.map_or("never".into(), |seconds| format!("{seconds:.1}"));
-        report.ask(key, what, said, "in a minute", seconds.is_some());
+        report.check(key, what, said, "in a minute", seconds.is_some());
     }
-    report.never(
+    report.check_none(
         "sigkill",
         "real routers that SIGKILL had to end",
         done.fleet.routers.killed_late.into(),
     );
-    report.never(
+    report.check_none(
         "ended",
         "routers that ended by themselves",
         done.fleet.routers.failed.len() as u64,
@@ -185,18 +185,18 @@
         .memory
         .iter()
         .map(|of| of.now as f64 / of.then.max(1) as f64);
-    let most = ratios.fold(0.0, f64::max);
-    report.tell(
+    let maximum = ratios.fold(0.0, f64::max);
+    report.record(
         "memory_of",
         "real routers that ran from rest to rest",
         done.memory.len(),
     );
-    report.tell(
+    report.record(
         "memory_ratio",
         "most memory at rest after over before",
-        format!("{most:.2}"),
+        format!("{maximum:.2}"),
     );
-    report.never(
+    report.check_none(
         "memory_over",
         "of them, not returned to where it was",
         over as u64,
@@ -213,12 +213,12 @@
         .iter()
         .map(|of| (of.ratio() - 1.0).abs())
         .fold(0.0, f64::max);
-    report.tell(
+    report.record(
         "hollow_farthest",
         "hollow over real figures, farthest from 1 by",
         format!("{ratios:.3}"),
     );
-    report.never(
+    report.check_none(
         "hollow_off",
         "hollow figures over a tenth from real ones",
         off.len() as u64,
@@ -251,24 +251,24 @@
     comparison(report, compared);
     if let Some(rest) = row(done, "at rest") {
         let ratio = gossip(&rest.hollow).messages / gossip(&rest.real).messages;
-        report.tell(
+        report.record(
             "mesh_gossip",
             "gossip of hollow over real ones, at rest",
             format!("{ratio:.3}"),
         );
     }
     if let Some(peak) = row(done, "peak") {
-        report.tell(
+        report.record(
             "peak_core_percent",
             "a real router at the peak, % of a core",
             format!("{:.2}", peak.processor[0]),
         );
-        report.tell(
+        report.record(
             "peak_mb",
             "its memory, MB",
             format!("{:.1}", peak.memory[0]),
         );
-        report.tell(
+        report.record(
             "peak_bytes_s",
             "its control traffic, bytes/s",
             format!("{:.0}", control_bytes(&peak.real)),
--- a/measure/src/capacity/simulation/discovery.rs
+++ b/measure/src/capacity/simulation/discovery.rs
@@ -39,7 +39,7 @@
         (!changed.is_empty()).then(|| changed.into_values().collect())
     }
 
-    pub fn whole(&self) -> Arc<[HostEntry]> {
+    pub fn complete(&self) -> Arc<[HostEntry]> {
         self.known.values().copied().collect()
     }
 
--- a/measure/src/capacity/simulation/discovery/tests.rs
+++ b/measure/src/capacity/simulation/discovery/tests.rs
@@ -30,7 +30,7 @@
     discovery.note(entry(2, HostState::Running));
     assert_eq!(discovery.push(), None, "nothing new");
     discovery.note(entry(1, HostState::Gone));
-    assert_eq!(discovery.whole().len(), 1);
+    assert_eq!(discovery.complete().len(), 1);
     assert_eq!(
         discovery.push().expect("a change")[0].state,
         HostState::Gone
--- a/measure/src/capacity/simulation/evidence.rs
+++ b/measure/src/capacity/simulation/evidence.rs
@@ -13,7 +13,7 @@
 
 /// What is read of a message between routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Told {
+pub struct ReceivedEvidence {
     pub build: u16,
     /// The sender has no figures of its own yet.
     pub fresh: bool,
@@ -21,7 +21,7 @@
     pub outcomes: f64,
 }
 
-impl Told {
+impl ReceivedEvidence {
     /// None where the bytes are no such message.
     pub fn read(payload: &[u8]) -> Option<Self> {
         let ([_, fresh, low, high], body) = payload.split_first_chunk()?;
@@ -32,7 +32,7 @@
         // The first two tell of the sender's traffic.
         let slots = figures.get(2..)?.chunks_exact(MARKS * FIGURES);
         let outcomes = slots.map(|slot| figure(&slot[2]) + figure(&slot[3])).sum();
-        Some(Told {
+        Some(ReceivedEvidence {
             build: u16::from_le_bytes([*low, *high]),
             fresh: *fresh == 1,
             outcomes,
@@ -71,7 +71,7 @@
     }
 
     /// A router was told of a build; of another one it knows nothing yet.
-    pub fn news(&mut self, router: usize, build: u16) {
+    pub fn rollout_status(&mut self, router: usize, build: u16) {
         let sight = &mut self.sights[router];
         if sight.build != build {
             *sight = Sight {
@@ -87,18 +87,21 @@
 
     /// A router sends its figures: from them it is known whether it has any of its own.
     pub fn sends(&mut self, router: usize, payload: &[u8]) {
-        self.sights[router].fresh = Told::read(payload).is_some_and(|told| told.fresh);
+        self.sights[router].fresh =
+            ReceivedEvidence::read(payload).is_some_and(|received| received.fresh);
     }
 
     /// A router takes a message in; `enough` outcomes are asked.
     pub fn takes(&mut self, router: usize, payload: &[u8], now: f64, enough: f64) {
         let sight = &mut self.sights[router];
-        let Some(told) = Told::read(payload).filter(|told| told.build == sight.build) else {
+        let Some(received) =
+            ReceivedEvidence::read(payload).filter(|received| received.build == sight.build)
+        else {
             return;
         };
-        let whole = sight.fresh && !told.fresh;
-        sight.outcomes += if whole { 1.0 } else { SIGHT } * (told.outcomes - sight.outcomes);
-        sight.fresh &= !whole;
+        let complete = sight.fresh && !received.fresh;
+        sight.outcomes += if complete { 1.0 } else { SIGHT } * (received.outcomes - sight.outcomes);
+        sight.fresh &= !complete;
         if sight.build == self.build && sight.outcomes >= enough && sight.outcomes > 0.0 {
             self.reached[router].get_or_insert(now);
         }
--- a/measure/src/capacity/simulation/evidence/tests.rs
+++ b/measure/src/capacity/simulation/evidence/tests.rs
@@ -13,16 +13,16 @@
 
 #[test]
 fn a_message_is_read() {
-    let told = Told::read(&message(8, true, 64.0)).expect("a message");
+    let received = ReceivedEvidence::read(&message(8, true, 64.0)).expect("a message");
     assert_eq!(
-        told,
-        Told {
+        received,
+        ReceivedEvidence {
             build: 8,
             fresh: true,
             outcomes: 64.0
         }
     );
-    assert_eq!(Told::read(&[0, 0]), None);
+    assert_eq!(ReceivedEvidence::read(&[0, 0]), None);
 }
 
 /// The decision module's own message is read as this module expects it.
@@ -33,14 +33,18 @@
     let mut effects = vec![];
     let terms = super::super::settings::service_terms(8, 0);
     let mut router = Router::start(terms, 1, 100.0);
-    let news = super::super::platform::Platform::new(
+    let rollout_status = super::super::platform::Platform::new(
         super::super::settings::platform_terms(8),
         8,
         BuildId(9),
         100.0,
     )
-    .news(100.0);
-    router.handle(100.0, Event::RolloutStatusReceived(news), &mut effects);
+    .rollout_status(100.0);
+    router.handle(
+        100.0,
+        Event::RolloutStatusReceived(rollout_status),
+        &mut effects,
+    );
     let alarm = effects.iter().find_map(|effect| match effect {
         Effect::ScheduleTimer { key, .. } => Some(*key),
         _ => None,
@@ -56,10 +60,10 @@
         Effect::SendGossip { payload, .. } => Some(payload),
         _ => None,
     });
-    let told = Told::read(payload.expect("a message")).expect("a message");
+    let received = ReceivedEvidence::read(payload.expect("a message")).expect("a message");
     assert_eq!(
-        told,
-        Told {
+        received,
+        ReceivedEvidence {
             build: 9,
             fresh: false,
             outcomes: 0.0
@@ -70,7 +74,7 @@
 #[test]
 fn sight_moves_with_each_message_of_the_same_build() {
     let mut evidence = Evidence::new(4);
-    (0..4).for_each(|router| evidence.news(router, 8));
+    (0..4).for_each(|router| evidence.rollout_status(router, 8));
     evidence.begin(8);
     evidence.takes(0, &message(8, false, 100.0), 1.0, 20.0);
     evidence.takes(0, &message(7, false, 1000.0), 2.0, 20.0);
@@ -87,7 +91,7 @@
     assert_eq!(evidence.reach(all, |router| router == 1), [Some(4.0); 3]);
     evidence.begin(9);
     evidence.takes(1, &message(8, false, 100.0), 5.0, 20.0);
-    evidence.news(0, 9);
+    evidence.rollout_status(0, 9);
     evidence.takes(0, &message(9, false, 0.0), 5.0, 0.0);
     assert_eq!(evidence.reach(all, |_| true), [None; 3]);
 }
--- a/measure/src/capacity/simulation/evidence_probe.rs
+++ b/measure/src/capacity/simulation/evidence_probe.rs
@@ -1,6 +1,6 @@
 //! How long evidence that a few routers have takes to reach the others.
 
-use super::fleet::{Asked, Fleet, FleetTerms};
+use super::fleet::{Fleet, FleetTerms, RequiredEvidence};
 use super::hosts::GOOD;
 use super::platform::PlatformTerms;
 use super::scenario::PARTS;
@@ -63,7 +63,7 @@
         rate: 0.0,
         first_region: 0.5,
         own_hosts_only: true,
-        trial_in_first_region: false,
+        canary_in_first_region: false,
         ordinary_day: false,
         platform,
         seed: probe.seed,
@@ -80,7 +80,7 @@
         fleet.partition(true);
     }
     let since = fleet.now;
-    fleet.asked = Asked {
+    fleet.required = RequiredEvidence {
         outcomes,
         since,
         half_life: HALF_LIFE,
--- a/measure/src/capacity/simulation/exposure.rs
+++ b/measure/src/capacity/simulation/exposure.rs
@@ -13,14 +13,14 @@
     pub at: f64,
     /// Dispatches at the trial in that window.
     pub sent: usize,
-    pub taken: usize,
+    pub accepted: usize,
     pub cap: f64,
 }
 
 pub struct Exposure {
     window: f64,
     spare: f64,
-    taken: VecDeque<f64>,
+    accepted: VecDeque<f64>,
     sent: VecDeque<f64>,
     /// Since when a cap is in force.
     caps: VecDeque<(f64, f64)>,
@@ -33,12 +33,12 @@
 impl Exposure {
     /// `window` in seconds; so many `spare` dispatches go beyond the cap.
     pub fn new(window: f64, spare: f64) -> Self {
-        let (taken, sent, caps) = (VecDeque::new(), VecDeque::new(), VecDeque::new());
+        let (accepted, sent, caps) = (VecDeque::new(), VecDeque::new(), VecDeque::new());
         let (spare_once, spare_each) = (Worst::default(), Worst::default());
         Exposure {
             window,
             spare,
-            taken,
+            accepted,
             sent,
             caps,
             spare_once,
@@ -58,15 +58,15 @@
     }
 
     pub fn took(&mut self, now: f64) {
-        self.taken.push_back(now);
-        Self::forget(&mut self.taken, now - self.window);
+        self.accepted.push_back(now);
+        Self::forget(&mut self.accepted, now - self.window);
     }
 
     /// A dispatch at the build on trial, with so many routers up.
     pub fn sent(&mut self, now: f64, routers: usize) {
         self.sent.push_back(now);
         let from = now - self.window;
-        Self::forget(&mut self.taken, from);
+        Self::forget(&mut self.accepted, from);
         Self::forget(&mut self.sent, from);
         // The highest cap that was in force within the window.
         while self.caps.get(1).is_some_and(|(since, _)| *since <= from) {
@@ -76,8 +76,8 @@
         if cap >= 1.0 {
             return;
         }
-        let (sent, taken) = (self.sent.len(), self.taken.len());
-        let ratio = |spare: f64| sent as f64 / (spare + cap * taken as f64).max(1.0);
+        let (sent, accepted) = (self.sent.len(), self.accepted.len());
+        let ratio = |spare: f64| sent as f64 / (spare + cap * accepted as f64).max(1.0);
         let [once, each] = [ratio(self.spare), ratio(self.spare * routers as f64)];
         for (worst, ratio) in [(&mut self.spare_once, once), (&mut self.spare_each, each)] {
             if ratio > worst.ratio {
@@ -85,7 +85,7 @@
                     ratio,
                     at: now,
                     sent,
-                    taken,
+                    accepted,
                     cap,
                 };
             }
--- a/measure/src/capacity/simulation/exposure/tests.rs
+++ b/measure/src/capacity/simulation/exposure/tests.rs
@@ -24,7 +24,7 @@
             ratio: 1.0,
             at: 101.0,
             sent: 2,
-            taken: 10,
+            accepted: 10,
             cap: 0.1
         }
     );
--- a/measure/src/capacity/simulation/fleet/carry.rs
+++ b/measure/src/capacity/simulation/fleet/carry.rs
@@ -32,9 +32,9 @@
         }
         match &event {
             Event::GossipReceived { payload, .. } => {
-                let asked = self.asked;
-                let enough =
-                    asked.outcomes * 0.5f64.powf((self.now - asked.since) / asked.half_life);
+                let required = self.required;
+                let enough = required.outcomes
+                    * 0.5f64.powf((self.now - required.since) / required.half_life);
                 self.evidence.takes(router, payload, self.now, enough);
                 self.counts.messages_received += 1;
                 self.counts.bytes_received += payload.len() as u64;
@@ -127,7 +127,7 @@
 
     pub(super) fn arrived(&mut self, router: usize) {
         self.next_invocation += 1;
-        self.counts.taken += 1;
+        self.counts.accepted += 1;
         self.exposure.took(self.now);
         self.members[router].exposure.took(self.now);
         let id = RequestId(self.next_invocation.to_string().into());
@@ -205,14 +205,18 @@
             }
             Phase::RollingBack | Phase::RolledBack => {
                 let member = &self.members[router];
-                let back = |told: RolloutStatus| {
-                    matches!(told.phase, Phase::RollingBack | Phase::RolledBack)
+                let back = |received: RolloutStatus| {
+                    matches!(received.phase, Phase::RollingBack | Phase::RolledBack)
                 };
-                let told = member
-                    .told
-                    .is_some_and(|told| told.build == build && back(told));
+                let received = member
+                    .received
+                    .is_some_and(|received| received.build == build && back(received));
                 let reached = self.platform_reaches(member.place.region);
-                self.counts.after_back[if told { 0 } else { 1 + usize::from(!reached) }] += 1;
+                self.counts.after_back[if received {
+                    0
+                } else {
+                    1 + usize::from(!reached)
+                }] += 1;
             }
             Phase::Released => {}
         }
@@ -324,7 +328,10 @@
     /// counts as in the first stage.
     fn exposes_alone(&mut self, router: usize, build: BuildId) {
         let member = &mut self.members[router];
-        if member.told.is_none_or(|told| told.build != build) {
+        if member
+            .received
+            .is_none_or(|received| received.build != build)
+        {
             member.exposure.set_cap(self.now, settings::first_cap());
         }
         member.exposure.sent(self.now, 1);
@@ -338,7 +345,7 @@
         if !self.is_current(router, incarnation) {
             return;
         }
-        let entries = self.discovery[self.members[router].place.region].whole();
+        let entries = self.discovery[self.members[router].place.region].complete();
         let member = &mut self.members[router];
         (member.following, member.push_at) = (true, self.now);
         self.handle(
@@ -350,20 +357,27 @@
         );
     }
 
-    pub(super) fn news(&mut self, router: usize, incarnation: u32, news: RolloutStatus) {
+    pub(super) fn rollout_status(
+        &mut self,
+        router: usize,
+        incarnation: u32,
+        rollout_status: RolloutStatus,
+    ) {
         if !self.is_current(router, incarnation) {
             return;
         }
         let (now, member) = (self.now, &mut self.members[router]);
-        let newer = member.told.is_none_or(|told| told.build != news.build);
-        member.told = Some(news);
+        let newer = member
+            .received
+            .is_none_or(|received| received.build != rollout_status.build);
+        member.received = Some(rollout_status);
         if newer {
-            member.exposure.begin(now, news.cap);
+            member.exposure.begin(now, rollout_status.cap);
         } else {
-            member.exposure.set_cap(now, news.cap);
+            member.exposure.set_cap(now, rollout_status.cap);
         }
-        self.evidence.news(router, news.build.0);
-        self.handle(router, Event::RolloutStatusReceived(news));
+        self.evidence.rollout_status(router, rollout_status.build.0);
+        self.handle(router, Event::RolloutStatusReceived(rollout_status));
     }
 
     fn vote(&mut self, router: usize, build: BuildId, stage: u32, vote: Vote) {
@@ -417,14 +431,14 @@
         incarnation: u32,
         outcome: AttemptOutcome,
     ) {
-        let told = self.members[router].told;
-        if let Some(told) = told.filter(|_| self.is_current(router, incarnation)) {
-            let news = RolloutStatus {
+        let received = self.members[router].received;
+        if let Some(received) = received.filter(|_| self.is_current(router, incarnation)) {
+            let rollout_status = RolloutStatus {
                 outcome,
                 answers_vote: true,
-                ..told
+                ..received
             };
-            self.handle(router, Event::RolloutStatusReceived(news));
+            self.handle(router, Event::RolloutStatusReceived(rollout_status));
         }
     }
 
--- a/measure/src/capacity/simulation/fleet/machines.rs
+++ b/measure/src/capacity/simulation/fleet/machines.rs
@@ -21,9 +21,9 @@
 impl Fleet {
     /// The build that the platform wants a machine to run.
     fn wanted(&self, machine: usize) -> BuildId {
-        let trial = self.platform.phase() == Phase::Canary;
+        let canary = self.platform.phase() == Phase::Canary;
         let part = (self.platform.share() * self.order.len() as f64).ceil() as usize;
-        if trial && self.order[..part].contains(&machine) {
+        if canary && self.order[..part].contains(&machine) {
             self.platform.build()
         } else {
             self.released
@@ -159,11 +159,11 @@
             self.after(wait, Happening::RegionFound { region });
         }
         if !self.platform_everywhere {
-            let news = self.platform.news(self.now);
-            self.told.fill(news);
+            let rollout_status = self.platform.rollout_status(self.now);
+            self.received.fill(rollout_status);
             for router in 0..self.members.len() {
                 if self.members[router].up && self.members[router].place.region != PLATFORM_REGION {
-                    self.tell(router, news, RECONNECT);
+                    self.notify(router, rollout_status, RECONNECT);
                 }
             }
         }
--- a/measure/src/capacity/simulation/fleet/mod.rs
+++ b/measure/src/capacity/simulation/fleet/mod.rs
@@ -32,7 +32,7 @@
 const PLATFORM_STEP: f64 = 0.1;
 const PUSH_EVERY: f64 = 0.25;
 /// Seconds until a router is told by the platform, and by its region's discovery.
-const NEWS_LAG: [f64; 2] = [0.2, 0.9];
+const STATUS_LAG: [f64; 2] = [0.2, 0.9];
 const PUSH_LAG: [f64; 2] = [0.1, 1.0];
 /// Seconds that a router's process takes to start.
 const ROUTER_START: [f64; 2] = [1.0, 3.0];
@@ -55,7 +55,7 @@
     /// Routers list the hosts of their own region only.
     pub own_hosts_only: bool,
     /// Machines of the first region get a new build before all others.
-    pub trial_in_first_region: bool,
+    pub canary_in_first_region: bool,
     /// Restarts of routers and changes of configuration as on an ordinary day.
     pub ordinary_day: bool,
     pub platform: PlatformTerms,
@@ -64,7 +64,7 @@
 
 /// Evidence that a router's sight has to hold: so many outcomes, which may halve over time.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct RequiredEvidence {
     pub outcomes: f64,
     pub since: f64,
     pub half_life: f64,
@@ -73,7 +73,7 @@
 /// Counts over all routers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    pub taken: u64,
+    pub accepted: u64,
     pub in_time: u64,
     pub throttled: u64,
     pub restarts: u64,
@@ -101,9 +101,9 @@
     push_lag: f64,
     /// When the last push and the last news arrive: none overtakes another.
     push_at: f64,
-    news_at: f64,
+    status_at: f64,
     following: bool,
-    told: Option<RolloutStatus>,
+    received: Option<RolloutStatus>,
     /// Rule 5 for this process of it, by what it was told.
     exposure: Exposure,
     /// Since when, and how many dispatches.
@@ -123,7 +123,7 @@
     News {
         router: usize,
         incarnation: u32,
-        news: RolloutStatus,
+        rollout_status: RolloutStatus,
     },
     ListServed {
         router: usize,
@@ -189,7 +189,7 @@
     platform_everywhere: bool,
     platform: Platform,
     /// What each region was last told by the platform.
-    told: Vec<RolloutStatus>,
+    received: Vec<RolloutStatus>,
     discovery: Vec<Discovery>,
     /// In which order machines get a new build.
     order: Vec<usize>,
@@ -201,7 +201,7 @@
     /// The worst of one router, since the newest build was offered.
     pub worst_router: Worst,
     pub evidence: Evidence,
-    pub asked: Asked,
+    pub required: RequiredEvidence,
     pub counts: Counts,
     /// When the first outcome of the build on trial came.
     pub first_outcome: Option<f64>,
@@ -226,7 +226,7 @@
         (0..terms.machines)
             .for_each(|machine| hosts.add_machine(place(machine, terms.machines), FIRST_BUILD));
         let platform = Platform::new(terms.platform.clone(), terms.routers, FIRST_BUILD, START);
-        let later = |machine| terms.trial_in_first_region && hosts.place(machine).region != 0;
+        let later = |machine| terms.canary_in_first_region && hosts.place(machine).region != 0;
         let mut order: Vec<_> = (0..terms.machines)
             .map(|machine| (later(machine), random.random::<u64>(), machine))
             .collect();
@@ -256,9 +256,9 @@
                 rate: rates[number],
                 push_lag,
                 push_at: 0.0,
-                news_at: 0.0,
+                status_at: 0.0,
                 following: false,
-                told: None,
+                received: None,
                 exposure: Exposure::new(settings::EXPOSURE_WINDOW, settings::EXPOSURE_SPARE),
                 open: HashMap::new(),
             }
@@ -271,7 +271,7 @@
             hosts,
             network: Network::default(),
             platform_everywhere: false,
-            told: vec![platform.news(START); plan::REGIONS],
+            received: vec![platform.rollout_status(START); plan::REGIONS],
             platform,
             discovery,
             order: order.into_iter().map(|(.., machine)| machine).collect(),
@@ -282,7 +282,7 @@
             exposure: Exposure::new(settings::EXPOSURE_WINDOW, settings::EXPOSURE_SPARE),
             worst_router: Worst::default(),
             evidence: Evidence::new(terms.routers),
-            asked: Asked {
+            required: RequiredEvidence {
                 outcomes: ENOUGH,
                 since: 0.0,
                 half_life: f64::INFINITY,
@@ -342,8 +342,8 @@
             Happening::News {
                 router,
                 incarnation,
-                news,
-            } => self.news(router, incarnation, news),
+                rollout_status,
+            } => self.rollout_status(router, incarnation, rollout_status),
             Happening::ListServed {
                 router,
                 incarnation,
@@ -392,11 +392,12 @@
             me: RouterId(router as u32),
             ..settings::service_terms(self.terms.routers, self.members[router].place.zone)
         };
-        let (now, entries) = (self.now, self.discovery[region].whole());
+        let (now, entries) = (self.now, self.discovery[region].complete());
         let member = &mut self.members[router];
         (member.router, member.up) = (Router::start(terms, seed, now), true);
-        (member.incarnation, member.following, member.told) = (member.incarnation + 1, false, None);
-        (member.push_at, member.news_at) = (now, now);
+        (member.incarnation, member.following, member.received) =
+            (member.incarnation + 1, false, None);
+        (member.push_at, member.status_at) = (now, now);
         member.open.clear();
         member.exposure = Exposure::new(settings::EXPOSURE_WINDOW, settings::EXPOSURE_SPARE);
         self.evidence.restarted(router);
@@ -416,9 +417,9 @@
                 entries: Arc::new([]),
             },
         );
-        self.tell(router, self.told[region], [0.001, 0.001]);
+        self.notify(router, self.received[region], [0.001, 0.001]);
         if self.platform_reaches(region) {
-            self.tell(router, self.platform.news(now), [0.05, 0.3]);
+            self.notify(router, self.platform.rollout_status(now), [0.05, 0.3]);
         }
     }
 
@@ -452,36 +453,36 @@
     }
 
     /// Seconds later, by chance between these two, a router has this news; none overtakes another.
-    fn tell(&mut self, router: usize, news: RolloutStatus, lag: [f64; 2]) {
+    fn notify(&mut self, router: usize, rollout_status: RolloutStatus, lag: [f64; 2]) {
         let lag = between(lag, &mut self.random);
         let member = &mut self.members[router];
-        let at = (self.now + lag).max(member.news_at + 1e-6);
-        member.news_at = at;
-        let news = RolloutStatus {
-            age: news.age + at - self.now,
-            ..news
+        let at = (self.now + lag).max(member.status_at + 1e-6);
+        member.status_at = at;
+        let rollout_status = RolloutStatus {
+            age: rollout_status.age + at - self.now,
+            ..rollout_status
         };
         self.queue.push(
             at,
             Happening::News {
                 router,
                 incarnation: member.incarnation,
-                news,
+                rollout_status,
             },
         );
     }
 
-    fn tell_all(&mut self) {
-        let news = self.platform.news(self.now);
+    fn notify_all(&mut self) {
+        let rollout_status = self.platform.rollout_status(self.now);
         for region in (0..plan::REGIONS)
             .filter(|region| self.platform_reaches(*region))
             .collect::<Vec<_>>()
         {
-            self.told[region] = news;
+            self.received[region] = rollout_status;
         }
         for router in 0..self.members.len() {
             if self.members[router].up && self.platform_reaches(self.members[router].place.region) {
-                self.tell(router, news, NEWS_LAG);
+                self.notify(router, rollout_status, STATUS_LAG);
             }
         }
     }
@@ -495,7 +496,7 @@
         self.worst_router = Worst::default();
         self.evidence.begin(self.newest.0);
         self.first_outcome = None;
-        self.tell_all();
+        self.notify_all();
         self.roll_all();
     }
 
@@ -513,7 +514,7 @@
         }
         if moved.is_some() || gone {
             self.exposure.set_cap(self.now, self.platform.cap());
-            self.tell_all();
+            self.notify_all();
             self.roll_all();
         }
         self.after(PLATFORM_STEP, Happening::PlatformStep);
@@ -529,13 +530,18 @@
 
     /// Routers that are up and were last told something else than the platform tells now.
     pub fn differing(&self) -> usize {
-        let news = self.platform.news(self.now);
-        let same = |told: RolloutStatus| {
-            (told.build, told.stage, told.phase) == (news.build, news.stage, news.phase)
+        let rollout_status = self.platform.rollout_status(self.now);
+        let same = |received: RolloutStatus| {
+            (received.build, received.stage, received.phase)
+                == (
+                    rollout_status.build,
+                    rollout_status.stage,
+                    rollout_status.phase,
+                )
         };
         self.members
             .iter()
-            .filter(|member| member.up && !member.told.is_some_and(same))
+            .filter(|member| member.up && !member.received.is_some_and(same))
             .count()
     }
 
@@ -575,8 +581,8 @@
         .collect()
 }
 
-fn between([least, most]: [f64; 2], random: &mut ChaCha8Rng) -> f64 {
-    least + (most - least) * random.random::<f64>()
+fn between([minimum, maximum]: [f64; 2], random: &mut ChaCha8Rng) -> f64 {
+    minimum + (maximum - minimum) * random.random::<f64>()
 }
 
 fn exponential(mean: f64, random: &mut ChaCha8Rng) -> f64 {
--- a/measure/src/capacity/simulation/fleet/tests.rs
+++ b/measure/src/capacity/simulation/fleet/tests.rs
@@ -7,7 +7,7 @@
         rate: 100.0,
         first_region: 0.5,
         own_hosts_only: false,
-        trial_in_first_region: false,
+        canary_in_first_region: false,
         ordinary_day: false,
         platform: settings::platform_terms(routers),
         seed: 5,
@@ -18,8 +18,8 @@
 fn rates_are_uneven_and_come_to_what_is_asked() {
     let rates = uneven_rates(&terms(200), &mut ChaCha8Rng::seed_from_u64(1));
     assert!((rates.iter().sum::<f64>() - 100.0).abs() < 1e-6);
-    let most = rates.iter().copied().fold(0.0, f64::max);
-    assert!(most > 3.0 * 0.5, "{most}");
+    let maximum = rates.iter().copied().fold(0.0, f64::max);
+    assert!(maximum > 3.0 * 0.5, "{maximum}");
 }
 
 #[test]
@@ -38,9 +38,9 @@
     let mut fleet = Fleet::new(terms(20));
     fleet.run(20.0);
     let counts = fleet.counts;
-    assert!((1_700..2_300).contains(&counts.taken), "{counts:?}");
+    assert!((1_700..2_300).contains(&counts.accepted), "{counts:?}");
     assert!(
-        counts.in_time as f64 > 0.98 * counts.taken as f64,
+        counts.in_time as f64 > 0.98 * counts.accepted as f64,
         "{counts:?}"
     );
     assert_eq!(fleet.differing(), 0);
@@ -79,7 +79,7 @@
         fleet
             .discovery
             .iter()
-            .map(|of| of.whole().len())
+            .map(|of| of.complete().len())
             .collect::<Vec<_>>(),
         [18, 18]
     );
@@ -90,7 +90,7 @@
         fleet
             .discovery
             .iter()
-            .map(|of| of.whole().len())
+            .map(|of| of.complete().len())
             .collect::<Vec<_>>(),
         [20, 20]
     );
--- a/measure/src/capacity/simulation/hosts.rs
+++ b/measure/src/capacity/simulation/hosts.rs
@@ -17,7 +17,7 @@
 const PLACES: usize = 2;
 /// Mean seconds of work for a dispatch at a warm process; exponential above a least part.
 const WORK: f64 = 0.06;
-const LEAST_WORK: f64 = 0.02;
+const MIN_WORK: f64 = 0.02;
 
 /// How well a build answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -254,7 +254,7 @@
         while process.busy.peek().is_some_and(|done| done.0 <= now_nanos) {
             process.busy.pop();
         }
-        let drawn = LEAST_WORK - (WORK - LEAST_WORK) * (1.0 - random.random::<f64>()).ln();
+        let drawn = MIN_WORK - (WORK - MIN_WORK) * (1.0 - random.random::<f64>()).ln();
         let work = drawn * process.quality.slower / warmth;
         // Places are taken up in their order: the earliest to fall free is the next one's.
         let free = process.busy.len() < PLACES;
--- a/measure/src/capacity/simulation/network/tests.rs
+++ b/measure/src/capacity/simulation/network/tests.rs
@@ -14,8 +14,8 @@
             .filter(|_| network.datagram(HERE, to, random).is_some())
             .count()
     };
-    let whole = arrive(&network, FAR, &mut random);
-    assert!((9_960..10_000).contains(&whole), "{whole}");
+    let complete = arrive(&network, FAR, &mut random);
+    assert!((9_960..10_000).contains(&complete), "{complete}");
     network.partition(true);
     assert_eq!(arrive(&network, FAR, &mut random), 0);
     assert!(arrive(&network, NEXT_ZONE, &mut random) > 9_960);
--- a/measure/src/capacity/simulation/platform.rs
+++ b/measure/src/capacity/simulation/platform.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    pub fn news(&self, now: f64) -> RolloutStatus {
+    pub fn rollout_status(&self, now: f64) -> RolloutStatus {
         RolloutStatus {
             outcome: AttemptOutcome::Succeeded,
             build: self.build,
--- a/measure/src/capacity/simulation/scenario/mod.rs
+++ b/measure/src/capacity/simulation/scenario/mod.rs
@@ -83,7 +83,7 @@
 
 /// A build on trial, and what became of it.
 #[derive(Clone, Debug)]
-pub struct Trial {
+pub struct CanaryRun {
     pub when: When,
     /// Seconds into the run.
     pub offered: f64,
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug)]
 pub struct Played {
     pub scenario: Scenario,
-    pub trials: Vec<Trial>,
+    pub canary_runs: Vec<CanaryRun>,
     /// Offers that were left out, as the build before was still on trial or going back.
     pub left_out: Vec<When>,
     pub counts: Counts,
@@ -122,7 +122,7 @@
     pub took: f64,
 }
 
-impl Trial {
+impl CanaryRun {
     /// Whether it went as its build deserves.
     pub fn is_right(&self, bad: bool) -> bool {
         let right = if bad {
@@ -136,13 +136,13 @@
 
 impl Played {
     /// Whether a build that met the failure, or was offered during it, was decided on only after its end.
-    pub fn waited(&self, trial: &Trial) -> bool {
+    pub fn waited(&self, canary: &CanaryRun) -> bool {
         let ends = BEGINS + self.scenario.lasts;
-        let meets = matches!(trial.when, When::AsItBegins | When::During);
+        let meets = matches!(canary.when, When::AsItBegins | When::During);
         meets
-            && trial
+            && canary
                 .decided
-                .is_none_or(|(_, time)| trial.offered + time > ends)
+                .is_none_or(|(_, time)| canary.offered + time > ends)
     }
 }
 
@@ -170,11 +170,11 @@
     scenario: Scenario,
     fleet: Fleet,
     start: f64,
-    open: Option<(Trial, Begun)>,
+    open: Option<(CanaryRun, Begun)>,
     next: usize,
     /// Seconds into the run at which the last build was decided.
     closed_at: f64,
-    trials: Vec<Trial>,
+    canary_runs: Vec<CanaryRun>,
     left_out: Vec<When>,
 }
 
@@ -183,7 +183,7 @@
     let began = std::time::Instant::now();
     let fleet = Fleet::new(scenario.fleet.clone());
     let start = fleet.now;
-    let (trials, left_out) = (vec![], vec![]);
+    let (canary_runs, left_out) = (vec![], vec![]);
     let mut play = Play {
         scenario,
         fleet,
@@ -191,20 +191,20 @@
         open: None,
         next: 0,
         closed_at: 0.0,
-        trials,
+        canary_runs,
         left_out,
     };
     play.play_out();
     let Play {
         scenario,
         fleet,
-        trials,
+        canary_runs,
         left_out,
         ..
     } = play;
     Played {
         scenario,
-        trials,
+        canary_runs,
         left_out,
         counts: fleet.counts,
         worst_cold: fleet.worst_cold(),
@@ -277,37 +277,37 @@
 
     /// Looks at the build on trial.
     fn look(&mut self, at: f64) {
-        let Some((mut trial, begun)) = self.open.take() else {
+        let Some((mut canary, begun)) = self.open.take() else {
             return;
         };
         let (platform, now) = (self.fleet.platform(), self.fleet.now);
         let standing = [Vote::Promote, Vote::RollBack].map(|vote| platform.standing(vote, now));
-        for (most, standing) in trial.standing.iter_mut().zip(standing) {
-            *most = standing.max(*most);
+        for (maximum, standing) in canary.standing.iter_mut().zip(standing) {
+            *maximum = standing.max(*maximum);
         }
         match platform.phase() {
-            Phase::Canary => self.open = Some((trial, begun)),
+            Phase::Canary => self.open = Some((canary, begun)),
             phase => {
-                let decided = Some((phase, at - trial.offered));
-                self.close((trial, begun), decided);
+                let decided = Some((phase, at - canary.offered));
+                self.close((canary, begun), decided);
             }
         }
     }
 
-    fn close(&mut self, (mut trial, begun): (Trial, Begun), decided: Option<(Phase, f64)>) {
+    fn close(&mut self, (mut canary, begun): (CanaryRun, Begun), decided: Option<(Phase, f64)>) {
         let fleet = &self.fleet;
         self.closed_at = fleet.now - self.start;
-        trial.decided = decided;
-        trial.stage = fleet.platform().stage();
-        trial.exposure_once = fleet.exposure.spare_once;
-        trial.exposure_each = fleet.exposure.spare_each;
-        trial.exposure_router = fleet.worst_router;
-        trial.cast = fleet.platform().cast - begun.cast;
-        trial.turned_away = fleet.platform().turned_away - begun.turned_away;
-        trial.unheard = fleet.counts.votes_unheard - begun.unheard;
+        canary.decided = decided;
+        canary.stage = fleet.platform().stage();
+        canary.exposure_once = fleet.exposure.spare_once;
+        canary.exposure_each = fleet.exposure.spare_each;
+        canary.exposure_router = fleet.worst_router;
+        canary.cast = fleet.platform().cast - begun.cast;
+        canary.turned_away = fleet.platform().turned_away - begun.turned_away;
+        canary.unheard = fleet.counts.votes_unheard - begun.unheard;
         let first = fleet.first_outcome.unwrap_or(fleet.now);
-        trial.reached = fleet.reach(PARTS).map(|time| time.map(|time| time - first));
-        self.trials.push(trial);
+        canary.reached = fleet.reach(PARTS).map(|time| time.map(|time| time - first));
+        self.canary_runs.push(canary);
     }
 
     fn offer_next(&mut self, at: f64, ends: f64) {
@@ -345,7 +345,7 @@
             turned_away,
             unheard: self.fleet.counts.votes_unheard,
         };
-        let trial = Trial {
+        let canary = CanaryRun {
             when,
             offered: at,
             decided: None,
@@ -360,6 +360,6 @@
             reached: [None; PARTS.len()],
         };
         self.fleet.offer(if self.scenario.bad { BAD } else { GOOD });
-        self.open = Some((trial, begun));
+        self.open = Some((canary, begun));
     }
 }
--- a/measure/src/capacity/simulation/scenario/tests.rs
+++ b/measure/src/capacity/simulation/scenario/tests.rs
@@ -8,7 +8,7 @@
         rate: 100.0,
         first_region: 0.5,
         own_hosts_only: false,
-        trial_in_first_region: false,
+        canary_in_first_region: false,
         ordinary_day: false,
         platform: settings::platform_terms(20),
         seed: 3,
@@ -27,8 +27,12 @@
     let run = |seed| {
         let mut scenario = small(Failure::RackLost, false);
         scenario.fleet.seed = seed;
-        let Played { trials, counts, .. } = play(scenario);
-        format!("{trials:?} {counts:?}")
+        let Played {
+            canary_runs,
+            counts,
+            ..
+        } = play(scenario);
+        format!("{canary_runs:?} {counts:?}")
     };
     let first = run(3);
     assert_eq!(first, run(3));
@@ -41,16 +45,16 @@
         let played = play(small(Failure::RackLost, bad));
         let ends = [When::Before, When::After].map(|when| {
             played
-                .trials
+                .canary_runs
                 .iter()
-                .find(|trial| trial.when == when)
+                .find(|canary| canary.when == when)
                 .expect("it was offered")
                 .is_right(bad)
         });
-        assert_eq!(ends, [true; 2], "{:?}", played.trials);
+        assert_eq!(ends, [true; 2], "{:?}", played.canary_runs);
         assert_eq!(played.differing, 0);
         assert!(
-            played.counts.in_time as f64 > 0.9 * played.counts.taken as f64,
+            played.counts.in_time as f64 > 0.9 * played.counts.accepted as f64,
             "{:?}",
             played.counts
         );
--- a/measure/src/capacity/simulation/scenarios.rs
+++ b/measure/src/capacity/simulation/scenarios.rs
@@ -18,7 +18,7 @@
     lasts: f64,
     first_region: f64,
     own_hosts_only: bool,
-    trial_in_first_region: bool,
+    canary_in_first_region: bool,
     /// So many services' hosts in one list, at full size.
     services: usize,
 }
@@ -37,14 +37,14 @@
 };
 
 const fn case(name: &'static str, failure: Failure, lasts: f64) -> Case {
-    let (own_hosts_only, trial_in_first_region) = (false, false);
+    let (own_hosts_only, canary_in_first_region) = (false, false);
     Case {
         name,
         failure,
         lasts,
         first_region: 0.5,
         own_hosts_only,
-        trial_in_first_region,
+        canary_in_first_region,
         services: 1,
     }
 }
@@ -56,7 +56,7 @@
         ..case("rack, long list", Failure::RackLost, 60.0)
     },
     Case {
-        trial_in_first_region: true,
+        canary_in_first_region: true,
         ..case(
             "apart, trial in one region, platform heard by both",
             EVERYWHERE,
@@ -120,7 +120,7 @@
         rate,
         first_region: case.first_region,
         own_hosts_only: case.own_hosts_only,
-        trial_in_first_region: case.trial_in_first_region,
+        canary_in_first_region: case.canary_in_first_region,
         ordinary_day: true,
         platform: settings::platform_terms(routers),
         seed: SEED,
@@ -148,10 +148,10 @@
 ];
 
 pub fn probes(small: bool) -> Vec<Probe> {
-    let taken = PROBES
+    let accepted = PROBES
         .iter()
         .filter(|probe| !small || probe.0 < plan::ROUTERS);
-    taken
+    accepted
         .map(|(routers, injected, apart)| Probe {
             routers: *routers,
             injected: *injected,
--- a/measure/src/capacity/simulation/tables.rs
+++ b/measure/src/capacity/simulation/tables.rs
@@ -4,7 +4,7 @@
 
 use super::evidence_probe::{Probe, Reached};
 use super::exposure::Worst;
-use super::scenario::{Played, Trial};
+use super::scenario::{CanaryRun, Played};
 use crate::report::Report;
 
 /// Bytes a second that a router may spend on messages, both ways.
@@ -58,9 +58,9 @@
         "back"
     );
     played
-        .trials
+        .canary_runs
         .iter()
-        .for_each(|trial| print_trial(trial, scenario.bad));
+        .for_each(|canary| print_canary_run(canary, scenario.bad));
     for when in &played.left_out {
         println!(
             "  {:<12} not offered: the build before was not done with",
@@ -74,8 +74,8 @@
         a_second(counts.bytes_sent),
         a_second(counts.messages_received),
         a_second(counts.bytes_received),
-        counts.in_time as f64 / counts.taken.max(1) as f64,
-        counts.throttled as f64 / counts.taken.max(1) as f64
+        counts.in_time as f64 / counts.accepted.max(1) as f64,
+        counts.throttled as f64 / counts.accepted.max(1) as f64
     );
     println!(
         "  cold hosts at most {:.2} of what they bear; at builds taken back: {} by routers told, {} not yet told, {} cut off; {} restarts; {} routers differ at the end",
@@ -88,34 +88,34 @@
     );
 }
 
-fn print_trial(trial: &Trial, bad: bool) {
-    let became = match trial.decided {
+fn print_canary_run(canary: &CanaryRun, bad: bool) {
+    let became = match canary.decided {
         Some((Phase::Released, _)) => "let on",
         Some(_) => "back",
         None => "undecided",
     };
     println!(
         "  {:<12} {:>7.1} {:>10} {:>7} {:>5} {:>9.2} {:>9.2} {:>6} {:>6} {:>7} {:>5} {:>5} {}   {}{}",
-        format!("{:?}", trial.when),
-        trial.offered,
+        format!("{:?}", canary.when),
+        canary.offered,
         became,
-        seconds(trial.decided.map(|(_, time)| time)),
-        trial.stage,
-        trial.exposure_once.ratio,
-        trial.exposure_each.ratio,
-        trial.cast,
-        trial.turned_away,
-        trial.unheard,
-        trial.standing[0],
-        trial.standing[1],
-        all_seconds(&trial.reached),
-        worst(&trial.exposure_once),
-        if trial.is_right(bad) { "" } else { "   SHORT" }
+        seconds(canary.decided.map(|(_, time)| time)),
+        canary.stage,
+        canary.exposure_once.ratio,
+        canary.exposure_each.ratio,
+        canary.cast,
+        canary.turned_away,
+        canary.unheard,
+        canary.standing[0],
+        canary.standing[1],
+        all_seconds(&canary.reached),
+        worst(&canary.exposure_once),
+        if canary.is_right(bad) { "" } else { "   SHORT" }
     );
 }
 
 fn worst(worst: &Worst) -> String {
-    format!("{}/{} cap {}", worst.sent, worst.taken, worst.cap)
+    format!("{}/{} cap {}", worst.sent, worst.accepted, worst.cap)
 }
 
 /// A table of how long evidence takes to reach everyone.
@@ -146,79 +146,79 @@
 pub fn verdict(all: &[Played], probes: &[(Probe, Reached)], left_out: usize) -> bool {
     let mut report = Report::new("capacity-simulation");
     let fleets = || all.iter().map(|played| &played.scenario.fleet);
-    report.tell(
+    report.record(
         "routers",
         "routers",
         fleets().map(|fleet| fleet.routers).max().unwrap_or(0),
     );
-    report.tell(
+    report.record(
         "hosts",
         "hosts",
         fleets().map(|fleet| fleet.machines).min().unwrap_or(0),
     );
-    report.tell(
+    report.record(
         "long_list",
         "hosts of the longest list",
         fleets().map(|fleet| fleet.machines).max().unwrap_or(0),
     );
-    report.tell("scenarios", "scenarios", all.len());
-    report.never(
+    report.record("scenarios", "scenarios", all.len());
+    report.check_none(
         "left_out",
         "scenarios and probes left out, as the time was up",
         left_out as u64,
     );
     judged(&mut report, all, false);
     judged(&mut report, all, true);
-    let trials = || all.iter().flat_map(|played| &played.trials);
+    let canary_runs = || all.iter().flat_map(|played| &played.canary_runs);
     let moved_on = |played: &&Played| played.scenario.bad;
     let moved_on = all
         .iter()
         .filter(moved_on)
-        .flat_map(|played| &played.trials)
-        .filter(|trial| trial.stage > 0);
-    report.tell(
+        .flat_map(|played| &played.canary_runs)
+        .filter(|canary| canary.stage > 0);
+    report.record(
         "bad_moved_on",
         "bad builds that were moved on before they were voted back",
         moved_on.count(),
     );
     let waited = |played: &Played| {
         played
-            .trials
+            .canary_runs
             .iter()
-            .filter(|trial| played.waited(trial))
+            .filter(|canary| played.waited(canary))
             .count()
     };
-    report.tell(
+    report.record(
         "waited",
         "builds that were decided on only after the failure",
         all.iter().map(waited).sum::<usize>(),
     );
-    let most = |of: fn(&Trial) -> f64| trials().map(of).fold(0.0, f64::max);
-    report.most(
+    let maximum = |of: fn(&CanaryRun) -> f64| canary_runs().map(of).fold(0.0, f64::max);
+    report.check_at_most(
         "exposure_each",
         "exposure over the cap, spare for each router",
-        most(|t| t.exposure_each.ratio),
+        maximum(|t| t.exposure_each.ratio),
         1.0,
     );
-    report.most(
+    report.check_at_most(
         "exposure_router",
         "exposure over the cap, of the worst router",
-        most(|t| t.exposure_router.ratio),
+        maximum(|t| t.exposure_router.ratio),
         1.0,
     );
-    report.tell(
+    report.record(
         "exposure_once",
         "exposure over the cap, spare counted once for all",
-        format!("{:.2}", most(|t| t.exposure_once.ratio)),
+        format!("{:.2}", maximum(|t| t.exposure_once.ratio)),
     );
     let back = all.iter().map(|played| played.counts.after_back[0]).sum();
-    report.never(
+    report.check_none(
         "after_back",
         "dispatches at a build by routers told of its end",
         back,
     );
     let differing = all.iter().map(|played| played.differing as u64).sum();
-    report.never(
+    report.check_none(
         "differing",
         "routers that differ from the platform at the end",
         differing,
@@ -227,7 +227,7 @@
         .iter()
         .map(|played| played.worst_cold)
         .fold(0.0, f64::max);
-    report.most(
+    report.check_at_most(
         "cold",
         "dispatches at a cold host over what it bears",
         cold,
@@ -238,40 +238,42 @@
         (counts.bytes_sent + counts.bytes_received) as f64 / counts.router_seconds.max(1.0)
     };
     let bytes = all.iter().map(bytes).fold(0.0, f64::max);
-    report.most(
+    report.check_at_most(
         "bytes",
         "bytes a router a second, both ways",
         bytes,
         BYTES_A_SECOND,
     );
-    let cast = trials().map(|trial| trial.cast).sum::<usize>();
-    let away = trials().map(|trial| trial.turned_away).sum::<usize>();
-    report.tell("votes", "votes cast", cast);
-    report.tell("votes_away", "of them turned away", away);
-    let whole = probes
+    let cast = canary_runs().map(|canary| canary.cast).sum::<usize>();
+    let away = canary_runs()
+        .map(|canary| canary.turned_away)
+        .sum::<usize>();
+    report.record("votes", "votes cast", cast);
+    report.record("votes_away", "of them turned away", away);
+    let complete = probes
         .iter()
         .filter(|(probe, _)| probe.apart.is_none() && probe.injected == 1);
-    if let Some((probe, reached)) = whole.max_by_key(|(probe, _)| probe.routers) {
-        report.tell(
+    if let Some((probe, reached)) = complete.max_by_key(|(probe, _)| probe.routers) {
+        report.record(
             "evidence_routers",
             "routers of the widest probe",
             probe.routers,
         );
-        report.tell(
+        report.record(
             "evidence_99",
             "s until evidence of one has reached 99 in 100",
             seconds(reached.half[2]),
         );
-        report.tell(
+        report.record(
             "evidence_100",
             "s until it has reached all",
             seconds(reached.half[3]),
         );
     }
     let throttled =
-        |played: &Played| played.counts.throttled as f64 / played.counts.taken.max(1) as f64;
+        |played: &Played| played.counts.throttled as f64 / played.counts.accepted.max(1) as f64;
     let throttled = all.iter().map(throttled).fold(0.0, f64::max);
-    report.tell(
+    report.record(
         "throttled",
         "of all invocations throttled, at most",
         format!("{throttled:.4}"),
@@ -281,14 +283,14 @@
 
 fn judged(report: &mut Report, all: &[Played], bad: bool) {
     let of = all.iter().filter(|played| played.scenario.bad == bad);
-    let trials: Vec<_> = of.flat_map(|played| &played.trials).collect();
-    let right = trials.iter().filter(|trial| trial.is_right(bad));
+    let canary_runs: Vec<_> = of.flat_map(|played| &played.canary_runs).collect();
+    let right = canary_runs.iter().filter(|canary| canary.is_right(bad));
     let slowest = right
         .clone()
-        .filter_map(|trial| trial.decided)
+        .filter_map(|canary| canary.decided)
         .map(|(_, time)| time)
         .fold(0.0, f64::max);
-    let (right, offered) = (right.count(), trials.len());
+    let (right, offered) = (right.count(), canary_runs.len());
     let (key, what, slow_key, slow) = if bad {
         (
             "voted_back",
@@ -304,12 +306,12 @@
             "s until the slowest of them was",
         )
     };
-    report.ask(
+    report.check(
         key,
         what,
         format!("{right}/{offered}"),
         "all",
         right == offered,
     );
-    report.tell(slow_key, slow, format!("{slowest:.1}"));
+    report.record(slow_key, slow, format!("{slowest:.1}"));
 }
--- a/measure/src/capacity/slopes/by_clients.rs
+++ b/measure/src/capacity/slopes/by_clients.rs
@@ -31,19 +31,19 @@
         Role::Router,
         "resident memory, MB",
         |of| of.resident_mb,
-        Some(plan::MEMORY_MB_MOST),
+        Some(plan::MAX_MEMORY_MB),
     ),
     Figure::new(
         Role::Router,
         "processor at rest, % of a core",
         |of| of.idle_percent,
-        Some(plan::CORE_PERCENT_MOST),
+        Some(plan::MAX_CORE_PERCENT),
     ),
     Figure::new(
         Role::Router,
         "processor, us a request",
         |of| of.request_us,
-        Some(plan::request_micros_most()),
+        Some(plan::max_request_micros()),
     ),
     Figure::new(
         Role::Router,
@@ -71,13 +71,13 @@
         Role::Router,
         "resident memory, MB",
         |of| of.resident_mb,
-        Some(plan::MEMORY_MB_MOST),
+        Some(plan::MAX_MEMORY_MB),
     ),
     Figure::new(
         Role::Router,
         "processor, us a request, at five times the peak",
         |of| of.request_us,
-        Some(plan::request_micros_most()),
+        Some(plan::max_request_micros()),
     ),
 ];
 
@@ -117,7 +117,7 @@
         ..
     } = requests;
     assert!(
-        refused_part + lost_part <= sizes.lost_most,
+        refused_part + lost_part <= sizes.max_lost_per_request,
         "for each request that was served {refused_part:.2} were refused and {lost_part:.2} lost"
     );
     requests
--- a/measure/src/capacity/slopes/by_hosts.rs
+++ b/measure/src/capacity/slopes/by_hosts.rs
@@ -11,7 +11,7 @@
 use super::requests::requests;
 use super::servers::{Amount, Kind};
 use super::site::{
-    ANSWER, Around, CLIENTS, ON_TRIAL, Plan, RELEASED, core_percent, cpu_of, memory_of, wait,
+    ANSWER, Around, CANARY_ROLLOUT, CLIENTS, Plan, RELEASED, core_percent, cpu_of, memory_of, wait,
 };
 use super::sizes::Sizes;
 
@@ -33,22 +33,22 @@
     direct_ms_99: f64,
     new_connections_per_s: f64,
     one_host_us: f64,
-    whole_list_us: f64,
-    news_us: f64,
+    complete_list_us: f64,
+    status_us: f64,
     reread_us: f64,
     ready_ms: f64,
     one_host_ms: f64,
-    whole_list_ms: f64,
+    complete_list_ms: f64,
     reread_ms: f64,
-    whole_list_bytes: f64,
+    complete_list_bytes: f64,
     one_host_bytes: f64,
     restart_watch_bytes: f64,
-    restart_ask_bytes: f64,
+    restart_request_bytes: f64,
 }
 
-const CORE: Option<f64> = Some(plan::CORE_PERCENT_MOST);
-const MEMORY: Option<f64> = Some(plan::MEMORY_MB_MOST);
-const IN_FORCE_MS: Option<f64> = Some(plan::IN_FORCE_S_MOST * 1e3);
+const CORE: Option<f64> = Some(plan::MAX_CORE_PERCENT);
+const MEMORY: Option<f64> = Some(plan::MAX_MEMORY_MB);
+const IN_FORCE_MS: Option<f64> = Some(plan::MAX_IN_FORCE_S * 1e3);
 
 const FIGURES: [Figure<Measured>; 22] = [
     Figure::new(
@@ -79,7 +79,7 @@
         Role::Router,
         "processor, us a request",
         |of| of.request_us,
-        Some(plan::request_micros_most()),
+        Some(plan::max_request_micros()),
     ),
     Figure::new(
         Role::Router,
@@ -91,13 +91,13 @@
         Role::Router,
         "added to a request, ms, median",
         |of| of.added_ms,
-        Some(plan::ADDED_MS_MOST),
+        Some(plan::MAX_ADDED_MS),
     ),
     Figure::new(
         Role::Router,
         "added to a request, ms, 99 in 100",
         |of| of.added_ms_99,
-        Some(plan::ADDED_MS_MOST),
+        Some(plan::MAX_ADDED_MS),
     ),
     Figure::new(
         Role::Router,
@@ -114,13 +114,13 @@
     Figure::new(
         Role::Router,
         "processor, us a whole list",
-        |of| of.whole_list_us,
+        |of| of.complete_list_us,
         None,
     ),
     Figure::new(
         Role::Router,
         "processor, us a news of a rollout",
-        |of| of.news_us,
+        |of| of.status_us,
         None,
     ),
     Figure::new(
@@ -139,7 +139,7 @@
     Figure::new(
         Role::Router,
         "a whole list in force, ms",
-        |of| of.whole_list_ms,
+        |of| of.complete_list_ms,
         IN_FORCE_MS,
     ),
     Figure::new(
@@ -151,7 +151,7 @@
     Figure::new(
         Role::Discovery,
         "bytes of a whole list",
-        |of| of.whole_list_bytes,
+        |of| of.complete_list_bytes,
         None,
     ),
     Figure::new(
@@ -169,7 +169,7 @@
     Figure::new(
         Role::Discovery,
         "bytes for a restart that asks",
-        |of| of.restart_ask_bytes,
+        |of| of.restart_request_bytes,
         None,
     ),
     Figure::new(
@@ -198,7 +198,7 @@
     events(&around, &program, sizes, &mut measured);
     drop((program, around));
     measured.restart_watch_bytes = restart(hosts, false);
-    measured.restart_ask_bytes = restart(hosts, true);
+    measured.restart_request_bytes = restart(hosts, true);
     measured
 }
 
@@ -253,20 +253,22 @@
     });
     (measured.one_host_us, measured.one_host_ms) = one;
     measured.one_host_bytes = bytes(Kind::Changes, before);
-    let before = discovery.sent(Kind::Whole);
-    let whole = timed(program, measured.idle_percent, count.div_ceil(4), |_| {
-        let rev = discovery.tell_whole();
+    let before = discovery.sent(Kind::Complete);
+    let complete = timed(program, measured.idle_percent, count.div_ceil(4), |_| {
+        let rev = discovery.publish_complete();
         program.wait_for_log(&format!("rev: {rev},"));
     });
-    (measured.whole_list_us, measured.whole_list_ms) = whole;
-    measured.whole_list_bytes = bytes(Kind::Whole, before);
-    let news = timed(program, measured.idle_percent, count, |number| {
-        around
-            .platform
-            .publish(if number % 2 == 0 { ON_TRIAL } else { RELEASED });
+    (measured.complete_list_us, measured.complete_list_ms) = complete;
+    measured.complete_list_bytes = bytes(Kind::Complete, before);
+    let rollout_status = timed(program, measured.idle_percent, count, |number| {
+        around.platform.publish(if number % 2 == 0 {
+            CANARY_ROLLOUT
+        } else {
+            RELEASED
+        });
         program.wait_for_log("platform, ");
     });
-    measured.news_us = news.0;
+    measured.status_us = rollout_status.0;
     let text = around.config();
     let reread = timed(program, measured.idle_percent, count.div_ceil(4), |_| {
         program.reload(&text);
@@ -291,9 +293,9 @@
 }
 
 /// Bytes that discovery sends to a router that starts with the list it saw last, of which nothing has changed.
-fn restart(hosts: usize, asks_lists: bool) -> f64 {
+fn restart(hosts: usize, polls_list: bool) -> f64 {
     let around = Around::start(Plan {
-        asks_lists,
+        polls_list,
         silent: true,
         ..Plan::new(hosts, 1)
     });
--- a/measure/src/capacity/slopes/by_peers.rs
+++ b/measure/src/capacity/slopes/by_peers.rs
@@ -7,8 +7,8 @@
 use super::requests::requests;
 use super::servers::{Amount, Kind};
 use super::site::{
-    ANSWER, Around, BASELINE, CANARY, CLIENTS, ON_TRIAL, Plan, core_percent, cpu_of, memory_of,
-    wait,
+    ANSWER, Around, BASELINE, CANARY, CANARY_ROLLOUT, CLIENTS, Plan, core_percent, cpu_of,
+    memory_of, wait,
 };
 use super::sizes::Sizes;
 
@@ -16,7 +16,7 @@
 /// Messages that are averaged.
 const FLOOD: usize = 2000;
 /// Seconds after which figures of a trial are as they stay: also votes of routers that see no requests have come.
-const TRIAL_BEGINS_S: f64 = 1.5;
+const CANARY_BEGINS_S: f64 = 1.5;
 
 /// Messages and bytes a second at the sockets of one router's neighbours.
 #[derive(Clone, Copy, Debug, Default)]
@@ -25,7 +25,7 @@
     gossip_out: Amount,
     lists: Amount,
     watches: Amount,
-    rollout_news: Amount,
+    rollout_updates: Amount,
     signs_of_life: Amount,
     votes: Amount,
 }
@@ -38,7 +38,7 @@
             gossip_out,
             lists,
             watches,
-            rollout_news,
+            rollout_updates,
             signs_of_life,
             votes,
         } = self;
@@ -47,7 +47,7 @@
             gossip_out,
             lists,
             watches,
-            rollout_news,
+            rollout_updates,
             signs_of_life,
             votes,
         ]
@@ -62,38 +62,38 @@
     resident_mb: f64,
     idle_percent: f64,
     request_us: f64,
-    trial_request_us: f64,
+    canary_request_us: f64,
     message_us: f64,
     rest: PerSecond,
-    trial: PerSecond,
+    canary: PerSecond,
 }
 
-const BYTES: Option<f64> = Some(plan::BYTES_PER_S_MOST);
+const BYTES: Option<f64> = Some(plan::MAX_BYTES_PER_S);
 
 const FIGURES: [Figure<Measured>; 21] = [
     Figure::new(
         Role::Router,
         "resident memory, MB",
         |of| of.resident_mb,
-        Some(plan::MEMORY_MB_MOST),
+        Some(plan::MAX_MEMORY_MB),
     ),
     Figure::new(
         Role::Router,
         "processor at rest, % of a core",
         |of| of.idle_percent,
-        Some(plan::CORE_PERCENT_MOST),
+        Some(plan::MAX_CORE_PERCENT),
     ),
     Figure::new(
         Role::Router,
         "processor, us a request",
         |of| of.request_us,
-        Some(plan::request_micros_most()),
+        Some(plan::max_request_micros()),
     ),
     Figure::new(
         Role::Router,
         "processor, us a request, on trial",
-        |of| of.trial_request_us,
-        Some(plan::request_micros_most()),
+        |of| of.canary_request_us,
+        Some(plan::max_request_micros()),
     ),
     Figure::new(
         Role::Router,
@@ -110,7 +110,7 @@
     Figure::new(
         Role::Router,
         "control on trial, bytes/s both ways",
-        |of| of.trial.bytes(),
+        |of| of.canary.bytes(),
         BYTES,
     ),
     Figure::new(
@@ -128,13 +128,13 @@
     Figure::new(
         Role::Router,
         "gossip received on trial, bytes/s",
-        |of| of.trial.gossip_in.bytes,
+        |of| of.canary.gossip_in.bytes,
         BYTES,
     ),
     Figure::new(
         Role::Router,
         "gossip sent on trial, bytes/s",
-        |of| of.trial.gossip_out.bytes,
+        |of| of.canary.gossip_out.bytes,
         BYTES,
     ),
     Figure::new(
@@ -152,13 +152,13 @@
     Figure::new(
         Role::Router,
         "gossip received on trial, messages/s",
-        |of| of.trial.gossip_in.messages,
+        |of| of.canary.gossip_in.messages,
         None,
     ),
     Figure::new(
         Role::Router,
         "gossip sent on trial, messages/s",
-        |of| of.trial.gossip_out.messages,
+        |of| of.canary.gossip_out.messages,
         None,
     ),
     Figure::new(
@@ -170,7 +170,7 @@
     Figure::new(
         Role::Router,
         "endpoint lists on trial, bytes/s",
-        |of| of.trial.lists.bytes,
+        |of| of.canary.lists.bytes,
         BYTES,
     ),
     Figure::new(
@@ -182,19 +182,19 @@
     Figure::new(
         Role::Platform,
         "rollout news to a router on trial, bytes/s",
-        |of| of.trial.rollout_news.bytes,
+        |of| of.canary.rollout_updates.bytes,
         None,
     ),
     Figure::new(
         Role::Platform,
         "votes of a router and answers, bytes/s",
-        |of| of.trial.votes.bytes,
+        |of| of.canary.votes.bytes,
         None,
     ),
     Figure::new(
         Role::Platform,
         "votes of a router and answers, messages/s",
-        |of| of.trial.votes.messages,
+        |of| of.canary.votes.messages,
         None,
     ),
 ];
@@ -225,11 +225,11 @@
     around.discovery.change_all(|number, target| {
         target.build = if number % 2 == 0 { CANARY } else { BASELINE }
     });
-    around.platform.publish(ON_TRIAL);
-    wait(TRIAL_BEGINS_S);
+    around.platform.publish(CANARY_ROLLOUT);
+    wait(CANARY_BEGINS_S);
     let (before, begun) = (counted(&around), std::time::Instant::now());
-    measured.trial_request_us = per_request();
-    measured.trial = counted(&around).since(&before, begun.elapsed().as_secs_f64());
+    measured.canary_request_us = per_request();
+    measured.canary = counted(&around).since(&before, begun.elapsed().as_secs_f64());
     drop(load);
     wait(0.2);
     let mut seconds = 0.0;
@@ -256,9 +256,9 @@
     PerSecond {
         gossip_in: peers.sent.now(),
         gossip_out: peers.received.now(),
-        lists: discovery.sent(Kind::Whole) + discovery.sent(Kind::Changes),
-        watches: discovery.asked() + discovery.sent(Kind::Nothing),
-        rollout_news: platform.news.now(),
+        lists: discovery.sent(Kind::Complete) + discovery.sent(Kind::Changes),
+        watches: discovery.requests() + discovery.sent(Kind::Nothing),
+        rollout_updates: platform.rollout_status.now(),
         signs_of_life: platform.signs_of_life.now(),
         votes: platform.votes.now() + platform.vote_answers.now(),
     }
@@ -273,7 +273,7 @@
             gossip_out: each(|of| of.gossip_out),
             lists: each(|of| of.lists),
             watches: each(|of| of.watches),
-            rollout_news: each(|of| of.rollout_news),
+            rollout_updates: each(|of| of.rollout_updates),
             signs_of_life: each(|of| of.signs_of_life),
             votes: each(|of| of.votes),
         }
--- a/measure/src/capacity/slopes/by_routers.rs
+++ b/measure/src/capacity/slopes/by_routers.rs
@@ -8,7 +8,7 @@
 use kestreltide_testkit::{Program, TEST_TIMEOUT, endpoint_list, router_config};
 use tempfile::TempDir;
 
-use crate::rig;
+use crate::router_process;
 
 use super::files::{Files, operator};
 use super::growth::{By, Figure, Growth, Role, at_all_sizes, growths};
@@ -16,7 +16,8 @@
 use super::plan;
 use super::servers::{Amount, Discovery, Hosts, Kind, Platform};
 use super::site::{
-    ANSWER, BASELINE, CANARY, ON_TRIAL, RELEASED, memory_of, settings, targets, wait, wait_ready,
+    ANSWER, BASELINE, CANARY, CANARY_ROLLOUT, RELEASED, memory_of, settings, targets, wait,
+    wait_ready,
 };
 use super::sizes::Sizes;
 
@@ -45,18 +46,18 @@
     votes: Amount,
     vote_bytes: f64,
     host_connections: f64,
-    asked_bytes: f64,
+    request_bytes: f64,
     answered_bytes: f64,
 }
 
-const IN_FORCE_MS: Option<f64> = Some(plan::IN_FORCE_S_MOST * 1e3);
+const IN_FORCE_MS: Option<f64> = Some(plan::MAX_IN_FORCE_S * 1e3);
 
 const FIGURES: [Figure<Measured>; 16] = [
     Figure::new(
         Role::Router,
         "resident memory of one router, MB",
         |of| of.resident_mb,
-        Some(plan::MEMORY_MB_MOST),
+        Some(plan::MAX_MEMORY_MB),
     ),
     Figure::new(
         Role::Router,
@@ -145,7 +146,7 @@
     Figure::new(
         Role::Host,
         "bytes of a request and its answer",
-        |of| of.asked_bytes + of.answered_bytes,
+        |of| of.request_bytes + of.answered_bytes,
         None,
     ),
 ];
@@ -201,7 +202,10 @@
                 text.replace("\"settings\"", &parties)
             })
             .collect();
-        let routers: Vec<_> = configs.iter().map(|text| rig::router(text, None)).collect();
+        let routers: Vec<_> = configs
+            .iter()
+            .map(|text| router_process::start(text, None))
+            .collect();
         routers.iter().for_each(wait_ready);
         Fleet {
             routers,
@@ -242,7 +246,7 @@
     wait(0.3);
     let discovery = &fleet.discovery;
     (measured.start_bytes, measured.start_calls) =
-        (discovery.sent_all().bytes, discovery.asked().messages);
+        (discovery.sent_all().bytes, discovery.requests().messages);
     at_rest(&fleet, sizes, &mut measured);
     let before = discovery.sent(Kind::Changes);
     measured.one_host_ms = fleet.until_last(|number| {
@@ -255,7 +259,7 @@
         "the configuration was read again".into()
     });
     requests(&fleet, sizes, &mut measured);
-    on_trial(&fleet, sizes, &mut measured);
+    with_canary(&fleet, sizes, &mut measured);
     drop(fleet);
     measured.weight_ms = weight_ms(count);
     measured
@@ -264,17 +268,17 @@
 fn at_rest(fleet: &Fleet, sizes: &Sizes, measured: &mut Measured) {
     let platform = |fleet: &Fleet| {
         let counted = fleet.platform.counted();
-        counted.news.now() + counted.signs_of_life.now()
+        counted.rollout_status.now() + counted.signs_of_life.now()
     };
-    let (sent, asked, told) = (
+    let (sent, requests, received) = (
         fleet.discovery.sent_all(),
-        fleet.discovery.asked(),
+        fleet.discovery.requests(),
         platform(fleet),
     );
     let seconds = wait(sizes.fleet_s);
     measured.rest_out = fleet.discovery.sent_all().per_second(sent, seconds);
-    measured.rest_in = fleet.discovery.asked().per_second(asked, seconds);
-    measured.platform_rest = platform(fleet).per_second(told, seconds);
+    measured.rest_in = fleet.discovery.requests().per_second(requests, seconds);
+    measured.platform_rest = platform(fleet).per_second(received, seconds);
     let memory: f64 = fleet
         .routers
         .iter()
@@ -299,18 +303,18 @@
         );
         wait(0.1);
     }
-    let (asked, answered) = (counted.asked.now(), counted.answered.now());
-    measured.asked_bytes = asked.bytes / asked.messages;
+    let (requests, answered) = (counted.requests.now(), counted.answered.now());
+    measured.request_bytes = requests.bytes / requests.messages;
     measured.answered_bytes = answered.bytes / answered.messages;
     measured.host_connections = fleet.hosts.open() / HOSTS as f64;
     drop(loads);
 }
 
-fn on_trial(fleet: &Fleet, sizes: &Sizes, measured: &mut Measured) {
+fn with_canary(fleet: &Fleet, sizes: &Sizes, measured: &mut Measured) {
     fleet.discovery.change_all(|number, target| {
         target.build = if number % 2 == 0 { CANARY } else { BASELINE }
     });
-    fleet.platform.publish(ON_TRIAL);
+    fleet.platform.publish(CANARY_ROLLOUT);
     let counted = fleet.platform.counted();
     let (votes, answers) = (counted.votes.now(), counted.vote_answers.now());
     let seconds = wait(STARVED_S + 0.5 * sizes.fleet_s);
@@ -336,7 +340,7 @@
             let at = state.path().join("operator.ini");
             fs::write(&at, operator(&watched, state.path()))
                 .unwrap_or_else(|e| panic!("{} cannot be written: {e}", at.display()));
-            rig::router(&super::site::config_alone(), Some(&at))
+            router_process::start(&super::site::config_alone(), Some(&at))
         })
         .collect();
     for router in &routers {
--- a/measure/src/capacity/slopes/by_routes.rs
+++ b/measure/src/capacity/slopes/by_routes.rs
@@ -35,19 +35,19 @@
         Role::Router,
         "resident memory after the commit, MB",
         |of| of.resident_mb,
-        Some(plan::MEMORY_MB_MOST),
+        Some(plan::MAX_MEMORY_MB),
     ),
     Figure::new(
         Role::Router,
         "resident memory after a restart, MB",
         |of| of.restarted_mb,
-        Some(plan::MEMORY_MB_MOST),
+        Some(plan::MAX_MEMORY_MB),
     ),
     Figure::new(
         Role::Router,
         "processor, us a request",
         |of| of.request_us,
-        Some(plan::request_micros_most()),
+        Some(plan::max_request_micros()),
     ),
     Figure::new(
         Role::Router,
@@ -60,7 +60,7 @@
         Role::Operators,
         "a commit of all routes in force, ms",
         |of| of.commit_ms,
-        Some(plan::IN_FORCE_S_MOST * 1e3),
+        Some(plan::MAX_IN_FORCE_S * 1e3),
     ),
     Figure::new(
         Role::Operators,
--- a/measure/src/capacity/slopes/by_tenants.rs
+++ b/measure/src/capacity/slopes/by_tenants.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use crate::rig;
+use crate::router_process;
 
 use super::growth::{By, Figure, Growth, Role, at_all_sizes, growths};
 use super::plan;
@@ -25,7 +25,7 @@
         Role::Router,
         "resident memory, MB",
         |of| of.resident_mb,
-        Some(plan::MEMORY_MB_MOST),
+        Some(plan::MAX_MEMORY_MB),
     ),
     Figure::new(Role::Router, "start to ready, ms", |of| of.ready_ms, None),
 ];
@@ -43,7 +43,7 @@
     let accounts = format!("\"accounts\":[{}]", accounts.join(","));
     let text = around.config().replace("\"accounts\":[]", &accounts);
     let begun = Instant::now();
-    let program = rig::router(&text, None);
+    let program = router_process::start(&text, None);
     wait_ready(&program);
     let ready_ms = begun.elapsed().as_secs_f64() * 1e3;
     wait(0.5);
--- a/measure/src/capacity/slopes/decisions.rs
+++ b/measure/src/capacity/slopes/decisions.rs
@@ -76,7 +76,7 @@
     /// What is done five times a second, whatever comes.
     pub(super) periodic: EventCost,
     pub(super) gossip: EventCost,
-    pub(super) whole_list: EventCost,
+    pub(super) complete_list: EventCost,
     pub(super) one_host: EventCost,
 }
 
@@ -163,7 +163,7 @@
     }
 }
 
-fn news(build: BuildId, stage: u32, phase: Phase, cap: f64) -> Event {
+fn rollout_status(build: BuildId, stage: u32, phase: Phase, cap: f64) -> Event {
     let (outcome, answers_vote) = (AttemptOutcome::Succeeded, false);
     Event::RolloutStatusReceived(RolloutStatus {
         outcome,
@@ -188,7 +188,7 @@
     effects: Vec<Effect>,
     routers: u32,
     /// To whom this router's last message went, whose reply is to come.
-    asked_peer: Option<RouterId>,
+    gossip_peer: Option<RouterId>,
     /// Nothing is measured before it.
     measuring: bool,
     costs: Costs,
@@ -208,14 +208,14 @@
             next: 0,
             effects: vec![],
             routers: setting.routers,
-            asked_peer: None,
+            gossip_peer: None,
             measuring: false,
             costs: Costs::default(),
         };
-        driver.handle(news(BASELINE, 1, Phase::Released, 1.0));
-        driver.handle(whole_list(setting));
+        driver.handle(rollout_status(BASELINE, 1, Phase::Released, 1.0));
+        driver.handle(complete_list(setting));
         if setting.canary {
-            driver.handle(news(CANARY, 0, Phase::Canary, 0.6));
+            driver.handle(rollout_status(CANARY, 0, Phase::Canary, 0.6));
         }
         driver
     }
@@ -259,7 +259,7 @@
             } => self.gossip(to, payload),
             Effect::CastVote { build, stage, .. } => {
                 let (outcome, phase) = (AttemptOutcome::Succeeded, Phase::Canary);
-                let news = RolloutStatus {
+                let rollout_status = RolloutStatus {
                     outcome,
                     build,
                     stage,
@@ -268,7 +268,7 @@
                     age: 1.0,
                     answers_vote: true,
                 };
-                self.after(MESSAGE_S, Event::RolloutStatusReceived(news));
+                self.after(MESSAGE_S, Event::RolloutStatusReceived(rollout_status));
             }
             _ => {}
         }
@@ -297,11 +297,11 @@
     /// reply of this router is in its turn what comes back to the first.
     fn gossip(&mut self, to: RouterId, payload: Vec<u8>) {
         if payload.first() != Some(&REPLY) {
-            self.asked_peer = Some(to);
+            self.gossip_peer = Some(to);
             let from = RouterId(self.chance.random_range(1..self.routers));
             return self.after(MESSAGE_S, Event::GossipReceived { from, payload });
         }
-        if let Some(from) = self.asked_peer.take() {
+        if let Some(from) = self.gossip_peer.take() {
             self.after(MESSAGE_S, Event::GossipReceived { from, payload });
         }
     }
@@ -339,7 +339,7 @@
     }
 }
 
-fn whole_list(setting: Setting) -> Event {
+fn complete_list(setting: Setting) -> Event {
     let entries: Arc<[HostEntry]> = (0..setting.hosts)
         .map(|number| entry(number, setting.canary))
         .collect();
@@ -356,7 +356,7 @@
     End,
     Timer,
     Gossip,
-    WholeList,
+    CompleteList,
     Changes,
     Other,
 }
@@ -372,7 +372,7 @@
                 scope: ListScope::Delta,
                 ..
             } => Kind::Changes,
-            Event::EndpointList { .. } => Kind::WholeList,
+            Event::EndpointList { .. } => Kind::CompleteList,
             _ => Kind::Other,
         }
     }
@@ -384,7 +384,7 @@
             Kind::End => Some(&mut costs.ended),
             Kind::Timer => Some(&mut costs.periodic),
             Kind::Gossip => Some(&mut costs.gossip),
-            Kind::WholeList => Some(&mut costs.whole_list),
+            Kind::CompleteList => Some(&mut costs.complete_list),
             Kind::Changes => Some(&mut costs.one_host),
             Kind::Other => None,
         }
@@ -402,7 +402,7 @@
     driver.measuring = true;
     driver.serve(setting.requests, warm_up);
     for number in 0..LISTS as u64 {
-        driver.handle(whole_list(setting));
+        driver.handle(complete_list(setting));
         let changed = entry(number % setting.hosts, setting.canary);
         for state in [HostState::Stopping, HostState::Running] {
             let entries: Arc<[HostEntry]> = [HostEntry { state, ..changed }].into();
--- a/measure/src/capacity/slopes/files.rs
+++ b/measure/src/capacity/slopes/files.rs
@@ -11,7 +11,7 @@
 use kestreltide_testkit::Program;
 use tempfile::TempDir;
 
-use crate::rig;
+use crate::router_process;
 
 use super::growth::{By, Figure, Growth, Role, at_all_sizes, growths};
 use super::plan;
@@ -40,7 +40,7 @@
         Role::Router,
         "resident memory with watched files, MB",
         |of| of.resident_mb,
-        Some(plan::MEMORY_MB_MOST),
+        Some(plan::MAX_MEMORY_MB),
     ),
     Figure::new(
         Role::Router,
@@ -58,7 +58,7 @@
         Role::Router,
         "one weight in force, ms",
         |of| of.revision_ms,
-        Some(plan::IN_FORCE_S_MOST * 1e3),
+        Some(plan::MAX_IN_FORCE_S * 1e3),
     ),
     Figure::new(
         Role::Operators,
@@ -87,7 +87,7 @@
         Role::Router,
         "resident memory, MB",
         |of| of.resident_mb,
-        Some(plan::MEMORY_MB_MOST),
+        Some(plan::MAX_MEMORY_MB),
     ),
     Figure::new(
         Role::Router,
@@ -99,7 +99,7 @@
         Role::Router,
         "one weight in force, ms",
         |of| of.revision_ms,
-        Some(plan::IN_FORCE_S_MOST * 1e3),
+        Some(plan::MAX_IN_FORCE_S * 1e3),
     ),
     Figure::new(
         Role::Operators,
@@ -212,7 +212,7 @@
 fn one_size(hosts: usize, sizes: &Sizes) -> Version {
     let mut files = Files::new(hosts);
     let begun = Instant::now();
-    let program = rig::router(&config_alone(), Some(&files.at("operator.ini")));
+    let program = router_process::start(&config_alone(), Some(&files.at("operator.ini")));
     wait_ready(&program);
     let ready_ms = begun.elapsed().as_secs_f64() * 1e3;
     program.wait_for_log_since_start(IN_FORCE);
@@ -234,7 +234,7 @@
     let begun = Instant::now();
     let mut command = Command::new(binary);
     command
-        .env(rig::AS_ROUTER, "1")
+        .env(router_process::AS_ROUTER, "1")
         .arg("check-operator")
         .arg(files.at("operator.ini"));
     let done = command
@@ -251,7 +251,7 @@
 /// One router that takes one revision after another, looked at on the way.
 fn revisions(sizes: &Sizes) -> Vec<(f64, Vec<Kept>)> {
     let mut files = Files::new(HOSTS_OF_REVISIONS);
-    let program = rig::router(&config_alone(), Some(&files.at("operator.ini")));
+    let program = router_process::start(&config_alone(), Some(&files.at("operator.ini")));
     wait_ready(&program);
     program.wait_for_log_since_start(IN_FORCE);
     let mut taken = 0;
--- a/measure/src/capacity/slopes/load.rs
+++ b/measure/src/capacity/slopes/load.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-use crate::rig::histogram;
+use crate::router_process::histogram;
 
 use super::servers::Scope;
 
@@ -134,14 +134,14 @@
 }
 
 /// Whether to stop, and whether to ask nothing for now.
-type Told = (Arc<AtomicBool>, Arc<AtomicBool>);
+type LoadControl = (Arc<AtomicBool>, Arc<AtomicBool>);
 
 async fn ask(
     at: SocketAddr,
     number: usize,
     shape: Shape,
     counted: Arc<Counted>,
-    (stop, paused): Told,
+    (stop, paused): LoadControl,
 ) {
     let mut chance = ChaCha8Rng::seed_from_u64(number as u64);
     let mut request = 0u64;
--- a/measure/src/capacity/slopes/mod.rs
+++ b/measure/src/capacity/slopes/mod.rs
@@ -73,7 +73,7 @@
 /// Runs it, at the small sizes only where asked; whether all was as asked.
 pub fn run(small: bool) -> bool {
     let mut report = Report::new("capacity");
-    let sizes = if small { &sizes::SMALL } else { &sizes::WHOLE };
+    let sizes = if small { &sizes::SMALL } else { &sizes::FULL };
     let growths = if sizes.all_at_once {
         at_once(sizes, &mut report)
     } else {
@@ -126,7 +126,7 @@
     }
 
     fn failed(&self, report: &mut Report) -> Vec<Growth> {
-        report.ask(
+        report.check(
             self.name,
             &format!("what grows in part {}", self.name),
             "failed",
--- a/measure/src/capacity/slopes/module_cost.rs
+++ b/measure/src/capacity/slopes/module_cost.rs
@@ -10,7 +10,7 @@
         Role::Router,
         "module, us a request",
         Costs::request_micros,
-        Some(plan::request_micros_most()),
+        Some(plan::max_request_micros()),
     ),
     Figure::new(
         Role::Router,
@@ -39,7 +39,7 @@
     Figure::new(
         Role::Router,
         "module, us a whole list",
-        |costs| costs.whole_list.micros(),
+        |costs| costs.complete_list.micros(),
         None,
     ),
 ];
--- a/measure/src/capacity/slopes/plan.rs
+++ b/measure/src/capacity/slopes/plan.rs
@@ -20,15 +20,15 @@
 pub(in crate::capacity) const CONTROL_MACHINES: f64 = numbers::CONTROL_MACHINES as f64;
 
 /// Added to a request, for 99 in 100, in milliseconds.
-pub(in crate::capacity) const ADDED_MS_MOST: f64 = 7.6;
+pub(in crate::capacity) const MAX_ADDED_MS: f64 = 7.6;
 /// Until a configuration change is in force everywhere, in seconds.
-pub(in crate::capacity) const IN_FORCE_S_MOST: f64 = numbers::IN_FORCE_SECONDS;
+pub(in crate::capacity) const MAX_IN_FORCE_S: f64 = numbers::IN_FORCE_SECONDS;
 /// A router's share of one core for control, in percent.
-pub(in crate::capacity) const CORE_PERCENT_MOST: f64 = 3.8;
+pub(in crate::capacity) const MAX_CORE_PERCENT: f64 = 3.8;
 /// A router's memory for control, in MB.
-pub(in crate::capacity) const MEMORY_MB_MOST: f64 = 256.0;
+pub(in crate::capacity) const MAX_MEMORY_MB: f64 = 256.0;
 /// A router's bytes a second for control, both directions together.
-pub(in crate::capacity) const BYTES_PER_S_MOST: f64 = 3000.0;
+pub(in crate::capacity) const MAX_BYTES_PER_S: f64 = 3000.0;
 
 /// Requests a second of one router at the peak.
 pub(in crate::capacity) const fn requests_per_router() -> f64 {
@@ -36,6 +36,6 @@
 }
 
 /// Processor time of one request at which a router at the peak uses all that it may, in microseconds.
-pub(in crate::capacity) const fn request_micros_most() -> f64 {
-    CORE_PERCENT_MOST / 100.0 * 1e6 / requests_per_router()
+pub(in crate::capacity) const fn max_request_micros() -> f64 {
+    MAX_CORE_PERCENT / 100.0 * 1e6 / requests_per_router()
 }
--- a/measure/src/capacity/slopes/requests.rs
+++ b/measure/src/capacity/slopes/requests.rs
@@ -8,7 +8,7 @@
 use super::site::{cpu_of, wait};
 
 /// Served requests that a figure is made of at least: a machine that is busy gets more time.
-const LEAST: u64 = 20;
+const MIN_REQUESTS: u64 = 20;
 const MICROS: f64 = 1e6;
 
 /// What a while came to.
@@ -32,10 +32,10 @@
     let (before, begun) = (load.served(), Instant::now());
     let cpu = cpu_of(program, || {
         wait(seconds);
-        while load.served().served - before.served < LEAST {
+        while load.served().served - before.served < MIN_REQUESTS {
             assert!(
                 begun.elapsed() < TEST_TIMEOUT,
-                "fewer than {LEAST} requests were served in {TEST_TIMEOUT:?}"
+                "fewer than {MIN_REQUESTS} requests were served in {TEST_TIMEOUT:?}"
             );
             wait(0.1);
         }
--- a/measure/src/capacity/slopes/servers/discovery.rs
+++ b/measure/src/capacity/slopes/servers/discovery.rs
@@ -39,7 +39,7 @@
 /// What an answer holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in super::super) enum Kind {
-    Whole,
+    Complete,
     Changes,
     /// Nothing has changed.
     Nothing,
@@ -48,15 +48,15 @@
 #[derive(Clone)]
 struct Version {
     rev: u64,
-    whole: Arc<str>,
+    complete: Arc<str>,
     /// What the last version changed, where it did not tell all hosts anew.
     changes: Option<Arc<str>>,
 }
 
 #[derive(Default)]
 struct Counted {
-    asked: Traffic,
-    whole: Traffic,
+    requests: Traffic,
+    complete: Traffic,
     changes: Traffic,
     nothing: Traffic,
 }
@@ -82,17 +82,17 @@
     pub(in super::super) fn start(targets: Vec<Target>) -> Self {
         let first = Version {
             rev: 1,
-            whole: body(1, true, &targets),
+            complete: body(1, true, &targets),
             changes: None,
         };
-        let (version, told) = watch::channel(first);
+        let (version, received) = watch::channel(first);
         let counted = Arc::new(Counted::default());
         let listener = block_on(TcpListener::bind("127.0.0.1:0")).expect("discovery can listen");
         let at = listener.local_addr().expect("a listener has an address");
         let scope = Scope::new();
         scope
             .spawner()
-            .spawn(listen(scope.spawner(), listener, told, counted.clone()));
+            .spawn(listen(scope.spawner(), listener, received, counted.clone()));
         Discovery {
             at,
             targets: Mutex::new(targets),
@@ -103,8 +103,8 @@
     }
 
     /// The whole list as it stands, as a router may have saved it.
-    pub(in super::super) fn whole(&self) -> Arc<str> {
-        self.version.borrow().whole.clone()
+    pub(in super::super) fn complete(&self) -> Arc<str> {
+        self.version.borrow().complete.clone()
     }
 
     /// Changes one host; the version that this is.
@@ -115,14 +115,14 @@
         let changes = Some(body(rev, false, &targets[number..=number]));
         self.version.send_replace(Version {
             rev,
-            whole: body(rev, true, &targets),
+            complete: body(rev, true, &targets),
             changes,
         });
         rev
     }
 
     /// Tells all hosts anew; the version that this is.
-    pub(in super::super) fn tell_whole(&self) -> u64 {
+    pub(in super::super) fn publish_complete(&self) -> u64 {
         self.change_all(|_, _| {})
     }
 
@@ -136,7 +136,7 @@
         let rev = self.version.borrow().rev + 1;
         self.version.send_replace(Version {
             rev,
-            whole: body(rev, true, &targets),
+            complete: body(rev, true, &targets),
             changes: None,
         });
         rev
@@ -147,19 +147,19 @@
     }
 
     /// What routers have asked.
-    pub(in super::super) fn asked(&self) -> Amount {
-        self.counted.asked.now()
+    pub(in super::super) fn requests(&self) -> Amount {
+        self.counted.requests.now()
     }
 
     pub(in super::super) fn sent_all(&self) -> Amount {
-        self.sent(Kind::Whole) + self.sent(Kind::Changes) + self.sent(Kind::Nothing)
+        self.sent(Kind::Complete) + self.sent(Kind::Changes) + self.sent(Kind::Nothing)
     }
 }
 
 impl Counted {
     fn of(&self, kind: Kind) -> &Traffic {
         match kind {
-            Kind::Whole => &self.whole,
+            Kind::Complete => &self.complete,
             Kind::Changes => &self.changes,
             Kind::Nothing => &self.nothing,
         }
@@ -169,17 +169,21 @@
 async fn listen(
     spawner: Spawner,
     listener: TcpListener,
-    told: watch::Receiver<Version>,
+    received: watch::Receiver<Version>,
     counted: Arc<Counted>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        spawner.spawn(serve(stream, told.clone(), counted.clone()));
+        spawner.spawn(serve(stream, received.clone(), counted.clone()));
     }
 }
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-async fn serve(mut stream: TcpStream, mut told: watch::Receiver<Version>, counted: Arc<Counted>) {
+async fn serve(
+    mut stream: TcpStream,
+    mut received: watch::Receiver<Version>,
+    counted: Arc<Counted>,
+) {
     let _ = stream.set_nodelay(true);
     let mut read = vec![];
     loop {
@@ -188,9 +192,9 @@
             .position(|part| part == HEAD_END)
         {
             let head: Vec<u8> = read.drain(..end + HEAD_END.len()).collect();
-            counted.asked.add(head.len());
-            let asked = watched_from(&String::from_utf8_lossy(&head));
-            let (kind, body) = answer(asked, &mut told).await;
+            counted.requests.add(head.len());
+            let requests = watched_from(&String::from_utf8_lossy(&head));
+            let (kind, body) = answer(requests, &mut received).await;
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             counted.of(kind).add(head.len() + body.len());
             if stream
@@ -221,19 +225,19 @@
 }
 
 async fn answer(
-    asked: Option<(u64, Duration)>,
-    told: &mut watch::Receiver<Version>,
+    requests: Option<(u64, Duration)>,
+    received: &mut watch::Receiver<Version>,
 ) -> (Kind, Arc<str>) {
-    let Some((from, hold)) = asked else {
-        return (Kind::Whole, told.borrow().whole.clone());
+    let Some((from, hold)) = requests else {
+        return (Kind::Complete, received.borrow().complete.clone());
     };
-    let newer = timeout(hold, told.wait_for(|version| version.rev > from)).await;
+    let newer = timeout(hold, received.wait_for(|version| version.rev > from)).await;
     let Ok(Ok(version)) = newer.map(|newer| newer.map(|version| version.clone())) else {
-        return (Kind::Nothing, body(told.borrow().rev, false, &[]));
+        return (Kind::Nothing, body(received.borrow().rev, false, &[]));
     };
     match version.changes {
         // Only the last change is kept: who has missed more gets all.
         Some(changes) if version.rev == from + 1 => (Kind::Changes, changes),
-        _ => (Kind::Whole, version.whole),
+        _ => (Kind::Complete, version.complete),
     }
 }
--- a/measure/src/capacity/slopes/servers/hosts.rs
+++ b/measure/src/capacity/slopes/servers/hosts.rs
@@ -14,7 +14,7 @@
 /// What all hosts have counted.
 #[derive(Default)]
 pub(in super::super) struct Counted {
-    pub(in super::super) asked: Traffic,
+    pub(in super::super) requests: Traffic,
     pub(in super::super) answered: Traffic,
     /// Connections since the start, and those that are open.
     pub(in super::super) connections: AtomicU64,
@@ -121,7 +121,7 @@
     loop {
         while let Some(length) = command_length(&read) {
             let begun = Instant::now();
-            shared.counted.asked.add(length);
+            shared.counted.requests.add(length);
             read.drain(..length);
             let delay = shared.delay.load(Relaxed);
             if delay > 0 {
--- a/measure/src/capacity/slopes/servers/platform.rs
+++ b/measure/src/capacity/slopes/servers/platform.rs
@@ -27,7 +27,7 @@
 #[derive(Default)]
 pub(in super::super) struct Counted {
     pub(in super::super) followed: Traffic,
-    pub(in super::super) news: Traffic,
+    pub(in super::super) rollout_status: Traffic,
     pub(in super::super) signs_of_life: Traffic,
     pub(in super::super) votes: Traffic,
     pub(in super::super) vote_answers: Traffic,
@@ -53,14 +53,14 @@
 
 impl Platform {
     pub(in super::super) fn start(rollout: Rollout) -> Self {
-        let (rollout, told) = watch::channel((rollout, Instant::now()));
+        let (rollout, received) = watch::channel((rollout, Instant::now()));
         let counted = Arc::new(Counted::default());
         let listener = block_on(TcpListener::bind("127.0.0.1:0")).expect("the platform can listen");
         let at = listener.local_addr().expect("a listener has an address");
         let scope = Scope::new();
         scope
             .spawner()
-            .spawn(listen(scope.spawner(), listener, told, counted.clone()));
+            .spawn(listen(scope.spawner(), listener, received, counted.clone()));
         Platform {
             at,
             rollout,
@@ -81,17 +81,17 @@
 async fn listen(
     spawner: Spawner,
     listener: TcpListener,
-    told: watch::Receiver<(Rollout, Instant)>,
+    received: watch::Receiver<(Rollout, Instant)>,
     counted: Arc<Counted>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        spawner.spawn(serve(stream, told.clone(), counted.clone()));
+        spawner.spawn(serve(stream, received.clone(), counted.clone()));
     }
 }
 
 async fn serve(
     stream: TcpStream,
-    mut told: watch::Receiver<(Rollout, Instant)>,
+    mut received: watch::Receiver<(Rollout, Instant)>,
     counted: Arc<Counted>,
 ) {
     let _ = stream.set_nodelay(true);
@@ -109,24 +109,24 @@
                     follows = true;
                     counted.followed.add(size);
                     let answer = json!({"jsonrpc": "2.0", "id": call["id"], "result": true}).to_string();
-                    let news = news(&told.borrow_and_update());
-                    counted.news.add(news.len());
-                    format!("{answer}\n{news}")
+                    let rollout_status = rollout_status(&received.borrow_and_update());
+                    counted.rollout_status.add(rollout_status.len());
+                    format!("{answer}\n{rollout_status}")
                 } else {
                     counted.votes.add(size);
-                    let result = state(&told.borrow());
+                    let result = state(&received.borrow());
                     let answer = json!({"jsonrpc": "2.0", "id": call["id"], "result": result}).to_string() + "\n";
                     counted.vote_answers.add(answer.len());
                     answer
                 }
             }
-            changed = told.changed() => {
+            changed = received.changed() => {
                 if changed.is_err() {
                     return;
                 }
-                let news = news(&told.borrow_and_update());
-                counted.news.add(news.len());
-                news
+                let rollout_status = rollout_status(&received.borrow_and_update());
+                counted.rollout_status.add(rollout_status.len());
+                rollout_status
             }
             _ = signs.tick(), if follows => {
                 let sign = "{\"jsonrpc\":\"2.0\",\"method\":\"ping\"}\n";
@@ -140,6 +140,6 @@
     }
 }
 
-fn news(of: &(Rollout, Instant)) -> String {
+fn rollout_status(of: &(Rollout, Instant)) -> String {
     json!({"jsonrpc": "2.0", "method": "progress", "params": state(of)}).to_string() + "\n"
 }
--- a/measure/src/capacity/slopes/site.rs
+++ b/measure/src/capacity/slopes/site.rs
@@ -6,7 +6,7 @@
 
 use kestreltide_testkit::{Program, TEST_TIMEOUT, endpoint_list, router_config, unused_address};
 
-use crate::rig;
+use crate::router_process;
 
 use super::process::{self, Memory};
 use super::servers::{Discovery, Hosts, Peers, Platform, Rollout, Target};
@@ -29,7 +29,7 @@
     /// Routers of the fleet; those beside the one under measurement are stand-ins.
     pub(super) routers: usize,
     /// Lists come when they are asked for, not by a watch.
-    pub(super) asks_lists: bool,
+    pub(super) polls_list: bool,
     /// The router has the list that it saw last.
     pub(super) knows: bool,
     /// Nobody listens at the hosts.
@@ -41,7 +41,7 @@
         Plan {
             hosts,
             routers,
-            asks_lists: false,
+            polls_list: false,
             knows: true,
             silent: false,
         }
@@ -54,7 +54,7 @@
     progress: "live",
     cap: 1.0,
 };
-pub(super) const ON_TRIAL: Rollout = Rollout {
+pub(super) const CANARY_ROLLOUT: Rollout = Rollout {
     build: CANARY,
     stage: 0,
     progress: "testing",
@@ -142,7 +142,7 @@
     /// The configuration of the router, with what it saves of the list.
     pub(super) fn config(&self) -> String {
         let known = if self.plan.knows {
-            self.discovery.whole().to_string()
+            self.discovery.complete().to_string()
         } else {
             endpoint_list(0, true, &[])
         };
@@ -158,7 +158,7 @@
             self.plan.routers,
         );
         let text = text.replace("\"settings\"", &parties);
-        if self.plan.asks_lists {
+        if self.plan.polls_list {
             return text.replace("\"discovery\":\"push\"", "\"discovery\":\"ask\"");
         }
         text
@@ -168,7 +168,7 @@
     pub(super) fn router(&self, operator: Option<&Path>) -> (Program, f64) {
         let text = self.config();
         let begun = Instant::now();
-        let program = rig::router(&text, operator);
+        let program = router_process::start(&text, operator);
         wait_ready(&program);
         (program, begun.elapsed().as_secs_f64() * 1e3)
     }
--- a/measure/src/capacity/slopes/sizes.rs
+++ b/measure/src/capacity/slopes/sizes.rs
@@ -25,7 +25,7 @@
     pub(super) open_connections: usize,
     pub(super) open_rate: f64,
     /// Beside each request that is served so many may be refused or lost.
-    pub(super) lost_most: f64,
+    pub(super) max_lost_per_request: f64,
     pub(super) revisions: &'static [usize],
     /// How often a size is measured, where it is more than once.
     pub(super) times: usize,
@@ -40,7 +40,7 @@
     pub(super) all_at_once: bool,
 }
 
-pub(super) const WHOLE: Sizes = Sizes {
+pub(super) const FULL: Sizes = Sizes {
     module_hosts: &[16, 74, 150, 370, 1000, 1480, 3700, 7400],
     module_requests: 800,
     hosts: &[74, 370, 1480, 7400],
@@ -54,7 +54,7 @@
     open_hosts: 370,
     open_connections: 1000,
     open_rate: 350.0,
-    lost_most: 0.05,
+    max_lost_per_request: 0.05,
     revisions: &[10, 100, 400, 1000],
     times: 2,
     idle_s: 5.1,
@@ -79,7 +79,7 @@
     open_connections: 60,
     open_rate: 40.0,
     // A machine may be busy with anything.
-    lost_most: 1.0,
+    max_lost_per_request: 1.0,
     revisions: &[1, 5, 20, 100],
     times: 1,
     idle_s: 0.5,
--- a/measure/src/capacity/slopes/tables.rs
+++ b/measure/src/capacity/slopes/tables.rs
@@ -55,7 +55,7 @@
                         growth.cost,
                         growth.by.name()
                     );
-                    report.ask(
+                    report.check(
                         "fit",
                         &format!("{} by {}", growth.cost, growth.by.name()),
                         why,
@@ -80,11 +80,11 @@
     println!("\nnotes");
     NOTES.iter().for_each(|note| println!("- {note}"));
     println!();
-    report.tell("lines", "lines fitted", growths.len());
-    report.tell("over", "costs over their allowance", over.len());
+    report.record("lines", "lines fitted", growths.len());
+    report.record("over", "costs over their allowance", over.len());
     if let Some((ratio, growth)) = over.first() {
-        report.tell("worst", "the worst of them", name(growth));
-        report.tell("worst_ratio", "its ratio", short(*ratio));
+        report.record("worst", "the worst of them", name(growth));
+        report.record("worst_ratio", "its ratio", short(*ratio));
     }
 }
 
@@ -124,11 +124,11 @@
     );
     println!(
         "allowed: {} ms added for 99 in 100, a change in force within {} s; a router {}% of a core, {} MB, {} bytes/s",
-        plan::ADDED_MS_MOST,
-        plan::IN_FORCE_S_MOST,
-        plan::CORE_PERCENT_MOST,
-        plan::MEMORY_MB_MOST,
-        plan::BYTES_PER_S_MOST
+        plan::MAX_ADDED_MS,
+        plan::MAX_IN_FORCE_S,
+        plan::MAX_CORE_PERCENT,
+        plan::MAX_MEMORY_MB,
+        plan::MAX_BYTES_PER_S
     );
 }
 
--- a/measure/src/demo.rs
+++ b/measure/src/demo.rs
@@ -8,7 +8,7 @@
 use argh::FromArgs;
 use kestreltide_testkit::{Discovery, Fleet, Platform, RolloutState, TestHost, router_config};
 
-use crate::rig::{self, Clients};
+use crate::router_process::{self, Clients};
 
 /// show a router serving against stand-ins, and what it decides about a trial build
 #[derive(FromArgs)]
@@ -46,13 +46,13 @@
             .chain((0..HOSTS).map(|n| (format!("new-{n}"), "build 42")))
             .collect();
         let fleet = Fleet::start(names.iter().map(|(name, tag)| (name.as_str(), *tag)));
-        let trial_takes = if self.bad { 60 } else { 9 };
+        let canary_response_ms = if self.bad { 60 } else { 9 };
         fleet
             .of_tag("build 41")
             .for_each(|host| host.set_response_time(Duration::from_millis(10)));
         fleet
             .of_tag("build 42")
-            .for_each(|host| host.set_response_time(Duration::from_millis(trial_takes)));
+            .for_each(|host| host.set_response_time(Duration::from_millis(canary_response_ms)));
         let (old, new): (Vec<_>, Vec<_>) = (
             fleet.of_tag("build 41").collect(),
             fleet.of_tag("build 42").collect(),
@@ -83,7 +83,7 @@
             .replace("\"rings\":[1.0]", "\"rings\":[0.1,0.5,1.0]")
             .replace("\"most_shares\":[1.0]", "\"most_shares\":[0.2,0.7,1.0]")
             .replace("\"slo\":5000000", "\"slo\":50000");
-        let program = rig::router(&text, None);
+        let program = router_process::start(&text, None);
         println!(
             "a router at {}, {HOSTS} hosts of build 41 behind it, eight clients",
             program.at
@@ -101,10 +101,10 @@
         let (mut stage, mut rev, begun) = (0, 2, Instant::now());
         let mut of_stage = Instant::now();
         let stand = |stage: usize, rev: u32| {
-            let trial = STAGES[stage].0;
-            let hosts: Vec<_> = old[..HOSTS - trial]
+            let canary = STAGES[stage].0;
+            let hosts: Vec<_> = old[..HOSTS - canary]
                 .iter()
-                .chain(&new[..trial])
+                .chain(&new[..canary])
                 .copied()
                 .collect();
             discovery.publish(rev, listed(rev, &hosts, build));
@@ -121,15 +121,15 @@
                     .map(|host| host.received.load(Relaxed))
                     .sum::<u64>()
             };
-            let (earlier, trial) = (count(&old), count(&new));
+            let (baseline, canary) = (count(&old), count(&new));
             println!(
                 "{:5.1} s  stage {stage}, cap {:.0}%: {} dispatches to build 41, {} to build 42",
                 begun.elapsed().as_secs_f64(),
                 100.0 * STAGES[stage].1,
-                earlier - before.0,
-                trial - before.1
+                baseline - before.0,
+                canary - before.1
             );
-            before = (earlier, trial);
+            before = (baseline, canary);
             let votes = platform.votes();
             for (of, sense) in &votes {
                 println!("         the router votes {sense} in stage {of}");
--- a/measure/src/main.rs
+++ b/measure/src/main.rs
@@ -5,7 +5,7 @@
 mod demo;
 mod fleet;
 mod report;
-mod rig;
+mod router_process;
 mod watched_files;
 
 use std::process::ExitCode;
@@ -30,7 +30,7 @@
 
 fn main() -> ExitCode {
     // Routers under measurement are this very program, so that one build has both.
-    if std::env::var_os(rig::AS_ROUTER).is_some() {
+    if std::env::var_os(router_process::AS_ROUTER).is_some() {
         return kestreltide_router::program::main();
     }
     let line: Line = argh::from_env();
--- a/measure/src/report.rs
+++ b/measure/src/report.rs
@@ -20,15 +20,22 @@
     }
 
     /// A figure that nothing is asked of.
-    pub fn tell(&mut self, key: &str, what: &str, value: impl Display) {
+    pub fn record(&mut self, key: &str, what: &str, value: impl Display) {
         println!("{what:<52} {value:>14}  -");
         let _ = write!(self.line, " {key}={value}");
     }
 
     /// A figure, and whether it is as asked.
-    pub fn ask(&mut self, key: &str, what: &str, value: impl Display, asked: &str, holds: bool) {
+    pub fn check(
+        &mut self,
+        key: &str,
+        what: &str,
+        value: impl Display,
+        required: &str,
+        holds: bool,
+    ) {
         println!(
-            "{what:<52} {value:>14}  {asked}{}",
+            "{what:<52} {value:>14}  {required}{}",
             if holds { "" } else { "   SHORT" }
         );
         let _ = write!(self.line, " {key}={value}");
@@ -38,17 +45,17 @@
     }
 
     /// A count of what must never happen.
-    pub fn never(&mut self, key: &str, what: &str, count: u64) {
-        self.ask(key, what, count, "0", count == 0);
+    pub fn check_none(&mut self, key: &str, what: &str, count: u64) {
+        self.check(key, what, count, "0", count == 0);
     }
 
-    pub fn most(&mut self, key: &str, what: &str, value: f64, most: f64) {
-        self.ask(
+    pub fn check_at_most(&mut self, key: &str, what: &str, value: f64, maximum: f64) {
+        self.check(
             key,
             what,
             format!("{value:.2}"),
-            &format!("at most {most}"),
-            value <= most,
+            &format!("at most {maximum}"),
+            value <= maximum,
         );
     }
 
--- a/measure/src/rig.rs
+++ b/measure/src/router_process.rs
@@ -17,7 +17,7 @@
 /// Set in the environment of a router under measurement.
 pub const AS_ROUTER: &str = "KESTRELTIDE_MEASURE_ROUTER";
 
-pub fn router(config: &str, operator: Option<&Path>) -> Program {
+pub fn start(config: &str, operator: Option<&Path>) -> Program {
     let binary = std::env::current_exe().expect("this program has a path");
     let mut environment = vec![(AS_ROUTER, "1".to_owned())];
     environment.extend(operator.map(|path| ("KESTRELTIDE_OPERATOR", path.display().to_string())));
@@ -25,14 +25,14 @@
 }
 
 /// A configuration without discovery or platform, with room for many connections.
-pub fn alone() -> String {
+pub fn standalone_config() -> String {
     router_config(unused_address(), &endpoint_list(1, true, &[]))
         .replace("\"sockets\":256", "\"sockets\":2048")
         .replace("\"memory_mb\":64", "\"memory_mb\":512")
 }
 
 /// Resident memory of a process, in KiB.
-pub fn memory(pid: u32) -> u64 {
+pub fn resident_memory_kib(pid: u32) -> u64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     line.and_then(|line| line.split_whitespace().next()?.parse().ok())
@@ -45,9 +45,9 @@
 
 /// Which sets may serve now: the one in force, and one that may come to be at any moment.
 #[derive(Default)]
-pub struct Sets(RwLock<BTreeSet<Arc<str>>>);
+pub struct ServingSets(RwLock<BTreeSet<Arc<str>>>);
 
-impl Sets {
+impl ServingSets {
     pub fn allow(&self, tags: &[&str]) {
         *self.0.write().expect("no panic before") = tags.iter().map(|tag| (*tag).into()).collect();
     }
@@ -59,7 +59,7 @@
 
 /// What clients have met.
 #[derive(Default)]
-pub struct Met {
+pub struct ClientCounters {
     pub served: AtomicU64,
     pub throttled: AtomicU64,
     pub terminated: AtomicU64,
@@ -73,7 +73,7 @@
     pub micros: Mutex<Option<Histogram<u64>>>,
 }
 
-impl Met {
+impl ClientCounters {
     pub fn times(&self) -> Histogram<u64> {
         self.micros
             .lock()
@@ -85,7 +85,7 @@
 
 /// Clients that ask one after another until told to stop.
 pub struct Clients {
-    pub met: Arc<Met>,
+    pub met: Arc<ClientCounters>,
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
@@ -95,20 +95,23 @@
     pub fn start(
         at: SocketAddr,
         count: usize,
-        checks: Option<(Arc<AttemptLog>, Arc<Sets>)>,
+        checks: Option<(Arc<AttemptLog>, Arc<ServingSets>)>,
         pause: std::time::Duration,
     ) -> Self {
-        let (met, stop) = (Arc::new(Met::default()), Arc::new(AtomicBool::new(false)));
+        let (met, stop) = (
+            Arc::new(ClientCounters::default()),
+            Arc::new(AtomicBool::new(false)),
+        );
         drop(met.times());
         let threads = (0..count).map(|number| {
             let (met, stop, checks) = (met.clone(), stop.clone(), checks.clone());
-            thread::spawn(move || ask(at, number, &met, &stop, checks, pause))
+            thread::spawn(move || run_client(at, number, &met, &stop, checks, pause))
         });
         let threads = threads.collect();
         Clients { met, stop, threads }
     }
 
-    pub fn stop(self) -> Arc<Met> {
+    pub fn stop(self) -> Arc<ClientCounters> {
         self.stop.store(true, Relaxed);
         self.threads
             .into_iter()
@@ -117,12 +120,12 @@
     }
 }
 
-fn ask(
+fn run_client(
     at: SocketAddr,
     number: usize,
-    met: &Met,
+    met: &ClientCounters,
     stop: &AtomicBool,
-    checks: Option<(Arc<AttemptLog>, Arc<Sets>)>,
+    checks: Option<(Arc<AttemptLog>, Arc<ServingSets>)>,
     pause: std::time::Duration,
 ) {
     let mut client = Client::connect(at);
--- a/measure/src/watched_files.rs
+++ b/measure/src/watched_files.rs
@@ -17,7 +17,7 @@
 use tempfile::TempDir;
 
 use crate::report::Report;
-use crate::rig::{self, Clients, Sets, histogram};
+use crate::router_process::{self, Clients, ServingSets, histogram};
 
 /// watched files: whole versions or nothing, under rewriting
 #[derive(FromArgs)]
@@ -97,7 +97,7 @@
 
 /// How a version is spoilt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Spoilt {
+enum InvalidKind {
     Truncated,
     Malformed,
     Breaking,
@@ -106,17 +106,17 @@
     Gone,
 }
 
-const SPOILT: [Spoilt; 6] = [
-    Spoilt::Truncated,
-    Spoilt::Malformed,
-    Spoilt::Breaking,
-    Spoilt::Torn,
-    Spoilt::Pieces,
-    Spoilt::Gone,
+const INVALID_KINDS: [InvalidKind; 6] = [
+    InvalidKind::Truncated,
+    InvalidKind::Malformed,
+    InvalidKind::Breaking,
+    InvalidKind::Torn,
+    InvalidKind::Pieces,
+    InvalidKind::Gone,
 ];
 
 /// A router with its files and hosts.
-struct Rig {
+struct WatchingRouter {
     files: Files,
     program: Program,
 }
@@ -125,7 +125,7 @@
 struct Files {
     folder: TempDir,
     fleet: Fleet,
-    sets: Arc<Sets>,
+    sets: Arc<ServingSets>,
     chance: ChaCha8Rng,
     generation: u64,
     set: usize,
@@ -134,17 +134,20 @@
 struct Outcome {
     valid: u64,
     spoilt: u64,
-    taken: hdrhistogram::Histogram<u64>,
-    never_taken: u64,
+    applied: hdrhistogram::Histogram<u64>,
+    never_applied: u64,
     memory: Vec<(u64, u64)>,
 }
 
-impl Rig {
+impl WatchingRouter {
     fn start(seed: u64) -> Self {
         let mut files = Files::new(seed);
         files.write_valid();
-        let program = rig::router(&rig::alone(), Some(&files.at("operator.ini")));
-        Rig { files, program }
+        let program = router_process::start(
+            &router_process::standalone_config(),
+            Some(&files.at("operator.ini")),
+        );
+        WatchingRouter { files, program }
     }
 
     fn clients(&self, count: usize, pause: Duration) -> Clients {
@@ -170,7 +173,7 @@
                 .iter()
                 .map(|(name, tag)| (name.as_str(), tag.as_str())),
         );
-        let sets = Arc::new(Sets::default());
+        let sets = Arc::new(ServingSets::default());
         let operator = folder.path().join("operator.ini");
         let text = "[datastore]\nstate-directory = .\n[watch]\nhosts = hosts.ini\nweights = weights.ini\ndiscovery = off\nsettle = 0.01\n";
         fs::write(&operator, text).expect("written");
@@ -252,7 +255,7 @@
     }
 
     /// Waits until a client is served by the new set; the hosts of the old one must be left alone from then on.
-    fn wait_taken(&mut self, clients: &Clients, before: &str) -> bool {
+    fn wait_until_applied(&mut self, clients: &Clients, before: &str) -> bool {
         let (tag, until) = (self.tag(), Instant::now() + TEST_TIMEOUT);
         while clients.met.last.lock().expect("no panic before").as_deref() != Some(&tag) {
             if Instant::now() > until {
@@ -268,14 +271,14 @@
         true
     }
 
-    fn write_spoilt(&mut self, how: Spoilt) {
+    fn write_invalid(&mut self, how: InvalidKind) {
         self.generation += 1;
         let generation = self.generation.to_string();
         let mut entries = self.entries("bad");
         let weight = [(entries[0].name.clone(), "1".to_owned())];
         let (hosts, weights) = (self.at("hosts.ini"), self.at("weights.ini"));
         match how {
-            Spoilt::Truncated => {
+            InvalidKind::Truncated => {
                 let text = hosts_text(&generation, &entries);
                 let cut = self.chance.random_range(0..text.len() - 1);
                 replace(&weights, weights_text(&generation, &weight).as_bytes());
@@ -285,7 +288,7 @@
                     overwrite(&hosts, &text.as_bytes()[..cut], 1)
                 }
             }
-            Spoilt::Malformed => {
+            InvalidKind::Malformed => {
                 let wrong = [
                     ("zone = a", "zonw = a"),
                     ("build = 7", "build = -7"),
@@ -303,7 +306,7 @@
                 );
                 replace(&weights, weights_text(&generation, &weight).as_bytes());
             }
-            Spoilt::Breaking => {
+            InvalidKind::Breaking => {
                 let mut weight = weight;
                 match self.chance.random_range(0..4) {
                     0 => entries[1].endpoint = entries[0].endpoint.clone(),
@@ -320,13 +323,13 @@
                 replace(&hosts, hosts_text(&generation, &entries).as_bytes());
                 replace(&weights, weights_text(&generation, &weight).as_bytes());
             }
-            Spoilt::Torn => replace(&hosts, hosts_text(&generation, &entries).as_bytes()),
-            Spoilt::Pieces => {
+            InvalidKind::Torn => replace(&hosts, hosts_text(&generation, &entries).as_bytes()),
+            InvalidKind::Pieces => {
                 let text = hosts_text(&generation, &entries);
                 let cut = text.len() * 3 / 4;
                 overwrite(&hosts, &text.as_bytes()[..cut], 5);
             }
-            Spoilt::Gone => {
+            InvalidKind::Gone => {
                 let _ = fs::remove_file(&hosts);
                 match self.chance.random_range(0..3) {
                     0 => fs::write(&hosts, []).expect("written"),
@@ -350,8 +353,8 @@
         let mut out = Outcome {
             valid: 0,
             spoilt: 0,
-            taken: histogram(),
-            never_taken: 0,
+            applied: histogram(),
+            never_applied: 0,
             memory: vec![],
         };
         for number in 1..=rewrites {
@@ -359,15 +362,15 @@
                 let before = self.tag();
                 let written = self.write_valid();
                 out.valid += 1;
-                if self.wait_taken(clients, &before) {
-                    out.taken
+                if self.wait_until_applied(clients, &before) {
+                    out.applied
                         .saturating_record(written.elapsed().as_micros() as u64);
                 } else {
-                    out.never_taken += 1;
+                    out.never_applied += 1;
                 }
             } else {
-                let how = SPOILT[self.chance.random_range(0..SPOILT.len())];
-                self.write_spoilt(how);
+                let how = INVALID_KINDS[self.chance.random_range(0..INVALID_KINDS.len())];
+                self.write_invalid(how);
                 out.spoilt += 1;
                 let long = self.chance.random_range(0..10) == 0;
                 thread::sleep(if long {
@@ -377,13 +380,14 @@
                 });
             }
             if [rewrites / 10, rewrites].contains(&number) {
-                out.memory.push((number, rig::memory(pid)));
+                out.memory
+                    .push((number, router_process::resident_memory_kib(pid)));
             }
         }
         out
     }
 
-    fn dispatches_to(&self, tag: &str) -> u64 {
+    fn attempts_at(&self, tag: &str) -> u64 {
         self.fleet
             .of_tag(tag)
             .map(|host| host.received.load(Relaxed))
@@ -425,12 +429,12 @@
 }
 
 impl Never {
-    fn add(&mut self, rig: &Rig, met: &rig::Met) {
+    fn add(&mut self, router: &WatchingRouter, met: &router_process::ClientCounters) {
         self.mixed += met.mixed.load(Relaxed);
         self.invalid += met.invalid.load(Relaxed);
         self.lost += met.lost.load(Relaxed);
-        self.late += rig.files.fleet.attempt_log.late_attempts.load(Relaxed);
-        self.bad += rig.files.dispatches_to("bad");
+        self.late += router.files.fleet.attempt_log.late_attempts.load(Relaxed);
+        self.bad += router.files.attempts_at("bad");
         self.served += met.served.load(Relaxed);
         self.throttled += met.throttled.load(Relaxed);
         self.terminated += met.terminated.load(Relaxed);
@@ -444,10 +448,10 @@
         .copied()
         .map(|(seed, rewrites, valid_percent, stand)| {
             thread::spawn(move || {
-                let mut rig = Rig::start(seed);
-                let clients = rig.clients(2, Duration::from_micros(200));
-                let outcome = rig.files.rewrite(
-                    rig.program.child.id(),
+                let mut router = WatchingRouter::start(seed);
+                let clients = router.clients(2, Duration::from_micros(200));
+                let outcome = router.files.rewrite(
+                    router.program.child.id(),
                     &clients,
                     rewrites,
                     valid_percent,
@@ -455,15 +459,15 @@
                 );
                 let met = clients.stop();
                 let mut never = Never::default();
-                never.add(&rig, &met);
-                rig.program.signal("TERM");
+                never.add(&router, &met);
+                router.program.signal("TERM");
                 (outcome, never)
             })
         })
         .collect();
     let (mut outcomes, mut all) = (vec![], Never::default());
     for thread in threads {
-        let (outcome, never) = thread.join().expect("a rig ends well");
+        let (outcome, never) = thread.join().expect("a router thread ends without a panic");
         outcomes.push(outcome);
         all.mixed += never.mixed;
         all.invalid += never.invalid;
@@ -480,8 +484,8 @@
 /// Times with rewrites and without, in turns on one router; medians and 99th percentiles in microseconds, and
 /// those of hosts asked directly.
 fn turns(seconds: f64) -> [[f64; 2]; 3] {
-    let mut rig = Rig::start(99);
-    let clients = rig.clients(1, Duration::ZERO);
+    let mut router = WatchingRouter::start(99);
+    let clients = router.clients(1, Duration::ZERO);
     let (mut without, mut with) = (histogram(), histogram());
     let until = Instant::now() + Duration::from_secs_f64(seconds);
     drop(clients.met.times());
@@ -491,8 +495,8 @@
         let turn = Instant::now() + Duration::from_millis(400);
         while Instant::now() < turn {
             // Some sixty rewrites a second, one in ten of them valid.
-            rig.files.rewrite(
-                rig.program.child.id(),
+            router.files.rewrite(
+                router.program.child.id(),
                 &clients,
                 10,
                 0,
@@ -502,7 +506,7 @@
         with.add(clients.met.times()).expect("the same bounds");
     }
     clients.stop();
-    let direct = Clients::start(rig.files.fleet.hosts[0].at, 1, None, Duration::ZERO);
+    let direct = Clients::start(router.files.fleet.hosts[0].at, 1, None, Duration::ZERO);
     thread::sleep(Duration::from_millis(1500));
     let direct = direct.stop().times();
     [direct, without, with]
@@ -556,7 +560,10 @@
     )
     .expect("written");
     fs::write(at("weights.ini"), weights_text("0", &[])).expect("written");
-    let program = rig::router(&rig::alone(), Some(&at("operator.ini")));
+    let program = router_process::start(
+        &router_process::standalone_config(),
+        Some(&at("operator.ini")),
+    );
     program.wait_for_log("a revision is in force");
     let start = unix() - 1000.0;
     let versions = [
@@ -591,8 +598,8 @@
 
 /// Invocations a second through one router with 16 clients.
 fn capacity() -> f64 {
-    let rig = Rig::start(7);
-    let clients = Clients::start(rig.program.at, 16, None, Duration::ZERO);
+    let router = WatchingRouter::start(7);
+    let clients = Clients::start(router.program.at, 16, None, Duration::ZERO);
     thread::sleep(Duration::from_millis(500));
     let (before, begun) = (clients.met.served.load(Relaxed), Instant::now());
     thread::sleep(Duration::from_secs(2));
@@ -639,12 +646,12 @@
         }
         if wants("large") {
             let pauses = large();
-            report.tell(
+            report.record(
                 "pauses_ms",
                 "pauses for 16,384 hosts, ms",
                 format!("{pauses:.1?}").replace(", ", "/"),
             );
-            report.most(
+            report.check_at_most(
                 "pause_ms",
                 "the longest of them, ms",
                 pauses.iter().copied().fold(0.0, f64::max),
@@ -653,23 +660,23 @@
         }
         if wants("turns") {
             let [direct, without, with] = turns(if self.long { 60.0 } else { 8.0 });
-            report.tell(
+            report.record(
                 "direct_us",
                 "direct to a host, µs, median and 99th",
                 format!("{}/{}", direct[0], direct[1]),
             );
-            report.tell(
+            report.record(
                 "without_us",
                 "through the router, no rewrites",
                 format!("{}/{}", without[0], without[1]),
             );
-            report.tell(
+            report.record(
                 "with_us",
                 "through the router, with rewrites",
                 format!("{}/{}", with[0], with[1]),
             );
             let added = |times: [f64; 2]| times[1] - direct[0];
-            report.most(
+            report.check_at_most(
                 "added",
                 "added at the 99th percentile, with over without",
                 added(with) / added(without),
@@ -677,7 +684,7 @@
             );
         }
         if wants("capacity") {
-            report.tell(
+            report.record(
                 "capacity",
                 "invocations a second, 16 clients",
                 format!("{:.0}", capacity()),
@@ -692,49 +699,49 @@
             outcomes.iter().map(|o| o.valid).sum(),
             outcomes.iter().map(|o| o.spoilt).sum(),
         );
-        report.tell("rewrites", "rewrites", valid + spoilt);
-        report.ask(
+        report.record("rewrites", "rewrites", valid + spoilt);
+        report.check(
             "spoilt",
             "of them truncated, malformed, breaking, torn",
             spoilt,
             "over half",
             spoilt > valid,
         );
-        report.tell("served", "invocations served meanwhile", never.served);
-        report.tell("throttled", "throttled", never.throttled);
-        report.tell("terminated", "terminated", never.terminated);
-        report.never("mixed", "invocations under a mixed set", never.mixed);
-        report.never(
+        report.record("served", "invocations served meanwhile", never.served);
+        report.record("throttled", "throttled", never.throttled);
+        report.record("terminated", "terminated", never.terminated);
+        report.check_none("mixed", "invocations under a mixed set", never.mixed);
+        report.check_none(
             "invalid",
             "invocations under a set not in force",
             never.invalid,
         );
-        report.never("bad", "dispatches to hosts of invalid versions", never.bad);
-        report.never("lost", "invocations lost", never.lost);
-        report.never(
+        report.check_none("bad", "dispatches to hosts of invalid versions", never.bad);
+        report.check_none("lost", "invocations lost", never.lost);
+        report.check_none(
             "late",
             "dispatches to a host after its drain or removal",
             never.late,
         );
-        report.never(
+        report.check_none(
             "untaken",
             "valid versions never taken",
-            outcomes.iter().map(|o| o.never_taken).sum(),
+            outcomes.iter().map(|o| o.never_applied).sum(),
         );
         if self.short {
             return;
         }
-        let mut taken = histogram();
+        let mut applied = histogram();
         outcomes
             .iter()
-            .for_each(|o| taken.add(&o.taken).expect("the same bounds"));
-        let at = |quantile: f64| taken.value_at_quantile(quantile) as f64 / 1e3;
-        report.tell(
+            .for_each(|o| applied.add(&o.applied).expect("the same bounds"));
+        let at = |quantile: f64| applied.value_at_quantile(quantile) as f64 / 1e3;
+        report.record(
             "taken_p50_ms",
             "a valid version taken, ms, median",
             format!("{:.1}", at(0.5)),
         );
-        report.most(
+        report.check_at_most(
             "taken_p99_ms",
             "a valid version taken, ms, 99th percentile",
             at(0.99),
@@ -744,7 +751,7 @@
             panic!("two readings")
         };
         let grown = (last as f64 - early as f64) / 1024.0;
-        report.most(
+        report.check_at_most(
             "memory_mb",
             "memory after the last over after a tenth, MB",
             grown,
