--- a/management/tests/netconf.rs
+++ b/management/tests/netconf.rs
@@ -111,11 +111,11 @@
             | Step::Close(reply)
             | Step::Kill(_, reply)
             | Step::Subscribe(reply) => reply,
-            Step::Over(why) => panic!("over: {why}"),
+            Step::Abort(why) => panic!("over: {why}"),
             Step::Perform(asked) => {
-                let answer = self.ask(session.id, session.asked_by(), &asked);
+                let answer = self.ask(session.id, session.author(), &asked);
                 self.handle.published.store(Arc::new(self.desk.status()));
-                session.answered(&asked, answer)
+                session.complete(&asked, answer)
             }
         }
     }
@@ -484,7 +484,9 @@
     let schema = rig.rpc(&mut session, "<get-schema xmlns='urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring'><identifier>kestreltide-types</identifier></get-schema>");
     assert!(schema.contains("typedef weight"), "{schema}");
     let read = published().expect("well");
-    assert!(state::state(read, &rig.handle.view.load(), &rig.handle.published.load()).is_some());
+    assert!(
+        state::router_state(read, &rig.handle.view.load(), &rig.handle.published.load()).is_some()
+    );
 }
 
 /// Messages that are none; the session answers or ends, and never takes them for something.
@@ -538,7 +540,7 @@
     );
     assert!(matches!(
         session.message(message.as_bytes(), ALL, &rig.handle),
-        Step::Over(_)
+        Step::Abort(_)
     ));
 }
 
