--- a/measure/src/capacity/simulation/settings.rs
+++ b/measure/src/capacity/simulation/settings.rs
@@ -1,7 +1,8 @@
 //! The settings that all routers and the platform are started with: those of the example configuration, with the
 //! votes of half of all routers and a platform that takes a fifth of them a second.
 
-use kestreltide::interface::*;
+use kestreltide::interface::{Idempotency, OperationSettings, ServiceSettings, ZoneId};
+use kestreltide_testkit::decisions::{idempotency_key, operation_settings, service_settings};
 
 use super::platform::PlatformTerms;
 
@@ -43,64 +44,37 @@
     }
 }
 
-/// The terms of one of so many routers, which stands in this zone.
+/// The settings of one of so many routers, which is in this zone.
 pub fn service_terms(routers: usize, zone: usize) -> ServiceSettings {
-    let operation = |idempotency, time_limit, late_value_fraction| OperationSettings {
-        latency_objective: SLO_TIME,
-        latency_objective_stretch: 0.0,
-        time_limit,
-        idempotency,
-        priority_weight: 1.0,
-        late_value_fraction,
-        streamed: false,
-    };
-    let by_key = Idempotency::IdempotencyKey {
-        scope: IdempotencyScope::All,
-        window: 2.0,
-    };
     let votes = half(routers) as u32;
     ServiceSettings {
-        me: RouterId(0),
         routers: routers as u32,
         zone: Some(ZoneId(zone as u64)),
         operations: vec![
-            operation(Idempotency::Idempotent, 2.0, 0.2),
-            operation(by_key, 1.0, 0.0),
+            OperationSettings {
+                late_value_fraction: 0.2,
+                ..operation_settings(Idempotency::Idempotent, SLO_TIME)
+            },
+            OperationSettings {
+                time_limit: 1.0,
+                ..operation_settings(idempotency_key(2.0), SLO_TIME)
+            },
         ],
-        weighted_by_work: false,
         polls_endpoint_list: true,
-        endpoint_poll_interval: 10.0,
-        sizes: Sizes::Unspecified,
-        gate: Gate::Any,
         votes_on: votes,
         votes_back: votes,
-        votes_hold: 0,
         bake: BAKE,
         vote_lifetime: BALLOT_LIFE,
-        vote_wait: 1.0,
         vote_rate: VOTE_RATE * routers as f64,
         stage_shares: SHARES.to_vec(),
         stage_caps: CAPS.to_vec(),
         exposure_window: EXPOSURE_WINDOW,
         exposure_spare: EXPOSURE_SPARE,
-        exposure_by_operation: false,
-        idempotent_only_stages: 0,
-        sticky_keys: false,
-        key_affinity: false,
-        in_place: true,
-        dispute_share: 0.0,
         drain_grace: DRAIN_GRACE,
         slow_start_initial_fraction: COLD_SHARE,
         slow_start_duration: COLD_TIME,
         overload_multiple: FALL_MULTIPLE,
         overload_duration: FALL_TIME,
-        may_probe: false,
-        may_gossip: true,
-        may_cancel_attempts: true,
-        may_hedge: false,
-        may_send_retry_after: true,
-        max_retry_after: 1.0,
-        max_attempts: 4,
-        tick: 0.005,
+        ..service_settings()
     }
 }
--- a/measure/src/capacity/slopes/by_tenants.rs
+++ b/measure/src/capacity/slopes/by_tenants.rs
@@ -11,8 +11,6 @@
 use super::sizes::Sizes;
 
 const HOSTS: usize = 74;
-/// A configuration with more of them is refused.
-pub(super) const MOST: usize = 4096;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Measured {
--- a/measure/src/capacity/slopes/decisions.rs
+++ b/measure/src/capacity/slopes/decisions.rs
@@ -10,6 +10,9 @@
 
 use kestreltide::decisions::Router;
 use kestreltide::interface::*;
+use kestreltide_testkit::decisions::{
+    idempotency_key, operation_settings, rollout_status, running_host, service_settings,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -87,61 +90,24 @@
     }
 }
 
-/// Terms with so many routers, and two operations.
-fn terms(routers: u32) -> ServiceSettings {
-    let operation = |idempotency| OperationSettings {
-        latency_objective: 0.8,
-        latency_objective_stretch: 0.0,
-        time_limit: 2.0,
-        idempotency,
-        priority_weight: 1.0,
-        late_value_fraction: 0.0,
-        streamed: false,
-    };
-    let fingerprinted = Idempotency::IdempotencyKey {
-        scope: IdempotencyScope::All,
-        window: 0.5,
-    };
+/// Settings with so many routers, and two operations.
+fn settings(routers: u32) -> ServiceSettings {
     ServiceSettings {
-        me: RouterId(0),
         routers,
         zone: Some(ZoneId(0)),
-        operations: vec![operation(Idempotency::Idempotent), operation(fingerprinted)],
-        weighted_by_work: false,
-        polls_endpoint_list: false,
-        endpoint_poll_interval: 10.0,
-        sizes: Sizes::Unspecified,
+        operations: vec![
+            operation_settings(Idempotency::Idempotent, 0.8),
+            operation_settings(idempotency_key(0.5), 0.8),
+        ],
         gate: Gate::Share,
         votes_on: routers.div_ceil(2),
         votes_back: routers.div_ceil(2),
-        votes_hold: 0,
         bake: 3.0,
         vote_lifetime: 20.0,
-        vote_wait: 1.0,
         vote_rate: 16.0,
         stage_shares: vec![0.5, 1.0],
         stage_caps: vec![0.6, 1.0],
-        exposure_window: 2.0,
-        exposure_spare: 2.0,
-        exposure_by_operation: false,
-        idempotent_only_stages: 0,
-        sticky_keys: false,
-        key_affinity: false,
-        in_place: true,
-        dispute_share: 0.0,
-        drain_grace: 0.25,
-        slow_start_initial_fraction: 0.4,
-        slow_start_duration: 4.0,
-        overload_multiple: 3.0,
-        overload_duration: 1.0,
-        may_probe: false,
-        may_gossip: true,
-        may_cancel_attempts: true,
-        may_hedge: false,
-        may_send_retry_after: true,
-        max_retry_after: 1.0,
-        max_attempts: 4,
-        tick: 0.005,
+        ..service_settings()
     }
 }
 
@@ -153,29 +119,11 @@
     };
     HostEntry {
         host: HostId::named(&format!("host-{number}")),
-        build,
         zone: ZoneId(number % ZONES),
-        cell: CellId(0),
-        kind: KindId(0),
-        size: 1.0,
-        started: None,
-        state: HostState::Running,
+        ..running_host(number, build, None)
     }
 }
 
-fn rollout_status(build: BuildId, stage: u32, phase: Phase, cap: f64) -> Event {
-    let (outcome, answers_vote) = (AttemptOutcome::Succeeded, false);
-    Event::RolloutStatusReceived(RolloutStatus {
-        outcome,
-        build,
-        stage,
-        phase,
-        cap,
-        age: 0.0,
-        answers_vote,
-    })
-}
-
 /// One router, what comes to it in the future, and what was measured.
 struct Driver {
     router: Router,
@@ -196,7 +144,7 @@
 
 impl Driver {
     fn new(setting: Setting) -> Self {
-        let router = Router::start(terms(setting.routers), 11, 100.0);
+        let router = Router::start(settings(setting.routers), 11, 100.0);
         let chance = ChaCha8Rng::seed_from_u64(setting.hosts);
         let (due, events) = (BinaryHeap::new(), BTreeMap::new());
         let mut driver = Driver {
--- a/measure/src/capacity/slopes/plan.rs
+++ b/measure/src/capacity/slopes/plan.rs
@@ -27,6 +27,8 @@
 pub(in crate::capacity) const MAX_CORE_PERCENT: f64 = 3.8;
 /// A router's memory for control, in MB.
 pub(in crate::capacity) const MAX_MEMORY_MB: f64 = 256.0;
+/// Tenants of a configuration; one with more is rejected.
+pub(in crate::capacity) const MAX_TENANTS: usize = 4096;
 /// A router's bytes a second for control, both directions together.
 pub(in crate::capacity) const MAX_BYTES_PER_S: f64 = 3000.0;
 
--- a/measure/src/capacity/slopes/servers/peers.rs
+++ b/measure/src/capacity/slopes/servers/peers.rs
@@ -17,7 +17,7 @@
 const REPLY: u8 = 1;
 const QUESTION: u8 = 0;
 /// A router's messages are no longer than this.
-const MOST: usize = 257;
+const MAX_MESSAGE_BYTES: usize = 257;
 
 #[derive(Default)]
 pub(in super::super) struct Counted {
@@ -100,7 +100,7 @@
 }
 
 async fn serve(socket: Arc<UdpSocket>, last: Last, counted: Arc<Counted>) {
-    let mut buffer = [0; MOST];
+    let mut buffer = [0; MAX_MESSAGE_BYTES];
     while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
         counted.received.add(length);
         let mut payload = buffer[..length].to_vec();
--- a/measure/src/capacity/slopes/sizes.rs
+++ b/measure/src/capacity/slopes/sizes.rs
@@ -1,6 +1,6 @@
 //! The sizes and times of a whole measurement, and of the small one that CI runs.
 
-use super::by_tenants;
+use super::plan;
 
 /// Seconds of each phase, and the sizes; four at least, over two powers of ten.
 #[derive(Clone, Copy, Debug)]
@@ -48,7 +48,7 @@
     peers: &[8, 76, 250, 760],
     routers: &[1, 4, 20, 100],
     routes: &[110, 1100, 3300, 11_000],
-    tenants: &[40, 400, 1600, by_tenants::MOST],
+    tenants: &[40, 400, 1600, plan::MAX_TENANTS],
     connections: &[7, 70, 250, 700],
     answer_ms: &[20, 200, 800, 2000],
     open_hosts: 370,
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -17,6 +17,7 @@
 mod client;
 mod config;
 mod credentials;
+pub mod decisions;
 mod discovery;
 mod fleet;
 mod gnmi;
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -8,6 +8,10 @@
 
 use kestreltide::decisions::Router;
 use kestreltide::interface::*;
+pub use kestreltide_testkit::decisions::{
+    attempted_host as sent_to, rollout_status as news, running_host as host,
+    service_settings as terms,
+};
 
 pub const OLD: BuildId = BuildId(7);
 pub const NEW: BuildId = BuildId(8);
@@ -15,94 +19,6 @@
 pub const CHANGE: OperationId = OperationId(1);
 pub const ONCE: OperationId = OperationId(2);
 
-pub fn terms() -> ServiceSettings {
-    let operation = |idempotency, latency_objective| OperationSettings {
-        latency_objective,
-        latency_objective_stretch: 0.0,
-        time_limit: 2.0,
-        idempotency,
-        priority_weight: 1.0,
-        late_value_fraction: 0.0,
-        streamed: false,
-    };
-    let fingerprinted = Idempotency::IdempotencyKey {
-        scope: IdempotencyScope::All,
-        window: 0.5,
-    };
-    ServiceSettings {
-        me: RouterId(0),
-        routers: 1,
-        zone: None,
-        operations: vec![
-            operation(Idempotency::Idempotent, 0.8),
-            operation(fingerprinted, 1.5),
-            operation(Idempotency::NonIdempotent, 0.8),
-        ],
-        weighted_by_work: false,
-        polls_endpoint_list: false,
-        endpoint_poll_interval: 10.0,
-        sizes: Sizes::Unspecified,
-        gate: Gate::Any,
-        votes_on: 0,
-        votes_back: 0,
-        votes_hold: 0,
-        bake: 1.0,
-        vote_lifetime: 6.0,
-        vote_wait: 1.0,
-        vote_rate: 250.0,
-        stage_shares: vec![0.25, 1.0],
-        stage_caps: vec![0.3, 1.0],
-        exposure_window: 2.0,
-        exposure_spare: 2.0,
-        exposure_by_operation: false,
-        idempotent_only_stages: 0,
-        sticky_keys: false,
-        key_affinity: false,
-        in_place: true,
-        dispute_share: 0.0,
-        drain_grace: 0.25,
-        slow_start_initial_fraction: 0.4,
-        slow_start_duration: 4.0,
-        overload_multiple: 3.0,
-        overload_duration: 1.0,
-        may_probe: false,
-        may_gossip: true,
-        may_cancel_attempts: true,
-        may_hedge: false,
-        may_send_retry_after: true,
-        max_retry_after: 1.0,
-        max_attempts: 4,
-        tick: 0.005,
-    }
-}
-
-pub fn host(id: u64, build: BuildId, started: Option<f64>) -> HostEntry {
-    let (zone, cell, kind) = (ZoneId(0), CellId(0), KindId(0));
-    let state = HostState::Running;
-    HostEntry {
-        host: HostId(id),
-        build,
-        zone,
-        cell,
-        kind,
-        size: 1.0,
-        started,
-        state,
-    }
-}
-
-pub fn news(build: BuildId, stage: u32, phase: Phase, cap: f64) -> Event {
-    Event::RolloutStatusReceived(RolloutStatus {
-        outcome: AttemptOutcome::Succeeded,
-        build,
-        stage,
-        phase,
-        cap,
-        age: 0.0,
-        answers_vote: false,
-    })
-}
-
 pub struct Fake {
     pub router: Router,
     pub now: f64,
@@ -236,10 +152,3 @@
         (votes, sent)
     }
 }
-
-pub fn sent_to(effects: &[Effect]) -> Option<HostId> {
-    effects.iter().find_map(|effect| match effect {
-        Effect::StartAttempt { host, .. } => Some(*host),
-        _ => None,
-    })
-}
