--- a/file-watch/tests/versions.rs
+++ b/file-watch/tests/versions.rs
@@ -214,7 +214,7 @@
             let [key] = keys.keys.as_slice() else {
                 panic!("one key: {keys:?}")
             };
-            assert!(key.name == "ana" && key.rights.weights && !key.rights.ring);
+            assert!(key.name == "ana" && key.rights.weights && !key.rights.rollout);
         }
         (Parsed::Incomplete(errors) | Parsed::Invalid(errors), Some(why)) => {
             assert!(errors.to_string().contains(why), "{errors}");
@@ -260,8 +260,9 @@
             compare_interval: 0.2,
             use_notifier: notifier,
         };
-        let ((nudge, nudged), (sender, told)) = (wake_channel(), channel());
-        let wake = nudge.clone();
+        let wake = wake_channel();
+        let nudge = wake.sender.clone();
+        let (sender, told) = channel();
         let known = poll_files(&watched, |contents| {
             kestreltide_file_watch::parse_files(&files, contents)
         })
@@ -273,7 +274,7 @@
             run(
                 &watched,
                 Some(known),
-                (wake, &nudged),
+                &wake,
                 || (),
                 says,
                 |told| sender.send(told).is_ok(),
--- a/management/src/lib.rs
+++ b/management/src/lib.rs
@@ -4,7 +4,9 @@
 //!
 //! Both fronts run in a thread of their own, with a runtime of their own.
 
+mod clock;
 pub mod commit_service;
+mod end_reason;
 mod error;
 pub mod gnmi;
 pub mod netconf;
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -12,7 +12,7 @@
 use kestreltide_datastore::{HostRecord, Snapshot};
 use kestreltide_routes::Route;
 
-use crate::protocol::discovery::Target;
+use crate::protocol::discovery::ListedEndpoint;
 
 /// Where hosts are: what discovery told last, under what operators have set.
 pub(super) struct EndpointTable {
@@ -67,7 +67,7 @@
 
     /// The route of an invocation; none: all hosts are for it.
     pub(super) fn route(&self, operation: &str, key: &str) -> Option<&Route> {
-        self.revision.routes.of(operation, key)
+        self.revision.routes.find(operation, key)
     }
 
     /// Whether a connection to this host at this address may be used again.
@@ -77,13 +77,13 @@
     }
 
     /// Notes one entry of discovery's list; None where there is no room for one more host.
-    pub(super) fn stage_entry(&mut self, target: &Target) -> Option<StagedEntry> {
+    pub(super) fn stage_entry(&mut self, target: &ListedEndpoint) -> Option<StagedEntry> {
         let host = HostId::named(&target.uid);
         if !self.told.contains_key(&host) && self.told.len() >= self.most {
             return None;
         }
         let old = self.effective(host).map(Cow::into_owned);
-        self.told.insert(host, target.listed());
+        self.told.insert(host, target.to_host_record());
         let new = self.effective(host)?;
         let moved = old.is_some_and(|old| old.is_replaced_by(&new));
         Some(StagedEntry {
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -9,8 +9,7 @@
 use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 pub use kestreltide_testkit::decisions::{
-    attempted_host as sent_to, rollout_status as news, running_host as host,
-    service_settings as terms,
+    attempted_host as sent_to, rollout_status, running_host as host, service_settings as settings,
 };
 
 pub const OLD: BuildId = BuildId(7);
@@ -24,29 +23,29 @@
     pub now: f64,
     pub taken: u32,
     pub hosts: Vec<HostEntry>,
-    alarms: Vec<(f64, TimerKey)>,
+    timers: Vec<(f64, TimerKey)>,
 }
 
 impl Fake {
     /// A router that knows so many warm hosts of the old build, which is released.
-    pub fn new(terms: ServiceSettings, hosts: u64) -> Self {
-        let router = Router::start(terms, 11, 100.0);
+    pub fn new(settings: ServiceSettings, hosts: u64) -> Self {
+        let router = Router::start(settings, 11, 100.0);
         let mut fake = Fake {
             router,
             now: 100.0,
             taken: 0,
             hosts: vec![],
-            alarms: vec![],
+            timers: vec![],
         };
         fake.list((0..hosts).map(|id| host(id, OLD, None)).collect());
-        fake.feed(news(OLD, 1, Phase::Released, 1.0));
+        fake.feed(rollout_status(OLD, 1, Phase::Released, 1.0));
         fake
     }
 
     pub fn feed(&mut self, event: Event) -> Vec<Effect> {
         let mut effects = vec![];
         self.router.handle(self.now, event, &mut effects);
-        self.alarms
+        self.timers
             .extend(effects.iter().filter_map(|effect| match effect {
                 Effect::ScheduleTimer { at, key } => Some((*at, *key)),
                 _ => None,
@@ -105,7 +104,7 @@
         })
     }
 
-    /// Asks and answers at a steady pace, beats included; `how` says how a host answers. Returns the votes
+    /// Asks and answers at a steady pace, gossip rounds included; `how` says how a host answers. Returns the votes
     /// cast and the builds and hosts that were sent to.
     pub fn run(
         &mut self,
@@ -136,12 +135,12 @@
                 effects.extend(more);
             }
             let due: Vec<_> = self
-                .alarms
+                .timers
                 .iter()
                 .filter(|(at, _)| *at <= self.now)
                 .map(|(_, key)| *key)
                 .collect();
-            self.alarms.retain(|(at, _)| *at > self.now);
+            self.timers.retain(|(at, _)| *at > self.now);
             due.into_iter()
                 .for_each(|key| effects.extend(self.feed(Event::TimerExpired { key })));
             votes.extend(effects.into_iter().filter_map(|effect| match effect {
@@ -152,3 +151,31 @@
         (votes, sent)
     }
 }
+
+/// Every fourth host already runs the new build, started long before.
+pub fn with_canary(settings: ServiceSettings, hosts: u64) -> Fake {
+    with_canary_after(0.1, settings, hosts)
+}
+
+/// The same, after the hosts have answered in this time.
+pub fn with_canary_after(took: f64, settings: ServiceSettings, hosts: u64) -> Fake {
+    let mut fake = Fake::new(settings, hosts);
+    fake.run(4.0, |_, _| (AttemptOutcome::Succeeded, took));
+    fake.feed(rollout_status(NEW, 0, Phase::Canary, 0.3));
+    let build = |id: u64| if id.is_multiple_of(4) { NEW } else { OLD };
+    fake.list((0..hosts).map(|id| host(id, build(id), None)).collect());
+    fake
+}
+
+/// What a peer that took so many requests tells; it knows nothing of the build yet.
+pub fn receive_peer_gossip(fake: &mut Fake, from: u32, taken: f32) {
+    let mut payload = vec![0, 0, 7, 0];
+    [taken, 1.0]
+        .iter()
+        .for_each(|figure| payload.extend(&figure.to_le_bytes()[2..]));
+    payload.resize(payload.len() + 2 * 36, 0);
+    fake.feed(Event::GossipReceived {
+        from: RouterId(from),
+        payload,
+    });
+}
