--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -1,8 +1,7 @@
-//! Serves gNMI on a listener: TLS with clients' certificates, and the limits of a connection.
+//! Serves gNMI on a listener, with TLS, client certificates and limits.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::{Arc, Mutex};
-use std::time::Duration;
 
 use kestreltide_yang::binding::Binding;
 use slog::{Logger, warn};
@@ -16,13 +15,13 @@
 use crate::proto::gnmi::g_nmi_server::GNmiServer;
 use crate::{Limits, ServeError};
 
-/// What TLS needs, in PEM.
+/// The certificates and the key of TLS, in PEM.
 pub struct Tls {
     /// The certificate chain of the server.
     pub certificate: Vec<u8>,
     /// The private key of the server.
     pub key: Vec<u8>,
-    /// Who signs clients' certificates.
+    /// The certificate that signs the certificates of clients.
     pub clients: Vec<u8>,
 }
 
@@ -40,10 +39,7 @@
 ) -> Result<(), ServeError> {
     let schema = kestreltide_yang::published()?;
     let binding = Arc::new(Binding::new(schema)?);
-    let snapshot = {
-        let (commit_service, binding) = (commit_service.clone(), binding.clone());
-        follow_published(schema, binding, commit_service)
-    };
+    let snapshot = follow_published(schema, binding.clone(), commit_service.clone());
     let service = Service {
         log: log.clone(),
         commit_service,
@@ -54,14 +50,14 @@
         masters: Mutex::default(),
         sessions: Mutex::default(),
         streams: Arc::default(),
-        number: AtomicU32::new(1),
+        next_set: AtomicU32::new(1),
     };
     let service = GNmiServer::new(service).max_decoding_message_size(limits.max_message_bytes);
     let config = tls_config(tls, &limits);
     let server = Server::builder()
         .tls_config(config)
         .map_err(ServeError::Certificate)?;
-    let keepalive_interval = Duration::from_secs_f64(limits.keepalive_interval);
+    let keepalive_interval = limits.keepalive_interval;
     let mut server = server
         .max_concurrent_streams(limits.max_streams)
         .concurrency_limit_per_connection(limits.max_streams as usize)
@@ -81,12 +77,12 @@
         })
 }
 
-/// TLS that takes only clients with a certificate, and gives up a handshake after its time.
+/// TLS that requires client certificates and limits the time of a handshake.
 fn tls_config(tls: Tls, limits: &Limits) -> ServerTlsConfig {
     let clients = Certificate::from_pem(tls.clients);
     let identity = Identity::from_pem(tls.certificate, tls.key);
     ServerTlsConfig::new()
         .identity(identity)
         .client_ca_root(clients)
-        .timeout(Duration::from_secs_f64(limits.login_timeout))
+        .timeout(limits.login_timeout)
 }
--- a/management/src/gnmi/subscribe.rs
+++ b/management/src/gnmi/subscribe.rs
@@ -14,6 +14,7 @@
 use super::errors::invalid_argument;
 use super::path_subscription::PathSubscription;
 use super::paths::{leads_nowhere, pattern};
+use super::snapshot::Selection;
 use super::stream::{StreamContext, SubscribeStream};
 use crate::proto::gnmi::subscribe_request::Request as RequestKind;
 use crate::proto::gnmi::subscription_list::Mode;
@@ -21,7 +22,7 @@
 
 pub(super) type Responses = Pin<Box<dyn Stream<Item = Result<SubscribeResponse, Status>> + Send>>;
 
-/// Subscriptions of one stream.
+/// Subscriptions of one stream, at most.
 const MAX_SUBSCRIPTIONS: usize = 64;
 
 impl Service {
@@ -76,7 +77,7 @@
         Ok(Response::new(Box::pin(ReceiverStream::new(receiver))))
     }
 
-    /// The subscriptions of a list, each with a path that the model knows.
+    /// The subscriptions of a list, whose paths have to match the model.
     fn path_subscriptions(
         &self,
         list: &SubscriptionList,
@@ -90,7 +91,7 @@
                 return Err(leads_nowhere(&path));
             }
             subscriptions.push(PathSubscription::new(
-                (pattern, encoding.into()),
+                Selection { pattern, encoding },
                 subscription,
                 &self.limits,
             )?);
@@ -116,7 +117,7 @@
     }
 }
 
-/// The prefix that notifications repeat: its target alone, where it has one.
+/// The prefix of notifications: only the target of the requested prefix, if it has one.
 fn target_only(prefix: &Path) -> Option<Path> {
     let target = prefix.target.clone();
     (!target.is_empty()).then(|| Path {
