--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -12,7 +12,7 @@
 use kestreltide_file_watch::parse::Parsed;
 use kestreltide_file_watch::watch::{parse_files, poll_files};
 
-use super::config::{self, When};
+use super::config::{self, ReadTime};
 use super::operator;
 use crate::management_threads::{PendingVersion, load};
 
@@ -146,12 +146,12 @@
             });
         };
         let text = config::load(Some(config.clone()))?;
-        let told = config::read(&text, When::Start)?;
-        let operations = told.transport.operations.keys().cloned().collect();
+        let configuration = config::read(&text, ReadTime::Start)?;
+        let operations = configuration.transport.operations.keys().cloned().collect();
         Ok(RuleSettings::new(
-            &told.terms,
+            &configuration.service,
             operations,
-            told.budget.operator_maximums(),
+            configuration.budget.operator_maximums(),
         ))
     }
 }
--- a/router/src/program/config.rs
+++ b/router/src/program/config.rs
@@ -1,161 +1,162 @@
 //! The configuration file and the environment.
 
+mod error;
+mod file;
+mod parts;
+mod startup_only;
+
 use std::env;
-use std::fs::File as OnDisk;
+use std::fs::File;
 use std::io::Read;
 use std::net::SocketAddr;
 
 use kestreltide::interface::ServiceSettings;
 use kestreltide_settings::{Fields, NameTable, TransportSettings, decode};
-use serde::Deserialize;
-use serde::de::DeserializeSeed;
-use serde_json::Value;
-use serde_json::value::RawValue;
-use serde_path_to_error::Track;
-
-use crate::limits::{Limits, MemoryBudget, MemoryBudgetError};
-use crate::protocol::discovery::{self, EndpointList};
-use crate::protocol::platform::RolloutStateFields;
-
-use super::unique::Unique;
-
-#[derive(Deserialize)]
-struct File<'a> {
-    name: String,
-    listen: SocketAddr,
-    discovery: SocketAddr,
-    seed: String,
-    limits: Sizes,
-    peer_listen: Option<SocketAddr>,
-    // Each of these is read once it is known how much memory there is for it.
-    #[serde(borrow, default = "no_peers")]
-    peers: &'a RawValue,
-    peers_all: Option<SocketAddr>,
-    platform: Option<Platform>,
-    #[serde(borrow)]
-    known: Option<&'a RawValue>,
-    #[serde(borrow)]
-    settings: &'a RawValue,
-}
-
-fn no_peers() -> &'static RawValue {
-    serde_json::from_str("[]").unwrap_or(RawValue::NULL)
-}
-
-#[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Sizes {
-    pub memory_mb: usize,
-    pub sockets: usize,
-}
-
-#[derive(Deserialize)]
-pub struct Platform {
-    pub address: SocketAddr,
-    pub news: Option<RolloutStateFields>,
-}
 
-/// All that a router is told at start.
-pub struct Told<'a> {
-    pub name: String,
-    pub listen: SocketAddr,
-    pub discovery: SocketAddr,
-    pub seed: u64,
-    pub limits: Sizes,
-    pub peer_listen: Option<SocketAddr>,
-    pub peers: Vec<SocketAddr>,
-    pub peers_all: Option<SocketAddr>,
-    pub platform: Option<Platform>,
-    pub known: Option<EndpointList<'a>>,
-    pub terms: ServiceSettings,
-    pub transport: TransportSettings,
+use crate::limits::{Limits, MemoryBudget};
+use crate::protocol::discovery::EndpointList;
+
+pub(super) use error::ConfigError;
+use error::MemoryUnit;
+use file::{File as ConfigFile, Platform as PlatformSettings, Sizes as ResourceLimits};
+pub(super) use startup_only::StartupOnly;
+
+/// The configuration of a router.
+pub(super) struct ProgramConfiguration<'a> {
+    /// The router's name.
+    pub(super) name: String,
+    /// Where clients connect to.
+    pub(super) listen: SocketAddr,
+    /// The address of discovery.
+    pub(super) discovery: SocketAddr,
+    /// The seed of the random numbers.
+    pub(super) seed: u64,
+    /// What the process may use.
+    pub(super) limits: ResourceLimits,
+    /// Where gossip is received.
+    pub(super) peer_listen: Option<SocketAddr>,
+    /// The other routers, by their numbers.
+    pub(super) peers: Vec<SocketAddr>,
+    /// An address that reaches all other routers.
+    pub(super) peers_all: Option<SocketAddr>,
+    /// The platform, if there is one.
+    pub(super) platform: Option<PlatformSettings>,
+    /// The endpoint list as last known.
+    pub(super) known: Option<EndpointList<'a>>,
+    /// For the decisions.
+    pub(super) service: ServiceSettings,
+    /// For the transport.
+    pub(super) transport: TransportSettings,
     /// What memory is left for the hosts that are listed.
-    pub budget: MemoryBudget,
+    pub(super) budget: MemoryBudget,
+}
+
+impl ProgramConfiguration<'_> {
+    /// The limits that follow.
+    pub(super) fn limits(&self) -> Limits {
+        Limits::new(
+            self.limits.sockets,
+            self.limits.memory_mb,
+            &self.budget,
+            &self.service,
+            &self.transport,
+        )
+    }
 }
 
-pub fn load(path: Option<String>) -> Result<String, String> {
+/// Reads the text of the file that `path` or else the environment names.
+///
+/// # Errors
+///
+/// Where none is named, or it cannot be read, is no regular file or is too long.
+pub(super) fn load(path: Option<String>) -> Result<String, ConfigError> {
     let path = path.or_else(|| env::var("PROXY_CONFIG").ok());
-    let path = path.ok_or("no configuration: neither --config nor PROXY_CONFIG names a file")?;
-    let unread = |why: String| format!("{path} cannot be read: {why}");
-    let file = OnDisk::open(&path).map_err(|e| unread(e.to_string()))?;
-    // Neither a pipe without end nor a file beyond all sense may hold up a router that serves.
-    let found = file.metadata().map_err(|e| unread(e.to_string()))?;
-    if !found.is_file() {
-        return Err(unread("it is no file".into()));
+    let path = path.ok_or(ConfigError::NotNamed)?;
+    read_file(&path).map_err(|problem| ConfigError::Unreadable { path, problem })
+}
+
+fn read_file(path: &str) -> Result<String, String> {
+    let file = File::open(path).map_err(|e| e.to_string())?;
+    // Neither an endless pipe nor an oversized file may hold up a router that serves.
+    let metadata = file.metadata().map_err(|e| e.to_string())?;
+    if !metadata.is_file() {
+        return Err("it is no file".into());
     }
-    if found.len() > Limits::FILE as u64 {
-        return Err(unread(format!(
+    if metadata.len() > Limits::FILE as u64 {
+        return Err(format!(
             "it is too long ({} bytes; {} at most)",
-            found.len(),
+            metadata.len(),
             Limits::FILE
-        )));
+        ));
     }
     let mut text = String::new();
     file.take(Limits::FILE as u64)
         .read_to_string(&mut text)
-        .map_err(|e| unread(e.to_string()))?;
+        .map_err(|e| e.to_string())?;
     Ok(text)
 }
 
 /// When a configuration is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum When {
+pub(super) enum ReadTime {
+    /// At the start of the program.
     Start,
-    /// While running, with this memory: the environment tells only where discovery was at start.
-    Again {
+    /// While it runs. The environment only tells where discovery was at the start.
+    Reload {
+        /// The memory that the program was started with, in MiB.
         memory_mb: usize,
     },
 }
 
-/// The environment goes before the file where both say something.
-fn address(variable: &str, told: SocketAddr) -> Result<SocketAddr, String> {
+/// The address in an environment variable, which goes before the file's.
+fn address(variable: &'static str, in_file: SocketAddr) -> Result<SocketAddr, ConfigError> {
     match env::var(variable) {
         Ok(text) => text
             .parse()
-            .map_err(|_| format!("{variable}={text} is no address and port")),
-        Err(_) => Ok(told),
+            .map_err(|_| ConfigError::NotAnAddress { variable, text }),
+        Err(_) => Ok(in_file),
     }
 }
 
-pub fn read(text: &str, when: When) -> Result<Told<'_>, String> {
-    let reader = &mut serde_json::Deserializer::from_str(text);
-    let file: File = serde_path_to_error::deserialize(reader).map_err(|e| {
-        let (path, why) = (e.path().to_string(), e.inner());
-        if path == "." {
-            why.to_string()
-        } else {
-            format!("{path}: {why}")
-        }
-    })?;
-    let seed = file.seed.trim_start_matches("0x");
-    let seed = u64::from_str_radix(seed, 16)
-        .map_err(|_| format!("seed: {seed} is no hexadecimal number"))?;
+/// Parses the text of a configuration file.
+///
+/// # Errors
+///
+/// The first value that is missing, malformed or more than there is memory for.
+pub(super) fn read(text: &str, time: ReadTime) -> Result<ProgramConfiguration<'_>, ConfigError> {
+    let file = parse_file(text)?;
+    let seed = parse_seed(&file.seed)?;
     if file.limits.sockets == 0 || file.limits.memory_mb == 0 {
-        return Err("limits: sockets and memory_mb must be more than 0".into());
+        return Err(ConfigError::ZeroLimit);
     }
-    let memory_mb = match when {
-        When::Start => file.limits.memory_mb,
-        When::Again { memory_mb } => memory_mb.min(file.limits.memory_mb),
-    };
-    let mut budget = MemoryBudget::new(memory_mb);
+    let mut budget = MemoryBudget::new(match time {
+        ReadTime::Start => file.limits.memory_mb,
+        ReadTime::Reload { memory_mb } => memory_mb.min(file.limits.memory_mb),
+    });
     budget
         .reserve(text.len())
-        .map_err(|error| borne("the configuration", text.len(), "bytes", &error))?;
-    let peers = peers(file.peers, &mut budget)?;
-    let settings = settings(file.settings, &mut budget)?;
+        .map_err(|budget| ConfigError::TooMuchMemory {
+            field: "the configuration",
+            count: text.len(),
+            unit: MemoryUnit::Bytes,
+            budget,
+        })?;
+    let peers = parts::peers(file.peers, &mut budget)?;
+    let settings = parts::settings(file.settings, &mut budget)?;
     let settings = decode(
         &Fields::from_json("settings", &settings),
         &mut NameTable::Hashed,
     )?;
     let known = file
         .known
-        .map(|known| known_hosts(known, &budget))
+        .map(|known| parts::known_hosts(known, &budget))
         .transpose()?;
-    Ok(Told {
+    Ok(ProgramConfiguration {
         name: env::var("PROXY_NAME").unwrap_or(file.name),
         listen: address("PROXY_LISTEN", file.listen)?,
-        discovery: match when {
-            When::Start => address("PROXY_DISCOVERY", file.discovery)?,
-            When::Again { .. } => file.discovery,
+        discovery: match time {
+            ReadTime::Start => address("PROXY_DISCOVERY", file.discovery)?,
+            ReadTime::Reload { .. } => file.discovery,
         },
         seed,
         limits: file.limits,
@@ -164,136 +165,24 @@
         peers_all: file.peers_all,
         platform: file.platform,
         known,
-        terms: settings.service,
+        service: settings.service,
         transport: settings.transport,
         budget,
     })
 }
 
-/// The error of a field that lists more than memory bears.
-fn borne(field: &str, count: usize, what: &str, error: &MemoryBudgetError) -> String {
-    let MemoryBudgetError { maximum, memory_mb } = error;
-    format!(
-        "{field}: more than memory bears ({count} {what}; {maximum} at most where limits.memory_mb is {memory_mb})"
-    )
-}
-
-fn peers(raw: &RawValue, budget: &mut MemoryBudget) -> Result<Vec<SocketAddr>, String> {
-    let text = raw.get();
-    // No address holds a comma: they are counted before memory is reserved for them.
-    let count = if text.contains('"') {
-        text.matches(',').count() + 1
-    } else {
-        0
-    };
-    budget
-        .reserve_peers(count)
-        .map_err(|error| borne("peers", count, "addresses", &error))?;
+fn parse_file(text: &str) -> Result<ConfigFile<'_>, ConfigError> {
     let reader = &mut serde_json::Deserializer::from_str(text);
-    serde_path_to_error::deserialize(reader)
-        .map_err(|error| at("peers", &error.path().to_string(), error.inner()))
-}
-
-fn settings(raw: &RawValue, budget: &mut MemoryBudget) -> Result<Value, String> {
-    let (reader, mut track) = (
-        &mut serde_json::Deserializer::from_str(raw.get()),
-        Track::new(),
-    );
-    let read =
-        Unique { budget }.deserialize(serde_path_to_error::Deserializer::new(reader, &mut track));
-    read.map_err(|error| at("settings", &track.path().to_string(), &error))
-}
-
-fn known_hosts<'a>(raw: &'a RawValue, budget: &MemoryBudget) -> Result<EndpointList<'a>, String> {
-    let list = discovery::parse_list(raw.get().as_bytes()).map_err(|error| {
-        let dot = if error.path.is_empty() { "" } else { "." };
-        format!("known{dot}{}: {}", error.path, unplaced(&error.reason))
-    })?;
-    let (field, count) = ("known.targets", list.targets.len());
-    budget
-        .check_hosts(count)
-        .map_err(|error| borne(field, count, "hosts", &error))?;
-    if count > budget.max_hosts() {
-        return Err(format!(
-            "{field}: more than a router keeps ({count} hosts; {} at most)",
-            budget.max_hosts()
-        ));
-    }
-    Ok(list)
-}
-
-/// An error in a part of the file, by its path.
-fn at(field: &str, path: &str, error: &serde_json::Error) -> String {
-    let dot = if path.starts_with('[') { "" } else { "." };
-    let path = if path == "." {
-        String::new()
-    } else {
-        format!("{dot}{path}")
-    };
-    format!("{field}{path}: {}", unplaced(&error.to_string()))
-}
-
-/// Without the line and column, which would be those of the part.
-fn unplaced(why: &str) -> &str {
-    why.split_once(" at line ").map_or(why, |(why, _)| why)
-}
-
-/// What cannot change while the program runs.
-pub struct Fixed {
-    name: String,
-    listen: SocketAddr,
-    limits: Sizes,
-    peer_listen: Option<SocketAddr>,
-    peers: Vec<SocketAddr>,
-    peers_all: Option<SocketAddr>,
-    platform: bool,
-    terms: ServiceSettings,
-    transport: TransportSettings,
-}
-
-impl Fixed {
-    pub fn memory_mb(&self) -> usize {
-        self.limits.memory_mb
-    }
-
-    pub fn of(told: &Told) -> Self {
-        Fixed {
-            name: told.name.clone(),
-            listen: told.listen,
-            limits: told.limits.clone(),
-            peer_listen: told.peer_listen,
-            peers: told.peers.clone(),
-            peers_all: told.peers_all,
-            platform: told.platform.is_some(),
-            terms: told.terms.clone(),
-            transport: told.transport.clone(),
+    serde_path_to_error::deserialize(reader).map_err(|e| {
+        let path = e.path().to_string();
+        ConfigError::Malformed {
+            path: if path == "." { String::new() } else { path },
+            problem: e.inner().to_string(),
         }
-    }
+    })
+}
 
-    /// The fields that a configuration read again would have to change.
-    pub fn check(&self, told: &Told) -> Result<(), String> {
-        let same = [
-            ("name", self.name == told.name),
-            ("listen", self.listen == told.listen),
-            ("limits", self.limits == told.limits),
-            ("peer_listen", self.peer_listen == told.peer_listen),
-            ("peers", self.peers == told.peers),
-            ("peers_all", self.peers_all == told.peers_all),
-            ("platform", self.platform == told.platform.is_some()),
-            (
-                "settings",
-                self.terms == told.terms && self.transport == told.transport,
-            ),
-        ];
-        let changed: Vec<_> = same
-            .iter()
-            .filter(|(_, same)| !same)
-            .map(|(field, _)| *field)
-            .collect();
-        if changed.is_empty() {
-            Ok(())
-        } else {
-            Err(format!("{}: only a restart changes it", changed.join(", ")))
-        }
-    }
+fn parse_seed(text: &str) -> Result<u64, ConfigError> {
+    let digits = text.trim_start_matches("0x");
+    u64::from_str_radix(digits, 16).map_err(|_| ConfigError::Seed(digits.to_owned()))
 }
--- a/router/src/protocol/discovery.rs
+++ b/router/src/protocol/discovery.rs
@@ -1,98 +1,18 @@
 //! Discovery's endpoint lists: the JSON objects, and the requests for them.
 
 mod http;
+mod wire;
 
-use std::borrow::Cow;
 use std::net::SocketAddr;
 
-use kestreltide::interface::{BuildId, HostState};
-use kestreltide_datastore::HostRecord;
-use serde::Deserialize;
 use thiserror::Error;
 
 pub use http::{ChunkedBody, Response, parse_response};
+pub use wire::{List as EndpointList, Target as ListedEndpoint};
 
 use super::Malformed;
 use crate::limits::Limits;
 
-/// An endpoint list, or what has changed in it.
-// The names of the types are part of serde's error texts, here and below.
-#[derive(Debug, Deserialize)]
-#[serde(rename = "List")]
-pub struct EndpointList<'a> {
-    /// The list's version.
-    pub rev: u64,
-    /// It is the full list, not only what changed.
-    pub all: bool,
-    /// The hosts.
-    #[serde(borrow)]
-    pub targets: Vec<ListedEndpoint<'a>>,
-}
-
-/// A host as discovery lists it.
-#[derive(Debug, Deserialize)]
-#[serde(rename = "Target")]
-pub struct ListedEndpoint<'a> {
-    /// The host's name.
-    #[serde(borrow)]
-    pub uid: Cow<'a, str>,
-    /// Where it serves.
-    pub endpoint: SocketAddr,
-    /// The name of its zone.
-    #[serde(borrow)]
-    pub az: Cow<'a, str>,
-    /// The name of its machine kind.
-    #[serde(borrow)]
-    pub model: Cow<'a, str>,
-    /// The number of its cell.
-    pub pod_group: u32,
-    state: ListedState,
-    /// Its size in comparison to other hosts.
-    pub capacity_hint: f64,
-    boot_ms: u64,
-    /// The number of its build.
-    pub build: u16,
-}
-
-#[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(rename = "State")]
-enum ListedState {
-    Ready,
-    Terminating,
-    Gone,
-}
-
-impl ListedEndpoint<'_> {
-    /// Whether it runs.
-    pub fn state(&self) -> HostState {
-        match self.state {
-            ListedState::Ready => HostState::Running,
-            ListedState::Terminating => HostState::Stopping,
-            ListedState::Gone => HostState::Gone,
-        }
-    }
-
-    /// The host as the datastore keeps it.
-    pub fn to_host_record(&self) -> HostRecord {
-        HostRecord {
-            name: self.uid.as_ref().into(),
-            endpoint: self.endpoint,
-            zone: self.az.as_ref().into(),
-            cell: self.pod_group,
-            kind: self.model.as_ref().into(),
-            size: self.capacity_hint,
-            build: BuildId(self.build),
-            started: self.started(),
-            state: self.state(),
-        }
-    }
-
-    /// When it started last, in Unix time in seconds.
-    pub fn started(&self) -> Option<f64> {
-        (self.boot_ms > 0).then(|| self.boot_ms as f64 / 1e3)
-    }
-}
-
 /// Why bytes are not an endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}{reason}", prefix(.path))]
--- a/router/src/protocol/platform.rs
+++ b/router/src/protocol/platform.rs
@@ -1,5 +1,7 @@
 //! The platform's protocol: JSON-RPC 2.0, one object a line.
 
+mod wire;
+
 use std::borrow::Cow;
 
 use kestreltide::interface::{AttemptOutcome, BuildId, Phase, RolloutStatus, Vote};
@@ -7,6 +9,8 @@
 use serde_json::value::RawValue;
 
 use super::{Malformed, ParseResult};
+pub use wire::StateForm as RolloutStateFields;
+use wire::{ComplaintForm, Line, age_seconds};
 
 /// A message of the platform.
 #[derive(Debug, PartialEq)]
@@ -79,79 +83,6 @@
     }
 }
 
-#[derive(Deserialize)]
-struct Line<'a> {
-    id: Option<u64>,
-    #[serde(borrow)]
-    method: Option<Cow<'a, str>>,
-    #[serde(borrow)]
-    params: Option<&'a RawValue>,
-    #[serde(borrow)]
-    result: Option<&'a RawValue>,
-    #[serde(borrow)]
-    error: Option<CallError<'a>>,
-}
-
-#[derive(Deserialize)]
-struct CallError<'a> {
-    #[serde(borrow)]
-    message: Cow<'a, str>,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum Progress {
-    Testing,
-    Recalling,
-    Live,
-    Recalled,
-}
-
-/// The state of a rollout by its names on the wire.
-// The name of the type is part of serde's error texts, here and below.
-#[derive(Deserialize)]
-#[serde(rename = "StateForm")]
-pub struct RolloutStateFields {
-    image: u16,
-    ring: u32,
-    progress: Progress,
-    ceiling: f64,
-    lag_ms: f64,
-}
-
-impl RolloutStateFields {
-    /// The state in the terms of the decisions.
-    pub fn state(&self) -> RolloutState {
-        let phase = match self.progress {
-            Progress::Testing => Phase::Canary,
-            Progress::Recalling => Phase::RollingBack,
-            Progress::Live => Phase::Released,
-            Progress::Recalled => Phase::RolledBack,
-        };
-        RolloutState {
-            build: BuildId(self.image),
-            stage: self.ring,
-            phase,
-            cap: self.ceiling.clamp(0.0, 1.0),
-            age: age_seconds(self.lag_ms),
-        }
-    }
-}
-
-#[derive(Deserialize)]
-#[serde(rename = "ComplaintForm")]
-struct ComplaintFields<'a> {
-    #[serde(borrow)]
-    host: Cow<'a, str>,
-    #[serde(borrow, rename = "type")]
-    operation: Cow<'a, str>,
-    lag_ms: f64,
-}
-
-fn age_seconds(lag_ms: f64) -> f64 {
-    lag_ms.max(0.0) / 1e3
-}
-
 fn parse_json<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, Malformed> {
     serde_json::from_str(text).map_err(|e| Malformed::new(e.to_string()))
 }
@@ -215,7 +146,7 @@
             PlatformMessage::Rollout(fields.state())
         }
         Some("complaint") => {
-            let fields: ComplaintFields = parse_json(params()?)?;
+            let fields: ComplaintForm = parse_json(params()?)?;
             PlatformMessage::Complaint {
                 host: fields.host,
                 operation: fields.operation,
