--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -91,7 +91,7 @@
         auth_rejection_time_initial: Some(Duration::ZERO),
         max_auth_attempts: MAX_AUTH_ATTEMPTS,
         keys: vec![host_key],
-        keepalive_interval: Some(Duration::from_secs_f64(limits.keepalive_interval)),
+        keepalive_interval: Some(limits.keepalive_interval),
         keepalive_max: limits.max_missed_keepalives,
         inactivity_timeout: None,
         nodelay: true,
@@ -104,11 +104,11 @@
     let config = Arc::new(ssh_config(host_key, &shared.limits));
     let permits = Arc::new(Semaphore::new(shared.limits.max_connections));
     loop {
-        let (stream, from) = match listener.accept().await {
+        let (stream, client) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(e) => {
                 // Most likely out of file descriptors: sessions go on, and accepting is retried.
-                warn!(shared.log, "a NETCONF client cannot be accepted"; "error" => %e);
+                warn!(shared.log, "NETCONF connection not accepted"; "error" => %e);
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -117,11 +117,12 @@
             drop(stream);
             continue;
         };
-        let (shared, config) = (shared.clone(), config.clone());
+        let shared = shared.clone();
+        let config = config.clone();
         tokio::spawn(async move {
             serve_connection(shared.clone(), config, stream).await;
             drop(permit);
-            debug!(shared.log, "a NETCONF connection ended"; "from" => %from);
+            debug!(shared.log, "NETCONF connection closed"; "client" => %client);
         });
     }
 }
@@ -133,7 +134,7 @@
     stream: TcpStream,
 ) {
     let authenticated = Arc::new(AtomicBool::new(false));
-    let login_timeout = Duration::from_secs_f64(shared.limits.login_timeout);
+    let login_timeout = shared.limits.login_timeout;
     let handler = SshConnection::new(shared, authenticated.clone());
     let connection = timeout(
         login_timeout,
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -1,9 +1,9 @@
-//! One NETCONF session: what each message leads to. Free of I/O: a message gives a step, some of which ask the
-//! commit service and come back with its answer.
+//! One NETCONF session, without I/O: a message leads to a step, and some steps come back with the result of the commit
+//! service.
 //!
-//! Each session has a candidate of its own, made from the revision that was in force when it began; who commits
-//! second is told which leaf both changed (draft-ietf-netconf-privcand has the same idea). Edits are all or
-//! nothing whatever the error-option says.
+//! Each session has a candidate of its own, based on the revision that was in force when the candidate began. If two
+//! sessions change the same leaf, the second commit fails and names the leaf (as draft-ietf-netconf-privcand has it).
+//! Edits are applied all or none, whatever their error-option.
 
 mod capabilities;
 mod commit;
@@ -21,13 +21,14 @@
 use kestreltide_yang::Schema;
 use kestreltide_yang::binding::Binding;
 use kestreltide_yang::xml::{self, Attribute, Element, XmlLimits, escaped};
+use thiserror::Error;
 
 pub use self::capabilities::BASE;
-use self::capabilities::CAPABILITIES;
+use self::capabilities::{BASE_1_0, BASE_1_1};
 use self::rpc_error::{RpcError, commit_errors};
 use crate::commit_service::CommitServiceHandle;
 
-/// What the commit service is asked for a message.
+/// An operation of the commit service that a message leads to.
 #[derive(Clone, Debug)]
 pub enum DatastoreOperation {
     /// Lock a datastore.
@@ -36,42 +37,53 @@
     Unlock(Target),
     /// Check a candidate without committing it.
     Validate(Candidate),
-    /// Of the session's own candidate, or of one edit of what runs.
+    /// Commit the candidate of the session, or one edit of the running datastore.
     Commit {
-        /// What to commit.
+        /// The candidate to commit.
         candidate: Candidate,
-        /// Within which time it has to be confirmed; none: it stays.
+        /// The time in which it has to be confirmed; none if it is final.
         confirm: Option<ConfirmedCommit>,
-        /// The id of the commit that waits, where whoever began it gave one.
+        /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
-    /// Confirm the commit that waits.
+    /// Confirm the pending commit.
     Confirm {
-        /// The id of the commit that waits, where whoever began it gave one.
+        /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
-    /// Roll back the commit that waits.
+    /// Roll back the pending commit.
     Cancel {
-        /// The id of the commit that waits, where whoever began it gave one.
+        /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
 }
 
+/// Why a session ends without a reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum AbortReason {
+    /// The first message is not a hello.
+    #[error("first message is not a hello")]
+    NoHello,
+    /// Client and server have no version of the base protocol in common.
+    #[error("no common base version")]
+    NoCommonVersion,
+}
+
 /// What to do after a message.
 #[derive(Debug)]
 pub enum Step {
     /// Send the reply; an empty one is not sent.
     Reply(String),
-    /// Perform it, and give the answer to [`Session::answered`].
+    /// Perform the operation, and pass its result to [`Session::complete`].
     Perform(DatastoreOperation),
-    /// The reply, then the session is over.
+    /// Send the reply and end the session.
     Close(String),
-    /// Another session is to be ended; the reply.
+    /// End another session and send the reply.
     Kill(SessionId, String),
-    /// The reply; from then on what happens is told.
+    /// Send the reply, and notifications from then on.
     Subscribe(String),
-    /// It is over without a reply: no messages can be read any more.
-    Abort(&'static str),
+    /// End the session without a reply.
+    Abort(AbortReason),
 }
 
 /// The state of one session.
@@ -85,44 +97,42 @@
     peer_chunks: bool,
     candidate: Option<Candidate>,
     subscribed: bool,
-    /// Attributes of the rpc that is being answered.
+    /// The attributes of the current rpc, which its reply repeats.
     attributes: String,
 }
 
 impl Session {
-    /// A session before the hello of its client; `name` is that of the key of the client.
+    /// A session that has not received a hello; `name` is that of the key of the client.
     pub fn new(
         id: SessionId,
         name: &str,
         schema: &'static Schema,
         binding: std::sync::Arc<Binding>,
     ) -> Self {
-        let (hello_received, peer_chunks, subscribed, attributes) =
-            (false, false, false, String::new());
         Session {
             id,
             name: name.into(),
             schema,
             binding,
-            hello_received,
-            peer_chunks,
+            hello_received: false,
+            peer_chunks: false,
             candidate: None,
-            subscribed,
-            attributes,
+            subscribed: false,
+            attributes: String::new(),
         }
     }
 
-    /// Whether the client has said hello.
+    /// Whether the hello of the client has been received.
     pub fn hello_received(&self) -> bool {
         self.hello_received
     }
 
-    /// Whether messages are chunked from now on: both have said base:1.1.
+    /// Whether messages are chunked from now on, since both sides support version 1.1.
     pub fn chunked(&self) -> bool {
         self.hello_received && self.peer_chunks
     }
 
-    /// What a message leads to.
+    /// Handles a message of the client.
     pub fn message(
         &mut self,
         bytes: &[u8],
@@ -171,7 +181,7 @@
             .child("capabilities")
             .filter(|_| element.name == "hello" && element.namespace == BASE);
         let Some(capabilities) = capabilities else {
-            return Step::Abort("the first message is no hello");
+            return Step::Abort(AbortReason::NoHello);
         };
         let supports = |base: &str| {
             capabilities
@@ -179,17 +189,18 @@
                 .iter()
                 .any(|child| child.text.trim() == base)
         };
-        if !supports(CAPABILITIES[0]) && !supports(CAPABILITIES[1]) {
-            return Step::Abort("no base version in common");
+        if !supports(BASE_1_0) && !supports(BASE_1_1) {
+            return Step::Abort(AbortReason::NoCommonVersion);
         }
-        (self.hello_received, self.peer_chunks) = (true, supports(CAPABILITIES[1]));
+        self.hello_received = true;
+        self.peer_chunks = supports(BASE_1_1);
         Step::Reply(String::new())
     }
 
     fn malformed(&self, why: &str) -> Step {
         // There is no message-id to answer with (RFC 6241, section 4.1); the session goes on.
         if !self.hello_received {
-            return Step::Abort("the first message is no hello");
+            return Step::Abort(AbortReason::NoHello);
         }
         let error = RpcError::new(
             "rpc",
@@ -201,7 +212,7 @@
         Step::Reply(out + "</rpc-reply>")
     }
 
-    /// The commit service's answer to what was asked.
+    /// The reply to a message whose operation the commit service has performed.
     pub fn complete(
         &mut self,
         operation: &DatastoreOperation,
--- a/router/src/program/serve.rs
+++ b/router/src/program/serve.rs
@@ -13,7 +13,7 @@
 use super::config::{self, ConfigError, ProgramConfiguration, ReadTime, StartupOnly};
 use super::logs;
 use crate::limits::Limits;
-use crate::management_threads::{ManagementThreads, OperatorSettings, ThreadContext};
+use crate::management_threads::{ManagementThreads, OperatorSettings, StartError, ThreadContext};
 use crate::routing::{Addresses, Routing, Turn};
 use crate::transport::{Clock, Reactor};
 
@@ -50,8 +50,8 @@
     #[error("{0}")]
     OperatorFile(String),
     /// The threads beside the event loop cannot be started.
-    #[error("{0}")]
-    ManagementThreads(String),
+    #[error(transparent)]
+    ManagementThreads(#[from] StartError),
     /// The address for clients cannot be listened on.
     #[error("listen: {address} cannot be listened on: {source}")]
     Listen {
@@ -100,7 +100,7 @@
         };
         drop(routing);
         if let Some(threads) = threads {
-            threads.end();
+            threads.shut_down();
         }
         match &result {
             Ok(()) => info!(log, "stopped"),
@@ -167,11 +167,11 @@
         configuration: ProgramConfiguration,
     ) -> Result<(Routing, Option<ManagementThreads>), ServeError> {
         let clock = self.clock;
-        let lists_alone = self.operators.alone();
+        let lists_alone = self.operators.replaces_discovery();
         let rollout = known_rollout(&configuration);
         let addresses = addresses(&configuration);
         let known = configuration.known.filter(|_| !lists_alone);
-        let listed = known.as_ref().filter(|_| self.operators.any());
+        let listed = known.as_ref().filter(|_| self.operators.has_threads());
         let listed: Option<Vec<HostRecord>> = listed.map(|known| {
             let hosts = known.targets.iter();
             hosts.map(|host| host.to_host_record()).collect()
@@ -181,12 +181,10 @@
             clock,
             limits: &self.limits,
             router: &configuration.name,
-            terms: &configuration.service,
+            service_settings: &configuration.service,
             operations: configuration.transport.operations.keys().cloned().collect(),
         };
-        let started = context
-            .fronts(&mut reactor, self.operators, listed, rollout)
-            .map_err(ServeError::ManagementThreads)?;
+        let started = context.start_threads(&mut reactor, self.operators, listed, rollout)?;
         let mut routing = Routing::start(
             self.log.clone(),
             (self.limits, clock),
@@ -199,9 +197,10 @@
             address: configuration.listen,
             source,
         })?;
-        let started = started.map(|(inbox, revision, threads)| {
-            routing.attach_management(inbox, threads.heartbeats.clone(), !lists_alone);
-            (revision, threads)
+        let started = started.map(|started| {
+            let heartbeats = started.threads.heartbeats();
+            routing.attach_management(started.inbox, heartbeats, !lists_alone);
+            (started.snapshot, started.threads)
         });
         if let Some(known) = known {
             routing.restore_endpoint_list(&known);
@@ -209,9 +208,9 @@
         if let Some(rollout) = rollout {
             routing.restore_rollout_status(rollout);
         }
-        let threads = started.map(|(revision, threads)| {
-            if let Some(revision) = &revision {
-                routing.apply_revision(revision);
+        let threads = started.map(|(snapshot, threads)| {
+            if let Some(snapshot) = &snapshot {
+                routing.apply_revision(snapshot);
             }
             threads
         });
