--- a/router/src/routing/admission.rs
+++ b/router/src/routing/admission.rs
@@ -6,6 +6,7 @@
 
 use super::Routing;
 use super::client_connection::QueuedReply;
+use super::metrics::Counter;
 use crate::protocol::client::{self, Kept};
 use crate::transport::SocketId;
 
@@ -45,7 +46,7 @@
             || self.reserved_bytes + kept.size() > self.limits.requests.stored_command_bytes
             || self.has_given_up()
         {
-            self.metrics.no_room += 1;
+            self.metrics.increment(Counter::RequestsRejected);
             return self.reply(client, |out| client::write_throttled(out, None));
         }
         // The client's own id goes to hosts unchanged; here a number stands for it, which nobody can repeat.
@@ -53,7 +54,7 @@
         let id = RequestId(self.last_request_number.to_string().into());
         self.reserved_bytes += kept.size();
         self.open_request_ids.insert(kept.id().into(), client);
-        self.metrics.taken += 1;
+        self.metrics.increment(Counter::RequestsAdmitted);
         if let Some(client) = self.clients.get_mut(&client) {
             client.queue.push_back(QueuedReply::Pending(id.clone()));
         }
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -8,6 +8,7 @@
 
 use super::admission::ParsedRequest;
 use super::arrivals::Arrivals;
+use super::metrics::Counter;
 use super::{CLIENTS, Routing, TimerEvent};
 use crate::protocol::client::{self, Command, Kept};
 use crate::protocol::{Malformed, resp};
@@ -148,7 +149,7 @@
             Ok(stream) => {
                 let id = stream.id;
                 self.clients.insert(id, Client::new(stream, now));
-                self.metrics.clients += 1;
+                self.metrics.increment(Counter::ClientsAccepted);
                 self.read_client(id);
             }
             Err(e) => warn!(self.log, "a client's connection cannot be watched"; "error" => %e),
@@ -398,7 +399,7 @@
         if self.may_log_complaint() {
             info!(self.log, "a client's command is malformed, its connection is closed"; "why" => %why);
         }
-        self.metrics.malformed += 1;
+        self.metrics.increment(Counter::MalformedMessages);
         if let Some(client) = self.clients.get_mut(&id) {
             client.closing = true;
             client.consume(usize::MAX);
@@ -412,7 +413,7 @@
     pub(super) fn may_log_complaint(&mut self) -> bool {
         let now = self.clock.now();
         self.metrics
-            .complain(now, self.limits.log.warnings_per_second)
+            .may_warn(now, self.limits.log.warnings_per_second)
     }
 
     /// Turns away who has connected and said nothing for long, or has begun a command and not ended it.
@@ -455,7 +456,7 @@
                 admitted.left = true;
                 // Free at once: it may come again before the decisions have heard of this.
                 self.open_request_ids.remove(admitted.kept.id());
-                self.metrics.left += 1;
+                self.metrics.increment(Counter::RequestsAbandoned);
                 self.events.push_back(Event::ClientDisconnected { request });
             }
         }
--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -6,6 +6,7 @@
 use kestreltide::interface::*;
 use slog::{info, warn};
 
+use super::metrics::Counter;
 use super::upstream_connection::UpstreamConnection;
 use super::{DISCOVERY, ReadyReason, Routing, TimerEvent};
 use crate::limits::Limits;
@@ -201,7 +202,7 @@
             self.limits.discovery.watch_hold
         };
         self.discovery.number += 1;
-        self.metrics.list_requests += 1;
+        self.metrics.increment(Counter::EndpointListRequests);
         (call.asked, call.number, call.begun) = (asked, self.discovery.number, None);
         (call.taken, call.chunks) = (self.discovery.taken, Chunks::default());
         let watch = rev
@@ -273,7 +274,7 @@
             Err(why) => {
                 let (asked, since) = (call.asked, call.since);
                 call.stream.close(&self.reactor);
-                self.metrics.malformed += 1;
+                self.metrics.increment(Counter::MalformedMessages);
                 self.on_call_failed(asked, since, &why.to_string());
             }
         }
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -3,6 +3,7 @@
 use kestreltide::interface::*;
 use slog::info;
 
+use super::metrics::Counter;
 use super::{Routing, TimerEvent};
 use crate::protocol::client;
 use crate::protocol::resp::write_error;
@@ -36,12 +37,12 @@
                 request,
                 retry_after,
             } => {
-                self.metrics.throttled += 1;
+                self.metrics.increment(Counter::RequestsShed);
                 let millis = retry_after.map(|time| (time * MILLIS).ceil().max(0.0) as u64);
                 self.answer(&request, |out| client::write_throttled(out, millis));
             }
             Effect::FailRequest { request } => {
-                self.metrics.terminated += 1;
+                self.metrics.increment(Counter::RequestsFailed);
                 self.answer(&request, |out| write_error(out, "ERR failed"));
             }
             Effect::ScheduleTimer { at, key } => self.schedule(at, TimerEvent::Decisions(key)),
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -1,14 +1,12 @@
-//! Book: which hosts there are and where, and the counts of what was done.
+//! The endpoint table: which endpoints discovery and the operators list, and where they are.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt::Write;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use kestreltide::interface::*;
 use kestreltide_datastore::merge::merge;
-use kestreltide_datastore::view::RequestCounts;
 use kestreltide_datastore::{HostRecord, Snapshot};
 use kestreltide_routes::Route;
 
@@ -169,117 +167,3 @@
         });
     }
 }
-
-const VERDICTS: [(AttemptOutcome, &str); 8] = [
-    (AttemptOutcome::Succeeded, "succeeded"),
-    (AttemptOutcome::Error, "error"),
-    (AttemptOutcome::Rejected, "full"),
-    (AttemptOutcome::TimedOut, "timed_out"),
-    (AttemptOutcome::NoConnection, "no_connection"),
-    (AttemptOutcome::Reset, "reset"),
-    (AttemptOutcome::Cancelled, "recalled"),
-    (AttemptOutcome::Irrelevant, "moot"),
-];
-
-/// Counts since the state was last told.
-#[derive(Default)]
-pub(super) struct Metrics {
-    told: f64,
-    pub(super) clients: u64,
-    pub(super) taken: u64,
-    pub(super) no_room: u64,
-    pub(super) succeeded: u64,
-    pub(super) throttled: u64,
-    pub(super) terminated: u64,
-    pub(super) left: u64,
-    pub(super) malformed: u64,
-    pub(super) attempts: u64,
-    pub(super) upstreams: u64,
-    /// What all routers share: calls to discovery, votes and those that did not count, messages between routers.
-    pub(super) list_requests: u64,
-    pub(super) votes: u64,
-    pub(super) votes_not_counted: u64,
-    pub(super) gossip_sent: u64,
-    pub(super) gossip_received: u64,
-    /// Lines that were not written, of too many in a second; when that second began, and its lines.
-    unlogged: u64,
-    second: (f64, u64),
-    ends: [u64; VERDICTS.len()],
-    /// Of what was told before.
-    before: RequestCounts,
-}
-
-impl Metrics {
-    /// Counts since the program's start.
-    pub(super) fn all(&self) -> RequestCounts {
-        let before = &self.before;
-        RequestCounts {
-            admitted: before.admitted + self.taken,
-            succeeded: before.succeeded + self.succeeded,
-            shed: before.shed + self.throttled,
-            failed: before.failed + self.terminated,
-            attempts: before.attempts + self.attempts,
-        }
-    }
-
-    pub(super) fn count(&mut self, outcome: AttemptOutcome) {
-        if let Some(place) = VERDICTS.iter().position(|(of, _)| *of == outcome) {
-            self.ends[place] += 1;
-        }
-    }
-
-    /// Whether one more line about what others do wrong is within so many a second.
-    pub(super) fn complain(&mut self, now: f64, most: u64) -> bool {
-        if now - self.second.0 >= 1.0 {
-            self.second = (now, 0);
-        }
-        self.second.1 += 1;
-        let may = self.second.1 <= most;
-        self.unlogged += u64::from(!may);
-        may
-    }
-
-    /// The counts, where it is time to tell them; they begin afresh.
-    pub(super) fn line(&mut self, now: f64, every: f64) -> Option<String> {
-        if now - self.told < every {
-            return None;
-        }
-        let counts = [
-            ("clients", self.clients),
-            ("taken", self.taken),
-            ("no_room", self.no_room),
-            ("succeeded", self.succeeded),
-            ("throttled", self.throttled),
-            ("terminated", self.terminated),
-            ("left", self.left),
-            ("malformed", self.malformed),
-            ("dispatches", self.attempts),
-            ("new_links", self.upstreams),
-            ("lists", self.list_requests),
-            ("votes", self.votes),
-            ("votes_away", self.votes_not_counted),
-            ("told", self.gossip_sent),
-            ("heard", self.gossip_received),
-            ("unlogged", self.unlogged),
-        ];
-        let mut line = String::new();
-        for (name, count) in counts {
-            let _ = write!(line, "{name} {count} ");
-        }
-        line.push_str("ends:");
-        for ((_, name), count) in VERDICTS
-            .iter()
-            .zip(self.ends)
-            .filter(|(_, count)| *count > 0)
-        {
-            let _ = write!(line, " {name} {count}");
-        }
-        *self = Metrics {
-            told: now,
-            second: self.second,
-            before: self.all(),
-            ..Metrics::default()
-        };
-        Some(line)
-    }
-}
--- a/router/src/routing/gossip_peers.rs
+++ b/router/src/routing/gossip_peers.rs
@@ -7,6 +7,7 @@
 use kestreltide::interface::*;
 use slog::{debug, info};
 
+use super::metrics::Counter;
 use super::{GOSSIP, Routing};
 use crate::limits::Limits;
 use crate::transport::{DatagramSocket, Reactor, SocketId};
@@ -53,7 +54,7 @@
         let Some(to) = to.filter(|_| payload.len() <= self.limits.peers.datagram_bytes) else {
             return debug!(self.log, "a message to a peer has no way"; "bytes" => payload.len());
         };
-        self.metrics.gossip_sent += 1;
+        self.metrics.increment(Counter::GossipSent);
         if let Err(e) = peers.socket.send(to, payload) {
             debug!(self.log, "a message to a peer is lost"; "to" => %to, "error" => %e);
         }
@@ -72,17 +73,17 @@
                 .filter(|_| payload.len() <= self.limits.peers.datagram_bytes);
             match known {
                 Some(from) => {
-                    self.metrics.gossip_received += 1;
+                    self.metrics.increment(Counter::GossipReceived);
                     self.events.push_back(Event::GossipReceived {
                         from: *from,
                         payload: payload.to_vec(),
                     });
                 }
                 None => {
-                    self.metrics.malformed += 1;
+                    self.metrics.increment(Counter::MalformedMessages);
                     if self
                         .metrics
-                        .complain(self.clock.now(), self.limits.log.warnings_per_second)
+                        .may_warn(self.clock.now(), self.limits.log.warnings_per_second)
                     {
                         info!(self.log, "a datagram is from no peer or too long"; "from" => %from);
                     }
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -255,7 +255,7 @@
             requests_in_flight: self.admitted.len(),
             clients: self.clients.len(),
             upstream_connections: self.upstreams.len(),
-            counts: self.metrics.all(),
+            counts: self.metrics.requests_since_start(),
         };
         management.inbox.view.store(Arc::new(view));
     }
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -10,6 +10,7 @@
 mod gossip_peers;
 mod graceful_shutdown;
 mod management_link;
+mod metrics;
 mod platform_client;
 mod response_relay;
 mod upstream_connection;
@@ -30,10 +31,11 @@
 use admission::AdmittedRequest;
 use client_connection::Client;
 use discovery_watch::DiscoveryWatch;
-use endpoint_table::{EndpointTable, Metrics};
+use endpoint_table::EndpointTable;
 use gossip_peers::GossipPeers;
 use graceful_shutdown::Shutdown;
 pub use management_link::{Heartbeat, LoopHandle, ManagementInbox, ManagementMessage};
+use metrics::Metrics;
 use platform_client::PlatformClient;
 use upstream_connection::UpstreamConnection;
 
@@ -446,7 +448,7 @@
         self.endpoints.forget_gone(&using);
         if let Some(line) = self
             .metrics
-            .line(now, self.limits.event_loop.state_log_interval)
+            .take_line(now, self.limits.event_loop.state_log_interval)
         {
             info!(self.log, "state"; "open" => self.admitted.len(), "clients" => self.clients.len(),
                 "links" => self.upstreams.len(), "idle" => self.idle_connections.count(), "counts" => line);
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -7,6 +7,7 @@
 use rand::RngExt;
 use slog::{debug, info, warn};
 
+use super::metrics::Counter;
 use super::{PLATFORM, ReadyReason, Routing, TimerEvent};
 use crate::limits::Limits;
 use crate::protocol::platform::{self, State, Told};
@@ -135,7 +136,7 @@
                 what,
             },
         );
-        self.metrics.votes += 1;
+        self.metrics.increment(Counter::VotesCast);
         info!(self.log, "vote cast"; "build" => build.0, "stage" => stage, "vote" => ?vote);
         self.schedule(
             now + self.limits.platform.vote_timeout,
@@ -206,7 +207,7 @@
             platform.stream = Some(stream);
         }
         if let Some(why) = &broken {
-            self.metrics.malformed += 1;
+            self.metrics.increment(Counter::MalformedMessages);
             self.on_platform_lost(&why.to_string());
         }
         broken.is_none()
@@ -267,7 +268,7 @@
             }
             Told::Error { call, outcome } => {
                 if let Some(vote) = platform.votes.remove(&call) {
-                    self.metrics.votes_not_counted += 1;
+                    self.metrics.increment(Counter::VotesNotCounted);
                     debug!(self.log, "a vote does not count"; "verdict" => ?outcome);
                     self.events
                         .push_back(Event::RolloutStatusReceived(RolloutStatus {
--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -6,6 +6,7 @@
 use kestreltide_settings::{LoadReporting, TransportSettings};
 use slog::{debug, warn};
 
+use super::metrics::Counter;
 use super::{Routing, TimerEvent, UPSTREAMS};
 use crate::protocol::Malformed;
 use crate::protocol::host::{self, Answer};
@@ -70,7 +71,7 @@
         let no = AttemptNumber(admitted.attempts);
         admitted.attempts += 1;
         let left = admitted.left;
-        self.metrics.attempts += 1;
+        self.metrics.increment(Counter::AttemptsStarted);
         // A first attempt follows the read that brought its request, which found no close.
         if left || no.0 > 0 && self.is_client_gone(&request) {
             // Decided before the decisions could hear that the client has left: nothing goes out any more.
@@ -220,7 +221,7 @@
             }
         };
         let id = stream.id;
-        self.metrics.upstreams += 1;
+        self.metrics.increment(Counter::UpstreamsOpened);
         let upstream = UpstreamConnection {
             stream,
             host,
@@ -300,7 +301,7 @@
                 if self.may_log_complaint() {
                     warn!(self.log, "a host's answer is malformed, its connection is closed"; "why" => %why);
                 }
-                self.metrics.malformed += 1;
+                self.metrics.increment(Counter::MalformedMessages);
                 // It may have run, and what came of it came in time: an error of the host's, not a lost connection.
                 // As a reset it would count as late, and a few spoilt answers would narrow what is kept open.
                 self.abandon_use(id, |_| AttemptOutcome::Error);
@@ -388,7 +389,7 @@
 
     fn relay_value(&mut self, request: &RequestId, value: &[u8]) {
         if self.answer(request, |out| write_bulk(out, value)) {
-            self.metrics.succeeded += 1;
+            self.metrics.increment(Counter::RequestsSucceeded);
         }
     }
 
@@ -556,7 +557,7 @@
         times: (f64, f64),
         load: LoadReport,
     ) {
-        self.metrics.count(outcome);
+        self.metrics.count_attempt(outcome);
         let AttemptInFlight {
             request,
             no: attempt,
