--- a/router/src/routing/admission.rs
+++ b/router/src/routing/admission.rs
@@ -41,12 +41,13 @@
             kept,
         } = taken;
         // Nothing has been dispatched: a client may be told that trying again is harmless.
-        let full = self.admitted.len() >= self.limits.requests.in_flight;
+        let full = self.admitted.len() >= self.event_loop.limits.requests.in_flight;
         if full
-            || self.reserved_bytes + kept.size() > self.limits.requests.stored_command_bytes
+            || self.reserved_bytes + kept.size()
+                > self.event_loop.limits.requests.stored_command_bytes
             || self.has_given_up()
         {
-            self.metrics.increment(Counter::RequestsRejected);
+            self.event_loop.metrics.increment(Counter::RequestsRejected);
             return self.reply(client, |out| client::write_throttled(out, None));
         }
         // The client's own id goes to hosts unchanged; here a number stands for it, which nobody can repeat.
@@ -54,7 +55,7 @@
         let id = RequestId(self.last_request_number.to_string().into());
         self.reserved_bytes += kept.size();
         self.open_request_ids.insert(kept.id().into(), client);
-        self.metrics.increment(Counter::RequestsAdmitted);
+        self.event_loop.metrics.increment(Counter::RequestsAdmitted);
         if let Some(client) = self.clients.get_mut(&client) {
             client.queue.push_back(QueuedReply::Pending(id.clone()));
         }
@@ -67,15 +68,16 @@
                 left: false,
             },
         );
-        self.events.push_back(Event::RequestReceived(Request {
-            id,
-            operation,
-            key,
-            time_left,
-            work: None,
-            again,
-            pool,
-        }));
+        self.event_loop
+            .notify_decisions(Event::RequestReceived(Request {
+                id,
+                operation,
+                key,
+                time_left,
+                work: None,
+                again,
+                pool,
+            }));
     }
 
     /// The invocation owes no answer any more.
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -109,12 +109,14 @@
 impl Routing {
     /// True where more clients may wait to be taken at once.
     pub(super) fn accept(&mut self) -> bool {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         // Bounded: who connects by hundreds at once leaves others their turn.
-        for _ in 0..self.limits.clients.accepts_per_wake {
+        for _ in 0..self.event_loop.limits.clients.accepts_per_wake {
             // Who waits to be accepted may have written a command already: room is made, nobody is kept out.
-            if self.clients.len() >= self.limits.clients.connections && !self.close_idle_client() {
-                return self.accept_again(now + self.limits.clients.accept_retry_delay);
+            if self.clients.len() >= self.event_loop.limits.clients.connections
+                && !self.close_idle_client()
+            {
+                return self.accept_again(now + self.event_loop.limits.clients.accept_retry_delay);
             }
             self.close_idle_client_over_limit(now);
             let Some(listener) = &self.listener else {
@@ -126,8 +128,9 @@
                 Err(e) => {
                     // Those without use make room; else it is tried again, not at once.
                     if !out_of_descriptors(&e) || !self.free_descriptor() {
-                        warn!(self.log, "no client can be accepted now"; "error" => %e);
-                        return self.accept_again(now + self.limits.clients.accept_retry_delay);
+                        warn!(self.event_loop.log, "no client can be accepted now"; "error" => %e);
+                        return self
+                            .accept_again(now + self.event_loop.limits.clients.accept_retry_delay);
                     }
                 }
             }
@@ -139,27 +142,29 @@
     fn accept_again(&mut self, at: f64) -> bool {
         if !self.accept_due {
             self.accept_due = true;
-            self.schedule(at, TimerEvent::AcceptAgain);
+            self.event_loop.schedule(at, TimerEvent::AcceptAgain);
         }
         false
     }
 
     fn accepted(&mut self, socket: TcpStream, now: f64) {
-        match Stream::accepted(&mut self.reactor, socket, CLIENTS) {
+        match Stream::accepted(&mut self.event_loop.reactor, socket, CLIENTS) {
             Ok(stream) => {
                 let id = stream.id;
                 self.clients.insert(id, Client::new(stream, now));
-                self.metrics.increment(Counter::ClientsAccepted);
+                self.event_loop.metrics.increment(Counter::ClientsAccepted);
                 self.read_client(id);
             }
-            Err(e) => warn!(self.log, "a client's connection cannot be watched"; "error" => %e),
+            Err(e) => {
+                warn!(self.event_loop.log, "a client's connection cannot be watched"; "error" => %e)
+            }
         }
     }
 
     /// Closes a connection of no use, or one whose answers are stale: of the first rank the one that has been
     /// so for longest.
     fn close_idle_client(&mut self) -> bool {
-        let stale = self.clock.now() - self.limits.clients.stale_response_age;
+        let stale = self.event_loop.now() - self.event_loop.limits.clients.stale_response_age;
         let of_no_use =
             |client: &Client| client.is_idle() || client.stuck.is_some_and(|since| since < stale);
         loop {
@@ -178,13 +183,13 @@
     /// Some clients ask once and keep their connection for good: all of them together may hold as many as their
     /// side can open, and none be left to ask on.
     fn close_idle_client_over_limit(&mut self, now: f64) {
-        let since = now - self.limits.clients.idle_timeout;
+        let since = now - self.event_loop.limits.clients.idle_timeout;
         let stays = |client: &Client| client.asked == 1 && client.used < since && client.is_idle();
         let idle_clients = self
             .clients
             .iter()
             .filter(|(_, client)| stays(client) && client.begun.is_none());
-        if idle_clients.clone().count() >= self.limits.clients.idle {
+        if idle_clients.clone().count() >= self.event_loop.limits.clients.idle {
             let oldest = idle_clients
                 .min_by(|a, b| a.1.used.total_cmp(&b.1.used))
                 .map(|(id, _)| *id);
@@ -224,7 +229,7 @@
             return;
         }
         // What is read now may have come at any time since the last look.
-        let arrived_since = self.woken_at - self.event_loop_delay;
+        let arrived_since = self.event_loop.arrived_since();
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
@@ -232,12 +237,12 @@
             return self.discard_input(id);
         }
         let filled = client.fill(
-            self.limits.resp.message,
-            self.limits.event_loop.read_bytes_per_turn,
+            self.event_loop.limits.resp.message,
+            self.event_loop.limits.event_loop.read_bytes_per_turn,
             arrived_since,
         );
         // Who has left more unread commands than are kept is gone all the same, with what waits for it.
-        let full = client.stream.input().len() >= self.limits.resp.message;
+        let full = client.stream.input().len() >= self.event_loop.limits.resp.message;
         if filled == ReadStatus::Closed || full && client.stream.is_closed_by_peer() {
             return self.close_client(id);
         }
@@ -260,8 +265,8 @@
             return;
         };
         let filled = client.stream.read_available(
-            self.limits.resp.message,
-            self.limits.event_loop.read_bytes_per_turn,
+            self.event_loop.limits.resp.message,
+            self.event_loop.limits.event_loop.read_bytes_per_turn,
         );
         let read = client.stream.input().len();
         client.stream.consume(read);
@@ -276,7 +281,7 @@
     fn take_commands(&mut self, id: SocketId) -> bool {
         let mut progress = false;
         loop {
-            let limits = &self.limits;
+            let limits = &self.event_loop.limits;
             let client = self.clients.get_mut(&id).filter(|client| !client.closing);
             let Some(client) = client else { return false };
             // Backpressure: who does not read answers gives no more commands.
@@ -301,7 +306,7 @@
                     Err(why) => return self.reject(id, &why),
                 },
                 Ok(None) if whole => {
-                    let now = self.clock.now();
+                    let now = self.event_loop.now();
                     let Some(client) = self.clients.get_mut(&id) else {
                         return false;
                     };
@@ -317,9 +322,10 @@
                 return false;
             };
             client.consume(used);
-            (client.used, client.asked, client.begun) = (self.clock.now(), client.asked + 1, None);
+            (client.used, client.asked, client.begun) =
+                (self.event_loop.now(), client.asked + 1, None);
             client.unknown += usize::from(matches!(step, Step::Unknown));
-            if client.unknown > self.limits.clients.unknown_commands {
+            if client.unknown > self.event_loop.limits.clients.unknown_commands {
                 return self.reject(id, &Malformed::new("too many unknown commands"));
             }
             progress = true;
@@ -370,7 +376,7 @@
                 Step::Fail(OPEN_ID)
             });
         }
-        if asked.time_millis as f64 > self.limits.clients.max_time_limit * 1e3 {
+        if asked.time_millis as f64 > self.event_loop.limits.clients.max_time_limit * 1e3 {
             return Err(Malformed::new("the time (d) is beyond all sense"));
         }
         let kept: Kept = asked.keep();
@@ -380,7 +386,7 @@
             .route(asked.operation, asked.key)
             .map(|route| route.pool.clone());
         // A command that lay unread, while this process stood still or behind a full pipeline, has less time left.
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let unread = now - arrived.unwrap_or(now);
         let time_left = (asked.time_millis as f64 / 1e3 - unread)
             .max(0.0)
@@ -396,10 +402,12 @@
     }
 
     fn reject(&mut self, id: SocketId, why: &Malformed) -> bool {
-        if self.may_log_complaint() {
-            info!(self.log, "a client's command is malformed, its connection is closed"; "why" => %why);
+        if self.event_loop.may_warn() {
+            info!(self.event_loop.log, "a client's command is malformed, its connection is closed"; "why" => %why);
         }
-        self.metrics.increment(Counter::MalformedMessages);
+        self.event_loop
+            .metrics
+            .increment(Counter::MalformedMessages);
         if let Some(client) = self.clients.get_mut(&id) {
             client.closing = true;
             client.consume(usize::MAX);
@@ -409,16 +417,9 @@
         false
     }
 
-    /// Whether a line about what others do wrong may be written: so many a second, the rest is counted.
-    pub(super) fn may_log_complaint(&mut self) -> bool {
-        let now = self.clock.now();
-        self.metrics
-            .may_warn(now, self.limits.log.warnings_per_second)
-    }
-
     /// Turns away who has connected and said nothing for long, or has begun a command and not ended it.
     pub(super) fn expire_clients_without_request(&mut self, now: f64) {
-        let since = now - self.limits.clients.command_timeout;
+        let since = now - self.event_loop.limits.clients.command_timeout;
         let late = self
             .clients
             .iter()
@@ -456,11 +457,14 @@
                 admitted.left = true;
                 // Free at once: it may come again before the decisions have heard of this.
                 self.open_request_ids.remove(admitted.kept.id());
-                self.metrics.increment(Counter::RequestsAbandoned);
-                self.events.push_back(Event::ClientDisconnected { request });
+                self.event_loop
+                    .metrics
+                    .increment(Counter::RequestsAbandoned);
+                self.event_loop
+                    .notify_decisions(Event::ClientDisconnected { request });
             }
         }
-        client.stream.close(&self.reactor);
+        client.stream.close(&self.event_loop.reactor);
         if waited {
             self.abandon_unwritten_attempts();
         }
@@ -486,8 +490,8 @@
     /// Closes connections whose clients have not read for long, and the fullest where too much is unread.
     pub(super) fn close_clients_not_reading(&mut self, now: f64) {
         let (most, longest) = (
-            self.limits.clients.unread_response_bytes,
-            self.limits.clients.write_timeout,
+            self.event_loop.limits.clients.unread_response_bytes,
+            self.event_loop.limits.clients.write_timeout,
         );
         let stuck = self
             .clients
@@ -507,7 +511,7 @@
         }
         for id in closed {
             warn!(
-                self.log,
+                self.event_loop.log,
                 "a client does not read its answers, its connection is closed"
             );
             self.close_client(id);
--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -138,14 +138,14 @@
         let calls: Vec<_> = self.discovery.calls.keys().copied().collect();
         calls.iter().for_each(|id| self.on_discovery_readable(*id));
         (self.discovery.at, self.discovery.rev, self.discovery.wait) =
-            (at, None, self.limits.reconnect_backoff.initial);
+            (at, None, self.event_loop.limits.reconnect_backoff.initial);
         // Also those that were begun by what has just been read.
         for id in self.discovery.calls.keys().copied().collect::<Vec<_>>() {
             if let Some((asked, _)) = self.drop_call(id)
                 && self.discovery.on_demand
             {
                 self.discovery.following &= asked == Asked::Once;
-                self.events.push_back(Event::EndpointListFailed);
+                self.event_loop.notify_decisions(Event::EndpointListFailed);
             }
         }
         self.begin_watch();
@@ -168,9 +168,9 @@
     }
 
     fn call(&mut self, asked: Asked) {
-        match Stream::connect(&mut self.reactor, self.discovery.at, DISCOVERY) {
+        match Stream::connect(&mut self.event_loop.reactor, self.discovery.at, DISCOVERY) {
             Ok(stream) => {
-                let (id, now) = (stream.id, self.clock.now());
+                let (id, now) = (stream.id, self.event_loop.now());
                 let chunks = Chunks::default();
                 let call = Call {
                     stream,
@@ -184,13 +184,13 @@
                 self.discovery.calls.insert(id, call);
                 self.ask(id, asked);
             }
-            Err(e) => self.on_call_failed(asked, self.clock.now(), &e.to_string()),
+            Err(e) => self.on_call_failed(asked, self.event_loop.now(), &e.to_string()),
         }
     }
 
     /// Writes the next question on a connection that has none out.
     fn ask(&mut self, id: SocketId, asked: Asked) {
-        let (now, at, rev) = (self.clock.now(), self.discovery.at, self.discovery.rev);
+        let (now, at, rev) = (self.event_loop.now(), self.discovery.at, self.discovery.rev);
         let Some(call) = self.discovery.calls.get_mut(&id) else {
             return;
         };
@@ -199,10 +199,12 @@
         let hold = if at_once {
             0.0
         } else {
-            self.limits.discovery.watch_hold
+            self.event_loop.limits.discovery.watch_hold
         };
         self.discovery.number += 1;
-        self.metrics.increment(Counter::EndpointListRequests);
+        self.event_loop
+            .metrics
+            .increment(Counter::EndpointListRequests);
         (call.asked, call.number, call.begun) = (asked, self.discovery.number, None);
         (call.taken, call.chunks) = (self.discovery.taken, Chunks::default());
         let watch = rev
@@ -211,16 +213,17 @@
         discovery::write_get(call.stream.output(), at, watch);
         let in_turn = self.discovery.on_demand && hold <= 0.0 || asked == Asked::Once;
         let spare = if in_turn {
-            self.limits.discovery.list_poll_timeout
+            self.event_loop.limits.discovery.list_poll_timeout
         } else {
-            self.limits.discovery.watch_grace
+            self.event_loop.limits.discovery.watch_grace
         };
         let patience = if watch.is_some() { hold } else { 0.0 } + spare;
         let number = call.number;
-        self.schedule(now + patience, TimerEvent::DiscoveryCallTimeout(id, number));
+        self.event_loop
+            .schedule(now + patience, TimerEvent::DiscoveryCallTimeout(id, number));
         // A connection that does not come up would cost a whole wait, in which all that is missed counts as told.
-        self.schedule(
-            now + self.limits.message_stall_timeout,
+        self.event_loop.schedule(
+            now + self.event_loop.limits.message_stall_timeout,
             TimerEvent::DiscoveryConnectTimeout(id, number),
         );
         self.on_discovery_readable(id);
@@ -228,8 +231,8 @@
 
     pub(super) fn on_discovery_readable(&mut self, id: SocketId) {
         let (most, step) = (
-            self.limits.discovery.response.max_total(),
-            self.limits.event_loop.read_bytes_per_turn,
+            self.event_loop.limits.discovery.response.max_total(),
+            self.event_loop.limits.event_loop.read_bytes_per_turn,
         );
         let Some(call) = self.discovery.calls.get_mut(&id) else {
             return;
@@ -257,14 +260,14 @@
             Ok(None) if !ended => self.await_rest_of_answer(id, call),
             Ok(None) => {
                 let (asked, since) = (call.asked, call.since);
-                call.stream.close(&self.reactor);
+                call.stream.close(&self.event_loop.reactor);
                 self.on_call_failed(asked, since, "the connection ended");
             }
             Ok(Some((used, stays_open))) => {
                 let asked = call.asked;
                 call.stream.consume(used);
                 if ended || !stays_open || asked == Asked::Once || !self.discovery.following {
-                    call.stream.close(&self.reactor);
+                    call.stream.close(&self.event_loop.reactor);
                     self.begin_watch();
                 } else {
                     self.discovery.calls.insert(id, call);
@@ -273,15 +276,20 @@
             }
             Err(why) => {
                 let (asked, since) = (call.asked, call.since);
-                call.stream.close(&self.reactor);
-                self.metrics.increment(Counter::MalformedMessages);
+                call.stream.close(&self.event_loop.reactor);
+                self.event_loop
+                    .metrics
+                    .increment(Counter::MalformedMessages);
                 self.on_call_failed(asked, since, &why.to_string());
             }
         }
     }
 
     fn parse_response(&mut self, call: &mut Call) -> Result<Option<(usize, bool)>, Malformed> {
-        let (bytes, limits) = (call.stream.input(), self.limits.discovery.response);
+        let (bytes, limits) = (
+            call.stream.input(),
+            self.event_loop.limits.discovery.response,
+        );
         let Some((response, used)) = discovery::response(bytes, &limits, &mut call.chunks)? else {
             let room = bytes.len() < limits.max_total();
             // Nothing more of it would ever be read.
@@ -307,7 +315,7 @@
                 // Another list came while this one was under way: it would bring back what has passed. On demand
                 // each call is answered, be it with nothing.
                 if self.discovery.on_demand {
-                    self.events.push_back(Event::EndpointList {
+                    self.event_loop.notify_decisions(Event::EndpointList {
                         scope: ListScope::Delta,
                         entries: [].into(),
                     });
@@ -326,7 +334,7 @@
         }
         self.discovery.rev = Some(list.rev);
         self.discovery.taken += 1;
-        self.discovery.wait = self.limits.reconnect_backoff.initial;
+        self.discovery.wait = self.event_loop.limits.reconnect_backoff.initial;
         // On demand each call is answered, be it with nothing.
         if list.all || !list.targets.is_empty() || self.discovery.on_demand {
             self.apply_endpoint_list(&list, scope);
@@ -344,7 +352,7 @@
         if whole {
             self.warn_of_duplicates(list);
         }
-        if self.endpoints.len() + targets.len() > self.limits.discovery.hosts {
+        if self.endpoints.len() + targets.len() > self.event_loop.limits.discovery.hosts {
             self.make_room(&mut targets, whole);
         }
         let mut entries = Vec::with_capacity(targets.len());
@@ -366,8 +374,8 @@
             entries.push(entry);
         }
         if let Some(first) = left_out.first() {
-            warn!(self.log, "more hosts are listed than can be kept"; "uid" => *first,
-                "left_out" => left_out.len(), "most" => self.limits.discovery.hosts);
+            warn!(self.event_loop.log, "more hosts are listed than can be kept"; "uid" => *first,
+                "left_out" => left_out.len(), "most" => self.event_loop.limits.discovery.hosts);
         }
         if whole {
             for host in self.endpoints.retain_listed(&entries) {
@@ -379,11 +387,13 @@
             .iter()
             .filter_map(|entry| entry.started)
             .reduce(f64::max);
-        let youngest = youngest.map_or("none".into(), |at| format!("{:.2}", self.clock.now() - at));
-        info!(self.log, "hosts"; "rev" => list.rev, "scope" => ?scope, "entries" => entries.len(),
+        let youngest = youngest.map_or("none".into(), |at| {
+            format!("{:.2}", self.event_loop.now() - at)
+        });
+        info!(self.event_loop.log, "hosts"; "rev" => list.rev, "scope" => ?scope, "entries" => entries.len(),
             "running" => entries.iter().filter(|entry| entry.state == HostState::Running).count(),
             "youngest" => youngest);
-        self.events.push_back(Event::EndpointList {
+        self.event_loop.notify_decisions(Event::EndpointList {
             scope,
             entries: entries.into(),
         });
@@ -400,7 +410,7 @@
         hosts.sort_unstable();
         hosts.dedup();
         if hosts.len() < list.targets.len() {
-            warn!(self.log, "hosts stand twice in a list, the last entry counts"; "rev" => list.rev,
+            warn!(self.event_loop.log, "hosts stand twice in a list, the last entry counts"; "rev" => list.rev,
                 "entries" => list.targets.len(), "hosts" => hosts.len());
         }
     }
@@ -443,7 +453,7 @@
 
     fn drop_call(&mut self, id: SocketId) -> Option<(Asked, f64)> {
         let call = self.discovery.calls.remove(&id)?;
-        call.stream.close(&self.reactor);
+        call.stream.close(&self.event_loop.reactor);
         Some((call.asked, call.since))
     }
 
@@ -476,11 +486,15 @@
     /// The answer is not whole yet. One that has begun and stalls is given up sooner than a quiet watch: what
     /// it was to tell counts as told.
     fn await_rest_of_answer(&mut self, id: SocketId, mut call: Call) {
-        let (now, come, number) = (self.clock.now(), call.stream.input().len(), call.number);
+        let (now, come, number) = (
+            self.event_loop.now(),
+            call.stream.input().len(),
+            call.number,
+        );
         if come > 0 && call.begun.is_none_or(|(before, _)| before < come) {
             if call.begun.is_none() {
-                self.schedule(
-                    now + self.limits.message_stall_timeout,
+                self.event_loop.schedule(
+                    now + self.event_loop.limits.message_stall_timeout,
                     TimerEvent::DiscoveryAnswerTimeout(id, number),
                 );
             }
@@ -498,9 +512,11 @@
         let Some((_, last)) = call.and_then(|call| call.begun) else {
             return;
         };
-        let until = last + self.limits.message_stall_timeout;
-        if self.clock.now() < until {
-            return self.schedule(until, TimerEvent::DiscoveryAnswerTimeout(id, number));
+        let until = last + self.event_loop.limits.message_stall_timeout;
+        if self.event_loop.now() < until {
+            return self
+                .event_loop
+                .schedule(until, TimerEvent::DiscoveryAnswerTimeout(id, number));
         }
         self.fail_call(id, "an answer does not end");
     }
@@ -508,21 +524,21 @@
     /// On demand the decisions hear of it and ask again; else the watch begins again after a while, later
     /// each time and never in step with other routers, but at once where the connection had stood for long.
     fn on_call_failed(&mut self, asked: Asked, since: f64, why: &str) {
-        warn!(self.log, "discovery does not answer"; "why" => why.to_owned());
+        warn!(self.event_loop.log, "discovery does not answer"; "why" => why.to_owned());
         if self.discovery.on_demand {
             self.discovery.following &= asked == Asked::Once;
-            return self.events.push_back(Event::EndpointListFailed);
+            return self.event_loop.notify_decisions(Event::EndpointListFailed);
         }
-        let now = self.clock.now();
-        let stood = now - since >= self.limits.reconnect_backoff.maximum;
+        let now = self.event_loop.now();
+        let stood = now - since >= self.event_loop.limits.reconnect_backoff.maximum;
         let at = now
             + if stood {
                 0.0
             } else {
-                self.discovery.wait * self.spread()
+                self.discovery.wait * self.event_loop.backoff_jitter()
             };
         self.discovery.wait =
-            (2.0 * self.discovery.wait).min(self.limits.reconnect_backoff.maximum);
-        self.schedule(at, TimerEvent::DiscoveryRetry);
+            (2.0 * self.discovery.wait).min(self.event_loop.limits.reconnect_backoff.maximum);
+        self.event_loop.schedule(at, TimerEvent::DiscoveryRetry);
     }
 }
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -18,7 +18,8 @@
         } else {
             None
         };
-        self.decisions.handle(self.clock.now(), event, &mut effects);
+        self.decisions
+            .handle(self.event_loop.now(), event, &mut effects);
         left.map(|request| self.release(&request));
         effects.drain(..).for_each(|effect| self.carry_out(effect));
         self.effects = effects;
@@ -37,22 +38,24 @@
                 request,
                 retry_after,
             } => {
-                self.metrics.increment(Counter::RequestsShed);
+                self.event_loop.metrics.increment(Counter::RequestsShed);
                 let millis = retry_after.map(|time| (time * MILLIS).ceil().max(0.0) as u64);
                 self.answer(&request, |out| client::write_throttled(out, millis));
             }
             Effect::FailRequest { request } => {
-                self.metrics.increment(Counter::RequestsFailed);
+                self.event_loop.metrics.increment(Counter::RequestsFailed);
                 self.answer(&request, |out| write_error(out, "ERR failed"));
             }
-            Effect::ScheduleTimer { at, key } => self.schedule(at, TimerEvent::Decisions(key)),
+            Effect::ScheduleTimer { at, key } => {
+                self.event_loop.schedule(at, TimerEvent::Decisions(key))
+            }
             Effect::StartHealthCheck { host } => self.start_health_check(host),
             Effect::CloseIdleConnections { host } => self.close_idle_connections(host),
             Effect::SendGossip { to, payload } => self.send_gossip(to, &payload),
             Effect::CastVote { build, stage, vote } => self.cast_vote(build, stage, vote),
             Effect::SubscribeEndpointList { on } => self.subscribe_endpoint_list(on),
             Effect::FetchEndpointList => self.fetch_endpoint_list(),
-            Effect::WriteLog { text } => info!(self.log, "decision"; "note" => text),
+            Effect::WriteLog { text } => info!(self.event_loop.log, "decision"; "note" => text),
         }
     }
 }
--- a/router/src/routing/gossip_peers.rs
+++ b/router/src/routing/gossip_peers.rs
@@ -51,41 +51,44 @@
     pub(super) fn send_gossip(&mut self, to: Option<RouterId>, payload: &[u8]) {
         let Some(peers) = &self.peers else { return };
         let to = to.map_or(peers.all, |router| peers.at.get(router.0 as usize).copied());
-        let Some(to) = to.filter(|_| payload.len() <= self.limits.peers.datagram_bytes) else {
-            return debug!(self.log, "a message to a peer has no way"; "bytes" => payload.len());
+        let Some(to) = to.filter(|_| payload.len() <= self.event_loop.limits.peers.datagram_bytes)
+        else {
+            return debug!(self.event_loop.log, "a message to a peer has no way"; "bytes" => payload.len());
         };
-        self.metrics.increment(Counter::GossipSent);
+        self.event_loop.metrics.increment(Counter::GossipSent);
         if let Err(e) = peers.socket.send(to, payload) {
-            debug!(self.log, "a message to a peer is lost"; "to" => %to, "error" => %e);
+            debug!(self.event_loop.log, "a message to a peer is lost"; "to" => %to, "error" => %e);
         }
     }
 
     pub(super) fn on_gossip_readable(&mut self) {
         let Some(peers) = &mut self.peers else { return };
         // Bounded: a flood leaves the rest to the next one, which it brings by itself.
-        for _ in 0..self.limits.peers.datagrams_per_wake {
+        for _ in 0..self.event_loop.limits.peers.datagrams_per_wake {
             let Some((from, payload)) = peers.socket.receive() else {
                 return;
             };
             let known = peers
                 .numbers
                 .get(&from)
-                .filter(|_| payload.len() <= self.limits.peers.datagram_bytes);
+                .filter(|_| payload.len() <= self.event_loop.limits.peers.datagram_bytes);
             match known {
                 Some(from) => {
-                    self.metrics.increment(Counter::GossipReceived);
-                    self.events.push_back(Event::GossipReceived {
+                    self.event_loop.metrics.increment(Counter::GossipReceived);
+                    self.event_loop.notify_decisions(Event::GossipReceived {
                         from: *from,
                         payload: payload.to_vec(),
                     });
                 }
                 None => {
-                    self.metrics.increment(Counter::MalformedMessages);
-                    if self
+                    self.event_loop
                         .metrics
-                        .may_warn(self.clock.now(), self.limits.log.warnings_per_second)
-                    {
-                        info!(self.log, "a datagram is from no peer or too long"; "from" => %from);
+                        .increment(Counter::MalformedMessages);
+                    if self.event_loop.metrics.may_warn(
+                        self.event_loop.now(),
+                        self.event_loop.limits.log.warnings_per_second,
+                    ) {
+                        info!(self.event_loop.log, "a datagram is from no peer or too long"; "from" => %from);
                     }
                 }
             }
--- a/router/src/routing/graceful_shutdown.rs
+++ b/router/src/routing/graceful_shutdown.rs
@@ -139,8 +139,9 @@
             Act::CloseIdle => self.drain_clients(),
             Act::CallLast => {
                 self.last_calls += 1;
-                let at = self.clock.now() + self.limits.shutdown.quiet_time;
-                self.schedule(at, TimerEvent::LastCallOver(self.last_calls));
+                let at = self.event_loop.now() + self.event_loop.limits.shutdown.quiet_time;
+                self.event_loop
+                    .schedule(at, TimerEvent::LastCallOver(self.last_calls));
             }
             Act::CloseListener => self.close_listener(),
             Act::GiveUp => self.give_up_all(),
@@ -197,17 +198,18 @@
 
     /// What is taken from now on has this time at the most, however long its client waits.
     pub(super) fn time_before_last(&self) -> f64 {
-        self.last_at
-            .map_or(f64::INFINITY, |last| (last - self.clock.now()).max(0.0))
+        self.last_at.map_or(f64::INFINITY, |last| {
+            (last - self.event_loop.now()).max(0.0)
+        })
     }
 
     fn begin_shutdown(&mut self) {
-        info!(self.log, "stopping"; "open" => self.admitted.len(), "clients" => self.clients.len());
+        info!(self.event_loop.log, "stopping"; "open" => self.admitted.len(), "clients" => self.clients.len());
         // It may have been told while this process stood still, and the platform counts from there.
         let (now, told, limits) = (
-            self.woken_at,
-            self.woken_at - self.event_loop_delay,
-            &self.limits,
+            self.event_loop.woken_at(),
+            self.event_loop.arrived_since(),
+            &self.event_loop.limits,
         );
         let (serving, last, end) = (
             limits.shutdown.accept_time,
@@ -215,17 +217,19 @@
             limits.shutdown.exit,
         );
         self.last_at = Some(told + last);
-        self.schedule(now + serving, TimerEvent::ServingOver);
-        self.schedule(
+        self.event_loop
+            .schedule(now + serving, TimerEvent::ServingOver);
+        self.event_loop.schedule(
             (now + serving).midpoint(told + last),
             TimerEvent::DrainingOver,
         );
-        self.schedule(told + last, TimerEvent::LastTime);
-        self.schedule(told + end, TimerEvent::ShutdownEnd);
+        self.event_loop.schedule(told + last, TimerEvent::LastTime);
+        self.event_loop
+            .schedule(told + end, TimerEvent::ShutdownEnd);
     }
 
     fn drain_clients(&mut self) {
-        info!(self.log, "draining"; "open" => self.admitted.len(), "clients" => self.clients.len());
+        info!(self.event_loop.log, "draining"; "open" => self.admitted.len(), "clients" => self.clients.len());
         self.clients
             .keys()
             .copied()
@@ -236,12 +240,13 @@
 
     /// Who waits to be accepted is still served; bounded, as a flood would never end.
     fn close_listener(&mut self) {
-        info!(self.log, "closing"; "open" => self.admitted.len(), "clients" => self.clients.len());
-        (0..self.limits.clients.backlog as usize / self.limits.clients.accepts_per_wake)
+        info!(self.event_loop.log, "closing"; "open" => self.admitted.len(), "clients" => self.clients.len());
+        (0..self.event_loop.limits.clients.backlog as usize
+            / self.event_loop.limits.clients.accepts_per_wake)
             .take_while(|_| self.accept())
             .for_each(drop);
         if let Some(listener) = self.listener.take() {
-            listener.close(&self.reactor);
+            listener.close(&self.event_loop.reactor);
         }
         self.drain_due();
     }
@@ -249,16 +254,17 @@
     fn drain_again(&mut self) {
         if !self.drain_due {
             self.drain_due = true;
-            self.schedule(self.clock.now() + self.quiet(), TimerEvent::DrainAgain);
+            self.event_loop
+                .schedule(self.event_loop.now() + self.quiet(), TimerEvent::DrainAgain);
         }
     }
 
     /// After so long without a command or an answer a connection is closed.
     fn quiet(&self) -> f64 {
         if self.listener.is_some() {
-            self.limits.shutdown.quiet_time
+            self.event_loop.limits.shutdown.quiet_time
         } else {
-            self.limits.shutdown.brief_quiet_time
+            self.event_loop.limits.shutdown.brief_quiet_time
         }
     }
 
@@ -271,7 +277,7 @@
             .collect::<Vec<_>>()
             .into_iter()
             .for_each(|id| self.read_client(id));
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let told = |client: &Client| client.lingers.map(|(until, _)| until);
         let over = self
             .clients
@@ -288,11 +294,11 @@
     /// may be about to write the next command. What was read is answered by now; what crosses this is dropped
     /// unanswered, so that its client may send it once more.
     pub(super) fn drain_client(&mut self, id: SocketId) {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let (quiet, last_call, most) = (
             self.quiet(),
-            self.limits.shutdown.quiet_time,
-            self.limits.clients.discarded_bytes,
+            self.event_loop.limits.shutdown.quiet_time,
+            self.event_loop.limits.clients.discarded_bytes,
         );
         let Some(client) = self.clients.get_mut(&id) else {
             return;
@@ -313,7 +319,7 @@
     /// The platform is about to kill the process: what is given up is answered at once, and what still comes,
     /// until the end.
     fn give_up_all(&mut self) {
-        info!(self.log, "giving up what is open"; "open" => self.admitted.len(), "clients" => self.clients.len());
+        info!(self.event_loop.log, "giving up what is open"; "open" => self.admitted.len(), "clients" => self.clients.len());
         let open: Vec<_> = self
             .admitted
             .iter()
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -154,7 +154,8 @@
     /// Takes a revision, at once where it is short; a long list of who comes and goes is told ahead in parts, one
     /// a turn, so that the loop never stands still for it.
     pub fn apply_revision(&mut self, snapshot: &Arc<Snapshot>) {
-        let ahead = snapshot.entries.len() > self.limits.management.staged_hosts_per_turn
+        let ahead = snapshot.entries.len()
+            > self.event_loop.limits.management.staged_hosts_per_turn
             && self.endpoints.can_stage(snapshot);
         match &mut self.management {
             Some(management) if ahead => management.staging = Some((snapshot.clone(), 0)),
@@ -175,14 +176,15 @@
             self.apply_snapshot(&snapshot, true);
             return self.on_management_message();
         }
-        let begun = self.clock.now();
-        let to = (from + self.limits.management.staged_hosts_per_turn).min(snapshot.entries.len());
+        let begun = self.event_loop.now();
+        let to = (from + self.event_loop.limits.management.staged_hosts_per_turn)
+            .min(snapshot.entries.len());
         self.dispatch_event(Event::EndpointsStaged {
             entries: snapshot.entries.clone(),
             from,
             to,
         });
-        let paused = self.clock.now() - begun;
+        let paused = self.event_loop.now() - begun;
         if let Some(management) = &mut self.management {
             management.staging_pause = management.staging_pause.max(paused);
             management.staging = Some((snapshot, to));
@@ -198,7 +200,7 @@
 
     /// From here on invocations come under this revision; what it drains or takes away binds at once.
     fn apply_snapshot(&mut self, snapshot: &Arc<Snapshot>, staged: bool) {
-        let begun = self.clock.now();
+        let begun = self.event_loop.now();
         let entries = self.endpoints.take(snapshot, staged);
         let count = snapshot.changed.len();
         self.close_unusable_connections();
@@ -206,7 +208,7 @@
             overrides: snapshot.overrides.clone(),
             entries,
         });
-        let (now, revision) = (self.clock.now(), snapshot.revision());
+        let (now, revision) = (self.event_loop.now(), snapshot.revision());
         let Some(management) = &mut self.management else {
             return;
         };
@@ -215,7 +217,7 @@
         management.taken += 1;
         let pause = std::mem::take(&mut management.staging_pause).max(now - begun);
         management.longest_pause = management.longest_pause.max(pause);
-        info!(self.log, "a revision is in force"; "revision" => revision.0, "changed" => count,
+        info!(self.event_loop.log, "a revision is in force"; "revision" => revision.0, "changed" => count,
             "hosts" => self.endpoints.len(), "pause_ms" => format!("{:.3}", 1e3 * pause),
             "since_commit_ms" => format!("{:.1}", 1e3 * (now - snapshot.committed_at)));
         self.mark_view_stale();
@@ -232,8 +234,8 @@
             return;
         };
         management.stale = true;
-        self.schedule(
-            self.clock.now() + self.limits.management.view_publish_delay,
+        self.event_loop.schedule(
+            self.event_loop.now() + self.event_loop.limits.management.view_publish_delay,
             TimerEvent::PublishView,
         );
     }
@@ -245,7 +247,7 @@
         management.stale = false;
         let asked = !self.discovery.is_off();
         let view = View {
-            at: self.clock.now(),
+            at: self.event_loop.now(),
             discovery: asked.then(|| self.endpoints.told().cloned().collect()),
             discovery_received: self.discovery.has_told(),
             rollout: self.rollout_status,
@@ -255,7 +257,7 @@
             requests_in_flight: self.admitted.len(),
             clients: self.clients.len(),
             upstream_connections: self.upstreams.len(),
-            counts: self.metrics.requests_since_start(),
+            counts: self.event_loop.metrics.requests_since_start(),
         };
         management.inbox.view.store(Arc::new(view));
     }
@@ -267,9 +269,9 @@
         };
         for (heartbeat, told) in &mut management.heartbeats {
             let last = heartbeat.last();
-            let still = last > 0.0 && now - last > self.limits.management.stall_timeout;
+            let still = last > 0.0 && now - last > self.event_loop.limits.management.stall_timeout;
             if still && !*told {
-                warn!(self.log, "a front stands still"; "front" => heartbeat.name, "seconds" => now - last);
+                warn!(self.event_loop.log, "a front stands still"; "front" => heartbeat.name, "seconds" => now - last);
             }
             *told = still;
         }
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -7,6 +7,7 @@
 mod discovery_watch;
 mod dispatch_decisions;
 mod endpoint_table;
+mod event_loop;
 mod gossip_peers;
 mod graceful_shutdown;
 mod management_link;
@@ -15,27 +16,25 @@
 mod response_relay;
 mod upstream_connection;
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 
 use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 use kestreltide_settings::TransportSettings;
-use rand::SeedableRng;
-use rand_chacha::ChaCha8Rng;
 use slog::{Logger, info};
 
 use crate::limits::Limits;
-use crate::transport::{Clock, IdleConnections, Listener, Priority, Reactor, SocketId, Timers};
+use crate::transport::{Clock, IdleConnections, Listener, Priority, Reactor, SocketId};
 use admission::AdmittedRequest;
 use client_connection::Client;
 use discovery_watch::DiscoveryWatch;
 use endpoint_table::EndpointTable;
+use event_loop::{EventLoop, TimerEvent};
 use gossip_peers::GossipPeers;
 use graceful_shutdown::Shutdown;
 pub use management_link::{Heartbeat, LoopHandle, ManagementInbox, ManagementMessage};
-use metrics::Metrics;
 use platform_client::PlatformClient;
 use upstream_connection::UpstreamConnection;
 
@@ -69,38 +68,6 @@
     Over,
 }
 
-/// What is due at a time.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum TimerEvent {
-    Decisions(TimerKey),
-    /// The use of a connection to a host that has this number must be over.
-    UpstreamUseTimeout(SocketId, u64),
-    /// By now the connection must be up and the command written.
-    UpstreamWriteTimeout(SocketId, u64),
-    AcceptAgain,
-    ExpireIdle,
-    DiscoveryCallTimeout(SocketId, u64),
-    /// By now the connection to discovery must be up.
-    DiscoveryConnectTimeout(SocketId, u64),
-    /// By now the answer that has begun must be whole, or more of it have come.
-    DiscoveryAnswerTimeout(SocketId, u64),
-    DiscoveryRetry,
-    PlatformReconnect,
-    /// By now the platform's line that has begun must be whole, or more of it have come.
-    PlatformLineTimeout,
-    VoteTimeout(u64),
-    Ready,
-    ServingOver,
-    DrainingOver,
-    /// Of the graceful shutdown: who is told of the close and silent has had its time.
-    DrainAgain,
-    /// Nobody has come since all connections were closed for the time of this number.
-    LastCallOver(u64),
-    LastTime,
-    ShutdownEnd,
-    PublishView,
-}
-
 /// Why the router reports that it is ready to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadyReason {
@@ -124,22 +91,15 @@
 }
 
 pub struct Routing {
-    log: Logger,
-    limits: Limits,
+    event_loop: EventLoop,
     transport: TransportSettings,
     idempotency: Vec<Idempotency>,
-    clock: Clock,
-    reactor: Reactor,
     decisions: Router,
-    /// For waits only; the decisions have their own.
-    chance: ChaCha8Rng,
-    events: VecDeque<Event>,
     effects: Vec<Effect>,
     /// Clients whose further commands may be taken now.
     resumed_clients: Vec<SocketId>,
     /// Clients that have had their turn and have more to be read.
     ready_again: Vec<SocketId>,
-    timers: Timers<TimerEvent>,
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
     admitted: BTreeMap<RequestId, AdmittedRequest>,
@@ -166,11 +126,6 @@
     drain_due: bool,
     last_calls: u64,
     last_at: Option<f64>,
-    metrics: Metrics,
-    /// When the last sleep ended, and how long what is read from a socket now may have waited there.
-    woken_at: f64,
-    event_loop_delay: f64,
-    woke_without_events: bool,
 }
 
 impl Routing {
@@ -206,11 +161,10 @@
             )?),
             None => None,
         };
+        let endpoints = EndpointTable::new(limits.discovery.hosts);
         let mut routing = Routing {
-            timers: Timers::new(limits.event_loop.timers),
+            event_loop: EventLoop::new(log, limits, clock, reactor, seed),
             decisions: Router::start(terms, seed, now),
-            chance: ChaCha8Rng::seed_from_u64(!seed),
-            events: VecDeque::new(),
             effects: vec![],
             resumed_clients: vec![],
             ready_again: vec![],
@@ -222,39 +176,31 @@
             last_request_number: 0,
             upstreams: BTreeMap::new(),
             idle_connections: IdleConnections::default(),
-            endpoints: EndpointTable::new(limits.discovery.hosts),
+            endpoints,
             ready: false,
             accept_due: false,
             shutdown: Shutdown::No,
             drain_due: false,
             last_calls: 0,
             last_at: None,
-            metrics: Metrics::default(),
-            woken_at: now,
-            event_loop_delay: 0.0,
-            woke_without_events: false,
-            log,
-            limits,
             transport,
             idempotency,
-            clock,
-            reactor,
             discovery,
             platform,
             rollout_status: None,
             peers,
             management: None,
         };
-        routing.timers.schedule(
-            now + routing.limits.event_loop.expiry_interval,
+        routing.event_loop.schedule(
+            now + routing.event_loop.limits.event_loop.expiry_interval,
             TimerEvent::ExpireIdle,
         );
-        routing.timers.schedule(
-            now + routing.limits.event_loop.ready_timeout,
+        routing.event_loop.schedule(
+            now + routing.event_loop.limits.event_loop.ready_timeout,
             TimerEvent::Ready,
         );
-        info!(routing.log, "listening"; "at" => %at, "clients" => routing.limits.clients.connections,
-            "host_links" => routing.limits.upstream.connections);
+        info!(routing.event_loop.log, "listening"; "at" => %at, "clients" => routing.event_loop.limits.clients.connections,
+            "host_links" => routing.event_loop.limits.upstream.connections);
         Ok(routing)
     }
 
@@ -282,36 +228,8 @@
 
     /// Sleeps until something happens and serves it.
     pub fn turn(&mut self) -> io::Result<Turn> {
-        let now = self.clock.now();
-        let next = self
-            .timers
-            .next_deadline()
-            .map_or(self.limits.event_loop.max_sleep, |at| at - now);
-        let sleep = if self.ready_again.is_empty() && !self.is_staging() {
-            next.clamp(0.0, self.limits.event_loop.max_sleep)
-        } else {
-            0.0
-        };
-        let (sockets, signals) = self.reactor.poll(sleep)?;
-        // Since the last look: what the work of the last turn took, and a sleep longer than asked for.
-        let woken = self.clock.now();
-        let stall = (now - self.woken_at) + (woken - now - sleep).max(0.0);
-        // A signal that ends a standstill can end the sleep with nothing told: what is there at once after that
-        // was there before.
-        let carried =
-            if self.woke_without_events && woken - now < self.limits.event_loop.immediate_wake {
-                self.event_loop_delay
-            } else {
-                0.0
-            };
-        (
-            self.event_loop_delay,
-            self.woken_at,
-            self.woke_without_events,
-        ) = (stall.max(carried), woken, sockets.is_empty());
-        if self.event_loop_delay > self.limits.event_loop.delay_warning {
-            slog::warn!(self.log, "this process stood still"; "seconds" => self.event_loop_delay);
-        }
+        let may_sleep = self.ready_again.is_empty() && !self.is_staging();
+        let (sockets, signals) = self.event_loop.poll(may_sleep)?;
         if signals.stop {
             self.on_shutdown_requested();
         }
@@ -325,7 +243,7 @@
         }
         self.stage_next_part();
         // Only what was due before anything was read: answers that are here go before time-outs.
-        while let Some(due) = self.timers.pop_due(woken) {
+        while let Some(due) = self.event_loop.next_due_timer() {
             self.due(due);
             self.process_pending();
         }
@@ -368,7 +286,9 @@
 
     fn due(&mut self, due: TimerEvent) {
         match due {
-            TimerEvent::Decisions(key) => self.events.push_back(Event::TimerExpired { key }),
+            TimerEvent::Decisions(key) => self
+                .event_loop
+                .notify_decisions(Event::TimerExpired { key }),
             TimerEvent::UpstreamUseTimeout(id, number) => self.on_use_timeout(id, number),
             TimerEvent::UpstreamWriteTimeout(id, number) => self.on_write_timeout(id, number),
             TimerEvent::AcceptAgain => {
@@ -399,7 +319,7 @@
     /// Events until none is left, and the commands of clients that may go on.
     fn process_pending(&mut self) {
         loop {
-            if let Some(event) = self.events.pop_front() {
+            if let Some(event) = self.event_loop.next_decision_event() {
                 self.dispatch_event(event);
             } else if let Some(id) = self.resumed_clients.pop() {
                 self.read_client(id);
@@ -409,30 +329,24 @@
         }
     }
 
-    fn schedule(&mut self, at: f64, due: TimerEvent) {
-        if !self.timers.schedule(at, due) {
-            slog::error!(self.log, "an alarm was dropped, too many are set"; "due" => ?due);
-        }
-    }
-
     fn mark_ready(&mut self, reason: ReadyReason) {
         let heard =
             self.discovery.heard() && self.platform.as_ref().is_none_or(PlatformClient::heard);
         if !self.ready && (heard || reason == ReadyReason::Timeout) {
             self.ready = true;
-            info!(self.log, "ready"; "by" => reason.name(), "hosts" => self.endpoints.len());
+            info!(self.event_loop.log, "ready"; "by" => reason.name(), "hosts" => self.endpoints.len());
         }
     }
 
     fn expire_idle(&mut self) {
-        let now = self.clock.now();
-        self.schedule(
-            now + self.limits.event_loop.expiry_interval,
+        let now = self.event_loop.now();
+        self.event_loop.schedule(
+            now + self.event_loop.limits.event_loop.expiry_interval,
             TimerEvent::ExpireIdle,
         );
         for id in self
             .idle_connections
-            .take_unused_since(now - self.limits.upstream.idle_timeout)
+            .take_unused_since(now - self.event_loop.limits.upstream.idle_timeout)
         {
             self.close_upstream(id);
         }
@@ -447,10 +361,11 @@
             .collect();
         self.endpoints.forget_gone(&using);
         if let Some(line) = self
+            .event_loop
             .metrics
-            .take_line(now, self.limits.event_loop.state_log_interval)
+            .take_line(now, self.event_loop.limits.event_loop.state_log_interval)
         {
-            info!(self.log, "state"; "open" => self.admitted.len(), "clients" => self.clients.len(),
+            info!(self.event_loop.log, "state"; "open" => self.admitted.len(), "clients" => self.clients.len(),
                 "links" => self.upstreams.len(), "idle" => self.idle_connections.count(), "counts" => line);
         }
     }
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -4,7 +4,6 @@
 use std::net::SocketAddr;
 
 use kestreltide::interface::*;
-use rand::RngExt;
 use slog::{debug, info, warn};
 
 use super::metrics::Counter;
@@ -70,7 +69,7 @@
     }
 
     pub(super) fn connect_platform(&mut self) {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let Some(platform) = self
             .platform
             .as_mut()
@@ -78,7 +77,7 @@
         else {
             return;
         };
-        match Stream::connect(&mut self.reactor, platform.at, PLATFORM) {
+        match Stream::connect(&mut self.event_loop.reactor, platform.at, PLATFORM) {
             Ok(mut stream) => {
                 let call = platform.next_call();
                 platform::write_follow(stream.output(), call);
@@ -102,13 +101,13 @@
         self.on_platform_readable();
         self.close_platform();
         if let Some(platform) = &mut self.platform {
-            (platform.at, platform.wait) = (at, self.limits.reconnect_backoff.initial);
+            (platform.at, platform.wait) = (at, self.event_loop.limits.reconnect_backoff.initial);
         }
         self.connect_platform();
     }
 
     pub(super) fn cast_vote(&mut self, build: BuildId, stage: u32, vote: Vote) {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let what = RolloutStatus {
             outcome: AttemptOutcome::NoConnection,
             build,
@@ -118,12 +117,14 @@
             age: 0.0,
             answers_vote: true,
         };
-        let most = self.limits.platform.pending_votes;
+        let most = self.event_loop.limits.platform.pending_votes;
         let open = |platform: &&mut PlatformClient| {
             platform.stream.is_some() && platform.votes.len() < most
         };
         let Some(platform) = self.platform.as_mut().filter(open) else {
-            return self.events.push_back(Event::RolloutStatusReceived(what));
+            return self
+                .event_loop
+                .notify_decisions(Event::RolloutStatusReceived(what));
         };
         let call = platform.next_call();
         if let Some(stream) = &mut platform.stream {
@@ -136,17 +137,17 @@
                 what,
             },
         );
-        self.metrics.increment(Counter::VotesCast);
-        info!(self.log, "vote cast"; "build" => build.0, "stage" => stage, "vote" => ?vote);
-        self.schedule(
-            now + self.limits.platform.vote_timeout,
+        self.event_loop.metrics.increment(Counter::VotesCast);
+        info!(self.event_loop.log, "vote cast"; "build" => build.0, "stage" => stage, "vote" => ?vote);
+        self.event_loop.schedule(
+            now + self.event_loop.limits.platform.vote_timeout,
             TimerEvent::VoteTimeout(call),
         );
         self.on_platform_readable();
     }
 
     pub(super) fn on_platform_readable(&mut self) {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         loop {
             let Some(platform) = &mut self.platform else {
                 return;
@@ -166,8 +167,9 @@
                 Err(e) => return self.on_platform_lost(&e.to_string()),
             }
             let filled = stream.read_available(
-                self.limits.platform.line_bytes + self.limits.event_loop.read_bytes_per_turn,
-                self.limits.event_loop.read_bytes_per_turn,
+                self.event_loop.limits.platform.line_bytes
+                    + self.event_loop.limits.event_loop.read_bytes_per_turn,
+                self.event_loop.limits.event_loop.read_bytes_per_turn,
             );
             if !stream.input().is_empty() {
                 platform.last = now;
@@ -194,7 +196,7 @@
             return false;
         };
         let broken = loop {
-            match platform::read(stream.input(), self.limits.platform.line_bytes) {
+            match platform::read(stream.input(), self.event_loop.limits.platform.line_bytes) {
                 Ok(None) => break None,
                 Ok(Some((told, used))) => {
                     self.on_platform_message(told);
@@ -207,7 +209,9 @@
             platform.stream = Some(stream);
         }
         if let Some(why) = &broken {
-            self.metrics.increment(Counter::MalformedMessages);
+            self.event_loop
+                .metrics
+                .increment(Counter::MalformedMessages);
             self.on_platform_lost(&why.to_string());
         }
         broken.is_none()
@@ -225,8 +229,8 @@
         let due = open && platform.begun.is_none();
         platform.begun = open.then_some(now);
         if due {
-            self.schedule(
-                now + self.limits.message_stall_timeout,
+            self.event_loop.schedule(
+                now + self.event_loop.limits.message_stall_timeout,
                 TimerEvent::PlatformLineTimeout,
             );
         }
@@ -234,11 +238,14 @@
 
     pub(super) fn on_line_timeout(&mut self) {
         let begun = self.platform.as_ref().and_then(|platform| platform.begun);
-        let Some(until) = begun.map(|last| last + self.limits.message_stall_timeout) else {
+        let Some(until) = begun.map(|last| last + self.event_loop.limits.message_stall_timeout)
+        else {
             return;
         };
-        if self.clock.now() < until {
-            return self.schedule(until, TimerEvent::PlatformLineTimeout);
+        if self.event_loop.now() < until {
+            return self
+                .event_loop
+                .schedule(until, TimerEvent::PlatformLineTimeout);
         }
         self.on_platform_lost("a line does not end");
     }
@@ -249,34 +256,34 @@
         };
         match told {
             Told::State(state) => {
-                platform.wait = self.limits.reconnect_backoff.initial;
+                platform.wait = self.event_loop.limits.reconnect_backoff.initial;
                 platform.heard = true;
                 self.on_rollout_state(&state, false);
                 self.mark_ready(ReadyReason::Observed);
             }
             Told::Result { call, state } => {
-                platform.wait = self.limits.reconnect_backoff.initial;
+                platform.wait = self.event_loop.limits.reconnect_backoff.initial;
                 if let Some(vote) = platform.votes.remove(&call) {
                     match state {
                         Some(state) => self.on_rollout_state(&state, true),
                         // An answer that cannot be read leaves open whether the vote counts.
                         None => self
-                            .events
-                            .push_back(Event::RolloutStatusReceived(unread(vote.what))),
+                            .event_loop
+                            .notify_decisions(Event::RolloutStatusReceived(unread(vote.what))),
                     }
                 }
             }
             Told::Error { call, outcome } => {
                 if let Some(vote) = platform.votes.remove(&call) {
-                    self.metrics.increment(Counter::VotesNotCounted);
-                    debug!(self.log, "a vote does not count"; "verdict" => ?outcome);
-                    self.events
-                        .push_back(Event::RolloutStatusReceived(RolloutStatus {
+                    self.event_loop.metrics.increment(Counter::VotesNotCounted);
+                    debug!(self.event_loop.log, "a vote does not count"; "verdict" => ?outcome);
+                    self.event_loop
+                        .notify_decisions(Event::RolloutStatusReceived(RolloutStatus {
                             outcome,
                             ..vote.what
                         }));
                 } else {
-                    warn!(self.log, "the platform refuses to be followed"; "verdict" => ?outcome);
+                    warn!(self.event_loop.log, "the platform refuses to be followed"; "verdict" => ?outcome);
                 }
             }
             Told::Complaint {
@@ -287,7 +294,7 @@
                 let operation = self.transport.operations.get(operation.as_ref());
                 if let Some(operation) = operation.copied() {
                     let host = HostId::named(&host);
-                    self.events.push_back(Event::AnswerDisputed {
+                    self.event_loop.notify_decisions(Event::AnswerDisputed {
                         host,
                         operation,
                         age,
@@ -295,7 +302,7 @@
                 }
             }
             Told::SignOfLife => {}
-            Told::Unknown => debug!(self.log, "the platform told something unknown"),
+            Told::Unknown => debug!(self.event_loop.log, "the platform told something unknown"),
         }
     }
 
@@ -307,7 +314,7 @@
             cap,
             age,
         } = *state;
-        info!(self.log, "platform"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
+        info!(self.event_loop.log, "platform"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
             "age" => age, "answers_vote" => answers_vote);
         self.apply_rollout_status(state.news(answers_vote));
     }
@@ -317,24 +324,26 @@
             .rollout_status
             .filter(|newest| newest.build > news.build)
             .or(Some(news));
-        self.events.push_back(Event::RolloutStatusReceived(news));
+        self.event_loop
+            .notify_decisions(Event::RolloutStatusReceived(news));
         self.mark_view_stale();
     }
 
     /// The connection is lost: what was asked on it may have been done once it was written.
     fn on_platform_lost(&mut self, why: &str) {
-        warn!(self.log, "the platform's connection is lost"; "why" => why.to_owned());
-        let (now, spread) = (self.clock.now(), self.spread());
+        warn!(self.event_loop.log, "the platform's connection is lost"; "why" => why.to_owned());
+        let (now, spread) = (self.event_loop.now(), self.event_loop.backoff_jitter());
         let Some(platform) = &mut self.platform else {
             return;
         };
         // At once where the connection had stood for long; else later each time, never in step with others.
         let stood = platform.stream.is_some()
-            && now - platform.since >= self.limits.reconnect_backoff.maximum;
+            && now - platform.since >= self.event_loop.limits.reconnect_backoff.maximum;
         let again = now + if stood { 0.0 } else { spread * platform.wait };
-        platform.wait = (2.0 * platform.wait).min(self.limits.reconnect_backoff.maximum);
+        platform.wait = (2.0 * platform.wait).min(self.event_loop.limits.reconnect_backoff.maximum);
         self.close_platform();
-        self.schedule(again, TimerEvent::PlatformReconnect);
+        self.event_loop
+            .schedule(again, TimerEvent::PlatformReconnect);
     }
 
     /// The connection and the votes that it carried are given up.
@@ -344,7 +353,7 @@
         };
         platform.begun = None;
         if let Some(stream) = platform.stream.take() {
-            stream.close(&self.reactor);
+            stream.close(&self.event_loop.reactor);
         }
         for vote in std::mem::take(&mut platform.votes).into_values() {
             let what = if vote.written {
@@ -352,12 +361,13 @@
             } else {
                 vote.what
             };
-            self.events.push_back(Event::RolloutStatusReceived(what));
+            self.event_loop
+                .notify_decisions(Event::RolloutStatusReceived(what));
         }
     }
 
     pub(super) fn check_platform_silence(&mut self, now: f64) {
-        let silence = self.limits.platform.silence_timeout;
+        let silence = self.event_loop.limits.platform.silence_timeout;
         if self
             .platform
             .as_ref()
@@ -377,14 +387,10 @@
             } else {
                 vote.what
             };
-            self.events.push_back(Event::RolloutStatusReceived(what));
+            self.event_loop
+                .notify_decisions(Event::RolloutStatusReceived(what));
         }
     }
-
-    /// A factor that keeps routers from trying again in step.
-    pub(super) fn spread(&mut self) -> f64 {
-        0.5 + self.chance.random::<f64>()
-    }
 }
 
 fn unread(what: RolloutStatus) -> RolloutStatus {
--- a/router/src/routing/response_relay.rs
+++ b/router/src/routing/response_relay.rs
@@ -13,7 +13,7 @@
             return false;
         };
         let id = admitted.client;
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let Some(client) = self.clients.get_mut(&id) else {
             return false;
         };
@@ -61,7 +61,7 @@
 
     /// Writes what may be written now; false where the connection is gone.
     pub(super) fn write_client(&mut self, id: SocketId) -> bool {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let Some(client) = self.clients.get_mut(&id) else {
             return false;
         };
@@ -89,8 +89,8 @@
         // Who was turned away is told that nothing more comes, and gets a while to read why.
         if done && *closing && lingers.is_none() && stream.shutdown_write().is_ok() {
             *lingers = Some((
-                now + self.limits.clients.lingering_close,
-                self.limits.clients.discarded_bytes,
+                now + self.event_loop.limits.clients.lingering_close,
+                self.event_loop.limits.clients.discarded_bytes,
             ));
         }
         if done && *closing && lingers.is_none() {
--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -64,14 +64,14 @@
         time_out: f64,
         on: ConnectionRequirements,
     ) {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let Some(admitted) = self.admitted.get_mut(&request) else {
             return;
         };
         let no = AttemptNumber(admitted.attempts);
         admitted.attempts += 1;
         let left = admitted.left;
-        self.metrics.increment(Counter::AttemptsStarted);
+        self.event_loop.metrics.increment(Counter::AttemptsStarted);
         // A first attempt follows the read that brought its request, which found no close.
         if left || no.0 > 0 && self.is_client_gone(&request) {
             // Decided before the decisions could hear that the client has left: nothing goes out any more.
@@ -108,14 +108,17 @@
     }
 
     pub(super) fn start_health_check(&mut self, host: HostId) {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let health_checks = self
             .upstreams
             .values()
             .filter(|upstream| matches!(upstream.current_use, ConnectionUse::HealthCheck))
             .count();
-        let room = health_checks < self.limits.upstream.probes_in_flight;
-        let (longest, write_within) = (f64::INFINITY, self.limits.upstream.connect_timeout);
+        let room = health_checks < self.event_loop.limits.upstream.probes_in_flight;
+        let (longest, write_within) = (
+            f64::INFINITY,
+            self.event_loop.limits.upstream.connect_timeout,
+        );
         let any = ConnectionRequirements {
             max_idle: longest,
             min_rest: 0.0,
@@ -124,12 +127,14 @@
         };
         let Some(id) = room.then(|| self.connection_for(host, now, any)).flatten() else {
             let load = LoadReport::default();
-            return self.events.push_back(Event::HealthCheckFinished {
-                host,
-                outcome: AttemptOutcome::NoConnection,
-                took: 0.0,
-                load,
-            });
+            return self
+                .event_loop
+                .notify_decisions(Event::HealthCheckFinished {
+                    host,
+                    outcome: AttemptOutcome::NoConnection,
+                    took: 0.0,
+                    load,
+                });
         };
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             host::write_probe(
@@ -141,7 +146,7 @@
             id,
             ConnectionUse::HealthCheck,
             now,
-            (self.limits.upstream.probe_timeout, write_within),
+            (self.event_loop.limits.upstream.probe_timeout, write_within),
         );
     }
 
@@ -159,7 +164,8 @@
         upstream.number += 1;
         (upstream.since, upstream.written) = (now, false);
         let number = upstream.number;
-        self.schedule(now + time_out, TimerEvent::UpstreamUseTimeout(id, number));
+        self.event_loop
+            .schedule(now + time_out, TimerEvent::UpstreamUseTimeout(id, number));
         self.flush_upstream(id);
         // Connecting has its time, and what is decided has to be written while what it was decided by holds.
         if self
@@ -167,8 +173,14 @@
             .get(&id)
             .is_some_and(|upstream| !upstream.written)
         {
-            let within = self.limits.upstream.connect_timeout.min(write_within);
-            self.schedule(now + within, TimerEvent::UpstreamWriteTimeout(id, number));
+            let within = self
+                .event_loop
+                .limits
+                .upstream
+                .connect_timeout
+                .min(write_within);
+            self.event_loop
+                .schedule(now + within, TimerEvent::UpstreamWriteTimeout(id, number));
         }
     }
 
@@ -185,7 +197,10 @@
                 .take_rested(host, now - on.min_rest, on.max_resting)
         {
             // Its host may be closing it by now; what is written then is reset, and may not be repeated.
-            if now - since > on.max_idle.min(self.limits.upstream.idle_timeout) {
+            if now - since
+                > on.max_idle
+                    .min(self.event_loop.limits.upstream.idle_timeout)
+            {
                 self.close_upstream(id);
                 self.close_idle_connections(host);
                 break;
@@ -204,24 +219,24 @@
             self.close_upstream(id);
         }
         let to = self.endpoints.address(host)?;
-        if self.upstreams.len() >= self.limits.upstream.connections {
+        if self.upstreams.len() >= self.event_loop.limits.upstream.connections {
             let oldest = self.idle_connections.take_oldest()?;
             self.close_upstream(oldest);
         }
-        let stream = match Stream::connect(&mut self.reactor, to, UPSTREAMS) {
+        let stream = match Stream::connect(&mut self.event_loop.reactor, to, UPSTREAMS) {
             Ok(stream) => stream,
             Err(e) => {
-                debug!(self.log, "no connection to a host"; "to" => %to, "error" => %e);
+                debug!(self.event_loop.log, "no connection to a host"; "to" => %to, "error" => %e);
                 if !out_of_descriptors(&e) {
                     return None;
                 }
                 let oldest = self.idle_connections.take_oldest()?;
                 self.close_upstream(oldest);
-                Stream::connect(&mut self.reactor, to, UPSTREAMS).ok()?
+                Stream::connect(&mut self.event_loop.reactor, to, UPSTREAMS).ok()?
             }
         };
         let id = stream.id;
-        self.metrics.increment(Counter::UpstreamsOpened);
+        self.event_loop.metrics.increment(Counter::UpstreamsOpened);
         let upstream = UpstreamConnection {
             stream,
             host,
@@ -273,8 +288,8 @@
                 return;
             }
             let filled = upstream.stream.read_available(
-                self.limits.resp.message,
-                self.limits.event_loop.read_bytes_per_turn,
+                self.event_loop.limits.resp.message,
+                self.event_loop.limits.event_loop.read_bytes_per_turn,
             );
             self.read_upstream(id, filled == ReadStatus::Closed);
             if filled == ReadStatus::Closed {
@@ -298,10 +313,12 @@
             Ok(Some(used)) => self.finish_use(id, used, ended),
             Ok(None) => {}
             Err(why) => {
-                if self.may_log_complaint() {
-                    warn!(self.log, "a host's answer is malformed, its connection is closed"; "why" => %why);
+                if self.event_loop.may_warn() {
+                    warn!(self.event_loop.log, "a host's answer is malformed, its connection is closed"; "why" => %why);
                 }
-                self.metrics.increment(Counter::MalformedMessages);
+                self.event_loop
+                    .metrics
+                    .increment(Counter::MalformedMessages);
                 // It may have run, and what came of it came in time: an error of the host's, not a lost connection.
                 // As a reset it would count as late, and a few spoilt answers would narrow what is kept open.
                 self.abandon_use(id, |_| AttemptOutcome::Error);
@@ -312,13 +329,14 @@
     /// Passes on and books what has come; the bytes it took, None where it is not whole.
     fn take_answer(&mut self, upstream: &UpstreamConnection) -> Result<Option<usize>, Malformed> {
         let (bytes, host) = (upstream.stream.input(), upstream.host);
-        let took = self.clock.now() - upstream.since;
+        let took = self.event_loop.now() - upstream.since;
         match &upstream.current_use {
             ConnectionUse::Idle if bytes.is_empty() => Ok(None),
             ConnectionUse::Idle => Err(Malformed::new("nothing was asked")),
             ConnectionUse::Attempt(out) => {
-                let Some((answer, used)) = host::answer(bytes, &self.limits.resp)? else {
-                    let room = bytes.len() < self.limits.resp.message;
+                let Some((answer, used)) = host::answer(bytes, &self.event_loop.limits.resp)?
+                else {
+                    let room = bytes.len() < self.event_loop.limits.resp.message;
                     return if room {
                         Ok(None)
                     } else {
@@ -339,7 +357,7 @@
                     Answer::Error { load } => (AttemptOutcome::Error, load),
                     Answer::Full { load } => (AttemptOutcome::Rejected, load),
                     Answer::Refused(line) => {
-                        warn!(self.log, "a host refused the form of a command"; "line" => line.to_owned());
+                        warn!(self.event_loop.log, "a host refused the form of a command"; "line" => line.to_owned());
                         (AttemptOutcome::Error, None)
                     }
                 };
@@ -360,8 +378,9 @@
                 Ok(Some(used))
             }
             ConnectionUse::HealthCheck => {
-                let Some(((well, load), used)) = host::probed(bytes, &self.limits.resp)? else {
-                    let room = bytes.len() < self.limits.resp.message;
+                let Some(((well, load), used)) = host::probed(bytes, &self.event_loop.limits.resp)?
+                else {
+                    let room = bytes.len() < self.event_loop.limits.resp.message;
                     return if room {
                         Ok(None)
                     } else {
@@ -376,12 +395,13 @@
                 let load = load
                     .map(TransportSettings::load_by_name)
                     .unwrap_or_default();
-                self.events.push_back(Event::HealthCheckFinished {
-                    host,
-                    outcome,
-                    took,
-                    load,
-                });
+                self.event_loop
+                    .notify_decisions(Event::HealthCheckFinished {
+                        host,
+                        outcome,
+                        took,
+                        load,
+                    });
                 Ok(Some(used))
             }
         }
@@ -389,13 +409,15 @@
 
     fn relay_value(&mut self, request: &RequestId, value: &[u8]) {
         if self.answer(request, |out| write_bulk(out, value)) {
-            self.metrics.increment(Counter::RequestsSucceeded);
+            self.event_loop
+                .metrics
+                .increment(Counter::RequestsSucceeded);
         }
     }
 
     /// The connection is without use again, and kept where the host may be used again.
     fn finish_use(&mut self, id: SocketId, used: usize, ended: bool) {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let Some(upstream) = self.upstreams.get_mut(&id) else {
             return;
         };
@@ -406,7 +428,7 @@
             upstream.stream.input().is_empty() && upstream.stream.unwritten() == 0 && !ended;
         // The host may be gone, or another machine have its id by now.
         let wanted = self.endpoints.is_usable(upstream.host, upstream.to)
-            && self.idle_connections.count() < self.limits.upstream.idle_connections;
+            && self.idle_connections.count() < self.event_loop.limits.upstream.idle_connections;
         if clean && wanted {
             self.idle_connections.insert(upstream.host, id, now);
         } else {
@@ -436,9 +458,10 @@
         if !matches!(upstream.current_use, ConnectionUse::Idle)
             && matches!(upstream.stream.is_connected(), Ok(true))
         {
-            let filled = upstream
-                .stream
-                .read_available(self.limits.resp.message, self.limits.resp.message);
+            let filled = upstream.stream.read_available(
+                self.event_loop.limits.resp.message,
+                self.event_loop.limits.resp.message,
+            );
             self.read_upstream(id, filled == ReadStatus::Closed);
         }
     }
@@ -449,7 +472,7 @@
             return;
         };
         let (outcome, host) = (outcome(upstream.written), upstream.host);
-        let took = self.clock.now() - upstream.since;
+        let took = self.event_loop.now() - upstream.since;
         match upstream.current_use {
             ConnectionUse::Idle => self.idle_connections.remove(host, id),
             ConnectionUse::Attempt(out) => self.finish_attempt(
@@ -460,15 +483,16 @@
                 LoadReport::default(),
             ),
             ConnectionUse::HealthCheck => {
-                self.events.push_back(Event::HealthCheckFinished {
-                    host,
-                    outcome,
-                    took,
-                    load: LoadReport::default(),
-                });
+                self.event_loop
+                    .notify_decisions(Event::HealthCheckFinished {
+                        host,
+                        outcome,
+                        took,
+                        load: LoadReport::default(),
+                    });
             }
         }
-        upstream.stream.close(&self.reactor);
+        upstream.stream.close(&self.event_loop.reactor);
     }
 
     /// Gives up the attempts whose clients are gone and whose command is not written whole, so that no host has begun
@@ -492,7 +516,7 @@
 
     pub(super) fn close_upstream(&mut self, id: SocketId) {
         if let Some(upstream) = self.upstreams.remove(&id) {
-            upstream.stream.close(&self.reactor);
+            upstream.stream.close(&self.event_loop.reactor);
         }
     }
 
@@ -557,7 +581,7 @@
         times: (f64, f64),
         load: LoadReport,
     ) {
-        self.metrics.count_attempt(outcome);
+        self.event_loop.metrics.count_attempt(outcome);
         let AttemptInFlight {
             request,
             no: attempt,
@@ -567,7 +591,7 @@
             .get(&request)
             .is_none_or(|admitted| admitted.left);
         let (took, unused) = (times.0, Some(times.1));
-        self.events.push_back(Event::AttemptFinished {
+        self.event_loop.notify_decisions(Event::AttemptFinished {
             request,
             attempt,
             host,
