--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -1,544 +1,529 @@
-//! The host list: a watch that is renewed at once, and lists on demand.
+//! The discovery watch: a watch of the endpoint list that is renewed at once, and lists on demand.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use kestreltide::interface::*;
-use slog::{info, warn};
+use slog::warn;
 
+use super::DISCOVERY;
+use super::event_loop::{EventLoop, TimerEvent};
 use super::metrics::Counter;
-use super::upstream_connection::UpstreamConnection;
-use super::{DISCOVERY, ReadyReason, Routing, TimerEvent};
-use crate::limits::Limits;
+use crate::limits::{Limits, ResponseLimits};
 use crate::protocol::Malformed;
-use crate::protocol::discovery::{self, Chunks, List, Target};
+use crate::protocol::discovery::{self, Chunks, List, Response};
 use crate::transport::{ReadStatus, SocketId, Stream};
 
 const MILLIS: f64 = 1e3;
+const STATUS_OK: u16 = 200;
 
+/// What a call asks for.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Asked {
-    /// The whole list, to begin a watch with.
+enum Query {
+    /// The full list, to begin a watch with.
     First,
     Changes,
-    /// The whole list once, for the decisions.
+    /// The full list once, for the decisions.
     Once,
 }
 
-struct Call {
+/// A connection to discovery with one question on it.
+pub(super) struct Call {
     stream: Stream,
-    asked: Asked,
+    query: Query,
     number: u64,
-    /// How many lists had been taken when it was asked.
-    taken: u64,
-    since: f64,
-    /// Of an answer that has begun and is not whole: how much has come, and when the last of it.
-    begun: Option<(usize, f64)>,
+    /// How many lists had been accepted when it was asked.
+    accepted_before: u64,
+    connected_at: f64,
+    /// Of an answer that has begun and is not complete.
+    partial: Option<PartialAnswer>,
     /// The same, where it comes in chunks: what has been read of it.
     chunks: Chunks,
+    /// Nothing more comes on the connection.
+    is_closed: bool,
 }
 
+/// How much of an answer has come.
+struct PartialAnswer {
+    bytes: usize,
+    /// When the last of it came.
+    last_received: f64,
+}
+
+/// How a response ended that is complete.
+pub(super) struct ResponseEnd {
+    /// What it took of the input.
+    pub(super) bytes: usize,
+    pub(super) stays_open: bool,
+}
+
+/// The calls to discovery, and how far the endpoint list is known.
 pub(super) struct DiscoveryWatch {
-    at: SocketAddr,
+    address: SocketAddr,
     /// Lists come only when the decisions ask for them.
     on_demand: bool,
-    /// Another installation's operators list the hosts: nobody is asked.
+    /// Operators alone list the endpoints: discovery is not asked.
     off: bool,
     following: bool,
-    rev: Option<u64>,
-    /// How many lists were taken.
-    taken: u64,
+    /// The version of the list that was accepted last.
+    version: Option<u64>,
+    lists_accepted: u64,
     calls: BTreeMap<SocketId, Call>,
-    number: u64,
-    wait: f64,
-    heard: bool,
-    told: bool,
+    last_number: u64,
+    backoff: f64,
+    has_answered: bool,
+    has_list: bool,
 }
 
 impl DiscoveryWatch {
-    pub(super) fn new(at: SocketAddr, on_demand: bool, limits: &Limits) -> Self {
-        let (calls, wait) = (BTreeMap::new(), limits.reconnect_backoff.initial);
-        let following = !on_demand;
-        let (off, rev, taken, number, heard, told) = (false, None, 0, 0, false, false);
+    pub(super) fn new(address: SocketAddr, on_demand: bool, limits: &Limits) -> Self {
         DiscoveryWatch {
-            at,
+            address,
             on_demand,
-            off,
-            following,
-            rev,
-            taken,
-            calls,
-            number,
-            wait,
-            heard,
-            told,
+            off: false,
+            following: !on_demand,
+            version: None,
+            lists_accepted: 0,
+            calls: BTreeMap::new(),
+            last_number: 0,
+            backoff: limits.reconnect_backoff.initial,
+            has_answered: false,
+            has_list: false,
         }
     }
 
-    /// Not asked from now on.
+    /// Discovery is not asked from now on.
     pub(super) fn turn_off(&mut self) {
-        (self.off, self.following) = (true, false);
+        self.off = true;
+        self.following = false;
     }
 
-    /// Whether a list is there to go by, be it a remembered one.
-    pub(super) fn has_told(&self) -> bool {
-        self.told || self.off
+    /// Whether a list is there to go by, be it a cached one.
+    pub(super) fn has_list(&self) -> bool {
+        self.has_list || self.off
     }
 
     pub(super) fn is_off(&self) -> bool {
         self.off
     }
 
-    pub(super) fn asked_only(&self) -> bool {
+    pub(super) fn is_on_demand(&self) -> bool {
         self.on_demand
     }
 
-    pub(super) fn heard(&self) -> bool {
-        self.heard || self.on_demand || self.off
+    /// Whether nothing has to be waited for before the router is ready.
+    pub(super) fn has_answered(&self) -> bool {
+        self.has_answered || self.on_demand || self.off
+    }
+
+    pub(super) fn address(&self) -> SocketAddr {
+        self.address
     }
 
     pub(super) fn owns(&self, id: SocketId) -> bool {
         self.calls.contains_key(&id)
     }
 
-    fn watching(&self) -> Option<SocketId> {
-        self.calls
-            .iter()
-            .find(|(_, call)| call.asked != Asked::Once)
-            .map(|(id, _)| *id)
+    pub(super) fn connections(&self) -> Vec<SocketId> {
+        self.calls.keys().copied().collect()
     }
-}
 
-impl Routing {
-    /// What this router knew of the hosts before it was started.
-    pub fn restore_endpoint_list(&mut self, list: &List) {
-        self.apply_endpoint_list(list, ListScope::Cached);
-        // What has changed since then is asked for in one call, where a whole list and a watch are two: after a
+    /// A list has been applied.
+    pub(super) fn note_list_applied(&mut self) {
+        self.has_list = true;
+    }
+
+    /// A cached list of this version was applied at the start.
+    pub(super) fn note_restored(&mut self, version: u64) {
+        // What has changed since then is asked for in one call, where a full list and a watch are two: after a
         // mass restart discovery has as many to serve.
-        self.discovery.rev = Some(list.rev).filter(|_| self.discovery.on_demand);
-        self.process_pending();
+        self.version = Some(version).filter(|_| self.on_demand);
     }
 
-    pub(super) fn subscribe_endpoint_list(&mut self, on: bool) {
-        let on = on && !self.discovery.off;
-        self.discovery.following = on;
-        match self.discovery.watching() {
-            Some(id) if !on => drop(self.drop_call(id)),
-            None if on => self.begin_watch(),
-            _ => {}
+    /// Follows the list from now on, or no more.
+    pub(super) fn subscribe(&mut self, event_loop: &mut EventLoop, on: bool) -> Option<Call> {
+        self.following = on && !self.off;
+        match self.watch_connection() {
+            Some(id) if !self.following => {
+                self.close_call(event_loop, id);
+                None
+            }
+            None if self.following => self.begin_watch(event_loop),
+            _ => None,
         }
     }
 
-    /// What the old address has told by now is read. The whole list is asked for at the new one, as the count
-    /// of versions there need not be that of the old one.
-    pub(super) fn change_discovery_address(&mut self, at: SocketAddr) {
-        if at == self.discovery.at {
-            return;
+    /// Asks for the full list once.
+    pub(super) fn fetch_list(&mut self, event_loop: &mut EventLoop) -> Option<Call> {
+        if self.off {
+            return None;
         }
-        let calls: Vec<_> = self.discovery.calls.keys().copied().collect();
-        calls.iter().for_each(|id| self.on_discovery_readable(*id));
-        (self.discovery.at, self.discovery.rev, self.discovery.wait) =
-            (at, None, self.event_loop.limits.reconnect_backoff.initial);
-        // Also those that were begun by what has just been read.
-        for id in self.discovery.calls.keys().copied().collect::<Vec<_>>() {
-            if let Some((asked, _)) = self.drop_call(id)
-                && self.discovery.on_demand
-            {
-                self.discovery.following &= asked == Asked::Once;
-                self.event_loop.notify_decisions(Event::EndpointListFailed);
+        self.call(event_loop, Query::Once)
+    }
+
+    /// Drops the calls to the old address; the full list is asked for at the new one, as the count of versions
+    /// there need not be that of the old one.
+    pub(super) fn change_address(
+        &mut self,
+        event_loop: &mut EventLoop,
+        address: SocketAddr,
+    ) -> Option<Call> {
+        self.address = address;
+        self.version = None;
+        self.backoff = event_loop.limits.reconnect_backoff.initial;
+        for id in self.connections() {
+            let Some((query, _)) = self.close_call(event_loop, id) else {
+                continue;
+            };
+            if self.on_demand {
+                self.following &= query == Query::Once;
+                event_loop.notify_decisions(Event::EndpointListFailed);
             }
         }
-        self.begin_watch();
+        self.begin_watch(event_loop)
     }
 
-    pub(super) fn fetch_endpoint_list(&mut self) {
-        if !self.discovery.off {
-            self.call(Asked::Once);
+    /// Begins to watch the list, where it is followed and no watch is open.
+    pub(super) fn begin_watch(&mut self, event_loop: &mut EventLoop) -> Option<Call> {
+        if !self.following || self.watch_connection().is_some() {
+            return None;
         }
+        let query = if self.version.is_some() {
+            Query::Changes
+        } else {
+            Query::First
+        };
+        self.call(event_loop, query)
     }
 
-    pub(super) fn begin_watch(&mut self) {
-        if self.discovery.following && self.discovery.watching().is_none() {
-            self.call(if self.discovery.rev.is_some() {
-                Asked::Changes
-            } else {
-                Asked::First
-            });
-        }
+    fn watch_connection(&self) -> Option<SocketId> {
+        self.calls
+            .iter()
+            .find(|(_, call)| call.query != Query::Once)
+            .map(|(id, _)| *id)
     }
 
-    fn call(&mut self, asked: Asked) {
-        match Stream::connect(&mut self.event_loop.reactor, self.discovery.at, DISCOVERY) {
+    fn call(&mut self, event_loop: &mut EventLoop, query: Query) -> Option<Call> {
+        match Stream::connect(&mut event_loop.reactor, self.address, DISCOVERY) {
             Ok(stream) => {
-                let (id, now) = (stream.id, self.event_loop.now());
-                let chunks = Chunks::default();
+                let id = stream.id;
                 let call = Call {
                     stream,
-                    asked,
+                    query,
                     number: 0,
-                    taken: 0,
-                    since: now,
-                    begun: None,
-                    chunks,
+                    accepted_before: 0,
+                    connected_at: event_loop.now(),
+                    partial: None,
+                    chunks: Chunks::default(),
+                    is_closed: false,
                 };
-                self.discovery.calls.insert(id, call);
-                self.ask(id, asked);
+                self.calls.insert(id, call);
+                self.ask(event_loop, id, query)
+            }
+            Err(e) => {
+                let now = event_loop.now();
+                self.on_call_failed(event_loop, query, now, &e.to_string());
+                None
             }
-            Err(e) => self.on_call_failed(asked, self.event_loop.now(), &e.to_string()),
         }
     }
 
     /// Writes the next question on a connection that has none out.
-    fn ask(&mut self, id: SocketId, asked: Asked) {
-        let (now, at, rev) = (self.event_loop.now(), self.discovery.at, self.discovery.rev);
-        let Some(call) = self.discovery.calls.get_mut(&id) else {
-            return;
-        };
+    fn ask(&mut self, event_loop: &mut EventLoop, id: SocketId, query: Query) -> Option<Call> {
+        let now = event_loop.now();
+        let call = self.calls.get_mut(&id)?;
         // What was missed comes at once where a watch begins on demand, even if it is nothing.
-        let at_once = self.discovery.on_demand && call.number == 0;
-        let hold = if at_once {
+        let answers_at_once = self.on_demand && call.number == 0;
+        let hold = if answers_at_once {
             0.0
         } else {
-            self.event_loop.limits.discovery.watch_hold
+            event_loop.limits.discovery.watch_hold
         };
-        self.discovery.number += 1;
-        self.event_loop
-            .metrics
-            .increment(Counter::EndpointListRequests);
-        (call.asked, call.number, call.begun) = (asked, self.discovery.number, None);
-        (call.taken, call.chunks) = (self.discovery.taken, Chunks::default());
-        let watch = rev
-            .filter(|_| asked == Asked::Changes)
-            .map(|rev| (rev, (hold * MILLIS) as u64));
-        discovery::write_get(call.stream.output(), at, watch);
-        let in_turn = self.discovery.on_demand && hold <= 0.0 || asked == Asked::Once;
-        let spare = if in_turn {
-            self.event_loop.limits.discovery.list_poll_timeout
+        self.last_number += 1;
+        event_loop.metrics.increment(Counter::EndpointListRequests);
+        call.query = query;
+        call.number = self.last_number;
+        call.partial = None;
+        call.accepted_before = self.lists_accepted;
+        call.chunks = Chunks::default();
+        let watch = self
+            .version
+            .filter(|_| query == Query::Changes)
+            .map(|version| (version, (hold * MILLIS) as u64));
+        discovery::write_get(call.stream.output(), self.address, watch);
+        let number = call.number;
+        let served_in_turn = self.on_demand && hold <= 0.0 || query == Query::Once;
+        let grace = if served_in_turn {
+            event_loop.limits.discovery.list_poll_timeout
         } else {
-            self.event_loop.limits.discovery.watch_grace
+            event_loop.limits.discovery.watch_grace
         };
-        let patience = if watch.is_some() { hold } else { 0.0 } + spare;
-        let number = call.number;
-        self.event_loop
-            .schedule(now + patience, TimerEvent::DiscoveryCallTimeout(id, number));
+        let patience = if watch.is_some() { hold } else { 0.0 } + grace;
+        event_loop.schedule(now + patience, TimerEvent::DiscoveryCallTimeout(id, number));
         // A connection that does not come up would cost a whole wait, in which all that is missed counts as told.
-        self.event_loop.schedule(
-            now + self.event_loop.limits.message_stall_timeout,
+        event_loop.schedule(
+            now + event_loop.limits.message_stall_timeout,
             TimerEvent::DiscoveryConnectTimeout(id, number),
         );
-        self.on_discovery_readable(id);
+        self.on_readable(event_loop, id)
     }
 
-    pub(super) fn on_discovery_readable(&mut self, id: SocketId) {
-        let (most, step) = (
-            self.event_loop.limits.discovery.response.max_total(),
-            self.event_loop.limits.event_loop.read_bytes_per_turn,
-        );
-        let Some(call) = self.discovery.calls.get_mut(&id) else {
-            return;
-        };
-        let flushed = call
-            .stream
-            .is_connected()
-            .and_then(|up| if up { call.stream.flush() } else { Ok(false) });
-        match flushed {
+    /// Writes what waits and reads what is there; an answer that is complete is to be applied, then completed.
+    pub(super) fn on_readable(&mut self, event_loop: &mut EventLoop, id: SocketId) -> Option<Call> {
+        let call = self.calls.get_mut(&id)?;
+        match call.flush() {
             Ok(true) => {}
-            Ok(false) => return,
-            Err(e) => return self.fail_call(id, &e.to_string()),
-        }
-        let mut filled = ReadStatus::More;
-        while filled == ReadStatus::More && call.stream.input().len() < most {
-            filled = call.stream.read_available(most, step);
+            Ok(false) => return None,
+            Err(e) => {
+                self.fail_call(event_loop, id, &e.to_string());
+                return None;
+            }
         }
+        call.read(event_loop);
         // Out of the map meanwhile: the list is read from the buffer.
-        let Some(mut call) = self.discovery.calls.remove(&id) else {
-            return;
-        };
-        let answer = self.parse_response(&mut call);
-        let ended = filled == ReadStatus::Closed;
-        match answer {
-            Ok(None) if !ended => self.await_rest_of_answer(id, call),
-            Ok(None) => {
-                let (asked, since) = (call.asked, call.since);
-                call.stream.close(&self.event_loop.reactor);
-                self.on_call_failed(asked, since, "the connection ended");
+        self.calls.remove(&id)
+    }
+
+    /// The input of a call was read up to here: a complete response has been applied. Its connection asks the next
+    /// question, waits for the rest of the answer, or is closed.
+    pub(super) fn complete(
+        &mut self,
+        event_loop: &mut EventLoop,
+        mut call: Call,
+        response: Result<Option<ResponseEnd>, Malformed>,
+    ) -> Option<Call> {
+        let end = match response {
+            Ok(Some(end)) => end,
+            Ok(None) if call.is_closed => {
+                self.give_up(event_loop, call, "the connection ended");
+                return None;
             }
-            Ok(Some((used, stays_open))) => {
-                let asked = call.asked;
-                call.stream.consume(used);
-                if ended || !stays_open || asked == Asked::Once || !self.discovery.following {
-                    call.stream.close(&self.event_loop.reactor);
-                    self.begin_watch();
-                } else {
-                    self.discovery.calls.insert(id, call);
-                    self.ask(id, Asked::Changes);
-                }
+            Ok(None) => {
+                self.await_rest_of_answer(event_loop, call);
+                return None;
             }
             Err(why) => {
-                let (asked, since) = (call.asked, call.since);
-                call.stream.close(&self.event_loop.reactor);
-                self.event_loop
-                    .metrics
-                    .increment(Counter::MalformedMessages);
-                self.on_call_failed(asked, since, &why.to_string());
+                event_loop.metrics.increment(Counter::MalformedMessages);
+                self.give_up(event_loop, call, &why.to_string());
+                return None;
             }
+        };
+        call.stream.consume(end.bytes);
+        let can_ask = end.stays_open && !call.is_closed;
+        if !can_ask || call.query == Query::Once || !self.following {
+            call.stream.close(&event_loop.reactor);
+            return self.begin_watch(event_loop);
         }
+        let id = call.stream.id;
+        self.calls.insert(id, call);
+        self.ask(event_loop, id, Query::Changes)
     }
 
-    fn parse_response(&mut self, call: &mut Call) -> Result<Option<(usize, bool)>, Malformed> {
-        let (bytes, limits) = (
-            call.stream.input(),
-            self.event_loop.limits.discovery.response,
-        );
-        let Some((response, used)) = discovery::response(bytes, &limits, &mut call.chunks)? else {
-            let room = bytes.len() < limits.max_total();
-            // Nothing more of it would ever be read.
-            let long = || {
-                Malformed::new(format!(
-                    "the answer is too long (over {} bytes)",
-                    limits.max_total()
-                ))
-            };
-            return if room { Ok(None) } else { Err(long()) };
-        };
-        if response.status != 200 {
-            return Err(Malformed::new(format!("status {}", response.status)));
-        }
-        let list = discovery::list(&response.body)?;
-        let scope = if list.all {
-            ListScope::Full
-        } else {
-            ListScope::Delta
-        };
-        if self.discovery.rev.is_some_and(|rev| list.rev < rev) {
-            if self.discovery.taken != call.taken {
+    /// How the list is to be applied; none where it brings nothing or has been overtaken.
+    ///
+    /// # Errors
+    ///
+    /// Where it brings changes of a version before the one that is known.
+    pub(super) fn accept(
+        &mut self,
+        event_loop: &mut EventLoop,
+        list: &List,
+        accepted_before: u64,
+    ) -> Result<Option<ListScope>, Malformed> {
+        if self.version.is_some_and(|version| list.rev < version) {
+            if self.lists_accepted != accepted_before {
                 // Another list came while this one was under way: it would bring back what has passed. On demand
                 // each call is answered, be it with nothing.
-                if self.discovery.on_demand {
-                    self.event_loop.notify_decisions(Event::EndpointList {
+                if self.on_demand {
+                    event_loop.notify_decisions(Event::EndpointList {
                         scope: ListScope::Delta,
                         entries: [].into(),
                     });
                 }
-                return Ok(Some((used, response.stays_open)));
+                return Ok(None);
             }
-            // Who was asked with that list known, and knows less, has begun to count anew. A whole list says where
-            // it stands; changes do not, so the whole list is asked for next.
+            // Discovery was asked with that list known, and knows less: it has begun to count anew. A full list
+            // says where it stands; changes do not, so the full list is asked for next.
             if !list.all {
-                self.discovery.rev = None;
+                self.version = None;
                 return Err(Malformed::new(format!(
                     "changes of version {} after a later one",
                     list.rev
                 )));
             }
         }
-        self.discovery.rev = Some(list.rev);
-        self.discovery.taken += 1;
-        self.discovery.wait = self.event_loop.limits.reconnect_backoff.initial;
+        self.version = Some(list.rev);
+        self.lists_accepted += 1;
+        self.backoff = event_loop.limits.reconnect_backoff.initial;
+        self.has_answered = true;
+        let scope = if list.all {
+            ListScope::Full
+        } else {
+            ListScope::Delta
+        };
         // On demand each call is answered, be it with nothing.
-        if list.all || !list.targets.is_empty() || self.discovery.on_demand {
-            self.apply_endpoint_list(&list, scope);
-        }
-        self.discovery.heard = true;
-        self.mark_ready(ReadyReason::Observed);
-        Ok(Some((used, response.stays_open)))
-    }
-
-    fn apply_endpoint_list(&mut self, list: &List, scope: ListScope) {
-        self.discovery.told = true;
-        self.finish_staging();
-        let whole = scope != ListScope::Delta;
-        let mut targets: Vec<_> = list.targets.iter().collect();
-        if whole {
-            self.warn_of_duplicates(list);
-        }
-        if self.endpoints.len() + targets.len() > self.event_loop.limits.discovery.hosts {
-            self.make_room(&mut targets, whole);
-        }
-        let mut entries = Vec::with_capacity(targets.len());
-        let mut left_out = vec![];
-        for target in targets {
-            let goes = target.state() == HostState::Gone;
-            let (entry, drop_idle) = match self.endpoints.stage_entry(target) {
-                Some(staged) => (staged.entry, staged.drop_idle),
-                // It takes no room, and whoever still sends to it has to hear of it.
-                None if goes => (target.listed().entry(), true),
-                None => {
-                    left_out.push(target.uid.as_ref());
-                    continue;
-                }
-            };
-            if drop_idle {
-                self.close_idle_connections(entry.host);
-            }
-            entries.push(entry);
-        }
-        if let Some(first) = left_out.first() {
-            warn!(self.event_loop.log, "more hosts are listed than can be kept"; "uid" => *first,
-                "left_out" => left_out.len(), "most" => self.event_loop.limits.discovery.hosts);
-        }
-        if whole {
-            for host in self.endpoints.retain_listed(&entries) {
-                self.close_idle_connections(host);
+        let is_applied = list.all || !list.targets.is_empty() || self.on_demand;
+        Ok(is_applied.then_some(scope))
+    }
+
+    /// The answer is not complete yet. One that has begun and stalls is given up sooner than a quiet watch: what
+    /// it was to tell counts as told.
+    fn await_rest_of_answer(&mut self, event_loop: &mut EventLoop, mut call: Call) {
+        let id = call.stream.id;
+        let now = event_loop.now();
+        let bytes = call.stream.input().len();
+        let has_grown = call
+            .partial
+            .as_ref()
+            .is_none_or(|partial| partial.bytes < bytes);
+        if bytes > 0 && has_grown {
+            if call.partial.is_none() {
+                event_loop.schedule(
+                    now + event_loop.limits.message_stall_timeout,
+                    TimerEvent::DiscoveryAnswerTimeout(id, call.number),
+                );
             }
-            entries.extend(self.endpoints.operator_only_entries());
-        }
-        let youngest = entries
-            .iter()
-            .filter_map(|entry| entry.started)
-            .reduce(f64::max);
-        let youngest = youngest.map_or("none".into(), |at| {
-            format!("{:.2}", self.event_loop.now() - at)
-        });
-        info!(self.event_loop.log, "hosts"; "rev" => list.rev, "scope" => ?scope, "entries" => entries.len(),
-            "running" => entries.iter().filter(|entry| entry.state == HostState::Running).count(),
-            "youngest" => youngest);
-        self.event_loop.notify_decisions(Event::EndpointList {
-            scope,
-            entries: entries.into(),
-        });
-        self.mark_view_stale();
-    }
-
-    /// A whole list names each host once; changes may tell that one went and came again.
-    fn warn_of_duplicates(&self, list: &List) {
-        let mut hosts: Vec<_> = list
-            .targets
-            .iter()
-            .map(|target| HostId::named(&target.uid))
-            .collect();
-        hosts.sort_unstable();
-        hosts.dedup();
-        if hosts.len() < list.targets.len() {
-            warn!(self.event_loop.log, "hosts stand twice in a list, the last entry counts"; "rev" => list.rev,
-                "entries" => list.targets.len(), "hosts" => hosts.len());
+            call.partial = Some(PartialAnswer {
+                bytes,
+                last_received: now,
+            });
         }
+        self.calls.insert(id, call);
     }
 
-    /// Who has left makes room for who comes, and is taken after them: both would else be kept together until the
-    /// next sweep, and at the limit who comes be left out.
-    fn make_room(&mut self, targets: &mut [&Target], whole: bool) {
-        let host = |target: &&Target| HostId::named(&target.uid);
-        let last: BTreeMap<_, _> = targets
-            .iter()
-            .map(|target| (host(target), target.state()))
-            .collect();
-        let goes = |target: &&Target| last.get(&host(target)) == Some(&HostState::Gone);
-        targets.sort_by_key(goes);
-        for target in targets.iter().filter(|target| goes(target)) {
-            self.endpoints.stage_entry(target);
+    pub(super) fn on_call_timeout(
+        &mut self,
+        event_loop: &mut EventLoop,
+        id: SocketId,
+        number: u64,
+    ) {
+        let is_same = |call: &Call| call.number == number;
+        if self.calls.get(&id).is_some_and(is_same) {
+            self.fail_call(event_loop, id, "no answer came");
         }
-        if whole {
-            let listed: Vec<_> = targets
-                .iter()
-                .map(|target| target.listed().entry())
-                .collect();
-            for host in self.endpoints.retain_listed(&listed) {
-                self.close_idle_connections(host);
-            }
+    }
+
+    pub(super) fn on_connect_timeout(
+        &mut self,
+        event_loop: &mut EventLoop,
+        id: SocketId,
+        number: u64,
+    ) {
+        let is_down = |call: &mut Call| {
+            call.number == number && !matches!(call.stream.is_connected(), Ok(true))
+        };
+        if self.calls.get_mut(&id).is_some_and(is_down) {
+            self.fail_call(event_loop, id, "the connection does not come up");
         }
-        let using = self
-            .upstreams
-            .values()
-            .map(UpstreamConnection::host)
-            .collect();
-        self.endpoints.forget_gone(&using);
     }
 
-    pub(super) fn close_idle_connections(&mut self, host: HostId) {
-        for id in self.idle_connections.take_all(host) {
-            self.close_upstream(id);
+    pub(super) fn on_answer_timeout(
+        &mut self,
+        event_loop: &mut EventLoop,
+        id: SocketId,
+        number: u64,
+    ) {
+        let call = self.calls.get(&id).filter(|call| call.number == number);
+        let Some(partial) = call.and_then(|call| call.partial.as_ref()) else {
+            return;
+        };
+        let deadline = partial.last_received + event_loop.limits.message_stall_timeout;
+        if event_loop.now() < deadline {
+            return event_loop.schedule(deadline, TimerEvent::DiscoveryAnswerTimeout(id, number));
         }
+        self.fail_call(event_loop, id, "an answer does not end");
     }
 
-    fn drop_call(&mut self, id: SocketId) -> Option<(Asked, f64)> {
-        let call = self.discovery.calls.remove(&id)?;
-        call.stream.close(&self.event_loop.reactor);
-        Some((call.asked, call.since))
+    fn close_call(&mut self, event_loop: &mut EventLoop, id: SocketId) -> Option<(Query, f64)> {
+        let call = self.calls.remove(&id)?;
+        call.stream.close(&event_loop.reactor);
+        Some((call.query, call.connected_at))
     }
 
-    fn fail_call(&mut self, id: SocketId, why: &str) {
-        if let Some((asked, since)) = self.drop_call(id) {
-            self.on_call_failed(asked, since, why);
+    fn fail_call(&mut self, event_loop: &mut EventLoop, id: SocketId, why: &str) {
+        if let Some(call) = self.calls.remove(&id) {
+            self.give_up(event_loop, call, why);
         }
     }
 
-    pub(super) fn on_call_timeout(&mut self, id: SocketId, number: u64) {
-        if self
-            .discovery
-            .calls
-            .get(&id)
-            .is_some_and(|call| call.number == number)
-        {
-            self.fail_call(id, "no answer came");
-        }
+    fn give_up(&mut self, event_loop: &mut EventLoop, call: Call, why: &str) {
+        let query = call.query;
+        let connected_at = call.connected_at;
+        call.stream.close(&event_loop.reactor);
+        self.on_call_failed(event_loop, query, connected_at, why);
     }
 
-    pub(super) fn on_call_connect_timeout(&mut self, id: SocketId, number: u64) {
-        let down = |call: &mut Call| {
-            call.number == number && !matches!(call.stream.is_connected(), Ok(true))
-        };
-        if self.discovery.calls.get_mut(&id).is_some_and(down) {
-            self.fail_call(id, "the connection does not come up");
+    /// On demand the decisions hear of it and ask again; else the watch begins again after a while, later
+    /// each time and never in step with other routers, but at once where the connection had stood for long.
+    fn on_call_failed(
+        &mut self,
+        event_loop: &mut EventLoop,
+        query: Query,
+        connected_at: f64,
+        why: &str,
+    ) {
+        warn!(event_loop.log, "discovery does not answer"; "why" => why.to_owned());
+        if self.on_demand {
+            self.following &= query == Query::Once;
+            return event_loop.notify_decisions(Event::EndpointListFailed);
         }
+        let now = event_loop.now();
+        let max_backoff = event_loop.limits.reconnect_backoff.maximum;
+        let wait = if now - connected_at >= max_backoff {
+            0.0
+        } else {
+            self.backoff * event_loop.backoff_jitter()
+        };
+        self.backoff = (2.0 * self.backoff).min(max_backoff);
+        event_loop.schedule(now + wait, TimerEvent::DiscoveryRetry);
     }
+}
 
-    /// The answer is not whole yet. One that has begun and stalls is given up sooner than a quiet watch: what
-    /// it was to tell counts as told.
-    fn await_rest_of_answer(&mut self, id: SocketId, mut call: Call) {
-        let (now, come, number) = (
-            self.event_loop.now(),
-            call.stream.input().len(),
-            call.number,
-        );
-        if come > 0 && call.begun.is_none_or(|(before, _)| before < come) {
-            if call.begun.is_none() {
-                self.event_loop.schedule(
-                    now + self.event_loop.limits.message_stall_timeout,
-                    TimerEvent::DiscoveryAnswerTimeout(id, number),
-                );
-            }
-            call.begun = Some((come, now));
-        }
-        self.discovery.calls.insert(id, call);
+impl Call {
+    /// How many lists had been accepted when it was asked.
+    pub(super) fn accepted_before(&self) -> u64 {
+        self.accepted_before
     }
 
-    pub(super) fn on_answer_timeout(&mut self, id: SocketId, number: u64) {
-        let call = self
-            .discovery
-            .calls
-            .get(&id)
-            .filter(|call| call.number == number);
-        let Some((_, last)) = call.and_then(|call| call.begun) else {
-            return;
+    /// The response in the input, and how many bytes it takes; none where it is not complete.
+    ///
+    /// # Errors
+    ///
+    /// Where it is malformed, longer than it may be or reports a failure.
+    pub(super) fn response(
+        &mut self,
+        limits: &ResponseLimits,
+    ) -> Result<Option<(Response<'_>, usize)>, Malformed> {
+        let input = self.stream.input();
+        let Some((response, bytes)) = discovery::response(input, limits, &mut self.chunks)? else {
+            // Nothing more of it would ever be read.
+            if input.len() >= limits.max_total() {
+                return Err(Malformed::new(format!(
+                    "the answer is too long (over {} bytes)",
+                    limits.max_total()
+                )));
+            }
+            return Ok(None);
         };
-        let until = last + self.event_loop.limits.message_stall_timeout;
-        if self.event_loop.now() < until {
-            return self
-                .event_loop
-                .schedule(until, TimerEvent::DiscoveryAnswerTimeout(id, number));
+        if response.status != STATUS_OK {
+            return Err(Malformed::new(format!("status {}", response.status)));
         }
-        self.fail_call(id, "an answer does not end");
+        Ok(Some((response, bytes)))
     }
 
-    /// On demand the decisions hear of it and ask again; else the watch begins again after a while, later
-    /// each time and never in step with other routers, but at once where the connection had stood for long.
-    fn on_call_failed(&mut self, asked: Asked, since: f64, why: &str) {
-        warn!(self.event_loop.log, "discovery does not answer"; "why" => why.to_owned());
-        if self.discovery.on_demand {
-            self.discovery.following &= asked == Asked::Once;
-            return self.event_loop.notify_decisions(Event::EndpointListFailed);
+    /// True where all is written; false where the connection is not up, or takes no more now.
+    fn flush(&mut self) -> std::io::Result<bool> {
+        Ok(self.stream.is_connected()? && self.stream.flush()?)
+    }
+
+    /// Reads what is there, up to the longest answer.
+    fn read(&mut self, event_loop: &EventLoop) {
+        let max_bytes = event_loop.limits.discovery.response.max_total();
+        let read_bytes = event_loop.limits.event_loop.read_bytes_per_turn;
+        let mut status = ReadStatus::More;
+        while status == ReadStatus::More && self.stream.input().len() < max_bytes {
+            status = self.stream.read_available(max_bytes, read_bytes);
         }
-        let now = self.event_loop.now();
-        let stood = now - since >= self.event_loop.limits.reconnect_backoff.maximum;
-        let at = now
-            + if stood {
-                0.0
-            } else {
-                self.discovery.wait * self.event_loop.backoff_jitter()
-            };
-        self.discovery.wait =
-            (2.0 * self.discovery.wait).min(self.event_loop.limits.reconnect_backoff.maximum);
-        self.event_loop.schedule(at, TimerEvent::DiscoveryRetry);
+        self.is_closed = status == ReadStatus::Closed;
     }
 }
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -51,7 +51,11 @@
             }
             Effect::StartHealthCheck { host } => self.start_health_check(host),
             Effect::CloseIdleConnections { host } => self.close_idle_connections(host),
-            Effect::SendGossip { to, payload } => self.send_gossip(to, &payload),
+            Effect::SendGossip { to, payload } => {
+                if let Some(peers) = &self.peers {
+                    peers.send(&mut self.event_loop, to, &payload);
+                }
+            }
             Effect::CastVote { build, stage, vote } => self.cast_vote(build, stage, vote),
             Effect::SubscribeEndpointList { on } => self.subscribe_endpoint_list(on),
             Effect::FetchEndpointList => self.fetch_endpoint_list(),
--- /dev/null
+++ b/router/src/routing/endpoint_list.rs
@@ -0,0 +1,190 @@
+//! The endpoint list: what discovery tells is applied to the endpoint table, the upstream connections and the
+//! decisions.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use kestreltide::interface::*;
+use slog::{info, warn};
+
+use super::discovery_watch::{Call, ResponseEnd};
+use super::upstream_connection::UpstreamConnection;
+use super::{ReadyReason, Routing};
+use crate::protocol::Malformed;
+use crate::protocol::discovery::{self, List, Target};
+use crate::transport::SocketId;
+
+impl Routing {
+    /// Applies what this router knew of the endpoints before it was started.
+    pub fn restore_endpoint_list(&mut self, list: &List) {
+        self.apply_endpoint_list(list, ListScope::Cached);
+        self.discovery.note_restored(list.rev);
+        self.process_pending();
+    }
+
+    pub(super) fn subscribe_endpoint_list(&mut self, on: bool) {
+        let response = self.discovery.subscribe(&mut self.event_loop, on);
+        self.apply_discovery_responses(response);
+    }
+
+    pub(super) fn fetch_endpoint_list(&mut self) {
+        let response = self.discovery.fetch_list(&mut self.event_loop);
+        self.apply_discovery_responses(response);
+    }
+
+    pub(super) fn begin_watch(&mut self) {
+        let response = self.discovery.begin_watch(&mut self.event_loop);
+        self.apply_discovery_responses(response);
+    }
+
+    pub(super) fn on_discovery_readable(&mut self, id: SocketId) {
+        let response = self.discovery.on_readable(&mut self.event_loop, id);
+        self.apply_discovery_responses(response);
+    }
+
+    /// Applies what the old address has told by now and asks the new one.
+    pub(super) fn change_discovery_address(&mut self, address: SocketAddr) {
+        if address == self.discovery.address() {
+            return;
+        }
+        for id in self.discovery.connections() {
+            self.on_discovery_readable(id);
+        }
+        let response = self.discovery.change_address(&mut self.event_loop, address);
+        self.apply_discovery_responses(response);
+    }
+
+    /// Applies the response of a call, and those that come when its connection asks again.
+    fn apply_discovery_responses(&mut self, mut next: Option<Call>) {
+        while let Some(mut call) = next {
+            let response = self.apply_discovery_response(&mut call);
+            next = self
+                .discovery
+                .complete(&mut self.event_loop, call, response);
+        }
+    }
+
+    fn apply_discovery_response(
+        &mut self,
+        call: &mut Call,
+    ) -> Result<Option<ResponseEnd>, Malformed> {
+        let accepted_before = call.accepted_before();
+        let limits = self.event_loop.limits.discovery.response;
+        let Some((response, bytes)) = call.response(&limits)? else {
+            return Ok(None);
+        };
+        let list = discovery::list(&response.body)?;
+        let scope = self
+            .discovery
+            .accept(&mut self.event_loop, &list, accepted_before)?;
+        if let Some(scope) = scope {
+            self.apply_endpoint_list(&list, scope);
+        }
+        self.mark_ready(ReadyReason::Observed);
+        Ok(Some(ResponseEnd {
+            bytes,
+            stays_open: response.stays_open,
+        }))
+    }
+
+    fn apply_endpoint_list(&mut self, list: &List, scope: ListScope) {
+        self.discovery.note_list_applied();
+        self.finish_staging();
+        let whole = scope != ListScope::Delta;
+        let mut targets: Vec<_> = list.targets.iter().collect();
+        if whole {
+            self.warn_of_duplicates(list);
+        }
+        if self.endpoints.len() + targets.len() > self.event_loop.limits.discovery.hosts {
+            self.make_room(&mut targets, whole);
+        }
+        let mut entries = Vec::with_capacity(targets.len());
+        let mut left_out = vec![];
+        for target in targets {
+            let goes = target.state() == HostState::Gone;
+            let (entry, drop_idle) = match self.endpoints.stage_entry(target) {
+                Some(staged) => (staged.entry, staged.drop_idle),
+                // It takes no room, and whoever still sends to it has to hear of it.
+                None if goes => (target.listed().entry(), true),
+                None => {
+                    left_out.push(target.uid.as_ref());
+                    continue;
+                }
+            };
+            if drop_idle {
+                self.close_idle_connections(entry.host);
+            }
+            entries.push(entry);
+        }
+        if let Some(first) = left_out.first() {
+            warn!(self.event_loop.log, "more hosts are listed than can be kept"; "uid" => *first,
+                "left_out" => left_out.len(), "most" => self.event_loop.limits.discovery.hosts);
+        }
+        if whole {
+            for host in self.endpoints.retain_listed(&entries) {
+                self.close_idle_connections(host);
+            }
+            entries.extend(self.endpoints.operator_only_entries());
+        }
+        let youngest = entries
+            .iter()
+            .filter_map(|entry| entry.started)
+            .reduce(f64::max);
+        let youngest = youngest.map_or("none".into(), |at| {
+            format!("{:.2}", self.event_loop.now() - at)
+        });
+        info!(self.event_loop.log, "hosts"; "rev" => list.rev, "scope" => ?scope, "entries" => entries.len(),
+            "running" => entries.iter().filter(|entry| entry.state == HostState::Running).count(),
+            "youngest" => youngest);
+        self.event_loop.notify_decisions(Event::EndpointList {
+            scope,
+            entries: entries.into(),
+        });
+        self.mark_view_stale();
+    }
+
+    /// A whole list names each host once; changes may tell that one went and came again.
+    fn warn_of_duplicates(&self, list: &List) {
+        let mut hosts: Vec<_> = list
+            .targets
+            .iter()
+            .map(|target| HostId::named(&target.uid))
+            .collect();
+        hosts.sort_unstable();
+        hosts.dedup();
+        if hosts.len() < list.targets.len() {
+            warn!(self.event_loop.log, "hosts stand twice in a list, the last entry counts"; "rev" => list.rev,
+                "entries" => list.targets.len(), "hosts" => hosts.len());
+        }
+    }
+
+    /// Who has left makes room for who comes, and is taken after them: both would else be kept together until the
+    /// next sweep, and at the limit who comes be left out.
+    fn make_room(&mut self, targets: &mut [&Target], whole: bool) {
+        let host = |target: &&Target| HostId::named(&target.uid);
+        let last: BTreeMap<_, _> = targets
+            .iter()
+            .map(|target| (host(target), target.state()))
+            .collect();
+        let goes = |target: &&Target| last.get(&host(target)) == Some(&HostState::Gone);
+        targets.sort_by_key(goes);
+        for target in targets.iter().filter(|target| goes(target)) {
+            self.endpoints.stage_entry(target);
+        }
+        if whole {
+            let listed: Vec<_> = targets
+                .iter()
+                .map(|target| target.listed().entry())
+                .collect();
+            for host in self.endpoints.retain_listed(&listed) {
+                self.close_idle_connections(host);
+            }
+        }
+        let using = self
+            .upstreams
+            .values()
+            .map(UpstreamConnection::host)
+            .collect();
+        self.endpoints.forget_gone(&using);
+    }
+}
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -249,7 +249,7 @@
         let view = View {
             at: self.event_loop.now(),
             discovery: asked.then(|| self.endpoints.told().cloned().collect()),
-            discovery_received: self.discovery.has_told(),
+            discovery_received: self.discovery.has_list(),
             rollout: self.rollout_status,
             revision: management.revision,
             revisions_applied: management.taken,
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -6,6 +6,7 @@
 mod client_connection;
 mod discovery_watch;
 mod dispatch_decisions;
+mod endpoint_list;
 mod endpoint_table;
 mod event_loop;
 mod gossip_peers;
@@ -14,6 +15,7 @@
 mod metrics;
 mod platform_client;
 mod response_relay;
+mod rollout;
 mod upstream_connection;
 
 use std::collections::BTreeMap;
@@ -150,7 +152,7 @@
             DiscoveryWatch::new(addresses.discovery, terms.polls_endpoint_list, &limits);
         let platform = addresses
             .platform
-            .map(|at| PlatformClient::new(at, &limits));
+            .map(|at| PlatformClient::new(at, transport.operations.clone(), &limits));
         let peers = match addresses.peer_listen.filter(|_| terms.may_gossip) {
             Some(at) => Some(GossipPeers::open(
                 &mut reactor,
@@ -206,10 +208,10 @@
 
     /// Reaches out to discovery and the platform; what the router held before has been told by now.
     pub fn begin(&mut self) {
-        if !self.discovery.asked_only() {
+        if !self.discovery.is_on_demand() {
             self.begin_watch();
         }
-        self.connect_platform();
+        self.with_platform(PlatformClient::connect);
         self.publish_view();
         if self.discovery.is_off() {
             self.mark_ready(ReadyReason::OperatorsOnly);
@@ -278,9 +280,9 @@
             .as_ref()
             .is_some_and(|platform| platform.owns(id))
         {
-            self.on_platform_readable();
-        } else if self.peers.as_ref().is_some_and(|peers| peers.owns(id)) {
-            self.on_gossip_readable();
+            self.with_platform(PlatformClient::on_readable);
+        } else if let Some(peers) = self.peers.as_mut().filter(|peers| peers.owns(id)) {
+            peers.on_readable(&mut self.event_loop);
         }
     }
 
@@ -296,15 +298,26 @@
                 let _ = self.accept();
             }
             TimerEvent::ExpireIdle => self.expire_idle(),
-            TimerEvent::DiscoveryCallTimeout(id, number) => self.on_call_timeout(id, number),
+            TimerEvent::DiscoveryCallTimeout(id, number) => {
+                self.discovery
+                    .on_call_timeout(&mut self.event_loop, id, number)
+            }
             TimerEvent::DiscoveryConnectTimeout(id, number) => {
-                self.on_call_connect_timeout(id, number)
+                self.discovery
+                    .on_connect_timeout(&mut self.event_loop, id, number)
+            }
+            TimerEvent::DiscoveryAnswerTimeout(id, number) => {
+                self.discovery
+                    .on_answer_timeout(&mut self.event_loop, id, number)
             }
-            TimerEvent::DiscoveryAnswerTimeout(id, number) => self.on_answer_timeout(id, number),
             TimerEvent::DiscoveryRetry => self.begin_watch(),
-            TimerEvent::PlatformReconnect => self.connect_platform(),
-            TimerEvent::PlatformLineTimeout => self.on_line_timeout(),
-            TimerEvent::VoteTimeout(call) => self.on_vote_timeout(call),
+            TimerEvent::PlatformReconnect => self.with_platform(PlatformClient::connect),
+            TimerEvent::PlatformLineTimeout => self.with_platform(PlatformClient::on_line_timeout),
+            TimerEvent::VoteTimeout(call) => {
+                self.with_platform(|platform, event_loop| {
+                    platform.on_vote_timeout(event_loop, call)
+                });
+            }
             TimerEvent::Ready => self.mark_ready(ReadyReason::Timeout),
             TimerEvent::ServingOver => self.on_serving_over(),
             TimerEvent::DrainingOver => self.on_draining_over(),
@@ -330,8 +343,11 @@
     }
 
     fn mark_ready(&mut self, reason: ReadyReason) {
-        let heard =
-            self.discovery.heard() && self.platform.as_ref().is_none_or(PlatformClient::heard);
+        let heard = self.discovery.has_answered()
+            && self
+                .platform
+                .as_ref()
+                .is_none_or(PlatformClient::has_received_state);
         if !self.ready && (heard || reason == ReadyReason::Timeout) {
             self.ready = true;
             info!(self.event_loop.log, "ready"; "by" => reason.name(), "hosts" => self.endpoints.len());
@@ -350,7 +366,7 @@
         {
             self.close_upstream(id);
         }
-        self.check_platform_silence(now);
+        self.with_platform(|platform, event_loop| platform.check_silence(event_loop, now));
         self.close_clients_not_reading(now);
         self.expire_clients_without_request(now);
         self.check_heartbeats(now);
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -1,4 +1,4 @@
-//! The platform: one connection that follows it and carries this router's votes.
+//! The platform client: one connection that follows the platform's rollout and carries this router's votes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,8 +6,9 @@
 use kestreltide::interface::*;
 use slog::{debug, info, warn};
 
+use super::PLATFORM;
+use super::event_loop::{EventLoop, TimerEvent};
 use super::metrics::Counter;
-use super::{PLATFORM, ReadyReason, Routing, TimerEvent};
 use crate::limits::Limits;
 use crate::protocol::platform::{self, State, Told};
 use crate::transport::{ReadStatus, SocketId, Stream};
@@ -15,298 +16,290 @@
 /// A vote that has no answer yet.
 struct PendingVote {
     written: bool,
-    what: RolloutStatus,
+    /// What the decisions are told where no answer comes.
+    unanswered: RolloutStatus,
 }
 
+impl PendingVote {
+    /// The status of a vote that is given up: once it was written, it may count.
+    fn abandon(self) -> RolloutStatus {
+        if self.written {
+            timed_out(self.unanswered)
+        } else {
+            self.unanswered
+        }
+    }
+}
+
+/// The connection to the platform and the votes on it.
 pub(super) struct PlatformClient {
-    at: SocketAddr,
+    address: SocketAddr,
+    operations: BTreeMap<String, OperationId>,
     stream: Option<Stream>,
     votes: BTreeMap<u64, PendingVote>,
-    call: u64,
-    /// When the last byte came, and where a line has begun and not ended, when the last of it.
-    last: f64,
-    begun: Option<f64>,
-    since: f64,
-    wait: f64,
-    heard: bool,
+    last_call: u64,
+    /// When the last byte came.
+    last_received: f64,
+    /// Of a line that has begun and not ended, when the last of it came.
+    line_begun: Option<f64>,
+    connected_at: f64,
+    backoff: f64,
+    has_received_state: bool,
+    /// Rollout statuses received and not yet taken.
+    received: Vec<RolloutStatus>,
 }
 
 impl PlatformClient {
-    pub(super) fn new(at: SocketAddr, limits: &Limits) -> Self {
-        let (votes, wait) = (BTreeMap::new(), limits.reconnect_backoff.initial);
+    pub(super) fn new(
+        address: SocketAddr,
+        operations: BTreeMap<String, OperationId>,
+        limits: &Limits,
+    ) -> Self {
         PlatformClient {
-            at,
+            address,
+            operations,
             stream: None,
-            votes,
-            call: 0,
-            last: 0.0,
-            begun: None,
-            since: 0.0,
-            wait,
-            heard: false,
+            votes: BTreeMap::new(),
+            last_call: 0,
+            last_received: 0.0,
+            line_begun: None,
+            connected_at: 0.0,
+            backoff: limits.reconnect_backoff.initial,
+            has_received_state: false,
+            received: Vec::new(),
         }
     }
 
-    pub(super) fn heard(&self) -> bool {
-        self.heard
+    /// Whether the platform has told its state since the start.
+    pub(super) fn has_received_state(&self) -> bool {
+        self.has_received_state
     }
 
     pub(super) fn owns(&self, id: SocketId) -> bool {
         self.stream.as_ref().is_some_and(|stream| stream.id == id)
     }
 
-    fn next_call(&mut self) -> u64 {
-        self.call += 1;
-        self.call
-    }
-}
-
-impl Routing {
-    /// What this router knew of the builds before it was started.
-    pub fn restore_rollout_status(&mut self, news: RolloutStatus) {
-        self.apply_rollout_status(news);
-        self.process_pending();
+    /// The rollout statuses received since the last call, in their order.
+    pub(super) fn take_received(&mut self) -> Vec<RolloutStatus> {
+        std::mem::take(&mut self.received)
     }
 
-    pub(super) fn connect_platform(&mut self) {
-        let now = self.event_loop.now();
-        let Some(platform) = self
-            .platform
-            .as_mut()
-            .filter(|platform| platform.stream.is_none())
-        else {
+    /// Connects and follows the platform, unless it is connected.
+    pub(super) fn connect(&mut self, event_loop: &mut EventLoop) {
+        let now = event_loop.now();
+        if self.stream.is_some() {
             return;
-        };
-        match Stream::connect(&mut self.event_loop.reactor, platform.at, PLATFORM) {
+        }
+        match Stream::connect(&mut event_loop.reactor, self.address, PLATFORM) {
             Ok(mut stream) => {
-                let call = platform.next_call();
+                let call = self.next_call();
                 platform::write_follow(stream.output(), call);
-                platform.stream = Some(stream);
-                (platform.last, platform.begun, platform.since) = (now, None, now);
-                self.on_platform_readable();
+                self.stream = Some(stream);
+                self.last_received = now;
+                self.line_begun = None;
+                self.connected_at = now;
+                self.on_readable(event_loop);
             }
-            Err(e) => self.on_platform_lost(&e.to_string()),
+            Err(e) => self.on_lost(event_loop, &e.to_string()),
         }
     }
 
-    /// What the old address has told by now is read; votes that were written there may have counted.
-    pub(super) fn change_platform_address(&mut self, at: SocketAddr) {
-        if self
-            .platform
-            .as_ref()
-            .is_none_or(|platform| platform.at == at)
-        {
+    /// Reads what the old address has sent by now and connects to the new one; votes that were written to the old
+    /// one may have counted.
+    pub(super) fn change_address(&mut self, event_loop: &mut EventLoop, address: SocketAddr) {
+        if self.address == address {
             return;
         }
-        self.on_platform_readable();
-        self.close_platform();
-        if let Some(platform) = &mut self.platform {
-            (platform.at, platform.wait) = (at, self.event_loop.limits.reconnect_backoff.initial);
-        }
-        self.connect_platform();
+        self.on_readable(event_loop);
+        self.close(event_loop);
+        self.address = address;
+        self.backoff = event_loop.limits.reconnect_backoff.initial;
+        self.connect(event_loop);
     }
 
-    pub(super) fn cast_vote(&mut self, build: BuildId, stage: u32, vote: Vote) {
-        let now = self.event_loop.now();
-        let what = RolloutStatus {
-            outcome: AttemptOutcome::NoConnection,
-            build,
-            stage,
-            phase: Phase::Canary,
-            cap: 0.0,
-            age: 0.0,
-            answers_vote: true,
-        };
-        let most = self.event_loop.limits.platform.pending_votes;
-        let open = |platform: &&mut PlatformClient| {
-            platform.stream.is_some() && platform.votes.len() < most
-        };
-        let Some(platform) = self.platform.as_mut().filter(open) else {
-            return self
-                .event_loop
-                .notify_decisions(Event::RolloutStatusReceived(what));
-        };
-        let call = platform.next_call();
-        if let Some(stream) = &mut platform.stream {
+    pub(super) fn cast_vote(
+        &mut self,
+        event_loop: &mut EventLoop,
+        build: BuildId,
+        stage: u32,
+        vote: Vote,
+    ) {
+        let now = event_loop.now();
+        let unanswered = unsent_vote(build, stage);
+        let has_capacity = self.votes.len() < event_loop.limits.platform.pending_votes;
+        if self.stream.is_none() || !has_capacity {
+            return event_loop.notify_decisions(Event::RolloutStatusReceived(unanswered));
+        }
+        let call = self.next_call();
+        if let Some(stream) = &mut self.stream {
             platform::write_vote(stream.output(), call, build, stage, vote);
         }
-        platform.votes.insert(
-            call,
-            PendingVote {
-                written: false,
-                what,
-            },
-        );
-        self.event_loop.metrics.increment(Counter::VotesCast);
-        info!(self.event_loop.log, "vote cast"; "build" => build.0, "stage" => stage, "vote" => ?vote);
-        self.event_loop.schedule(
-            now + self.event_loop.limits.platform.vote_timeout,
-            TimerEvent::VoteTimeout(call),
-        );
-        self.on_platform_readable();
+        let pending = PendingVote {
+            written: false,
+            unanswered,
+        };
+        self.votes.insert(call, pending);
+        event_loop.metrics.increment(Counter::VotesCast);
+        info!(event_loop.log, "vote cast"; "build" => build.0, "stage" => stage, "vote" => ?vote);
+        let deadline = now + event_loop.limits.platform.vote_timeout;
+        event_loop.schedule(deadline, TimerEvent::VoteTimeout(call));
+        self.on_readable(event_loop);
+    }
+
+    pub(super) fn on_vote_timeout(&mut self, event_loop: &mut EventLoop, call: u64) {
+        if let Some(vote) = self.votes.remove(&call) {
+            event_loop.notify_decisions(Event::RolloutStatusReceived(vote.abandon()));
+        }
     }
 
-    pub(super) fn on_platform_readable(&mut self) {
-        let now = self.event_loop.now();
+    /// Writes what waits and reads what is there.
+    pub(super) fn on_readable(&mut self, event_loop: &mut EventLoop) {
+        let now = event_loop.now();
+        let read_bytes = event_loop.limits.event_loop.read_bytes_per_turn;
+        let buffer_bytes = event_loop.limits.platform.line_bytes + read_bytes;
         loop {
-            let Some(platform) = &mut self.platform else {
-                return;
-            };
-            let Some(stream) = &mut platform.stream else {
-                return;
-            };
-            match stream
-                .is_connected()
-                .and_then(|up| if up { stream.flush() } else { Ok(false) })
-            {
-                Ok(true) => platform
-                    .votes
-                    .values_mut()
-                    .for_each(|vote| vote.written = true),
+            match self.flush() {
+                Ok(true) => {}
                 Ok(false) => return,
-                Err(e) => return self.on_platform_lost(&e.to_string()),
+                Err(e) => return self.on_lost(event_loop, &e.to_string()),
             }
-            let filled = stream.read_available(
-                self.event_loop.limits.platform.line_bytes
-                    + self.event_loop.limits.event_loop.read_bytes_per_turn,
-                self.event_loop.limits.event_loop.read_bytes_per_turn,
-            );
+            let Some(stream) = &mut self.stream else {
+                return;
+            };
+            let status = stream.read_available(buffer_bytes, read_bytes);
             if !stream.input().is_empty() {
-                platform.last = now;
+                self.last_received = now;
             }
-            if !self.read_platform_lines() {
+            if !self.read_lines(event_loop) {
                 return;
             }
-            self.watch_incomplete_line(now);
-            match filled {
-                ReadStatus::Closed => return self.on_platform_lost("the connection ended"),
+            self.watch_incomplete_line(event_loop, now);
+            match status {
+                ReadStatus::Closed => return self.on_lost(event_loop, "the connection ended"),
                 ReadStatus::Drained => return,
                 ReadStatus::More => {}
             }
         }
     }
 
-    /// Takes the lines that are whole; false where the connection was given up.
-    fn read_platform_lines(&mut self) -> bool {
-        // Out of its place meanwhile: lines are read from the buffer.
-        let Some(platform) = &mut self.platform else {
-            return false;
+    /// True where all is written; false where the connection is not up, or takes no more now.
+    fn flush(&mut self) -> std::io::Result<bool> {
+        let Some(stream) = &mut self.stream else {
+            return Ok(false);
         };
-        let Some(mut stream) = platform.stream.take() else {
+        let flushed = stream.is_connected()? && stream.flush()?;
+        if flushed {
+            self.votes.values_mut().for_each(|vote| vote.written = true);
+        }
+        Ok(flushed)
+    }
+
+    /// Takes the lines that are complete; false where the connection was given up.
+    fn read_lines(&mut self, event_loop: &mut EventLoop) -> bool {
+        // Out of its place meanwhile: lines are read from the buffer.
+        let Some(mut stream) = self.stream.take() else {
             return false;
         };
-        let broken = loop {
-            match platform::read(stream.input(), self.event_loop.limits.platform.line_bytes) {
+        let malformed = loop {
+            match platform::read(stream.input(), event_loop.limits.platform.line_bytes) {
                 Ok(None) => break None,
-                Ok(Some((told, used))) => {
-                    self.on_platform_message(told);
+                Ok(Some((message, used))) => {
+                    self.on_message(event_loop, message);
                     stream.consume(used);
                 }
                 Err(why) => break Some(why),
             }
         };
-        if let Some(platform) = &mut self.platform {
-            platform.stream = Some(stream);
+        self.stream = Some(stream);
+        if let Some(why) = &malformed {
+            event_loop.metrics.increment(Counter::MalformedMessages);
+            self.on_lost(event_loop, &why.to_string());
         }
-        if let Some(why) = &broken {
-            self.event_loop
-                .metrics
-                .increment(Counter::MalformedMessages);
-            self.on_platform_lost(&why.to_string());
-        }
-        broken.is_none()
+        malformed.is_none()
     }
 
     /// A line that stalls is given up sooner than a quiet connection.
-    fn watch_incomplete_line(&mut self, now: f64) {
-        let Some(platform) = &mut self.platform else {
-            return;
-        };
-        let open = platform
+    fn watch_incomplete_line(&mut self, event_loop: &mut EventLoop, now: f64) {
+        let incomplete = self
             .stream
             .as_ref()
             .is_some_and(|stream| !stream.input().is_empty());
-        let due = open && platform.begun.is_none();
-        platform.begun = open.then_some(now);
-        if due {
-            self.event_loop.schedule(
-                now + self.event_loop.limits.message_stall_timeout,
-                TimerEvent::PlatformLineTimeout,
-            );
+        let begins = incomplete && self.line_begun.is_none();
+        self.line_begun = incomplete.then_some(now);
+        if begins {
+            let deadline = now + event_loop.limits.message_stall_timeout;
+            event_loop.schedule(deadline, TimerEvent::PlatformLineTimeout);
         }
     }
 
-    pub(super) fn on_line_timeout(&mut self) {
-        let begun = self.platform.as_ref().and_then(|platform| platform.begun);
-        let Some(until) = begun.map(|last| last + self.event_loop.limits.message_stall_timeout)
-        else {
+    pub(super) fn on_line_timeout(&mut self, event_loop: &mut EventLoop) {
+        let Some(last) = self.line_begun else {
             return;
         };
-        if self.event_loop.now() < until {
-            return self
-                .event_loop
-                .schedule(until, TimerEvent::PlatformLineTimeout);
+        let deadline = last + event_loop.limits.message_stall_timeout;
+        if event_loop.now() < deadline {
+            return event_loop.schedule(deadline, TimerEvent::PlatformLineTimeout);
         }
-        self.on_platform_lost("a line does not end");
+        self.on_lost(event_loop, "a line does not end");
     }
 
-    fn on_platform_message(&mut self, told: Told) {
-        let Some(platform) = &mut self.platform else {
-            return;
-        };
-        match told {
+    fn on_message(&mut self, event_loop: &mut EventLoop, message: Told) {
+        match message {
             Told::State(state) => {
-                platform.wait = self.event_loop.limits.reconnect_backoff.initial;
-                platform.heard = true;
-                self.on_rollout_state(&state, false);
-                self.mark_ready(ReadyReason::Observed);
+                self.backoff = event_loop.limits.reconnect_backoff.initial;
+                self.has_received_state = true;
+                self.on_state(event_loop, &state, false);
             }
             Told::Result { call, state } => {
-                platform.wait = self.event_loop.limits.reconnect_backoff.initial;
-                if let Some(vote) = platform.votes.remove(&call) {
-                    match state {
-                        Some(state) => self.on_rollout_state(&state, true),
-                        // An answer that cannot be read leaves open whether the vote counts.
-                        None => self
-                            .event_loop
-                            .notify_decisions(Event::RolloutStatusReceived(unread(vote.what))),
-                    }
-                }
-            }
-            Told::Error { call, outcome } => {
-                if let Some(vote) = platform.votes.remove(&call) {
-                    self.event_loop.metrics.increment(Counter::VotesNotCounted);
-                    debug!(self.event_loop.log, "a vote does not count"; "verdict" => ?outcome);
-                    self.event_loop
-                        .notify_decisions(Event::RolloutStatusReceived(RolloutStatus {
-                            outcome,
-                            ..vote.what
-                        }));
-                } else {
-                    warn!(self.event_loop.log, "the platform refuses to be followed"; "verdict" => ?outcome);
-                }
+                self.backoff = event_loop.limits.reconnect_backoff.initial;
+                self.on_vote_result(event_loop, call, state);
             }
+            Told::Error { call, outcome } => self.on_vote_error(event_loop, call, outcome),
             Told::Complaint {
                 host,
                 operation,
                 age,
             } => {
-                let operation = self.transport.operations.get(operation.as_ref());
-                if let Some(operation) = operation.copied() {
-                    let host = HostId::named(&host);
-                    self.event_loop.notify_decisions(Event::AnswerDisputed {
-                        host,
+                if let Some(&operation) = self.operations.get(operation.as_ref()) {
+                    event_loop.notify_decisions(Event::AnswerDisputed {
+                        host: HostId::named(&host),
                         operation,
                         age,
                     });
                 }
             }
             Told::SignOfLife => {}
-            Told::Unknown => debug!(self.event_loop.log, "the platform told something unknown"),
+            Told::Unknown => debug!(event_loop.log, "the platform told something unknown"),
         }
     }
 
-    fn on_rollout_state(&mut self, state: &State, answers_vote: bool) {
+    fn on_vote_result(&mut self, event_loop: &mut EventLoop, call: u64, state: Option<State>) {
+        let Some(vote) = self.votes.remove(&call) else {
+            return;
+        };
+        match state {
+            Some(state) => self.on_state(event_loop, &state, true),
+            // An answer that cannot be read leaves open whether the vote counts.
+            None => {
+                let status = timed_out(vote.unanswered);
+                event_loop.notify_decisions(Event::RolloutStatusReceived(status));
+            }
+        }
+    }
+
+    fn on_vote_error(&mut self, event_loop: &mut EventLoop, call: u64, outcome: AttemptOutcome) {
+        let Some(vote) = self.votes.remove(&call) else {
+            return warn!(event_loop.log, "the platform refuses to be followed"; "verdict" => ?outcome);
+        };
+        event_loop.metrics.increment(Counter::VotesNotCounted);
+        debug!(event_loop.log, "a vote does not count"; "verdict" => ?outcome);
+        event_loop.notify_decisions(Event::RolloutStatusReceived(RolloutStatus {
+            outcome,
+            ..vote.unanswered
+        }));
+    }
+
+    fn on_state(&mut self, event_loop: &mut EventLoop, state: &State, answers_vote: bool) {
         let State {
             build,
             stage,
@@ -314,88 +307,68 @@
             cap,
             age,
         } = *state;
-        info!(self.event_loop.log, "platform"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
+        info!(event_loop.log, "platform"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
             "age" => age, "answers_vote" => answers_vote);
-        self.apply_rollout_status(state.news(answers_vote));
-    }
-
-    fn apply_rollout_status(&mut self, news: RolloutStatus) {
-        self.rollout_status = self
-            .rollout_status
-            .filter(|newest| newest.build > news.build)
-            .or(Some(news));
-        self.event_loop
-            .notify_decisions(Event::RolloutStatusReceived(news));
-        self.mark_view_stale();
+        let status = state.news(answers_vote);
+        event_loop.notify_decisions(Event::RolloutStatusReceived(status));
+        self.received.push(status);
     }
 
     /// The connection is lost: what was asked on it may have been done once it was written.
-    fn on_platform_lost(&mut self, why: &str) {
-        warn!(self.event_loop.log, "the platform's connection is lost"; "why" => why.to_owned());
-        let (now, spread) = (self.event_loop.now(), self.event_loop.backoff_jitter());
-        let Some(platform) = &mut self.platform else {
-            return;
-        };
+    fn on_lost(&mut self, event_loop: &mut EventLoop, why: &str) {
+        warn!(event_loop.log, "the platform's connection is lost"; "why" => why.to_owned());
+        let now = event_loop.now();
+        let jitter = event_loop.backoff_jitter();
+        let max_backoff = event_loop.limits.reconnect_backoff.maximum;
         // At once where the connection had stood for long; else later each time, never in step with others.
-        let stood = platform.stream.is_some()
-            && now - platform.since >= self.event_loop.limits.reconnect_backoff.maximum;
-        let again = now + if stood { 0.0 } else { spread * platform.wait };
-        platform.wait = (2.0 * platform.wait).min(self.event_loop.limits.reconnect_backoff.maximum);
-        self.close_platform();
-        self.event_loop
-            .schedule(again, TimerEvent::PlatformReconnect);
+        let stood = self.stream.is_some() && now - self.connected_at >= max_backoff;
+        let wait = if stood { 0.0 } else { jitter * self.backoff };
+        self.backoff = (2.0 * self.backoff).min(max_backoff);
+        self.close(event_loop);
+        event_loop.schedule(now + wait, TimerEvent::PlatformReconnect);
     }
 
-    /// The connection and the votes that it carried are given up.
-    fn close_platform(&mut self) {
-        let Some(platform) = &mut self.platform else {
-            return;
-        };
-        platform.begun = None;
-        if let Some(stream) = platform.stream.take() {
-            stream.close(&self.event_loop.reactor);
+    /// Gives up the connection and the votes that it carried.
+    fn close(&mut self, event_loop: &mut EventLoop) {
+        self.line_begun = None;
+        if let Some(stream) = self.stream.take() {
+            stream.close(&event_loop.reactor);
         }
-        for vote in std::mem::take(&mut platform.votes).into_values() {
-            let what = if vote.written {
-                unread(vote.what)
-            } else {
-                vote.what
-            };
-            self.event_loop
-                .notify_decisions(Event::RolloutStatusReceived(what));
+        for vote in std::mem::take(&mut self.votes).into_values() {
+            event_loop.notify_decisions(Event::RolloutStatusReceived(vote.abandon()));
         }
     }
 
-    pub(super) fn check_platform_silence(&mut self, now: f64) {
-        let silence = self.event_loop.limits.platform.silence_timeout;
-        if self
-            .platform
-            .as_ref()
-            .is_some_and(|p| p.stream.is_some() && now - p.last > silence)
-        {
-            self.on_platform_lost("no sign of life");
+    /// Reconnects where nothing has come for too long.
+    pub(super) fn check_silence(&mut self, event_loop: &mut EventLoop, now: f64) {
+        let silence = now - self.last_received;
+        if self.stream.is_some() && silence > event_loop.limits.platform.silence_timeout {
+            self.on_lost(event_loop, "no sign of life");
         }
     }
 
-    pub(super) fn on_vote_timeout(&mut self, call: u64) {
-        let Some(platform) = &mut self.platform else {
-            return;
-        };
-        if let Some(vote) = platform.votes.remove(&call) {
-            let what = if vote.written {
-                unread(vote.what)
-            } else {
-                vote.what
-            };
-            self.event_loop
-                .notify_decisions(Event::RolloutStatusReceived(what));
-        }
+    fn next_call(&mut self) -> u64 {
+        self.last_call += 1;
+        self.last_call
+    }
+}
+
+/// What the decisions are told of a vote that could not be written.
+pub(super) fn unsent_vote(build: BuildId, stage: u32) -> RolloutStatus {
+    RolloutStatus {
+        outcome: AttemptOutcome::NoConnection,
+        build,
+        stage,
+        phase: Phase::Canary,
+        cap: 0.0,
+        age: 0.0,
+        answers_vote: true,
     }
 }
 
-fn unread(what: RolloutStatus) -> RolloutStatus {
+fn timed_out(status: RolloutStatus) -> RolloutStatus {
     RolloutStatus {
         outcome: AttemptOutcome::TimedOut,
-        ..what
+        ..status
     }
 }
--- /dev/null
+++ b/router/src/routing/rollout.rs
@@ -0,0 +1,56 @@
+//! The rollout: what the platform tells of it goes to the decisions' owner and the management threads.
+
+use std::net::SocketAddr;
+
+use kestreltide::interface::*;
+
+use super::event_loop::EventLoop;
+use super::platform_client::{PlatformClient, unsent_vote};
+use super::{ReadyReason, Routing};
+
+impl Routing {
+    /// Applies what this router knew of the rollout before it was started.
+    pub fn restore_rollout_status(&mut self, status: RolloutStatus) {
+        self.event_loop
+            .notify_decisions(Event::RolloutStatusReceived(status));
+        self.apply_rollout_status(status);
+        self.process_pending();
+    }
+
+    pub(super) fn cast_vote(&mut self, build: BuildId, stage: u32, vote: Vote) {
+        if self.platform.is_none() {
+            let status = unsent_vote(build, stage);
+            return self
+                .event_loop
+                .notify_decisions(Event::RolloutStatusReceived(status));
+        }
+        self.with_platform(|platform, event_loop| {
+            platform.cast_vote(event_loop, build, stage, vote);
+        });
+    }
+
+    pub(super) fn change_platform_address(&mut self, address: SocketAddr) {
+        self.with_platform(|platform, event_loop| platform.change_address(event_loop, address));
+    }
+
+    /// Lets the platform client act, where there is one, and applies what it has received.
+    pub(super) fn with_platform(&mut self, act: impl FnOnce(&mut PlatformClient, &mut EventLoop)) {
+        let Some(platform) = &mut self.platform else {
+            return;
+        };
+        act(platform, &mut self.event_loop);
+        for status in platform.take_received() {
+            self.apply_rollout_status(status);
+            self.mark_ready(ReadyReason::Observed);
+        }
+    }
+
+    /// Keeps the status of the newest build.
+    fn apply_rollout_status(&mut self, status: RolloutStatus) {
+        self.rollout_status = self
+            .rollout_status
+            .filter(|newest| newest.build > status.build)
+            .or(Some(status));
+        self.mark_view_stale();
+    }
+}
--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -520,6 +520,12 @@
         }
     }
 
+    pub(super) fn close_idle_connections(&mut self, host: HostId) {
+        for id in self.idle_connections.take_all(host) {
+            self.close_upstream(id);
+        }
+    }
+
     /// Closes what is without use and leads to hosts that are gone, drained or elsewhere.
     pub(super) fn close_unusable_connections(&mut self) {
         let idle = self.idle_connections.ids();
