--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -250,7 +250,7 @@
             self.ready_again.push(id);
         }
         // Only after a read that found nothing more: a command that is here already is not left unanswered.
-        if filled == ReadStatus::Drained && self.is_draining() {
+        if filled == ReadStatus::Drained && self.shutdown.is_draining() {
             self.drain_client(id);
         }
     }
@@ -364,14 +364,14 @@
             _ => return Err(Malformed::new("the command is not that of the operation")),
         }
         // Hosts know a request by its id: with another's, one would be answered for the other.
-        if let Some(holder) = self.open_request_ids.get(asked.id) {
+        if let Some(holder) = self.requests.holder(asked.id) {
             // Unless that client is gone, which is only not read yet: then it is sent again.
             let left = self
                 .clients
-                .get(holder)
+                .get(&holder)
                 .is_some_and(|client| client.stream.is_closed_by_peer());
             return Ok(if left {
-                Step::Left(*holder)
+                Step::Left(holder)
             } else {
                 Step::Fail(OPEN_ID)
             });
@@ -390,7 +390,7 @@
         let unread = now - arrived.unwrap_or(now);
         let time_left = (asked.time_millis as f64 / 1e3 - unread)
             .max(0.0)
-            .min(self.time_before_last());
+            .min(self.shutdown.time_left(now));
         Ok(Step::Take(ParsedRequest {
             operation,
             key,
@@ -452,11 +452,8 @@
         let waited = !client.queue.is_empty();
         for waiting in client.queue {
             if let QueuedReply::Pending(request) = waiting
-                && let Some(admitted) = self.admitted.get_mut(&request)
+                && self.requests.abandon(&request)
             {
-                admitted.left = true;
-                // Free at once: it may come again before the decisions have heard of this.
-                self.open_request_ids.remove(admitted.kept.id());
                 self.event_loop
                     .metrics
                     .increment(Counter::RequestsAbandoned);
@@ -472,19 +469,20 @@
 
     /// Whether the client of this request is gone, be it that its close is not read yet.
     pub(super) fn is_client_gone(&mut self, request: &RequestId) -> bool {
-        let Some(admitted) = self.admitted.get(request) else {
+        let Some(client) = self.requests.client(request) else {
             return false;
         };
-        let (id, left) = (admitted.client, admitted.left);
-        let unread = !left
-            && self
-                .clients
-                .get(&id)
-                .is_some_and(|client| client.stream.is_closed_by_peer());
-        if unread {
-            self.close_client(id);
+        if self.requests.is_abandoned(request) {
+            return true;
+        }
+        let is_closed = self
+            .clients
+            .get(&client)
+            .is_some_and(|client| client.stream.is_closed_by_peer());
+        if is_closed {
+            self.close_client(client);
         }
-        left || unread
+        is_closed
     }
 
     /// Closes connections whose clients have not read for long, and the fullest where too much is unread.
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -20,7 +20,7 @@
         };
         self.decisions
             .handle(self.event_loop.now(), event, &mut effects);
-        left.map(|request| self.release(&request));
+        left.map(|request| self.requests.release(&request));
         effects.drain(..).for_each(|effect| self.carry_out(effect));
         self.effects = effects;
     }
--- a/router/src/routing/event_loop.rs
+++ b/router/src/routing/event_loop.rs
@@ -42,9 +42,9 @@
     /// Of the graceful shutdown: silent clients, and those that were notified of the close, have had their time.
     DrainAgain,
     /// No client has connected since all connections were closed for the time of this number.
-    LastCallOver(u64),
-    LastTime,
-    ShutdownEnd,
+    LastClientsOver(u64),
+    KillNear,
+    ShutdownDeadline,
     PublishView,
 }
 
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -254,7 +254,7 @@
             revision: management.revision,
             revisions_applied: management.taken,
             longest_apply_time: management.longest_pause,
-            requests_in_flight: self.admitted.len(),
+            requests_in_flight: self.requests.len(),
             clients: self.clients.len(),
             upstream_connections: self.upstreams.len(),
             counts: self.event_loop.metrics.requests_since_start(),
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -16,6 +16,7 @@
 mod platform_client;
 mod response_relay;
 mod rollout;
+mod shutdown_actions;
 mod upstream_connection;
 
 use std::collections::BTreeMap;
@@ -29,13 +30,13 @@
 
 use crate::limits::Limits;
 use crate::transport::{Clock, IdleConnections, Listener, Priority, Reactor, SocketId};
-use admission::AdmittedRequest;
+use admission::RequestTable;
 use client_connection::Client;
 use discovery_watch::DiscoveryWatch;
 use endpoint_table::EndpointTable;
 use event_loop::{EventLoop, TimerEvent};
 use gossip_peers::GossipPeers;
-use graceful_shutdown::Shutdown;
+use graceful_shutdown::{GracefulShutdown, ShutdownInput};
 pub use management_link::{Heartbeat, LoopHandle, ManagementInbox, ManagementMessage};
 use platform_client::PlatformClient;
 use upstream_connection::UpstreamConnection;
@@ -104,11 +105,7 @@
     ready_again: Vec<SocketId>,
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
-    admitted: BTreeMap<RequestId, AdmittedRequest>,
-    /// As clients named them, and who holds each.
-    open_request_ids: BTreeMap<Box<[u8]>, SocketId>,
-    reserved_bytes: usize,
-    last_request_number: u64,
+    requests: RequestTable,
     upstreams: BTreeMap<SocketId, UpstreamConnection>,
     idle_connections: IdleConnections<HostId>,
     endpoints: EndpointTable,
@@ -122,12 +119,9 @@
     ready: bool,
     /// An alarm is set for clients that could not be accepted.
     accept_due: bool,
-    shutdown: Shutdown,
-    /// A timer is set for who is told of the close, or silent; how often all connections were closed; the last
-    /// time before SIGKILL, once told.
-    drain_due: bool,
-    last_calls: u64,
-    last_at: Option<f64>,
+    shutdown: GracefulShutdown,
+    /// A timer is set for clients that are silent, or were notified of the close.
+    drain_scheduled: bool,
 }
 
 impl Routing {
@@ -172,19 +166,14 @@
             ready_again: vec![],
             listener: Some(listener),
             clients: BTreeMap::new(),
-            admitted: BTreeMap::new(),
-            open_request_ids: BTreeMap::new(),
-            reserved_bytes: 0,
-            last_request_number: 0,
+            requests: RequestTable::default(),
             upstreams: BTreeMap::new(),
             idle_connections: IdleConnections::default(),
             endpoints,
             ready: false,
             accept_due: false,
-            shutdown: Shutdown::No,
-            drain_due: false,
-            last_calls: 0,
-            last_at: None,
+            shutdown: GracefulShutdown::new(),
+            drain_scheduled: false,
             transport,
             idempotency,
             discovery,
@@ -233,7 +222,7 @@
         let may_sleep = self.ready_again.is_empty() && !self.is_staging();
         let (sockets, signals) = self.event_loop.poll(may_sleep)?;
         if signals.stop {
-            self.on_shutdown_requested();
+            self.advance_shutdown(ShutdownInput::Requested);
         }
         // In the order of ranks, clients come last anyway; who is both ready and due again is served once more.
         for id in sockets
@@ -319,12 +308,12 @@
                 });
             }
             TimerEvent::Ready => self.mark_ready(ReadyReason::Timeout),
-            TimerEvent::ServingOver => self.on_serving_over(),
-            TimerEvent::DrainingOver => self.on_draining_over(),
-            TimerEvent::DrainAgain => self.drain_due(),
-            TimerEvent::LastCallOver(number) => self.on_last_call_over(number),
-            TimerEvent::LastTime => self.on_last_time(),
-            TimerEvent::ShutdownEnd => self.on_shutdown_end(),
+            TimerEvent::ServingOver => self.advance_shutdown(ShutdownInput::ServingOver),
+            TimerEvent::DrainingOver => self.advance_shutdown(ShutdownInput::DrainingOver),
+            TimerEvent::DrainAgain => self.on_drain_timer(),
+            TimerEvent::LastClientsOver(round) => self.on_last_clients_over(round),
+            TimerEvent::KillNear => self.advance_shutdown(ShutdownInput::KillNear),
+            TimerEvent::ShutdownDeadline => self.advance_shutdown(ShutdownInput::Deadline),
             TimerEvent::PublishView => self.publish_view(),
         }
     }
@@ -381,7 +370,7 @@
             .metrics
             .take_line(now, self.event_loop.limits.event_loop.state_log_interval)
         {
-            info!(self.event_loop.log, "state"; "open" => self.admitted.len(), "clients" => self.clients.len(),
+            info!(self.event_loop.log, "state"; "open" => self.requests.len(), "clients" => self.clients.len(),
                 "links" => self.upstreams.len(), "idle" => self.idle_connections.count(), "counts" => line);
         }
     }
--- a/router/src/routing/response_relay.rs
+++ b/router/src/routing/response_relay.rs
@@ -9,10 +9,9 @@
 impl Routing {
     /// The final answer to an invocation; what it held is let go. False where none was owed.
     pub(super) fn answer(&mut self, request: &RequestId, write: impl FnOnce(&mut Vec<u8>)) -> bool {
-        let Some(admitted) = self.release(request) else {
+        let Some(id) = self.requests.release(request) else {
             return false;
         };
-        let id = admitted.client;
         let now = self.event_loop.now();
         let Some(client) = self.clients.get_mut(&id) else {
             return false;
--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -65,15 +65,12 @@
         on: ConnectionRequirements,
     ) {
         let now = self.event_loop.now();
-        let Some(admitted) = self.admitted.get_mut(&request) else {
+        let Some(no) = self.requests.begin_attempt(&request) else {
             return;
         };
-        let no = AttemptNumber(admitted.attempts);
-        admitted.attempts += 1;
-        let left = admitted.left;
         self.event_loop.metrics.increment(Counter::AttemptsStarted);
         // A first attempt follows the read that brought its request, which found no close.
-        if left || no.0 > 0 && self.is_client_gone(&request) {
+        if self.requests.is_abandoned(&request) || no.0 > 0 && self.is_client_gone(&request) {
             // Decided before the decisions could hear that the client has left: nothing goes out any more.
             return self.finish_attempt(
                 AttemptInFlight { request, no },
@@ -94,10 +91,10 @@
         };
         // As long as the router will wait, and never told as nothing.
         let millis = (time_out * MILLIS).ceil().max(1.0) as u64;
-        if let (Some(upstream), Some(admitted)) =
-            (self.upstreams.get_mut(&id), self.admitted.get(&request))
+        if let (Some(upstream), Some(command)) =
+            (self.upstreams.get_mut(&id), self.requests.command(&request))
         {
-            admitted.kept.write(upstream.stream.output(), millis);
+            command.write(upstream.stream.output(), millis);
         }
         self.begin_use(
             id,
@@ -498,11 +495,7 @@
     /// Gives up the attempts whose clients are gone and whose command is not written whole, so that no host has begun
     /// them: a connection may come up long after its client has gone.
     pub(super) fn abandon_unwritten_attempts(&mut self) {
-        let gone = |request: &RequestId| {
-            self.admitted
-                .get(request)
-                .is_some_and(|admitted| admitted.left)
-        };
+        let gone = |request: &RequestId| self.requests.is_abandoned(request);
         let waits = |upstream: &UpstreamConnection| upstream.unwritten().is_some_and(gone);
         let given_up = self
             .upstreams
@@ -592,10 +585,7 @@
             request,
             no: attempt,
         } = out;
-        let over = self
-            .admitted
-            .get(&request)
-            .is_none_or(|admitted| admitted.left);
+        let over = !self.requests.owes_response(&request);
         let (took, unused) = (times.0, Some(times.1));
         self.event_loop.notify_decisions(Event::AttemptFinished {
             request,
