--- a/router/src/routing/admission.rs
+++ b/router/src/routing/admission.rs
@@ -9,7 +9,7 @@
 use super::client_connection::QueuedReply;
 use super::metrics::Counter;
 use crate::limits::RequestLimits;
-use crate::protocol::client::{self, Kept};
+use crate::protocol::client::{self, StoredCommand};
 use crate::transport::SocketId;
 
 /// A request as its client sent it.
@@ -20,13 +20,13 @@
     pub(super) pool: Option<Arc<Pool>>,
     pub(super) time_left: f64,
     pub(super) again: bool,
-    pub(super) kept: Kept,
+    pub(super) kept: StoredCommand,
 }
 
 /// A request that owes its client a response.
 struct AdmittedRequest {
     client: SocketId,
-    command: Kept,
+    command: StoredCommand,
     attempts: u32,
     /// The client is gone, which the decisions are still to hear.
     is_abandoned: bool,
@@ -54,7 +54,7 @@
             && self.stored_bytes + command_bytes <= limits.stored_command_bytes
     }
 
-    fn admit(&mut self, client: SocketId, command: Kept) -> RequestId {
+    fn admit(&mut self, client: SocketId, command: StoredCommand) -> RequestId {
         // The client's own id goes to hosts unchanged; here a number stands for it, which nobody can repeat.
         self.last_number += 1;
         let id = RequestId(self.last_number.to_string().into());
@@ -118,7 +118,7 @@
     }
 
     /// The command to forward.
-    pub(super) fn command(&self, request: &RequestId) -> Option<&Kept> {
+    pub(super) fn command(&self, request: &RequestId) -> Option<&StoredCommand> {
         self.requests.get(request).map(|request| &request.command)
     }
 
@@ -150,7 +150,7 @@
         let limits = &self.event_loop.limits.requests;
         if !self.requests.has_capacity(limits, kept.size()) || self.shutdown.has_given_up() {
             self.event_loop.metrics.increment(Counter::RequestsRejected);
-            return self.reply(client, |out| client::write_throttled(out, None));
+            return self.reply(client, |out| client::write_busy(out, None));
         }
         let id = self.requests.admit(client, kept);
         self.event_loop.metrics.increment(Counter::RequestsAdmitted);
--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -11,7 +11,7 @@
 use super::metrics::Counter;
 use crate::limits::{Limits, ResponseLimits};
 use crate::protocol::Malformed;
-use crate::protocol::discovery::{self, Chunks, List, Response};
+use crate::protocol::discovery::{self, ChunkedBody, EndpointList, ListWatch, Response};
 use crate::transport::{ReadStatus, SocketId, Stream};
 
 const MILLIS: f64 = 1e3;
@@ -38,7 +38,7 @@
     /// Of an answer that has begun and is not complete.
     partial: Option<PartialAnswer>,
     /// The same, where it comes in chunks: what has been read of it.
-    chunks: Chunks,
+    chunks: ChunkedBody,
     /// Nothing more comes on the connection.
     is_closed: bool,
 }
@@ -214,7 +214,7 @@
                     accepted_before: 0,
                     connected_at: event_loop.now(),
                     partial: None,
-                    chunks: Chunks::default(),
+                    chunks: ChunkedBody::default(),
                     is_closed: false,
                 };
                 self.calls.insert(id, call);
@@ -245,12 +245,15 @@
         call.number = self.last_number;
         call.partial = None;
         call.accepted_before = self.lists_accepted;
-        call.chunks = Chunks::default();
+        call.chunks = ChunkedBody::default();
         let watch = self
             .version
             .filter(|_| query == Query::Changes)
-            .map(|version| (version, (hold * MILLIS) as u64));
-        discovery::write_get(call.stream.output(), self.address, watch);
+            .map(|version| ListWatch {
+                known_revision: version,
+                hold_millis: (hold * MILLIS) as u64,
+            });
+        discovery::write_list_request(call.stream.output(), self.address, watch);
         let number = call.number;
         let served_in_turn = self.on_demand && hold <= 0.0 || query == Query::Once;
         let grace = if served_in_turn {
@@ -327,7 +330,7 @@
     pub(super) fn accept(
         &mut self,
         event_loop: &mut EventLoop,
-        list: &List,
+        list: &EndpointList,
         accepted_before: u64,
     ) -> Result<Option<ListScope>, Malformed> {
         if self.version.is_some_and(|version| list.rev < version) {
@@ -495,7 +498,8 @@
         limits: &ResponseLimits,
     ) -> Result<Option<(Response<'_>, usize)>, Malformed> {
         let input = self.stream.input();
-        let Some((response, bytes)) = discovery::response(input, limits, &mut self.chunks)? else {
+        let Some((response, bytes)) = discovery::parse_response(input, limits, &mut self.chunks)?
+        else {
             // Nothing more of it would ever be read.
             if input.len() >= limits.max_total() {
                 return Err(Malformed::new(format!(
--- a/router/src/routing/endpoint_list.rs
+++ b/router/src/routing/endpoint_list.rs
@@ -11,12 +11,12 @@
 use super::upstream_connection::UpstreamConnection;
 use super::{ReadyReason, Routing};
 use crate::protocol::Malformed;
-use crate::protocol::discovery::{self, List, Target};
+use crate::protocol::discovery::{self, EndpointList, ListedEndpoint};
 use crate::transport::SocketId;
 
 impl Routing {
     /// Applies what this router knew of the endpoints before it was started.
-    pub fn restore_endpoint_list(&mut self, list: &List) {
+    pub fn restore_endpoint_list(&mut self, list: &EndpointList) {
         self.apply_endpoint_list(list, ListScope::Cached);
         self.discovery.note_restored(list.rev);
         self.process_pending();
@@ -73,7 +73,7 @@
         let Some((response, bytes)) = call.response(&limits)? else {
             return Ok(None);
         };
-        let list = discovery::list(&response.body)?;
+        let list = discovery::parse_list(&response.body)?;
         let scope = self
             .discovery
             .accept(&mut self.event_loop, &list, accepted_before)?;
@@ -87,7 +87,7 @@
         }))
     }
 
-    fn apply_endpoint_list(&mut self, list: &List, scope: ListScope) {
+    fn apply_endpoint_list(&mut self, list: &EndpointList, scope: ListScope) {
         self.discovery.note_list_applied();
         self.finish_staging();
         let whole = scope != ListScope::Delta;
@@ -105,7 +105,7 @@
             let (entry, drop_idle) = match self.endpoints.stage_entry(target) {
                 Some(staged) => (staged.entry, staged.drop_idle),
                 // It takes no room, and whoever still sends to it has to hear of it.
-                None if goes => (target.listed().entry(), true),
+                None if goes => (target.to_host_record().entry(), true),
                 None => {
                     left_out.push(target.uid.as_ref());
                     continue;
@@ -144,7 +144,7 @@
     }
 
     /// A whole list names each host once; changes may tell that one went and came again.
-    fn warn_of_duplicates(&self, list: &List) {
+    fn warn_of_duplicates(&self, list: &EndpointList) {
         let mut hosts: Vec<_> = list
             .targets
             .iter()
@@ -160,13 +160,13 @@
 
     /// Who has left makes room for who comes, and is taken after them: both would else be kept together until the
     /// next sweep, and at the limit who comes be left out.
-    fn make_room(&mut self, targets: &mut [&Target], whole: bool) {
-        let host = |target: &&Target| HostId::named(&target.uid);
+    fn make_room(&mut self, targets: &mut [&ListedEndpoint], whole: bool) {
+        let host = |target: &&ListedEndpoint| HostId::named(&target.uid);
         let last: BTreeMap<_, _> = targets
             .iter()
             .map(|target| (host(target), target.state()))
             .collect();
-        let goes = |target: &&Target| last.get(&host(target)) == Some(&HostState::Gone);
+        let goes = |target: &&ListedEndpoint| last.get(&host(target)) == Some(&HostState::Gone);
         targets.sort_by_key(goes);
         for target in targets.iter().filter(|target| goes(target)) {
             self.endpoints.stage_entry(target);
@@ -174,7 +174,7 @@
         if whole {
             let listed: Vec<_> = targets
                 .iter()
-                .map(|target| target.listed().entry())
+                .map(|target| target.to_host_record().entry())
                 .collect();
             for host in self.endpoints.retain_listed(&listed) {
                 self.close_idle_connections(host);
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -10,7 +10,7 @@
 use super::event_loop::{EventLoop, TimerEvent};
 use super::metrics::Counter;
 use crate::limits::Limits;
-use crate::protocol::platform::{self, State, Told};
+use crate::protocol::platform::{self, PlatformMessage, RolloutState};
 use crate::transport::{ReadStatus, SocketId, Stream};
 
 /// A vote that has no answer yet.
@@ -201,7 +201,7 @@
             return false;
         };
         let malformed = loop {
-            match platform::read(stream.input(), event_loop.limits.platform.line_bytes) {
+            match platform::parse_line(stream.input(), event_loop.limits.platform.line_bytes) {
                 Ok(None) => break None,
                 Ok(Some((message, used))) => {
                     self.on_message(event_loop, message);
@@ -243,19 +243,21 @@
         self.on_lost(event_loop, "a line does not end");
     }
 
-    fn on_message(&mut self, event_loop: &mut EventLoop, message: Told) {
+    fn on_message(&mut self, event_loop: &mut EventLoop, message: PlatformMessage) {
         match message {
-            Told::State(state) => {
+            PlatformMessage::Rollout(state) => {
                 self.backoff = event_loop.limits.reconnect_backoff.initial;
                 self.has_received_state = true;
                 self.on_state(event_loop, &state, false);
             }
-            Told::Result { call, state } => {
+            PlatformMessage::Result { call, state } => {
                 self.backoff = event_loop.limits.reconnect_backoff.initial;
                 self.on_vote_result(event_loop, call, state);
             }
-            Told::Error { call, outcome } => self.on_vote_error(event_loop, call, outcome),
-            Told::Complaint {
+            PlatformMessage::Error { call, outcome } => {
+                self.on_vote_error(event_loop, call, outcome)
+            }
+            PlatformMessage::Complaint {
                 host,
                 operation,
                 age,
@@ -268,12 +270,19 @@
                     });
                 }
             }
-            Told::SignOfLife => {}
-            Told::Unknown => debug!(event_loop.log, "the platform told something unknown"),
+            PlatformMessage::Ping => {}
+            PlatformMessage::Unknown => {
+                debug!(event_loop.log, "the platform told something unknown")
+            }
         }
     }
 
-    fn on_vote_result(&mut self, event_loop: &mut EventLoop, call: u64, state: Option<State>) {
+    fn on_vote_result(
+        &mut self,
+        event_loop: &mut EventLoop,
+        call: u64,
+        state: Option<RolloutState>,
+    ) {
         let Some(vote) = self.votes.remove(&call) else {
             return;
         };
@@ -299,8 +308,8 @@
         }));
     }
 
-    fn on_state(&mut self, event_loop: &mut EventLoop, state: &State, answers_vote: bool) {
-        let State {
+    fn on_state(&mut self, event_loop: &mut EventLoop, state: &RolloutState, answers_vote: bool) {
+        let RolloutState {
             build,
             stage,
             phase,
@@ -309,7 +318,7 @@
         } = *state;
         info!(event_loop.log, "platform"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
             "age" => age, "answers_vote" => answers_vote);
-        let status = state.news(answers_vote);
+        let status = state.to_status(answers_vote);
         event_loop.notify_decisions(Event::RolloutStatusReceived(status));
         self.received.push(status);
     }
--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -9,7 +9,7 @@
 use super::metrics::Counter;
 use super::{Routing, TimerEvent, UPSTREAMS};
 use crate::protocol::Malformed;
-use crate::protocol::host::{self, Answer};
+use crate::protocol::host::{self, HostResponse};
 use crate::protocol::resp::write_bulk;
 use crate::transport::{ReadStatus, SocketId, Stream, out_of_descriptors};
 
@@ -331,7 +331,8 @@
             ConnectionUse::Idle if bytes.is_empty() => Ok(None),
             ConnectionUse::Idle => Err(Malformed::new("nothing was asked")),
             ConnectionUse::Attempt(out) => {
-                let Some((answer, used)) = host::answer(bytes, &self.event_loop.limits.resp)?
+                let Some((answer, used)) =
+                    host::parse_response(bytes, &self.event_loop.limits.resp)?
                 else {
                     let room = bytes.len() < self.event_loop.limits.resp.message;
                     return if room {
@@ -342,18 +343,18 @@
                 };
                 let (outcome, load) = match answer {
                     // No host has begun it.
-                    Answer::Value { .. } if !upstream.written => {
+                    HostResponse::Value { .. } if !upstream.written => {
                         return Err(Malformed::new(
                             "a value for a command that has not been written",
                         ));
                     }
-                    Answer::Value { value, load } => {
+                    HostResponse::Value { value, load } => {
                         self.relay_value(&out.request, value);
                         (AttemptOutcome::Succeeded, load)
                     }
-                    Answer::Error { load } => (AttemptOutcome::Error, load),
-                    Answer::Full { load } => (AttemptOutcome::Rejected, load),
-                    Answer::Refused(line) => {
+                    HostResponse::Error { load } => (AttemptOutcome::Error, load),
+                    HostResponse::Rejected { load } => (AttemptOutcome::Rejected, load),
+                    HostResponse::UnknownCommand(line) => {
                         warn!(self.event_loop.log, "a host refused the form of a command"; "line" => line.to_owned());
                         (AttemptOutcome::Error, None)
                     }
@@ -375,7 +376,8 @@
                 Ok(Some(used))
             }
             ConnectionUse::HealthCheck => {
-                let Some(((well, load), used)) = host::probed(bytes, &self.event_loop.limits.resp)?
+                let Some((response, used)) =
+                    host::parse_probe_response(bytes, &self.event_loop.limits.resp)?
                 else {
                     let room = bytes.len() < self.event_loop.limits.resp.message;
                     return if room {
@@ -384,12 +386,13 @@
                         Err(Malformed::new("an answer is too long"))
                     };
                 };
-                let outcome = if well {
+                let outcome = if response.is_healthy {
                     AttemptOutcome::Succeeded
                 } else {
                     AttemptOutcome::Error
                 };
-                let load = load
+                let load = response
+                    .load
                     .map(TransportSettings::load_by_name)
                     .unwrap_or_default();
                 self.event_loop
