--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -9,7 +9,7 @@
 use super::admission::ParsedRequest;
 use super::arrivals::Arrivals;
 use super::metrics::Counter;
-use super::{CLIENTS, Routing, TimerEvent};
+use super::{Routing, SocketOwner, TimerEvent};
 use crate::protocol::client::{self, Command, StoredCommand};
 use crate::protocol::{Malformed, resp};
 use crate::transport::{ReadStatus, SocketId, Stream, out_of_descriptors};
@@ -148,7 +148,11 @@
     }
 
     fn accepted(&mut self, socket: TcpStream, now: f64) {
-        match Stream::accepted(&mut self.event_loop.reactor, socket, CLIENTS) {
+        match Stream::accepted(
+            &mut self.event_loop.reactor,
+            socket,
+            SocketOwner::Client.priority(),
+        ) {
             Ok(stream) => {
                 let id = stream.id;
                 self.clients.insert(id, Client::new(stream, now));
--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -6,8 +6,7 @@
 use kestreltide::interface::*;
 use slog::warn;
 
-use super::DISCOVERY;
-use super::event_loop::{EventLoop, TimerEvent};
+use super::event_loop::{EventLoop, SocketOwner, TimerEvent};
 use super::metrics::Counter;
 use crate::limits::{Limits, ResponseLimits};
 use crate::protocol::Malformed;
@@ -120,10 +119,6 @@
         self.address
     }
 
-    pub(super) fn owns(&self, id: SocketId) -> bool {
-        self.calls.contains_key(&id)
-    }
-
     pub(super) fn connections(&self) -> Vec<SocketId> {
         self.calls.keys().copied().collect()
     }
@@ -204,7 +199,11 @@
     }
 
     fn call(&mut self, event_loop: &mut EventLoop, query: Query) -> Option<Call> {
-        match Stream::connect(&mut event_loop.reactor, self.address, DISCOVERY) {
+        match Stream::connect(
+            &mut event_loop.reactor,
+            self.address,
+            SocketOwner::Discovery.priority(),
+        ) {
             Ok(stream) => {
                 let id = stream.id;
                 let call = Call {
--- a/router/src/routing/event_loop.rs
+++ b/router/src/routing/event_loop.rs
@@ -11,11 +11,56 @@
 
 use super::metrics::Metrics;
 use crate::limits::Limits;
-use crate::transport::{Clock, Reactor, ReceivedSignals, SocketId, Timers};
+use crate::transport::{Clock, Priority, Reactor, ReceivedSignals, SocketId, Timers};
 
 /// The smallest factor of a backoff; the largest is one more.
 const BACKOFF_JITTER_MIN: f64 = 0.5;
 
+/// Who a socket belongs to, in the order in which ready sockets are served.
+///
+/// The endpoint list comes first: a stale one breaks drains and exposure after a stall. What operators drain and take
+/// out binds as the list does. Then answers that are already here, so that they do not lose to timeouts; then clients.
+/// Timers come after all that was read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum SocketOwner {
+    Discovery,
+    Platform,
+    Management,
+    Gossip,
+    Upstream,
+    Client,
+    Listener,
+}
+
+impl SocketOwner {
+    /// All owners, by their priorities.
+    const BY_PRIORITY: [SocketOwner; 7] = [
+        SocketOwner::Discovery,
+        SocketOwner::Platform,
+        SocketOwner::Management,
+        SocketOwner::Gossip,
+        SocketOwner::Upstream,
+        SocketOwner::Client,
+        SocketOwner::Listener,
+    ];
+
+    /// The priority that the owner's sockets are registered with.
+    pub(super) const fn priority(self) -> Priority {
+        Priority(self as u8)
+    }
+
+    fn of(priority: Priority) -> Option<Self> {
+        Self::BY_PRIORITY.get(usize::from(priority.0)).copied()
+    }
+}
+
+/// A socket that is ready, and who serves it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct ReadySocket {
+    pub(super) owner: SocketOwner,
+    pub(super) id: SocketId,
+}
+
 /// What a timer was set for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TimerEvent {
@@ -109,7 +154,10 @@
     /// # Errors
     ///
     /// Where the system's poll fails.
-    pub(super) fn poll(&mut self, may_sleep: bool) -> io::Result<(Vec<SocketId>, ReceivedSignals)> {
+    pub(super) fn poll(
+        &mut self,
+        may_sleep: bool,
+    ) -> io::Result<(Vec<ReadySocket>, ReceivedSignals)> {
         let now = self.now();
         let max_sleep = self.limits.event_loop.max_sleep;
         let next = self
@@ -123,7 +171,11 @@
         };
         let (sockets, signals) = self.reactor.poll(sleep)?;
         self.note_wake(now, sleep, sockets.is_empty());
-        Ok((sockets, signals))
+        let sockets = sockets.into_iter().filter_map(|(priority, id)| {
+            let owner = SocketOwner::of(priority)?;
+            Some(ReadySocket { owner, id })
+        });
+        Ok((sockets.collect(), signals))
     }
 
     /// Notes by how much the loop is late: the work of the last turn, and a sleep longer than asked for.
--- a/router/src/routing/gossip_peers.rs
+++ b/router/src/routing/gossip_peers.rs
@@ -7,11 +7,10 @@
 use kestreltide::interface::*;
 use slog::{debug, info};
 
-use super::GOSSIP;
-use super::event_loop::EventLoop;
+use super::event_loop::{EventLoop, SocketOwner};
 use super::metrics::Counter;
 use crate::limits::Limits;
-use crate::transport::{DatagramSocket, Reactor, SocketId};
+use crate::transport::{DatagramSocket, Reactor};
 
 /// The socket that gossip goes through, and where the other routers are.
 pub(super) struct GossipPeers {
@@ -36,7 +35,12 @@
         broadcast: Option<SocketAddr>,
         limits: &Limits,
     ) -> io::Result<Self> {
-        let socket = DatagramSocket::open(reactor, listen, limits.peers.datagram_bytes, GOSSIP)?;
+        let socket = DatagramSocket::open(
+            reactor,
+            listen,
+            limits.peers.datagram_bytes,
+            SocketOwner::Gossip.priority(),
+        )?;
         let routers = addresses
             .iter()
             .enumerate()
@@ -50,10 +54,6 @@
         })
     }
 
-    pub(super) fn owns(&self, id: SocketId) -> bool {
-        self.socket.id == id
-    }
-
     /// Sends a message to one router, or to all of them.
     pub(super) fn send(&self, event_loop: &mut EventLoop, to: Option<RouterId>, payload: &[u8]) {
         let address = match to {
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -9,8 +9,8 @@
 use kestreltide_datastore::view::View;
 use slog::{info, warn};
 
-use super::{MANAGEMENT, Routing, TimerEvent};
-use crate::transport::{Inbox, InboxSender, Reactor, SocketId};
+use super::{Routing, SocketOwner, TimerEvent};
+use crate::transport::{Inbox, InboxSender, Reactor};
 
 /// What a front posts to the loop.
 #[derive(Clone, Debug)]
@@ -62,7 +62,7 @@
 impl ManagementInbox {
     /// The two ends: the loop's, and what fronts hold.
     pub fn open(reactor: &mut Reactor, most: usize) -> std::io::Result<(Self, LoopHandle)> {
-        let (mail, post) = reactor.inbox(most, MANAGEMENT)?;
+        let (mail, post) = reactor.inbox(most, SocketOwner::Management.priority())?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
         let in_force = Arc::new(AtomicU64::new(0));
         let loop_handle = LoopHandle {
@@ -95,12 +95,6 @@
     stale: bool,
 }
 
-impl ManagementLink {
-    pub(super) fn owns(&self, id: SocketId) -> bool {
-        self.inbox.mail.id == id
-    }
-}
-
 impl Routing {
     /// Joins the fronts to the loop; without it there are none. Where operators alone list hosts, discovery is
     /// not asked.
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -29,29 +29,18 @@
 use slog::{Logger, info};
 
 use crate::limits::Limits;
-use crate::transport::{Clock, IdleConnections, Listener, Priority, Reactor, SocketId};
+use crate::transport::{Clock, IdleConnections, Listener, Reactor, SocketId};
 use admission::RequestTable;
 use client_connection::Client;
 use discovery_watch::DiscoveryWatch;
 use endpoint_table::EndpointTable;
-use event_loop::{EventLoop, TimerEvent};
+use event_loop::{EventLoop, ReadySocket, SocketOwner, TimerEvent};
 use gossip_peers::GossipPeers;
 use graceful_shutdown::{GracefulShutdown, ShutdownInput};
 pub use management_link::{Heartbeat, LoopHandle, ManagementInbox, ManagementMessage};
 use platform_client::PlatformClient;
 use upstream_connection::UpstreamConnection;
 
-// News first: stale news breaks drains and exposure after a stall. Then answers that are already here, so that
-// they do not lose to time-outs; then clients; alarms come after all that was read.
-const DISCOVERY: Priority = Priority(0);
-const PLATFORM: Priority = Priority(1);
-// What operators drain and take out binds as discovery's news do.
-const MANAGEMENT: Priority = Priority(2);
-const GOSSIP: Priority = Priority(3);
-const UPSTREAMS: Priority = Priority(4);
-const CLIENTS: Priority = Priority(5);
-const LISTENER: Priority = Priority(6);
-
 /// Where everybody is, and what this router held when it was started.
 pub struct Addresses {
     pub listen: SocketAddr,
@@ -138,7 +127,7 @@
             &mut reactor,
             addresses.listen,
             limits.clients.backlog,
-            LISTENER,
+            SocketOwner::Listener.priority(),
         )?;
         let at = listener.address()?;
         let idempotency = terms.operations.iter().map(|o| o.idempotency).collect();
@@ -224,12 +213,15 @@
         if signals.stop {
             self.advance_shutdown(ShutdownInput::Requested);
         }
-        // In the order of ranks, clients come last anyway; who is both ready and due again is served once more.
-        for id in sockets
-            .into_iter()
-            .chain(std::mem::take(&mut self.ready_again))
-        {
-            self.serve(id);
+        // Those that come to it in this turn wait for the next one.
+        let ready_again = std::mem::take(&mut self.ready_again);
+        for socket in sockets {
+            self.serve(socket);
+            self.process_pending();
+        }
+        // A client that is both ready and due again is served once more.
+        for id in ready_again {
+            self.read_client(id);
             self.process_pending();
         }
         self.stage_next_part();
@@ -245,33 +237,27 @@
         })
     }
 
-    fn serve(&mut self, id: SocketId) {
-        if self.upstreams.contains_key(&id) {
-            self.on_upstream_readable(id);
-        } else if self.clients.contains_key(&id) {
-            self.read_client(id);
-        } else if self
-            .listener
-            .as_ref()
-            .is_some_and(|listener| listener.id == id)
-        {
-            let _ = self.accept();
-        } else if self
-            .management
-            .as_ref()
-            .is_some_and(|management| management.owns(id))
-        {
-            self.on_management_message();
-        } else if self.discovery.owns(id) {
-            self.on_discovery_readable(id);
-        } else if self
-            .platform
-            .as_ref()
-            .is_some_and(|platform| platform.owns(id))
-        {
-            self.with_platform(PlatformClient::on_readable);
-        } else if let Some(peers) = self.peers.as_mut().filter(|peers| peers.owns(id)) {
-            peers.on_readable(&mut self.event_loop);
+    fn serve(&mut self, socket: ReadySocket) {
+        let id = socket.id;
+        match socket.owner {
+            SocketOwner::Discovery => self.on_discovery_readable(id),
+            SocketOwner::Platform => self.with_platform(|platform, event_loop| {
+                // The socket may be that of a connection that was closed meanwhile.
+                if platform.owns(id) {
+                    platform.on_readable(event_loop);
+                }
+            }),
+            SocketOwner::Management => self.on_management_message(),
+            SocketOwner::Gossip => {
+                if let Some(peers) = &mut self.peers {
+                    peers.on_readable(&mut self.event_loop);
+                }
+            }
+            SocketOwner::Upstream => self.on_upstream_readable(id),
+            SocketOwner::Client => self.read_client(id),
+            SocketOwner::Listener => {
+                self.accept();
+            }
         }
     }
 
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -6,8 +6,7 @@
 use kestreltide::interface::*;
 use slog::{debug, info, warn};
 
-use super::PLATFORM;
-use super::event_loop::{EventLoop, TimerEvent};
+use super::event_loop::{EventLoop, SocketOwner, TimerEvent};
 use super::metrics::Counter;
 use crate::limits::Limits;
 use crate::protocol::platform::{self, PlatformMessage, RolloutState};
@@ -90,7 +89,11 @@
         if self.stream.is_some() {
             return;
         }
-        match Stream::connect(&mut event_loop.reactor, self.address, PLATFORM) {
+        match Stream::connect(
+            &mut event_loop.reactor,
+            self.address,
+            SocketOwner::Platform.priority(),
+        ) {
             Ok(mut stream) => {
                 let call = self.next_call();
                 platform::write_follow(stream.output(), call);
--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -7,7 +7,7 @@
 use slog::{debug, warn};
 
 use super::metrics::Counter;
-use super::{Routing, TimerEvent, UPSTREAMS};
+use super::{Routing, SocketOwner, TimerEvent};
 use crate::protocol::Malformed;
 use crate::protocol::host::{self, HostResponse};
 use crate::protocol::resp::write_bulk;
@@ -220,7 +220,11 @@
             let oldest = self.idle_connections.take_oldest()?;
             self.close_upstream(oldest);
         }
-        let stream = match Stream::connect(&mut self.event_loop.reactor, to, UPSTREAMS) {
+        let stream = match Stream::connect(
+            &mut self.event_loop.reactor,
+            to,
+            SocketOwner::Upstream.priority(),
+        ) {
             Ok(stream) => stream,
             Err(e) => {
                 debug!(self.event_loop.log, "no connection to a host"; "to" => %to, "error" => %e);
@@ -229,7 +233,12 @@
                 }
                 let oldest = self.idle_connections.take_oldest()?;
                 self.close_upstream(oldest);
-                Stream::connect(&mut self.event_loop.reactor, to, UPSTREAMS).ok()?
+                Stream::connect(
+                    &mut self.event_loop.reactor,
+                    to,
+                    SocketOwner::Upstream.priority(),
+                )
+                .ok()?
             }
         };
         let id = stream.id;
--- a/router/src/transport/reactor.rs
+++ b/router/src/transport/reactor.rs
@@ -141,13 +141,16 @@
     /// # Errors
     ///
     /// Where the system's poll fails.
-    pub fn poll(&mut self, seconds: f64) -> io::Result<(Vec<SocketId>, ReceivedSignals)> {
+    pub fn poll(
+        &mut self,
+        seconds: f64,
+    ) -> io::Result<(Vec<(Priority, SocketId)>, ReceivedSignals)> {
         let timeout = Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::ZERO);
         self.event_loop
             .dispatch(Some(timeout), &mut self.ready)
             .map_err(io::Error::other)?;
         self.ready.sockets.sort_by_key(|(priority, _)| *priority);
-        let sockets = self.ready.sockets.drain(..).map(|(_, id)| id).collect();
+        let sockets = std::mem::take(&mut self.ready.sockets);
         Ok((sockets, std::mem::take(&mut self.ready.signals)))
     }
 }
