--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -217,13 +217,7 @@
     }
 
     fn free_descriptor(&mut self) -> bool {
-        match self.idle_connections.take_oldest() {
-            Some(id) => {
-                self.close_upstream(id);
-                true
-            }
-            None => self.close_idle_client(),
-        }
+        self.upstreams.close_oldest_idle(&self.event_loop) || self.close_idle_client()
     }
 
     /// Reads what the client has sent and takes its commands while there is room for their answers. Who sends
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -50,7 +50,9 @@
                 self.event_loop.schedule(at, TimerEvent::Decisions(key))
             }
             Effect::StartHealthCheck { host } => self.start_health_check(host),
-            Effect::CloseIdleConnections { host } => self.close_idle_connections(host),
+            Effect::CloseIdleConnections { host } => {
+                self.upstreams.close_idle(&self.event_loop, host)
+            }
             Effect::SendGossip { to, payload } => {
                 if let Some(peers) = &self.peers {
                     peers.send(&mut self.event_loop, to, &payload);
--- a/router/src/routing/endpoint_list.rs
+++ b/router/src/routing/endpoint_list.rs
@@ -8,7 +8,6 @@
 use slog::{info, warn};
 
 use super::discovery_watch::{Call, ResponseEnd};
-use super::upstream_connection::UpstreamConnection;
 use super::{ReadyReason, Routing};
 use crate::protocol::Malformed;
 use crate::protocol::discovery::{self, EndpointList, ListedEndpoint};
@@ -112,7 +111,7 @@
                 }
             };
             if drop_idle {
-                self.close_idle_connections(entry.host);
+                self.upstreams.close_idle(&self.event_loop, entry.host);
             }
             entries.push(entry);
         }
@@ -122,7 +121,7 @@
         }
         if whole {
             for host in self.endpoints.retain_listed(&entries) {
-                self.close_idle_connections(host);
+                self.upstreams.close_idle(&self.event_loop, host);
             }
             entries.extend(self.endpoints.operator_only_entries());
         }
@@ -177,14 +176,10 @@
                 .map(|target| target.to_host_record().entry())
                 .collect();
             for host in self.endpoints.retain_listed(&listed) {
-                self.close_idle_connections(host);
+                self.upstreams.close_idle(&self.event_loop, host);
             }
         }
-        let using = self
-            .upstreams
-            .values()
-            .map(UpstreamConnection::host)
-            .collect();
+        let using = self.upstreams.hosts();
         self.endpoints.forget_gone(&using);
     }
 }
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -3,6 +3,7 @@
 
 mod admission;
 mod arrivals;
+mod attempts;
 mod client_connection;
 mod discovery_watch;
 mod dispatch_decisions;
@@ -18,6 +19,7 @@
 mod rollout;
 mod shutdown_actions;
 mod upstream_connection;
+mod upstream_pool;
 
 use std::collections::BTreeMap;
 use std::io;
@@ -29,7 +31,7 @@
 use slog::{Logger, info};
 
 use crate::limits::Limits;
-use crate::transport::{Clock, IdleConnections, Listener, Reactor, SocketId};
+use crate::transport::{Clock, Listener, Reactor, SocketId};
 use admission::RequestTable;
 use client_connection::Client;
 use discovery_watch::DiscoveryWatch;
@@ -39,7 +41,7 @@
 use graceful_shutdown::{GracefulShutdown, ShutdownInput};
 pub use management_link::{Heartbeat, LoopHandle, ManagementInbox, ManagementMessage};
 use platform_client::PlatformClient;
-use upstream_connection::UpstreamConnection;
+use upstream_pool::UpstreamPool;
 
 /// Where everybody is, and what this router held when it was started.
 pub struct Addresses {
@@ -95,8 +97,7 @@
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
     requests: RequestTable,
-    upstreams: BTreeMap<SocketId, UpstreamConnection>,
-    idle_connections: IdleConnections<HostId>,
+    upstreams: UpstreamPool,
     endpoints: EndpointTable,
     discovery: DiscoveryWatch,
     platform: Option<PlatformClient>,
@@ -156,8 +157,7 @@
             listener: Some(listener),
             clients: BTreeMap::new(),
             requests: RequestTable::default(),
-            upstreams: BTreeMap::new(),
-            idle_connections: IdleConnections::default(),
+            upstreams: UpstreamPool::default(),
             endpoints,
             ready: false,
             accept_due: false,
@@ -335,21 +335,14 @@
             now + self.event_loop.limits.event_loop.expiry_interval,
             TimerEvent::ExpireIdle,
         );
-        for id in self
-            .idle_connections
-            .take_unused_since(now - self.event_loop.limits.upstream.idle_timeout)
-        {
-            self.close_upstream(id);
-        }
+        let idle_since = now - self.event_loop.limits.upstream.idle_timeout;
+        self.upstreams
+            .close_idle_since(&self.event_loop, idle_since);
         self.with_platform(|platform, event_loop| platform.check_silence(event_loop, now));
         self.close_clients_not_reading(now);
         self.expire_clients_without_request(now);
         self.check_heartbeats(now);
-        let using = self
-            .upstreams
-            .values()
-            .map(UpstreamConnection::host)
-            .collect();
+        let using = self.upstreams.hosts();
         self.endpoints.forget_gone(&using);
         if let Some(line) = self
             .event_loop
@@ -357,7 +350,7 @@
             .take_line(now, self.event_loop.limits.event_loop.state_log_interval)
         {
             info!(self.event_loop.log, "state"; "open" => self.requests.len(), "clients" => self.clients.len(),
-                "links" => self.upstreams.len(), "idle" => self.idle_connections.count(), "counts" => line);
+                "links" => self.upstreams.len(), "idle" => self.upstreams.idle_count(), "counts" => line);
         }
     }
 }
--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -1,613 +1,92 @@
-//! Upstream connections: attempts and health checks go to hosts, one on a connection at a time, and their ends come back.
+//! A connection to a host, and what it is used for.
 
 use std::net::SocketAddr;
 
 use kestreltide::interface::*;
-use kestreltide_settings::{LoadReporting, TransportSettings};
-use slog::{debug, warn};
 
-use super::metrics::Counter;
-use super::{Routing, SocketOwner, TimerEvent};
-use crate::protocol::Malformed;
-use crate::protocol::host::{self, HostResponse};
-use crate::protocol::resp::write_bulk;
-use crate::transport::{ReadStatus, SocketId, Stream, out_of_descriptors};
+use crate::transport::{ReadStatus, Stream};
 
-const MILLIS: f64 = 1e3;
-
-/// A dispatch that is out.
-struct AttemptInFlight {
-    request: RequestId,
-    no: AttemptNumber,
+/// An attempt whose outcome is not known yet.
+pub(super) struct AttemptInFlight {
+    pub(super) request: RequestId,
+    pub(super) attempt: AttemptNumber,
 }
 
-enum ConnectionUse {
+/// What a connection is used for.
+pub(super) enum ConnectionUse {
     Idle,
     Attempt(AttemptInFlight),
     HealthCheck,
 }
 
-/// A connection to a host.
+/// A connection to a host, which carries one attempt or health check at a time.
 pub(super) struct UpstreamConnection {
-    stream: Stream,
-    host: HostId,
-    to: SocketAddr,
-    current_use: ConnectionUse,
-    /// Counts the uses, so that an alarm of an earlier one is known.
-    number: u64,
-    since: f64,
-    /// How long it had been without use before.
-    unused: f64,
+    pub(super) stream: Stream,
+    pub(super) host: HostId,
+    pub(super) address: SocketAddr,
+    pub(super) current_use: ConnectionUse,
+    /// Counts the uses, so that a timer of an earlier one is known.
+    pub(super) use_number: u64,
+    /// When the current use began.
+    pub(super) used_since: f64,
+    /// How long, in seconds, it had been idle before.
+    pub(super) idle_time: f64,
     /// The last byte of the command is written: from then on it may have run.
-    written: bool,
+    pub(super) is_written: bool,
 }
 
 impl UpstreamConnection {
-    pub(super) fn host(&self) -> HostId {
-        self.host
-    }
-
-    /// The request whose command is not written whole, so that no host has begun it.
-    fn unwritten(&self) -> Option<&RequestId> {
-        match &self.current_use {
-            ConnectionUse::Attempt(out) if !self.written => Some(&out.request),
-            _ => None,
-        }
-    }
-}
-
-impl Routing {
-    pub(super) fn start_attempt(
-        &mut self,
-        request: RequestId,
-        host: HostId,
-        time_out: f64,
-        on: ConnectionRequirements,
-    ) {
-        let now = self.event_loop.now();
-        let Some(no) = self.requests.begin_attempt(&request) else {
-            return;
-        };
-        self.event_loop.metrics.increment(Counter::AttemptsStarted);
-        // A first attempt follows the read that brought its request, which found no close.
-        if self.requests.is_abandoned(&request) || no.0 > 0 && self.is_client_gone(&request) {
-            // Decided before the decisions could hear that the client has left: nothing goes out any more.
-            return self.finish_attempt(
-                AttemptInFlight { request, no },
-                host,
-                AttemptOutcome::Irrelevant,
-                (0.0, 0.0),
-                LoadReport::default(),
-            );
-        }
-        let Some(id) = self.connection_for(host, now, on) else {
-            return self.finish_attempt(
-                AttemptInFlight { request, no },
-                host,
-                AttemptOutcome::NoConnection,
-                (0.0, 0.0),
-                LoadReport::default(),
-            );
-        };
-        // As long as the router will wait, and never told as nothing.
-        let millis = (time_out * MILLIS).ceil().max(1.0) as u64;
-        if let (Some(upstream), Some(command)) =
-            (self.upstreams.get_mut(&id), self.requests.command(&request))
-        {
-            command.write(upstream.stream.output(), millis);
-        }
-        self.begin_use(
-            id,
-            ConnectionUse::Attempt(AttemptInFlight { request, no }),
-            now,
-            (time_out, on.write_within),
-        );
-    }
-
-    pub(super) fn start_health_check(&mut self, host: HostId) {
-        let now = self.event_loop.now();
-        let health_checks = self
-            .upstreams
-            .values()
-            .filter(|upstream| matches!(upstream.current_use, ConnectionUse::HealthCheck))
-            .count();
-        let room = health_checks < self.event_loop.limits.upstream.probes_in_flight;
-        let (longest, write_within) = (
-            f64::INFINITY,
-            self.event_loop.limits.upstream.connect_timeout,
-        );
-        let any = ConnectionRequirements {
-            max_idle: longest,
-            min_rest: 0.0,
-            max_resting: 1,
-            write_within,
-        };
-        let Some(id) = room.then(|| self.connection_for(host, now, any)).flatten() else {
-            let load = LoadReport::default();
-            return self
-                .event_loop
-                .notify_decisions(Event::HealthCheckFinished {
-                    host,
-                    outcome: AttemptOutcome::NoConnection,
-                    took: 0.0,
-                    load,
-                });
-        };
-        if let Some(upstream) = self.upstreams.get_mut(&id) {
-            host::write_probe(
-                upstream.stream.output(),
-                self.transport.load_reporting != LoadReporting::Off,
-            );
-        }
-        self.begin_use(
-            id,
-            ConnectionUse::HealthCheck,
-            now,
-            (self.event_loop.limits.upstream.probe_timeout, write_within),
-        );
-    }
-
-    fn begin_use(
-        &mut self,
-        id: SocketId,
-        current_use: ConnectionUse,
-        now: f64,
-        (time_out, write_within): (f64, f64),
-    ) {
-        let Some(upstream) = self.upstreams.get_mut(&id) else {
-            return;
-        };
-        upstream.current_use = current_use;
-        upstream.number += 1;
-        (upstream.since, upstream.written) = (now, false);
-        let number = upstream.number;
-        self.event_loop
-            .schedule(now + time_out, TimerEvent::UpstreamUseTimeout(id, number));
-        self.flush_upstream(id);
-        // Connecting has its time, and what is decided has to be written while what it was decided by holds.
-        if self
-            .upstreams
-            .get(&id)
-            .is_some_and(|upstream| !upstream.written)
-        {
-            let within = self
-                .event_loop
-                .limits
-                .upstream
-                .connect_timeout
-                .min(write_within);
-            self.event_loop
-                .schedule(now + within, TimerEvent::UpstreamWriteTimeout(id, number));
-        }
-    }
-
-    /// The freshest connection that has rested for long enough and not been without use for too long, or a new
-    /// one.
-    fn connection_for(
-        &mut self,
-        host: HostId,
-        now: f64,
-        on: ConnectionRequirements,
-    ) -> Option<SocketId> {
-        while let Some((id, since)) =
-            self.idle_connections
-                .take_rested(host, now - on.min_rest, on.max_resting)
-        {
-            // Its host may be closing it by now; what is written then is reset, and may not be repeated.
-            if now - since
-                > on.max_idle
-                    .min(self.event_loop.limits.upstream.idle_timeout)
-            {
-                self.close_upstream(id);
-                self.close_idle_connections(host);
-                break;
-            }
-            // What lies on it would become the next answer; a late copy may have come since the last look.
-            let look = |upstream: &mut UpstreamConnection| {
-                upstream.stream.read_available(1, 1) == ReadStatus::Drained
-                    && upstream.stream.input().is_empty()
-            };
-            if self.upstreams.get_mut(&id).is_some_and(look) {
-                if let Some(upstream) = self.upstreams.get_mut(&id) {
-                    upstream.unused = now - since;
-                }
-                return Some(id);
-            }
-            self.close_upstream(id);
-        }
-        let to = self.endpoints.address(host)?;
-        if self.upstreams.len() >= self.event_loop.limits.upstream.connections {
-            let oldest = self.idle_connections.take_oldest()?;
-            self.close_upstream(oldest);
-        }
-        let stream = match Stream::connect(
-            &mut self.event_loop.reactor,
-            to,
-            SocketOwner::Upstream.priority(),
-        ) {
-            Ok(stream) => stream,
-            Err(e) => {
-                debug!(self.event_loop.log, "no connection to a host"; "to" => %to, "error" => %e);
-                if !out_of_descriptors(&e) {
-                    return None;
-                }
-                let oldest = self.idle_connections.take_oldest()?;
-                self.close_upstream(oldest);
-                Stream::connect(
-                    &mut self.event_loop.reactor,
-                    to,
-                    SocketOwner::Upstream.priority(),
-                )
-                .ok()?
-            }
-        };
-        let id = stream.id;
-        self.event_loop.metrics.increment(Counter::UpstreamsOpened);
-        let upstream = UpstreamConnection {
+    pub(super) fn new(stream: Stream, host: HostId, address: SocketAddr, now: f64) -> Self {
+        UpstreamConnection {
             stream,
             host,
-            to,
+            address,
             current_use: ConnectionUse::Idle,
-            number: 0,
-            since: now,
-            unused: 0.0,
-            written: false,
-        };
-        self.upstreams.insert(id, upstream);
-        Some(id)
-    }
-
-    /// Writes what can be written now; false where the connection is gone.
-    fn flush_upstream(&mut self, id: SocketId) -> bool {
-        let Some(upstream) = self.upstreams.get_mut(&id) else {
-            return false;
-        };
-        let flushed = upstream.stream.is_connected().and_then(|up| {
-            if up {
-                upstream.stream.flush()
-            } else {
-                Ok(false)
-            }
-        });
-        match flushed {
-            Ok(all) => upstream.written |= all,
-            Err(_) => self.on_upstream_failed(id),
-        }
-        self.upstreams.contains_key(&id)
-    }
-
-    pub(super) fn on_upstream_readable(&mut self, id: SocketId) {
-        // What concerns hosts goes before what clients have done: a close may lie unread.
-        let waits = self
-            .upstreams
-            .get(&id)
-            .and_then(UpstreamConnection::unwritten)
-            .cloned();
-        if waits.is_some_and(|request| self.is_client_gone(&request)) || !self.flush_upstream(id) {
-            return;
-        }
-        loop {
-            let Some(upstream) = self.upstreams.get_mut(&id) else {
-                return;
-            };
-            if !matches!(upstream.stream.is_connected(), Ok(true)) {
-                return;
-            }
-            let filled = upstream.stream.read_available(
-                self.event_loop.limits.resp.message,
-                self.event_loop.limits.event_loop.read_bytes_per_turn,
-            );
-            self.read_upstream(id, filled == ReadStatus::Closed);
-            if filled == ReadStatus::Closed {
-                return self.on_upstream_failed(id);
-            }
-            if filled == ReadStatus::Drained {
-                return;
-            }
-        }
-    }
-
-    /// Takes the answer that a connection holds, if it is whole.
-    fn read_upstream(&mut self, id: SocketId, ended: bool) {
-        // Out of the map meanwhile: the value is passed on from the buffer it was read into.
-        let Some(upstream) = self.upstreams.remove(&id) else {
-            return;
-        };
-        let read = self.take_answer(&upstream);
-        self.upstreams.insert(id, upstream);
-        match read {
-            Ok(Some(used)) => self.finish_use(id, used, ended),
-            Ok(None) => {}
-            Err(why) => {
-                if self.event_loop.may_warn() {
-                    warn!(self.event_loop.log, "a host's answer is malformed, its connection is closed"; "why" => %why);
-                }
-                self.event_loop
-                    .metrics
-                    .increment(Counter::MalformedMessages);
-                // It may have run, and what came of it came in time: an error of the host's, not a lost connection.
-                // As a reset it would count as late, and a few spoilt answers would narrow what is kept open.
-                self.abandon_use(id, |_| AttemptOutcome::Error);
-            }
-        }
-    }
-
-    /// Passes on and books what has come; the bytes it took, None where it is not whole.
-    fn take_answer(&mut self, upstream: &UpstreamConnection) -> Result<Option<usize>, Malformed> {
-        let (bytes, host) = (upstream.stream.input(), upstream.host);
-        let took = self.event_loop.now() - upstream.since;
-        match &upstream.current_use {
-            ConnectionUse::Idle if bytes.is_empty() => Ok(None),
-            ConnectionUse::Idle => Err(Malformed::new("nothing was asked")),
-            ConnectionUse::Attempt(out) => {
-                let Some((answer, used)) =
-                    host::parse_response(bytes, &self.event_loop.limits.resp)?
-                else {
-                    let room = bytes.len() < self.event_loop.limits.resp.message;
-                    return if room {
-                        Ok(None)
-                    } else {
-                        Err(Malformed::new("an answer is too long"))
-                    };
-                };
-                let (outcome, load) = match answer {
-                    // No host has begun it.
-                    HostResponse::Value { .. } if !upstream.written => {
-                        return Err(Malformed::new(
-                            "a value for a command that has not been written",
-                        ));
-                    }
-                    HostResponse::Value { value, load } => {
-                        self.relay_value(&out.request, value);
-                        (AttemptOutcome::Succeeded, load)
-                    }
-                    HostResponse::Error { load } => (AttemptOutcome::Error, load),
-                    HostResponse::Rejected { load } => (AttemptOutcome::Rejected, load),
-                    HostResponse::UnknownCommand(line) => {
-                        warn!(self.event_loop.log, "a host refused the form of a command"; "line" => line.to_owned());
-                        (AttemptOutcome::Error, None)
-                    }
-                };
-                let load = load.filter(|_| self.transport.load_reporting == LoadReporting::Inline);
-                let load = load
-                    .map(TransportSettings::load_by_name)
-                    .unwrap_or_default();
-                self.finish_attempt(
-                    AttemptInFlight {
-                        request: out.request.clone(),
-                        no: out.no,
-                    },
-                    host,
-                    outcome,
-                    (took, upstream.unused),
-                    load,
-                );
-                Ok(Some(used))
-            }
-            ConnectionUse::HealthCheck => {
-                let Some((response, used)) =
-                    host::parse_probe_response(bytes, &self.event_loop.limits.resp)?
-                else {
-                    let room = bytes.len() < self.event_loop.limits.resp.message;
-                    return if room {
-                        Ok(None)
-                    } else {
-                        Err(Malformed::new("an answer is too long"))
-                    };
-                };
-                let outcome = if response.is_healthy {
-                    AttemptOutcome::Succeeded
-                } else {
-                    AttemptOutcome::Error
-                };
-                let load = response
-                    .load
-                    .map(TransportSettings::load_by_name)
-                    .unwrap_or_default();
-                self.event_loop
-                    .notify_decisions(Event::HealthCheckFinished {
-                        host,
-                        outcome,
-                        took,
-                        load,
-                    });
-                Ok(Some(used))
-            }
+            use_number: 0,
+            used_since: now,
+            idle_time: 0.0,
+            is_written: false,
         }
     }
 
-    fn relay_value(&mut self, request: &RequestId, value: &[u8]) {
-        if self.answer(request, |out| write_bulk(out, value)) {
-            self.event_loop
-                .metrics
-                .increment(Counter::RequestsSucceeded);
-        }
-    }
-
-    /// The connection is without use again, and kept where the host may be used again.
-    fn finish_use(&mut self, id: SocketId, used: usize, ended: bool) {
-        let now = self.event_loop.now();
-        let Some(upstream) = self.upstreams.get_mut(&id) else {
-            return;
-        };
-        upstream.stream.consume(used);
-        upstream.current_use = ConnectionUse::Idle;
-        upstream.number += 1;
-        let clean =
-            upstream.stream.input().is_empty() && upstream.stream.unwritten() == 0 && !ended;
-        // The host may be gone, or another machine have its id by now.
-        let wanted = self.endpoints.is_usable(upstream.host, upstream.to)
-            && self.idle_connections.count() < self.event_loop.limits.upstream.idle_connections;
-        if clean && wanted {
-            self.idle_connections.insert(upstream.host, id, now);
-        } else {
-            self.close_upstream(id);
-        }
+    /// Begins a use; returns its number.
+    pub(super) fn begin_use(&mut self, current_use: ConnectionUse, now: f64) -> u64 {
+        self.current_use = current_use;
+        self.use_number += 1;
+        self.used_since = now;
+        self.is_written = false;
+        self.use_number
     }
 
-    /// The connection broke or was never up. An answer that had come before counts; else what it carried ends by
-    /// how far its command had come.
-    fn on_upstream_failed(&mut self, id: SocketId) {
-        self.read_final_answer(id);
-        let outcome = |written| {
-            if written {
-                AttemptOutcome::Reset
-            } else {
-                AttemptOutcome::NoConnection
-            }
-        };
-        self.abandon_use(id, outcome);
-    }
-
-    /// Takes an answer that is here already, before what it answers is given up.
-    fn read_final_answer(&mut self, id: SocketId) {
-        let Some(upstream) = self.upstreams.get_mut(&id) else {
-            return;
-        };
-        if !matches!(upstream.current_use, ConnectionUse::Idle)
-            && matches!(upstream.stream.is_connected(), Ok(true))
-        {
-            let filled = upstream.stream.read_available(
-                self.event_loop.limits.resp.message,
-                self.event_loop.limits.resp.message,
-            );
-            self.read_upstream(id, filled == ReadStatus::Closed);
+    /// The request whose command is not written completely, so that no host has begun it.
+    pub(super) fn unwritten_request(&self) -> Option<&RequestId> {
+        match &self.current_use {
+            ConnectionUse::Attempt(attempt) if !self.is_written => Some(&attempt.request),
+            _ => None,
         }
     }
 
-    /// Gives up what a connection carries; giving up closes it.
-    fn abandon_use(&mut self, id: SocketId, outcome: impl Fn(bool) -> AttemptOutcome) {
-        let Some(upstream) = self.upstreams.remove(&id) else {
-            return;
-        };
-        let (outcome, host) = (outcome(upstream.written), upstream.host);
-        let took = self.event_loop.now() - upstream.since;
-        match upstream.current_use {
-            ConnectionUse::Idle => self.idle_connections.remove(host, id),
-            ConnectionUse::Attempt(out) => self.finish_attempt(
-                out,
-                host,
-                outcome,
-                (took, upstream.unused),
-                LoadReport::default(),
-            ),
-            ConnectionUse::HealthCheck => {
-                self.event_loop
-                    .notify_decisions(Event::HealthCheckFinished {
-                        host,
-                        outcome,
-                        took,
-                        load: LoadReport::default(),
-                    });
+    /// Whether it carries this attempt.
+    pub(super) fn carries(&self, request: &RequestId, attempt: AttemptNumber) -> bool {
+        match &self.current_use {
+            ConnectionUse::Attempt(carried) => {
+                carried.request == *request && carried.attempt == attempt
             }
+            _ => false,
         }
-        upstream.stream.close(&self.event_loop.reactor);
     }
 
-    /// Gives up the attempts whose clients are gone and whose command is not written whole, so that no host has begun
-    /// them: a connection may come up long after its client has gone.
-    pub(super) fn abandon_unwritten_attempts(&mut self) {
-        let gone = |request: &RequestId| self.requests.is_abandoned(request);
-        let waits = |upstream: &UpstreamConnection| upstream.unwritten().is_some_and(gone);
-        let given_up = self
-            .upstreams
-            .iter()
-            .filter(|(_, upstream)| waits(upstream))
-            .map(|(id, _)| *id);
-        for id in given_up.collect::<Vec<_>>() {
-            self.abandon_use(id, |_| AttemptOutcome::Irrelevant);
-        }
+    /// Whether nothing lies on it, which would become the next answer; a late copy may have come since the last look.
+    pub(super) fn is_clean(&mut self) -> bool {
+        self.stream.read_available(1, 1) == ReadStatus::Drained && self.stream.input().is_empty()
     }
 
-    pub(super) fn close_upstream(&mut self, id: SocketId) {
-        if let Some(upstream) = self.upstreams.remove(&id) {
-            upstream.stream.close(&self.event_loop.reactor);
-        }
-    }
-
-    pub(super) fn close_idle_connections(&mut self, host: HostId) {
-        for id in self.idle_connections.take_all(host) {
-            self.close_upstream(id);
-        }
-    }
-
-    /// Closes what is without use and leads to hosts that are gone, drained or elsewhere.
-    pub(super) fn close_unusable_connections(&mut self) {
-        let idle = self.idle_connections.ids();
-        let unwanted = |id: &SocketId| {
-            self.upstreams
-                .get(id)
-                .is_some_and(|l| !self.endpoints.is_usable(l.host, l.to))
-        };
-        for id in idle.into_iter().filter(unwanted).collect::<Vec<_>>() {
-            self.abandon_use(id, |_| AttemptOutcome::Irrelevant);
-        }
-    }
-
-    /// Timers come after all that the last wait told of; what has come since then is here all the same.
-    pub(super) fn on_use_timeout(&mut self, id: SocketId, number: u64) {
-        let same = |upstream: &UpstreamConnection| upstream.number == number;
-        if self.upstreams.get(&id).is_some_and(same) {
-            self.read_final_answer(id);
-        }
-        if self.upstreams.get(&id).is_some_and(same) {
-            // A command whose last byte was never written has not been begun.
-            self.abandon_use(id, |written| {
-                if written {
-                    AttemptOutcome::TimedOut
-                } else {
-                    AttemptOutcome::NoConnection
-                }
-            });
-        }
-    }
-
-    pub(super) fn on_write_timeout(&mut self, id: SocketId, number: u64) {
-        if self
-            .upstreams
-            .get(&id)
-            .is_some_and(|upstream| upstream.number == number && !upstream.written)
-        {
-            self.on_upstream_failed(id);
-        }
-    }
-
-    pub(super) fn cancel_attempt(&mut self, request: &RequestId, no: AttemptNumber) {
-        let of = |upstream: &UpstreamConnection| matches!(&upstream.current_use, ConnectionUse::Attempt(out) if out.request == *request && out.no == no);
-        if let Some(id) = self
-            .upstreams
-            .iter()
-            .find(|(_, upstream)| of(upstream))
-            .map(|(id, _)| *id)
-        {
-            self.abandon_use(id, |_| AttemptOutcome::Cancelled);
-        }
-    }
-
-    fn finish_attempt(
-        &mut self,
-        out: AttemptInFlight,
-        host: HostId,
-        outcome: AttemptOutcome,
-        times: (f64, f64),
-        load: LoadReport,
-    ) {
-        self.event_loop.metrics.count_attempt(outcome);
-        let AttemptInFlight {
-            request,
-            no: attempt,
-        } = out;
-        let over = !self.requests.owes_response(&request);
-        let (took, unused) = (times.0, Some(times.1));
-        self.event_loop.notify_decisions(Event::AttemptFinished {
-            request,
-            attempt,
-            host,
-            outcome,
-            over,
-            took,
-            load,
-            unused,
-        });
+    /// Writes what can be written now; true where all of the command is written.
+    ///
+    /// # Errors
+    ///
+    /// Where the connection broke, or does not come up.
+    pub(super) fn flush(&mut self) -> std::io::Result<bool> {
+        Ok(self.stream.is_connected()? && self.stream.flush()?)
     }
 }
