--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -21,9 +21,10 @@
 use kestreltide_yang::Schema;
 use kestreltide_yang::binding::Binding;
 use kestreltide_yang::xml::{self, Attribute, Element, XmlLimits, escaped};
+use thiserror::Error;
 
 pub use self::capabilities::BASE;
-use self::capabilities::CAPABILITIES;
+use self::capabilities::{BASE_1_0, BASE_1_1};
 use self::rpc_error::{RpcError, commit_errors};
 use crate::commit_service::CommitServiceHandle;
 
@@ -57,6 +58,17 @@
     },
 }
 
+/// Why a session ends without a reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum AbortReason {
+    /// The first message is not a hello.
+    #[error("first message is not a hello")]
+    NoHello,
+    /// Client and server have no version of the base protocol in common.
+    #[error("no common base version")]
+    NoCommonVersion,
+}
+
 /// What to do after a message.
 #[derive(Debug)]
 pub enum Step {
@@ -70,8 +82,8 @@
     Kill(SessionId, String),
     /// The reply; from then on what happens is told.
     Subscribe(String),
-    /// It is over without a reply: no messages can be read any more.
-    Abort(&'static str),
+    /// End the session without a reply.
+    Abort(AbortReason),
 }
 
 /// The state of one session.
@@ -97,18 +109,16 @@
         schema: &'static Schema,
         binding: std::sync::Arc<Binding>,
     ) -> Self {
-        let (hello_received, peer_chunks, subscribed, attributes) =
-            (false, false, false, String::new());
         Session {
             id,
             name: name.into(),
             schema,
             binding,
-            hello_received,
-            peer_chunks,
+            hello_received: false,
+            peer_chunks: false,
             candidate: None,
-            subscribed,
-            attributes,
+            subscribed: false,
+            attributes: String::new(),
         }
     }
 
@@ -171,7 +181,7 @@
             .child("capabilities")
             .filter(|_| element.name == "hello" && element.namespace == BASE);
         let Some(capabilities) = capabilities else {
-            return Step::Abort("the first message is no hello");
+            return Step::Abort(AbortReason::NoHello);
         };
         let supports = |base: &str| {
             capabilities
@@ -179,17 +189,18 @@
                 .iter()
                 .any(|child| child.text.trim() == base)
         };
-        if !supports(CAPABILITIES[0]) && !supports(CAPABILITIES[1]) {
-            return Step::Abort("no base version in common");
+        if !supports(BASE_1_0) && !supports(BASE_1_1) {
+            return Step::Abort(AbortReason::NoCommonVersion);
         }
-        (self.hello_received, self.peer_chunks) = (true, supports(CAPABILITIES[1]));
+        self.hello_received = true;
+        self.peer_chunks = supports(BASE_1_1);
         Step::Reply(String::new())
     }
 
     fn malformed(&self, why: &str) -> Step {
         // There is no message-id to answer with (RFC 6241, section 4.1); the session goes on.
         if !self.hello_received {
-            return Step::Abort("the first message is no hello");
+            return Step::Abort(AbortReason::NoHello);
         }
         let error = RpcError::new(
             "rpc",
