--- a/measure/src/capacity/fleet_run/net/hollow_router.rs
+++ b/measure/src/capacity/fleet_run/net/hollow_router.rs
@@ -208,7 +208,7 @@
                 let read =
                     discovery::parse_response(&input, &ANSWER, &mut chunks).map_err(malformed)?;
                 if let Some((response, used)) = read {
-                    break taken(&response, version).map(|input| (input, used));
+                    break accepted_list(&response, version).map(|input| (input, used));
                 }
                 if stream.read_buf(&mut input).await? == 0 {
                     break Err(io::ErrorKind::UnexpectedEof.into());
@@ -228,7 +228,7 @@
     io::Error::other(why.to_string())
 }
 
-fn taken(response: &discovery::Response, version: &mut Option<u64>) -> io::Result<Input> {
+fn accepted_list(response: &discovery::Response, version: &mut Option<u64>) -> io::Result<Input> {
     if response.status != 200 {
         return Err(io::Error::other("turned away"));
     }
@@ -335,9 +335,9 @@
                     return Ok(());
                 }
                 *wait = RETRY[0];
-                while let Some((told, used)) = platform::parse_line(&input, LINE).map_err(malformed)? {
-                    if let Some(news) = news(&told, open) {
-                        let _ = inputs.send(Input::Stage(news)).await;
+                while let Some((message, used)) = platform::parse_line(&input, LINE).map_err(malformed)? {
+                    if let Some(status) = rollout_status(&message, open) {
+                        let _ = inputs.send(Input::Stage(status)).await;
                     }
                     input.drain(..used);
                 }
@@ -365,11 +365,11 @@
     }
 }
 
-fn news(
-    told: &platform::PlatformMessage,
+fn rollout_status(
+    message: &platform::PlatformMessage,
     open: &mut BTreeMap<u64, OpenVote>,
 ) -> Option<RolloutStatus> {
-    match told {
+    match message {
         platform::PlatformMessage::Rollout(state) => Some(state.to_status(false)),
         platform::PlatformMessage::Result { call, state } => {
             let vote = open.remove(call)?;
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -3,50 +3,45 @@
 
 mod admission;
 mod arrivals;
+mod attempts;
 mod client_connection;
 mod discovery_watch;
 mod dispatch_decisions;
+mod endpoint_list;
 mod endpoint_table;
+mod event_loop;
 mod gossip_peers;
 mod graceful_shutdown;
 mod management_link;
+mod metrics;
 mod platform_client;
 mod response_relay;
+mod rollout;
+mod shutdown_actions;
 mod upstream_connection;
+mod upstream_pool;
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 
 use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 use kestreltide_settings::TransportSettings;
-use rand::SeedableRng;
-use rand_chacha::ChaCha8Rng;
 use slog::{Logger, info};
 
 use crate::limits::Limits;
-use crate::transport::{Clock, IdleConnections, Listener, Priority, Reactor, SocketId, Timers};
-use admission::AdmittedRequest;
+use crate::transport::{Clock, Listener, Reactor, SocketId};
+use admission::RequestTable;
 use client_connection::Client;
 use discovery_watch::DiscoveryWatch;
-use endpoint_table::{EndpointTable, Metrics};
+use endpoint_table::EndpointTable;
+use event_loop::{EventLoop, ReadySocket, SocketOwner, TimerEvent};
 use gossip_peers::GossipPeers;
-use graceful_shutdown::Shutdown;
+use graceful_shutdown::{GracefulShutdown, ShutdownInput};
 pub use management_link::{Heartbeat, LoopHandle, ManagementInbox, ManagementMessage};
 use platform_client::PlatformClient;
-use upstream_connection::UpstreamConnection;
-
-// News first: stale news breaks drains and exposure after a stall. Then answers that are already here, so that
-// they do not lose to time-outs; then clients; alarms come after all that was read.
-const DISCOVERY: Priority = Priority(0);
-const PLATFORM: Priority = Priority(1);
-// What operators drain and take out binds as discovery's news do.
-const MANAGEMENT: Priority = Priority(2);
-const GOSSIP: Priority = Priority(3);
-const UPSTREAMS: Priority = Priority(4);
-const CLIENTS: Priority = Priority(5);
-const LISTENER: Priority = Priority(6);
+use upstream_pool::UpstreamPool;
 
 /// Where everybody is, and what this router held when it was started.
 pub struct Addresses {
@@ -67,38 +62,6 @@
     Over,
 }
 
-/// What is due at a time.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum TimerEvent {
-    Decisions(TimerKey),
-    /// The use of a connection to a host that has this number must be over.
-    UpstreamUseTimeout(SocketId, u64),
-    /// By now the connection must be up and the command written.
-    UpstreamWriteTimeout(SocketId, u64),
-    AcceptAgain,
-    ExpireIdle,
-    DiscoveryCallTimeout(SocketId, u64),
-    /// By now the connection to discovery must be up.
-    DiscoveryConnectTimeout(SocketId, u64),
-    /// By now the answer that has begun must be whole, or more of it have come.
-    DiscoveryAnswerTimeout(SocketId, u64),
-    DiscoveryRetry,
-    PlatformReconnect,
-    /// By now the platform's line that has begun must be whole, or more of it have come.
-    PlatformLineTimeout,
-    VoteTimeout(u64),
-    Ready,
-    ServingOver,
-    DrainingOver,
-    /// Of the graceful shutdown: who is told of the close and silent has had its time.
-    DrainAgain,
-    /// Nobody has come since all connections were closed for the time of this number.
-    LastCallOver(u64),
-    LastTime,
-    ShutdownEnd,
-    PublishView,
-}
-
 /// Why the router reports that it is ready to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadyReason {
@@ -122,31 +85,19 @@
 }
 
 pub struct Routing {
-    log: Logger,
-    limits: Limits,
+    event_loop: EventLoop,
     transport: TransportSettings,
     idempotency: Vec<Idempotency>,
-    clock: Clock,
-    reactor: Reactor,
     decisions: Router,
-    /// For waits only; the decisions have their own.
-    chance: ChaCha8Rng,
-    events: VecDeque<Event>,
     effects: Vec<Effect>,
     /// Clients whose further commands may be taken now.
     resumed_clients: Vec<SocketId>,
     /// Clients that have had their turn and have more to be read.
     ready_again: Vec<SocketId>,
-    timers: Timers<TimerEvent>,
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
-    admitted: BTreeMap<RequestId, AdmittedRequest>,
-    /// As clients named them, and who holds each.
-    open_request_ids: BTreeMap<Box<[u8]>, SocketId>,
-    reserved_bytes: usize,
-    last_request_number: u64,
-    upstreams: BTreeMap<SocketId, UpstreamConnection>,
-    idle_connections: IdleConnections<HostId>,
+    requests: RequestTable,
+    upstreams: UpstreamPool,
     endpoints: EndpointTable,
     discovery: DiscoveryWatch,
     platform: Option<PlatformClient>,
@@ -158,17 +109,9 @@
     ready: bool,
     /// An alarm is set for clients that could not be accepted.
     accept_due: bool,
-    shutdown: Shutdown,
-    /// A timer is set for who is told of the close, or silent; how often all connections were closed; the last
-    /// time before SIGKILL, once told.
-    drain_due: bool,
-    last_calls: u64,
-    last_at: Option<f64>,
-    metrics: Metrics,
-    /// When the last sleep ended, and how long what is read from a socket now may have waited there.
-    woken_at: f64,
-    event_loop_delay: f64,
-    woke_without_events: bool,
+    shutdown: GracefulShutdown,
+    /// A timer is set for clients that are silent, or were notified of the close.
+    drain_scheduled: bool,
 }
 
 impl Routing {
@@ -185,7 +128,7 @@
             &mut reactor,
             addresses.listen,
             limits.clients.backlog,
-            LISTENER,
+            SocketOwner::Listener.priority(),
         )?;
         let at = listener.address()?;
         let idempotency = terms.operations.iter().map(|o| o.idempotency).collect();
@@ -193,7 +136,7 @@
             DiscoveryWatch::new(addresses.discovery, terms.polls_endpoint_list, &limits);
         let platform = addresses
             .platform
-            .map(|at| PlatformClient::new(at, &limits));
+            .map(|at| PlatformClient::new(at, transport.operations.clone(), &limits));
         let peers = match addresses.peer_listen.filter(|_| terms.may_gossip) {
             Some(at) => Some(GossipPeers::open(
                 &mut reactor,
@@ -204,64 +147,49 @@
             )?),
             None => None,
         };
+        let endpoints = EndpointTable::new(limits.discovery.hosts);
         let mut routing = Routing {
-            timers: Timers::new(limits.event_loop.timers),
+            event_loop: EventLoop::new(log, limits, clock, reactor, seed),
             decisions: Router::start(terms, seed, now),
-            chance: ChaCha8Rng::seed_from_u64(!seed),
-            events: VecDeque::new(),
             effects: vec![],
             resumed_clients: vec![],
             ready_again: vec![],
             listener: Some(listener),
             clients: BTreeMap::new(),
-            admitted: BTreeMap::new(),
-            open_request_ids: BTreeMap::new(),
-            reserved_bytes: 0,
-            last_request_number: 0,
-            upstreams: BTreeMap::new(),
-            idle_connections: IdleConnections::default(),
-            endpoints: EndpointTable::new(limits.discovery.hosts),
+            requests: RequestTable::default(),
+            upstreams: UpstreamPool::default(),
+            endpoints,
             ready: false,
             accept_due: false,
-            shutdown: Shutdown::No,
-            drain_due: false,
-            last_calls: 0,
-            last_at: None,
-            metrics: Metrics::default(),
-            woken_at: now,
-            event_loop_delay: 0.0,
-            woke_without_events: false,
-            log,
-            limits,
+            shutdown: GracefulShutdown::new(),
+            drain_scheduled: false,
             transport,
             idempotency,
-            clock,
-            reactor,
             discovery,
             platform,
             rollout_status: None,
             peers,
             management: None,
         };
-        routing.timers.schedule(
-            now + routing.limits.event_loop.expiry_interval,
+        routing.event_loop.schedule(
+            now + routing.event_loop.limits.event_loop.expiry_interval,
             TimerEvent::ExpireIdle,
         );
-        routing.timers.schedule(
-            now + routing.limits.event_loop.ready_timeout,
+        routing.event_loop.schedule(
+            now + routing.event_loop.limits.event_loop.ready_timeout,
             TimerEvent::Ready,
         );
-        info!(routing.log, "listening"; "at" => %at, "clients" => routing.limits.clients.connections,
-            "host_links" => routing.limits.upstream.connections);
+        info!(routing.event_loop.log, "listening"; "at" => %at, "clients" => routing.event_loop.limits.clients.connections,
+            "host_links" => routing.event_loop.limits.upstream.connections);
         Ok(routing)
     }
 
     /// Reaches out to discovery and the platform; what the router held before has been told by now.
     pub fn begin(&mut self) {
-        if !self.discovery.asked_only() {
+        if !self.discovery.is_on_demand() {
             self.begin_watch();
         }
-        self.connect_platform();
+        self.with_platform(PlatformClient::connect);
         self.publish_view();
         if self.discovery.is_off() {
             self.mark_ready(ReadyReason::OperatorsOnly);
@@ -280,50 +208,25 @@
 
     /// Sleeps until something happens and serves it.
     pub fn turn(&mut self) -> io::Result<Turn> {
-        let now = self.clock.now();
-        let next = self
-            .timers
-            .next_deadline()
-            .map_or(self.limits.event_loop.max_sleep, |at| at - now);
-        let sleep = if self.ready_again.is_empty() && !self.is_staging() {
-            next.clamp(0.0, self.limits.event_loop.max_sleep)
-        } else {
-            0.0
-        };
-        let (sockets, signals) = self.reactor.poll(sleep)?;
-        // Since the last look: what the work of the last turn took, and a sleep longer than asked for.
-        let woken = self.clock.now();
-        let stall = (now - self.woken_at) + (woken - now - sleep).max(0.0);
-        // A signal that ends a standstill can end the sleep with nothing told: what is there at once after that
-        // was there before.
-        let carried =
-            if self.woke_without_events && woken - now < self.limits.event_loop.immediate_wake {
-                self.event_loop_delay
-            } else {
-                0.0
-            };
-        (
-            self.event_loop_delay,
-            self.woken_at,
-            self.woke_without_events,
-        ) = (stall.max(carried), woken, sockets.is_empty());
-        if self.event_loop_delay > self.limits.event_loop.delay_warning {
-            slog::warn!(self.log, "this process stood still"; "seconds" => self.event_loop_delay);
-        }
+        let may_sleep = self.ready_again.is_empty() && !self.is_staging();
+        let (sockets, signals) = self.event_loop.poll(may_sleep)?;
         if signals.stop {
-            self.on_shutdown_requested();
+            self.advance_shutdown(ShutdownInput::Requested);
         }
-        // In the order of ranks, clients come last anyway; who is both ready and due again is served once more.
-        for id in sockets
-            .into_iter()
-            .chain(std::mem::take(&mut self.ready_again))
-        {
-            self.serve(id);
+        // Those that come to it in this turn wait for the next one.
+        let ready_again = std::mem::take(&mut self.ready_again);
+        for socket in sockets {
+            self.serve(socket);
+            self.process_pending();
+        }
+        // A client that is both ready and due again is served once more.
+        for id in ready_again {
+            self.read_client(id);
             self.process_pending();
         }
         self.stage_next_part();
         // Only what was due before anything was read: answers that are here go before time-outs.
-        while let Some(due) = self.timers.pop_due(woken) {
+        while let Some(due) = self.event_loop.next_due_timer() {
             self.due(due);
             self.process_pending();
         }
@@ -334,39 +237,35 @@
         })
     }
 
-    fn serve(&mut self, id: SocketId) {
-        if self.upstreams.contains_key(&id) {
-            self.on_upstream_readable(id);
-        } else if self.clients.contains_key(&id) {
-            self.read_client(id);
-        } else if self
-            .listener
-            .as_ref()
-            .is_some_and(|listener| listener.id == id)
-        {
-            let _ = self.accept();
-        } else if self
-            .management
-            .as_ref()
-            .is_some_and(|management| management.owns(id))
-        {
-            self.on_management_message();
-        } else if self.discovery.owns(id) {
-            self.on_discovery_readable(id);
-        } else if self
-            .platform
-            .as_ref()
-            .is_some_and(|platform| platform.owns(id))
-        {
-            self.on_platform_readable();
-        } else if self.peers.as_ref().is_some_and(|peers| peers.owns(id)) {
-            self.on_gossip_readable();
+    fn serve(&mut self, socket: ReadySocket) {
+        let id = socket.id;
+        match socket.owner {
+            SocketOwner::Discovery => self.on_discovery_readable(id),
+            SocketOwner::Platform => self.with_platform(|platform, event_loop| {
+                // The socket may be that of a connection that was closed meanwhile.
+                if platform.owns(id) {
+                    platform.on_readable(event_loop);
+                }
+            }),
+            SocketOwner::Management => self.on_management_message(),
+            SocketOwner::Gossip => {
+                if let Some(peers) = &mut self.peers {
+                    peers.on_readable(&mut self.event_loop);
+                }
+            }
+            SocketOwner::Upstream => self.on_upstream_readable(id),
+            SocketOwner::Client => self.read_client(id),
+            SocketOwner::Listener => {
+                self.accept();
+            }
         }
     }
 
     fn due(&mut self, due: TimerEvent) {
         match due {
-            TimerEvent::Decisions(key) => self.events.push_back(Event::TimerExpired { key }),
+            TimerEvent::Decisions(key) => self
+                .event_loop
+                .notify_decisions(Event::TimerExpired { key }),
             TimerEvent::UpstreamUseTimeout(id, number) => self.on_use_timeout(id, number),
             TimerEvent::UpstreamWriteTimeout(id, number) => self.on_write_timeout(id, number),
             TimerEvent::AcceptAgain => {
@@ -374,22 +273,33 @@
                 let _ = self.accept();
             }
             TimerEvent::ExpireIdle => self.expire_idle(),
-            TimerEvent::DiscoveryCallTimeout(id, number) => self.on_call_timeout(id, number),
+            TimerEvent::DiscoveryCallTimeout(id, number) => {
+                self.discovery
+                    .on_call_timeout(&mut self.event_loop, id, number)
+            }
             TimerEvent::DiscoveryConnectTimeout(id, number) => {
-                self.on_call_connect_timeout(id, number)
+                self.discovery
+                    .on_connect_timeout(&mut self.event_loop, id, number)
+            }
+            TimerEvent::DiscoveryAnswerTimeout(id, number) => {
+                self.discovery
+                    .on_answer_timeout(&mut self.event_loop, id, number)
             }
-            TimerEvent::DiscoveryAnswerTimeout(id, number) => self.on_answer_timeout(id, number),
             TimerEvent::DiscoveryRetry => self.begin_watch(),
-            TimerEvent::PlatformReconnect => self.connect_platform(),
-            TimerEvent::PlatformLineTimeout => self.on_line_timeout(),
-            TimerEvent::VoteTimeout(call) => self.on_vote_timeout(call),
+            TimerEvent::PlatformReconnect => self.with_platform(PlatformClient::connect),
+            TimerEvent::PlatformLineTimeout => self.with_platform(PlatformClient::on_line_timeout),
+            TimerEvent::VoteTimeout(call) => {
+                self.with_platform(|platform, event_loop| {
+                    platform.on_vote_timeout(event_loop, call)
+                });
+            }
             TimerEvent::Ready => self.mark_ready(ReadyReason::Timeout),
-            TimerEvent::ServingOver => self.on_serving_over(),
-            TimerEvent::DrainingOver => self.on_draining_over(),
-            TimerEvent::DrainAgain => self.drain_due(),
-            TimerEvent::LastCallOver(number) => self.on_last_call_over(number),
-            TimerEvent::LastTime => self.on_last_time(),
-            TimerEvent::ShutdownEnd => self.on_shutdown_end(),
+            TimerEvent::ServingOver => self.advance_shutdown(ShutdownInput::ServingOver),
+            TimerEvent::DrainingOver => self.advance_shutdown(ShutdownInput::DrainingOver),
+            TimerEvent::DrainAgain => self.on_drain_timer(),
+            TimerEvent::LastClientsOver(round) => self.on_last_clients_over(round),
+            TimerEvent::KillNear => self.advance_shutdown(ShutdownInput::KillNear),
+            TimerEvent::ShutdownDeadline => self.advance_shutdown(ShutdownInput::Deadline),
             TimerEvent::PublishView => self.publish_view(),
         }
     }
@@ -397,7 +307,7 @@
     /// Events until none is left, and the commands of clients that may go on.
     fn process_pending(&mut self) {
         loop {
-            if let Some(event) = self.events.pop_front() {
+            if let Some(event) = self.event_loop.next_decision_event() {
                 self.dispatch_event(event);
             } else if let Some(id) = self.resumed_clients.pop() {
                 self.read_client(id);
@@ -407,49 +317,40 @@
         }
     }
 
-    fn schedule(&mut self, at: f64, due: TimerEvent) {
-        if !self.timers.schedule(at, due) {
-            slog::error!(self.log, "an alarm was dropped, too many are set"; "due" => ?due);
-        }
-    }
-
     fn mark_ready(&mut self, reason: ReadyReason) {
-        let heard =
-            self.discovery.heard() && self.platform.as_ref().is_none_or(PlatformClient::heard);
+        let heard = self.discovery.has_answered()
+            && self
+                .platform
+                .as_ref()
+                .is_none_or(PlatformClient::has_received_state);
         if !self.ready && (heard || reason == ReadyReason::Timeout) {
             self.ready = true;
-            info!(self.log, "ready"; "by" => reason.name(), "hosts" => self.endpoints.len());
+            info!(self.event_loop.log, "ready"; "by" => reason.name(), "hosts" => self.endpoints.len());
         }
     }
 
     fn expire_idle(&mut self) {
-        let now = self.clock.now();
-        self.schedule(
-            now + self.limits.event_loop.expiry_interval,
+        let now = self.event_loop.now();
+        self.event_loop.schedule(
+            now + self.event_loop.limits.event_loop.expiry_interval,
             TimerEvent::ExpireIdle,
         );
-        for id in self
-            .idle_connections
-            .take_unused_since(now - self.limits.upstream.idle_timeout)
-        {
-            self.close_upstream(id);
-        }
-        self.check_platform_silence(now);
+        let idle_since = now - self.event_loop.limits.upstream.idle_timeout;
+        self.upstreams
+            .close_idle_since(&self.event_loop, idle_since);
+        self.with_platform(|platform, event_loop| platform.check_silence(event_loop, now));
         self.close_clients_not_reading(now);
         self.expire_clients_without_request(now);
         self.check_heartbeats(now);
-        let using = self
-            .upstreams
-            .values()
-            .map(UpstreamConnection::host)
-            .collect();
+        let using = self.upstreams.hosts();
         self.endpoints.forget_gone(&using);
         if let Some(line) = self
+            .event_loop
             .metrics
-            .line(now, self.limits.event_loop.state_log_interval)
+            .take_line(now, self.event_loop.limits.event_loop.state_log_interval)
         {
-            info!(self.log, "state"; "open" => self.admitted.len(), "clients" => self.clients.len(),
-                "links" => self.upstreams.len(), "idle" => self.idle_connections.count(), "counts" => line);
+            info!(self.event_loop.log, "state"; "open" => self.requests.len(), "clients" => self.clients.len(),
+                "links" => self.upstreams.len(), "idle" => self.upstreams.idle_count(), "counts" => line);
         }
     }
 }
