--- /dev/null
+++ b/file-watch/tests/support/mod.rs
@@ -0,0 +1,16 @@
+//! Files that the tests share.
+
+/// A complete file of hosts.
+pub fn hosts(generation: &str, names: &[&str]) -> String {
+    let mut text = format!("generation = {generation}\n\n");
+    for (number, name) in names.iter().enumerate() {
+        let port = 7000 + number;
+        text += &format!(
+            "[host {name}]\nendpoint = 127.0.0.1:{port}\nzone = north\nkind = std\nbuild = 41\n\n"
+        );
+    }
+    text + &format!(
+        "[end]\nhosts = {}\ngeneration = {generation}\n",
+        names.len()
+    )
+}
