--- a/yang/src/edit/from_xml.rs
+++ b/yang/src/edit/from_xml.rs
@@ -19,6 +19,9 @@
     EditReader { schema, errors }.edits_from_elements(parent, path, elements)
 }
 
+/// The element is no edit, and its error has been added to those of the reader.
+struct ErrorAdded;
+
 impl EditReader<'_> {
     fn edits_from_elements(
         &mut self,
@@ -39,7 +42,7 @@
         element: &Element,
     ) -> Option<Edit> {
         let node = self.node_of_element(parent, parent_path, element)?;
-        let operation = self.read_operation(parent_path, element)?;
+        let operation = self.read_operation(parent_path, element).ok()?;
         let key_value = |name: &str| Some(element.child(name)?.text.trim().to_owned());
         let step = self.read_step(node, parent_path, key_value)?;
         let path = parent_path.child(step.clone());
@@ -92,12 +95,12 @@
         Some(node)
     }
 
-    /// The operation that the attributes of an element name, if any; none after an error.
+    /// The operation that the attributes of an element name, if any.
     fn read_operation(
         &mut self,
         path: &InstancePath,
         element: &Element,
-    ) -> Option<Option<Operation>> {
+    ) -> Result<Option<Operation>, ErrorAdded> {
         let mut operation = None;
         for Attribute {
             namespace,
@@ -114,7 +117,7 @@
                     name,
                     "operation of NETCONF",
                 );
-                return None;
+                return Err(ErrorAdded);
             }
             operation = Operation::from_attribute(value);
             if operation.is_none() {
@@ -126,10 +129,10 @@
                     value,
                     Operation::attribute_values(),
                 );
-                return None;
+                return Err(ErrorAdded);
             }
         }
-        Some(operation)
+        Ok(operation)
     }
 
     fn leaf_edit(
