--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -1,4 +1,4 @@
-//! Take in: clients come, their commands are read, and what is no command is turned away.
+//! Client connections: clients are accepted, their commands are read, and what is no command is rejected.
 
 use std::collections::VecDeque;
 use std::net::TcpStream;
@@ -20,41 +20,47 @@
     Ready(Vec<u8>),
 }
 
+/// A client's connection.
 pub(super) struct Client {
     pub(super) stream: Stream,
-    /// Of what has been read and not taken.
+    /// Arrival times of what has been read and not taken.
     arrivals: Arrivals,
     pub(super) queue: VecDeque<QueuedReply>,
-    /// No more commands are taken; closed once all that was taken is answered.
+    /// No more commands are taken; the connection is closed once all that was taken is answered.
     pub(super) closing: bool,
-    /// Turned away and told why: until when, and how many more bytes, what still comes is read and dropped.
-    pub(super) lingers: Option<(f64, usize)>,
-    /// When it came, or its last command or answer.
-    pub(super) used: f64,
-    /// Whole commands that it has sent.
-    asked: usize,
+    /// The client was notified of the close: what it still sends is discarded for a while.
+    pub(super) lingering: Option<Lingering>,
+    /// When it connected, or when its last command or response was.
+    pub(super) last_used: f64,
+    /// Complete commands that it has sent.
+    commands: usize,
     /// Since when a command has begun and not ended.
-    begun: Option<f64>,
-    unknown: usize,
+    command_begun: Option<f64>,
+    unknown_commands: usize,
     /// Since when what was written has not been read.
-    pub(super) stuck: Option<f64>,
+    pub(super) unread_since: Option<f64>,
+}
+
+/// A lingering close: how long, and how much of what still comes is read and discarded.
+pub(super) struct Lingering {
+    /// Unix time in seconds.
+    pub(super) until: f64,
+    pub(super) bytes_left: usize,
 }
 
 impl Client {
     fn new(stream: Stream, now: f64) -> Self {
-        let (arrivals, queue) = (Arrivals::default(), VecDeque::new());
-        let (closing, lingers, stuck) = (false, None, None);
         Client {
             stream,
-            arrivals,
-            queue,
-            closing,
-            lingers,
-            used: now,
-            asked: 0,
-            begun: None,
-            unknown: 0,
-            stuck,
+            arrivals: Arrivals::default(),
+            queue: VecDeque::new(),
+            closing: false,
+            lingering: None,
+            last_used: now,
+            commands: 0,
+            command_begun: None,
+            unknown_commands: 0,
+            unread_since: None,
         }
     }
 
@@ -80,7 +86,7 @@
 
     /// In the middle of a command.
     pub(super) fn is_begun(&self) -> bool {
-        self.begun.is_some()
+        self.command_begun.is_some()
     }
 
     /// Who makes room first: the turned away, the silent and who has asked but once, then those that came back;
@@ -88,8 +94,8 @@
     fn rank(&self) -> u8 {
         match () {
             () if self.closing => 0,
-            () if self.begun.is_some() => 3,
-            () if self.asked > 1 => 2,
+            () if self.command_begun.is_some() => 3,
+            () if self.commands > 1 => 2,
             () => 1,
         }
     }
@@ -169,12 +175,16 @@
     /// so for longest.
     fn close_idle_client(&mut self) -> bool {
         let stale = self.event_loop.now() - self.event_loop.limits.clients.stale_response_age;
-        let of_no_use =
-            |client: &Client| client.is_idle() || client.stuck.is_some_and(|since| since < stale);
+        let of_no_use = |client: &Client| {
+            client.is_idle() || client.unread_since.is_some_and(|since| since < stale)
+        };
         loop {
             let idle = self.clients.iter().filter(|(_, client)| of_no_use(client));
-            let order =
-                |a: &Client, b: &Client| a.rank().cmp(&b.rank()).then(a.used.total_cmp(&b.used));
+            let order = |a: &Client, b: &Client| {
+                a.rank()
+                    .cmp(&b.rank())
+                    .then(a.last_used.total_cmp(&b.last_used))
+            };
             let Some((&id, _)) = idle.min_by(|a, b| order(a.1, b.1)) else {
                 return false;
             };
@@ -188,14 +198,15 @@
     /// side can open, and none be left to ask on.
     fn close_idle_client_over_limit(&mut self, now: f64) {
         let since = now - self.event_loop.limits.clients.idle_timeout;
-        let stays = |client: &Client| client.asked == 1 && client.used < since && client.is_idle();
+        let stays =
+            |client: &Client| client.commands == 1 && client.last_used < since && client.is_idle();
         let idle_clients = self
             .clients
             .iter()
-            .filter(|(_, client)| stays(client) && client.begun.is_none());
+            .filter(|(_, client)| stays(client) && client.command_begun.is_none());
         if idle_clients.clone().count() >= self.event_loop.limits.clients.idle {
             let oldest = idle_clients
-                .min_by(|a, b| a.1.used.total_cmp(&b.1.used))
+                .min_by(|a, b| a.1.last_used.total_cmp(&b.1.last_used))
                 .map(|(id, _)| *id);
             if let Some(id) = oldest {
                 self.close_unused(id);
@@ -206,7 +217,15 @@
     /// Closes a connection for want of use, unless its next command is here by now and only not read yet. False
     /// where it is in use.
     fn close_unused(&mut self, id: SocketId) -> bool {
-        let use_of = |c: &Client| (c.rank(), c.used, c.asked, c.stuck, c.is_idle());
+        let use_of = |c: &Client| {
+            (
+                c.rank(),
+                c.last_used,
+                c.commands,
+                c.unread_since,
+                c.is_idle(),
+            )
+        };
         let before = self.clients.get(&id).map(use_of);
         self.read_client(id);
         let now = self.clients.get(&id).map(use_of);
@@ -259,7 +278,7 @@
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
-        let Some((_, left)) = &mut client.lingers else {
+        let Some(lingering) = &mut client.lingering else {
             return;
         };
         let filled = client.stream.read_available(
@@ -268,8 +287,9 @@
         );
         let read = client.stream.input().len();
         client.stream.consume(read);
-        *left = left.saturating_sub(read);
-        if filled == ReadStatus::Closed || *left == 0 {
+        lingering.bytes_left = lingering.bytes_left.saturating_sub(read);
+        let is_over = lingering.bytes_left == 0;
+        if filled == ReadStatus::Closed || is_over {
             self.close_client(id);
         } else if filled == ReadStatus::More {
             self.ready_again.push(id);
@@ -286,7 +306,7 @@
             if client.queue.len() >= limits.clients.pipelined_commands
                 || client.stream.unwritten() > limits.resp.value
             {
-                client.begun = None;
+                client.command_begun = None;
                 return progress;
             }
             let Some(client) = self.clients.get(&id) else {
@@ -308,9 +328,10 @@
                     let Some(client) = self.clients.get_mut(&id) else {
                         return false;
                     };
-                    client.begun = client
-                        .begun
-                        .or((!client.stream.input().is_empty()).then_some(now));
+                    client.command_begun =
+                        client
+                            .command_begun
+                            .or((!client.stream.input().is_empty()).then_some(now));
                     return progress;
                 }
                 Ok(None) => return self.reject(id, &Malformed::new("a command is too long")),
@@ -320,10 +341,10 @@
                 return false;
             };
             client.consume(used);
-            (client.used, client.asked, client.begun) =
-                (self.event_loop.now(), client.asked + 1, None);
-            client.unknown += usize::from(matches!(step, Step::Unknown));
-            if client.unknown > self.event_loop.limits.clients.unknown_commands {
+            (client.last_used, client.commands, client.command_begun) =
+                (self.event_loop.now(), client.commands + 1, None);
+            client.unknown_commands += usize::from(matches!(step, Step::Unknown));
+            if client.unknown_commands > self.event_loop.limits.clients.unknown_commands {
                 return self.reject(id, &Malformed::new("too many unknown commands"));
             }
             progress = true;
@@ -421,13 +442,16 @@
         let late = self
             .clients
             .iter()
-            .filter(|(_, client)| match client.begun {
-                _ if client.closing => client.lingers.is_some_and(|(until, _)| until < now),
-                Some(begun) => begun < since || client.asked == 0 && client.used < since,
-                None => client.asked == 0 && client.used < since,
+            .filter(|(_, client)| match client.command_begun {
+                _ if client.closing => client
+                    .lingering
+                    .as_ref()
+                    .is_some_and(|lingering| lingering.until < now),
+                Some(begun) => begun < since || client.commands == 0 && client.last_used < since,
+                None => client.commands == 0 && client.last_used < since,
             });
         for (id, begun) in late
-            .map(|(id, client)| (*id, client.begun.is_some()))
+            .map(|(id, client)| (*id, client.command_begun.is_some()))
             .collect::<Vec<_>>()
         {
             match self.clients.get(&id) {
@@ -489,11 +513,11 @@
             self.event_loop.limits.clients.unread_response_bytes,
             self.event_loop.limits.clients.write_timeout,
         );
-        let stuck = self
+        let not_reading = self
             .clients
             .iter()
-            .filter(|(_, c)| c.stuck.is_some_and(|since| now - since > longest));
-        let mut closed: Vec<_> = stuck.map(|(id, _)| *id).collect();
+            .filter(|(_, c)| c.unread_since.is_some_and(|since| now - since > longest));
+        let mut closed: Vec<_> = not_reading.map(|(id, _)| *id).collect();
         let unread = |client: &Client| {
             let waiting = client.queue.iter().map(|waiting| match waiting {
                 QueuedReply::Pending(_) => 0,
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -1,4 +1,4 @@
-//! Route: an event goes to the decisions, and their effects are carried out. Nothing is decided here.
+//! Dispatch of decisions: an event goes to the decisions, and their effects are carried out. Nothing is decided here.
 
 use kestreltide::interface::*;
 use slog::info;
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -1,4 +1,4 @@
-//! The link to the management threads: what other threads post enters the loop here, and what they may know of it goes out.
+//! The link to the management threads: their messages enter the event loop here, and a view of its state goes out.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -12,14 +12,14 @@
 use super::{Routing, SocketOwner, TimerEvent};
 use crate::transport::{Inbox, InboxSender, Reactor};
 
-/// What a front posts to the loop.
+/// What a management thread sends to the event loop.
 #[derive(Clone, Debug)]
 pub enum ManagementMessage {
     /// A revision was committed.
     Revision(Arc<Snapshot>),
 }
 
-/// A front's sign of life: when it last came round, in milliseconds of Unix time; 0 where it has ended.
+/// The heartbeat of a management thread: when it last ran, in milliseconds of Unix time; 0 where it has ended.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
     pub name: &'static str,
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! The stages that a request passes, and the peers around them. A request is taken in, admitted, routed,
-//! sent, relayed and booked, each by a unit of its own; only `route` speaks with the decisions.
+//! The path of a request and its event loop: each owner of state is a type of its own, and [`Routing`] carries what
+//! crosses between them. Only `dispatch_decisions` speaks with the decisions.
 
 mod admission;
 mod arrivals;
@@ -43,7 +43,7 @@
 use platform_client::PlatformClient;
 use upstream_pool::UpstreamPool;
 
-/// Where everybody is, and what this router held when it was started.
+/// The addresses of this router and of those that it speaks with.
 pub struct Addresses {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -53,7 +53,7 @@
     pub peers_all: Option<SocketAddr>,
 }
 
-/// What there is to do after a turn.
+/// What is to be done after a turn of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
     Next,
@@ -84,6 +84,7 @@
     }
 }
 
+/// The router: all owners of state, and what crosses between them.
 pub struct Routing {
     event_loop: EventLoop,
     transport: TransportSettings,
@@ -101,13 +102,13 @@
     endpoints: EndpointTable,
     discovery: DiscoveryWatch,
     platform: Option<PlatformClient>,
-    /// The newest build, as last told.
+    /// The status of the newest build, as last received.
     rollout_status: Option<RolloutStatus>,
     peers: Option<GossipPeers>,
-    /// Where other threads post, where there are any.
+    /// The link to the management threads, where there are any.
     management: Option<management_link::ManagementLink>,
     ready: bool,
-    /// An alarm is set for clients that could not be accepted.
+    /// A timer is set for clients that could not be accepted.
     accept_due: bool,
     shutdown: GracefulShutdown,
     /// A timer is set for clients that are silent, or were notified of the close.
@@ -226,8 +227,8 @@
         }
         self.stage_next_part();
         // Only what was due before anything was read: answers that are here go before time-outs.
-        while let Some(due) = self.event_loop.next_due_timer() {
-            self.due(due);
+        while let Some(event) = self.event_loop.next_due_timer() {
+            self.on_timer(event);
             self.process_pending();
         }
         Ok(match signals.reload {
@@ -261,8 +262,8 @@
         }
     }
 
-    fn due(&mut self, due: TimerEvent) {
-        match due {
+    fn on_timer(&mut self, event: TimerEvent) {
+        match event {
             TimerEvent::Decisions(key) => self
                 .event_loop
                 .notify_decisions(Event::TimerExpired { key }),
--- a/router/src/routing/response_relay.rs
+++ b/router/src/routing/response_relay.rs
@@ -1,13 +1,13 @@
-//! Relay: answers go to clients, each client's in the order of its commands.
+//! The relay of responses: they go to clients, each client's in the order of its commands.
 
 use kestreltide::interface::RequestId;
 
 use super::Routing;
-use super::client_connection::{Client, QueuedReply};
+use super::client_connection::{Client, Lingering, QueuedReply};
 use crate::transport::SocketId;
 
 impl Routing {
-    /// The final answer to an invocation; what it held is let go. False where none was owed.
+    /// The response to a request, which is released. False where none was owed.
     pub(super) fn answer(&mut self, request: &RequestId, write: impl FnOnce(&mut Vec<u8>)) -> bool {
         let Some(id) = self.requests.release(request) else {
             return false;
@@ -16,7 +16,7 @@
         let Some(client) = self.clients.get_mut(&id) else {
             return false;
         };
-        client.used = now;
+        client.last_used = now;
         let place = client
             .queue
             .iter()
@@ -37,7 +37,7 @@
         true
     }
 
-    /// An answer to a command that is no invocation, or that was not let in.
+    /// A reply to a command that is no request, or that was not admitted.
     pub(super) fn reply(&mut self, id: SocketId, write: impl FnOnce(&mut Vec<u8>)) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
@@ -72,13 +72,13 @@
             stream,
             queue,
             closing,
-            stuck,
-            lingers,
+            unread_since,
+            lingering,
             ..
         } = client;
         match stream.flush() {
-            Ok(true) => *stuck = None,
-            Ok(false) => *stuck = stuck.or(Some(now)),
+            Ok(true) => *unread_since = None,
+            Ok(false) => *unread_since = unread_since.or(Some(now)),
             Err(_) => {
                 self.close_client(id);
                 return false;
@@ -86,13 +86,13 @@
         }
         let done = queue.is_empty() && stream.unwritten() == 0;
         // Who was turned away is told that nothing more comes, and gets a while to read why.
-        if done && *closing && lingers.is_none() && stream.shutdown_write().is_ok() {
-            *lingers = Some((
-                now + self.event_loop.limits.clients.lingering_close,
-                self.event_loop.limits.clients.discarded_bytes,
-            ));
+        if done && *closing && lingering.is_none() && stream.shutdown_write().is_ok() {
+            *lingering = Some(Lingering {
+                until: now + self.event_loop.limits.clients.lingering_close,
+                bytes_left: self.event_loop.limits.clients.discarded_bytes,
+            });
         }
-        if done && *closing && lingers.is_none() {
+        if done && *closing && lingering.is_none() {
             self.close_client(id);
             return false;
         }
--- a/router/src/routing/shutdown_actions.rs
+++ b/router/src/routing/shutdown_actions.rs
@@ -2,7 +2,7 @@
 
 use slog::info;
 
-use super::client_connection::Client;
+use super::client_connection::{Client, Lingering};
 use super::graceful_shutdown::{ShutdownAction, ShutdownInput};
 use super::{Routing, TimerEvent};
 use crate::protocol::client::write_busy;
@@ -116,7 +116,7 @@
             .into_iter()
             .for_each(|id| self.read_client(id));
         let now = self.event_loop.now();
-        let told = |client: &Client| client.lingers.map(|(until, _)| until);
+        let told = |client: &Client| client.lingering.as_ref().map(|lingering| lingering.until);
         let over = self
             .clients
             .iter()
@@ -144,9 +144,12 @@
         if client.closing || !client.is_idle() || client.is_begun() {
             return;
         }
-        if now - client.used >= quiet {
+        if now - client.last_used >= quiet {
             client.closing = true;
-            client.lingers = Some((now + last_call, most));
+            client.lingering = Some(Lingering {
+                until: now + last_call,
+                bytes_left: most,
+            });
             if client.stream.shutdown_write().is_err() {
                 return self.close_client(id);
             }
