--- a/router/src/routing/admission.rs
+++ b/router/src/routing/admission.rs
@@ -20,7 +20,7 @@
     pub(super) pool: Option<Arc<Pool>>,
     pub(super) time_left: f64,
     pub(super) again: bool,
-    pub(super) kept: StoredCommand,
+    pub(super) command: StoredCommand,
 }
 
 /// A request that owes its client a response.
@@ -137,22 +137,22 @@
 }
 
 impl Routing {
-    pub(super) fn admit(&mut self, client: SocketId, taken: ParsedRequest) {
+    pub(super) fn admit(&mut self, client: SocketId, request: ParsedRequest) {
         let ParsedRequest {
             operation,
             key,
             pool,
             time_left,
             again,
-            kept,
-        } = taken;
+            command,
+        } = request;
         // Nothing has been dispatched: a client may be told that trying again is harmless.
         let limits = &self.event_loop.limits.requests;
-        if !self.requests.has_capacity(limits, kept.size()) || self.shutdown.has_given_up() {
+        if !self.requests.has_capacity(limits, command.size()) || self.shutdown.has_given_up() {
             self.event_loop.metrics.increment(Counter::RequestsRejected);
             return self.reply(client, |out| client::write_busy(out, None));
         }
-        let id = self.requests.admit(client, kept);
+        let id = self.requests.admit(client, command);
         self.event_loop.metrics.increment(Counter::RequestsAdmitted);
         if let Some(client) = self.clients.get_mut(&client) {
             client.queue.push_back(QueuedReply::Pending(id.clone()));
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -313,7 +313,7 @@
                 return false;
             };
             let read = client::parse_command(client.stream.input(), &limits.resp);
-            let whole = client.stream.input().len() < limits.resp.message;
+            let may_grow = client.stream.input().len() < limits.resp.message;
             let (step, used) = match read {
                 Ok(Some((command, used))) => match self.step(command, client.arrivals.of(used)) {
                     Ok(Step::Left(holder)) if holder != id => {
@@ -323,7 +323,7 @@
                     Ok(step) => (step, used),
                     Err(why) => return self.reject(id, &why),
                 },
-                Ok(None) if whole => {
+                Ok(None) if may_grow => {
                     let now = self.event_loop.now();
                     let Some(client) = self.clients.get_mut(&id) else {
                         return false;
@@ -349,7 +349,7 @@
             }
             progress = true;
             match step {
-                Step::Take(taken) => self.admit(id, taken),
+                Step::Take(request) => self.admit(id, request),
                 Step::Reply(text) => self.reply(id, |out| resp::write_simple(out, text)),
                 Step::Left(_) => self.reply(id, |out| resp::write_error(out, OPEN_ID)),
                 Step::Fail(text) => self.reply(id, |out| resp::write_error(out, text)),
@@ -362,28 +362,28 @@
 
     /// What is to be done about a command whose last byte arrived at this time.
     fn step(&self, command: Command, arrived: Option<f64>) -> Result<Step, Malformed> {
-        let asked = match command {
-            Command::Request(asked) => asked,
+        let command_fields = match command {
+            Command::Request(command_fields) => command_fields,
             Command::Ping if self.ready => return Ok(Step::Reply("PONG")),
             Command::Ping => return Ok(Step::Fail("ERR starting")),
             Command::SetUp => return Ok(Step::Reply("OK")),
             Command::Unknown => return Ok(Step::Unknown),
         };
-        let operation = self.transport.operations.get(asked.operation);
+        let operation = self.transport.operations.get(command_fields.operation);
         let operation = *operation.ok_or_else(|| Malformed::new("the operation is not known"))?;
         match self.idempotency.get(operation.0) {
-            Some(Idempotency::Idempotent) if asked.idempotent => {}
+            Some(Idempotency::Idempotent) if command_fields.idempotent => {}
             Some(Idempotency::IdempotencyKey { .. })
-                if !asked.idempotent && !asked.has_idempotency_key =>
+                if !command_fields.idempotent && !command_fields.has_idempotency_key =>
             {
                 return Err(Malformed::new("no fingerprint (k)"));
             }
             Some(Idempotency::IdempotencyKey { .. } | Idempotency::NonIdempotent)
-                if !asked.idempotent => {}
+                if !command_fields.idempotent => {}
             _ => return Err(Malformed::new("the command is not that of the operation")),
         }
         // Hosts know a request by its id: with another's, one would be answered for the other.
-        if let Some(holder) = self.requests.holder(asked.id) {
+        if let Some(holder) = self.requests.holder(command_fields.id) {
             // Unless that client is gone, which is only not read yet: then it is sent again.
             let left = self
                 .clients
@@ -395,19 +395,19 @@
                 Step::Fail(OPEN_ID)
             });
         }
-        if asked.time_millis as f64 > self.event_loop.limits.clients.max_time_limit * 1e3 {
+        if command_fields.time_millis as f64 > self.event_loop.limits.clients.max_time_limit * 1e3 {
             return Err(Malformed::new("the time (d) is beyond all sense"));
         }
-        let kept: StoredCommand = asked.to_stored();
-        let key = (!asked.key.is_empty()).then(|| KeyId(asked.key.into()));
+        let command: StoredCommand = command_fields.to_stored();
+        let key = (!command_fields.key.is_empty()).then(|| KeyId(command_fields.key.into()));
         let pool = self
             .endpoints
-            .route(asked.operation, asked.key)
+            .route(command_fields.operation, command_fields.key)
             .map(|route| route.pool.clone());
         // A command that lay unread, while this process stood still or behind a full pipeline, has less time left.
         let now = self.event_loop.now();
         let unread = now - arrived.unwrap_or(now);
-        let time_left = (asked.time_millis as f64 / 1e3 - unread)
+        let time_left = (command_fields.time_millis as f64 / 1e3 - unread)
             .max(0.0)
             .min(self.shutdown.time_left(now));
         Ok(Step::Take(ParsedRequest {
@@ -415,8 +415,8 @@
             key,
             pool,
             time_left,
-            again: asked.is_retry,
-            kept,
+            again: command_fields.is_retry,
+            command,
         }))
     }
 
--- a/router/src/routing/endpoint_list.rs
+++ b/router/src/routing/endpoint_list.rs
@@ -89,13 +89,13 @@
     fn apply_endpoint_list(&mut self, list: &EndpointList, scope: ListScope) {
         self.discovery.note_list_applied();
         self.finish_staging();
-        let whole = scope != ListScope::Delta;
+        let is_full = scope != ListScope::Delta;
         let mut targets: Vec<_> = list.targets.iter().collect();
-        if whole {
+        if is_full {
             self.warn_of_duplicates(list);
         }
         if self.endpoints.len() + targets.len() > self.event_loop.limits.discovery.hosts {
-            self.make_room(&mut targets, whole);
+            self.make_room(&mut targets, is_full);
         }
         let mut entries = Vec::with_capacity(targets.len());
         let mut left_out = vec![];
@@ -119,7 +119,7 @@
             warn!(self.event_loop.log, "more hosts are listed than can be kept"; "uid" => *first,
                 "left_out" => left_out.len(), "most" => self.event_loop.limits.discovery.hosts);
         }
-        if whole {
+        if is_full {
             for host in self.endpoints.retain_listed(&entries) {
                 self.upstreams.close_idle(&self.event_loop, host);
             }
@@ -159,7 +159,7 @@
 
     /// Who has left makes room for who comes, and is taken after them: both would else be kept together until the
     /// next sweep, and at the limit who comes be left out.
-    fn make_room(&mut self, targets: &mut [&ListedEndpoint], whole: bool) {
+    fn make_room(&mut self, targets: &mut [&ListedEndpoint], is_full: bool) {
         let host = |target: &&ListedEndpoint| HostId::named(&target.uid);
         let last: BTreeMap<_, _> = targets
             .iter()
@@ -170,7 +170,7 @@
         for target in targets.iter().filter(|target| goes(target)) {
             self.endpoints.stage_entry(target);
         }
-        if whole {
+        if is_full {
             let listed: Vec<_> = targets
                 .iter()
                 .map(|target| target.to_host_record().entry())
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -14,9 +14,9 @@
 
 /// Where hosts are: what discovery told last, under what operators have set.
 pub(super) struct EndpointTable {
-    told: BTreeMap<HostId, HostRecord>,
+    discovered: BTreeMap<HostId, HostRecord>,
     revision: Arc<Snapshot>,
-    most: usize,
+    capacity: usize,
 }
 
 /// What a list entry changed.
@@ -27,11 +27,11 @@
 }
 
 impl EndpointTable {
-    pub(super) fn new(most: usize) -> Self {
+    pub(super) fn new(capacity: usize) -> Self {
         EndpointTable {
-            told: BTreeMap::new(),
+            discovered: BTreeMap::new(),
             revision: Arc::default(),
-            most,
+            capacity,
         }
     }
 
@@ -40,8 +40,8 @@
             .revision
             .hosts
             .iter()
-            .filter(|said| !self.told.contains_key(&said.host));
-        self.told.len() + alone.count()
+            .filter(|configured| !self.discovered.contains_key(&configured.host));
+        self.discovered.len() + alone.count()
     }
 
     /// A host as it counts, whoever lists it.
@@ -50,12 +50,16 @@
     }
 
     fn merged<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, HostRecord>> {
-        match (self.told.get(&host), revision.configured(host)) {
-            (Some(told), Some(said)) => {
-                merge(&said.name, Some(told), Some(&said.config), None).map(Cow::Owned)
-            }
-            (Some(told), None) => Some(Cow::Borrowed(told)),
-            (None, said) => said?.standalone.as_ref().map(Cow::Borrowed),
+        match (self.discovered.get(&host), revision.configured(host)) {
+            (Some(discovered), Some(configured)) => merge(
+                &configured.name,
+                Some(discovered),
+                Some(&configured.config),
+                None,
+            )
+            .map(Cow::Owned),
+            (Some(discovered), None) => Some(Cow::Borrowed(discovered)),
+            (None, configured) => configured?.standalone.as_ref().map(Cow::Borrowed),
         }
     }
 
@@ -77,11 +81,11 @@
     /// Notes one entry of discovery's list; None where there is no room for one more host.
     pub(super) fn stage_entry(&mut self, target: &ListedEndpoint) -> Option<StagedEntry> {
         let host = HostId::named(&target.uid);
-        if !self.told.contains_key(&host) && self.told.len() >= self.most {
+        if !self.discovered.contains_key(&host) && self.discovered.len() >= self.capacity {
             return None;
         }
         let old = self.effective(host).map(Cow::into_owned);
-        self.told.insert(host, target.to_host_record());
+        self.discovered.insert(host, target.to_host_record());
         let new = self.effective(host)?;
         let moved = old.is_some_and(|old| old.is_replaced_by(&new));
         Some(StagedEntry {
@@ -94,11 +98,11 @@
     pub(super) fn retain_listed(&mut self, listed: &[HostEntry]) -> Vec<HostId> {
         let listed: BTreeSet<_> = listed.iter().map(|entry| entry.host).collect();
         let missing = self
-            .told
+            .discovered
             .iter_mut()
             .filter(|(host, _)| !listed.contains(host));
-        let gone = missing.map(|(host, told)| {
-            told.state = HostState::Gone;
+        let gone = missing.map(|(host, discovered)| {
+            discovered.state = HostState::Gone;
             *host
         });
         gone.collect()
@@ -110,14 +114,14 @@
             .revision
             .hosts
             .iter()
-            .filter(|said| !self.told.contains_key(&said.host));
-        alone.filter_map(|said| said.entry)
+            .filter(|configured| !self.discovered.contains_key(&configured.host));
+        alone.filter_map(|configured| configured.entry)
     }
 
     /// Whether a revision's own entries are all that it changes: discovery lists nobody, so that they are worked
     /// out already and can be told ahead.
     pub(super) fn can_stage(&self, new: &Snapshot) -> bool {
-        new.changed_since == self.revision.revision() && self.told.is_empty()
+        new.changed_since == self.revision.revision() && self.discovered.is_empty()
     }
 
     /// Takes a revision; the entries that it changes, where what was staged for it has been told or not.
@@ -127,7 +131,7 @@
         if staged {
             return Arc::default();
         }
-        if follows && self.told.is_empty() {
+        if follows && self.discovered.is_empty() {
             return new.entries.clone();
         }
         let mut hosts = new.changed.to_vec();
@@ -136,34 +140,34 @@
                 .hosts
                 .iter()
                 .chain(&new.hosts)
-                .map(|said| said.host)
+                .map(|configured| configured.host)
                 .collect();
             hosts.sort();
             hosts.dedup();
         }
-        let told = |revision: &Snapshot, host| {
-            self.told.get(&host)?;
+        let discovered = |revision: &Snapshot, host| {
+            self.discovered.get(&host)?;
             self.merged(revision, host).map(Cow::into_owned)
         };
         new.host_changes(
             &old,
             &hosts,
-            |host| told(&old, host),
-            |host| told(new, host),
+            |host| discovered(&old, host),
+            |host| discovered(new, host),
         )
         .into()
     }
 
     /// All that discovery told and did not take back.
-    pub(super) fn told(&self) -> impl Iterator<Item = &HostRecord> {
-        self.told.values()
+    pub(super) fn discovered(&self) -> impl Iterator<Item = &HostRecord> {
+        self.discovered.values()
     }
 
     pub(super) fn forget_gone(&mut self, using: &BTreeSet<HostId>) {
         // Who is gone stays gone though operators still list it, until discovery says otherwise.
-        let said = |host: &HostId| self.revision.configured(*host).is_some();
-        self.told.retain(|host, told| {
-            told.state != HostState::Gone || using.contains(host) || said(host)
+        let configured = |host: &HostId| self.revision.configured(*host).is_some();
+        self.discovered.retain(|host, discovered| {
+            discovered.state != HostState::Gone || using.contains(host) || configured(host)
         });
     }
 }
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -61,8 +61,8 @@
 
 impl ManagementInbox {
     /// The two ends: the loop's, and what fronts hold.
-    pub fn open(reactor: &mut Reactor, most: usize) -> std::io::Result<(Self, LoopHandle)> {
-        let (mail, post) = reactor.inbox(most, SocketOwner::Management.priority())?;
+    pub fn open(reactor: &mut Reactor, capacity: usize) -> std::io::Result<(Self, LoopHandle)> {
+        let (mail, post) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
         let in_force = Arc::new(AtomicU64::new(0));
         let loop_handle = LoopHandle {
@@ -89,7 +89,7 @@
     staging: Option<(Arc<Snapshot>, usize)>,
     /// The longest pause for a part of it.
     staging_pause: f64,
-    taken: u64,
+    revisions_applied: u64,
     longest_pause: f64,
     /// The view that fronts have is not that of now, and an alarm is set to renew it.
     stale: bool,
@@ -114,7 +114,7 @@
             revision: Revision(0),
             staging: None,
             staging_pause: 0.0,
-            taken: 0,
+            revisions_applied: 0,
             longest_pause: 0.0,
             stale: false,
         });
@@ -208,7 +208,7 @@
         };
         management.revision = revision;
         management.inbox.in_force.store(revision.0, Relaxed);
-        management.taken += 1;
+        management.revisions_applied += 1;
         let pause = std::mem::take(&mut management.staging_pause).max(now - begun);
         management.longest_pause = management.longest_pause.max(pause);
         info!(self.event_loop.log, "a revision is in force"; "revision" => revision.0, "changed" => count,
@@ -239,14 +239,14 @@
             return;
         };
         management.stale = false;
-        let asked = !self.discovery.is_off();
+        let is_watched = !self.discovery.is_off();
         let view = View {
             at: self.event_loop.now(),
-            discovery: asked.then(|| self.endpoints.told().cloned().collect()),
+            discovery: is_watched.then(|| self.endpoints.discovered().cloned().collect()),
             discovery_received: self.discovery.has_list(),
             rollout: self.rollout_status,
             revision: management.revision,
-            revisions_applied: management.taken,
+            revisions_applied: management.revisions_applied,
             longest_apply_time: management.longest_pause,
             requests_in_flight: self.requests.len(),
             clients: self.clients.len(),
@@ -261,13 +261,13 @@
         let Some(management) = &mut self.management else {
             return;
         };
-        for (heartbeat, told) in &mut management.heartbeats {
+        for (heartbeat, is_reported) in &mut management.heartbeats {
             let last = heartbeat.last();
             let still = last > 0.0 && now - last > self.event_loop.limits.management.stall_timeout;
-            if still && !*told {
+            if still && !*is_reported {
                 warn!(self.event_loop.log, "a front stands still"; "front" => heartbeat.name, "seconds" => now - last);
             }
-            *told = still;
+            *is_reported = still;
         }
     }
 }
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -120,11 +120,11 @@
         log: Logger,
         (limits, clock): (Limits, Clock),
         mut reactor: Reactor,
-        told: (ServiceSettings, TransportSettings),
+        settings: (ServiceSettings, TransportSettings),
         addresses: Addresses,
         seed: u64,
     ) -> io::Result<Self> {
-        let (now, (terms, transport)) = (clock.now(), told);
+        let (now, (terms, transport)) = (clock.now(), settings);
         let listener = Listener::open(
             &mut reactor,
             addresses.listen,
@@ -319,12 +319,12 @@
     }
 
     fn mark_ready(&mut self, reason: ReadyReason) {
-        let heard = self.discovery.has_answered()
+        let has_observed = self.discovery.has_answered()
             && self
                 .platform
                 .as_ref()
                 .is_none_or(PlatformClient::has_received_state);
-        if !self.ready && (heard || reason == ReadyReason::Timeout) {
+        if !self.ready && (has_observed || reason == ReadyReason::Timeout) {
             self.ready = true;
             info!(self.event_loop.log, "ready"; "by" => reason.name(), "hosts" => self.endpoints.len());
         }
