--- /dev/null
+++ b/router/tests/event_loop_delay.rs
@@ -0,0 +1,51 @@
+//! A process that stood still and goes on.
+
+mod common;
+
+use std::thread;
+use std::time::Duration;
+
+use kestreltide_testkit::*;
+
+use common::{READ, echo_host, router_with};
+
+#[test]
+fn a_command_unread_during_an_event_loop_delay_has_no_time_left() {
+    let (program, _lists) = router_with(&[("a", echo_host().expect("a host"), "Ready")]);
+    let mut client = program.client();
+    assert_eq!(client.request(&["Q.ASK", "k", "before", READ]), "of before");
+    program.freeze();
+    client.send(&["Q.ASK", "k", "during", "c=read,d=500"]);
+    thread::sleep(Duration::from_millis(1500));
+    program.signal("CONT");
+    assert_eq!(client.reply(), "-BUSY");
+}
+
+#[test]
+fn updates_received_during_an_event_loop_delay_are_applied_before_commands() {
+    let named = |name: &'static str| fake_host(move |_| value_reply(name));
+    let (a, b) = (named("a"), named("b"));
+    let (program, lists) = router_with(&[("a", a, "Ready"), ("b", b, "Ready")]);
+    lists
+        .send(endpoint_list(
+            2,
+            true,
+            &[("a", a, "Ready"), ("b", b, "Ready")],
+        ))
+        .expect("discovery lives");
+    program.wait_for_log("Full");
+    let mut clients: Vec<_> = (0..12).map(|_| program.client()).collect();
+    clients
+        .iter_mut()
+        .for_each(|client| assert!(!client.request(&["PING"]).is_empty()));
+    program.freeze();
+    let send =
+        |(id, client): (usize, &mut Client)| client.send(&["Q.ASK", "k", &id.to_string(), READ]);
+    clients.iter_mut().enumerate().for_each(send);
+    lists
+        .send(endpoint_list(3, false, &[("a", a, "Terminating")]))
+        .expect("discovery lives");
+    thread::sleep(Duration::from_millis(500));
+    program.signal("CONT");
+    assert!(clients.iter_mut().all(|client| client.reply() == "b"));
+}
--- /dev/null
+++ b/router/tests/gossip.rs
@@ -0,0 +1,29 @@
+//! Datagrams of peers and of others.
+
+mod common;
+
+use std::net::UdpSocket;
+use std::sync::mpsc::channel;
+
+use kestreltide_testkit::*;
+
+use common::{BINARY, READ, echo_host};
+
+#[test]
+fn a_datagram_from_a_stranger_is_logged_and_ignored() {
+    let listen = UdpSocket::bind("127.0.0.1:0")
+        .and_then(|socket| socket.local_addr())
+        .expect("a free port");
+    let (_lists, answers) = channel();
+    let known = endpoint_list(1, true, &[("a", echo_host().expect("a host"), "Ready")]);
+    let with = format!("\"peer_listen\":\"{listen}\",\"peers\":[\"{listen}\"],\"settings\"");
+    let text = router_config(fake_discovery(answers), &known).replace("\"settings\"", &with);
+    let program = Program::start(BINARY, &text.replace("\"peers\":false", "\"peers\":true"));
+    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    stranger.send_to(&[7; 400], listen).expect("it is sent");
+    program.wait_for_log("a datagram is from no peer or too long");
+    assert_eq!(
+        program.client().request(&["Q.ASK", "k", "id", READ]),
+        "of id"
+    );
+}
--- /dev/null
+++ b/router/tests/graceful_shutdown.rs
@@ -0,0 +1,34 @@
+//! SIGTERM while requests are open.
+
+mod common;
+
+use std::thread;
+use std::time::Duration;
+
+use kestreltide_testkit::*;
+
+use common::{READ, router_with};
+
+#[test]
+fn graceful_shutdown_serves_late_clients_and_ends_once_all_are_answered() {
+    let at = fake_host(|words| {
+        thread::sleep(Duration::from_millis(if words[2] == "slow" {
+            900
+        } else {
+            0
+        }));
+        value_reply(&words[2])
+    });
+    let (mut program, _lists) = router_with(&[("a", at, "Ready")]);
+    let mut slow = program.client();
+    slow.send(&["Q.ASK", "k", "slow", READ]);
+    program.signal("TERM");
+    program.wait_for_log("stopping");
+    assert_eq!(
+        program.client().request(&["Q.ASK", "k", "late", READ]),
+        "late"
+    );
+    assert_eq!(slow.reply(), "slow");
+    assert_eq!(slow.reply(), "", "closed once it was idle");
+    assert!(program.child.wait().expect("an end").success());
+}
