--- /dev/null
+++ b/file-watch/src/parse/mod.rs
@@ -0,0 +1,93 @@
+//! What operators' files give.
+//!
+//! Every file names its generation at its head and again at its end, with the count of what it holds: a file that was
+//! cut, or is being overwritten, is recognized by its ends. Files that belong together are one version where they name
+//! the same generation.
+
+mod configuration;
+mod file;
+mod frame;
+mod keys;
+
+use kestreltide_datastore::tree_builder::printable;
+use kestreltide_datastore::{Tree, TreeBuilder, ValidationError, ValidationErrors};
+
+pub use self::file::{FileKind, Parsed};
+pub use self::keys::parse_keys;
+
+use self::file::{FileErrors, TextError, text_of};
+use self::frame::Generation;
+use crate::read_file::Content;
+
+/// What all files together give.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Version {
+    /// The generation that all files name.
+    pub generation: String,
+    /// The hosts and guards that they set.
+    pub tree: Tree,
+}
+
+/// What these files give together; each with the place by which it is shown.
+pub fn parse_version(files: &[(FileKind, &str, &Content)]) -> Parsed<Version> {
+    let mut tree = TreeBuilder::default();
+    let mut incomplete = ValidationErrors::default();
+    let mut invalid = ValidationErrors::default();
+    let mut generations: Vec<(&str, String)> = vec![];
+    for (kind, place, content) in files {
+        let text = match text_of(place, content) {
+            Ok(text) => text,
+            Err(TextError::Incomplete(error)) => {
+                incomplete.push(error);
+                continue;
+            }
+            Err(TextError::Invalid(error)) => {
+                invalid.push(error);
+                continue;
+            }
+        };
+        let mut errors = FileErrors {
+            place,
+            errors: &mut invalid,
+        };
+        match configuration::parse_file(*kind, text, &mut tree, &mut errors) {
+            Ok(Generation(generation)) => {
+                generations.extend(generation.map(|generation| (*place, generation)));
+            }
+            Err(error) => incomplete.push(error),
+        }
+    }
+    if !incomplete.is_empty() {
+        return Parsed::Incomplete(incomplete);
+    }
+    let tree = tree.finish();
+    if let Err(errors) = &tree {
+        invalid.extend(errors.first.iter().cloned());
+        invalid.more += errors.more;
+    }
+    let Some((_, generation)) = generations.first().cloned() else {
+        return Parsed::Invalid(invalid);
+    };
+    if let Some(error) = other_generation(&generations) {
+        return Parsed::Mismatched(error.into());
+    }
+    match tree {
+        Ok(tree) if invalid.is_empty() => Parsed::Complete(Version { generation, tree }),
+        _ => Parsed::Invalid(invalid),
+    }
+}
+
+/// The error of the first file that is of another generation than the first one.
+fn other_generation(generations: &[(&str, String)]) -> Option<ValidationError> {
+    let (first_place, first) = generations.first()?;
+    let (place, other) = generations.iter().find(|(_, other)| other != first)?;
+    Some(ValidationError::new(
+        format!("{place}: generation"),
+        format!(
+            "is of another generation than {first_place}, which names {}",
+            printable(first)
+        ),
+        printable(other),
+        "one generation for all files",
+    ))
+}
--- a/management/src/gnmi/confirmed_commit.rs
+++ b/management/src/gnmi/confirmed_commit.rs
@@ -1,4 +1,4 @@
-//! Commits that wait to be confirmed (gNMI extension `Commit`): whose they are, and how they are settled.
+//! Confirmed commits (gNMI extension `Commit`): the sessions that own them, and how they are confirmed or cancelled.
 
 use std::sync::PoisonError;
 
@@ -7,12 +7,12 @@
 use tonic::Status;
 
 use super::Service;
-use super::errors::{invalid_argument, refusal_status};
+use super::errors::{commit_error_status, invalid_argument};
 use crate::proto::gnmi_ext::Commit as CommitExt;
 use crate::proto::gnmi_ext::commit::Action;
 
 impl Service {
-    /// The session at the commit service of who has this key: commits that wait are its.
+    /// The session at the commit service that owns the pending commits of a key; none if the service does not reply.
     pub(super) async fn confirming_session(&self, key: &Key) -> Option<SessionId> {
         if let Some(session) = self
             .sessions
@@ -27,28 +27,28 @@
         Some(*sessions.entry(key.name.clone()).or_insert(session))
     }
 
-    /// A commit-confirmed request that edits nothing: confirm or cancel what waits.
+    /// Confirms or cancels the pending commit if the extension asks for that; false if it starts a commit.
     pub(super) async fn confirm_or_cancel(
         &self,
         key: &Key,
-        said: &CommitExt,
+        commit: &CommitExt,
     ) -> Result<bool, Status> {
-        let persist = Some(said.id.clone());
-        match &said.action {
+        let persist_id = Some(commit.id.clone());
+        match &commit.action {
             Some(Action::Confirm(_)) => {
                 let session = self.confirming_session(key).await;
                 self.commit_service
-                    .confirm(session, persist)
+                    .confirm(session, persist_id)
                     .await
-                    .map_err(|refused| refusal_status(&refused))?;
+                    .map_err(|error| commit_error_status(&error))?;
                 Ok(true)
             }
             Some(Action::Cancel(_)) => {
                 let session = self.confirming_session(key).await;
                 self.commit_service
-                    .cancel(session, persist)
+                    .cancel(session, persist_id)
                     .await
-                    .map_err(|refused| refusal_status(&refused))?;
+                    .map_err(|error| commit_error_status(&error))?;
                 Ok(true)
             }
             Some(Action::SetRollbackDuration(_)) => Err(Status::unimplemented(
--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -16,19 +16,19 @@
 use crate::proto::gnmi::typed_value::Value;
 use crate::proto::gnmi::{Path, TypedValue};
 
-/// What a path of a Set request leads to.
+/// The target of a path of a Set request.
 struct EditTarget {
     parent: InstancePath,
-    /// None at the top of the model.
+    /// The schema node; none at the top of the model.
     node: Option<NodeId>,
-    /// The last step of the path; without a name at the top.
+    /// The last step of the path, whose name is empty at the top.
     step: Step,
-    /// The node again where it is a list or leaf-list meant as a whole.
+    /// The node again if it is a list or leaf-list without keys, that is with all its entries.
     list: Option<NodeId>,
 }
 
 impl Service {
-    /// Edits of one update, replacement or deletion.
+    /// The edits of one update, replacement or deletion.
     pub(super) fn edit(
         &self,
         prefix: Option<&Path>,
@@ -41,7 +41,7 @@
         let target = self.edit_target(&pattern, &shown)?;
         let mut edits = vec![];
         if operation == Operation::Remove || operation == Operation::Replace {
-            edits.extend(self.removals(&target, &shown)?);
+            edits.extend(self.removal_edits(&target, &shown)?);
         }
         if operation == Operation::Remove {
             return Ok(edits);
@@ -53,30 +53,24 @@
         Ok(edits)
     }
 
-    /// What a path leads to: one instance, or a list or leaf-list as a whole where its keys are left away.
+    /// The target of a path: one instance, or all entries of a list or leaf-list without keys.
     fn edit_target(&self, pattern: &Pattern, shown: &str) -> Result<EditTarget, Status> {
-        let (parent, node, step) = match self.whole_list(pattern) {
-            Some((parent, node)) => {
-                let name = self.schema.node_of(node).name.clone();
-                (parent, Some(node), Step { name, keys: vec![] })
-            }
-            None => {
-                let (mut at, node) = pattern
-                    .instance(self.schema)
-                    .map_err(|why| no_instance(shown, &why.to_string()))?;
-                match at.0.pop() {
-                    Some(step) => (at, node, step),
-                    None => (
-                        at,
-                        None,
-                        Step {
-                            name: String::new(),
-                            keys: vec![],
-                        },
-                    ),
-                }
-            }
-        };
+        if let Some((parent, node)) = self.list_without_keys(pattern) {
+            let name = self.schema.node_of(node).name.clone();
+            return Ok(EditTarget {
+                parent,
+                node: Some(node),
+                step: Step { name, keys: vec![] },
+                list: Some(node),
+            });
+        }
+        let (mut parent, node) = pattern
+            .instance(self.schema)
+            .map_err(|error| no_instance(shown, &error.to_string()))?;
+        let step = parent.0.pop().unwrap_or(Step {
+            name: String::new(),
+            keys: vec![],
+        });
         let list = node.filter(|node| step.keys.is_empty() && self.is_list(*node));
         Ok(EditTarget {
             parent,
@@ -87,7 +81,7 @@
     }
 
     /// The parent and the node of a list or leaf-list that a pattern names without keys.
-    fn whole_list(&self, pattern: &Pattern) -> Option<(InstancePath, NodeId)> {
+    fn list_without_keys(&self, pattern: &Pattern) -> Option<(InstancePath, NodeId)> {
         let (last, above) = pattern.0.split_last()?;
         if !last.keys.is_empty() || last.any_depth {
             return None;
@@ -110,9 +104,9 @@
         )
     }
 
-    /// Edits that remove what stands at the target, all entries of a list as well.
-    fn removals(&self, target: &EditTarget, shown: &str) -> Result<Vec<Edit>, Status> {
-        let there = self.entries_to_remove(target.node, &target.step, target.list);
+    /// Edits that remove the target, or all its entries.
+    fn removal_edits(&self, target: &EditTarget, shown: &str) -> Result<Vec<Edit>, Status> {
+        let removal_edits = self.entries_to_remove(target.node, &target.step, target.list);
         let removal = |(node, step)| Edit {
             node,
             operation: Some(Operation::Remove),
@@ -120,7 +114,7 @@
             step,
             children: vec![],
         };
-        there
+        removal_edits
             .into_iter()
             .map(|found| self.place(&target.parent, removal(found), shown))
             .collect()
@@ -139,9 +133,9 @@
             step,
             list,
         } = target;
-        let json = self.json_of(shown, *node, value)?;
+        let json = self.json_value_of(shown, *node, value)?;
         let mut errors = vec![];
-        let read = match (*node, *list) {
+        let edits = match (*node, *list) {
             (Some(node), Some(_)) => {
                 edits_from_json_value(self.schema, node, parent, &json, &mut errors)
             }
@@ -152,25 +146,26 @@
                     .collect()
             }
             (None, _) => {
-                let here = if step.name.is_empty() {
+                let path = if step.name.is_empty() {
                     parent.clone()
                 } else {
                     parent.child(step.clone())
                 };
-                edits_from_json(self.schema, None, &here, &json, &mut errors)
+                edits_from_json(self.schema, None, &path, &json, &mut errors)
             }
         };
         if !errors.is_empty() {
             return Err(edit_errors_status(&errors));
         }
         if node.is_none() {
-            return Ok(read);
+            return Ok(edits);
         }
         let merge = |edit| Edit {
             operation: Some(Operation::Merge),
             ..edit
         };
-        read.into_iter()
+        edits
+            .into_iter()
             .map(|edit| self.place(parent, merge(edit), shown))
             .collect()
     }
@@ -180,7 +175,7 @@
         edit_at_path(self.schema, parent, edit).ok_or_else(|| no_instance(shown, "leads nowhere"))
     }
 
-    /// What a removal at this place has to take away.
+    /// The instances that a removal of the target has to remove.
     fn entries_to_remove(
         &self,
         node: Option<NodeId>,
@@ -225,7 +220,7 @@
     invalid_argument(shown, why, shown, "one instance, with its keys")
 }
 
-/// The keys that a path has already said need not stand in the value again.
+/// Adds the keys of the path to a value that does not repeat them.
 fn with_keys(json: Json, step: &Step) -> Json {
     match json {
         Json::Object(mut members) => {
--- a/management/src/gnmi/encoding.rs
+++ b/management/src/gnmi/encoding.rs
@@ -1,4 +1,4 @@
-//! Values in the encodings that are served (JSON_IETF, JSON, PROTO), to and from the model's data.
+//! Values in the supported encodings: JSON_IETF, JSON and PROTO.
 
 use std::collections::BTreeMap;
 
@@ -14,9 +14,10 @@
 use crate::proto::gnmi::typed_value::Value;
 use crate::proto::gnmi::{Encoding, ScalarArray, TypedValue, Update};
 
-pub(super) fn encoding(of: i32) -> Result<Encoding, Status> {
-    match Encoding::try_from(of) {
-        Ok(of @ (Encoding::Json | Encoding::JsonIetf | Encoding::Proto)) => Ok(of),
+/// The encoding of a request, if it is supported.
+pub(super) fn supported_encoding(encoding: i32) -> Result<Encoding, Status> {
+    match Encoding::try_from(encoding) {
+        Ok(encoding @ (Encoding::Json | Encoding::JsonIetf | Encoding::Proto)) => Ok(encoding),
         _ => Err(Status::unimplemented(
             "encoding: is not served here (given: another; taken: JSON_IETF, JSON or PROTO)",
         )),
@@ -24,9 +25,9 @@
 }
 
 impl Service {
-    pub(super) fn json_value(&self, data: &DataNode, of: Encoding) -> TypedValue {
+    pub(super) fn json_value(&self, data: &DataNode, encoding: Encoding) -> TypedValue {
         let bytes = json::value(self.schema, data).to_string().into_bytes();
-        let value = if of == Encoding::Json {
+        let value = if encoding == Encoding::Json {
             Value::JsonVal(bytes)
         } else {
             Value::JsonIetfVal(bytes)
@@ -34,16 +35,16 @@
         TypedValue { value: Some(value) }
     }
 
-    /// A value in JSON's form, whatever it came in.
-    pub(super) fn json_of(
+    /// A received value as JSON, whatever its encoding.
+    pub(super) fn json_value_of(
         &self,
         at: &str,
         node: Option<NodeId>,
         value: &Value,
     ) -> Result<Json, Status> {
         let typed = |text: String| {
-            let of = node.map(|node| &self.schema.node_of(node).kind);
-            match of {
+            let kind = node.map(|node| &self.schema.node_of(node).kind);
+            match kind {
                 Some(NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type })
                     if !leaf_type.is_json_string() =>
                 {
@@ -73,7 +74,7 @@
                 let items = all.element.iter().filter_map(|item| item.value.as_ref());
                 Json::Array(
                     items
-                        .map(|item| self.json_of(at, node, item))
+                        .map(|item| self.json_value_of(at, node, item))
                         .collect::<Result<_, _>>()?,
                 )
             }
@@ -89,6 +90,7 @@
     }
 }
 
+/// The update of one leaf.
 pub(super) fn update(at: &InstancePath, value: &TypedValue, duplicates: u32) -> Update {
     Update {
         path: Some(path_of(at)),
@@ -97,23 +99,24 @@
     }
 }
 
-pub(super) fn collect(
+/// Collects the leaves of a data node with their values; the values of a leaf-list are one array.
+pub(super) fn collect_leaves(
     schema: &Schema,
-    of: Encoding,
+    encoding: Encoding,
     at: &InstancePath,
     data: &DataNode,
     out: &mut BTreeMap<InstancePath, TypedValue>,
 ) {
     match &data.content {
         Content::Inner(children) => {
-            children
-                .iter()
-                .for_each(|child| collect(schema, of, &at.child(child.step(schema)), child, out));
+            children.iter().for_each(|child| {
+                collect_leaves(schema, encoding, &at.child(child.step(schema)), child, out)
+            });
         }
         Content::Leaf(text) => {
             let list = matches!(schema.node_of(data.node).kind, NodeKind::LeafList { .. });
             let value = json::value(schema, data);
-            let value = match (of, value) {
+            let value = match (encoding, value) {
                 (Encoding::Proto, Json::Bool(flag)) => Value::BoolVal(flag),
                 (Encoding::Proto, Json::Number(number)) => match number.as_u64() {
                     Some(number) => Value::UintVal(number),
@@ -147,7 +150,7 @@
     }
 }
 
-/// Numbers of 64 bits and decimals are text in JSON, and numbers in PROTO.
+/// The PROTO value of a leaf that is a string in JSON: integers of 64 bits and decimals are numbers in PROTO.
 fn proto_text(schema: &Schema, node: NodeId, text: &str) -> Value {
     use kestreltide_yang::types::Type;
     match &schema.node_of(node).kind {
--- a/management/src/gnmi/path_subscription.rs
+++ b/management/src/gnmi/path_subscription.rs
@@ -1,4 +1,4 @@
-//! One subscription of a stream: what it wants, how often, and what was sent for it last.
+//! One subscription of a stream: what it selects, when it is due, and what was sent last.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,90 +18,90 @@
 pub(super) struct PathSubscription {
     pub(super) selection: Selection,
     on_change: bool,
-    /// Between samples, and between signs of life; none: never.
-    sample: Option<Duration>,
-    heartbeat: Option<Duration>,
-    suppress: bool,
-    due: Option<Instant>,
-    beat: Option<Instant>,
-    /// What was sent last.
+    /// Time between samples; none without sampling.
+    sample_interval: Option<Duration>,
+    /// Time between heartbeats, at which all leaves are sent; none without heartbeats.
+    heartbeat_interval: Option<Duration>,
+    suppress_redundant: bool,
+    next_sample: Option<Instant>,
+    next_heartbeat: Option<Instant>,
+    /// The leaves that were sent last.
     pub(super) sent: Arc<Leaves>,
 }
 
 impl PathSubscription {
     pub(super) fn new(
         selection: Selection,
-        of: &crate::proto::gnmi::Subscription,
+        subscription: &crate::proto::gnmi::Subscription,
         limits: &Limits,
     ) -> Result<Self, Status> {
-        let mode = SubscriptionMode::try_from(of.mode).map_err(|_| {
+        let mode = SubscriptionMode::try_from(subscription.mode).map_err(|_| {
             invalid_argument(
                 "subscription/mode",
                 "no such mode",
-                &of.mode.to_string(),
+                &subscription.mode.to_string(),
                 "ON_CHANGE or SAMPLE",
             )
         })?;
         let on_change = mode != SubscriptionMode::Sample;
-        let least = Duration::from_secs_f64(limits.sample);
-        let interval = Duration::from_nanos(of.sample_interval);
-        if !on_change && of.sample_interval > 0 && interval < least {
-            let taken = format!("0, or at least {} ns", least.as_nanos());
+        let min_interval = limits.min_sample_interval;
+        let interval = Duration::from_nanos(subscription.sample_interval);
+        if !on_change && subscription.sample_interval > 0 && interval < min_interval {
+            let expected = format!("0, or at least {} ns", min_interval.as_nanos());
             return Err(invalid_argument(
                 "subscription/sample_interval",
                 "is too short",
-                &of.sample_interval.to_string(),
-                &taken,
+                &subscription.sample_interval.to_string(),
+                &expected,
             ));
         }
-        let sample = (!on_change).then(|| interval.max(least));
-        let heartbeat = (of.heartbeat_interval > 0)
-            .then(|| Duration::from_nanos(of.heartbeat_interval).max(least));
-        let (now, sent) = (Instant::now(), Arc::default());
-        let (due, beat) = (
-            sample.map(|every| now + every),
-            heartbeat.map(|every| now + every),
-        );
+        let sample_interval = (!on_change).then(|| interval.max(min_interval));
+        let heartbeat_interval = (subscription.heartbeat_interval > 0)
+            .then(|| Duration::from_nanos(subscription.heartbeat_interval).max(min_interval));
+        let now = Instant::now();
         Ok(PathSubscription {
             selection,
             on_change,
-            sample,
-            heartbeat,
-            suppress: of.suppress_redundant,
-            due,
-            beat,
-            sent,
+            sample_interval,
+            heartbeat_interval,
+            suppress_redundant: subscription.suppress_redundant,
+            next_sample: sample_interval.map(|interval| now + interval),
+            next_heartbeat: heartbeat_interval.map(|interval| now + interval),
+            sent: Arc::default(),
         })
     }
 
-    /// When the next of its timers runs out.
+    /// When its next timer expires.
     pub(super) fn next_timer(&self) -> Option<Instant> {
-        [self.due, self.beat].into_iter().flatten().min()
+        [self.next_sample, self.next_heartbeat]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// What it is to be sent, if anything; timers that have run out begin anew.
+    /// What is due to be sent, if anything; expired timers start again.
     pub(super) fn due_at(&mut self, now: Instant, changed: bool) -> Option<Due> {
-        let sampled = self.due.is_some_and(|due| due <= now);
-        let beat = self.beat.is_some_and(|beat| beat <= now);
-        if sampled {
-            self.due = self.sample.map(|every| now + every);
+        let sample_due = self.next_sample.is_some_and(|at| at <= now);
+        let heartbeat_due = self.next_heartbeat.is_some_and(|at| at <= now);
+        if sample_due {
+            self.next_sample = self.sample_interval.map(|interval| now + interval);
         }
-        if beat {
-            self.beat = self.heartbeat.map(|every| now + every);
+        if heartbeat_due {
+            self.next_heartbeat = self.heartbeat_interval.map(|interval| now + interval);
         }
-        if !(self.on_change && changed || sampled || beat) {
+        if !(self.on_change && changed || sample_due || heartbeat_due) {
             return None;
         }
-        Some(if beat || sampled && !self.suppress {
+        Some(if heartbeat_due || sample_due && !self.suppress_redundant {
             Due::Everything
         } else {
             Due::Changes
         })
     }
 
-    /// The updates and deletions that bring it to a snapshot, which counts as sent from here on. What has changed
-    /// carries the count of changes that it stands for.
-    pub(super) fn take_updates(
+    /// The updates and deletions that lead to a snapshot, which counts as sent from now on. Updates of changed leaves
+    /// carry the number of coalesced changes.
+    pub(super) fn updates_since_last(
         &mut self,
         schema: &Schema,
         snapshot: &Snapshot,
@@ -115,7 +115,7 @@
             .map(|(at, value)| update(at, value, coalesced))
             .collect();
         if due == Due::Everything {
-            let told = |at: &InstancePath| {
+            let is_changed = |at: &InstancePath| {
                 changes
                     .updates
                     .binary_search_by(|(changed, _)| changed.cmp(at))
@@ -123,7 +123,7 @@
             };
             updates.extend(
                 now.iter()
-                    .filter(|(at, _)| !told(at))
+                    .filter(|(at, _)| !is_changed(at))
                     .map(|(at, value)| update(at, value, 0)),
             );
         }
@@ -132,11 +132,11 @@
     }
 }
 
-/// What a subscription is to be sent.
+/// What is due to be sent for a subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Due {
-    /// What differs from what was sent last.
+    /// The changes since the last time.
     Changes,
-    /// That, and all else that it wants.
+    /// All selected leaves.
     Everything,
 }
--- a/management/src/gnmi/stream.rs
+++ b/management/src/gnmi/stream.rs
@@ -1,4 +1,4 @@
-//! The task of one Subscribe stream: what it sends, when, and what ends it.
+//! The task of one Subscribe stream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,12 +17,16 @@
 use super::path_subscription::PathSubscription;
 use super::snapshot::Snapshot;
 use crate::commit_service::CommitServiceHandle;
-use crate::proto::gnmi::subscribe_request::Request as Asked;
-use crate::proto::gnmi::subscribe_response::Response as Told;
+use crate::end_reason::EndReason;
+use crate::proto::gnmi::subscribe_request::Request as RequestKind;
+use crate::proto::gnmi::subscribe_response::Response as ResponseKind;
 use crate::proto::gnmi::subscription_list::Mode;
 use crate::proto::gnmi::{Notification, Path, SubscribeRequest, SubscribeResponse, Update};
 
-/// What a stream holds of the service.
+/// Time between checks whether the key of a stream may still read.
+const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// What a stream needs of the service.
 pub(super) struct StreamContext {
     pub(super) schema: &'static Schema,
     pub(super) snapshot: watch::Receiver<Arc<Snapshot>>,
@@ -40,17 +44,17 @@
 }
 
 impl SubscribeStream {
-    pub(super) async fn run(mut self, mode: Mode, asks: Streaming<SubscribeRequest>) {
-        info!(self.context.log, "a gNMI stream began"; "key" => &self.key.name, "mode" => ?mode);
-        let why = match mode {
-            Mode::Once => self.serve_once().await,
-            Mode::Poll => self.serve_polls(asks).await,
-            Mode::Stream => self.serve_changes(asks).await,
+    pub(super) async fn run(mut self, mode: Mode, requests: Streaming<SubscribeRequest>) {
+        info!(self.context.log, "gNMI stream opened"; "key" => &self.key.name, "mode" => ?mode);
+        let reason = match mode {
+            Mode::Once => self.run_once().await,
+            Mode::Poll => self.run_poll(requests).await,
+            Mode::Stream => self.run_stream(requests).await,
         };
-        info!(self.context.log, "a gNMI stream ended"; "key" => &self.key.name, "why" => why);
+        info!(self.context.log, "gNMI stream closed"; "key" => &self.key.name, "reason" => %reason);
     }
 
-    async fn send(&self, response: Told) -> bool {
+    async fn send(&self, response: ResponseKind) -> bool {
         self.sender
             .send(Ok(SubscribeResponse {
                 response: Some(response),
@@ -60,23 +64,24 @@
             .is_ok()
     }
 
-    /// Everything that is wanted, then that it was everything.
-    async fn send_all(&mut self, silent: bool) -> bool {
+    /// Sends all leaves of all subscriptions unless `updates_only`, and the sync response.
+    async fn send_all(&mut self, updates_only: bool) -> bool {
         let snapshot = self.context.snapshot.borrow().clone();
-        for place in 0..self.subscriptions.len() {
-            let now = snapshot.leaves(self.context.schema, &self.subscriptions[place].selection);
+        for index in 0..self.subscriptions.len() {
+            let now = snapshot.leaves(self.context.schema, &self.subscriptions[index].selection);
             let update: Vec<_> = now.iter().map(|(at, value)| update(at, value, 0)).collect();
-            self.subscriptions[place].sent = now;
-            if !silent && !update.is_empty() && !self.send_notification(update, vec![]).await {
+            self.subscriptions[index].sent = now;
+            if !updates_only && !update.is_empty() && !self.send_notification(update, vec![]).await
+            {
                 return false;
             }
         }
-        self.send(Told::SyncResponse(true)).await
+        self.send(ResponseKind::SyncResponse(true)).await
     }
 
     async fn send_notification(&self, update: Vec<Update>, delete: Vec<Path>) -> bool {
         let prefix = self.prefix.clone();
-        self.send(Told::Update(Notification {
+        self.send(ResponseKind::Update(Notification {
             timestamp: nanos(),
             prefix,
             update,
@@ -86,26 +91,26 @@
         .await
     }
 
-    async fn serve_once(&mut self) -> &'static str {
+    async fn run_once(&mut self) -> EndReason {
         if self.send_all(self.updates_only).await {
-            "all was sent"
+            EndReason::Completed
         } else {
-            "it went away"
+            EndReason::Disconnected
         }
     }
 
-    async fn serve_polls(&mut self, mut asks: Streaming<SubscribeRequest>) -> &'static str {
+    async fn run_poll(&mut self, mut requests: Streaming<SubscribeRequest>) -> EndReason {
         if !self.send_all(self.updates_only).await {
-            return "it went away";
+            return EndReason::Disconnected;
         }
-        while let Some(Ok(ask)) = asks.next().await {
-            match ask.request {
-                Some(Asked::Poll(_)) if !self.may_still_read() => {
-                    return "its key is no longer in the file of keys";
+        while let Some(Ok(request)) = requests.next().await {
+            match request.request {
+                Some(RequestKind::Poll(_)) if !self.may_still_read() => {
+                    return EndReason::KeyRevoked;
                 }
-                Some(Asked::Poll(_)) => {
+                Some(RequestKind::Poll(_)) => {
                     if !self.send_all(false).await {
-                        return "it went away";
+                        return EndReason::Disconnected;
                     }
                 }
                 _ => {
@@ -118,11 +123,11 @@
                             "a poll",
                         )))
                         .await;
-                    return "it sent something else than a poll";
+                    return EndReason::UnexpectedRequest;
                 }
             }
         }
-        "it asked no more"
+        EndReason::NoMoreRequests
     }
 
     fn may_still_read(&self) -> bool {
@@ -134,15 +139,15 @@
             .is_some_and(|rights| rights.read)
     }
 
-    async fn serve_changes(&mut self, mut asks: Streaming<SubscribeRequest>) -> &'static str {
+    async fn run_stream(&mut self, mut requests: Streaming<SubscribeRequest>) -> EndReason {
         let mut changes = self.context.snapshot.clone();
         let mut seen = changes.borrow_and_update().number;
         if !self.send_all(self.updates_only).await {
-            return "it went away";
+            return EndReason::Disconnected;
         }
         loop {
-            if let Err(why) = self.wait(&mut changes, &mut asks).await {
-                return why;
+            if let Err(reason) = self.wait_for_event(&mut changes, &mut requests).await {
+                return reason;
             }
             if !self.may_still_read() {
                 let _ = self
@@ -151,58 +156,65 @@
                         "certificate: is no longer in the file of keys",
                     )))
                     .await;
-                return "its key is no longer in the file of keys";
+                return EndReason::KeyRevoked;
             }
             let snapshot = changes.borrow_and_update().clone();
             let progress = Progress::between(seen, snapshot.number);
             seen = snapshot.number;
             if !self.send_due(&snapshot, progress).await {
-                return "it went away";
+                return EndReason::Disconnected;
             }
         }
     }
 
-    /// Waits for a change, for a timer of a subscription or for the next look at the keys; an error says what ends
-    /// the stream.
-    async fn wait(
+    /// Waits for a change, for a timer of a subscription or for the next check of the key.
+    ///
+    /// # Errors
+    ///
+    /// With the reason why the stream ends.
+    async fn wait_for_event(
         &self,
         changes: &mut watch::Receiver<Arc<Snapshot>>,
-        asks: &mut Streaming<SubscribeRequest>,
-    ) -> Result<(), &'static str> {
+        requests: &mut Streaming<SubscribeRequest>,
+    ) -> Result<(), EndReason> {
         let next = self
             .subscriptions
             .iter()
             .filter_map(PathSubscription::next_timer)
             .min();
-        // Keys may go at any time, also while nothing changes.
-        let look = Instant::now() + Duration::from_secs(1);
+        // A key may be revoked while nothing changes.
+        let key_check = Instant::now() + KEY_CHECK_INTERVAL;
         tokio::select! {
-            changed = changes.changed() => changed.map_err(|_| "the router stops"),
-            _ = sleep_until(next.map_or(look, |next| next.min(look))) => Ok(()),
-            ask = asks.next() => match ask {
-                None => Err("it asked no more"),
-                Some(Err(_)) => Err("it went away"),
+            changed = changes.changed() => changed.map_err(|_| EndReason::RouterStopping),
+            _ = sleep_until(next.map_or(key_check, |next| next.min(key_check))) => Ok(()),
+            request = requests.next() => match request {
+                None => Err(EndReason::NoMoreRequests),
+                Some(Err(_)) => Err(EndReason::Disconnected),
                 Some(Ok(_)) => {
                     let what = "a stream takes no more requests";
                     let error = invalid_argument("subscribe", what, "another", "none");
                     let _ = self.sender.send(Err(error)).await;
-                    Err("it sent something else")
+                    Err(EndReason::UnexpectedRequest)
                 }
             },
-            _ = self.sender.closed() => Err("it went away"),
+            _ = self.sender.closed() => Err(EndReason::Disconnected),
         }
     }
 
-    /// Sends what each subscription is due; false where nobody takes it any more.
+    /// Sends what is due for each subscription; false if the client has gone.
     async fn send_due(&mut self, snapshot: &Snapshot, progress: Progress) -> bool {
         let now = Instant::now();
-        for place in 0..self.subscriptions.len() {
-            let subscription = &mut self.subscriptions[place];
+        for index in 0..self.subscriptions.len() {
+            let subscription = &mut self.subscriptions[index];
             let Some(due) = subscription.due_at(now, progress.changed) else {
                 continue;
             };
-            let (updates, deleted) =
-                subscription.take_updates(self.context.schema, snapshot, due, progress.coalesced);
+            let (updates, deleted) = subscription.updates_since_last(
+                self.context.schema,
+                snapshot,
+                due,
+                progress.coalesced,
+            );
             if (!updates.is_empty() || !deleted.is_empty())
                 && !self.send_notification(updates, deleted).await
             {
@@ -213,12 +225,11 @@
     }
 }
 
-/// How far what is published has moved on since a stream read it last.
+/// The progress of the published data since a stream read it last.
 #[derive(Clone, Copy)]
 struct Progress {
     changed: bool,
-    /// Changes that the newest stands for beside itself: who reads slowly gets the newest, and is told how many
-    /// changes that stands for.
+    /// Changes before the newest one that are not sent one by one, since the client reads slowly.
     coalesced: u32,
 }
 
--- a/management/src/lib.rs
+++ b/management/src/lib.rs
@@ -1,18 +1,18 @@
-//! Management fronts: NETCONF over SSH and gNMI over TLS, by the published models. Nothing here writes to the
-//! router: every edit is a candidate that the commit service checks and commits, and what is read is what it has
-//! published.
-//!
-//! Both fronts run in a thread of their own, with a runtime of their own.
+//! The management interfaces: NETCONF over SSH and gNMI over TLS, by the published models. They never change the router
+//! themselves: an edit is a candidate that the commit service checks and commits, and what clients read is what the
+//! commit service has published.
 
+mod clock;
 pub mod commit_service;
+mod end_reason;
 mod error;
 pub mod gnmi;
 pub mod netconf;
 pub mod state;
 
-/// The gNMI service as its published specification describes it.
+/// The generated code of the gNMI service.
 pub mod proto {
-    #![allow(missing_docs, clippy::all)]
+    #![allow(missing_docs, clippy::all, clippy::pedantic)]
     pub mod gnmi {
         tonic::include_proto!("gnmi");
     }
@@ -21,45 +21,49 @@
     }
 }
 
+use std::time::Duration;
+
 pub use commit_service::{CommitServiceHandle, CommitServiceRequest, Notification};
 pub use error::ServeError;
 pub use russh::keys;
 
-/// What sessions may hold. Sizes in bytes, times in seconds.
+/// The limits of connections, sessions and subscriptions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Of one message, and of one gNMI request.
-    pub message: usize,
-    /// Open connections of one front.
-    pub connections: usize,
-    /// Sessions and streams of one front whose client has proved who it is.
-    pub sessions: usize,
-    /// To prove who one is, and to say hello.
-    pub enter: f64,
-    /// Between keepalive messages on a quiet connection.
-    pub alive: f64,
-    /// Keepalive messages in a row that may stay without an answer.
-    pub missed: usize,
-    /// Notifications that wait for one session.
-    pub notifications: usize,
-    /// Requests and streams of one gNMI connection.
-    pub streams: u32,
-    /// The least time between samples.
-    pub sample: f64,
+    /// Size of a NETCONF message and of a gNMI request, in bytes.
+    pub max_message_bytes: usize,
+    /// Open connections of each protocol.
+    pub max_connections: usize,
+    /// NETCONF sessions, and gNMI streams.
+    pub max_sessions: usize,
+    /// Time of a client to authenticate, and to send its hello.
+    pub login_timeout: Duration,
+    /// Time between keepalive messages on an idle connection.
+    pub keepalive_interval: Duration,
+    /// Keepalive messages in a row without a reply before a connection is closed.
+    pub max_missed_keepalives: usize,
+    /// Notifications that are queued for one session.
+    pub max_queued_notifications: usize,
+    /// Concurrent requests and streams of one gNMI connection.
+    pub max_streams: u32,
+    /// Shortest time between samples and between heartbeats of a subscription.
+    pub min_sample_interval: Duration,
 }
 
+const MEBIBYTE: usize = 1 << 20;
+
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            message: 4 << 20,
-            connections: 1200,
-            sessions: 1100,
-            enter: 10.0,
-            alive: 10.0,
-            missed: 3,
-            notifications: 1024,
-            streams: 32,
-            sample: 0.05,
+            max_message_bytes: 4 * MEBIBYTE,
+            max_connections: 1200,
+            max_sessions: 1100,
+            login_timeout: Duration::from_secs(10),
+            keepalive_interval: Duration::from_secs(10),
+            max_missed_keepalives: 3,
+            max_queued_notifications: 1024,
+            max_streams: 32,
+            min_sample_interval: Duration::from_millis(50),
         }
     }
 }
--- a/measure/src/capacity/fleet_run/registry/tests.rs
+++ b/measure/src/capacity/fleet_run/registry/tests.rs
@@ -28,7 +28,7 @@
 fn the_whole_list_is_read_by_the_routers_own_codec() {
     let mut registry = registry();
     let answer = registry.answer(Scope(2), None);
-    let list = discovery::list(answer.body.as_bytes()).unwrap();
+    let list = discovery::parse_list(answer.body.as_bytes()).unwrap();
     assert!(list.all);
     assert_eq!((list.rev, list.targets.len()), (1, 2));
     assert_eq!(
@@ -47,10 +47,10 @@
     registry.publish();
     let answer = registry.answer(Scope(9), Some(1));
     assert_eq!(
-        (answer.version, answer.whole, &*answer.told),
+        (answer.version, answer.complete, &*answer.received),
         (3, false, &[(1, true)][..])
     );
-    let list = discovery::list(answer.body.as_bytes()).unwrap();
+    let list = discovery::parse_list(answer.body.as_bytes()).unwrap();
     assert_eq!(
         (list.targets.len(), list.targets[0].state()),
         (1, HostState::Gone)
@@ -59,9 +59,9 @@
         registry.answer(Scope(9), Some(3)).body.as_ref(),
         "{\"rev\":3,\"all\":false,\"targets\":[]}"
     );
-    let whole = registry.answer(Scope(9), None);
+    let complete = registry.answer(Scope(9), None);
     assert_eq!(
-        discovery::list(whole.body.as_bytes())
+        discovery::parse_list(complete.body.as_bytes())
             .unwrap()
             .targets
             .len(),
--- /dev/null
+++ b/router/src/routing/dispatch_decisions.rs
@@ -0,0 +1,74 @@
+//! Dispatch of decisions: an event goes to the decisions, and their effects are carried out. Nothing is decided here.
+
+use kestreltide::interface::*;
+use slog::info;
+
+use super::metrics::Counter;
+use super::{Routing, TimerEvent};
+use crate::protocol::client;
+use crate::protocol::resp::write_error;
+
+const MILLIS: f64 = 1e3;
+
+impl Routing {
+    pub(super) fn dispatch_event(&mut self, event: Event) {
+        let mut effects = std::mem::take(&mut self.effects);
+        let left = if let Event::ClientDisconnected { request } = &event {
+            Some(request.clone())
+        } else {
+            None
+        };
+        self.decisions
+            .handle(self.event_loop.now(), event, &mut effects);
+        left.map(|request| self.requests.release(&request));
+        effects.drain(..).for_each(|effect| self.carry_out(effect));
+        self.effects = effects;
+    }
+
+    fn carry_out(&mut self, effect: Effect) {
+        match effect {
+            Effect::StartAttempt {
+                request,
+                host,
+                time_out,
+                connection,
+            } => self.start_attempt(request, host, time_out, connection),
+            Effect::CancelAttempt { request, attempt } => self.cancel_attempt(&request, attempt),
+            Effect::ShedRequest {
+                request,
+                retry_after,
+            } => {
+                self.event_loop.metrics.increment(Counter::RequestsShed);
+                let millis = retry_after.map(|time| (time * MILLIS).ceil().max(0.0) as u64);
+                self.answer(&request, |out| client::write_busy(out, millis));
+            }
+            Effect::FailRequest { request } => {
+                self.event_loop.metrics.increment(Counter::RequestsFailed);
+                self.answer(&request, |out| write_error(out, "ERR failed"));
+            }
+            Effect::ScheduleTimer { at, key } => {
+                self.event_loop.schedule(at, TimerEvent::Decisions(key))
+            }
+            Effect::StartHealthCheck { host } => self.start_health_check(host),
+            Effect::CloseIdleConnections { host } => {
+                self.upstreams.close_idle(&self.event_loop, host)
+            }
+            Effect::SendGossip { to, payload } => {
+                if let Some(peers) = &self.peers {
+                    peers.send(&mut self.event_loop, to, &payload);
+                }
+            }
+            Effect::CastVote { build, stage, vote } => self.cast_vote(build, stage, vote),
+            Effect::SubscribeEndpointList { on } => self.subscribe_endpoint_list(on),
+            Effect::FetchEndpointList => self.fetch_endpoint_list(),
+            Effect::ExplainVote(evidence) => info!(self.event_loop.log, "vote evidence";
+                "build" => evidence.build.0,
+                "stage" => evidence.stage,
+                "vote" => ?evidence.vote,
+                "in_time" => %evidence.in_time,
+                "no_error" => %evidence.no_error,
+                "quick" => %evidence.quick,
+                "relative_slowdown" => format!("{:.2}", evidence.relative_slowdown)),
+        }
+    }
+}
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -1,55 +1,50 @@
-//! The stages that a request passes, and the parties around them. A request is taken in, admitted, routed,
-//! sent, relayed and booked, each by a unit of its own; only `route` speaks with the decisions.
+//! The path of a request and its event loop: each owner of state is a type of its own, and [`Routing`] carries what
+//! crosses between them. Only `dispatch_decisions` speaks with the decisions.
 
-mod admit;
+mod admission;
 mod arrivals;
-mod book;
-mod discovery;
-mod fronts;
-mod peers;
-mod platform;
-mod relay;
-mod route;
-mod send;
-mod shutdown;
-mod take_in;
+mod attempts;
+mod client_connection;
+mod discovery_watch;
+mod dispatch_decisions;
+mod endpoint_list;
+mod endpoint_table;
+mod event_loop;
+mod gossip_peers;
+mod graceful_shutdown;
+mod management_link;
+mod metrics;
+mod platform_client;
+mod response_relay;
+mod rollout;
+mod shutdown_actions;
+mod upstream_connection;
+mod upstream_pool;
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 
 use kestreltide::decisions::Router;
 use kestreltide::interface::*;
 use kestreltide_settings::TransportSettings;
-use rand::SeedableRng;
-use rand_chacha::ChaCha8Rng;
 use slog::{Logger, info};
 
 use crate::limits::Limits;
-use crate::transport::{Clock, IdleConnections, Listener, Priority, Reactor, SocketId, Timers};
-use admit::Admitted;
-use book::{Hosts, Tally};
-use discovery::Discovery;
-pub use fronts::{Box as FrontBox, Loop, Notice, Pulse};
-use peers::Peers;
-use platform::Platform;
-use send::Link;
-use shutdown::Shutdown;
-use take_in::Client;
+use crate::transport::{Clock, Listener, Reactor, SocketId};
+use admission::RequestTable;
+use client_connection::Client;
+use discovery_watch::DiscoveryWatch;
+use endpoint_table::EndpointTable;
+use event_loop::{EventLoop, ReadySocket, SocketOwner, TimerEvent};
+use gossip_peers::GossipPeers;
+use graceful_shutdown::{GracefulShutdown, ShutdownInput};
+pub use management_link::{Heartbeat, LoopHandle, ManagementInbox, ManagementMessage};
+use platform_client::PlatformClient;
+use upstream_pool::UpstreamPool;
 
-// News first: stale news breaks drains and exposure after a stall. Then answers that are already here, so that
-// they do not lose to time-outs; then clients; alarms come after all that was read.
-const NEWS: Priority = Priority(0);
-const PLATFORM: Priority = Priority(1);
-// What operators drain and take out binds as discovery's news do.
-const FRONTS: Priority = Priority(2);
-const PEERS: Priority = Priority(3);
-const HOSTS: Priority = Priority(4);
-const CLIENTS: Priority = Priority(5);
-const LISTENER: Priority = Priority(6);
-
-/// Where everybody is, and what this router held when it was started.
-pub struct Parties {
+/// The addresses of this router and of those that it speaks with.
+pub struct Addresses {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub platform: Option<SocketAddr>,
@@ -58,7 +53,7 @@
     pub peers_all: Option<SocketAddr>,
 }
 
-/// What there is to do after a turn.
+/// What is to be done after a turn of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
     Next,
@@ -67,86 +62,57 @@
     Over,
 }
 
-/// What is due at a time.
+/// Why the router reports that it is ready to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Due {
-    Decisions(TimerKey),
-    /// The use of a connection to a host that has this number must be over.
-    UseOver(SocketId, u64),
-    /// By now the connection must be up and the command written.
-    WriteOver(SocketId, u64),
-    AcceptAgain,
-    Sweep,
-    CallOver(SocketId, u64),
-    /// By now the connection to discovery must be up.
-    CallUp(SocketId, u64),
-    /// By now the answer that has begun must be whole, or more of it have come.
-    CallRest(SocketId, u64),
-    WatchAgain,
-    PlatformAgain,
-    /// By now the platform's line that has begun must be whole, or more of it have come.
-    LineRest,
-    VoteOver(u64),
-    Ready,
-    ServingOver,
-    DrainingOver,
-    /// Of the graceful shutdown: who is told of the close and silent has had its time.
-    DrainAgain,
-    /// Nobody has come since all connections were closed for the time of this number.
-    LastCallOver(u64),
-    LastTime,
-    ShutdownEnd,
-    View,
+enum ReadyReason {
+    /// Discovery and the platform have both answered.
+    Observed,
+    /// Operators alone list the endpoints: discovery is not asked.
+    OperatorsOnly,
+    /// The time to wait for discovery and the platform is over.
+    Timeout,
+}
+
+impl ReadyReason {
+    /// The reason as the log names it.
+    fn name(self) -> &'static str {
+        match self {
+            ReadyReason::Observed => "news",
+            ReadyReason::OperatorsOnly => "operators",
+            ReadyReason::Timeout => "time",
+        }
+    }
 }
 
+/// The router: all owners of state, and what crosses between them.
 pub struct Routing {
-    log: Logger,
-    limits: Limits,
+    event_loop: EventLoop,
     transport: TransportSettings,
     idempotency: Vec<Idempotency>,
-    clock: Clock,
-    reactor: Reactor,
     decisions: Router,
-    /// For waits only; the decisions have their own.
-    chance: ChaCha8Rng,
-    events: VecDeque<Event>,
     effects: Vec<Effect>,
     /// Clients whose further commands may be taken now.
-    resumed: Vec<SocketId>,
+    resumed_clients: Vec<SocketId>,
     /// Clients that have had their turn and have more to be read.
-    later: Vec<SocketId>,
-    timers: Timers<Due>,
+    ready_again: Vec<SocketId>,
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
-    admitted: BTreeMap<RequestId, Admitted>,
-    /// As clients named them, and who holds each.
-    open_ids: BTreeMap<Box<[u8]>, SocketId>,
-    held: usize,
-    last_inv: u64,
-    links: BTreeMap<SocketId, Link>,
-    idle_connections: IdleConnections<HostId>,
-    hosts: Hosts,
-    discovery: Discovery,
-    platform: Option<Platform>,
-    /// The newest build, as last told.
-    newest: Option<RolloutStatus>,
-    peers: Option<Peers>,
-    /// Where other threads post, where there are any.
-    fronts: Option<fronts::Fronts>,
+    requests: RequestTable,
+    upstreams: UpstreamPool,
+    endpoints: EndpointTable,
+    discovery: DiscoveryWatch,
+    platform: Option<PlatformClient>,
+    /// The status of the newest build, as last received.
+    rollout_status: Option<RolloutStatus>,
+    peers: Option<GossipPeers>,
+    /// The link to the management threads, where there are any.
+    management: Option<management_link::ManagementLink>,
     ready: bool,
-    /// An alarm is set for clients that could not be accepted.
+    /// A timer is set for clients that could not be accepted.
     accept_due: bool,
-    shutdown: Shutdown,
-    /// A timer is set for who is told of the close, or silent; how often all connections were closed; the last
-    /// time before SIGKILL, once told.
-    drain_due: bool,
-    last_calls: u64,
-    last_at: Option<f64>,
-    tally: Tally,
-    /// When the last sleep ended, and how long what is read from a socket now may have waited there.
-    woken: f64,
-    stall: f64,
-    told_nothing: bool,
+    shutdown: GracefulShutdown,
+    /// A timer is set for clients that are silent, or were notified of the close.
+    drain_scheduled: bool,
 }
 
 impl Routing {
@@ -154,144 +120,116 @@
         log: Logger,
         (limits, clock): (Limits, Clock),
         mut reactor: Reactor,
-        told: (ServiceSettings, TransportSettings),
-        parties: Parties,
+        settings: (ServiceSettings, TransportSettings),
+        addresses: Addresses,
         seed: u64,
     ) -> io::Result<Self> {
-        let (now, (terms, transport)) = (clock.now(), told);
+        let (now, (terms, transport)) = (clock.now(), settings);
         let listener = Listener::open(
             &mut reactor,
-            parties.listen,
+            addresses.listen,
             limits.clients.backlog,
-            LISTENER,
+            SocketOwner::Listener.priority(),
         )?;
         let at = listener.address()?;
         let idempotency = terms.operations.iter().map(|o| o.idempotency).collect();
-        let discovery = Discovery::new(parties.discovery, terms.polls_endpoint_list, &limits);
-        let platform = parties.platform.map(|at| Platform::new(at, &limits));
-        let peers = match parties.peer_listen.filter(|_| terms.may_gossip) {
-            Some(at) => Some(Peers::open(
+        let discovery =
+            DiscoveryWatch::new(addresses.discovery, terms.polls_endpoint_list, &limits);
+        let platform = addresses
+            .platform
+            .map(|at| PlatformClient::new(at, transport.operations.clone(), &limits));
+        let peers = match addresses.peer_listen.filter(|_| terms.may_gossip) {
+            Some(at) => Some(GossipPeers::open(
                 &mut reactor,
                 at,
-                parties.peers,
-                parties.peers_all,
+                addresses.peers,
+                addresses.peers_all,
                 &limits,
             )?),
             None => None,
         };
+        let endpoints = EndpointTable::new(limits.discovery.hosts);
         let mut routing = Routing {
-            timers: Timers::new(limits.event_loop.timers),
+            event_loop: EventLoop::new(log, limits, clock, reactor, seed),
             decisions: Router::start(terms, seed, now),
-            chance: ChaCha8Rng::seed_from_u64(!seed),
-            events: VecDeque::new(),
             effects: vec![],
-            resumed: vec![],
-            later: vec![],
+            resumed_clients: vec![],
+            ready_again: vec![],
             listener: Some(listener),
             clients: BTreeMap::new(),
-            admitted: BTreeMap::new(),
-            open_ids: BTreeMap::new(),
-            held: 0,
-            last_inv: 0,
-            links: BTreeMap::new(),
-            idle_connections: IdleConnections::default(),
-            hosts: Hosts::new(limits.discovery.hosts),
+            requests: RequestTable::default(),
+            upstreams: UpstreamPool::default(),
+            endpoints,
             ready: false,
             accept_due: false,
-            shutdown: Shutdown::No,
-            drain_due: false,
-            last_calls: 0,
-            last_at: None,
-            tally: Tally::default(),
-            woken: now,
-            stall: 0.0,
-            told_nothing: false,
-            log,
-            limits,
+            shutdown: GracefulShutdown::new(),
+            drain_scheduled: false,
             transport,
             idempotency,
-            clock,
-            reactor,
             discovery,
             platform,
-            newest: None,
+            rollout_status: None,
             peers,
-            fronts: None,
+            management: None,
         };
-        routing
-            .timers
-            .schedule(now + routing.limits.event_loop.expiry_interval, Due::Sweep);
-        routing
-            .timers
-            .schedule(now + routing.limits.event_loop.ready_timeout, Due::Ready);
-        info!(routing.log, "listening"; "at" => %at, "clients" => routing.limits.clients.connections,
-            "host_links" => routing.limits.upstream.connections);
+        routing.event_loop.schedule(
+            now + routing.event_loop.limits.event_loop.expiry_interval,
+            TimerEvent::ExpireIdle,
+        );
+        routing.event_loop.schedule(
+            now + routing.event_loop.limits.event_loop.ready_timeout,
+            TimerEvent::Ready,
+        );
+        info!(routing.event_loop.log, "listening"; "at" => %at, "clients" => routing.event_loop.limits.clients.connections,
+            "host_links" => routing.event_loop.limits.upstream.connections);
         Ok(routing)
     }
 
     /// Reaches out to discovery and the platform; what the router held before has been told by now.
     pub fn begin(&mut self) {
-        if !self.discovery.asked_only() {
-            self.watch_begin();
+        if !self.discovery.is_on_demand() {
+            self.begin_watch();
         }
-        self.platform_begin();
-        self.publish();
+        self.with_platform(PlatformClient::connect);
+        self.publish_view();
         if self.discovery.is_off() {
-            self.ready_by("operators");
+            self.mark_ready(ReadyReason::OperatorsOnly);
         }
-        self.settle();
+        self.process_pending();
     }
 
     /// Discovery and the platform have moved, and nothing else has: what was learnt from them stays.
-    pub fn moved(&mut self, discovery: SocketAddr, platform: Option<SocketAddr>) {
-        self.discovery_moved(discovery);
+    pub fn change_addresses(&mut self, discovery: SocketAddr, platform: Option<SocketAddr>) {
+        self.change_discovery_address(discovery);
         if let Some(at) = platform {
-            self.platform_moved(at);
+            self.change_platform_address(at);
         }
-        self.settle();
+        self.process_pending();
     }
 
     /// Sleeps until something happens and serves it.
     pub fn turn(&mut self) -> io::Result<Turn> {
-        let now = self.clock.now();
-        let next = self
-            .timers
-            .next_deadline()
-            .map_or(self.limits.event_loop.max_sleep, |at| at - now);
-        let sleep = if self.later.is_empty() && !self.is_staging() {
-            next.clamp(0.0, self.limits.event_loop.max_sleep)
-        } else {
-            0.0
-        };
-        let (sockets, signals) = self.reactor.poll(sleep)?;
-        // Since the last look: what the work of the last turn took, and a sleep longer than asked for.
-        let woken = self.clock.now();
-        let stall = (now - self.woken) + (woken - now - sleep).max(0.0);
-        // A signal that ends a standstill can end the sleep with nothing told: what is there at once after that
-        // was there before.
-        let carried = if self.told_nothing && woken - now < self.limits.event_loop.immediate_wake {
-            self.stall
-        } else {
-            0.0
-        };
-        (self.stall, self.woken, self.told_nothing) =
-            (stall.max(carried), woken, sockets.is_empty());
-        if self.stall > self.limits.event_loop.delay_warning {
-            slog::warn!(self.log, "this process stood still"; "seconds" => self.stall);
-        }
+        let may_sleep = self.ready_again.is_empty() && !self.is_staging();
+        let (sockets, signals) = self.event_loop.poll(may_sleep)?;
         if signals.stop {
-            self.shutdown_told();
+            self.advance_shutdown(ShutdownInput::Requested);
         }
-        // In the order of ranks, clients come last anyway; who is both ready and due again is served once more.
-        for id in sockets.into_iter().chain(std::mem::take(&mut self.later)) {
-            self.serve(id);
-            self.settle();
+        // Those that come to it in this turn wait for the next one.
+        let ready_again = std::mem::take(&mut self.ready_again);
+        for socket in sockets {
+            self.serve(socket);
+            self.process_pending();
         }
-        self.stage();
+        // A client that is both ready and due again is served once more.
+        for id in ready_again {
+            self.read_client(id);
+            self.process_pending();
+        }
+        self.stage_next_part();
         // Only what was due before anything was read: answers that are here go before time-outs.
-        while let Some(due) = self.timers.pop_due(woken) {
-            self.due(due);
-            self.settle();
+        while let Some(event) = self.event_loop.next_due_timer() {
+            self.on_timer(event);
+            self.process_pending();
         }
         Ok(match signals.reload {
             _ if self.is_over() => Turn::Over,
@@ -300,108 +238,120 @@
         })
     }
 
-    fn serve(&mut self, id: SocketId) {
-        if self.links.contains_key(&id) {
-            self.link_ready(id);
-        } else if self.clients.contains_key(&id) {
-            self.take_in(id);
-        } else if self
-            .listener
-            .as_ref()
-            .is_some_and(|listener| listener.id == id)
-        {
-            let _ = self.accept();
-        } else if self.fronts.as_ref().is_some_and(|fronts| fronts.owns(id)) {
-            self.fronts_ready();
-        } else if self.discovery.owns(id) {
-            self.discovery_ready(id);
-        } else if self
-            .platform
-            .as_ref()
-            .is_some_and(|platform| platform.owns(id))
-        {
-            self.platform_ready();
-        } else if self.peers.as_ref().is_some_and(|peers| peers.owns(id)) {
-            self.peers_ready();
+    fn serve(&mut self, socket: ReadySocket) {
+        let id = socket.id;
+        match socket.owner {
+            SocketOwner::Discovery => self.on_discovery_readable(id),
+            SocketOwner::Platform => self.with_platform(|platform, event_loop| {
+                // The socket may be that of a connection that was closed meanwhile.
+                if platform.owns(id) {
+                    platform.on_readable(event_loop);
+                }
+            }),
+            SocketOwner::Management => self.on_management_message(),
+            SocketOwner::Gossip => {
+                if let Some(peers) = &mut self.peers {
+                    peers.on_readable(&mut self.event_loop);
+                }
+            }
+            SocketOwner::Upstream => self.on_upstream_readable(id),
+            SocketOwner::Client => self.read_client(id),
+            SocketOwner::Listener => {
+                self.accept();
+            }
         }
     }
 
-    fn due(&mut self, due: Due) {
-        match due {
-            Due::Decisions(key) => self.events.push_back(Event::TimerExpired { key }),
-            Due::UseOver(id, number) => self.use_over(id, number),
-            Due::WriteOver(id, number) => self.write_over(id, number),
-            Due::AcceptAgain => {
+    fn on_timer(&mut self, event: TimerEvent) {
+        match event {
+            TimerEvent::Decisions(key) => self
+                .event_loop
+                .notify_decisions(Event::TimerExpired { key }),
+            TimerEvent::UpstreamUseTimeout(id, number) => self.on_use_timeout(id, number),
+            TimerEvent::UpstreamWriteTimeout(id, number) => self.on_write_timeout(id, number),
+            TimerEvent::AcceptAgain => {
                 self.accept_due = false;
                 let _ = self.accept();
             }
-            Due::Sweep => self.sweep(),
-            Due::CallOver(id, number) => self.call_over(id, number),
-            Due::CallUp(id, number) => self.call_up(id, number),
-            Due::CallRest(id, number) => self.call_rest(id, number),
-            Due::WatchAgain => self.watch_begin(),
-            Due::PlatformAgain => self.platform_begin(),
-            Due::LineRest => self.line_rest(),
-            Due::VoteOver(call) => self.vote_over(call),
-            Due::Ready => self.ready_by("time"),
-            Due::ServingOver => self.serving_over(),
-            Due::DrainingOver => self.draining_over(),
-            Due::DrainAgain => self.drain_due(),
-            Due::LastCallOver(number) => self.last_call_over(number),
-            Due::LastTime => self.last_time(),
-            Due::ShutdownEnd => self.shutdown_end(),
-            Due::View => self.publish(),
+            TimerEvent::ExpireIdle => self.expire_idle(),
+            TimerEvent::DiscoveryCallTimeout(id, number) => {
+                self.discovery
+                    .on_call_timeout(&mut self.event_loop, id, number)
+            }
+            TimerEvent::DiscoveryConnectTimeout(id, number) => {
+                self.discovery
+                    .on_connect_timeout(&mut self.event_loop, id, number)
+            }
+            TimerEvent::DiscoveryAnswerTimeout(id, number) => {
+                self.discovery
+                    .on_answer_timeout(&mut self.event_loop, id, number)
+            }
+            TimerEvent::DiscoveryRetry => self.begin_watch(),
+            TimerEvent::PlatformReconnect => self.with_platform(PlatformClient::connect),
+            TimerEvent::PlatformLineTimeout => self.with_platform(PlatformClient::on_line_timeout),
+            TimerEvent::VoteTimeout(call) => {
+                self.with_platform(|platform, event_loop| {
+                    platform.on_vote_timeout(event_loop, call)
+                });
+            }
+            TimerEvent::Ready => self.mark_ready(ReadyReason::Timeout),
+            TimerEvent::ServingOver => self.advance_shutdown(ShutdownInput::ServingOver),
+            TimerEvent::DrainingOver => self.advance_shutdown(ShutdownInput::DrainingOver),
+            TimerEvent::DrainAgain => self.on_drain_timer(),
+            TimerEvent::LastClientsOver(round) => self.on_last_clients_over(round),
+            TimerEvent::KillNear => self.advance_shutdown(ShutdownInput::KillNear),
+            TimerEvent::ShutdownDeadline => self.advance_shutdown(ShutdownInput::Deadline),
+            TimerEvent::PublishView => self.publish_view(),
         }
     }
 
     /// Events until none is left, and the commands of clients that may go on.
-    fn settle(&mut self) {
+    fn process_pending(&mut self) {
         loop {
-            if let Some(event) = self.events.pop_front() {
-                self.route(event);
-            } else if let Some(id) = self.resumed.pop() {
-                self.take_in(id);
+            if let Some(event) = self.event_loop.next_decision_event() {
+                self.dispatch_event(event);
+            } else if let Some(id) = self.resumed_clients.pop() {
+                self.read_client(id);
             } else {
                 return;
             }
         }
     }
 
-    fn set_due(&mut self, at: f64, due: Due) {
-        if !self.timers.schedule(at, due) {
-            slog::error!(self.log, "an alarm was dropped, too many are set"; "due" => ?due);
-        }
-    }
-
-    fn ready_by(&mut self, what: &str) {
-        let heard = self.discovery.heard() && self.platform.as_ref().is_none_or(Platform::heard);
-        if !self.ready && (heard || what == "time") {
+    fn mark_ready(&mut self, reason: ReadyReason) {
+        let has_observed = self.discovery.has_answered()
+            && self
+                .platform
+                .as_ref()
+                .is_none_or(PlatformClient::has_received_state);
+        if !self.ready && (has_observed || reason == ReadyReason::Timeout) {
             self.ready = true;
-            info!(self.log, "ready"; "by" => what, "hosts" => self.hosts.len());
+            info!(self.event_loop.log, "ready"; "by" => reason.name(), "hosts" => self.endpoints.len());
         }
     }
 
-    fn sweep(&mut self) {
-        let now = self.clock.now();
-        self.set_due(now + self.limits.event_loop.expiry_interval, Due::Sweep);
-        for id in self
-            .idle_connections
-            .take_unused_since(now - self.limits.upstream.idle_timeout)
-        {
-            self.close_link(id);
-        }
-        self.platform_check(now);
-        self.close_stuck(now);
-        self.close_unspoken(now);
-        self.check_pulses(now);
-        let using = self.links.values().map(Link::host).collect();
-        self.hosts.forget_gone(&using);
+    fn expire_idle(&mut self) {
+        let now = self.event_loop.now();
+        self.event_loop.schedule(
+            now + self.event_loop.limits.event_loop.expiry_interval,
+            TimerEvent::ExpireIdle,
+        );
+        let idle_since = now - self.event_loop.limits.upstream.idle_timeout;
+        self.upstreams
+            .close_idle_since(&self.event_loop, idle_since);
+        self.with_platform(|platform, event_loop| platform.check_silence(event_loop, now));
+        self.close_clients_not_reading(now);
+        self.expire_clients_without_request(now);
+        self.check_heartbeats(now);
+        let using = self.upstreams.hosts();
+        self.endpoints.forget_gone(&using);
         if let Some(line) = self
-            .tally
-            .line(now, self.limits.event_loop.state_log_interval)
+            .event_loop
+            .metrics
+            .take_line(now, self.event_loop.limits.event_loop.state_log_interval)
         {
-            info!(self.log, "state"; "open" => self.admitted.len(), "clients" => self.clients.len(),
-                "links" => self.links.len(), "idle" => self.idle_connections.count(), "counts" => line);
+            info!(self.event_loop.log, "state"; "open" => self.requests.len(), "clients" => self.clients.len(),
+                "links" => self.upstreams.len(), "idle" => self.upstreams.idle_count(), "counts" => line);
         }
     }
 }
--- /dev/null
+++ b/router/src/routing/platform_client.rs
@@ -0,0 +1,386 @@
+//! The platform client: one connection that follows the platform's rollout and carries this router's votes.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use kestreltide::interface::*;
+use slog::{debug, info, warn};
+
+use super::event_loop::{EventLoop, SocketOwner, TimerEvent};
+use super::metrics::Counter;
+use crate::limits::Limits;
+use crate::protocol::platform::{self, PlatformMessage, RolloutState};
+use crate::transport::{ReadStatus, SocketId, Stream};
+
+/// A vote that has no answer yet.
+struct PendingVote {
+    written: bool,
+    /// What the decisions are told where no answer comes.
+    unanswered: RolloutStatus,
+}
+
+impl PendingVote {
+    /// The status of a vote that is given up: once it was written, it may count.
+    fn abandon(self) -> RolloutStatus {
+        if self.written {
+            timed_out(self.unanswered)
+        } else {
+            self.unanswered
+        }
+    }
+}
+
+/// The connection to the platform and the votes on it.
+pub(super) struct PlatformClient {
+    address: SocketAddr,
+    operations: BTreeMap<String, OperationId>,
+    stream: Option<Stream>,
+    votes: BTreeMap<u64, PendingVote>,
+    last_call: u64,
+    /// When the last byte came.
+    last_received: f64,
+    /// Of a line that has begun and not ended, when the last of it came.
+    line_begun: Option<f64>,
+    connected_at: f64,
+    backoff: f64,
+    has_received_state: bool,
+    /// Rollout statuses received and not yet taken.
+    received: Vec<RolloutStatus>,
+}
+
+impl PlatformClient {
+    pub(super) fn new(
+        address: SocketAddr,
+        operations: BTreeMap<String, OperationId>,
+        limits: &Limits,
+    ) -> Self {
+        PlatformClient {
+            address,
+            operations,
+            stream: None,
+            votes: BTreeMap::new(),
+            last_call: 0,
+            last_received: 0.0,
+            line_begun: None,
+            connected_at: 0.0,
+            backoff: limits.reconnect_backoff.initial,
+            has_received_state: false,
+            received: Vec::new(),
+        }
+    }
+
+    /// Whether the platform has told its state since the start.
+    pub(super) fn has_received_state(&self) -> bool {
+        self.has_received_state
+    }
+
+    pub(super) fn owns(&self, id: SocketId) -> bool {
+        self.stream.as_ref().is_some_and(|stream| stream.id == id)
+    }
+
+    /// The rollout statuses received since the last call, in their order.
+    pub(super) fn take_received(&mut self) -> Vec<RolloutStatus> {
+        std::mem::take(&mut self.received)
+    }
+
+    /// Connects and follows the platform, unless it is connected.
+    pub(super) fn connect(&mut self, event_loop: &mut EventLoop) {
+        let now = event_loop.now();
+        if self.stream.is_some() {
+            return;
+        }
+        match Stream::connect(
+            &mut event_loop.reactor,
+            self.address,
+            SocketOwner::Platform.priority(),
+        ) {
+            Ok(mut stream) => {
+                let call = self.next_call();
+                platform::write_follow(stream.output(), call);
+                self.stream = Some(stream);
+                self.last_received = now;
+                self.line_begun = None;
+                self.connected_at = now;
+                self.on_readable(event_loop);
+            }
+            Err(e) => self.on_lost(event_loop, &e.to_string()),
+        }
+    }
+
+    /// Reads what the old address has sent by now and connects to the new one; votes that were written to the old
+    /// one may have counted.
+    pub(super) fn change_address(&mut self, event_loop: &mut EventLoop, address: SocketAddr) {
+        if self.address == address {
+            return;
+        }
+        self.on_readable(event_loop);
+        self.close(event_loop);
+        self.address = address;
+        self.backoff = event_loop.limits.reconnect_backoff.initial;
+        self.connect(event_loop);
+    }
+
+    pub(super) fn cast_vote(
+        &mut self,
+        event_loop: &mut EventLoop,
+        build: BuildId,
+        stage: u32,
+        vote: Vote,
+    ) {
+        let now = event_loop.now();
+        let unanswered = unsent_vote(build, stage);
+        let has_capacity = self.votes.len() < event_loop.limits.platform.pending_votes;
+        if self.stream.is_none() || !has_capacity {
+            return event_loop.notify_decisions(Event::RolloutStatusReceived(unanswered));
+        }
+        let call = self.next_call();
+        if let Some(stream) = &mut self.stream {
+            platform::write_vote(stream.output(), call, build, stage, vote);
+        }
+        let pending = PendingVote {
+            written: false,
+            unanswered,
+        };
+        self.votes.insert(call, pending);
+        event_loop.metrics.increment(Counter::VotesCast);
+        info!(event_loop.log, "vote cast"; "build" => build.0, "stage" => stage, "vote" => ?vote);
+        let deadline = now + event_loop.limits.platform.vote_timeout;
+        event_loop.schedule(deadline, TimerEvent::VoteTimeout(call));
+        self.on_readable(event_loop);
+    }
+
+    pub(super) fn on_vote_timeout(&mut self, event_loop: &mut EventLoop, call: u64) {
+        if let Some(vote) = self.votes.remove(&call) {
+            event_loop.notify_decisions(Event::RolloutStatusReceived(vote.abandon()));
+        }
+    }
+
+    /// Writes what waits and reads what is there.
+    pub(super) fn on_readable(&mut self, event_loop: &mut EventLoop) {
+        let now = event_loop.now();
+        let read_bytes = event_loop.limits.event_loop.read_bytes_per_turn;
+        let buffer_bytes = event_loop.limits.platform.line_bytes + read_bytes;
+        loop {
+            match self.flush() {
+                Ok(true) => {}
+                Ok(false) => return,
+                Err(e) => return self.on_lost(event_loop, &e.to_string()),
+            }
+            let Some(stream) = &mut self.stream else {
+                return;
+            };
+            let status = stream.read_available(buffer_bytes, read_bytes);
+            if !stream.input().is_empty() {
+                self.last_received = now;
+            }
+            if !self.read_lines(event_loop) {
+                return;
+            }
+            self.watch_incomplete_line(event_loop, now);
+            match status {
+                ReadStatus::Closed => return self.on_lost(event_loop, "the connection ended"),
+                ReadStatus::Drained => return,
+                ReadStatus::More => {}
+            }
+        }
+    }
+
+    /// True where all is written; false where the connection is not up, or takes no more now.
+    fn flush(&mut self) -> std::io::Result<bool> {
+        let Some(stream) = &mut self.stream else {
+            return Ok(false);
+        };
+        let flushed = stream.is_connected()? && stream.flush()?;
+        if flushed {
+            self.votes.values_mut().for_each(|vote| vote.written = true);
+        }
+        Ok(flushed)
+    }
+
+    /// Takes the lines that are complete; false where the connection was given up.
+    fn read_lines(&mut self, event_loop: &mut EventLoop) -> bool {
+        // Out of its place meanwhile: lines are read from the buffer.
+        let Some(mut stream) = self.stream.take() else {
+            return false;
+        };
+        let malformed = loop {
+            match platform::parse_line(stream.input(), event_loop.limits.platform.line_bytes) {
+                Ok(None) => break None,
+                Ok(Some((message, used))) => {
+                    self.on_message(event_loop, message);
+                    stream.consume(used);
+                }
+                Err(why) => break Some(why),
+            }
+        };
+        self.stream = Some(stream);
+        if let Some(why) = &malformed {
+            event_loop.metrics.increment(Counter::MalformedMessages);
+            self.on_lost(event_loop, &why.to_string());
+        }
+        malformed.is_none()
+    }
+
+    /// A line that stalls is given up sooner than a quiet connection.
+    fn watch_incomplete_line(&mut self, event_loop: &mut EventLoop, now: f64) {
+        let incomplete = self
+            .stream
+            .as_ref()
+            .is_some_and(|stream| !stream.input().is_empty());
+        let begins = incomplete && self.line_begun.is_none();
+        self.line_begun = incomplete.then_some(now);
+        if begins {
+            let deadline = now + event_loop.limits.message_stall_timeout;
+            event_loop.schedule(deadline, TimerEvent::PlatformLineTimeout);
+        }
+    }
+
+    pub(super) fn on_line_timeout(&mut self, event_loop: &mut EventLoop) {
+        let Some(last) = self.line_begun else {
+            return;
+        };
+        let deadline = last + event_loop.limits.message_stall_timeout;
+        if event_loop.now() < deadline {
+            return event_loop.schedule(deadline, TimerEvent::PlatformLineTimeout);
+        }
+        self.on_lost(event_loop, "a line does not end");
+    }
+
+    fn on_message(&mut self, event_loop: &mut EventLoop, message: PlatformMessage) {
+        match message {
+            PlatformMessage::Rollout(state) => {
+                self.backoff = event_loop.limits.reconnect_backoff.initial;
+                self.has_received_state = true;
+                self.on_state(event_loop, &state, false);
+            }
+            PlatformMessage::Result { call, state } => {
+                self.backoff = event_loop.limits.reconnect_backoff.initial;
+                self.on_vote_result(event_loop, call, state);
+            }
+            PlatformMessage::Error { call, outcome } => {
+                self.on_vote_error(event_loop, call, outcome)
+            }
+            PlatformMessage::Complaint {
+                host,
+                operation,
+                age,
+            } => {
+                if let Some(&operation) = self.operations.get(operation.as_ref()) {
+                    event_loop.notify_decisions(Event::AnswerDisputed {
+                        host: HostId::named(&host),
+                        operation,
+                        age,
+                    });
+                }
+            }
+            PlatformMessage::Ping => {}
+            PlatformMessage::Unknown => {
+                debug!(event_loop.log, "the platform told something unknown")
+            }
+        }
+    }
+
+    fn on_vote_result(
+        &mut self,
+        event_loop: &mut EventLoop,
+        call: u64,
+        state: Option<RolloutState>,
+    ) {
+        let Some(vote) = self.votes.remove(&call) else {
+            return;
+        };
+        match state {
+            Some(state) => self.on_state(event_loop, &state, true),
+            // An answer that cannot be read leaves open whether the vote counts.
+            None => {
+                let status = timed_out(vote.unanswered);
+                event_loop.notify_decisions(Event::RolloutStatusReceived(status));
+            }
+        }
+    }
+
+    fn on_vote_error(&mut self, event_loop: &mut EventLoop, call: u64, outcome: AttemptOutcome) {
+        let Some(vote) = self.votes.remove(&call) else {
+            return warn!(event_loop.log, "the platform refuses to be followed"; "verdict" => ?outcome);
+        };
+        event_loop.metrics.increment(Counter::VotesNotCounted);
+        debug!(event_loop.log, "a vote does not count"; "verdict" => ?outcome);
+        event_loop.notify_decisions(Event::RolloutStatusReceived(RolloutStatus {
+            outcome,
+            ..vote.unanswered
+        }));
+    }
+
+    fn on_state(&mut self, event_loop: &mut EventLoop, state: &RolloutState, answers_vote: bool) {
+        let RolloutState {
+            build,
+            stage,
+            phase,
+            cap,
+            age,
+        } = *state;
+        info!(event_loop.log, "platform"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
+            "age" => age, "answers_vote" => answers_vote);
+        let status = state.to_status(answers_vote);
+        event_loop.notify_decisions(Event::RolloutStatusReceived(status));
+        self.received.push(status);
+    }
+
+    /// The connection is lost: what was asked on it may have been done once it was written.
+    fn on_lost(&mut self, event_loop: &mut EventLoop, why: &str) {
+        warn!(event_loop.log, "the platform's connection is lost"; "why" => why.to_owned());
+        let now = event_loop.now();
+        let jitter = event_loop.backoff_jitter();
+        let max_backoff = event_loop.limits.reconnect_backoff.maximum;
+        // At once where the connection had stood for long; else later each time, never in step with others.
+        let stood = self.stream.is_some() && now - self.connected_at >= max_backoff;
+        let wait = if stood { 0.0 } else { jitter * self.backoff };
+        self.backoff = (2.0 * self.backoff).min(max_backoff);
+        self.close(event_loop);
+        event_loop.schedule(now + wait, TimerEvent::PlatformReconnect);
+    }
+
+    /// Gives up the connection and the votes that it carried.
+    fn close(&mut self, event_loop: &mut EventLoop) {
+        self.line_begun = None;
+        if let Some(stream) = self.stream.take() {
+            stream.close(&event_loop.reactor);
+        }
+        for vote in std::mem::take(&mut self.votes).into_values() {
+            event_loop.notify_decisions(Event::RolloutStatusReceived(vote.abandon()));
+        }
+    }
+
+    /// Reconnects where nothing has come for too long.
+    pub(super) fn check_silence(&mut self, event_loop: &mut EventLoop, now: f64) {
+        let silence = now - self.last_received;
+        if self.stream.is_some() && silence > event_loop.limits.platform.silence_timeout {
+            self.on_lost(event_loop, "no sign of life");
+        }
+    }
+
+    fn next_call(&mut self) -> u64 {
+        self.last_call += 1;
+        self.last_call
+    }
+}
+
+/// What the decisions are told of a vote that could not be written.
+pub(super) fn unsent_vote(build: BuildId, stage: u32) -> RolloutStatus {
+    RolloutStatus {
+        outcome: AttemptOutcome::NoConnection,
+        build,
+        stage,
+        phase: Phase::Canary,
+        cap: 0.0,
+        age: 0.0,
+        answers_vote: true,
+    }
+}
+
+fn timed_out(status: RolloutStatus) -> RolloutStatus {
+    RolloutStatus {
+        outcome: AttemptOutcome::TimedOut,
+        ..status
+    }
+}
--- a/router/src/routing/relay.rs
+++ b/router/src/routing/response_relay.rs
@@ -1,27 +1,26 @@
-//! Relay: answers go to clients, each client's in the order of its commands.
+//! The relay of responses: they go to clients, each client's in the order of its commands.
 
 use kestreltide::interface::RequestId;
 
 use super::Routing;
-use super::take_in::{Client, Waiting};
+use super::client_connection::{Client, Lingering, QueuedReply};
 use crate::transport::SocketId;
 
 impl Routing {
-    /// The final answer to an invocation; what it held is let go. False where none was owed.
+    /// The response to a request, which is released. False where none was owed.
     pub(super) fn answer(&mut self, request: &RequestId, write: impl FnOnce(&mut Vec<u8>)) -> bool {
-        let Some(admitted) = self.release(request) else {
+        let Some(id) = self.requests.release(request) else {
             return false;
         };
-        let id = admitted.client;
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let Some(client) = self.clients.get_mut(&id) else {
             return false;
         };
-        client.used = now;
+        client.last_used = now;
         let place = client
             .queue
             .iter()
-            .position(|waiting| matches!(waiting, Waiting::For(of) if of == request));
+            .position(|waiting| matches!(waiting, QueuedReply::Pending(of) if of == request));
         match place {
             Some(0) => {
                 write(client.stream.output());
@@ -30,7 +29,7 @@
             Some(place) => {
                 let mut bytes = Vec::new();
                 write(&mut bytes);
-                client.queue[place] = Waiting::Answered(bytes);
+                client.queue[place] = QueuedReply::Ready(bytes);
             }
             None => return false,
         }
@@ -38,7 +37,7 @@
         true
     }
 
-    /// An answer to a command that is no invocation, or that was not let in.
+    /// A reply to a command that is no request, or that was not admitted.
     pub(super) fn reply(&mut self, id: SocketId, write: impl FnOnce(&mut Vec<u8>)) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
@@ -48,24 +47,24 @@
         } else {
             let mut bytes = Vec::new();
             write(&mut bytes);
-            client.queue.push_back(Waiting::Answered(bytes));
+            client.queue.push_back(QueuedReply::Ready(bytes));
         }
         self.write_client(id);
     }
 
     fn write_and_resume(&mut self, id: SocketId) {
-        if self.write_client(id) && !self.resumed.contains(&id) {
-            self.resumed.push(id);
+        if self.write_client(id) && !self.resumed_clients.contains(&id) {
+            self.resumed_clients.push(id);
         }
     }
 
     /// Writes what may be written now; false where the connection is gone.
     pub(super) fn write_client(&mut self, id: SocketId) -> bool {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let Some(client) = self.clients.get_mut(&id) else {
             return false;
         };
-        while let Some(Waiting::Answered(bytes)) = client.queue.front_mut() {
+        while let Some(QueuedReply::Ready(bytes)) = client.queue.front_mut() {
             client.stream.output().append(bytes);
             client.queue.pop_front();
         }
@@ -73,28 +72,28 @@
             stream,
             queue,
             closing,
-            stuck,
-            lingers,
+            unread_since,
+            lingering,
             ..
         } = client;
         match stream.flush() {
-            Ok(true) => *stuck = None,
-            Ok(false) => *stuck = stuck.or(Some(now)),
+            Ok(true) => *unread_since = None,
+            Ok(false) => *unread_since = unread_since.or(Some(now)),
             Err(_) => {
-                self.client_left(id);
+                self.close_client(id);
                 return false;
             }
         }
         let done = queue.is_empty() && stream.unwritten() == 0;
         // Who was turned away is told that nothing more comes, and gets a while to read why.
-        if done && *closing && lingers.is_none() && stream.shutdown_write().is_ok() {
-            *lingers = Some((
-                now + self.limits.clients.lingering_close,
-                self.limits.clients.discarded_bytes,
-            ));
+        if done && *closing && lingering.is_none() && stream.shutdown_write().is_ok() {
+            *lingering = Some(Lingering {
+                until: now + self.event_loop.limits.clients.lingering_close,
+                bytes_left: self.event_loop.limits.clients.discarded_bytes,
+            });
         }
-        if done && *closing && lingers.is_none() {
-            self.client_left(id);
+        if done && *closing && lingering.is_none() {
+            self.close_client(id);
             return false;
         }
         true
