--- a/measure/src/capacity/fleet_run/real_router/tests.rs
+++ b/measure/src/capacity/fleet_run/real_router/tests.rs
@@ -7,7 +7,7 @@
         said(at),
         Some(Said::Listening(([127, 0, 0, 1], 4711).into()))
     );
-    let accepted = "Dec 02 00:00:10.100 INFO the files are taken, router: r3, generation: 7, revision: 4, changes: 1";
+    let accepted = "Dec 02 00:00:10.100 INFO watched files applied, router: r3, generation: 7, revision: 4, changes: 1";
     assert_eq!(
         said(accepted),
         Some(Said::Taken {
@@ -15,7 +15,7 @@
             revision: 4
         })
     );
-    let force = "Dec 02 00:00:10.100 INFO a revision is in force, router: r3, revision: 4, changed: 1, hosts: 2";
+    let force = "Dec 02 00:00:10.100 INFO revision applied, router: r3, revision: 4, changed: 1, hosts: 2";
     assert_eq!(said(force), Some(Said::InForce { revision: 4 }));
     assert_eq!(
         said("Dec 02 00:00:10.100 INFO ready, by: news, hosts: 3"),
--- a/measure/src/capacity/slopes/by_hosts.rs
+++ b/measure/src/capacity/slopes/by_hosts.rs
@@ -272,7 +272,7 @@
     let text = around.config();
     let reread = timed(program, measured.idle_percent, count.div_ceil(4), |_| {
         program.reload(&text);
-        program.wait_for_log("the configuration was read again");
+        program.wait_for_log("configuration reloaded");
     });
     (measured.reread_us, measured.reread_ms) = reread;
 }
--- a/measure/src/capacity/slopes/by_routers.rs
+++ b/measure/src/capacity/slopes/by_routers.rs
@@ -256,7 +256,7 @@
     measured.change_bytes = (discovery.sent(Kind::Changes).bytes - before.bytes) / CHANGES as f64;
     measured.reread_ms = fleet.until_last(|_| {
         fleet.reread_all();
-        "the configuration was read again".into()
+        "configuration reloaded".into()
     });
     requests(&fleet, sizes, &mut measured);
     with_canary(&fleet, sizes, &mut measured);
@@ -345,7 +345,7 @@
         .collect();
     for router in &routers {
         wait_ready(router);
-        router.wait_for_log_since_start("a revision is in force");
+        router.wait_for_log_since_start("revision applied");
     }
     let mut took = 0.0;
     for _ in 0..CHANGES {
@@ -353,7 +353,7 @@
         let begun = Instant::now();
         routers
             .iter()
-            .for_each(|router| drop(router.wait_for_log("a revision is in force")));
+            .for_each(|router| drop(router.wait_for_log("revision applied")));
         took += begun.elapsed().as_secs_f64();
     }
     took * 1e3 / CHANGES as f64
--- a/measure/src/capacity/slopes/files.rs
+++ b/measure/src/capacity/slopes/files.rs
@@ -23,7 +23,7 @@
 const GUARDS: &str = "[guards]\nlargest-removal = 1\nleast-hosts-zone = 0\nleast-hosts-build = 0\n";
 /// Hosts of the measurement of revisions.
 const HOSTS_OF_REVISIONS: usize = 74;
-const IN_FORCE: &str = "a revision is in force";
+const IN_FORCE: &str = "revision applied";
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Version {
--- a/measure/src/fleet/tests.rs
+++ b/measure/src/fleet/tests.rs
@@ -9,7 +9,7 @@
 const TWO: &str = "Dec 02 00:00:10.000 INFO starting, router: n1\n\
     Dec 02 00:00:12.500 INFO vote cast, router: n1, build: 8, stage: 0, vote: RollBack\n\
     Dec 02 00:00:13.100 INFO vote cast, router: n1, build: 8, stage: 1, vote: Abstain\n\
-    Dec 02 00:00:12.000 WARN discovery does not answer, router: n1, why: no answer in time\n";
+    Dec 02 00:00:12.000 WARN discovery request failed, router: n1, why: no answer in time\n";
 
 #[test]
 fn counts_are_spread_over_their_time_and_votes_stand_until_the_next_stage() {
--- a/measure/src/watched_files.rs
+++ b/measure/src/watched_files.rs
@@ -564,7 +564,7 @@
         &router_process::standalone_config(),
         Some(&at("operator.ini")),
     );
-    program.wait_for_log("a revision is in force");
+    program.wait_for_log("revision applied");
     let start = unix() - 1000.0;
     let versions = [
         ("a", 9, 1.0, 0.0),
@@ -582,7 +582,7 @@
             weight,
             start + later,
         );
-        let line = program.wait_for_log("a revision is in force");
+        let line = program.wait_for_log("revision applied");
         let pause = line
             .split("pause_ms: ")
             .nth(1)
--- a/router/src/management_threads/datastore_thread/mod.rs
+++ b/router/src/management_threads/datastore_thread/mod.rs
@@ -243,7 +243,7 @@
     ) -> Option<Arc<Snapshot>> {
         match outcome {
             Ok(outcome) => {
-                info!(self.log, "a commit that was not confirmed is undone";
+                info!(self.log, "unconfirmed commit rolled back";
                     "revision" => self.revision());
                 applied_snapshot(&outcome)
             }
@@ -318,7 +318,7 @@
     let error = match persistence::load(folder) {
         Ok(None) => return Ok(PersistedState::default()),
         Ok(Some(state)) => {
-            info!(log, "the last good revision is remembered"; "revision" => state.datastore.revision);
+            info!(log, "last good revision restored"; "revision" => state.datastore.revision);
             return Ok(state);
         }
         Err(error) => error,
@@ -332,7 +332,7 @@
             });
         }
     };
-    warn!(log, "what was remembered cannot be used"; "why" => %error, "put_aside" => moved_to);
+    warn!(log, "stored state not usable"; "why" => %error, "put_aside" => moved_to);
     Ok(PersistedState::default())
 }
 
--- a/router/src/management_threads/interfaces.rs
+++ b/router/src/management_threads/interfaces.rs
@@ -62,11 +62,11 @@
         let netconf = settings.netconf.as_ref().map(NetconfListener::open);
         let netconf = netconf.transpose()?;
         if let Some(netconf) = &netconf {
-            info!(log, "NETCONF is listened for"; "at" => local_address(&netconf.listener));
+            info!(log, "NETCONF listening"; "at" => local_address(&netconf.listener));
         }
         let gnmi = settings.gnmi.as_ref().map(GnmiListener::open).transpose()?;
         if let Some(gnmi) = &gnmi {
-            info!(log, "gNMI is listened for"; "at" => local_address(&gnmi.listener));
+            info!(log, "gNMI listening"; "at" => local_address(&gnmi.listener));
         }
         keys_file.log_loaded(log);
         Ok(ManagementInterfaces {
@@ -110,7 +110,7 @@
                     ));
                 }
                 Err(error) => {
-                    error!(thread_log, "the management fronts cannot be started"; "error" => %error);
+                    error!(thread_log, "management interfaces not started"; "error" => %error);
                 }
             }
         })?;
@@ -138,7 +138,7 @@
     fn spawn(&self, log: &Logger, commit_service: &CommitServiceHandle, limits: &Limits) {
         let listener = match async_listener(&self.listener) {
             Ok(listener) => listener,
-            Err(error) => return error!(log, "NETCONF cannot be served"; "error" => %error),
+            Err(error) => return error!(log, "NETCONF server failed"; "error" => %error),
         };
         match Shared::new(log.clone(), commit_service.clone(), limits.clone()) {
             Ok(shared) => {
@@ -148,7 +148,7 @@
                     self.host_key.clone(),
                 ));
             }
-            Err(error) => error!(log, "NETCONF cannot be served"; "error" => %error),
+            Err(error) => error!(log, "NETCONF server failed"; "error" => %error),
         }
     }
 }
@@ -169,7 +169,7 @@
     fn spawn(&self, log: &Logger, commit_service: &CommitServiceHandle, limits: Limits) {
         let listener = match async_listener(&self.listener) {
             Ok(listener) => listener,
-            Err(error) => return error!(log, "gNMI cannot be served"; "error" => %error),
+            Err(error) => return error!(log, "gNMI server failed"; "error" => %error),
         };
         let tls = gnmi::Tls {
             certificate: self.certificate.clone(),
@@ -181,7 +181,7 @@
         tokio::spawn(async move {
             let served = gnmi::serve(log.clone(), commit_service, limits, listener, tls).await;
             if let Err(error) = served {
-                error!(log, "gNMI cannot be served"; "error" => %error);
+                error!(log, "gNMI server failed"; "error" => %error);
             }
         });
     }
--- a/router/src/program/serve.rs
+++ b/router/src/program/serve.rs
@@ -117,7 +117,7 @@
     /// Reads the configuration again. A router that serves goes on by what it has where that fails.
     fn reload(&self, log: &Logger, routing: &mut Routing, startup_only: &StartupOnly) {
         if let Err(error) = self.apply_configuration(log, routing, startup_only) {
-            warn!(log, "the configuration read again is not taken"; "why" => error.to_string());
+            warn!(log, "reloaded configuration rejected"; "why" => error.to_string());
         }
     }
 
@@ -135,7 +135,7 @@
         let configuration = config::read(&text, time)?;
         startup_only.check(&configuration)?;
         let platform = configuration.platform.map(|platform| platform.address);
-        info!(log, "the configuration was read again"; "discovery" => %configuration.discovery,
+        info!(log, "configuration reloaded"; "discovery" => %configuration.discovery,
             "platform" => platform.map_or("none".into(), |at| at.to_string()));
         routing.change_addresses(configuration.discovery, platform);
         Ok(())
@@ -145,7 +145,7 @@
         if !matches!(self.operators(), Ok(found) if found == *operators) {
             warn!(
                 log,
-                "the operator file has changed or is not well, only a restart takes it"
+                "operator file changed or invalid, a restart is needed"
             );
         }
     }
--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -197,7 +197,7 @@
             Ok(None) => {}
             Err(why) => {
                 if self.event_loop.may_warn() {
-                    warn!(self.event_loop.log, "a host's answer is malformed, its connection is closed"; "why" => %why);
+                    warn!(self.event_loop.log, "malformed answer, upstream connection closed"; "why" => %why);
                 }
                 self.event_loop
                     .metrics
@@ -241,7 +241,7 @@
                     HostResponse::Error { load } => (AttemptOutcome::Error, load),
                     HostResponse::Rejected { load } => (AttemptOutcome::Rejected, load),
                     HostResponse::UnknownCommand(line) => {
-                        warn!(self.event_loop.log, "a host refused the form of a command"; "line" => line.to_owned());
+                        warn!(self.event_loop.log, "host rejected the form of a command"; "line" => line.to_owned());
                         (AttemptOutcome::Error, None)
                     }
                 };
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -134,7 +134,7 @@
                 Err(e) => {
                     // Those without use make room; else it is tried again, not at once.
                     if !out_of_descriptors(&e) || !self.free_descriptor() {
-                        warn!(self.event_loop.log, "no client can be accepted now"; "error" => %e);
+                        warn!(self.event_loop.log, "client connection not accepted"; "error" => %e);
                         return self
                             .accept_again(now + self.event_loop.limits.clients.accept_retry_delay);
                     }
@@ -166,7 +166,7 @@
                 self.read_client(id);
             }
             Err(e) => {
-                warn!(self.event_loop.log, "a client's connection cannot be watched"; "error" => %e)
+                warn!(self.event_loop.log, "client connection not registered"; "error" => %e)
             }
         }
     }
@@ -422,7 +422,7 @@
 
     fn reject(&mut self, id: SocketId, why: &Malformed) -> bool {
         if self.event_loop.may_warn() {
-            info!(self.event_loop.log, "a client's command is malformed, its connection is closed"; "why" => %why);
+            info!(self.event_loop.log, "malformed command, client connection closed"; "why" => %why);
         }
         self.event_loop
             .metrics
@@ -532,7 +532,7 @@
         for id in closed {
             warn!(
                 self.event_loop.log,
-                "a client does not read its answers, its connection is closed"
+                "client does not read, connection closed"
             );
             self.close_client(id);
         }
--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -464,7 +464,7 @@
         connected_at: f64,
         why: &str,
     ) {
-        warn!(event_loop.log, "discovery does not answer"; "why" => why.to_owned());
+        warn!(event_loop.log, "discovery request failed"; "why" => why.to_owned());
         if self.on_demand {
             self.following &= query == Query::Once;
             return event_loop.notify_decisions(Event::EndpointListFailed);
--- a/router/src/routing/endpoint_list.rs
+++ b/router/src/routing/endpoint_list.rs
@@ -116,7 +116,7 @@
             entries.push(entry);
         }
         if let Some(first) = left_out.first() {
-            warn!(self.event_loop.log, "more hosts are listed than can be kept"; "uid" => *first,
+            warn!(self.event_loop.log, "endpoint list truncated"; "uid" => *first,
                 "left_out" => left_out.len(), "most" => self.event_loop.limits.discovery.hosts);
         }
         if is_full {
@@ -132,7 +132,7 @@
         let youngest = youngest.map_or("none".into(), |at| {
             format!("{:.2}", self.event_loop.now() - at)
         });
-        info!(self.event_loop.log, "hosts"; "rev" => list.rev, "scope" => ?scope, "entries" => entries.len(),
+        info!(self.event_loop.log, "endpoint list applied"; "rev" => list.rev, "scope" => ?scope, "entries" => entries.len(),
             "running" => entries.iter().filter(|entry| entry.state == HostState::Running).count(),
             "youngest" => youngest);
         self.event_loop.notify_decisions(Event::EndpointList {
@@ -152,7 +152,7 @@
         hosts.sort_unstable();
         hosts.dedup();
         if hosts.len() < list.targets.len() {
-            warn!(self.event_loop.log, "hosts stand twice in a list, the last entry counts"; "rev" => list.rev,
+            warn!(self.event_loop.log, "endpoint list names hosts twice, last entry used"; "rev" => list.rev,
                 "entries" => list.targets.len(), "hosts" => hosts.len());
         }
     }
--- a/router/src/routing/event_loop.rs
+++ b/router/src/routing/event_loop.rs
@@ -194,13 +194,13 @@
         self.woken_at = woken_at;
         self.woke_without_events = without_events;
         if self.delay > self.limits.event_loop.delay_warning {
-            warn!(self.log, "this process stood still"; "seconds" => self.delay);
+            warn!(self.log, "event loop delayed"; "seconds" => self.delay);
         }
     }
 
     pub(super) fn schedule(&mut self, at: f64, event: TimerEvent) {
         if !self.timers.schedule(at, event) {
-            error!(self.log, "an alarm was dropped, too many are set"; "due" => ?event);
+            error!(self.log, "timer dropped, too many scheduled"; "due" => ?event);
         }
     }
 
--- a/router/src/routing/gossip_peers.rs
+++ b/router/src/routing/gossip_peers.rs
@@ -62,11 +62,11 @@
         };
         let fits = payload.len() <= event_loop.limits.peers.datagram_bytes;
         let Some(address) = address.filter(|_| fits) else {
-            return debug!(event_loop.log, "a message to a peer has no way"; "bytes" => payload.len());
+            return debug!(event_loop.log, "gossip message not sent, no address"; "bytes" => payload.len());
         };
         event_loop.metrics.increment(Counter::GossipSent);
         if let Err(e) = self.socket.send(address, payload) {
-            debug!(event_loop.log, "a message to a peer is lost"; "to" => %address, "error" => %e);
+            debug!(event_loop.log, "gossip message not sent"; "to" => %address, "error" => %e);
         }
     }
 
@@ -89,7 +89,7 @@
                 None => {
                     event_loop.metrics.increment(Counter::MalformedMessages);
                     if event_loop.may_warn() {
-                        info!(event_loop.log, "a datagram is from no peer or too long"; "from" => %from);
+                        info!(event_loop.log, "datagram dropped, unknown peer or too long"; "from" => %from);
                     }
                 }
             }
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -211,7 +211,7 @@
         management.revisions_applied += 1;
         let pause = std::mem::take(&mut management.staging_pause).max(now - begun);
         management.longest_pause = management.longest_pause.max(pause);
-        info!(self.event_loop.log, "a revision is in force"; "revision" => revision.0, "changed" => count,
+        info!(self.event_loop.log, "revision applied"; "revision" => revision.0, "changed" => count,
             "hosts" => self.endpoints.len(), "pause_ms" => format!("{:.3}", 1e3 * pause),
             "since_commit_ms" => format!("{:.1}", 1e3 * (now - snapshot.committed_at)));
         self.mark_view_stale();
@@ -265,7 +265,7 @@
             let last = heartbeat.last();
             let still = last > 0.0 && now - last > self.event_loop.limits.management.stall_timeout;
             if still && !*is_reported {
-                warn!(self.event_loop.log, "a front stands still"; "front" => heartbeat.name, "seconds" => now - last);
+                warn!(self.event_loop.log, "management thread not responding"; "front" => heartbeat.name, "seconds" => now - last);
             }
             *is_reported = still;
         }
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -275,7 +275,7 @@
             }
             PlatformMessage::Ping => {}
             PlatformMessage::Unknown => {
-                debug!(event_loop.log, "the platform told something unknown")
+                debug!(event_loop.log, "unknown platform message")
             }
         }
     }
@@ -301,10 +301,10 @@
 
     fn on_vote_error(&mut self, event_loop: &mut EventLoop, call: u64, outcome: AttemptOutcome) {
         let Some(vote) = self.votes.remove(&call) else {
-            return warn!(event_loop.log, "the platform refuses to be followed"; "verdict" => ?outcome);
+            return warn!(event_loop.log, "platform subscription rejected"; "verdict" => ?outcome);
         };
         event_loop.metrics.increment(Counter::VotesNotCounted);
-        debug!(event_loop.log, "a vote does not count"; "verdict" => ?outcome);
+        debug!(event_loop.log, "vote not counted"; "verdict" => ?outcome);
         event_loop.notify_decisions(Event::RolloutStatusReceived(RolloutStatus {
             outcome,
             ..vote.unanswered
@@ -319,7 +319,7 @@
             cap,
             age,
         } = *state;
-        info!(event_loop.log, "platform"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
+        info!(event_loop.log, "rollout status"; "build" => build.0, "stage" => stage, "phase" => ?phase, "cap" => cap,
             "age" => age, "answers_vote" => answers_vote);
         let status = state.to_status(answers_vote);
         event_loop.notify_decisions(Event::RolloutStatusReceived(status));
@@ -328,7 +328,7 @@
 
     /// The connection is lost: what was asked on it may have been done once it was written.
     fn on_lost(&mut self, event_loop: &mut EventLoop, why: &str) {
-        warn!(event_loop.log, "the platform's connection is lost"; "why" => why.to_owned());
+        warn!(event_loop.log, "platform connection lost"; "why" => why.to_owned());
         let now = event_loop.now();
         let jitter = event_loop.backoff_jitter();
         let max_backoff = event_loop.limits.reconnect_backoff.maximum;
--- a/router/src/routing/shutdown_actions.rs
+++ b/router/src/routing/shutdown_actions.rs
@@ -160,7 +160,7 @@
     /// The platform is about to kill the process: what is given up is answered at once, and what still comes,
     /// until the end.
     fn give_up_open_requests(&mut self) {
-        info!(self.event_loop.log, "giving up what is open"; "open" => self.requests.len(), "clients" => self.clients.len());
+        info!(self.event_loop.log, "failing open requests"; "open" => self.requests.len(), "clients" => self.clients.len());
         for (request, attempts) in self.requests.attempts_of_all() {
             self.answer(&request, |out| match attempts {
                 // There is no room any more, and it has run nowhere.
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -152,7 +152,7 @@
             Ok(stream) => return Some(stream),
             Err(error) => error,
         };
-        debug!(event_loop.log, "no connection to a host"; "to" => %address, "error" => %error);
+        debug!(event_loop.log, "upstream connection failed"; "to" => %address, "error" => %error);
         if !out_of_descriptors(&error) {
             return None;
         }
