--- a/measure/src/main.rs
+++ b/measure/src/main.rs
@@ -14,14 +14,14 @@
 
 /// Measurements of kestreltide on loopback.
 #[derive(FromArgs)]
-struct Line {
+struct CommandLine {
     #[argh(subcommand)]
-    what: What,
+    measurement: Measurement,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum Measurement {
     WatchedFiles(watched_files::WatchedFiles),
     Demo(demo::Demo),
     Fleet(fleet::CountFleet),
@@ -33,14 +33,14 @@
     if std::env::var_os(router_process::AS_ROUTER).is_some() {
         return kestreltide_router::program::main();
     }
-    let line: Line = argh::from_env();
-    let well = match line.what {
-        What::WatchedFiles(measurement) => measurement.run(),
-        What::Demo(demo) => demo.run(),
-        What::Fleet(count) => count.run(),
-        What::Capacity(capacity) => capacity.run(),
+    let line: CommandLine = argh::from_env();
+    let is_as_required = match line.measurement {
+        Measurement::WatchedFiles(measurement) => measurement.run(),
+        Measurement::Demo(demo) => demo.run(),
+        Measurement::Fleet(count) => count.run(),
+        Measurement::Capacity(capacity) => capacity.run(),
     };
-    if well {
+    if is_as_required {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/measure/src/report.rs
+++ b/measure/src/report.rs
@@ -1,8 +1,8 @@
-//! What a measurement prints.
+//! The table and the last line that a measurement prints.
 
 use std::fmt::{Display, Write};
 
-/// A table, a line of figures, and what fell short of what was asked.
+/// A table, the last line, and the keys of the figures that are not as required.
 pub struct Report {
     name: &'static str,
     line: String,
@@ -10,6 +10,7 @@
 }
 
 impl Report {
+    /// Prints the heading of the table of the measurement of this name.
     pub fn new(name: &'static str) -> Self {
         println!("{:<52} {:>14}  asked", "figure", "measured");
         Report {
@@ -19,13 +20,13 @@
         }
     }
 
-    /// A figure that nothing is asked of.
+    /// Prints a figure of which nothing is required.
     pub fn record(&mut self, key: &str, what: &str, value: impl Display) {
         println!("{what:<52} {value:>14}  -");
         let _ = write!(self.line, " {key}={value}");
     }
 
-    /// A figure, and whether it is as asked.
+    /// Prints a figure, what is required of it, and whether that holds.
     pub fn check(
         &mut self,
         key: &str,
@@ -44,11 +45,12 @@
         }
     }
 
-    /// A count of what must never happen.
+    /// Prints a count that must be 0.
     pub fn check_none(&mut self, key: &str, what: &str, count: u64) {
         self.check(key, what, count, "0", count == 0);
     }
 
+    /// Prints a figure that may be at most this.
     pub fn check_at_most(&mut self, key: &str, what: &str, value: f64, maximum: f64) {
         self.check(
             key,
@@ -59,7 +61,7 @@
         );
     }
 
-    /// Prints the last line; whether all was as asked.
+    /// Prints the last line; whether all figures are as required.
     pub fn end(self) -> bool {
         let verdict = if self.short.is_empty() {
             "ok".into()
--- a/measure/src/router_process.rs
+++ b/measure/src/router_process.rs
@@ -1,4 +1,4 @@
-//! What measurements share: routers as processes, clients that keep them busy, and what they have noted.
+//! Routers as processes of their own, and clients that keep them busy and count the replies.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -17,6 +17,7 @@
 /// Set in the environment of a router under measurement.
 pub const AS_ROUTER: &str = "KESTRELTIDE_MEASURE_ROUTER";
 
+/// Starts this very program as a router, with this configuration and operator file.
 pub fn start(config: &str, operator: Option<&Path>) -> Program {
     let binary = std::env::current_exe().expect("this program has a path");
     let mut environment = vec![(AS_ROUTER, "1".to_owned())];
@@ -39,15 +40,17 @@
         .unwrap_or(0)
 }
 
+/// A histogram of times in microseconds, up to a minute.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("sensible bounds")
 }
 
-/// Which sets may serve now: the one in force, and one that may come to be at any moment.
+/// The sets of hosts that may serve now: the one in force, and one that may be in force at any moment.
 #[derive(Default)]
 pub struct ServingSets(RwLock<BTreeSet<Arc<str>>>);
 
 impl ServingSets {
+    /// Replaces the sets by those of these tags.
     pub fn allow(&self, tags: &[&str]) {
         *self.0.write().expect("no panic before") = tags.iter().map(|tag| (*tag).into()).collect();
     }
@@ -57,23 +60,26 @@
     }
 }
 
-/// What clients have met.
+/// The outcomes of the requests of some clients.
 #[derive(Default)]
 pub struct ClientCounters {
     pub served: AtomicU64,
     pub throttled: AtomicU64,
     pub terminated: AtomicU64,
-    /// No whole answer came.
+    /// Requests without a complete reply.
     pub lost: AtomicU64,
-    /// Dispatched to hosts of more than one set, or served by one that was not in force.
+    /// Requests with attempts at hosts of more than one set.
     pub mixed: AtomicU64,
+    /// Requests with attempts at hosts of a set that was not in force.
     pub invalid: AtomicU64,
-    /// The tag that served last, and when each served first since it was asked for.
+    /// The tag that served last.
     pub last: Mutex<Option<Arc<str>>>,
+    /// Times of requests since they were last taken, in microseconds.
     pub micros: Mutex<Option<Histogram<u64>>>,
 }
 
 impl ClientCounters {
+    /// Returns the times since the last call, in microseconds.
     pub fn times(&self) -> Histogram<u64> {
         self.micros
             .lock()
@@ -83,7 +89,7 @@
     }
 }
 
-/// Clients that ask one after another until told to stop.
+/// Clients that send one request after another until they are stopped.
 pub struct Clients {
     pub met: Arc<ClientCounters>,
     stop: Arc<AtomicBool>,
@@ -91,7 +97,7 @@
 }
 
 impl Clients {
-    /// So many clients, each asking again as soon as it is answered, after so long a pause.
+    /// Starts `count` clients; each waits for `pause` between a reply and its next request.
     pub fn start(
         at: SocketAddr,
         count: usize,
@@ -111,6 +117,7 @@
         Clients { met, stop, threads }
     }
 
+    /// Stops the clients after their current requests; returns their counters.
     pub fn stop(self) -> Arc<ClientCounters> {
         self.stop.store(true, Relaxed);
         self.threads
--- a/measure/src/watched_files.rs
+++ b/measure/src/watched_files.rs
@@ -346,9 +346,12 @@
         &mut self,
         pid: u32,
         clients: &Clients,
-        rewrites: u64,
-        valid_percent: u32,
-        stand: Duration,
+        Rewriting {
+            rewrites,
+            valid_percent,
+            stand,
+            ..
+        }: Rewriting,
     ) -> Outcome {
         let mut out = Outcome {
             valid: 0,
@@ -441,22 +444,29 @@
     }
 }
 
-/// Many routers at once, each rewriting its own files.
-fn storm(routers: &[(u64, u64, u32, Duration)]) -> (Vec<Outcome>, Never) {
+/// How the files of one router are rewritten.
+#[derive(Clone, Copy)]
+struct Rewriting {
+    seed: u64,
+    rewrites: u64,
+    /// Versions in a hundred that are valid.
+    valid_percent: u32,
+    /// The mean time that an invalid version stands.
+    stand: Duration,
+}
+
+/// Runs many routers at once, each with files of its own that are rewritten.
+fn storm(routers: &[Rewriting]) -> (Vec<Outcome>, Never) {
     let threads: Vec<_> = routers
         .iter()
         .copied()
-        .map(|(seed, rewrites, valid_percent, stand)| {
+        .map(|rewriting| {
             thread::spawn(move || {
-                let mut router = WatchingRouter::start(seed);
+                let mut router = WatchingRouter::start(rewriting.seed);
                 let clients = router.clients(2, Duration::from_micros(200));
-                let outcome = router.files.rewrite(
-                    router.program.child.id(),
-                    &clients,
-                    rewrites,
-                    valid_percent,
-                    stand,
-                );
+                let outcome = router
+                    .files
+                    .rewrite(router.program.child.id(), &clients, rewriting);
                 let met = clients.stop();
                 let mut never = Never::default();
                 never.add(&router, &met);
@@ -484,7 +494,8 @@
 /// Times with rewrites and without, in turns on one router; medians and 99th percentiles in microseconds, and
 /// those of hosts asked directly.
 fn turns(seconds: f64) -> [[f64; 2]; 3] {
-    let mut router = WatchingRouter::start(99);
+    let seed = 99;
+    let mut router = WatchingRouter::start(seed);
     let clients = router.clients(1, Duration::ZERO);
     let (mut without, mut with) = (histogram(), histogram());
     let until = Instant::now() + Duration::from_secs_f64(seconds);
@@ -498,9 +509,12 @@
             router.files.rewrite(
                 router.program.child.id(),
                 &clients,
-                10,
-                0,
-                Duration::from_millis(15),
+                Rewriting {
+                    seed,
+                    rewrites: 10,
+                    valid_percent: 0,
+                    stand: Duration::from_millis(15),
+                },
             );
         }
         with.add(clients.met.times()).expect("the same bounds");
@@ -610,78 +624,21 @@
 }
 
 impl WatchedFiles {
+    /// Runs the parts that were asked for; whether all figures are as required.
     pub fn run(&self) -> bool {
         let mut report = Report::new("watched-files");
-        let fast = Duration::from_micros(300);
-        let slow = Duration::from_millis(6);
-        let routers = match (self.short, self.long) {
-            (true, _) => vec![
-                (1, 500, 12, fast),
-                (2, 500, 20, slow),
-                (3, 500, 20, slow),
-                (4, 500, 20, slow),
-            ],
-            (_, true) => vec![
-                (1, 10_000, 12, slow),
-                (2, 10_000, 30, slow),
-                (3, 10_000, 30, slow),
-                (4, 10_000, 30, slow),
-            ],
-            // One router meets ten thousand quickly, others fewer that all stand long enough to be read.
-            _ => {
-                vec![
-                    (1, 10_000, 10, fast),
-                    (2, 1_200, 25, slow),
-                    (3, 1_200, 25, slow),
-                    (4, 1_200, 25, slow),
-                ]
-            }
-        };
         let wants = |part: &str| self.part.as_ref().is_none_or(|only| only == part);
         if wants("storm") {
-            self.storm(&mut report, &routers);
+            self.storm(&mut report, &self.rewritings());
         }
         if self.short {
             return report.end();
         }
         if wants("large") {
-            let pauses = large();
-            report.record(
-                "pauses_ms",
-                "pauses for 16,384 hosts, ms",
-                format!("{pauses:.1?}").replace(", ", "/"),
-            );
-            report.check_at_most(
-                "pause_ms",
-                "the longest of them, ms",
-                pauses.iter().copied().fold(0.0, f64::max),
-                5.0,
-            );
+            report_pauses(&mut report, &large());
         }
         if wants("turns") {
-            let [direct, without, with] = turns(if self.long { 60.0 } else { 8.0 });
-            report.record(
-                "direct_us",
-                "direct to a host, µs, median and 99th",
-                format!("{}/{}", direct[0], direct[1]),
-            );
-            report.record(
-                "without_us",
-                "through the router, no rewrites",
-                format!("{}/{}", without[0], without[1]),
-            );
-            report.record(
-                "with_us",
-                "through the router, with rewrites",
-                format!("{}/{}", with[0], with[1]),
-            );
-            let added = |times: [f64; 2]| times[1] - direct[0];
-            report.check_at_most(
-                "added",
-                "added at the 99th percentile, with over without",
-                added(with) / added(without),
-                1.2,
-            );
+            report_turns(&mut report, turns(if self.long { 60.0 } else { 8.0 }));
         }
         if wants("capacity") {
             report.record(
@@ -693,7 +650,42 @@
         report.end()
     }
 
-    fn storm(&self, report: &mut Report, routers: &[(u64, u64, u32, Duration)]) {
+    /// How the files of each of four routers are rewritten.
+    fn rewritings(&self) -> Vec<Rewriting> {
+        let fast = Duration::from_micros(300);
+        let slow = Duration::from_millis(6);
+        let rewriting = |seed, rewrites, valid_percent, stand| Rewriting {
+            seed,
+            rewrites,
+            valid_percent,
+            stand,
+        };
+        if self.short {
+            return vec![
+                rewriting(1, 500, 12, fast),
+                rewriting(2, 500, 20, slow),
+                rewriting(3, 500, 20, slow),
+                rewriting(4, 500, 20, slow),
+            ];
+        }
+        if self.long {
+            return vec![
+                rewriting(1, 10_000, 12, slow),
+                rewriting(2, 10_000, 30, slow),
+                rewriting(3, 10_000, 30, slow),
+                rewriting(4, 10_000, 30, slow),
+            ];
+        }
+        // One router meets ten thousand versions quickly; at the others they are fewer and stand long enough to be read.
+        vec![
+            rewriting(1, 10_000, 10, fast),
+            rewriting(2, 1_200, 25, slow),
+            rewriting(3, 1_200, 25, slow),
+            rewriting(4, 1_200, 25, slow),
+        ]
+    }
+
+    fn storm(&self, report: &mut Report, routers: &[Rewriting]) {
         let (outcomes, never) = storm(routers);
         let (valid, spoilt): (u64, u64) = (
             outcomes.iter().map(|o| o.valid).sum(),
@@ -759,3 +751,43 @@
         );
     }
 }
+
+fn report_pauses(report: &mut Report, pauses_ms: &[f64]) {
+    report.record(
+        "pauses_ms",
+        "pauses for 16,384 hosts, ms",
+        format!("{pauses_ms:.1?}").replace(", ", "/"),
+    );
+    report.check_at_most(
+        "pause_ms",
+        "the longest of them, ms",
+        pauses_ms.iter().copied().fold(0.0, f64::max),
+        5.0,
+    );
+}
+
+/// Reports medians and 99th percentiles in microseconds: direct, through a router, and the same with rewrites.
+fn report_turns(report: &mut Report, [direct, without, with]: [[f64; 2]; 3]) {
+    report.record(
+        "direct_us",
+        "direct to a host, µs, median and 99th",
+        format!("{}/{}", direct[0], direct[1]),
+    );
+    report.record(
+        "without_us",
+        "through the router, no rewrites",
+        format!("{}/{}", without[0], without[1]),
+    );
+    report.record(
+        "with_us",
+        "through the router, with rewrites",
+        format!("{}/{}", with[0], with[1]),
+    );
+    let added = |times: [f64; 2]| times[1] - direct[0];
+    report.check_at_most(
+        "added",
+        "added at the 99th percentile, with over without",
+        added(with) / added(without),
+        1.2,
+    );
+}
--- a/measure/tests/watched_files.rs
+++ b/measure/tests/watched_files.rs
@@ -1,4 +1,4 @@
-//! The short forms of measurements: what must never happen, without times.
+//! The short form of the measurement of watched files: its counts that must be 0, without times.
 
 use std::process::Command;
 
