--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -211,85 +211,94 @@
 
     /// Passes on and books what has come; the bytes it took, None where it is not whole.
     fn take_answer(&mut self, upstream: &UpstreamConnection) -> Result<Option<usize>, Malformed> {
-        let (bytes, host) = (upstream.stream.input(), upstream.host);
-        let took = self.event_loop.now() - upstream.used_since;
         match &upstream.current_use {
-            ConnectionUse::Idle if bytes.is_empty() => Ok(None),
+            ConnectionUse::Idle if upstream.stream.input().is_empty() => Ok(None),
             ConnectionUse::Idle => Err(Malformed::new("nothing was asked")),
-            ConnectionUse::Attempt(out) => {
-                let Some((answer, used)) =
-                    host::parse_response(bytes, &self.event_loop.limits.resp)?
-                else {
-                    let room = bytes.len() < self.event_loop.limits.resp.message;
-                    return if room {
-                        Ok(None)
-                    } else {
-                        Err(Malformed::new("an answer is too long"))
-                    };
-                };
-                let (outcome, load) = match answer {
-                    // No host has begun it.
-                    HostResponse::Value { .. } if !upstream.is_written => {
-                        return Err(Malformed::new(
-                            "a value for a command that has not been written",
-                        ));
-                    }
-                    HostResponse::Value { value, load } => {
-                        self.relay_value(&out.request, value);
-                        (AttemptOutcome::Succeeded, load)
-                    }
-                    HostResponse::Error { load } => (AttemptOutcome::Error, load),
-                    HostResponse::Rejected { load } => (AttemptOutcome::Rejected, load),
-                    HostResponse::UnknownCommand(line) => {
-                        warn!(self.event_loop.log, "a host refused the form of a command"; "line" => line.to_owned());
-                        (AttemptOutcome::Error, None)
-                    }
-                };
-                let load = load.filter(|_| self.transport.load_reporting == LoadReporting::Inline);
-                let load = load
-                    .map(TransportSettings::load_by_name)
-                    .unwrap_or_default();
-                self.finish_attempt(
-                    AttemptInFlight {
-                        request: out.request.clone(),
-                        attempt: out.attempt,
-                    },
-                    host,
-                    outcome,
-                    (took, upstream.idle_time),
-                    load,
-                );
-                Ok(Some(used))
+            ConnectionUse::Attempt(carried) => self.take_response(upstream, carried),
+            ConnectionUse::HealthCheck => self.take_health_check_response(upstream),
+        }
+    }
+
+    /// Relays the response of an attempt and reports its outcome; the bytes it took, `None` where it is incomplete.
+    fn take_response(
+        &mut self,
+        upstream: &UpstreamConnection,
+        carried: &AttemptInFlight,
+    ) -> Result<Option<usize>, Malformed> {
+        let input = upstream.stream.input();
+        let took = self.event_loop.now() - upstream.used_since;
+        let Some((response, used)) = host::parse_response(input, &self.event_loop.limits.resp)?
+        else {
+            return self.await_more(input);
+        };
+        let (outcome, load) = match response {
+            // No host has begun it.
+            HostResponse::Value { .. } if !upstream.is_written => {
+                return Err(Malformed::new(
+                    "a value for a command that has not been written",
+                ));
             }
-            ConnectionUse::HealthCheck => {
-                let Some((response, used)) =
-                    host::parse_probe_response(bytes, &self.event_loop.limits.resp)?
-                else {
-                    let room = bytes.len() < self.event_loop.limits.resp.message;
-                    return if room {
-                        Ok(None)
-                    } else {
-                        Err(Malformed::new("an answer is too long"))
-                    };
-                };
-                let outcome = if response.is_healthy {
-                    AttemptOutcome::Succeeded
-                } else {
-                    AttemptOutcome::Error
-                };
-                let load = response
-                    .load
-                    .map(TransportSettings::load_by_name)
-                    .unwrap_or_default();
-                self.event_loop
-                    .notify_decisions(Event::HealthCheckFinished {
-                        host,
-                        outcome,
-                        took,
-                        load,
-                    });
-                Ok(Some(used))
+            HostResponse::Value { value, load } => {
+                self.relay_value(&carried.request, value);
+                (AttemptOutcome::Succeeded, load)
+            }
+            HostResponse::Error { load } => (AttemptOutcome::Error, load),
+            HostResponse::Rejected { load } => (AttemptOutcome::Rejected, load),
+            HostResponse::UnknownCommand(line) => {
+                warn!(self.event_loop.log, "a host refused the form of a command"; "line" => line.to_owned());
+                (AttemptOutcome::Error, None)
             }
+        };
+        let load = load
+            .filter(|_| self.transport.load_reporting == LoadReporting::Inline)
+            .map(TransportSettings::load_by_name)
+            .unwrap_or_default();
+        let attempt = AttemptInFlight {
+            request: carried.request.clone(),
+            attempt: carried.attempt,
+        };
+        let times = (took, upstream.idle_time);
+        self.finish_attempt(attempt, upstream.host, outcome, times, load);
+        Ok(Some(used))
+    }
+
+    /// Reports the outcome of a health check; the bytes its response took, `None` where it is incomplete.
+    fn take_health_check_response(
+        &mut self,
+        upstream: &UpstreamConnection,
+    ) -> Result<Option<usize>, Malformed> {
+        let input = upstream.stream.input();
+        let took = self.event_loop.now() - upstream.used_since;
+        let Some((response, used)) =
+            host::parse_probe_response(input, &self.event_loop.limits.resp)?
+        else {
+            return self.await_more(input);
+        };
+        let outcome = if response.is_healthy {
+            AttemptOutcome::Succeeded
+        } else {
+            AttemptOutcome::Error
+        };
+        let load = response
+            .load
+            .map(TransportSettings::load_by_name)
+            .unwrap_or_default();
+        self.event_loop
+            .notify_decisions(Event::HealthCheckFinished {
+                host: upstream.host,
+                outcome,
+                took,
+                load,
+            });
+        Ok(Some(used))
+    }
+
+    /// An incomplete response: the rest of it is waited for, unless it is longer than it may be.
+    fn await_more(&self, input: &[u8]) -> Result<Option<usize>, Malformed> {
+        if input.len() < self.event_loop.limits.resp.message {
+            Ok(None)
+        } else {
+            Err(Malformed::new("an answer is too long"))
         }
     }
 
