--- /dev/null
+++ b/router/tests/management_edits.rs
@@ -0,0 +1,342 @@
+//! Changes over NETCONF and gNMI: transactions, confirmed commits, locks, and their order.
+
+mod management_site;
+
+use kestreltide_testkit::proto::gnmi::*;
+use kestreltide_testkit::proto::gnmi_ext::commit::Action;
+use kestreltide_testkit::proto::gnmi_ext::extension::Ext;
+use kestreltide_testkit::proto::gnmi_ext::{self, Extension};
+use tonic::Code;
+
+use management_site::*;
+
+#[test]
+fn both_protocols_change_what_the_router_does() {
+    let site = Site::new();
+    run(async {
+        let mut netconf = site.netconf("ana").await;
+        assert!(netconf.hello.contains(
+            "urn:kestreltide:yang:router?module=kestreltide-router&amp;revision=2026-12-01"
+        ));
+        assert!(ok(&netconf
+            .rpc(&edit("candidate", &state("a", "out")))
+            .await));
+        assert_eq!(site.served("before"), ["of a", "of b"]);
+        assert!(ok(&netconf.rpc("<commit/>").await));
+        // Whoever is told that it is committed finds it done.
+        assert_eq!(site.served("out"), ["of b"]);
+        let mut gnmi = site.gnmi("rui").await;
+        let request = SetRequest {
+            update: vec![
+                update("router/hosts/host=a/state", "in-service".into()),
+                update(
+                    "router/hosts/host=b",
+                    serde_json::json!({"weight": "0.5", "state": "out"}),
+                ),
+            ],
+            ..SetRequest::default()
+        };
+        gnmi.set(request).await.expect("well");
+        assert_eq!(site.served("in"), ["of a"]);
+        assert_eq!(
+            get(&mut gnmi, "router/hosts/host=b/weight", Encoding::JsonIetf)
+                .await
+                .expect("there"),
+            "\"0.5\""
+        );
+        assert_eq!(
+            get(&mut gnmi, "router/hosts/host=b/weight", Encoding::Proto)
+                .await
+                .expect("there"),
+            "0.5"
+        );
+        let reply = netconf
+            .rpc("<get><filter type='xpath' select='/router/state/revision-record/author'/></get>")
+            .await
+            .expect("a reply");
+        assert!(
+            reply.contains("<author>ana</author>")
+                && reply.contains("<author>rui</author>")
+                && reply.contains("<author>operators</author>"),
+            "{reply}"
+        );
+        assert!(ok(&netconf.rpc("<close-session/>").await) && netconf.rpc("<get/>").await.is_err());
+    });
+}
+
+#[test]
+fn of_conflicting_edits_over_two_protocols_one_is_committed_completely() {
+    let site = Site::new();
+    run(async {
+        let (mut netconf, mut gnmi) = (site.netconf("ana").await, site.gnmi("rui").await);
+        assert!(ok(&netconf
+            .rpc(&edit("candidate", &weight("a", "2")))
+            .await));
+        assert!(ok(&netconf
+            .rpc(&edit("candidate", &weight("b", "2")))
+            .await));
+        gnmi.set(SetRequest {
+            update: vec![update("router/hosts/host=a/weight", "3.0".into())],
+            ..SetRequest::default()
+        })
+        .await
+        .expect("the first");
+        let reply = netconf.rpc("<commit/>").await.expect("a reply");
+        assert!(
+            reply.contains(
+                "was changed since revision 1 by revision 2 (management by rui, version gnmi set 1"
+            ),
+            "{reply}"
+        );
+        assert_eq!(
+            get(&mut gnmi, "router/hosts/host=b/weight", Encoding::JsonIetf)
+                .await
+                .expect_err("nothing stays")
+                .code(),
+            Code::NotFound
+        );
+        // A file that says another thing of the same leaf waits for nobody, and is refused with the leaf.
+        write_hosts(&site.credentials, "2", &site.hosts, "weight = 5\n");
+        let line = site.program.wait_for_log("the files are refused");
+        assert!(
+            line.contains(
+                "hosts/a/weight: was changed since revision 1 by revision 2 (management by rui"
+            ),
+            "{line}"
+        );
+    });
+}
+
+#[test]
+fn a_set_is_one_ordered_transaction_and_rejected_completely() {
+    let site = Site::new();
+    run(async {
+        let mut gnmi = site.gnmi("ana").await;
+        // Deleted first, replaced then, updated last, wherever they stand in the request.
+        let request = SetRequest {
+            prefix: Some(path("router")),
+            update: vec![update("hosts/host=a/size", "3.0".into())],
+            replace: vec![update("hosts/host=b/weight", "0.5".into())],
+            delete: vec![path("guards")],
+            ..SetRequest::default()
+        };
+        let response = gnmi.set(request).await.expect("well").into_inner();
+        let ops: Vec<_> = response.response.iter().map(|result| result.op).collect();
+        assert_eq!(ops, [1, 2, 3]);
+        for (request, code, part) in [
+            (
+                SetRequest {
+                    update: vec![
+                        update("router/hosts/host=a/weight", "2.0".into()),
+                        update("router/hosts/host=b/weight", 2.into()),
+                    ],
+                    ..SetRequest::default()
+                },
+                Code::InvalidArgument,
+                "is of another form",
+            ),
+            (
+                SetRequest {
+                    update: vec![
+                        update("router/hosts/host=a/weight", "2.0".into()),
+                        update("router/hosts/host=x/weight", "2.0".into()),
+                    ],
+                    ..SetRequest::default()
+                },
+                Code::FailedPrecondition,
+                "hosts/x: no such host is listed",
+            ),
+            (
+                SetRequest {
+                    update: vec![update("router/hosts/host=a/weight", "1e3".into())],
+                    ..SetRequest::default()
+                },
+                Code::InvalidArgument,
+                "is no decimal number",
+            ),
+            (
+                SetRequest {
+                    update: vec![update("router/state/clients", 2.into())],
+                    ..SetRequest::default()
+                },
+                Code::InvalidArgument,
+                "is the router's own",
+            ),
+            (
+                SetRequest {
+                    update: vec![update("router/hots", 2.into())],
+                    ..SetRequest::default()
+                },
+                Code::InvalidArgument,
+                "has no hots",
+            ),
+            (
+                SetRequest {
+                    delete: vec![path("router/hosts")],
+                    ..SetRequest::default()
+                },
+                Code::FailedPrecondition,
+                "too many are taken out of service",
+            ),
+        ] {
+            let status = gnmi.set(request).await.expect_err("refused");
+            assert!(
+                status.code() == code && status.message().contains(part),
+                "{status:?}"
+            );
+        }
+        assert!(
+            get(&mut gnmi, "router/hosts/host=a/weight", Encoding::JsonIetf)
+                .await
+                .is_err(),
+            "nothing of them stays"
+        );
+        assert_eq!(
+            get(&mut gnmi, "router/state/revision", Encoding::Proto)
+                .await
+                .expect("there"),
+            "2"
+        );
+    });
+}
+
+#[test]
+fn a_confirmed_commit_is_reverted_with_its_session_timeout_or_router() {
+    let mut site = Site::new();
+    let confirmed = |time: u32| {
+        format!("<commit><confirmed/><confirm-timeout>{time}</confirm-timeout></commit>")
+    };
+    run(async {
+        let mut netconf = site.netconf("ana").await;
+        assert!(
+            ok(&netconf.rpc(&edit("candidate", &state("a", "out"))).await)
+                && ok(&netconf.rpc(&confirmed(60)).await)
+        );
+        assert_eq!(site.served("out"), ["of b"]);
+        netconf.abandon().await;
+        site.program
+            .wait_for_log("a commit that was not confirmed is undone");
+        site.program.wait_for_log("a revision is in force");
+        assert_eq!(site.served("back"), ["of a", "of b"]);
+        let mut netconf = site.netconf("ana").await;
+        assert!(
+            ok(&netconf.rpc(&edit("candidate", &state("a", "out"))).await)
+                && ok(&netconf.rpc(&confirmed(1)).await)
+        );
+        site.program
+            .wait_for_log("a commit that was not confirmed is undone");
+        let mut gnmi = site.gnmi("rui").await;
+        let ext = |action| {
+            vec![Extension {
+                ext: Some(Ext::Commit(gnmi_ext::Commit {
+                    id: "night".into(),
+                    action: Some(action),
+                })),
+            }]
+        };
+        let commit = Action::Commit(gnmi_ext::CommitRequest {
+            rollback_duration: None,
+        });
+        let set = SetRequest {
+            update: vec![update("router/hosts/host=b/state", "out".into())],
+            extension: ext(commit),
+            ..SetRequest::default()
+        };
+        gnmi.set(set.clone()).await.expect("well");
+        assert_eq!(site.served("gnmi"), ["of a"]);
+        let status = gnmi
+            .set(SetRequest {
+                update: vec![update("router/hosts/host=a/weight", "2.0".into())],
+                ..SetRequest::default()
+            })
+            .await;
+        assert_eq!(status.expect_err("one waits").code(), Code::Unavailable);
+        gnmi.set(SetRequest {
+            extension: ext(Action::Confirm(gnmi_ext::CommitConfirm {})),
+            ..SetRequest::default()
+        })
+        .await
+        .expect("confirmed");
+        gnmi.set(SetRequest {
+            update: vec![update("router/hosts/host=b/state", "in-service".into())],
+            ..SetRequest::default()
+        })
+        .await
+        .expect("well");
+        gnmi.set(set).await.expect("it waits again");
+        site.remembers("\"pending\":{").await;
+    });
+    // The router dies while it waits: what comes back is what stood before.
+    site.program.signal("KILL");
+    site.restart();
+    site.program
+        .wait_for_log_since_start("a commit that was not confirmed is undone");
+    site.program
+        .wait_for_log_since_start("a revision is in force");
+    assert_eq!(site.served("restarted"), ["of a", "of b"]);
+}
+
+#[test]
+fn the_lock_of_a_closed_session_is_released() {
+    let site = Site::new();
+    run(async {
+        let mut one = site.netconf("ana").await;
+        assert!(ok(&one
+            .rpc("<lock><target><running/></target></lock>")
+            .await));
+        let (mut two, mut gnmi) = (site.netconf("rui").await, site.gnmi("rui").await);
+        let refused = two
+            .rpc(&edit("running", &weight("a", "2")))
+            .await
+            .expect("a reply");
+        assert!(
+            refused.contains("<error-tag>lock-denied</error-tag>"),
+            "{refused}"
+        );
+        let set = SetRequest {
+            update: vec![update("router/hosts/host=a/weight", "2.0".into())],
+            ..SetRequest::default()
+        };
+        assert_eq!(
+            gnmi.set(set.clone()).await.expect_err("locked").code(),
+            Code::Unavailable
+        );
+        // The file that changes meanwhile waits for the lock.
+        write_hosts(&site.credentials, "2", &site.hosts, "size = 2\n");
+        assert!(
+            site.program
+                .wait_for_log("the files are held back")
+                .contains("holds the lock")
+        );
+        one.abandon().await;
+        site.program.wait_for_log("NETCONF session closed");
+        site.program.wait_for_log("the files are taken");
+        gnmi.set(set).await.expect("free");
+    });
+}
+
+#[test]
+fn an_edit_during_graceful_shutdown_is_complete_or_absent() {
+    let mut site = Site::new();
+    run(async {
+        let mut netconf = site.netconf("ana").await;
+        let both = "<hosts><host><name>a</name><weight>2</weight></host><host><name>b</name><weight>2</weight></host></hosts>";
+        site.program.signal("TERM");
+        let done = ok(&netconf.rpc(&edit("running", both)).await);
+        assert!(site.program.child.wait().expect("an end").success());
+        site.restart();
+        let mut gnmi = site.gnmi("rui").await;
+        let there = [
+            get(&mut gnmi, "router/hosts/host=a/weight", Encoding::JsonIetf)
+                .await
+                .is_ok(),
+            get(&mut gnmi, "router/hosts/host=b/weight", Encoding::JsonIetf)
+                .await
+                .is_ok(),
+        ];
+        assert!(
+            there[0] == there[1] && (!done || there[0]),
+            "{done} {there:?}"
+        );
+    });
+}
