--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -127,7 +127,7 @@
     }
 }
 
-/// Serves one connection to its end. The key exchange and the authentication together have to finish in time.
+/// Serves one connection to its end. The start of SSH has the login timeout, and the authentication after it has it again.
 async fn serve_connection(
     shared: Arc<Shared>,
     config: Arc<russh::server::Config>,
