--- a/datastore/src/tree_builder.rs
+++ b/datastore/src/tree_builder.rs
@@ -27,7 +27,7 @@
         let host: HostName = match name.parse() {
             Ok(host) => host,
             Err(why) => {
-                self.error(ValidationError::new(
+                self.push_error(ValidationError::new(
                     place,
                     format!("the host's name {why}"),
                     name,
@@ -37,7 +37,7 @@
             }
         };
         if let Some(first) = self.host_places.insert(host.clone(), place.into()) {
-            self.error(ValidationError::new(
+            self.push_error(ValidationError::new(
                 place,
                 format!("{host} was named before, at {first}"),
                 name,
@@ -53,7 +53,7 @@
         let value = match leaf.parse(text) {
             Ok(value) => value,
             Err(why) => {
-                return self.error(ValidationError::new(
+                return self.push_error(ValidationError::new(
                     format!("{place}: {path}"),
                     why,
                     printable(text),
@@ -62,7 +62,7 @@
             }
         };
         if let Some(first) = self.leaf_places.insert(path.clone(), place.into()) {
-            return self.error(ValidationError::new(
+            return self.push_error(ValidationError::new(
                 place,
                 format!("{path} was said before, at {first}"),
                 text,
@@ -70,7 +70,7 @@
             ));
         }
         if let Err(error) = self.tree.set(&path, Some(value)) {
-            self.error(ValidationError {
+            self.push_error(ValidationError {
                 path: format!("{place}: {path}"),
                 ..error
             });
@@ -83,7 +83,7 @@
     }
 
     /// Adds an error.
-    pub fn error(&mut self, error: ValidationError) {
+    fn push_error(&mut self, error: ValidationError) {
         self.errors.push(error);
     }
 
