--- a/router/src/management_threads/interfaces.rs
+++ b/router/src/management_threads/interfaces.rs
@@ -62,11 +62,11 @@
         let netconf = settings.netconf.as_ref().map(NetconfListener::open);
         let netconf = netconf.transpose()?;
         if let Some(netconf) = &netconf {
-            info!(log, "NETCONF listening"; "at" => local_address(&netconf.listener));
+            info!(log, "NETCONF server started"; "at" => local_address(&netconf.listener));
         }
         let gnmi = settings.gnmi.as_ref().map(GnmiListener::open).transpose()?;
         if let Some(gnmi) = &gnmi {
-            info!(log, "gNMI listening"; "at" => local_address(&gnmi.listener));
+            info!(log, "gNMI server started"; "at" => local_address(&gnmi.listener));
         }
         keys_file.log_loaded(log);
         Ok(ManagementInterfaces {
--- a/router/src/program/serve.rs
+++ b/router/src/program/serve.rs
@@ -143,10 +143,7 @@
 
     fn check_operator_file(&self, log: &Logger, operators: &OperatorSettings) {
         if !matches!(self.operators(), Ok(found) if found == *operators) {
-            warn!(
-                log,
-                "operator file changed or invalid, a restart is needed"
-            );
+            warn!(log, "operator file changed or invalid, a restart is needed");
         }
     }
 }
--- a/router/tests/full_size.rs
+++ b/router/tests/full_size.rs
@@ -137,7 +137,7 @@
         (4, one_for_one, "entries: 2"),
     ] {
         lists.send(list).expect("discovery runs");
-        let line = program.wait_for_log("host");
+        let line = program.wait_for_log("endpoint list");
         assert!(
             line.contains(&format!("rev: {rev}")) && line.contains(entries),
             "{line}"
@@ -247,7 +247,7 @@
             "changes of version 9 after a later one",
         ),
         ((plain(&whole(12)), true), "rev: 12"),
-        ((plain(&doubled), true), "hosts stand twice in a list"),
+        ((plain(&doubled), true), "endpoint list names hosts twice"),
         (
             (plain(&hosts(14, true, at, ready((0..HOSTS).rev()))), true),
             "rev: 14",
