--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -1,5 +1,17 @@
 //! Every limit of the router: sizes, counts and times, computed once at start and handed down.
 
+#![deny(
+    missing_docs,
+    unreachable_pub,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::unwrap_used,
+    clippy::wildcard_imports
+)]
+
 mod memory_budget;
 
 use kestreltide::interface::ServiceSettings;
--- a/router/src/protocol/mod.rs
+++ b/router/src/protocol/mod.rs
@@ -1,5 +1,17 @@
 //! Messages to and from bytes, without any I/O. A parsed message borrows from the buffer that it was read from.
 
+#![deny(
+    missing_docs,
+    unreachable_pub,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::unwrap_used,
+    clippy::wildcard_imports
+)]
+
 pub mod client;
 pub mod discovery;
 pub mod host;
--- a/router/src/transport/mod.rs
+++ b/router/src/transport/mod.rs
@@ -1,5 +1,17 @@
 //! Non-blocking sockets on one calloop event loop, without knowledge of the protocols spoken on them.
 
+#![deny(
+    missing_docs,
+    unreachable_pub,
+    clippy::cognitive_complexity,
+    clippy::expect_used,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::unwrap_used,
+    clippy::wildcard_imports
+)]
+
 mod clock;
 mod datagram_socket;
 mod idle_connections;
