--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -18,193 +18,197 @@
     FileWatchSettings, GnmiSettings, ManagementSettings, NetconfSettings, OperatorSettings,
 };
 
-/// What a key takes.
+/// What the value of a key is.
 #[derive(Clone, Copy, Debug)]
-enum Takes {
+enum ValueKind {
     /// A path, from the operator file's own folder where it is not absolute.
     Path,
     Flag,
-    Whole {
-        least: usize,
-        most: usize,
+    Integer {
+        minimum: usize,
+        maximum: usize,
     },
     Seconds {
-        least: f64,
-        most: f64,
+        minimum: f64,
+        maximum: f64,
     },
     Address,
 }
 
-/// Section, key, what it takes, its default in words, what it is for.
-type Row = (
-    &'static str,
-    &'static str,
-    Takes,
-    &'static str,
-    &'static str,
-);
+/// A key of the operator file.
+struct KeyDefinition {
+    section: &'static str,
+    key: &'static str,
+    kind: ValueKind,
+    /// Its default as text; empty: it has none.
+    default: &'static str,
+    /// What it is for, in words.
+    purpose: &'static str,
+}
 
-const ROWS: [Row; 16] = [
-    (
-        "datastore",
-        "state-directory",
-        Takes::Path,
-        "",
-        "where the last good revision is remembered; none: nowhere",
-    ),
-    (
-        "datastore",
-        "history",
-        Takes::Whole {
-            least: 1,
-            most: 100_000,
+/// All keys, section by section.
+const KEYS: [KeyDefinition; 16] = [
+    KeyDefinition {
+        section: "datastore",
+        key: "state-directory",
+        kind: ValueKind::Path,
+        default: "",
+        purpose: "where the last good revision is remembered; none: nowhere",
+    },
+    KeyDefinition {
+        section: "datastore",
+        key: "history",
+        kind: ValueKind::Integer {
+            minimum: 1,
+            maximum: 100_000,
         },
-        "1000",
-        "revisions that are kept",
-    ),
-    (
-        "watch",
-        "hosts",
-        Takes::Path,
-        "",
-        "the file of hosts and guards",
-    ),
-    (
-        "watch",
-        "weights",
-        Takes::Path,
-        "",
-        "the file of weights and states",
-    ),
-    (
-        "watch",
-        "discovery",
-        Takes::Flag,
-        "on",
-        "off: hosts are those of the files alone",
-    ),
-    (
-        "watch",
-        "notices",
-        Takes::Flag,
-        "on",
-        "off: changes are found by looking alone",
-    ),
-    (
-        "watch",
-        "settle",
-        Takes::Seconds {
-            least: 0.001,
-            most: 10.0,
+        default: "1000",
+        purpose: "revisions that are kept",
+    },
+    KeyDefinition {
+        section: "watch",
+        key: "hosts",
+        kind: ValueKind::Path,
+        default: "",
+        purpose: "the file of hosts and guards",
+    },
+    KeyDefinition {
+        section: "watch",
+        key: "weights",
+        kind: ValueKind::Path,
+        default: "",
+        purpose: "the file of weights and states",
+    },
+    KeyDefinition {
+        section: "watch",
+        key: "discovery",
+        kind: ValueKind::Flag,
+        default: "on",
+        purpose: "off: hosts are those of the files alone",
+    },
+    KeyDefinition {
+        section: "watch",
+        key: "notices",
+        kind: ValueKind::Flag,
+        default: "on",
+        purpose: "off: changes are found by looking alone",
+    },
+    KeyDefinition {
+        section: "watch",
+        key: "settle",
+        kind: ValueKind::Seconds {
+            minimum: 0.001,
+            maximum: 10.0,
         },
-        "0.02",
-        "without a change before a file is taken for written",
-    ),
-    (
-        "watch",
-        "poll",
-        Takes::Seconds {
-            least: 0.01,
-            most: 60.0,
+        default: "0.02",
+        purpose: "without a change before a file is taken for written",
+    },
+    KeyDefinition {
+        section: "watch",
+        key: "poll",
+        kind: ValueKind::Seconds {
+            minimum: 0.01,
+            maximum: 60.0,
         },
-        "0.1",
-        "between looks where no notice comes",
-    ),
-    (
-        "watch",
-        "compare",
-        Takes::Seconds {
-            least: 0.1,
-            most: 3600.0,
+        default: "0.1",
+        purpose: "between looks where no notice comes",
+    },
+    KeyDefinition {
+        section: "watch",
+        key: "compare",
+        kind: ValueKind::Seconds {
+            minimum: 0.1,
+            maximum: 3600.0,
         },
-        "1",
-        "between readings though nothing seems changed",
-    ),
-    (
-        "management",
-        "netconf",
-        Takes::Address,
-        "",
-        "where NETCONF over SSH is listened for; none: not",
-    ),
-    (
-        "management",
-        "ssh-host-key",
-        Takes::Path,
-        "",
-        "the private key by which clients know this router",
-    ),
-    (
-        "management",
-        "gnmi",
-        Takes::Address,
-        "",
-        "where gNMI over TLS is listened for; none: not",
-    ),
-    (
-        "management",
-        "certificate",
-        Takes::Path,
-        "",
-        "this router's certificate, in PEM",
-    ),
-    (
-        "management",
-        "key",
-        Takes::Path,
-        "",
-        "its private key, in PEM",
-    ),
-    (
-        "management",
-        "client-ca",
-        Takes::Path,
-        "",
-        "who signs clients' certificates, in PEM",
-    ),
-    (
-        "management",
-        "keys",
-        Takes::Path,
-        "",
-        "the file of keys: who may come in, and what they may do",
-    ),
+        default: "1",
+        purpose: "between readings though nothing seems changed",
+    },
+    KeyDefinition {
+        section: "management",
+        key: "netconf",
+        kind: ValueKind::Address,
+        default: "",
+        purpose: "where NETCONF over SSH is listened for; none: not",
+    },
+    KeyDefinition {
+        section: "management",
+        key: "ssh-host-key",
+        kind: ValueKind::Path,
+        default: "",
+        purpose: "the private key by which clients know this router",
+    },
+    KeyDefinition {
+        section: "management",
+        key: "gnmi",
+        kind: ValueKind::Address,
+        default: "",
+        purpose: "where gNMI over TLS is listened for; none: not",
+    },
+    KeyDefinition {
+        section: "management",
+        key: "certificate",
+        kind: ValueKind::Path,
+        default: "",
+        purpose: "this router's certificate, in PEM",
+    },
+    KeyDefinition {
+        section: "management",
+        key: "key",
+        kind: ValueKind::Path,
+        default: "",
+        purpose: "its private key, in PEM",
+    },
+    KeyDefinition {
+        section: "management",
+        key: "client-ca",
+        kind: ValueKind::Path,
+        default: "",
+        purpose: "who signs clients' certificates, in PEM",
+    },
+    KeyDefinition {
+        section: "management",
+        key: "keys",
+        kind: ValueKind::Path,
+        default: "",
+        purpose: "the file of keys: who may come in, and what they may do",
+    },
 ];
 
 /// Bytes of a watched file.
-const FILE_MOST: usize = 8 << 20;
-/// In settling times: how long a file that never rests is waited for, and versions are apart.
-const LONGEST: f64 = 7.5;
-const APART: f64 = 1.0;
+const MAX_FILE_BYTES: usize = 8 << 20;
+/// How long a file that never rests is waited for, as a multiple of the settling time.
+const MAX_DELAY_PER_SETTLE: f64 = 7.5;
+/// The least time between two versions, as a multiple of the settling time.
+const MIN_INTERVAL_PER_SETTLE: f64 = 1.0;
 
 fn sections() -> Vec<&'static str> {
-    let mut names: Vec<_> = ROWS.iter().map(|row| row.0).collect();
+    let mut names: Vec<_> = KEYS.iter().map(|definition| definition.section).collect();
     names.dedup();
     names
 }
 
-fn check(takes: Takes, text: &str) -> Result<(), (&'static str, String)> {
-    match takes {
-        Takes::Path if text.is_empty() => Err(("is empty", "a path".into())),
-        Takes::Path => Ok(()),
-        Takes::Address => match text.parse::<SocketAddr>() {
+fn check_value(kind: ValueKind, text: &str) -> Result<(), (&'static str, String)> {
+    match kind {
+        ValueKind::Path if text.is_empty() => Err(("is empty", "a path".into())),
+        ValueKind::Path => Ok(()),
+        ValueKind::Address => match text.parse::<SocketAddr>() {
             Ok(_) => Ok(()),
             Err(_) => Err((
                 "is no address and port",
                 "an address such as 127.0.0.1:830".into(),
             )),
         },
-        Takes::Flag if ["on", "off"].contains(&text) => Ok(()),
-        Takes::Flag => Err(("is neither", "on or off".into())),
-        Takes::Whole { least, most } => match text.parse::<usize>() {
-            Ok(number) if (least..=most).contains(&number) => Ok(()),
-            Ok(_) => Err(("is out of range", format!("{least} to {most}"))),
-            Err(_) => Err(("is no whole number", format!("{least} to {most}"))),
+        ValueKind::Flag if ["on", "off"].contains(&text) => Ok(()),
+        ValueKind::Flag => Err(("is neither", "on or off".into())),
+        ValueKind::Integer { minimum, maximum } => match text.parse::<usize>() {
+            Ok(number) if (minimum..=maximum).contains(&number) => Ok(()),
+            Ok(_) => Err(("is out of range", format!("{minimum} to {maximum}"))),
+            Err(_) => Err(("is no whole number", format!("{minimum} to {maximum}"))),
         },
-        Takes::Seconds { least, most } => match text.parse::<f64>() {
-            Ok(seconds) if (least..=most).contains(&seconds) => Ok(()),
-            Ok(_) => Err(("is out of range", format!("{least} to {most} seconds"))),
-            Err(_) => Err(("is no number", format!("{least} to {most} seconds"))),
+        ValueKind::Seconds { minimum, maximum } => match text.parse::<f64>() {
+            Ok(seconds) if (minimum..=maximum).contains(&seconds) => Ok(()),
+            Ok(_) => Err(("is out of range", format!("{minimum} to {maximum} seconds"))),
+            Err(_) => Err(("is no number", format!("{minimum} to {maximum} seconds"))),
         },
     }
 }
@@ -218,7 +222,7 @@
     let read = ini::sections(&name, text)?;
     let mut errors = ValidationErrors::default();
     for (number, section) in read.iter().enumerate() {
-        known(&name, section, &mut errors);
+        check_section(&name, section, &mut errors);
         if let Some(first) = read[..number]
             .iter()
             .find(|first| first.name == section.name)
@@ -243,9 +247,9 @@
     };
     let text = |section: &str, key: &str| {
         said(section, key).unwrap_or_else(|| {
-            ROWS.iter()
-                .find(|row| row.0 == section && row.1 == key)
-                .map_or("", |row| row.3)
+            KEYS.iter()
+                .find(|definition| definition.section == section && definition.key == key)
+                .map_or("", |definition| definition.default)
         })
     };
     let path = |section, key| said(section, key).map(|path| folder.join(path));
@@ -307,9 +311,9 @@
     let settle = seconds("watch", "settle");
     let patience = DebounceSettings {
         quiet_period: settle,
-        max_delay: LONGEST * settle,
+        max_delay: MAX_DELAY_PER_SETTLE * settle,
         poll_interval: seconds("watch", "poll"),
-        min_interval: APART * settle,
+        min_interval: MIN_INTERVAL_PER_SETTLE * settle,
     };
     let (compare, notices) = (
         seconds("watch", "compare"),
@@ -318,7 +322,7 @@
     let paths = files.iter().map(|(_, path)| path.clone()).collect();
     let watched = WatchSettings {
         files: paths,
-        max_file_size: FILE_MOST,
+        max_file_size: MAX_FILE_BYTES,
         debounce: patience,
         compare_interval: compare,
         use_notifier: notices,
@@ -362,11 +366,11 @@
     })
 }
 
-fn known(name: &str, section: &Section, errors: &mut ValidationErrors) {
-    let keys: Vec<_> = ROWS
+fn check_section(name: &str, section: &Section, errors: &mut ValidationErrors) {
+    let keys: Vec<_> = KEYS
         .iter()
-        .filter(|row| row.0 == section.name)
-        .map(|row| row.1)
+        .filter(|definition| definition.section == section.name)
+        .map(|definition| definition.key)
         .collect();
     let at = format!("{name}:{}", section.line);
     if section.name.is_empty() {
@@ -387,10 +391,12 @@
     }
     ini::check_keys(name, section, &keys, errors);
     for key in &section.keys {
-        let row = ROWS
+        let definition = KEYS
             .iter()
-            .find(|row| row.0 == section.name && row.1 == key.name);
-        if let Some(Err((what, taken))) = row.map(|row| check(row.2, &key.value)) {
+            .find(|definition| definition.section == section.name && definition.key == key.name);
+        if let Some(Err((what, taken))) =
+            definition.map(|definition| check_value(definition.kind, &key.value))
+        {
             let path = format!("{name}:{}: [{}] {}", key.line, section.name, key.name);
             errors.push(ValidationError::new(
                 path,
@@ -432,12 +438,20 @@
                 " ; not in the file"
             }
         );
-        for (_, key, _, default, what) in ROWS.iter().filter(|row| row.0 == section) {
+        for KeyDefinition {
+            key,
+            default,
+            purpose,
+            ..
+        } in KEYS
+            .iter()
+            .filter(|definition| definition.section == section)
+        {
             let value = on.and_then(|on| on.keys.iter().find(|said| said.name == *key));
             let _ = match value {
                 Some(value) => writeln!(out, "{key} = {}", value.value),
-                None if default.is_empty() => writeln!(out, "; {key} =   ({what})"),
-                None => writeln!(out, "{key} = {default}   ; default: {what}"),
+                None if default.is_empty() => writeln!(out, "; {key} =   ({purpose})"),
+                None => writeln!(out, "{key} = {default}   ; default: {purpose}"),
             };
         }
     }
