--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -74,9 +74,3 @@
         .as_ref()
         .map_or_else(String::new, |found| format!(" ({found} was given)"))
 }
-
-impl From<SettingsError> for String {
-    fn from(error: SettingsError) -> Self {
-        error.to_string()
-    }
-}
