--- a/measure/src/capacity/fleet_run/real_router.rs
+++ b/measure/src/capacity/fleet_run/real_router.rs
@@ -41,7 +41,7 @@
     if line.contains(" listening") {
         return Some(Said::Listening(value(line, "at")?.parse().ok()?));
     }
-    if line.contains(" the files are taken") {
+    if line.contains(" watched files applied") {
         return Some(Said::Taken {
             generation: number("generation")?,
             revision: number("revision")?,
--- a/measure/src/capacity/fleet_run/real_router/tests.rs
+++ b/measure/src/capacity/fleet_run/real_router/tests.rs
@@ -7,7 +7,7 @@
         said(at),
         Some(Said::Listening(([127, 0, 0, 1], 4711).into()))
     );
-    let taken = "Dec 02 00:00:10.100 INFO the files are taken, router: r3, generation: 7, revision: 4, changes: 1";
+    let taken = "Dec 02 00:00:10.100 INFO watched files applied, router: r3, generation: 7, revision: 4, changes: 1";
     assert_eq!(
         said(taken),
         Some(Said::Taken {
--- a/measure/src/capacity/slopes/by_routes.rs
+++ b/measure/src/capacity/slopes/by_routes.rs
@@ -126,7 +126,7 @@
 
     fn commit(&self, program: &Program, edit: &str) {
         let at = program
-            .address_in_startup_log("NETCONF is listened for")
+            .address_in_startup_log("NETCONF interface opened")
             .expect("the log tells the address");
         block_on(async {
             let mut session = Netconf::open(self.credentials.management_client(ENGINEER), at)
--- a/router/src/management_threads/datastore_thread/management_requests.rs
+++ b/router/src/management_threads/datastore_thread/management_requests.rs
@@ -117,11 +117,7 @@
 
     fn record_denied_edit(&mut self, author: Author, error: ValidationError, facts: &Facts) {
         let errors = ValidationErrors::from(error);
-        self.log_rejection(
-            "an edit is beyond the rights of who tries it",
-            &author.name,
-            &errors,
-        );
+        self.log_rejection("edit denied", &author.name, &errors);
         self.coordinator
             .store
             .record_rejection(author, facts.now, errors);
@@ -146,12 +142,12 @@
         match committed {
             Ok(CommitOutcome::Applied(snapshot)) => {
                 let record = self.coordinator.store.history().next_back();
-                info!(self.log, "a commit is taken"; "by" => %author,
+                info!(self.log, "commit applied"; "author" => %author,
                     "revision" => snapshot.revision().0,
                     "changes" => record.map_or(0, |record| record.changes.len()));
             }
             Err(CommitError::Invalid(errors)) => {
-                self.log_rejection("a commit is refused", &author.to_string(), errors);
+                self.log_rejection("commit rejected", &author.to_string(), errors);
             }
             // Locks and other commits that wait are the requester's affair.
             Ok(CommitOutcome::Unchanged) | Err(_) => {}
--- a/router/src/management_threads/datastore_thread/mod.rs
+++ b/router/src/management_threads/datastore_thread/mod.rs
@@ -243,16 +243,12 @@
     ) -> Option<Arc<Snapshot>> {
         match outcome {
             Ok(outcome) => {
-                info!(self.log, "a commit that was not confirmed is undone";
+                info!(self.log, "unconfirmed commit rolled back";
                     "revision" => self.revision());
                 applied_snapshot(&outcome)
             }
             Err(errors) => {
-                self.log_rejection(
-                    "a commit that was not confirmed cannot be undone",
-                    "",
-                    &errors,
-                );
+                self.log_rejection("rollback of an unconfirmed commit rejected", "", &errors);
                 None
             }
         }
@@ -318,7 +314,7 @@
     let error = match persistence::load(folder) {
         Ok(None) => return Ok(PersistedState::default()),
         Ok(Some(state)) => {
-            info!(log, "the last good revision is remembered"; "revision" => state.datastore.revision);
+            info!(log, "persisted state loaded"; "revision" => state.datastore.revision);
             return Ok(state);
         }
         Err(error) => error,
@@ -332,7 +328,7 @@
             });
         }
     };
-    warn!(log, "what was remembered cannot be used"; "why" => %error, "put_aside" => moved_to);
+    warn!(log, "persisted state damaged"; "why" => %error, "quarantined_as" => moved_to);
     Ok(PersistedState::default())
 }
 
--- a/router/src/management_threads/datastore_thread/state_saver.rs
+++ b/router/src/management_threads/datastore_thread/state_saver.rs
@@ -65,7 +65,7 @@
                 self.is_failure_logged = false;
             }
             Err(error) if !self.is_failure_logged => {
-                warn!(self.log, "revisions cannot be remembered"; "why" => %error);
+                warn!(self.log, "persisted state not saved"; "why" => %error);
                 self.is_failure_logged = true;
             }
             Err(_) => {}
--- a/router/src/management_threads/datastore_thread/watched_files.rs
+++ b/router/src/management_threads/datastore_thread/watched_files.rs
@@ -126,7 +126,7 @@
             return Ok(digest);
         };
         if self.revision() > 0 {
-            warn!(self.log, "the start is with the last good revision, not with what the files say";
+            warn!(self.log, "started with the last good revision, not with the watched files";
                 "revision" => self.revision());
             return Ok(digest);
         }
@@ -159,7 +159,7 @@
                 None
             }
             WatchEvent::Pending(errors) => {
-                self.log_rejection("files do not belong together yet", "", &errors);
+                self.log_rejection("watched files of different generations", "", &errors);
                 self.files.mismatched = Some(PendingVersion {
                     since: facts.now,
                     author: files_author(""),
@@ -224,7 +224,7 @@
                         self.hold_back(version, &errors, next_retry(at, facts), facts, attempt)
                     }
                     None => {
-                        self.log_rejection("the files are refused", &version.generation, &errors)
+                        self.log_rejection("watched files rejected", &version.generation, &errors)
                     }
                 }
                 Err(errors)
@@ -241,7 +241,7 @@
         let changes = snapshot
             .as_ref()
             .map_or(0, |snapshot| snapshot.changed.len());
-        info!(self.log, "the files are taken"; "generation" => &version.generation,
+        info!(self.log, "watched files applied"; "generation" => &version.generation,
             "revision" => self.revision(), "changes" => changes);
         self.files.applied_tree = version.tree;
         self.files.applied_generation = version.generation;
@@ -263,7 +263,7 @@
             errors: errors.clone(),
         };
         if attempt == Attempt::First {
-            self.log_rejection("the files are held back", &version.generation, errors);
+            self.log_rejection("watched files pending", &version.generation, errors);
         }
         self.files.held_back = Some(HeldBackVersion {
             version,
@@ -274,7 +274,7 @@
 
     /// Records files of which no candidate can be made.
     fn reject_files(&mut self, generation: &str, errors: ValidationErrors) {
-        self.log_rejection("the files are refused", generation, &errors);
+        self.log_rejection("watched files rejected", generation, &errors);
         self.coordinator
             .store
             .record_rejection(files_author(generation), self.clock.now(), errors);
--- a/router/src/management_threads/interfaces.rs
+++ b/router/src/management_threads/interfaces.rs
@@ -62,11 +62,11 @@
         let netconf = settings.netconf.as_ref().map(NetconfListener::open);
         let netconf = netconf.transpose()?;
         if let Some(netconf) = &netconf {
-            info!(log, "NETCONF is listened for"; "at" => local_address(&netconf.listener));
+            info!(log, "NETCONF interface opened"; "at" => local_address(&netconf.listener));
         }
         let gnmi = settings.gnmi.as_ref().map(GnmiListener::open).transpose()?;
         if let Some(gnmi) = &gnmi {
-            info!(log, "gNMI is listened for"; "at" => local_address(&gnmi.listener));
+            info!(log, "gNMI interface opened"; "at" => local_address(&gnmi.listener));
         }
         keys_file.log_loaded(log);
         Ok(ManagementInterfaces {
@@ -110,7 +110,7 @@
                     ));
                 }
                 Err(error) => {
-                    error!(thread_log, "the management fronts cannot be started"; "error" => %error);
+                    error!(thread_log, "management interfaces cannot be started"; "error" => %error);
                 }
             }
         })?;
--- a/router/src/management_threads/keys_file.rs
+++ b/router/src/management_threads/keys_file.rs
@@ -100,13 +100,13 @@
                 .first()
                 .map(ToString::to_string)
                 .unwrap_or_default();
-            warn!(log, "the file of keys is refused, the keys stay as they are"; "why" => first);
+            warn!(log, "file of keys rejected"; "why" => first);
         }
     }
 }
 
 fn log_applied(log: &Logger, keys: &Keys) {
-    info!(log, "keys are taken"; "generation" => &keys.generation, "keys" => keys.keys.len());
+    info!(log, "keys applied"; "generation" => &keys.generation, "keys" => keys.keys.len());
 }
 
 fn parse(path: &str, contents: &[Content]) -> Parsed<Keys> {
--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Has the datastore thread save its state, and waits for it, at most for [`SHUTDOWN_TIMEOUT`].
+    /// Has the datastore thread save its state, and waits for it, at most for a second.
     pub fn shut_down(self) {
         let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
         // The queue may be full of requests.
@@ -180,7 +180,7 @@
             heartbeats.push(heartbeat.clone());
             heartbeat
         };
-        let heartbeat = new_heartbeat("keeper");
+        let heartbeat = new_heartbeat("datastore");
         let datastore_thread =
             self.spawn_datastore_thread(datastore, received, event_loop.clone(), heartbeat)?;
         let mut wake_file_watch = None;
@@ -222,7 +222,7 @@
         event_loop: LoopHandle,
         heartbeat: Heartbeat,
     ) -> io::Result<JoinHandle<u32>> {
-        supervise(self.log.clone(), "keeper", move || {
+        supervise(self.log.clone(), "datastore", move || {
             datastore.run(&requests, &event_loop, &heartbeat);
         })
     }
--- a/router/src/management_threads/supervise.rs
+++ b/router/src/management_threads/supervise.rs
@@ -33,13 +33,13 @@
                 return panics;
             };
             panics += 1;
-            error!(log, "a front died"; "front" => name, "deaths" => panics, "why" => panic_message(&*panic));
+            error!(log, "management thread panicked"; "thread" => name, "panics" => panics, "why" => panic_message(&*panic));
             if started.elapsed() > MAX_RESTART_DELAY {
                 delay = MIN_RESTART_DELAY;
             }
             thread::sleep(delay);
             delay = (2 * delay).min(MAX_RESTART_DELAY);
-            warn!(log, "a front is started again"; "front" => name);
+            warn!(log, "management thread restarted"; "thread" => name);
         }
     })
 }
--- a/router/src/management_threads/supervise/tests.rs
+++ b/router/src/management_threads/supervise/tests.rs
@@ -4,11 +4,11 @@
 use slog::{Discard, o};
 
 #[test]
-fn a_front_that_dies_is_started_again_and_goes_on() {
+fn a_thread_that_panics_is_started_again_and_goes_on() {
     let mut steps = 0;
-    let front = supervise(Logger::root(Discard, o!()), "test", move || {
+    let thread = supervise(Logger::root(Discard, o!()), "test", move || {
         steps += 1;
         assert!(steps > 2, "it dies twice");
     });
-    assert_eq!(front.expect("it starts").join().expect("it ends"), 2);
+    assert_eq!(thread.expect("it starts").join().expect("it ends"), 2);
 }
--- a/router/tests/golden_stored_state.rs
+++ b/router/tests/golden_stored_state.rs
@@ -182,11 +182,8 @@
     let folder = state("revisions.json");
     let golden = golden("revisions.json");
     let program = start(folder.path());
-    program
-        .wait_for_log_since_start("the last good revision is remembered, router: n0, revision: 5");
-    program.wait_for_log_since_start(
-        "a commit that was not confirmed is undone, router: n0, revision: 6",
-    );
+    program.wait_for_log_since_start("persisted state loaded, router: n0, revision: 5");
+    program.wait_for_log_since_start("unconfirmed commit rolled back, router: n0, revision: 6");
     program.wait_for_log_since_start("a revision is in force, router: n0, revision: 6");
     let stored = stored_anew(folder.path(), &golden, "\"revision\":6");
     let (before, after) = (body(&golden), body(&stored));
@@ -221,8 +218,7 @@
 fn a_start_with_an_older_form_has_its_revision_in_force() {
     let folder = state("older.json");
     let program = start(folder.path());
-    program
-        .wait_for_log_since_start("the last good revision is remembered, router: n0, revision: 5");
+    program.wait_for_log_since_start("persisted state loaded, router: n0, revision: 5");
     let stored = stored_anew(folder.path(), &golden("older.json"), "\"revision\":5");
     let (before, after) = (golden("revisions.json"), body(&stored));
     assert_eq!(history(after), history(body(&before)));
--- a/router/tests/management.rs
+++ b/router/tests/management.rs
@@ -114,7 +114,7 @@
             .address_in_startup_log(what)
             .expect("the line tells the address")
     };
-    (at("NETCONF is listened for"), at("gNMI is listened for"))
+    (at("NETCONF interface opened"), at("gNMI interface opened"))
 }
 
 fn start(credentials: &TestCredentials) -> Program {
@@ -327,7 +327,7 @@
         );
         // A file that says another thing of the same leaf waits for nobody, and is refused with the leaf.
         write_hosts(&site.credentials, "2", &site.hosts, "weight = 5\n");
-        let line = site.program.wait_for_log("the files are refused");
+        let line = site.program.wait_for_log("watched files rejected");
         assert!(
             line.contains(
                 "hosts/a/weight: was changed since revision 1 by revision 2 (management by rui"
@@ -444,8 +444,7 @@
         );
         assert_eq!(site.served("out"), ["of b"]);
         netconf.abandon().await;
-        site.program
-            .wait_for_log("a commit that was not confirmed is undone");
+        site.program.wait_for_log("unconfirmed commit rolled back");
         site.program.wait_for_log("a revision is in force");
         assert_eq!(site.served("back"), ["of a", "of b"]);
         let mut netconf = site.netconf("ana").await;
@@ -453,8 +452,7 @@
             ok(&netconf.rpc(&edit("candidate", &state("a", "out"))).await)
                 && ok(&netconf.rpc(&confirmed(1)).await)
         );
-        site.program
-            .wait_for_log("a commit that was not confirmed is undone");
+        site.program.wait_for_log("unconfirmed commit rolled back");
         let mut gnmi = site.gnmi("rui").await;
         let ext = |action| {
             vec![Extension {
@@ -500,7 +498,7 @@
     site.program.signal("KILL");
     site.restart();
     site.program
-        .wait_for_log_since_start("a commit that was not confirmed is undone");
+        .wait_for_log_since_start("unconfirmed commit rolled back");
     site.program
         .wait_for_log_since_start("a revision is in force");
     assert_eq!(site.served("restarted"), ["of a", "of b"]);
@@ -535,12 +533,12 @@
         write_hosts(&site.credentials, "2", &site.hosts, "size = 2\n");
         assert!(
             site.program
-                .wait_for_log("the files are held back")
+                .wait_for_log("watched files pending")
                 .contains("holds the lock")
         );
         one.abandon().await;
         site.program.wait_for_log("NETCONF session closed");
-        site.program.wait_for_log("the files are taken");
+        site.program.wait_for_log("watched files applied");
         gnmi.set(set).await.expect("free");
     });
 }
@@ -591,10 +589,10 @@
             "generation = 2\n[key ana]\n",
         )
         .expect("written");
-        site.program.wait_for_log("the file of keys is refused");
+        site.program.wait_for_log("file of keys rejected");
         assert!(eva.rpc("<get/>").await.is_ok());
         site.credentials.write_keys("3", &["ana", "rui"]);
-        site.program.wait_for_log("keys are taken");
+        site.program.wait_for_log("keys applied");
         assert!(eva.rpc("<get/>").await.is_err());
         assert_eq!(
             gil.set(SetRequest::default())
--- a/router/tests/operators.rs
+++ b/router/tests/operators.rs
@@ -138,7 +138,7 @@
     files.hosts("2", &[("b", b, "")]);
     let well = fs::read_to_string(files.at("hosts.ini")).expect("read");
     files.put("hosts.ini", &spoil(&well));
-    let line = program.wait_for_log("the files are refused");
+    let line = program.wait_for_log("watched files rejected");
     assert!(line.contains(why), "{line}");
     assert_eq!(ask(&mut client, "1"), "of a");
     files.put("hosts.ini", &well);
@@ -270,7 +270,7 @@
     files.states("2", &[("b", "out")]);
     assert!(
         program
-            .wait_for_log("the files are held back")
+            .wait_for_log("watched files pending")
             .contains("no such host is listed")
     );
     // What is held back is remembered a while after it is logged, how long a busy disk takes is not known.
@@ -306,7 +306,7 @@
         program
             .startup_log
             .iter()
-            .any(|line| line.contains("the start is with the last good revision"))
+            .any(|line| line.contains("started with the last good revision"))
     );
     assert_eq!(ask(&mut program.client(), "1"), "of a");
     drop(program);
@@ -328,7 +328,7 @@
         .expect("it runs");
     let said = String::from_utf8_lossy(&done.stderr);
     assert!(
-        !done.status.success() && said.contains("hosts.ini") && said.contains("put_aside"),
+        !done.status.success() && said.contains("hosts.ini") && said.contains("quarantined_as"),
         "{said}"
     );
     assert!(files.at("revisions.json.damaged").exists());
@@ -379,7 +379,7 @@
         .replace("generation = 1", "generation = 2");
     fs::write(files.at("hosts.ini"), &half[..half.len() - 20]).expect("half of it");
     program.signal("HUP");
-    program.wait_for_log("the files are refused");
+    program.wait_for_log("watched files rejected");
     assert_eq!(slow.reply(), "slow");
     slow.send(&["Q.ASK", "k", "slow-2", READ]);
     files.hosts("3", &[("b", at, "")]);
@@ -399,7 +399,7 @@
     files.hosts("summer", &[("a", a, "size = 2\n")]);
     program.wait_for_log("a revision is in force, router: n0, revision: 2");
     files.hosts("autumn", &[("a", a, "size = 0\n")]);
-    program.wait_for_log("the files are refused");
+    program.wait_for_log("watched files rejected");
     program.signal("TERM");
     program.wait_for_log("stopped");
     let (well, said) = files.command(&["revisions", "--operator", "operator.ini"]);
@@ -475,7 +475,7 @@
     let program = files.alone();
     let mut client = program.client();
     files.hosts("2", &[("b", b, "")]);
-    let line = program.wait_for_log("files do not belong together yet");
+    let line = program.wait_for_log("watched files of different generations");
     assert!(
         line.contains("weights.ini: generation: is of another generation than"),
         "{line}"
