--- a/measure/src/capacity/slopes/decisions.rs
+++ b/measure/src/capacity/slopes/decisions.rs
@@ -10,6 +10,9 @@
 
 use kestreltide::decisions::Router;
 use kestreltide::interface::*;
+use kestreltide_testkit::decisions::{
+    idempotency_key, operation_settings, rollout_status, running_host, service_settings,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -76,7 +79,7 @@
     /// What is done five times a second, whatever comes.
     pub(super) periodic: EventCost,
     pub(super) gossip: EventCost,
-    pub(super) whole_list: EventCost,
+    pub(super) complete_list: EventCost,
     pub(super) one_host: EventCost,
 }
 
@@ -87,61 +90,24 @@
     }
 }
 
-/// Terms with so many routers, and two operations.
-fn terms(routers: u32) -> ServiceSettings {
-    let operation = |idempotency| OperationSettings {
-        latency_objective: 0.8,
-        latency_objective_stretch: 0.0,
-        time_limit: 2.0,
-        idempotency,
-        priority_weight: 1.0,
-        late_value_fraction: 0.0,
-        streamed: false,
-    };
-    let fingerprinted = Idempotency::IdempotencyKey {
-        scope: IdempotencyScope::All,
-        window: 0.5,
-    };
+/// Settings with so many routers, and two operations.
+fn settings(routers: u32) -> ServiceSettings {
     ServiceSettings {
-        me: RouterId(0),
         routers,
         zone: Some(ZoneId(0)),
-        operations: vec![operation(Idempotency::Idempotent), operation(fingerprinted)],
-        weighted_by_work: false,
-        polls_endpoint_list: false,
-        endpoint_poll_interval: 10.0,
-        sizes: Sizes::Unspecified,
+        operations: vec![
+            operation_settings(Idempotency::Idempotent, 0.8),
+            operation_settings(idempotency_key(0.5), 0.8),
+        ],
         gate: Gate::Share,
         votes_on: routers.div_ceil(2),
         votes_back: routers.div_ceil(2),
-        votes_hold: 0,
         bake: 3.0,
         vote_lifetime: 20.0,
-        vote_wait: 1.0,
         vote_rate: 16.0,
         stage_shares: vec![0.5, 1.0],
         stage_caps: vec![0.6, 1.0],
-        exposure_window: 2.0,
-        exposure_spare: 2.0,
-        exposure_by_operation: false,
-        idempotent_only_stages: 0,
-        sticky_keys: false,
-        key_affinity: false,
-        in_place: true,
-        dispute_share: 0.0,
-        drain_grace: 0.25,
-        slow_start_initial_fraction: 0.4,
-        slow_start_duration: 4.0,
-        overload_multiple: 3.0,
-        overload_duration: 1.0,
-        may_probe: false,
-        may_gossip: true,
-        may_cancel_attempts: true,
-        may_hedge: false,
-        may_send_retry_after: true,
-        max_retry_after: 1.0,
-        max_attempts: 4,
-        tick: 0.005,
+        ..service_settings()
     }
 }
 
@@ -153,29 +119,11 @@
     };
     HostEntry {
         host: HostId::named(&format!("host-{number}")),
-        build,
         zone: ZoneId(number % ZONES),
-        cell: CellId(0),
-        kind: KindId(0),
-        size: 1.0,
-        started: None,
-        state: HostState::Running,
+        ..running_host(number, build, None)
     }
 }
 
-fn news(build: BuildId, stage: u32, phase: Phase, cap: f64) -> Event {
-    let (outcome, answers_vote) = (AttemptOutcome::Succeeded, false);
-    Event::RolloutStatusReceived(RolloutStatus {
-        outcome,
-        build,
-        stage,
-        phase,
-        cap,
-        age: 0.0,
-        answers_vote,
-    })
-}
-
 /// One router, what comes to it in the future, and what was measured.
 struct Driver {
     router: Router,
@@ -188,7 +136,7 @@
     effects: Vec<Effect>,
     routers: u32,
     /// To whom this router's last message went, whose reply is to come.
-    asked_peer: Option<RouterId>,
+    gossip_peer: Option<RouterId>,
     /// Nothing is measured before it.
     measuring: bool,
     costs: Costs,
@@ -196,7 +144,7 @@
 
 impl Driver {
     fn new(setting: Setting) -> Self {
-        let router = Router::start(terms(setting.routers), 11, 100.0);
+        let router = Router::start(settings(setting.routers), 11, 100.0);
         let chance = ChaCha8Rng::seed_from_u64(setting.hosts);
         let (due, events) = (BinaryHeap::new(), BTreeMap::new());
         let mut driver = Driver {
@@ -208,14 +156,14 @@
             next: 0,
             effects: vec![],
             routers: setting.routers,
-            asked_peer: None,
+            gossip_peer: None,
             measuring: false,
             costs: Costs::default(),
         };
-        driver.handle(news(BASELINE, 1, Phase::Released, 1.0));
-        driver.handle(whole_list(setting));
+        driver.handle(rollout_status(BASELINE, 1, Phase::Released, 1.0));
+        driver.handle(complete_list(setting));
         if setting.canary {
-            driver.handle(news(CANARY, 0, Phase::Canary, 0.6));
+            driver.handle(rollout_status(CANARY, 0, Phase::Canary, 0.6));
         }
         driver
     }
@@ -259,7 +207,7 @@
             } => self.gossip(to, payload),
             Effect::CastVote { build, stage, .. } => {
                 let (outcome, phase) = (AttemptOutcome::Succeeded, Phase::Canary);
-                let news = RolloutStatus {
+                let rollout_status = RolloutStatus {
                     outcome,
                     build,
                     stage,
@@ -268,7 +216,7 @@
                     age: 1.0,
                     answers_vote: true,
                 };
-                self.after(MESSAGE_S, Event::RolloutStatusReceived(news));
+                self.after(MESSAGE_S, Event::RolloutStatusReceived(rollout_status));
             }
             _ => {}
         }
@@ -297,11 +245,11 @@
     /// reply of this router is in its turn what comes back to the first.
     fn gossip(&mut self, to: RouterId, payload: Vec<u8>) {
         if payload.first() != Some(&REPLY) {
-            self.asked_peer = Some(to);
+            self.gossip_peer = Some(to);
             let from = RouterId(self.chance.random_range(1..self.routers));
             return self.after(MESSAGE_S, Event::GossipReceived { from, payload });
         }
-        if let Some(from) = self.asked_peer.take() {
+        if let Some(from) = self.gossip_peer.take() {
             self.after(MESSAGE_S, Event::GossipReceived { from, payload });
         }
     }
@@ -339,7 +287,7 @@
     }
 }
 
-fn whole_list(setting: Setting) -> Event {
+fn complete_list(setting: Setting) -> Event {
     let entries: Arc<[HostEntry]> = (0..setting.hosts)
         .map(|number| entry(number, setting.canary))
         .collect();
@@ -356,7 +304,7 @@
     End,
     Timer,
     Gossip,
-    WholeList,
+    CompleteList,
     Changes,
     Other,
 }
@@ -372,7 +320,7 @@
                 scope: ListScope::Delta,
                 ..
             } => Kind::Changes,
-            Event::EndpointList { .. } => Kind::WholeList,
+            Event::EndpointList { .. } => Kind::CompleteList,
             _ => Kind::Other,
         }
     }
@@ -384,7 +332,7 @@
             Kind::End => Some(&mut costs.ended),
             Kind::Timer => Some(&mut costs.periodic),
             Kind::Gossip => Some(&mut costs.gossip),
-            Kind::WholeList => Some(&mut costs.whole_list),
+            Kind::CompleteList => Some(&mut costs.complete_list),
             Kind::Changes => Some(&mut costs.one_host),
             Kind::Other => None,
         }
@@ -402,7 +350,7 @@
     driver.measuring = true;
     driver.serve(setting.requests, warm_up);
     for number in 0..LISTS as u64 {
-        driver.handle(whole_list(setting));
+        driver.handle(complete_list(setting));
         let changed = entry(number % setting.hosts, setting.canary);
         for state in [HostState::Stopping, HostState::Running] {
             let entries: Arc<[HostEntry]> = [HostEntry { state, ..changed }].into();
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -3,6 +3,7 @@
 use kestreltide::interface::*;
 use slog::info;
 
+use super::metrics::Counter;
 use super::{Routing, TimerEvent};
 use crate::protocol::client;
 use crate::protocol::resp::write_error;
@@ -17,8 +18,9 @@
         } else {
             None
         };
-        self.decisions.handle(self.clock.now(), event, &mut effects);
-        left.map(|request| self.release(&request));
+        self.decisions
+            .handle(self.event_loop.now(), event, &mut effects);
+        left.map(|request| self.requests.release(&request));
         effects.drain(..).for_each(|effect| self.carry_out(effect));
         self.effects = effects;
     }
@@ -36,22 +38,30 @@
                 request,
                 retry_after,
             } => {
-                self.metrics.throttled += 1;
+                self.event_loop.metrics.increment(Counter::RequestsShed);
                 let millis = retry_after.map(|time| (time * MILLIS).ceil().max(0.0) as u64);
                 self.answer(&request, |out| client::write_busy(out, millis));
             }
             Effect::FailRequest { request } => {
-                self.metrics.terminated += 1;
+                self.event_loop.metrics.increment(Counter::RequestsFailed);
                 self.answer(&request, |out| write_error(out, "ERR failed"));
             }
-            Effect::ScheduleTimer { at, key } => self.schedule(at, TimerEvent::Decisions(key)),
+            Effect::ScheduleTimer { at, key } => {
+                self.event_loop.schedule(at, TimerEvent::Decisions(key))
+            }
             Effect::StartHealthCheck { host } => self.start_health_check(host),
-            Effect::CloseIdleConnections { host } => self.close_idle_connections(host),
-            Effect::SendGossip { to, payload } => self.send_gossip(to, &payload),
+            Effect::CloseIdleConnections { host } => {
+                self.upstreams.close_idle(&self.event_loop, host)
+            }
+            Effect::SendGossip { to, payload } => {
+                if let Some(peers) = &self.peers {
+                    peers.send(&mut self.event_loop, to, &payload);
+                }
+            }
             Effect::CastVote { build, stage, vote } => self.cast_vote(build, stage, vote),
             Effect::SubscribeEndpointList { on } => self.subscribe_endpoint_list(on),
             Effect::FetchEndpointList => self.fetch_endpoint_list(),
-            Effect::ExplainVote(evidence) => info!(self.log, "vote evidence";
+            Effect::ExplainVote(evidence) => info!(self.event_loop.log, "vote evidence";
                 "build" => evidence.build.0,
                 "stage" => evidence.stage,
                 "vote" => ?evidence.vote,
