--- a/measure/src/capacity/fleet_run/real_router/tests.rs
+++ b/measure/src/capacity/fleet_run/real_router/tests.rs
@@ -7,7 +7,7 @@
         parse_log_line(at),
         Some(LogEvent::Listening(([127, 0, 0, 1], 4711).into()))
     );
-    let accepted = "Dec 02 00:00:10.100 INFO the files are taken, router: r3, generation: 7, revision: 4, changes: 1";
+    let accepted = "Dec 02 00:00:10.100 INFO watched files applied, router: r3, generation: 7, revision: 4, changes: 1";
     assert_eq!(
         parse_log_line(accepted),
         Some(LogEvent::FilesApplied {
--- a/router/tests/management_edits.rs
+++ b/router/tests/management_edits.rs
@@ -97,7 +97,7 @@
         );
         // A file that says another thing of the same leaf waits for nobody, and is refused with the leaf.
         write_hosts(&site.credentials, "2", &site.hosts, "weight = 5\n");
-        let line = site.program.wait_for_log("the files are refused");
+        let line = site.program.wait_for_log("watched files rejected");
         assert!(
             line.contains(
                 "hosts/a/weight: was changed since revision 1 by revision 2 (management by rui"
@@ -214,8 +214,7 @@
         );
         assert_eq!(site.served("out"), ["of b"]);
         netconf.abandon().await;
-        site.program
-            .wait_for_log("a commit that was not confirmed is undone");
+        site.program.wait_for_log("unconfirmed commit rolled back");
         site.program.wait_for_log("a revision is in force");
         assert_eq!(site.served("back"), ["of a", "of b"]);
         let mut netconf = site.netconf("ana").await;
@@ -223,8 +222,7 @@
             ok(&netconf.rpc(&edit("candidate", &state("a", "out"))).await)
                 && ok(&netconf.rpc(&confirmed(1)).await)
         );
-        site.program
-            .wait_for_log("a commit that was not confirmed is undone");
+        site.program.wait_for_log("unconfirmed commit rolled back");
         let mut gnmi = site.gnmi("rui").await;
         let ext = |action| {
             vec![Extension {
@@ -270,7 +268,7 @@
     site.program.signal("KILL");
     site.restart();
     site.program
-        .wait_for_log_since_start("a commit that was not confirmed is undone");
+        .wait_for_log_since_start("unconfirmed commit rolled back");
     site.program
         .wait_for_log_since_start("a revision is in force");
     assert_eq!(site.served("restarted"), ["of a", "of b"]);
@@ -305,12 +303,12 @@
         write_hosts(&site.credentials, "2", &site.hosts, "size = 2\n");
         assert!(
             site.program
-                .wait_for_log("the files are held back")
+                .wait_for_log("watched files pending")
                 .contains("holds the lock")
         );
         one.abandon().await;
         site.program.wait_for_log("NETCONF session closed");
-        site.program.wait_for_log("the files are taken");
+        site.program.wait_for_log("watched files applied");
         gnmi.set(set).await.expect("free");
     });
 }
--- a/router/tests/management_site/mod.rs
+++ b/router/tests/management_site/mod.rs
@@ -112,7 +112,7 @@
             .address_in_startup_log(what)
             .expect("the line tells the address")
     };
-    (at("NETCONF is listened for"), at("gNMI is listened for"))
+    (at("NETCONF interface opened"), at("gNMI interface opened"))
 }
 
 pub fn start(credentials: &TestCredentials) -> Program {
