--- a/router/src/management_threads/datastore_thread/watched_files.rs
+++ b/router/src/management_threads/datastore_thread/watched_files.rs
@@ -126,7 +126,7 @@
             return Ok(digest);
         };
         if self.revision() > 0 {
-            warn!(self.log, "started with the last good revision instead of the files";
+            warn!(self.log, "started with the last good revision, not with the watched files";
                 "revision" => self.revision());
             return Ok(digest);
         }
@@ -159,7 +159,7 @@
                 None
             }
             WatchEvent::Pending(errors) => {
-                self.log_rejection("watched files name different generations", "", &errors);
+                self.log_rejection("watched files of different generations", "", &errors);
                 self.files.mismatched = Some(PendingVersion {
                     since: facts.now,
                     author: files_author(""),
--- a/router/src/management_threads/keys_file.rs
+++ b/router/src/management_threads/keys_file.rs
@@ -100,7 +100,7 @@
                 .first()
                 .map(ToString::to_string)
                 .unwrap_or_default();
-            warn!(log, "key file rejected, keys unchanged"; "why" => first);
+            warn!(log, "file of keys rejected"; "why" => first);
         }
     }
 }
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -265,7 +265,7 @@
             let last = heartbeat.last();
             let still = last > 0.0 && now - last > self.event_loop.limits.management.stall_timeout;
             if still && !*is_reported {
-                warn!(self.event_loop.log, "management thread not responding"; "front" => heartbeat.name, "seconds" => now - last);
+                warn!(self.event_loop.log, "management thread not responding"; "thread" => heartbeat.name, "seconds" => now - last);
             }
             *is_reported = still;
         }
