--- a/measure/src/capacity/fleet_run/real_router.rs
+++ b/measure/src/capacity/fleet_run/real_router.rs
@@ -33,7 +33,7 @@
 // The router's log lines that are read here, by their messages.
 const LISTENING: &str = " listening";
 const FILES_APPLIED: &str = " watched files applied";
-const REVISION_IN_FORCE: &str = " a revision is in force";
+const REVISION_IN_FORCE: &str = " revision applied";
 
 /// What follows a name in a line, up to the next comma.
 fn value<'a>(line: &'a str, name: &str) -> Option<&'a str> {
--- a/measure/src/capacity/slopes/by_hosts.rs
+++ b/measure/src/capacity/slopes/by_hosts.rs
@@ -266,7 +266,7 @@
         } else {
             RELEASED
         });
-        program.wait_for_log("platform, ");
+        program.wait_for_log("rollout status, ");
     });
     measured.status_us = rollout_status.0;
     let text = around.config();
