--- a/src/decisions/attempt_outcome.rs
+++ b/src/decisions/attempt_outcome.rs
@@ -12,7 +12,7 @@
 pub(super) struct AttemptReport {
     pub(super) outcome: AttemptOutcome,
     /// The time that it took.
-    pub(super) took: f64,
+    pub(super) duration: f64,
     /// Whether the request has its final answer.
     pub(super) is_final: bool,
     /// How long its connection had been idle, where the carrier knows.
@@ -25,7 +25,7 @@
     /// No answer within the latency objective.
     is_late: bool,
     /// It tells of the time that the host takes.
-    shows_time: bool,
+    has_latency: bool,
     /// Time for a unit of work, in seconds.
     unit_time: f64,
     /// Of the host, when the attempt was sent.
@@ -74,7 +74,7 @@
             operation: request.operation,
             work: request.work,
             outcome,
-            took: report.took,
+            duration: report.duration,
         };
         let key = request.key.clone();
         let is_final = report.is_final || request.has_final_answer;
@@ -84,9 +84,9 @@
         }
         self.record_outcome(now, &finished);
         let build = finished.attempt.host.build;
-        let binds = outcome == AttemptOutcome::Succeeded && self.settings.sticky_keys;
-        let is_kept = matches!(self.phase_of(build), Phase::Canary | Phase::Released);
-        if let Some(key) = key.filter(|_| binds && is_kept) {
+        let binds_key = outcome == AttemptOutcome::Succeeded && self.settings.sticky_keys;
+        let build_is_active = matches!(self.phase_of(build), Phase::Canary | Phase::Released);
+        if let Some(key) = key.filter(|_| binds_key && build_is_active) {
             self.sticky_builds.bind(key, build);
         }
         if is_final {
@@ -101,13 +101,13 @@
         let attempt = &finished.attempt;
         let outcome = finished.outcome;
         let class = self.classify(finished);
-        let peers = self.peers_of(now, &attempt.host);
+        let averages = self.build_averages(now, &attempt.host);
         let Some(host) = self.hosts.process_mut(&attempt.host) else {
             return;
         };
         let in_flight = host.in_flight.iter().position(|at| *at == attempt.sent_at);
-        if let Some(place) = in_flight {
-            host.in_flight.swap_remove(place);
+        if let Some(position) = in_flight {
+            host.in_flight.swap_remove(position);
         }
         if matches!(
             outcome,
@@ -118,12 +118,14 @@
         self.connection_losses
             .record(outcome, attempt.on_idle_connection);
         let slowdown = class.quick.map(|quick| class.warm_time() / quick);
-        let verdict = host.health.record(now, class.succeeded, slowdown, &peers);
+        let verdict = host
+            .health
+            .record(now, class.succeeded, slowdown, &averages);
         let in_time = f64::from(u8::from(!class.is_late));
         self.rates.successes.add(now, in_time);
         self.adjust_limit(outcome, class.is_late, &verdict);
         self.update_index(now, vec![attempt.host.host]);
-        if class.shows_time && class.is_warm() && !verdict.is_ejected && !verdict.is_slow {
+        if class.has_latency && class.is_warm() && !verdict.is_ejected && !verdict.is_slow {
             let is_released = self.phase_of(attempt.host.build) == Phase::Released;
             self.latency.record(
                 finished.operation,
@@ -148,9 +150,9 @@
         let succeeded = finished.outcome == AttemptOutcome::Succeeded;
         OutcomeClass {
             succeeded,
-            is_late: !succeeded || finished.took > objective,
-            shows_time: succeeded || finished.outcome == AttemptOutcome::TimedOut,
-            unit_time: finished.took / finished.work,
+            is_late: !succeeded || finished.duration > objective,
+            has_latency: succeeded || finished.outcome == AttemptOutcome::TimedOut,
+            unit_time: finished.duration / finished.work,
             warm_up_fraction: self
                 .settings
                 .warm_up_fraction(host, finished.attempt.sent_at),
@@ -161,11 +163,11 @@
     /// Late answers lower the limit, timely ones raise it while it is in use, errors and lost connections neither:
     /// they tell of no queue.
     fn adjust_limit(&mut self, outcome: AttemptOutcome, is_late: bool, verdict: &HostVerdict) {
-        let broke = matches!(
+        let is_failure = matches!(
             outcome,
             AttemptOutcome::Error | AttemptOutcome::Reset | AttemptOutcome::NoConnection
         );
-        if !verdict.is_ejected && !broke {
+        if !verdict.is_ejected && !is_failure {
             let fair_hosts = self.hosts.index.len() as f64 * self.peers.traffic_share;
             self.in_flight.adjust(is_late, fair_hosts);
         }
@@ -185,7 +187,7 @@
             let no_error = outcome != AttemptOutcome::Error;
             self.record_signal(build, operation, Signal::NoError, no_error, 1.0);
         }
-        if let Some(quick) = class.quick.filter(|_| class.shows_time) {
+        if let Some(quick) = class.quick.filter(|_| class.has_latency) {
             let is_quick = class.succeeded && class.warm_time() <= quick;
             self.record_signal(build, operation, Signal::Quick, is_quick, 1.0);
         }
--- a/src/decisions/canary_assessment.rs
+++ b/src/decisions/canary_assessment.rs
@@ -10,10 +10,10 @@
 use super::host_table::Host;
 
 /// Routers at which half of the evidence is clumps: messages within a half-life, by peers.
-const CLUMPED_ROUTERS: f64 = 430.0;
+const HALF_WEIGHT_ROUTERS: f64 = 430.0;
 
 /// Peers heard in this stage before the canary is assessed, or all that live.
-const PEERS_HEARD: usize = 10;
+const MIN_PEERS_HEARD: usize = 10;
 
 /// Outcomes of each arm before the canary is compared.
 const MIN_OUTCOMES: f64 = 20.0;
@@ -22,16 +22,16 @@
 const MIN_SLOT_OUTCOMES: f64 = 12.0;
 
 /// Chance of being worse, by answers in time, above which the canary is rolled back.
-const ROLL_BACK_CHANCE: f64 = 0.95;
+const ROLL_BACK_PROBABILITY: f64 = 0.95;
 
 /// Chance of being worse, by one operation or another signal alone, above which the canary is rolled back.
-const ROLL_BACK_CHANCE_ALONE: f64 = 0.97;
+const ROLL_BACK_PROBABILITY_SINGLE: f64 = 0.97;
 
 /// Chance of being worse below which the canary is promoted.
-const PROMOTE_CHANCE: f64 = 0.2;
+const PROMOTE_PROBABILITY: f64 = 0.2;
 
 /// Chance of being worse above which a vote to promote the canary is withdrawn.
-const DOUBT_CHANCE: f64 = 0.8;
+const WITHDRAW_PROBABILITY: f64 = 0.8;
 
 /// Fraction of answers in time that the canary may lack.
 pub(super) const IN_TIME_MARGIN: f64 = 0.05;
@@ -43,43 +43,43 @@
 const QUICK_MARGIN: f64 = 0.05;
 
 /// Standard deviation of the fraction of quick answers among the hosts of one build.
-const QUICK_HOST_SPREAD: f64 = 0.15;
+const QUICK_HOST_DEVIATION: f64 = 0.15;
 
 /// Outcomes that a merged one is worth for a vote to roll back: gossip mixes unevenly.
-const MERGED_OUTCOME_WORTH: f64 = 0.5;
+const ROLL_BACK_OUTCOME_WEIGHT: f64 = 0.5;
 
 /// One in so many of the canary's hosts must fail before errors speak against the build.
-const FAILING_HOSTS_RATIO: usize = 3;
+const FAILING_HOSTS_DIVISOR: usize = 3;
 
 /// Part of a stage's machines that must be listed before its canary is promoted.
-const SETTLED_PART: f64 = 0.9;
+const SETTLED_HOST_FRACTION: f64 = 0.9;
 
 /// Seconds after a stage's last listed start before its canary is promoted: some builds fail only with its traffic.
-const SETTLED_AFTER_START: f64 = 1.2;
+const SETTLE_DELAY: f64 = 1.2;
 
 /// Seconds of a stage after which it counts as settled, whatever is listed.
-const SETTLED_AFTER_STAGE: f64 = 9.0;
+const SETTLE_TIMEOUT: f64 = 9.0;
 
 /// Seconds after a stage's last listed start before its canary is promoted with too few outcomes.
-const STARVED_PROMOTE_DELAY: f64 = 3.0;
+const LOW_TRAFFIC_PROMOTE_DELAY: f64 = 3.0;
 
 /// The same where the baseline has enough outcomes: the canary's are about to come.
-const THIN_PROMOTE_DELAY: f64 = 5.0;
+const FEW_OUTCOMES_PROMOTE_DELAY: f64 = 5.0;
 
 /// The same where the baseline has enough outcomes and the canary none: those who see it need this long to tell.
-const UNSEEN_PROMOTE_DELAY: f64 = 20.0;
+const NO_OUTCOMES_PROMOTE_DELAY: f64 = 20.0;
 
-/// Outcomes of the canary with which a router does not wait for more for longer than [`STARVED_PROMOTE_DELAY`].
-const MIN_STARVED_OUTCOMES: f64 = 5.0;
+/// Outcomes of the canary with which a router does not wait for more for longer than [`LOW_TRAFFIC_PROMOTE_DELAY`].
+const FEW_OUTCOMES_LIMIT: f64 = 5.0;
 
 /// Outcomes below which nothing is known of the canary.
-const MIN_SEEN_OUTCOMES: f64 = 1.0;
+const NO_OUTCOMES_LIMIT: f64 = 1.0;
 
 /// Seconds that a stage bakes where the times of a slowdown hold as they are.
-const BAKE_REFERENCE: f64 = 3.0;
+const REFERENCE_BAKE_TIME: f64 = 3.0;
 
 /// Least part of those times, where stages bake less: troubles and builds come and go with the stages there.
-const BAKE_SCALE_MIN: f64 = 0.6;
+const MIN_BAKE_SCALE: f64 = 0.6;
 
 /// Scale of a normal variate at which the logistic function is closest to its distribution function.
 const LOGISTIC_SCALE: f64 = 1.702;
@@ -90,24 +90,24 @@
     /// Worse than the baseline.
     Worse,
     /// No worse than the baseline.
-    Fine,
+    NotWorse,
     /// Neither is certain.
-    Unclear,
+    Inconclusive,
     /// More likely worse than not, and not certain.
-    Doubtful,
+    ProbablyWorse,
     /// The whole service has become slower, and the canary may be why.
-    SlowingAll,
+    PromotionBlocked,
     /// Too few outcomes.
-    Starved,
+    InsufficientData,
 }
 
 /// How short stages that bake for so many seconds are, of those that the times of a slowdown are for.
 pub(super) fn bake_scale(bake: f64) -> f64 {
-    (bake / BAKE_REFERENCE).clamp(BAKE_SCALE_MIN, 1.0)
+    (bake / REFERENCE_BAKE_TIME).clamp(MIN_BAKE_SCALE, 1.0)
 }
 
 /// The fraction of good outcomes that the canary may lack.
-fn margin(signal: Signal) -> f64 {
+fn non_inferiority_margin(signal: Signal) -> f64 {
     match signal {
         Signal::InTime => IN_TIME_MARGIN,
         Signal::NoError => NO_ERROR_MARGIN,
@@ -116,10 +116,10 @@
 }
 
 /// The standard deviation of a signal's fraction among the hosts of one build.
-fn host_spread(signal: Signal) -> f64 {
+fn host_deviation(signal: Signal) -> f64 {
     match signal {
         Signal::InTime | Signal::NoError => 0.0,
-        Signal::Quick => QUICK_HOST_SPREAD,
+        Signal::Quick => QUICK_HOST_DEVIATION,
     }
 }
 
@@ -131,7 +131,7 @@
 
 impl BetaMoments {
     /// Of the posterior of these counts, from Beta(1, 1).
-    fn of(counts: &SignalCounts) -> Self {
+    fn posterior(counts: &SignalCounts) -> Self {
         let alpha = counts.good + 1.0;
         let total = counts.total() + 2.0;
         BetaMoments {
@@ -143,14 +143,14 @@
 
 /// The chance that so few outcomes of the canary come from a fraction in time that is lower by over the margin. The
 /// uniform prior would speak against whatever has few.
-fn worse_chance(baseline: &SignalCounts, canary: &SignalCounts) -> f64 {
+fn probability_worse_than_expected(baseline: &SignalCounts, canary: &SignalCounts) -> f64 {
     let expected = baseline.good_fraction() - IN_TIME_MARGIN;
     let deviation = (expected * (1.0 - expected) / canary.total()).sqrt();
-    chance_above(expected - canary.good_fraction(), deviation)
+    probability_positive(expected - canary.good_fraction(), deviation)
 }
 
 /// The chance that a difference with this standard deviation is above zero.
-fn chance_above(difference: f64, deviation: f64) -> f64 {
+fn probability_positive(difference: f64, deviation: f64) -> f64 {
     1.0 / (1.0 + (-LOGISTIC_SCALE * difference / deviation).exp())
 }
 
@@ -160,7 +160,7 @@
     slot: Option<usize>,
     signal: Signal,
     /// What a merged outcome is worth.
-    worth: f64,
+    weight: f64,
 }
 
 impl Comparison {
@@ -184,8 +184,8 @@
 }
 
 /// The number of hosts of some builds.
-fn hosts_of(index: &HostIndex, of: impl Fn(BuildId) -> bool) -> usize {
-    index.sum(of).hosts
+fn host_count(index: &HostIndex, is_counted: impl Fn(BuildId) -> bool) -> usize {
+    index.sum(is_counted).hosts
 }
 
 impl Router {
@@ -199,59 +199,62 @@
             return Assessment::Worse;
         }
         if is_released {
-            return Assessment::Starved;
+            return Assessment::InsufficientData;
         }
-        if slowdown.holds_canary(now, &stage, self.settings.bake_scale) {
-            return Assessment::SlowingAll;
+        if slowdown.blocks_promotion(now, &stage, self.settings.bake_scale) {
+            return Assessment::PromotionBlocked;
         }
         if !stage.is_settled {
-            return Assessment::Unclear;
+            return Assessment::Inconclusive;
         }
-        self.compare_settled(now, &stage)
+        self.assess_settled_stage(now, &stage)
     }
 
     /// What the evidence says of a canary whose stage is settled.
-    fn compare_settled(&self, now: f64, stage: &StageProgress) -> Assessment {
-        let chance = self.probability_worse(&Comparison {
+    fn assess_settled_stage(&self, now: f64, stage: &StageProgress) -> Assessment {
+        let probability = self.probability_worse(&Comparison {
             slot: None,
             signal: Signal::InTime,
-            worth: 1.0,
+            weight: 1.0,
         });
         let has_heard_enough = self.has_heard_enough_peers();
-        match chance {
-            Some(chance) if has_heard_enough => {
-                if chance < PROMOTE_CHANCE || !self.baseline_is_listed() {
-                    Assessment::Fine
-                } else if chance > DOUBT_CHANCE {
-                    Assessment::Doubtful
+        match probability {
+            Some(probability) if has_heard_enough => {
+                if probability < PROMOTE_PROBABILITY || !self.baseline_is_listed() {
+                    Assessment::NotWorse
+                } else if probability > WITHDRAW_PROBABILITY {
+                    Assessment::ProbablyWorse
                 } else {
-                    Assessment::Unclear
+                    Assessment::Inconclusive
                 }
             }
-            _ => self.assess_starved(now, stage),
+            _ => self.assess_insufficient_data(now, stage),
         }
     }
 
     /// What too few outcomes say: a canary that they do not speak against is promoted in time, later the fewer they are.
-    fn assess_starved(&self, now: f64, stage: &StageProgress) -> Assessment {
+    fn assess_insufficient_data(&self, now: f64, stage: &StageProgress) -> Assessment {
         let baseline = self.known_outcomes(Arm::Baseline);
         let canary = self.known_outcomes(Arm::Canary);
-        let has_traffic = baseline.total() >= MIN_OUTCOMES;
-        let is_seen = canary.total() >= MIN_SEEN_OUTCOMES;
-        if has_traffic && is_seen && worse_chance(&baseline, &canary) > DOUBT_CHANCE {
-            return Assessment::Doubtful;
+        let has_baseline_outcomes = baseline.total() >= MIN_OUTCOMES;
+        let has_canary_outcomes = canary.total() >= NO_OUTCOMES_LIMIT;
+        if has_baseline_outcomes
+            && has_canary_outcomes
+            && probability_worse_than_expected(&baseline, &canary) > WITHDRAW_PROBABILITY
+        {
+            return Assessment::ProbablyWorse;
         }
-        let delay = if !has_traffic || canary.total() >= MIN_STARVED_OUTCOMES {
-            STARVED_PROMOTE_DELAY
-        } else if is_seen {
-            THIN_PROMOTE_DELAY
+        let delay = if !has_baseline_outcomes || canary.total() >= FEW_OUTCOMES_LIMIT {
+            LOW_TRAFFIC_PROMOTE_DELAY
+        } else if has_canary_outcomes {
+            FEW_OUTCOMES_PROMOTE_DELAY
         } else {
-            UNSEEN_PROMOTE_DELAY
+            NO_OUTCOMES_PROMOTE_DELAY
         };
         if now - stage.latest_start > delay {
-            Assessment::Fine
+            Assessment::NotWorse
         } else {
-            Assessment::Starved
+            Assessment::InsufficientData
         }
     }
 
@@ -269,58 +272,61 @@
     /// Whether enough peers were heard in this stage.
     fn has_heard_enough_peers(&self) -> bool {
         let heard = self.peers.heard_since(self.rollout.stage_since);
-        heard >= self.peers.live().min(PEERS_HEARD)
+        heard >= self.peers.live_count().min(MIN_PEERS_HEARD)
     }
 
     /// The chance that the canary is worse by over the margin, by the merged evidence; none with too few outcomes.
     /// The more routers, the more evidence comes in clumps.
-    fn probability_worse(&self, of: &Comparison) -> Option<f64> {
-        let worth = of.worth / (1.0 + f64::from(self.settings.routers) / CLUMPED_ROUTERS);
+    fn probability_worse(&self, comparison: &Comparison) -> Option<f64> {
+        let weight =
+            comparison.weight / (1.0 + f64::from(self.settings.routers) / HALF_WEIGHT_ROUTERS);
         let counts = |arm| {
             self.evidence
                 .merged
-                .counts(of.slot, of.signal, arm)
-                .scaled(worth)
+                .counts(comparison.slot, comparison.signal, arm)
+                .scaled(weight)
         };
         let baseline = counts(Arm::Baseline);
         let canary = counts(Arm::Canary);
-        let least = of.min_outcomes() * worth;
-        if baseline.total() < least || canary.total() < least {
+        let min_total = comparison.min_outcomes() * weight;
+        if baseline.total() < min_total || canary.total() < min_total {
             return None;
         }
-        let baseline = BetaMoments::of(&baseline);
-        let canary = BetaMoments::of(&canary);
-        let spread = host_spread(of.signal).powi(2) / self.rollout.canary_hosts.max(1.0);
-        let deviation = (baseline.variance + canary.variance + spread).sqrt();
-        let difference = baseline.mean - canary.mean - margin(of.signal);
-        Some(chance_above(difference, deviation))
+        let baseline = BetaMoments::posterior(&baseline);
+        let canary = BetaMoments::posterior(&canary);
+        let host_variance =
+            host_deviation(comparison.signal).powi(2) / self.rollout.canary_hosts.max(1.0);
+        let deviation = (baseline.variance + canary.variance + host_variance).sqrt();
+        let difference = baseline.mean - canary.mean - non_inferiority_margin(comparison.signal);
+        Some(probability_positive(difference, deviation))
     }
 
     /// Whether the merged evidence speaks for rolling the canary back. One operation may fail alone, or a build be
     /// slow yet in time; errors of a few hosts are theirs.
     fn looks_worse(&self, status: &RolloutStatus) -> bool {
-        let is_compared = self.baseline_is_listed();
-        let is_above = |slot, signal, limit: f64| {
+        let has_baseline = self.baseline_is_listed();
+        let exceeds = |slot, signal, limit: f64| {
             let comparison = Comparison {
                 slot,
                 signal,
-                worth: MERGED_OUTCOME_WORTH,
+                weight: ROLL_BACK_OUTCOME_WEIGHT,
             };
             self.probability_worse(&comparison)
-                .is_some_and(|chance| chance > limit)
+                .is_some_and(|probability| probability > limit)
         };
         let in_any_slot = |signal| {
             (0..self.settings.signal_slots)
-                .any(|slot| is_above(Some(slot), signal, ROLL_BACK_CHANCE_ALONE))
+                .any(|slot| exceeds(Some(slot), signal, ROLL_BACK_PROBABILITY_SINGLE))
         };
-        let in_all = |signal| is_above(None, signal, ROLL_BACK_CHANCE_ALONE);
-        let by_time = is_compared
-            && (is_above(None, Signal::InTime, ROLL_BACK_CHANCE)
+        let over_all_slots = |signal| exceeds(None, signal, ROLL_BACK_PROBABILITY_SINGLE);
+        let by_time = has_baseline
+            && (exceeds(None, Signal::InTime, ROLL_BACK_PROBABILITY)
                 || in_any_slot(Signal::InTime)
-                || in_all(Signal::InTime));
+                || over_all_slots(Signal::InTime));
         let by_errors = self.errors_are_widespread(status)
-            && (in_any_slot(Signal::NoError) || in_all(Signal::NoError));
-        let by_quickness = is_compared && !self.settings.key_affinity && in_all(Signal::Quick);
+            && (in_any_slot(Signal::NoError) || over_all_slots(Signal::NoError));
+        let by_quickness =
+            has_baseline && !self.settings.key_affinity && over_all_slots(Signal::Quick);
         by_time || by_errors || by_quickness
     }
 
@@ -336,7 +342,7 @@
     fn errors_are_widespread(&self, status: &RolloutStatus) -> bool {
         let used = || self.canary_hosts(status).filter(|host| host.was_used());
         let failing = used().filter(|host| host.health.failure_rate > NO_ERROR_MARGIN);
-        failing.count() * FAILING_HOSTS_RATIO >= used().count()
+        failing.count() * FAILING_HOSTS_DIVISOR >= used().count()
     }
 
     /// How far the stage has come. Its machines must run before it is moved on: some builds fail only then.
@@ -354,16 +360,16 @@
             .filter_map(|host| host.entry.started)
             .fold(self.rollout.stage_since, f64::max);
         // The stage's places: all machines, or the baseline's alone where those stay until the release.
-        let canary = hosts_of(&self.hosts.index, |build| build >= status.build);
-        let all = hosts_of(&self.hosts.index, |_| true);
-        let places = if self.settings.baseline_stays {
-            all - canary
+        let canary_hosts = host_count(&self.hosts.index, |build| build >= status.build);
+        let all_hosts = host_count(&self.hosts.index, |_| true);
+        let stage_hosts = if self.settings.baseline_stays {
+            all_hosts - canary_hosts
         } else {
-            all
+            all_hosts
         };
-        let is_there = canary as f64 >= SETTLED_PART * share * places as f64;
-        let is_settled = is_there && now - latest_start > SETTLED_AFTER_START
-            || now - self.rollout.stage_since > SETTLED_AFTER_STAGE;
+        let is_listed = canary_hosts as f64 >= SETTLED_HOST_FRACTION * share * stage_hosts as f64;
+        let is_settled = is_listed && now - latest_start > SETTLE_DELAY
+            || now - self.rollout.stage_since > SETTLE_TIMEOUT;
         StageProgress {
             share,
             latest_start,
--- a/src/decisions/connections.rs
+++ b/src/decisions/connections.rs
@@ -2,9 +2,9 @@
 
 use super::Router;
 use super::host_table::Host;
-use super::latency_baselines::RECOVERY_STEP;
+use super::latency_baselines::REFERENCE_STEP;
 use super::request_table::TrackedRequest;
-use super::{MIN_WINDOW, settings::Operation};
+use super::{MIN_DURATION, settings::Operation};
 use crate::interface::{AttemptOutcome, ConnectionRequirements};
 
 /// Seconds without an attempt after which a host's connections are taken for idle, where the carrier does not tell.
@@ -17,10 +17,10 @@
 const LOSS_WEIGHT: f64 = 0.08;
 
 /// Fraction by which more attempts must be lost on idle connections than on others for none of them to be used.
-const LOSS_EXCESS: f64 = 0.2;
+const MAX_LOSS_EXCESS: f64 = 0.2;
 
 /// Of the step in which levels recover, the part by which losses on idle connections are forgotten.
-const LOSS_RECOVERY_DIVISOR: f64 = 4.0;
+const LOSS_DECAY_DIVISOR: f64 = 4.0;
 
 /// Seconds before a connection's next use: second answers were seen to come up to 4 ms after the first.
 const MIN_REST: f64 = 0.02;
@@ -29,7 +29,7 @@
 const MAX_RESTING: usize = 8;
 
 /// Part of the drain grace in which an attempt must be written, so that no notice overtakes it.
-const WRITE_PART_OF_DRAIN: f64 = 0.8;
+const WRITE_DRAIN_FRACTION: f64 = 0.8;
 
 /// Smoothed fractions of attempts without an answer.
 #[derive(Default)]
@@ -52,14 +52,14 @@
     }
 
     /// Forgets losses on idle connections slowly, so that they are tried again.
-    pub(super) fn recover(&mut self) {
+    pub(super) fn decay(&mut self) {
         let excess = (self.on_idle - self.on_others).max(0.0);
-        self.on_idle -= RECOVERY_STEP / LOSS_RECOVERY_DIVISOR * excess;
+        self.on_idle -= REFERENCE_STEP / LOSS_DECAY_DIVISOR * excess;
     }
 
     /// Whether idle connections are dropped so often that none may be used.
-    pub(super) fn idle_ones_are_dropped(&self) -> bool {
-        self.on_idle > LOSS_EXCESS + self.on_others
+    pub(super) fn idle_connections_are_dropped(&self) -> bool {
+        self.on_idle > MAX_LOSS_EXCESS + self.on_others
     }
 }
 
@@ -83,11 +83,11 @@
         operation: &Operation,
     ) -> ConnectionRequirements {
         let window = operation.idempotency_window;
-        let left = request.first_effect().map_or(f64::INFINITY, |first| {
+        let window_left = request.first_effect().map_or(f64::INFINITY, |first| {
             window - 2.0 * self.settings.tick - (now - first.sent_at)
         });
-        let drain = WRITE_PART_OF_DRAIN * self.settings.drain_grace;
-        let max_idle = if self.connection_losses.idle_ones_are_dropped() {
+        let drain_limit = WRITE_DRAIN_FRACTION * self.settings.drain_grace;
+        let max_idle = if self.connection_losses.idle_connections_are_dropped() {
             IDLE_BY_CONNECTION
         } else {
             f64::INFINITY
@@ -96,7 +96,7 @@
             max_idle,
             min_rest: MIN_REST,
             max_resting: MAX_RESTING,
-            write_within: left.min(drain).max(MIN_WINDOW),
+            write_within: window_left.min(drain_limit).max(MIN_DURATION),
         }
     }
 }
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -7,22 +7,22 @@
 use crate::interface::{Effect, HostEntry, ListScope};
 
 /// Routers that discovery and the platform bear at once; what more of them do is spread over time.
-const SMALL_FLEET: u32 = 20;
+const SMALL_FLEET_ROUTERS: u32 = 20;
 
 /// Seconds before a failed poll is repeated, at first.
-const BACKOFF_BASE: f64 = 0.3;
+const MIN_BACKOFF: f64 = 0.3;
 
 /// Seconds before a failed poll is repeated, at most, in a small fleet.
-const BACKOFF_MAX: f64 = 2.0;
+const MAX_BACKOFF: f64 = 2.0;
 
 /// Whether there are so many routers that what they do at once is not borne.
 pub(super) fn is_large_fleet(routers: u32) -> bool {
-    routers > SMALL_FLEET
+    routers > SMALL_FLEET_ROUTERS
 }
 
 /// The time, in seconds, over which all routers spread their first polls.
 pub(super) fn poll_spread(poll_interval: f64, routers: u32) -> f64 {
-    poll_interval * (1.0 - f64::from(SMALL_FLEET) / f64::from(routers)).max(0.0)
+    poll_interval * (1.0 - f64::from(SMALL_FLEET_ROUTERS) / f64::from(routers)).max(0.0)
 }
 
 /// The wait before a failed poll is repeated, doubling with each failure.
@@ -33,13 +33,13 @@
 impl PollBackoff {
     /// The first wait.
     pub(super) fn new() -> Self {
-        PollBackoff { wait: BACKOFF_BASE }
+        PollBackoff { wait: MIN_BACKOFF }
     }
 
     /// Returns the present wait, in seconds, and doubles it up to the largest.
     fn next(&mut self, poll_spread: f64) -> f64 {
         let wait = self.wait;
-        self.wait = (2.0 * wait).min(BACKOFF_MAX.max(poll_spread));
+        self.wait = (2.0 * wait).min(MAX_BACKOFF.max(poll_spread));
         wait
     }
 }
@@ -86,11 +86,11 @@
         let changed = self.hosts.commit_staged(is_full, self.overrides.revision);
         self.update_index(now, changed);
         self.refresh_weights(now);
-        let all = self.hosts.index.sum(|_| true);
+        let listed = self.hosts.index.sum(|_| true);
         self.hosts.lowest_build = self.hosts.index.builds().next();
-        if self.hosts.largest_fleet <= 0.0 {
-            self.in_flight.reset(all.hosts, self.peers.traffic_share);
+        if self.hosts.largest_listed_size <= 0.0 {
+            self.in_flight.reset(listed.hosts, self.peers.traffic_share);
         }
-        self.hosts.largest_fleet = self.hosts.largest_fleet.max(all.share);
+        self.hosts.largest_listed_size = self.hosts.largest_listed_size.max(listed.share);
     }
 }
--- a/src/decisions/endpoint_selection.rs
+++ b/src/decisions/endpoint_selection.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use super::Router;
-use super::least_loaded::ArmChoice;
+use super::least_loaded::HostChoice;
 use super::outlier_detection::is_failing;
 use super::request_table::TrackedRequest;
 use crate::arm::{Arm, PerArm};
@@ -19,16 +19,16 @@
 use super::host_table::Host;
 
 /// Tier of hosts that are well.
-const TIER_WELL: u8 = 0;
+const TIER_HEALTHY: u8 = 0;
 
 /// Tier of hosts that are ejected, or fail and have attempts in flight.
-const TIER_DOUBTFUL: u8 = 1;
+const TIER_SUSPECT: u8 = 1;
 
 /// Tier of hosts that this request has been sent to.
 const TIER_TRIED: u8 = 2;
 
 /// The hash of a key, the same at every router.
-fn hash_of(key: &KeyId) -> u64 {
+fn hash_key(key: &KeyId) -> u64 {
     key.0
         .bytes()
         .fold(0, |hash, byte| hash_mix(hash ^ u64::from(byte)))
@@ -38,14 +38,14 @@
     /// Selects the host of a request's next attempt; none where no host may serve it.
     pub(super) fn select_endpoint(&mut self, now: f64, id: &RequestId) -> Option<HostId> {
         let request = self.requests.get(id)?;
-        let own_weights = self.weights_of_revision(now, request);
+        let revision_weights = self.weights_of_revision(now, request);
         let requirements = self.requirements(now, request);
         let key = request.key.as_ref();
-        let key_hash = key.filter(|_| self.settings.key_affinity).map(hash_of);
-        let mut candidates = self.candidates(now, &requirements, own_weights);
+        let key_hash = key.filter(|_| self.settings.key_affinity).map(hash_key);
+        let mut candidates = self.candidates(now, &requirements, revision_weights);
         self.apply_slow_start(now, &mut candidates)?;
         let tier = candidates.lowest_tier()?;
-        let choice = |arm| ArmChoice {
+        let choice = |arm| HostChoice {
             arm,
             tier,
             key_hash,
@@ -98,7 +98,7 @@
             .pool
             .as_ref()
             .is_none_or(|pool| pool.contains(&host.entry));
-        if !host.usable || !is_in_pool || host.since > requirements.revision {
+        if !host.usable || !is_in_pool || host.since_revision > requirements.revision {
             return None;
         }
         let warm_up_fraction = self.settings.warm_up_fraction(&host.entry, now);
@@ -118,27 +118,27 @@
         &self,
         now: f64,
         requirements: &Requirements,
-        own_weights: Option<Vec<EffectiveWeight>>,
+        revision_weights: Option<Vec<EffectiveWeight>>,
     ) -> Candidates {
-        let of_host = |host: &Host| self.candidate(now, requirements, host, host.weight);
-        let of_id = |id: HostId| self.hosts.get(id).and_then(of_host);
+        let from_host = |host: &Host| self.candidate(now, requirements, host, host.weight);
+        let from_id = |id: HostId| self.hosts.get(id).and_then(from_host);
         let pools = requirements.pool.iter();
-        let named: BTreeSet<HostId> = pools.flat_map(|pool| &pool.hosts).copied().collect();
+        let pool_hosts: BTreeSet<HostId> = pools.flat_map(|pool| &pool.hosts).copied().collect();
         let mut counted = PerArm::<HostSum>::default();
-        let listed = if let Some(weights) = own_weights {
+        let listed = if let Some(weights) = revision_weights {
             let hosts = self.hosts.usable().zip(weights);
             hosts
                 .filter_map(|(host, own)| self.candidate(now, requirements, host, own.weight))
                 .collect()
-        } else if !named.is_empty() {
-            named.into_iter().filter_map(of_id).collect()
-        } else if !self.keeps_to_pairs() {
-            self.hosts.usable().filter_map(of_host).collect()
+        } else if !pool_hosts.is_empty() {
+            pool_hosts.into_iter().filter_map(from_id).collect()
+        } else if !self.uses_fixed_pairs() {
+            self.hosts.usable().filter_map(from_host).collect()
         } else {
             let (settled, tried) = self.hosts.index.settled(requirements);
             counted = settled;
             let unsettled = self.hosts.index.unsettled();
-            unsettled.chain(tried).filter_map(of_id).collect()
+            unsettled.chain(tried).filter_map(from_id).collect()
         };
         Candidates {
             listed,
@@ -151,13 +151,13 @@
 /// The tier of a host for a request; lower ones go first.
 fn tier(now: f64, requirements: &Requirements, host: &Host) -> u8 {
     let is_ejected = host.health.ejected_until > now;
-    let is_doubtful =
+    let is_suspect =
         is_ejected || is_failing(host.health.failure_rate) && !host.in_flight.is_empty();
     if requirements.tried.contains(&host.entry.host) {
         TIER_TRIED
-    } else if is_doubtful {
-        TIER_DOUBTFUL
+    } else if is_suspect {
+        TIER_SUSPECT
     } else {
-        TIER_WELL
+        TIER_HEALTHY
     }
 }
--- a/src/decisions/evidence.rs
+++ b/src/decisions/evidence.rs
@@ -9,14 +9,14 @@
 use crate::interface::{BuildId, OperationId};
 
 /// Operations that a gossip message tells apart; more share a slot.
-const MAX_SLOTS: usize = 4;
+const MAX_SIGNAL_SLOTS: usize = 4;
 
 /// Seconds in which evidence halves: about a stage, so that late failures and recoveries show.
-const HALF_LIFE: f64 = 5.0;
+const EVIDENCE_HALF_LIFE: f64 = 5.0;
 
 /// Outcomes that the baseline's evidence keeps at most while no canary is listed: its past must be as short as
 /// the canary's will be, so that troubles that come and go show in both.
-const BASELINE_MEMORY: f64 = 20.0;
+const IDLE_BASELINE_MAX_OUTCOMES: f64 = 20.0;
 
 /// What outcomes are recorded by.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 
 /// The number of groups of operations that evidence tells apart.
 pub(super) fn signal_slots(operations: usize) -> usize {
-    operations.clamp(1, MAX_SLOTS)
+    operations.clamp(1, MAX_SIGNAL_SLOTS)
 }
 
 /// Weighted outcomes for and against one signal.
@@ -92,33 +92,33 @@
     pub(super) fn figures(&self) -> impl Iterator<Item = f64> {
         self.counts
             .iter()
-            .flat_map(|of| [of.baseline, of.canary])
-            .flat_map(|of| [of.good, of.bad])
+            .flat_map(|arms| [arms.baseline, arms.canary])
+            .flat_map(|counts| [counts.good, counts.bad])
     }
 
     /// The figures in the order of a message, to be changed.
     pub(super) fn figures_mut(&mut self) -> impl Iterator<Item = &mut f64> {
         self.counts
             .iter_mut()
-            .flat_map(|of| [&mut of.baseline, &mut of.canary])
-            .flat_map(|of| [&mut of.good, &mut of.bad])
+            .flat_map(|arms| [&mut arms.baseline, &mut arms.canary])
+            .flat_map(|counts| [&mut counts.good, &mut counts.bad])
     }
 
     /// The counts of a signal, of one slot or of all.
     pub(super) fn counts(&self, slot: Option<usize>, signal: Signal, arm: Arm) -> SignalCounts {
-        let slots = (0..self.slots).filter(|place| slot.is_none_or(|only| only == *place));
+        let slots = (0..self.slots).filter(|each| slot.is_none_or(|only| only == *each));
         slots
-            .map(|place| self.counts[self.place(place, signal)][arm])
-            .fold(SignalCounts::default(), |sum, of| SignalCounts {
-                good: sum.good + of.good,
-                bad: sum.bad + of.bad,
+            .map(|each| self.counts[self.index(each, signal)][arm])
+            .fold(SignalCounts::default(), |sum, counts| SignalCounts {
+                good: sum.good + counts.good,
+                bad: sum.bad + counts.bad,
             })
     }
 
     /// Adds one outcome of this weight.
     fn add(&mut self, operation: usize, signal: Signal, arm: Arm, is_good: bool, weight: f64) {
-        let place = self.place(operation % self.slots, signal);
-        let counts = &mut self.counts[place][arm];
+        let index = self.index(operation % self.slots, signal);
+        let counts = &mut self.counts[index][arm];
         let count = if is_good {
             &mut counts.good
         } else {
@@ -129,15 +129,15 @@
 
     /// A new canary begins with no evidence; a released one is the baseline from then on.
     pub(super) fn begin_canary(&mut self, previous_was_released: bool) {
-        for of in &mut self.counts {
+        for arms in &mut self.counts {
             if previous_was_released {
-                of.baseline = of.canary;
+                arms.baseline = arms.canary;
             }
-            of.canary = SignalCounts::default();
+            arms.canary = SignalCounts::default();
         }
     }
 
-    fn place(&self, slot: usize, signal: Signal) -> usize {
+    fn index(&self, slot: usize, signal: Signal) -> usize {
         slot * Signal::ALL.len() + signal as usize
     }
 }
@@ -164,21 +164,22 @@
     }
 
     /// Fades the evidence by one gossip interval.
-    pub(super) fn fade(&mut self, canary_is_listed: bool, baseline_is_listed: bool) {
-        let fade = 0.5f64.powf(GOSSIP_INTERVAL / HALF_LIFE);
-        let most = if canary_is_listed {
+    pub(super) fn decay(&mut self, canary_is_listed: bool, baseline_is_listed: bool) {
+        let decay = 0.5f64.powf(GOSSIP_INTERVAL / EVIDENCE_HALF_LIFE);
+        let max_baseline = if canary_is_listed {
             f64::INFINITY
         } else {
-            BASELINE_MEMORY
+            IDLE_BASELINE_MAX_OUTCOMES
         };
-        for of in &mut self.own.counts {
-            let keep = (most / of.baseline.total().max(super::MIN_DIVISOR)).min(fade);
+        for arms in &mut self.own.counts {
+            let baseline_factor =
+                (max_baseline / arms.baseline.total().max(super::MIN_DIVISOR)).min(decay);
             if baseline_is_listed {
-                of.baseline.good *= keep;
-                of.baseline.bad *= keep;
+                arms.baseline.good *= baseline_factor;
+                arms.baseline.bad *= baseline_factor;
             }
-            of.canary.good *= fade;
-            of.canary.bad *= fade;
+            arms.canary.good *= decay;
+            arms.canary.bad *= decay;
         }
     }
 }
--- a/src/decisions/exposure.rs
+++ b/src/decisions/exposure.rs
@@ -6,13 +6,13 @@
 use crate::interface::{BuildId, Phase};
 
 /// Part of the cap beyond which no new key is bound to the canary: its later requests must still fit.
-const NEW_KEY_CAP_PART: f64 = 0.85;
+const NEW_KEY_CAP_FRACTION: f64 = 0.85;
 
 /// Part of the spare attempts that new keys may use.
-const NEW_KEY_SPARE_PART: f64 = 0.5;
+const NEW_KEY_SPARE_FRACTION: f64 = 0.5;
 
 /// A request that was admitted.
-struct AdmittedRequest {
+struct ReceivedRequest {
     at: f64,
     operation: usize,
     /// Its key may go to the canary alone.
@@ -29,20 +29,21 @@
 /// The requests and the canary's attempts within the window.
 #[derive(Default)]
 pub(super) struct ExposureWindow {
-    admitted: VecDeque<AdmittedRequest>,
+    received: VecDeque<ReceivedRequest>,
     canary_attempts: VecDeque<CanaryAttempt>,
 }
 
 impl ExposureWindow {
     /// Drops what is older than the window, in seconds.
     pub(super) fn expire(&mut self, now: f64, window: f64) {
-        self.admitted.retain(|of| now - of.at <= window);
-        self.canary_attempts.retain(|of| now - of.at <= window);
+        self.received.retain(|entry| now - entry.at <= window);
+        self.canary_attempts
+            .retain(|entry| now - entry.at <= window);
     }
 
     /// Counts a request.
-    pub(super) fn admit(&mut self, now: f64, operation: usize, is_bound_to_canary: bool) {
-        self.admitted.push_back(AdmittedRequest {
+    pub(super) fn record_request(&mut self, now: f64, operation: usize, is_bound_to_canary: bool) {
+        self.received.push_back(ReceivedRequest {
             at: now,
             operation,
             is_bound_to_canary,
@@ -50,7 +51,7 @@
     }
 
     /// Counts an attempt at a build under a cap.
-    pub(super) fn expose(&mut self, now: f64, build: BuildId, operation: usize) {
+    pub(super) fn record_canary_attempt(&mut self, now: f64, build: BuildId, operation: usize) {
         self.canary_attempts.push_back(CanaryAttempt {
             at: now,
             build,
@@ -59,14 +60,17 @@
     }
 
     /// The number of requests in the window.
-    pub(super) fn admitted(&self) -> f64 {
-        self.admitted.len() as f64
+    pub(super) fn received(&self) -> f64 {
+        self.received.len() as f64
     }
 
     /// The fraction of requests whose keys may go to the canary alone.
     pub(super) fn bound_fraction(&self) -> f64 {
-        let bound = self.admitted.iter().filter(|of| of.is_bound_to_canary);
-        bound.count() as f64 / self.admitted().max(1.0)
+        let bound = self
+            .received
+            .iter()
+            .filter(|entry| entry.is_bound_to_canary);
+        bound.count() as f64 / self.received().max(1.0)
     }
 }
 
@@ -85,7 +89,7 @@
         let stage = status.map_or(0, |status| status.stage);
         let cap = self
             .override_of(build)
-            .map_or(cap, |asked| cap.min(asked.cap));
+            .map_or(cap, |requested| cap.min(requested.cap));
         let is_idempotent = self.settings.operations[operation]
             .idempotency_window
             .is_infinite();
@@ -93,24 +97,33 @@
         if phase != Phase::Canary || cap <= 0.0 || is_guarded {
             return phase == Phase::Released;
         }
-        let counts = |of: usize| !self.settings.exposure_by_operation || of == operation;
+        let is_counted = |other: usize| !self.settings.exposure_by_operation || other == operation;
         let window = self.settings.exposure_window - 2.0 * self.settings.tick;
-        let admitted = self
+        let received = self
             .exposure
-            .admitted
+            .received
             .iter()
-            .filter(|of| now - of.at < window && counts(of.operation))
+            .filter(|entry| now - entry.at < window && is_counted(entry.operation))
             .count();
         let sent = self
             .exposure
             .canary_attempts
             .iter()
-            .filter(|of| of.build == build && counts(of.operation))
+            .filter(|entry| entry.build == build && is_counted(entry.operation))
             .count();
-        let keeps_room = binds_new_key && self.settings.sticky_keys && cap < 1.0;
-        let part = if keeps_room { NEW_KEY_CAP_PART } else { 1.0 };
-        let spare_part = if keeps_room { NEW_KEY_SPARE_PART } else { 1.0 };
-        let allowed = spare_part * self.settings.exposure_spare + part * cap * admitted as f64;
+        let reserves_headroom = binds_new_key && self.settings.sticky_keys && cap < 1.0;
+        let cap_fraction = if reserves_headroom {
+            NEW_KEY_CAP_FRACTION
+        } else {
+            1.0
+        };
+        let spare_fraction = if reserves_headroom {
+            NEW_KEY_SPARE_FRACTION
+        } else {
+            1.0
+        };
+        let allowed =
+            spare_fraction * self.settings.exposure_spare + cap_fraction * cap * received as f64;
         sent as f64 + 1.0 <= allowed
     }
 }
--- a/src/decisions/gossip.rs
+++ b/src/decisions/gossip.rs
@@ -23,17 +23,17 @@
 const PEER_TIMEOUT: f64 = 2.5;
 
 /// Least slowdown that a peer's message counts for.
-const PEER_SLOWDOWN_MIN: f64 = 0.1;
+const MIN_PEER_SLOWDOWN: f64 = 0.1;
 
 /// Largest slowdown that a peer's message counts for.
-const PEER_SLOWDOWN_MAX: f64 = 10.0;
+const MAX_PEER_SLOWDOWN: f64 = 10.0;
 
 /// What a peer last told.
 pub(super) struct PeerReport {
     /// When, in seconds.
     pub(super) at: f64,
     /// Requests that it admitted in the exposure window.
-    admitted: f64,
+    received: f64,
     slowdown: f64,
 }
 
@@ -60,12 +60,12 @@
     }
 
     /// Forgets what was sent of an earlier canary.
-    pub(super) fn forget_sent(&mut self) {
+    pub(super) fn clear_sent(&mut self) {
         self.sent.clear();
     }
 
     /// The peers that live.
-    pub(super) fn live(&self) -> usize {
+    pub(super) fn live_count(&self) -> usize {
         self.last_heard.len()
     }
 
@@ -79,20 +79,20 @@
 
     /// Works out this router's share of the traffic and the slowdown that all see from the peers heard, a sample:
     /// random exchanges reach a known number of those that live, and how many were reached tells how many do.
-    fn update(&mut self, now: f64, routers: u32, own_admitted: f64, own_slowdown: f64) {
+    fn update(&mut self, now: f64, routers: u32, own_received: f64, own_slowdown: f64) {
         self.last_heard
             .retain(|_, report| now - report.at < PEER_TIMEOUT);
-        let own = own_admitted.max(1.0);
+        let own = own_received.max(1.0);
         let peers = f64::from(routers - 1).max(MIN_DIVISOR);
         let exchanges = 2.0 * PEER_TIMEOUT / GOSSIP_INTERVAL;
         let reached = peers * (1.0 - (-exchanges / peers).exp());
         let heard = self.last_heard.len() as f64;
-        let live = peers * (heard / reached).min(1.0);
+        let live_count = peers * (heard / reached).min(1.0);
         let reports = || self.last_heard.values();
-        let weights = reports().map(|report| report.admitted).sum::<f64>();
-        let others = live * weights / heard.max(1.0);
+        let weights = reports().map(|report| report.received).sum::<f64>();
+        let others = live_count * weights / heard.max(1.0);
         let slowdowns = reports()
-            .map(|report| report.admitted * report.slowdown.ln())
+            .map(|report| report.received * report.slowdown.ln())
             .sum::<f64>();
         self.traffic_share = own / (own + others);
         self.shared_slowdown = ((own * own_slowdown.ln() + slowdowns) / (own + weights)).exp();
@@ -110,8 +110,8 @@
     pub(super) fn gossip_round(&mut self, now: f64, effects: &mut Vec<Effect>) {
         let next = now + GOSSIP_INTERVAL;
         self.timers.schedule(next, TimerEvent::Gossip, effects);
-        self.latency.recover();
-        self.connection_losses.recover();
+        self.latency.follow_decreases();
+        self.connection_losses.decay();
         self.refresh_weights(now);
         let unsettled = self.hosts.index.unsettled().collect();
         self.update_index(now, unsettled);
@@ -119,12 +119,12 @@
         self.update_canary_share();
         let canary_is_listed = self.rollout.canary_share > 0.0;
         self.evidence
-            .fade(canary_is_listed, self.baseline_is_listed());
+            .decay(canary_is_listed, self.baseline_is_listed());
         self.exchange_evidence(effects);
-        let admitted = self.exposure.admitted();
+        let received = self.exposure.received();
         let slowdown = self.own_slowdown();
         self.peers
-            .update(now, self.settings.routers, admitted, slowdown);
+            .update(now, self.settings.routers, received, slowdown);
         self.decide_vote(now, effects);
     }
 
@@ -147,13 +147,13 @@
         };
         let report = PeerReport {
             at: now,
-            admitted: message.admitted,
-            slowdown: message.slowdown.clamp(PEER_SLOWDOWN_MIN, PEER_SLOWDOWN_MAX),
+            received: message.received,
+            slowdown: message.slowdown.clamp(MIN_PEER_SLOWDOWN, MAX_PEER_SLOWDOWN),
         };
         self.peers.last_heard.insert(from, report);
         let build = self.rollout.status.map(|status| status.build);
-        let is_complete = message.figures.len() == self.evidence.own.figure_count();
-        if build != Some(message.build) || !is_complete {
+        let has_all_figures = message.figures.len() == self.evidence.own.figure_count();
+        if build != Some(message.build) || !has_all_figures {
             return;
         }
         let merged = self.evidence.merged.figures_mut();
@@ -212,7 +212,7 @@
                 .rollout
                 .status
                 .map_or(BuildId(0), |status| status.build),
-            admitted: self.exposure.admitted(),
+            received: self.exposure.received(),
             slowdown: self.own_slowdown(),
             figures: self.evidence.own.figures().collect(),
         };
--- a/src/decisions/host_table.rs
+++ b/src/decisions/host_table.rs
@@ -11,7 +11,7 @@
 use crate::operator_weights::{EffectiveWeight, apply_weights};
 
 /// Seconds that the record of a host which left the list is kept.
-const RETENTION: f64 = 60.0;
+const RECORD_RETENTION: f64 = 60.0;
 
 /// The one record of a host.
 pub(super) struct Host {
@@ -23,7 +23,7 @@
     pub(super) last_used: f64,
     pub(super) health: HostHealth,
     /// The revision that it came with, or came back with.
-    pub(super) since: Revision,
+    pub(super) since_revision: Revision,
     /// What the list that is being handed over changes about it.
     staged: StagedChange,
     /// Its effective weight, 1 being an even share.
@@ -52,7 +52,7 @@
             in_flight: vec![],
             last_used: f64::MIN,
             health: HostHealth::UNKNOWN,
-            since: Revision(0),
+            since_revision: Revision(0),
             staged: StagedChange::Unchanged,
             weight: 1.0,
         }
@@ -65,16 +65,16 @@
 
     /// Notes an entry of a list that is being handed over; nothing of it counts yet.
     fn stage(&mut self, entry: &HostEntry) {
-        let runs = entry.state == HostState::Running;
+        let is_running = entry.state == HostState::Running;
         let left_before = self.staged == StagedChange::Leaves;
-        self.staged = match (self.usable, runs) {
+        self.staged = match (self.usable, is_running) {
             (_, false) => StagedChange::Leaves,
             (true, true) => StagedChange::Changes {
                 entry: Box::new(*entry),
                 left_before,
             },
             (false, true) => {
-                self.replace(entry);
+                self.replace_entry(entry);
                 StagedChange::Joins
             }
         };
@@ -87,19 +87,19 @@
             StagedChange::Leaves => self.usable = false,
             StagedChange::Joins => {
                 self.usable = true;
-                self.since = revision;
+                self.since_revision = revision;
             }
             StagedChange::Changes { entry, left_before } => {
                 if left_before || !self.entry.same_process(&entry) {
-                    self.since = revision;
+                    self.since_revision = revision;
                 }
-                self.replace(&entry);
+                self.replace_entry(&entry);
             }
         }
     }
 
     /// Takes an entry; another process begins afresh, as nothing is known of it yet.
-    fn replace(&mut self, entry: &HostEntry) {
+    fn replace_entry(&mut self, entry: &HostEntry) {
         if !self.entry.same_process(entry) {
             self.health = HostHealth::UNKNOWN;
             self.in_flight = vec![];
@@ -112,19 +112,19 @@
         self.usable
             || self.staged != StagedChange::Unchanged
             || !self.in_flight.is_empty()
-            || now - self.last_used < RETENTION
+            || now - self.last_used < RECORD_RETENTION
     }
 
     /// Its entry in the index; none while it is not in use. Hosts that warm up, are ejected or fail are looked at
     /// for each request, all others by their groups.
-    fn indexed(&self, settings: &DecisionSettings, now: f64) -> Option<IndexedHost> {
-        let is_well = self.health.ejected_until <= now && !is_failing(self.health.failure_rate);
+    fn index_entry(&self, settings: &DecisionSettings, now: f64) -> Option<IndexedHost> {
+        let is_healthy = self.health.ejected_until <= now && !is_failing(self.health.failure_rate);
         let is_warm = settings.warm_up_fraction(&self.entry, now) >= 1.0;
         self.usable.then_some(IndexedHost {
             group: Group::of(&self.entry, settings.idempotency_by_cell),
             size: self.entry.size,
             weight: self.weight,
-            settled: is_well && is_warm,
+            settled: is_healthy && is_warm,
             failure_rate: self.health.failure_rate,
             slowdown: self.health.slowdown,
         })
@@ -140,11 +140,11 @@
     /// The hosts that the list being handed over names.
     staged: Vec<HostId>,
     /// Some host's effective weight may be other than 1.
-    weights_in_force: bool,
+    has_weights: bool,
     /// The lowest build that is listed.
     pub(super) lowest_build: Option<BuildId>,
     /// The largest sum of sizes that was ever listed at once.
-    pub(super) largest_fleet: f64,
+    pub(super) largest_listed_size: f64,
 }
 
 impl HostTable {
@@ -211,8 +211,12 @@
         changed: Vec<HostId>,
     ) {
         let HostTable { hosts, index, .. } = self;
-        let indexed = |id: &HostId| hosts.get(id).and_then(|host| host.indexed(settings, now));
-        index.update(changed.into_iter().map(|id| (id, indexed(&id))));
+        let index_entry = |id: &HostId| {
+            hosts
+                .get(id)
+                .and_then(|host| host.index_entry(settings, now))
+        };
+        index.update(changed.into_iter().map(|id| (id, index_entry(&id))));
     }
 
     /// Drops the records of hosts that left long ago.
@@ -245,7 +249,7 @@
     /// carry of its weight grows with time.
     pub(super) fn refresh_weights(&mut self, now: f64) {
         let are_set = !self.overrides.weights.is_empty();
-        if !self.hosts.weights_in_force && !are_set {
+        if !self.hosts.has_weights && !are_set {
             return;
         }
         let mut weights = self
@@ -256,7 +260,7 @@
         for (host, weight) in usable.zip(weights) {
             host.weight = weight.weight;
         }
-        self.hosts.weights_in_force = are_set;
+        self.hosts.has_weights = are_set;
         self.update_index(now, self.hosts.ids());
     }
 
--- a/src/decisions/latency_baselines.rs
+++ b/src/decisions/latency_baselines.rs
@@ -18,7 +18,7 @@
 
 /// Fraction of the way to a lower level that the level before a canary goes at each gossip interval, five seconds
 /// in all: what came before the canary may have been a slow spell.
-pub(super) const RECOVERY_STEP: f64 = 0.04;
+pub(super) const REFERENCE_STEP: f64 = 0.04;
 
 /// What a baseline is kept for; the order is that of the sums over all.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,7 +35,7 @@
     /// Shows slowness but hardly queues.
     floor: f64,
     /// The floor before the canary; none where no canary came since.
-    floor_before: Option<f64>,
+    floor_before_canary: Option<f64>,
 }
 
 impl LatencyBaseline {
@@ -80,14 +80,14 @@
             kind,
             arm,
         };
-        let first = LatencyBaseline {
+        let initial = LatencyBaseline {
             quick: time,
             floor: time,
-            floor_before: None,
+            floor_before_canary: None,
         };
         self.by_key
             .entry(key)
-            .or_insert(first)
+            .or_insert(initial)
             .record(time, succeeded);
     }
 
@@ -95,15 +95,17 @@
     pub(super) fn begin_canary(&mut self, after_known_build: bool) {
         self.by_key.retain(|key, _| key.arm == Arm::Baseline);
         for baseline in self.by_key.values_mut() {
-            baseline.floor_before = after_known_build.then_some(baseline.floor);
+            baseline.floor_before_canary = after_known_build.then_some(baseline.floor);
         }
     }
 
     /// Lets the levels before the canary follow times that have been lower since.
-    pub(super) fn recover(&mut self) {
+    pub(super) fn follow_decreases(&mut self) {
         for baseline in self.by_key.values_mut() {
-            let fall = |before: f64| RECOVERY_STEP * (baseline.floor - before).min(0.0);
-            baseline.floor_before = baseline.floor_before.map(|before| before + fall(before));
+            let decrease = |before: f64| REFERENCE_STEP * (baseline.floor - before).min(0.0);
+            baseline.floor_before_canary = baseline
+                .floor_before_canary
+                .map(|before| before + decrease(before));
         }
     }
 
@@ -113,9 +115,9 @@
         let mut log_sum = 0.0;
         let mut count = 0.0f64;
         for (key, baseline) in &self.by_key {
-            let present = self.get(key.operation, key.kind, arm);
-            if let (Some(present), Some(before)) = (present, baseline.floor_before) {
-                log_sum += (present.floor / before).ln();
+            let current = self.get(key.operation, key.kind, arm);
+            if let (Some(current), Some(before)) = (current, baseline.floor_before_canary) {
+                log_sum += (current.floor / before).ln();
                 count += 1.0;
             }
         }
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -59,7 +59,7 @@
 use voting::VotingState;
 
 /// Seconds that no window or wait is shorter than, for the ticks between two clocks.
-const MIN_WINDOW: f64 = 0.01;
+const MIN_DURATION: f64 = 0.01;
 
 /// What a sum that may be empty is divided by at least.
 const MIN_DIVISOR: f64 = 0.01;
@@ -151,7 +151,7 @@
             } => {
                 let report = AttemptReport {
                     outcome,
-                    took,
+                    duration: took,
                     is_final: over,
                     idle: unused,
                 };
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -16,25 +16,25 @@
 const RECOVERED_FAILURE_RATE: f64 = EJECTION_FAILURE_RATE / 3.0;
 
 /// Seconds of a first ejection.
-const EJECTION_BASE: f64 = 1.0;
+const MIN_EJECTION: f64 = 1.0;
 
 /// Seconds of the longest ejection; each doubles the one before.
-const EJECTION_MAX: f64 = 6.0;
+const MAX_EJECTION: f64 = 6.0;
 
 /// Other hosts of its build that must run before one is ejected.
-const EJECTION_MIN_OTHERS: usize = 2;
+const MIN_OTHER_HOSTS: usize = 2;
 
 /// The others must be this many times those already ejected; else all of them fail, not a few.
-const EJECTION_MIN_RATIO: usize = 3;
+const MIN_OTHERS_PER_EJECTED: usize = 3;
 
 /// Slowdown of a host before it has answered: unknown hosts get less than known ones.
 const INITIAL_SLOWDOWN: f64 = 1.5;
 
 /// Least slowdown that one answer counts for, so that a single quick one moves little.
-const SLOWDOWN_SAMPLE_MIN: f64 = 0.2;
+const MIN_SLOWDOWN_SAMPLE: f64 = 0.2;
 
 /// Largest slowdown that one answer counts for.
-const SLOWDOWN_SAMPLE_MAX: f64 = 10.0;
+const MAX_SLOWDOWN_SAMPLE: f64 = 10.0;
 
 /// Times the mean slowdown of its build's others above which a host, not the service, is slow.
 pub(super) const SLOW_HOST_RATIO: f64 = 1.6;
@@ -58,7 +58,7 @@
 }
 
 /// The other hosts of a host's build.
-pub(super) struct PeerHosts {
+pub(super) struct BuildAverages {
     /// Too few run, or too many are ejected, for one to stand out.
     pub(super) too_few: bool,
     mean_failure_rate: f64,
@@ -77,7 +77,7 @@
         failure_rate: 0.0,
         slowdown: INITIAL_SLOWDOWN,
         ejected_until: 0.0,
-        next_ejection: EJECTION_BASE,
+        next_ejection: MIN_EJECTION,
     };
 
     /// Records an outcome, and ejects the host where it stands out among its peers: a hang, a lost link, errors.
@@ -87,48 +87,48 @@
         now: f64,
         succeeded: bool,
         slowdown: Option<f64>,
-        peers: &PeerHosts,
+        averages: &BuildAverages,
     ) -> HostVerdict {
         let failure = f64::from(u8::from(!succeeded));
         self.failure_rate += SAMPLE_WEIGHT * (failure - self.failure_rate);
         let sample = slowdown.map_or(self.slowdown, |slowdown| {
-            slowdown.clamp(SLOWDOWN_SAMPLE_MIN, SLOWDOWN_SAMPLE_MAX)
+            slowdown.clamp(MIN_SLOWDOWN_SAMPLE, MAX_SLOWDOWN_SAMPLE)
         });
         self.slowdown += SAMPLE_WEIGHT * (sample - self.slowdown);
-        let limit = EJECTION_FAILURE_RATE + peers.mean_failure_rate;
-        if !peers.too_few && self.failure_rate > limit && self.ejected_until <= now {
+        let limit = EJECTION_FAILURE_RATE + averages.mean_failure_rate;
+        if !averages.too_few && self.failure_rate > limit && self.ejected_until <= now {
             self.ejected_until = now + self.next_ejection;
             self.failure_rate = limit;
-            self.next_ejection = (2.0 * self.next_ejection).min(EJECTION_MAX);
+            self.next_ejection = (2.0 * self.next_ejection).min(MAX_EJECTION);
         } else if succeeded && self.failure_rate < RECOVERED_FAILURE_RATE {
-            self.next_ejection = EJECTION_BASE;
+            self.next_ejection = MIN_EJECTION;
         }
         HostVerdict {
-            is_ejected: self.ejected_until > now && !peers.too_few,
-            is_slow: !peers.too_few && self.slowdown > SLOW_HOST_RATIO * peers.mean_slowdown,
+            is_ejected: self.ejected_until > now && !averages.too_few,
+            is_slow: !averages.too_few && self.slowdown > SLOW_HOST_RATIO * averages.mean_slowdown,
         }
     }
 }
 
 impl Router {
     /// The other hosts of a host's build, as they stand.
-    pub(super) fn peers_of(&self, now: f64, entry: &HostEntry) -> PeerHosts {
-        let own = self.hosts.index.get(entry.host);
-        let own = own.filter(|own| own.group.build == entry.build);
-        let others: BuildSums = self.hosts.index.build(entry.build).without(own);
-        let is_ejected_peer = |id: HostId| {
+    pub(super) fn build_averages(&self, now: f64, entry: &HostEntry) -> BuildAverages {
+        let indexed = self.hosts.index.get(entry.host);
+        let indexed = indexed.filter(|indexed| indexed.group.build == entry.build);
+        let others: BuildSums = self.hosts.index.build(entry.build).without(indexed);
+        let is_ejected_other = |id: HostId| {
             self.hosts.get(id).is_some_and(|host| {
                 host.entry.build == entry.build && host.health.ejected_until > now
             })
         };
         let unsettled = self.hosts.index.unsettled();
         let ejected = unsettled
-            .filter(|id| *id != entry.host && is_ejected_peer(*id))
+            .filter(|id| *id != entry.host && is_ejected_other(*id))
             .count();
         let count = (others.hosts as f64).max(1.0);
-        PeerHosts {
-            too_few: others.hosts < EJECTION_MIN_OTHERS
-                || ejected * EJECTION_MIN_RATIO > others.hosts,
+        BuildAverages {
+            too_few: others.hosts < MIN_OTHER_HOSTS
+                || ejected * MIN_OTHERS_PER_EJECTED > others.hosts,
             mean_failure_rate: others.failure_rate / count,
             mean_slowdown: others.slowdown / count,
         }
--- a/src/decisions/request_table.rs
+++ b/src/decisions/request_table.rs
@@ -29,7 +29,7 @@
     pub(super) work: f64,
     pub(super) outcome: AttemptOutcome,
     /// The time that it took, in seconds.
-    pub(super) took: f64,
+    pub(super) duration: f64,
 }
 
 /// A request that has no final answer, or still has attempts in flight; points in time are in seconds.
@@ -113,12 +113,12 @@
     pub(super) fn bind(&mut self, key: KeyId, build: BuildId) {
         self.by_key
             .entry(key)
-            .and_modify(|bound| *bound = build.max(*bound))
+            .and_modify(|bound_build| *bound_build = build.max(*bound_build))
             .or_insert(build);
     }
 
     /// Frees the keys of a build that is rolled back.
-    pub(super) fn release(&mut self, build: BuildId) {
-        self.by_key.retain(|_, bound| *bound != build);
+    pub(super) fn unbind(&mut self, build: BuildId) {
+        self.by_key.retain(|_, bound_build| *bound_build != build);
     }
 }
--- a/src/decisions/requirements.rs
+++ b/src/decisions/requirements.rs
@@ -2,7 +2,7 @@
 
 use super::Router;
 use super::request_table::TrackedRequest;
-use super::retry::WAIT_PART_OF_OBJECTIVE;
+use super::retry::WAIT_OBJECTIVE_FRACTION;
 use crate::arm::Arm;
 use crate::host_group::{Group, Requirements};
 use crate::interface::{BuildId, HostEntry, IdempotencyScope};
@@ -22,12 +22,12 @@
         let mut arms = vec![];
         let mut last_build: Option<(BuildId, bool)> = None;
         for group in self.hosts.index.groups() {
-            let is_open = match last_build {
-                Some((build, is_open)) if build == group.build => is_open,
-                _ => self.may_go_to(now, request, group.build),
+            let build_is_open = match last_build {
+                Some((build, build_is_open)) if build == group.build => build_is_open,
+                _ => self.may_use_build(now, request, group.build),
             };
-            last_build = Some((group.build, is_open));
-            if is_open && self.group_may_serve(now, request, group) {
+            last_build = Some((group.build, build_is_open));
+            if build_is_open && self.group_may_serve(now, request, group) {
                 let arm = Arm::canary_if(self.is_canary(group.build));
                 arms.push((*group, arm));
             }
@@ -45,10 +45,10 @@
     }
 
     /// Whether a build has room for a request, whose key does not return to an older one.
-    fn may_go_to(&self, now: f64, request: &TrackedRequest, build: BuildId) -> bool {
-        let bound = self.sticky_builds.get(request.key.as_ref());
-        let binds_new_key = bound.is_none_or(|bound| bound < build);
-        let may_return = bound.is_none_or(|bound| build >= bound);
+    fn may_use_build(&self, now: f64, request: &TrackedRequest, build: BuildId) -> bool {
+        let bound_build = self.sticky_builds.get(request.key.as_ref());
+        let binds_new_key = bound_build.is_none_or(|bound_build| bound_build < build);
+        let may_return = bound_build.is_none_or(|bound_build| build >= bound_build);
         may_return && self.has_exposure_room(now, build, request.operation, binds_new_key)
     }
 
@@ -59,17 +59,17 @@
         let knows_key = request
             .first_effect()
             .is_none_or(|first| shares_keys(scope, &first.host, group));
-        let least = self
+        let min_time = self
             .latency
             .floor_time(request.operation, group.kind)
             .map_or(0.0, |floor| {
-                let of_objective = WAIT_PART_OF_OBJECTIVE * (request.objective_at - now);
-                (floor * request.work).min(of_objective)
+                let objective_wait = WAIT_OBJECTIVE_FRACTION * (request.objective_at - now);
+                (floor * request.work).min(objective_wait)
             });
         let is_in_pool = request
             .pool
             .as_ref()
             .is_none_or(|pool| pool.may_contain(group.zone, group.kind));
-        knows_key && is_in_pool && now + least < request.deadline
+        knows_key && is_in_pool && now + min_time < request.deadline
     }
 }
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -7,19 +7,19 @@
 use crate::interface::{Effect, HostEntry, HostId, Phase, RequestId};
 
 /// Retries that each request adds to the budget.
-const BUDGET_PER_REQUEST: f64 = 0.1;
+const RETRIES_PER_REQUEST: f64 = 0.1;
 
 /// Retries that the budget holds at most.
-const BUDGET_MAX: f64 = 10.0;
+const MAX_RETRY_TOKENS: f64 = 10.0;
 
 /// Part of the time to the latency objective that an attempt gets before another is sent.
-pub(super) const WAIT_PART_OF_OBJECTIVE: f64 = 0.5;
+pub(super) const WAIT_OBJECTIVE_FRACTION: f64 = 0.5;
 
 /// Quick times that an attempt gets at least before another is sent.
-const WAIT_IN_QUICK_TIMES: f64 = 5.0;
+const MIN_WAIT_QUICK_TIMES: f64 = 5.0;
 
 /// Part of the latency objective that counts as the quick time where none is known.
-const DEFAULT_QUICK_PART: f64 = 0.1;
+const DEFAULT_QUICK_FRACTION: f64 = 0.1;
 
 /// Retries and hedged attempts that a router may still send.
 pub(super) struct RetryBudget {
@@ -30,13 +30,13 @@
     /// A budget that is half full.
     pub(super) fn new() -> Self {
         RetryBudget {
-            tokens: BUDGET_MAX / 2.0,
+            tokens: MAX_RETRY_TOKENS / 2.0,
         }
     }
 
     /// Adds a request's part.
     pub(super) fn earn(&mut self) {
-        self.tokens = (self.tokens + BUDGET_PER_REQUEST).min(BUDGET_MAX);
+        self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_RETRY_TOKENS);
     }
 
     /// Whether a retry can be paid for.
@@ -72,25 +72,25 @@
             .is_some_and(|first| now - first.sent_at >= window)
     }
 
-    /// Sends an attempt to a host; `end` is when its answer is worth nothing any more.
+    /// Sends an attempt to a host; `useful_until` is when its answer is worth nothing any more.
     pub(super) fn start_attempt(
         &mut self,
         now: f64,
         id: &RequestId,
         host: HostId,
-        end: f64,
+        useful_until: f64,
         effects: &mut Vec<Effect>,
     ) {
-        let (Some(request), Some(known)) = (self.requests.get(id), self.hosts.get(host)) else {
+        let (Some(request), Some(target)) = (self.requests.get(id), self.hosts.get(host)) else {
             return;
         };
-        let entry = known.entry;
+        let entry = target.entry;
         let operation = &self.settings.operations[request.operation];
-        let times = self.attempt_times(now, request, &entry, end);
+        let times = self.attempt_times(now, request, &entry, useful_until);
         let connection = self.connection_requirements(now, request, operation);
         // Connections may be dropped unseen after some time without use: then the idle ones are closed first.
-        let is_idle = is_idle(known, now);
-        let are_dropped = self.connection_losses.idle_ones_are_dropped();
+        let is_idle = is_idle(target, now);
+        let are_dropped = self.connection_losses.idle_connections_are_dropped();
         if is_idle && are_dropped {
             effects.push(Effect::CloseIdleConnections { host });
         }
@@ -99,7 +99,7 @@
             sent_at: now,
             in_flight: true,
             may_have_run: false,
-            is_evidence: known.health.ejected_until <= now,
+            is_evidence: target.health.ejected_until <= now,
             on_idle_connection: is_idle && !are_dropped,
         };
         self.count_attempt(id, attempt);
@@ -122,25 +122,30 @@
         now: f64,
         request: &TrackedRequest,
         host: &HostEntry,
-        end: f64,
+        useful_until: f64,
     ) -> AttemptTimes {
         let operation = &self.settings.operations[request.operation];
         let quick = self
             .latency
             .quick_time(request.operation, host.kind)
-            .map_or(DEFAULT_QUICK_PART * operation.latency_objective, |quick| {
-                quick * request.work
-            });
-        let of_objective = WAIT_PART_OF_OBJECTIVE * (request.objective_at - now);
-        let wait = of_objective.max(WAIT_IN_QUICK_TIMES * quick);
+            .map_or(
+                DEFAULT_QUICK_FRACTION * operation.latency_objective,
+                |quick| quick * request.work,
+            );
+        let objective_wait = WAIT_OBJECTIVE_FRACTION * (request.objective_at - now);
+        let wait = objective_wait.max(MIN_WAIT_QUICK_TIMES * quick);
         let has_room = self.retry_budget.has_token() && !self.in_flight.is_under_pressure();
         let is_allowed = operation.idempotency_window > wait
             && request.attempts.len() + 1 < self.settings.max_attempts;
-        let is_useful = now + wait + quick < end.min(request.objective_at);
+        let is_useful = now + wait + quick < useful_until.min(request.objective_at);
         let is_planned = has_room && is_allowed && is_useful;
-        let is_given_up = is_planned && !self.settings.may_hedge;
+        let times_out_early = is_planned && !self.settings.may_hedge;
         AttemptTimes {
-            time_out: if is_given_up { wait } else { end - now },
+            time_out: if times_out_early {
+                wait
+            } else {
+                useful_until - now
+            },
             hedge_at: (is_planned && self.settings.may_hedge).then_some(now + wait),
         }
     }
@@ -159,7 +164,8 @@
         if let Some(request) = self.requests.get_mut(id) {
             request.attempts.push(attempt);
             if is_capped {
-                self.exposure.expose(now, build, request.operation);
+                self.exposure
+                    .record_canary_attempt(now, build, request.operation);
             }
         }
     }
--- a/src/decisions/rollout.rs
+++ b/src/decisions/rollout.rs
@@ -94,14 +94,16 @@
 
     /// What operators ask of a build; they may hold it, roll it back and lower its cap, never more.
     pub(super) fn override_of(&self, build: BuildId) -> Option<RolloutOverride> {
-        self.overrides.rollout.filter(|asked| asked.build == build)
+        self.overrides
+            .rollout
+            .filter(|requested| requested.build == build)
     }
 
     /// Counts the canary's machines anew, and weighs the baseline's outcomes by them.
     pub(super) fn update_canary_share(&mut self) {
         let canary = self.hosts.index.sum(|build| self.is_canary(build));
-        let all = self.hosts.index.sum(|_| true);
-        let share = canary.share / all.share.max(MIN_DIVISOR);
+        let total = self.hosts.index.sum(|_| true);
+        let share = canary.share / total.share.max(MIN_DIVISOR);
         self.rollout.canary_share = share;
         self.rollout.canary_hosts = canary.hosts as f64;
         self.evidence.baseline_weight = if share > 0.0 {
@@ -128,7 +130,7 @@
         }
         self.rollout.status = Some(status);
         if matches!(status.phase, Phase::RollingBack | Phase::RolledBack) {
-            self.sticky_builds.release(status.build);
+            self.sticky_builds.unbind(status.build);
         }
         let is_same_build = old.is_some_and(|old| old.build == status.build);
         if !is_same_build {
@@ -143,13 +145,13 @@
 
     /// Whether a status is older than the known one: an answer to a vote may cross the news of a later stage; news come
     /// in their order. A platform that was set back tells a state that has begun since.
-    fn is_outdated(&self, now: f64, known: &RolloutStatus, status: &RolloutStatus) -> bool {
-        if known.build != status.build {
-            return known.build > status.build;
+    fn is_outdated(&self, now: f64, current: &RolloutStatus, status: &RolloutStatus) -> bool {
+        if current.build != status.build {
+            return current.build > status.build;
         }
         let began = now - status.age;
         let has_begun_since = began > self.rollout.stage_since + STATUS_AGE_TOLERANCE;
-        status.answers_vote && progress(known) > progress(status) && !has_begun_since
+        status.answers_vote && progress(current) > progress(status) && !has_begun_since
     }
 
     /// A vote was answered: counted, lost, or turned away because the platform is full.
@@ -179,7 +181,7 @@
         self.voting.rank = voter_rank(status.build, self.settings.router, self.settings.routers);
         let was_released = old.is_some_and(|old| old.phase == Phase::Released);
         self.evidence.own.begin_canary(was_released);
-        self.peers.forget_sent();
+        self.peers.clear_sent();
         self.evidence.merged = self.evidence.own.clone();
         let in_time = self
             .evidence
--- a/src/decisions/service_slowdown.rs
+++ b/src/decisions/service_slowdown.rs
@@ -6,48 +6,48 @@
 use super::Router;
 use super::canary_assessment::{IN_TIME_MARGIN, StageProgress};
 use super::evidence::Signal;
-use super::latency_baselines::RECOVERY_STEP;
+use super::latency_baselines::REFERENCE_STEP;
 use crate::arm::Arm;
 
 /// Times slower than before above which the canary is not promoted.
-const BLOCKING: f64 = 1.3;
+const BLOCKING_SLOWDOWN: f64 = 1.3;
 
 /// The same, where no baseline host is left to compare with.
-const BLOCKING_WITHOUT_BASELINE: f64 = 1.6;
+const BLOCKING_SLOWDOWN_NO_BASELINE: f64 = 1.6;
 
 /// Times slower than before above which the service is harmed.
-const HARMFUL: f64 = 2.0;
+const HARMFUL_SLOWDOWN: f64 = 2.0;
 
 /// Times slower than before at which the delays to a roll-back hold; in proportion less where it is slower.
-const ROLL_BACK_REFERENCE: f64 = 2.6;
+const ROLL_BACK_REFERENCE_SLOWDOWN: f64 = 2.6;
 
 /// Times slower that losing all answers in time counts for, beyond 1.
-const LOSS_FACTOR: f64 = 4.0;
+const SLOWDOWN_PER_LOST_FRACTION: f64 = 4.0;
 
 /// Times slower, for its share of the machines, that a canary may make all others.
-const EXPLAINED_FACTOR: f64 = 12.0;
+const EXPLAINED_SLOWDOWN_PER_SHARE: f64 = 12.0;
 
 /// Part of the service's slowdown that the canary's own hosts must show, where theirs is known.
-const CANARY_PART: f64 = 0.5;
+const MIN_CANARY_EXCESS_FRACTION: f64 = 0.5;
 
 /// Part of the slowdown of the stage before that it must have: else it is not in step with the stages.
-const GROWTH_PART: f64 = 0.9;
+const MIN_STAGE_EXCESS_FRACTION: f64 = 0.9;
 
 /// Times slower under which losses in a large fleet are not a canary's slowdown.
-const LARGE_FLEET_MIN: f64 = 1.05;
+const LARGE_FLEET_MIN_SLOWDOWN: f64 = 1.05;
 
 /// Seconds of a stage for which a slowdown without harm holds the canary.
-const HOLD_TIME: f64 = 8.0;
+const NEW_SLOWDOWN_TIME: f64 = 8.0;
 
 /// Seconds after a stage's last start within which a slowdown came with the stage.
-const CAME_WITH_STAGE: f64 = HOLD_TIME / 2.0;
+const STAGE_ONSET_WINDOW: f64 = NEW_SLOWDOWN_TIME / 2.0;
 
 /// Seconds of a slowdown that came with the stage before the vote to roll back.
-const STAGE_ROLL_BACK_DELAY: f64 = 12.0;
+const STAGE_SLOWDOWN_ROLL_BACK_DELAY: f64 = 12.0;
 
 /// Seconds of any other slowdown before the vote to roll back: it must outlast common troubles. The same where no
 /// baseline host is left, as going back stops all for a while.
-const LATE_ROLL_BACK_DELAY: f64 = 16.0;
+const OTHER_SLOWDOWN_ROLL_BACK_DELAY: f64 = 16.0;
 
 /// What a router remembers of the service's slowdown.
 #[derive(Default)]
@@ -67,11 +67,11 @@
     /// Losses counted where they may be the canary's.
     slowdown: f64,
     /// Losses counted in any case.
-    with_losses: f64,
+    slowdown_with_losses: f64,
     /// The canary's own hosts show their part of it.
-    canary_shows_it: bool,
+    canary_is_slow: bool,
     /// The largest that a canary of this stage explains.
-    most_explained: f64,
+    max_explained: f64,
     /// Answers in time are lost.
     loses_answers: bool,
     has_baseline: bool,
@@ -79,15 +79,15 @@
 
 impl ObservedSlowdown {
     fn is_harmful(&self) -> bool {
-        self.loses_answers || self.has_baseline && self.slowdown > HARMFUL
+        self.loses_answers || self.has_baseline && self.slowdown > HARMFUL_SLOWDOWN
     }
 
     /// Times slower above which the canary is not promoted.
-    fn blocking(&self) -> f64 {
+    fn blocking_threshold(&self) -> f64 {
         if self.has_baseline {
-            BLOCKING
+            BLOCKING_SLOWDOWN
         } else {
-            BLOCKING_WITHOUT_BASELINE
+            BLOCKING_SLOWDOWN_NO_BASELINE
         }
     }
 }
@@ -95,31 +95,37 @@
 /// What the service's slowdown says of the canary; times are in seconds.
 pub(super) struct SlowdownAssessment {
     /// It may be the canary's.
-    is_of_canary: bool,
+    may_be_canary: bool,
     is_harmful: bool,
-    with_losses: f64,
+    slowdown_with_losses: f64,
     /// How long it has lasted.
-    lasted: f64,
-    lasts_long: bool,
+    duration: f64,
+    exceeds_delay: bool,
     /// It came with the stage.
-    came_with_stage: bool,
+    began_with_stage: bool,
 }
 
 impl SlowdownAssessment {
     /// Whether the build should be rolled back; a released one only for a slowdown that came with its last stage.
     pub(super) fn calls_for_roll_back(&self, is_released: bool) -> bool {
-        self.is_harmful && self.lasts_long && (self.came_with_stage || !is_released)
+        self.is_harmful && self.exceeds_delay && (self.began_with_stage || !is_released)
     }
 
     /// Whether the canary should not be promoted. While the service is harmed, whoever causes it, that holds for a
     /// time after each start: in a burst a canary's few hosts may be quicker than the baseline's.
-    pub(super) fn holds_canary(&self, now: f64, stage: &StageProgress, bake_scale: f64) -> bool {
+    pub(super) fn blocks_promotion(
+        &self,
+        now: f64,
+        stage: &StageProgress,
+        bake_scale: f64,
+    ) -> bool {
         let after_start = now - stage.latest_start;
-        let is_new = self.lasted.min(after_start) < HOLD_TIME;
-        let is_canarys = self.is_of_canary && (self.is_harmful || is_new);
-        let is_common =
-            self.is_harmful && self.with_losses > BLOCKING && after_start < bake_scale * HOLD_TIME;
-        is_canarys || is_common
+        let is_new = self.duration.min(after_start) < NEW_SLOWDOWN_TIME;
+        let is_from_canary = self.may_be_canary && (self.is_harmful || is_new);
+        let is_service_wide = self.is_harmful
+            && self.slowdown_with_losses > BLOCKING_SLOWDOWN
+            && after_start < bake_scale * NEW_SLOWDOWN_TIME;
+        is_from_canary || is_service_wide
     }
 }
 
@@ -133,29 +139,29 @@
         bake_scale: f64,
     ) -> SlowdownAssessment {
         let slowdown = observed.slowdown;
-        let in_step = 1.0 + GROWTH_PART * (self.at_previous_stage - 1.0);
-        let has_grown = slowdown > in_step && slowdown < observed.most_explained;
-        let is_of_canary = observed.canary_shows_it
+        let min_slowdown = 1.0 + MIN_STAGE_EXCESS_FRACTION * (self.at_previous_stage - 1.0);
+        let has_grown = slowdown > min_slowdown && slowdown < observed.max_explained;
+        let may_be_canary = observed.canary_is_slow
             && has_grown
             && !self.is_unrelated
-            && slowdown > observed.blocking();
-        if !is_of_canary {
+            && slowdown > observed.blocking_threshold();
+        if !may_be_canary {
             self.since = now;
         }
-        let lasted = now - self.since;
-        let came_with_stage = self.since < stage.latest_start + CAME_WITH_STAGE;
-        let delay = if !observed.has_baseline || !came_with_stage {
-            LATE_ROLL_BACK_DELAY
+        let duration = now - self.since;
+        let began_with_stage = self.since < stage.latest_start + STAGE_ONSET_WINDOW;
+        let delay = if !observed.has_baseline || !began_with_stage {
+            OTHER_SLOWDOWN_ROLL_BACK_DELAY
         } else {
-            STAGE_ROLL_BACK_DELAY
+            STAGE_SLOWDOWN_ROLL_BACK_DELAY
         };
         SlowdownAssessment {
-            is_of_canary,
+            may_be_canary,
             is_harmful: observed.is_harmful(),
-            with_losses: observed.with_losses,
-            lasted,
-            lasts_long: lasted * slowdown / ROLL_BACK_REFERENCE > bake_scale * delay,
-            came_with_stage,
+            slowdown_with_losses: observed.slowdown_with_losses,
+            duration,
+            exceeds_delay: duration * slowdown / ROLL_BACK_REFERENCE_SLOWDOWN > bake_scale * delay,
+            began_with_stage,
         }
     }
 }
@@ -174,28 +180,30 @@
         let counts = self.evidence.own.counts(None, Signal::InTime, arm);
         let in_time = counts.good_fraction();
         let state = &mut self.service_slowdown;
-        state.best_in_time += RECOVERY_STEP * (in_time - state.best_in_time).max(0.0);
-        let of_times = self.peers.shared_slowdown;
-        let of_losses = 1.0 + LOSS_FACTOR * (state.best_in_time - in_time);
-        let with_losses = of_times.max(of_losses);
-        let leaves_losses_out = self.settings.is_large_fleet && of_times < LARGE_FLEET_MIN;
-        let slowdown = if leaves_losses_out {
-            of_times
+        state.best_in_time += REFERENCE_STEP * (in_time - state.best_in_time).max(0.0);
+        let time_slowdown = self.peers.shared_slowdown;
+        let loss_slowdown = 1.0 + SLOWDOWN_PER_LOST_FRACTION * (state.best_in_time - in_time);
+        let slowdown_with_losses = time_slowdown.max(loss_slowdown);
+        let ignores_losses =
+            self.settings.is_large_fleet && time_slowdown < LARGE_FLEET_MIN_SLOWDOWN;
+        let slowdown = if ignores_losses {
+            time_slowdown
         } else {
-            with_losses
+            slowdown_with_losses
         };
-        let explained_losses = 1.0 + EXPLAINED_FACTOR * self.rollout.canary_share;
-        let is_unrelated = state.is_unrelated || of_losses > explained_losses;
-        state.is_unrelated = slowdown > BLOCKING && is_unrelated && !is_released;
+        let max_explained_losses = 1.0 + EXPLAINED_SLOWDOWN_PER_SHARE * self.rollout.canary_share;
+        let is_unrelated = state.is_unrelated || loss_slowdown > max_explained_losses;
+        state.is_unrelated = slowdown > BLOCKING_SLOWDOWN && is_unrelated && !is_released;
         let loses_answers = in_time < state.best_in_time - IN_TIME_MARGIN;
-        let own = self.latency.relative_slowdown(Arm::Canary);
-        let canary_shows_it =
-            !has_baseline || own.is_none_or(|own| own > 1.0 + CANARY_PART * (slowdown - 1.0));
+        let canary_slowdown = self.latency.relative_slowdown(Arm::Canary);
+        let canary_is_slow = !has_baseline
+            || canary_slowdown
+                .is_none_or(|factor| factor > 1.0 + MIN_CANARY_EXCESS_FRACTION * (slowdown - 1.0));
         ObservedSlowdown {
             slowdown,
-            with_losses,
-            canary_shows_it,
-            most_explained: 1.0 + EXPLAINED_FACTOR * stage_share,
+            slowdown_with_losses,
+            canary_is_slow,
+            max_explained: 1.0 + EXPLAINED_SLOWDOWN_PER_SHARE * stage_share,
             loses_answers,
             has_baseline,
         }
--- a/src/decisions/settings.rs
+++ b/src/decisions/settings.rs
@@ -1,6 +1,6 @@
 //! What the decisions keep of the service's settings, worked out once at start.
 
-use super::MIN_WINDOW;
+use super::MIN_DURATION;
 use super::admission::is_low_priority;
 use super::canary_assessment::bake_scale;
 use super::endpoint_list::{is_large_fleet, poll_spread};
@@ -89,8 +89,8 @@
     pub(super) fn new(settings: &ServiceSettings) -> Self {
         let operations = operations(settings);
         let routers = settings.routers.max(1);
-        let tick = settings.tick.max(MIN_WINDOW);
-        let disputes = settings.dispute_share > 0.0;
+        let tick = settings.tick.max(MIN_DURATION);
+        let has_disputes = settings.dispute_share > 0.0;
         DecisionSettings {
             router: settings.me,
             routers,
@@ -114,14 +114,14 @@
             sticky_keys: settings.sticky_keys,
             key_affinity: settings.key_affinity,
             baseline_stays: !settings.in_place,
-            dispute_weight: if disputes {
+            dispute_weight: if has_disputes {
                 1.0 / settings.dispute_share
             } else {
                 0.0
             },
             drain_grace: settings.drain_grace,
             slow_start_initial_fraction: settings.slow_start_initial_fraction,
-            slow_start_duration: settings.slow_start_duration.max(MIN_WINDOW),
+            slow_start_duration: settings.slow_start_duration.max(MIN_DURATION),
             slow_start_allowance: slow_start_allowance(settings.overload_multiple),
             overload_multiple: settings.overload_multiple,
             may_gossip: settings.may_gossip,
@@ -140,7 +140,7 @@
         self.operations
             .iter()
             .map(|operation| operation.latency_objective)
-            .fold(MIN_WINDOW, f64::max)
+            .fold(MIN_DURATION, f64::max)
     }
 }
 
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -8,14 +8,14 @@
 use crate::interface::HostEntry;
 
 /// Times its fair share that a host may get while it warms up.
-const ALLOWANCE: f64 = 1.6;
+const MAX_ALLOWANCE: f64 = 1.6;
 
 /// Of the load multiple at which a host that warms up falls over, the part that the allowance may use.
-const ALLOWANCE_OF_OVERLOAD: f64 = 0.5;
+const ALLOWANCE_OVERLOAD_FRACTION: f64 = 0.5;
 
 /// Times its fair share that a host which warms up may get under these settings.
 pub(super) fn slow_start_allowance(overload_multiple: f64) -> f64 {
-    ALLOWANCE.min(ALLOWANCE_OF_OVERLOAD * overload_multiple)
+    MAX_ALLOWANCE.min(ALLOWANCE_OVERLOAD_FRACTION * overload_multiple)
 }
 
 impl DecisionSettings {
@@ -36,9 +36,9 @@
         let share = candidates.share(candidates.lowest_tier()?);
         let successes = self.rates.successes.with_event(now);
         let attempts = self.rates.attempts.with_event(now);
-        let succeeding = (successes / attempts).min(1.0);
-        let fair = share / self.hosts.largest_fleet.max(MIN_DIVISOR) * succeeding;
-        if self.rng.random::<f64>() >= self.settings.slow_start_allowance * fair {
+        let success_ratio = (successes / attempts).min(1.0);
+        let fair_share = share / self.hosts.largest_listed_size.max(MIN_DIVISOR) * success_ratio;
+        if self.rng.random::<f64>() >= self.settings.slow_start_allowance * fair_share {
             candidates.remove_warming_up();
         }
         Some(())
--- a/src/decisions/thompson_sampling.rs
+++ b/src/decisions/thompson_sampling.rs
@@ -13,21 +13,21 @@
 use crate::arm::{Arm, PerArm};
 
 /// Times its machines' share that the canary may get by won draws.
-const CANARY_SHARE_MULTIPLE: f64 = 1.25;
+const MAX_CANARY_SHARE_MULTIPLE: f64 = 1.25;
 
 /// Part of its share of the machines beyond which bound keys alone fill the canary's minimum share.
-const BOUND_PART_OF_SHARE: f64 = 0.6;
+const MAX_BOUND_FRACTION_OF_SHARE: f64 = 0.6;
 
 impl Router {
     /// The arm of a request that both arms can serve; `shares` are what their hosts can carry.
     pub(super) fn sample_arm(&mut self, now: f64, shares: &PerArm<f64>) -> Arm {
         let minimum = self.minimum_canary_share(shares);
-        let admitted = self.admitted_fraction(now);
-        let place = self.rng.random::<f64>();
-        let most = CANARY_SHARE_MULTIPLE * minimum / admitted.clamp(MIN_DIVISOR, 1.0);
-        let is_won =
-            place < most && self.thompson_sample(Arm::Canary) > self.thompson_sample(Arm::Baseline);
-        Arm::canary_if(place < minimum || is_won)
+        let dispatched = self.dispatched_fraction(now);
+        let draw = self.rng.random::<f64>();
+        let maximum = MAX_CANARY_SHARE_MULTIPLE * minimum / dispatched.clamp(MIN_DIVISOR, 1.0);
+        let is_won = draw < maximum
+            && self.thompson_sample(Arm::Canary) > self.thompson_sample(Arm::Baseline);
+        Arm::canary_if(draw < minimum || is_won)
     }
 
     /// Whether the canary holds no more than its machines' part of what is in flight. It matters under pressure
@@ -40,9 +40,9 @@
             .hosts
             .usable()
             .filter(|host| self.is_canary(host.entry.build));
-        let held: usize = canaries.map(|host| host.in_flight.len()).sum();
-        let fair = CANARY_SHARE_MULTIPLE * self.rollout.canary_share * self.in_flight.count();
-        held as f64 <= 1.0 + fair
+        let canary_in_flight: usize = canaries.map(|host| host.in_flight.len()).sum();
+        let limit = MAX_CANARY_SHARE_MULTIPLE * self.rollout.canary_share * self.in_flight.count();
+        canary_in_flight as f64 <= 1.0 + limit
     }
 
     /// The share of the requests that the canary gets without a draw: its machines' part, less what comes with
@@ -54,7 +54,7 @@
             return share;
         }
         let bound = self.exposure.bound_fraction();
-        if bound > BOUND_PART_OF_SHARE * share {
+        if bound > MAX_BOUND_FRACTION_OF_SHARE * share {
             0.0
         } else {
             (share - bound) / (1.0 - bound)
@@ -63,7 +63,7 @@
 
     /// The fraction of offered requests that is let in, while the canary is far quicker: then it goes by all that
     /// came, so that a slow baseline keeps none of its hosts idle. 1 otherwise.
-    fn admitted_fraction(&self, now: f64) -> f64 {
+    fn dispatched_fraction(&self, now: f64) -> f64 {
         let baseline = self.latency.relative_slowdown(Arm::Baseline);
         let canary = self.latency.relative_slowdown(Arm::Canary);
         let is_quicker = baseline
--- a/src/decisions/traffic_rates.rs
+++ b/src/decisions/traffic_rates.rs
@@ -1,7 +1,7 @@
 //! Rates of events that fade over time.
 
 /// Seconds over which a rate is taken: longer than a short jam.
-const RATE_TIME: f64 = 4.0;
+const RATE_TIME_CONSTANT: f64 = 4.0;
 
 /// Events a second, exponentially smoothed.
 #[derive(Clone, Copy)]
@@ -21,8 +21,8 @@
 
     /// Lets it fade until now and adds a number of events.
     pub(super) fn add(&mut self, now: f64, events: f64) {
-        let faded = self.per_second * (-(now - self.updated_at) / RATE_TIME).exp();
-        self.per_second = faded + events / RATE_TIME;
+        let faded = self.per_second * (-(now - self.updated_at) / RATE_TIME_CONSTANT).exp();
+        self.per_second = faded + events / RATE_TIME_CONSTANT;
         self.updated_at = now;
     }
 
--- a/src/decisions/vote_tables.rs
+++ b/src/decisions/vote_tables.rs
@@ -7,42 +7,42 @@
 struct DesiredVote {
     assessment: Assessment,
     /// Where votes move a build; none keeps the last.
-    by_votes: Option<Vote>,
+    vote_gated: Option<Vote>,
     /// Where a timer moves it; none keeps the last.
-    by_clock: Option<Vote>,
+    clock_gated: Option<Vote>,
 }
 
 /// The desired vote of each assessment.
 const DESIRED_VOTES: [DesiredVote; 6] = [
     DesiredVote {
         assessment: Assessment::Worse,
-        by_votes: Some(Vote::RollBack),
-        by_clock: Some(Vote::RollBack),
+        vote_gated: Some(Vote::RollBack),
+        clock_gated: Some(Vote::RollBack),
     },
     DesiredVote {
-        assessment: Assessment::Fine,
-        by_votes: Some(Vote::Promote),
-        by_clock: Some(Vote::Abstain),
+        assessment: Assessment::NotWorse,
+        vote_gated: Some(Vote::Promote),
+        clock_gated: Some(Vote::Abstain),
     },
     DesiredVote {
-        assessment: Assessment::Unclear,
-        by_votes: None,
-        by_clock: Some(Vote::Hold),
+        assessment: Assessment::Inconclusive,
+        vote_gated: None,
+        clock_gated: Some(Vote::Hold),
     },
     DesiredVote {
-        assessment: Assessment::Doubtful,
-        by_votes: Some(Vote::Abstain),
-        by_clock: Some(Vote::Hold),
+        assessment: Assessment::ProbablyWorse,
+        vote_gated: Some(Vote::Abstain),
+        clock_gated: Some(Vote::Hold),
     },
     DesiredVote {
-        assessment: Assessment::SlowingAll,
-        by_votes: Some(Vote::Abstain),
-        by_clock: Some(Vote::Hold),
+        assessment: Assessment::PromotionBlocked,
+        vote_gated: Some(Vote::Abstain),
+        clock_gated: Some(Vote::Hold),
     },
     DesiredVote {
-        assessment: Assessment::Starved,
-        by_votes: None,
-        by_clock: Some(Vote::Abstain),
+        assessment: Assessment::InsufficientData,
+        vote_gated: None,
+        clock_gated: Some(Vote::Abstain),
     },
 ];
 
@@ -132,9 +132,9 @@
         .iter()
         .find(|row| row.assessment == assessment)?;
     if is_clock_gated {
-        row.by_clock
+        row.clock_gated
     } else {
-        row.by_votes
+        row.vote_gated
     }
 }
 
--- a/src/decisions/voting.rs
+++ b/src/decisions/voting.rs
@@ -16,43 +16,43 @@
 };
 
 /// Routers that vote, at least: few enough to agree soon, more than one may be dead.
-const VOTERS: u32 = 3;
+const MIN_VOTERS: u32 = 3;
 
 /// Seconds that a build keeps looking worse before the vote to roll it back, for evidence to mix.
-const ROLL_BACK_DELAY: f64 = 1.0;
+const ROLL_BACK_CONFIRM_TIME: f64 = 1.0;
 
 /// Seconds of a stage for which a canary that a timer moves on is held at most.
-const HOLD_MAX: f64 = 2.0;
+const MAX_HOLD_TIME: f64 = 2.0;
 
 /// Seconds after which a vote is renewed, at least.
-const RENEW_INTERVAL: f64 = 5.0;
+const MIN_RENEW_INTERVAL: f64 = 5.0;
 
 /// Part of a vote's lifetime after which it is renewed at the latest.
-const RENEW_PART_OF_LIFETIME: f64 = 0.8;
+const RENEW_LIFETIME_FRACTION: f64 = 0.8;
 
 /// Turns after which a vote is renewed, at least.
-const TURNS_TO_RENEW: f64 = 3.0;
+const MIN_RENEW_ROUNDS: f64 = 3.0;
 
 /// Seconds before a vote is cast again that found the platform full, at least.
-const RECAST_DELAY: f64 = 0.5;
+const MIN_RECAST_DELAY: f64 = 0.5;
 
 /// Turns before a vote is cast again that found the platform full, at least.
-const TURNS_TO_RECAST: f64 = 0.5;
+const MIN_RECAST_ROUNDS: f64 = 0.5;
 
 /// Turns that a wish to withdraw the vote stands before it is cast; a call stays open for as long.
-const TURNS_TO_WITHDRAW: f64 = 1.0;
+const WITHDRAW_ROUNDS: f64 = 1.0;
 
 /// Seconds that a wish to withdraw the vote stands before it is cast, at most.
-const WITHDRAW_DELAY_MAX: f64 = 3.0;
+const MAX_WITHDRAW_DELAY: f64 = 3.0;
 
 /// Seconds that a vote goes unmet before the next routers in the hash's order cast it too.
-const STAND_IN_DELAY: f64 = 1.5;
+const BACKUP_VOTER_DELAY: f64 = 1.5;
 
 /// How many routers vote, and how fast the platform takes their calls; times are in seconds.
 pub(super) struct VotePacing {
     voters: u32,
     /// The time in which the platform takes a vote of each voter: renewals and changes of mind count too.
-    turn: f64,
+    round_time: f64,
     renew_interval: f64,
 }
 
@@ -63,32 +63,32 @@
             .votes_on
             .max(settings.votes_back)
             .max(settings.votes_hold);
-        let voters = VOTERS.max(needed);
-        let turn = f64::from(voters) / settings.vote_rate;
-        let renew_interval = RENEW_INTERVAL
-            .max(TURNS_TO_RENEW * turn)
-            .min(RENEW_PART_OF_LIFETIME * settings.vote_lifetime);
+        let voters = MIN_VOTERS.max(needed);
+        let round_time = f64::from(voters) / settings.vote_rate;
+        let renew_interval = MIN_RENEW_INTERVAL
+            .max(MIN_RENEW_ROUNDS * round_time)
+            .min(RENEW_LIFETIME_FRACTION * settings.vote_lifetime);
         VotePacing {
             voters,
-            turn,
+            round_time,
             renew_interval,
         }
     }
 
     /// The delay after which a router of this rank casts a vote that stays unmet: some voters may be dead or cut off.
-    fn stand_in_delay(&self, rank: u32) -> f64 {
-        let beyond = f64::from((rank + 1).saturating_sub(self.voters));
-        (beyond * f64::from(VOTERS) / f64::from(self.voters)).ceil() * STAND_IN_DELAY
+    fn backup_delay(&self, rank: u32) -> f64 {
+        let excess_rank = f64::from((rank + 1).saturating_sub(self.voters));
+        (excess_rank * f64::from(MIN_VOTERS) / f64::from(self.voters)).ceil() * BACKUP_VOTER_DELAY
     }
 }
 
 /// The number of routers that the hash names before this one for a build.
 pub(super) fn voter_rank(build: BuildId, router: RouterId, routers: u32) -> u32 {
-    let place = |router: u32| {
+    let sort_key = |router: u32| {
         let hash = hash_mix(hash_mix(u64::from(build.0)) ^ u64::from(router));
         (hash, router)
     };
-    let is_before = |other: &u32| place(*other) < place(router.0);
+    let is_before = |other: &u32| sort_key(*other) < sort_key(router.0);
     (0..routers).filter(is_before).count() as u32
 }
 
@@ -116,7 +116,7 @@
 impl VotingState {
     pub(super) fn new() -> Self {
         VotingState {
-            recast_delay: RECAST_DELAY,
+            recast_delay: MIN_RECAST_DELAY,
             ..VotingState::default()
         }
     }
@@ -126,27 +126,27 @@
         if may_be_counted {
             self.counted = self.last_cast;
         }
-        let delay = RECAST_DELAY
-            .max(TURNS_TO_RECAST * pacing.turn)
+        let delay = MIN_RECAST_DELAY
+            .max(MIN_RECAST_ROUNDS * pacing.round_time)
             .min(pacing.renew_interval);
         self.recast_delay = jitter * delay;
     }
 
     /// A build that only begins to look worse is doubtful.
-    fn confirm(&mut self, now: f64, assessment: Assessment) -> Assessment {
+    fn confirm_worse(&mut self, now: f64, assessment: Assessment) -> Assessment {
         if assessment != Assessment::Worse {
             self.worse_since = now;
         }
-        let is_firm = now - self.worse_since >= ROLL_BACK_DELAY;
-        if assessment == Assessment::Worse && !is_firm {
-            Assessment::Doubtful
+        let is_confirmed = now - self.worse_since >= ROLL_BACK_CONFIRM_TIME;
+        if assessment == Assessment::Worse && !is_confirmed {
+            Assessment::ProbablyWorse
         } else {
             assessment
         }
     }
 
     /// Sets the desired vote.
-    fn desire(&mut self, now: f64, vote: Vote) {
+    fn set_desired(&mut self, now: f64, vote: Vote) {
         if vote != self.desired {
             self.desired = vote;
             self.desired_since = now;
@@ -162,11 +162,12 @@
         if abstains && self.counted == Vote::Abstain && !is_pending {
             return false;
         }
-        let turn = TURNS_TO_WITHDRAW * pacing.turn;
-        let is_open = is_pending && now - self.cast_at < turn;
-        let is_firm = !abstains || now - self.desired_since >= turn.min(WITHDRAW_DELAY_MAX);
-        let may_interrupt = !is_open || self.desired == Vote::RollBack;
-        let is_changed = self.desired != self.last_cast && is_firm && may_interrupt;
+        let withdraw_delay = WITHDRAW_ROUNDS * pacing.round_time;
+        let call_is_open = is_pending && now - self.cast_at < withdraw_delay;
+        let is_confirmed =
+            !abstains || now - self.desired_since >= withdraw_delay.min(MAX_WITHDRAW_DELAY);
+        let may_interrupt = !call_is_open || self.desired == Vote::RollBack;
+        let is_changed = self.desired != self.last_cast && is_confirmed && may_interrupt;
         let wait = if self.state == VoteState::NoVote {
             self.recast_delay
         } else {
@@ -177,10 +178,10 @@
 }
 
 /// Operators' wishes stand beside the evidence: the more careful counts.
-fn with_override(assessment: Assessment, asked: Option<&RolloutOverride>) -> Assessment {
-    match asked {
-        Some(asked) if asked.roll_back => Assessment::Worse,
-        Some(_) => Assessment::SlowingAll,
+fn apply_override(assessment: Assessment, requested: Option<&RolloutOverride>) -> Assessment {
+    match requested {
+        Some(requested) if requested.roll_back => Assessment::Worse,
+        Some(_) => Assessment::PromotionBlocked,
         None => assessment,
     }
 }
@@ -194,32 +195,32 @@
             return;
         };
         let assessment = self.assess_canary(now, &status);
-        let assessment = self.voting.confirm(now, assessment);
-        let asked = self
-            .override_of(status.build)
-            .filter(|asked| asked.roll_back || asked.hold && assessment != Assessment::Worse);
-        let assessment = with_override(assessment, asked.as_ref());
+        let assessment = self.voting.confirm_worse(now, assessment);
+        let requested = self.override_of(status.build).filter(|requested| {
+            requested.roll_back || requested.hold && assessment != Assessment::Worse
+        });
+        let assessment = apply_override(assessment, requested.as_ref());
         let vote = desired_vote(assessment, self.settings.clock_gated);
         let vote = vote.unwrap_or(self.voting.desired);
-        let vote = if vote == Vote::Hold && asked.is_none() {
-            self.limit_hold()
+        let vote = if vote == Vote::Hold && requested.is_none() {
+            self.hold_or_abstain()
         } else {
             vote
         };
-        self.voting.desire(now, vote);
+        self.voting.set_desired(now, vote);
         // Operators' wishes are cast at once and at any rank; others by the voters, then by those next in order.
         let pacing = &self.settings.vote_pacing;
-        let delay = pacing.stand_in_delay(self.voting.rank);
-        let is_voter = asked.is_some() || now - self.voting.desired_since >= delay;
+        let delay = pacing.backup_delay(self.voting.rank);
+        let is_voter = requested.is_some() || now - self.voting.desired_since >= delay;
         if self.voting.is_due(now, pacing) && is_voter {
             self.advance_vote(now, VoteInput::Due, effects);
         }
     }
 
     /// Holds for one more gossip interval, or no more where the canary was held for long in this stage.
-    fn limit_hold(&mut self) -> Vote {
+    fn hold_or_abstain(&mut self) -> Vote {
         self.voting.hold_time += GOSSIP_INTERVAL;
-        if self.voting.hold_time > HOLD_MAX {
+        if self.voting.hold_time > MAX_HOLD_TIME {
             Vote::Abstain
         } else {
             Vote::Hold
@@ -252,7 +253,7 @@
             stage: status.stage,
             vote,
         });
-        if !is_renewal && (vote == Vote::RollBack || self.voting.rank < VOTERS) {
+        if !is_renewal && (vote == Vote::RollBack || self.voting.rank < MIN_VOTERS) {
             effects.push(Effect::ExplainVote(self.vote_evidence(status)));
         }
     }
@@ -263,16 +264,16 @@
             build: status.build,
             stage: status.stage,
             vote: self.voting.desired,
-            in_time: self.compare(Signal::InTime),
-            no_error: self.compare(Signal::NoError),
-            quick: self.compare(Signal::Quick),
+            in_time: self.signal_comparison(Signal::InTime),
+            no_error: self.signal_comparison(Signal::NoError),
+            quick: self.signal_comparison(Signal::Quick),
             relative_slowdown: self.peers.shared_slowdown,
         }
     }
 
     /// The merged evidence of both arms by one signal, over all operations.
-    fn compare(&self, signal: Signal) -> SignalComparison {
-        let of_arm = |arm| {
+    fn signal_comparison(&self, signal: Signal) -> SignalComparison {
+        let arm_evidence = |arm| {
             let counts = self.evidence.merged.counts(None, signal, arm);
             SignalEvidence {
                 good_fraction: counts.good_fraction(),
@@ -280,8 +281,8 @@
             }
         };
         SignalComparison {
-            baseline: of_arm(Arm::Baseline),
-            canary: of_arm(Arm::Canary),
+            baseline: arm_evidence(Arm::Baseline),
+            canary: arm_evidence(Arm::Canary),
         }
     }
 }
