--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: how many attempts a router keeps in flight, and what it sheds beyond that.
+//! Admission: how many attempts a router keeps in flight, and what it sheds above that limit.
 //!
-//! The limit follows additive increase and decrease by answers in and out of time; work that waits behind time-outs
-//! would otherwise pile up unseen at the hosts.
+//! The limit follows additive increase for answers within the latency objective and additive decrease for late ones.
+//! Without it, work would pile up at the hosts unnoticed while the router waits for time-outs.
 
 use rand::RngExt;
 
@@ -9,45 +9,47 @@
 use super::request_table::TrackedRequest;
 use crate::interface::{Effect, IdempotencyScope, Request, RequestId};
 
-/// Attempts in flight for each host, of all routers together, at first.
+/// Initial limit, in attempts in flight per host over all routers.
 const INITIAL_IN_FLIGHT_PER_HOST: f64 = 8.0;
 
-/// Attempts in flight for each host that are always allowed: fewer would not make slow hosts quick.
+/// Minimum limit, in attempts in flight per host: a lower one would not make slow hosts quicker.
 const MIN_IN_FLIGHT_PER_HOST: f64 = 2.0;
 
-/// Attempts in flight for each host that are never exceeded.
+/// Maximum limit, in attempts in flight per host.
 const MAX_IN_FLIGHT_PER_HOST: f64 = 12.0;
 
-/// What an answer in time adds to the limit.
+/// Attempts by which an answer in time raises the limit.
 const LIMIT_INCREASE: f64 = 0.1;
 
-/// What a late answer takes off the limit: it holds with one late answer in six.
+/// Attempts by which a late answer lowers the limit. With [`LIMIT_INCREASE`], the limit is stable when one answer in
+/// six is late.
 const LIMIT_DECREASE: f64 = 0.5;
 
-/// Part of the limit that must be in use for it to grow.
+/// Fraction of the limit that must be in use for the limit to grow.
 const MIN_GROWTH_UTILIZATION: f64 = 0.5;
 
-/// Part of the limit that operations of low priority may use.
+/// Fraction of the limit that operations of low priority may use.
 const LOW_PRIORITY_FRACTION: f64 = 0.85;
 
-/// Part of the limit that hedged attempts and hopeless client retries may use; above it a router is under pressure.
+/// Fraction of the limit above which a router is under pressure. Hedged attempts may use only this fraction, and so
+/// may retries by clients of operations whose late answers have no value.
 const PRESSURE_FRACTION: f64 = 0.6;
 
-/// Fraction of the best operation's value for its time under which an operation is of low priority.
+/// An operation has low priority if its value per unit of time is below this fraction of the best operation's.
 const LOW_PRIORITY_VALUE_RATIO: f64 = 0.5;
 
-/// Seconds that a shed client is asked to stay away at least, up to twice that.
+/// Minimum time, in seconds, that a shed client is asked to wait; the maximum is twice that.
 const MIN_RETRY_AFTER: f64 = 0.4;
 
-/// Least expected work of a request, so that times can be divided by it.
+/// Lower bound of a request's expected work, in seconds of a standard core, as times are divided by it.
 const MIN_WORK: f64 = 1e-6;
 
-/// Whether an operation of this value for its time is of low priority beside the best one.
+/// Whether an operation with this value per unit of time has low priority compared to the best one.
 pub(super) fn is_low_priority(value_rate: f64, best: f64) -> bool {
     value_rate < LOW_PRIORITY_VALUE_RATIO * best
 }
 
-/// The attempts in flight, and how many a router allows.
+/// The number of attempts in flight and its limit.
 #[derive(Default)]
 pub(super) struct InFlightLimit {
     count: usize,
@@ -55,12 +57,12 @@
 }
 
 impl InFlightLimit {
-    /// The attempts in flight.
+    /// The number of attempts in flight.
     pub(super) fn count(&self) -> f64 {
         self.count as f64
     }
 
-    /// Sets the first limit, by the hosts listed and this router's share of the traffic.
+    /// Sets the initial limit by the number of listed hosts and this router's share of the traffic.
     pub(super) fn reset(&mut self, hosts: usize, traffic_share: f64) {
         self.limit = INITIAL_IN_FLIGHT_PER_HOST * hosts as f64 * traffic_share;
     }
@@ -70,24 +72,25 @@
         self.count += 1;
     }
 
-    /// Counts an attempt that ended.
+    /// Counts an attempt that has ended.
     pub(super) fn finish(&mut self) {
         self.count -= 1;
     }
 
-    /// Whether so much is in flight that only what matters most should be added.
+    /// Whether so many attempts are in flight that less important ones should not be added.
     pub(super) fn is_under_pressure(&self) -> bool {
         self.count() > PRESSURE_FRACTION * self.limit
     }
 
-    /// Whether one more attempt fits in this part of the limit and chance arrivals, its root. A limit of less than
-    /// one lets that part of the requests in: `draw`, from 0 to 1, decides on the last one.
+    /// Whether one more attempt fits into a fraction of the limit. The square root of the limit is added to allow for
+    /// random arrivals. `draw`, uniform between 0 and 1, decides on the last attempt, so that a limit below 1 admits
+    /// that fraction of the requests.
     fn has_room(&self, fraction: f64, draw: f64) -> bool {
         let max = (self.limit + self.limit.sqrt()) * fraction;
         self.count() + draw <= max
     }
 
-    /// Moves the limit by an answer; `fair_hosts` is the hosts times this router's share of the traffic.
+    /// Adjusts the limit by an answer; `fair_hosts` is the number of hosts times this router's share of the traffic.
     pub(super) fn adjust(&mut self, is_late: bool, fair_hosts: f64) {
         let is_in_use = self.count() + 1.0 > MIN_GROWTH_UTILIZATION * self.limit;
         if !is_late && !is_in_use {
@@ -106,16 +109,16 @@
 
 /// Whether and how a request's next attempt may be sent.
 struct AttemptPlan {
-    /// All conditions hold but room within the limit.
+    /// All conditions are met, except room within the limit.
     may_start: bool,
     is_first: bool,
-    /// The part of the limit that it may use.
+    /// The fraction of the limit that it may use.
     limit_fraction: f64,
-    /// When the answer is worth nothing any more, in seconds.
+    /// The time after which its answer has no value, in seconds.
     useful_until: f64,
-    /// It has had no effect that a client's retry could repeat.
+    /// A retry by the client would have no second effect.
     may_shed: bool,
-    /// Another attempt may still answer.
+    /// Another attempt is in flight and may still be answered.
     is_in_flight: bool,
 }
 
@@ -154,7 +157,8 @@
         self.dispatch_or_finish(now, &request.id, false, effects);
     }
 
-    /// Sends a request's next attempt; where there is none to send, the final answer goes out at once (rule 1).
+    /// Sends a request's next attempt. If none can be sent and none is in flight, the client gets a final answer at
+    /// once.
     pub(super) fn dispatch_or_finish(
         &mut self,
         now: f64,
@@ -184,7 +188,7 @@
         }
     }
 
-    /// What the rules and budgets say of a request's next attempt.
+    /// Plans a request's next attempt by the limits on retries and the budgets.
     fn plan_attempt(&self, now: f64, request: &TrackedRequest, is_hedge: bool) -> AttemptPlan {
         let operation = &self.settings.operations[request.operation];
         let has_effect = request.first_effect().is_some();
@@ -200,7 +204,8 @@
         let in_flight = request.in_flight();
         let may_add = in_flight == 0 || is_hedge && self.settings.may_hedge && in_flight == 1;
         let attempts_left = request.attempts.len() < self.settings.max_attempts;
-        // Under pressure hedges go first, and client retries (their objective is past); then low priorities.
+        // Under pressure, hedged attempts and client retries past their objective are shed first, then operations of
+        // low priority.
         let is_dispensable = is_hedge || request.is_client_retry && operation.late_is_worthless;
         let limit_fraction = if is_dispensable {
             PRESSURE_FRACTION
@@ -220,7 +225,7 @@
         }
     }
 
-    /// Gives a request its final answer without a host's.
+    /// Gives a request its final answer where no host has answered it.
     fn finish_without_answer(&mut self, id: &RequestId, may_shed: bool, effects: &mut Vec<Effect>) {
         self.requests.close(id);
         let wait = MIN_RETRY_AFTER * (1.0 + self.rng.random::<f64>());
--- a/src/decisions/attempt_outcome.rs
+++ b/src/decisions/attempt_outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt tells of its host, its build and this router's limits.
+//! The end of an attempt: what it shows about the host, the build and this router's limits.
 
 use super::Router;
 use super::connections::was_idle;
@@ -8,34 +8,34 @@
 use crate::arm::Arm;
 use crate::interface::{AttemptOutcome, Effect, Phase, RequestId};
 
-/// The end of an attempt, as the carrier reports it; times are in seconds.
+/// The end of an attempt, as reported by the caller; times are in seconds.
 pub(super) struct AttemptReport {
     pub(super) outcome: AttemptOutcome,
-    /// The time that it took.
+    /// How long the attempt took.
     pub(super) duration: f64,
     /// Whether the request has its final answer.
     pub(super) is_final: bool,
-    /// How long its connection had been idle, where the carrier knows.
+    /// How long its connection had been unused, where the caller knows.
     pub(super) idle: Option<f64>,
 }
 
-/// What an outcome counts as.
+/// The properties of an outcome.
 struct OutcomeClass {
     succeeded: bool,
-    /// No answer within the latency objective.
+    /// There was no answer within the latency objective.
     is_late: bool,
-    /// It tells of the time that the host takes.
+    /// Its duration shows how long the host takes.
     has_latency: bool,
-    /// Time for a unit of work, in seconds.
+    /// Duration per unit of work, in seconds.
     unit_time: f64,
-    /// Of the host, when the attempt was sent.
+    /// The fraction of its work that the host could do when the attempt was sent; 1 once it was warm.
     warm_up_fraction: f64,
-    /// Time of quick answers of the baseline, for a unit of work, before this attempt.
+    /// The time of quick answers of the baseline per unit of work, in seconds, before this attempt was recorded.
     quick: Option<f64>,
 }
 
 impl OutcomeClass {
-    /// The time that a warm host would have taken, for a unit of work, in seconds.
+    /// The time per unit of work that a warm host would have taken, in seconds.
     fn warm_time(&self) -> f64 {
         self.unit_time * self.warm_up_fraction
     }
@@ -46,7 +46,7 @@
 }
 
 impl Router {
-    /// Takes note of the end of an attempt; the request is answered, or its next attempt sent.
+    /// Processes the end of an attempt: the request is closed or its next attempt is sent.
     pub(super) fn on_attempt_finished(
         &mut self,
         now: f64,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Records an attempt's outcome: the host's health, the limit, latency baselines and evidence.
+    /// Records an outcome for the host's health, the limit, the latency baselines and the evidence.
     fn record_outcome(&mut self, now: f64, finished: &FinishedAttempt) {
         let attempt = &finished.attempt;
         let outcome = finished.outcome;
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Late answers lower the limit, timely ones raise it while it is in use, errors and lost connections neither:
-    /// they tell of no queue.
+    /// Adjusts the limit: late answers lower it, and answers in time raise it while it is in use. Errors and lost
+    /// connections leave it unchanged, as they are not caused by queueing.
     fn adjust_limit(&mut self, outcome: AttemptOutcome, is_late: bool, verdict: &HostVerdict) {
         let is_failure = matches!(
             outcome,
@@ -173,16 +173,16 @@
         }
     }
 
-    /// Records an outcome as evidence of its build.
+    /// Records an outcome as evidence about its build.
     fn record_signals(&mut self, finished: &FinishedAttempt, class: &OutcomeClass) {
         let outcome = finished.outcome;
         let build = finished.attempt.host.build;
         let operation = finished.operation;
-        // A host that warms up is late by nature: its late answers are no evidence, its errors are.
+        // A host that is warming up is expected to be late: its late answers are no evidence, its errors are.
         if !class.is_late || outcome == AttemptOutcome::Error || class.is_warm() {
             self.record_signal(build, operation, Signal::InTime, !class.is_late, 1.0);
         }
-        // A broken connection is its host's or its link's, not a build's own answer.
+        // A reset connection is a fault of the host or the network, not an answer of the build.
         if outcome != AttemptOutcome::Reset {
             let no_error = outcome != AttemptOutcome::Error;
             self.record_signal(build, operation, Signal::NoError, no_error, 1.0);
--- a/src/decisions/canary_assessment.rs
+++ b/src/decisions/canary_assessment.rs
@@ -1,4 +1,4 @@
-//! The assessment of the canary: what the merged evidence and the service's slowdown say of it.
+//! Assessment of the canary, from the merged evidence and from the slowdown of the whole service.
 
 use super::Router;
 use super::evidence::{Signal, SignalCounts};
@@ -9,104 +9,113 @@
 
 use super::host_table::Host;
 
-/// Routers at which half of the evidence is clumps: messages within a half-life, by peers.
+/// Number of routers at which a merged outcome counts half. Each outcome enters the evidence with the weight of all
+/// routers and spreads by gossip; the more routers there are for the messages exchanged within the evidence's
+/// half-life, the more the merged counts consist of a few heavy outcomes instead of many independent ones.
 const HALF_WEIGHT_ROUTERS: f64 = 430.0;
 
-/// Peers heard in this stage before the canary is assessed, or all that live.
+/// Number of peers whose gossip must have arrived in this stage before the arms are compared; all live peers where
+/// there are fewer.
 const MIN_PEERS_HEARD: usize = 10;
 
-/// Outcomes of each arm before the canary is compared.
+/// Weighted outcomes that each arm needs before the arms are compared over all operations.
 const MIN_OUTCOMES: f64 = 20.0;
 
-/// Outcomes of each arm before one operation is compared by itself.
+/// Weighted outcomes that each arm needs before the arms are compared by one slot (a group of operations).
 const MIN_SLOT_OUTCOMES: f64 = 12.0;
 
-/// Chance of being worse, by answers in time, above which the canary is rolled back.
+/// Probability of being worse, by answers in time over all operations, above which the canary is rolled back.
 const ROLL_BACK_PROBABILITY: f64 = 0.95;
 
-/// Chance of being worse, by one operation or another signal alone, above which the canary is rolled back.
+/// Probability of being worse, by one slot or by another signal, above which the canary is rolled back.
 const ROLL_BACK_PROBABILITY_SINGLE: f64 = 0.97;
 
-/// Chance of being worse below which the canary is promoted.
+/// Probability of being worse below which the canary is promoted.
 const PROMOTE_PROBABILITY: f64 = 0.2;
 
-/// Chance of being worse above which a vote to promote the canary is withdrawn.
+/// Probability of being worse above which a vote to promote the canary is withdrawn.
 const WITHDRAW_PROBABILITY: f64 = 0.8;
 
-/// Fraction of answers in time that the canary may lack.
+/// By how much the canary's fraction of answers in time may be below the baseline's.
 pub(super) const IN_TIME_MARGIN: f64 = 0.05;
 
-/// Fraction of answers without an error that the canary may lack.
+/// By how much the canary's fraction of answers without an error may be below the baseline's.
 const NO_ERROR_MARGIN: f64 = 0.02;
 
-/// Fraction of quick answers that the canary may lack.
+/// By how much the canary's fraction of quick answers may be below the baseline's.
 const QUICK_MARGIN: f64 = 0.05;
 
-/// Standard deviation of the fraction of quick answers among the hosts of one build.
+/// Standard deviation of the fraction of quick answers between hosts of the same build.
 const QUICK_HOST_DEVIATION: f64 = 0.15;
 
-/// Outcomes that a merged one is worth for a vote to roll back: gossip mixes unevenly.
+/// Weight of a merged outcome in the decision to roll back. It is below 1 because gossip spreads outcomes unevenly,
+/// so that the merged counts of one router can overstate what all routers have seen.
 const ROLL_BACK_OUTCOME_WEIGHT: f64 = 0.5;
 
-/// One in so many of the canary's hosts must fail before errors speak against the build.
+/// At least one in this many of the canary's hosts must fail before errors count against the build.
 const FAILING_HOSTS_DIVISOR: usize = 3;
 
-/// Part of a stage's machines that must be listed before its canary is promoted.
+/// Fraction of a stage's hosts that must be listed before the stage is settled; no canary is promoted before that.
 const SETTLED_HOST_FRACTION: f64 = 0.9;
 
-/// Seconds after a stage's last listed start before its canary is promoted: some builds fail only with its traffic.
+/// Seconds from the latest listed start of a canary host until the stage is settled: some builds fail only under the
+/// traffic of the stage.
 const SETTLE_DELAY: f64 = 1.2;
 
-/// Seconds of a stage after which it counts as settled, whatever is listed.
+/// Seconds after which a stage is settled however many of its hosts are listed.
 const SETTLE_TIMEOUT: f64 = 9.0;
 
-/// Seconds after a stage's last listed start before its canary is promoted with too few outcomes.
+/// Seconds from the latest listed start until a canary with too few outcomes is promoted, where the baseline has too
+/// few outcomes as well or the canary has at least [`FEW_OUTCOMES_LIMIT`].
 const LOW_TRAFFIC_PROMOTE_DELAY: f64 = 3.0;
 
-/// The same where the baseline has enough outcomes: the canary's are about to come.
+/// The same delay, in seconds, where the baseline has enough outcomes and the canary fewer than
+/// [`FEW_OUTCOMES_LIMIT`]: more of the canary's are expected soon.
 const FEW_OUTCOMES_PROMOTE_DELAY: f64 = 5.0;
 
-/// The same where the baseline has enough outcomes and the canary none: those who see it need this long to tell.
+/// The same delay, in seconds, where the baseline has enough outcomes and the canary none: routers that have sent
+/// requests to the canary need this long to report its outcomes.
 const NO_OUTCOMES_PROMOTE_DELAY: f64 = 20.0;
 
-/// Outcomes of the canary with which a router does not wait for more for longer than [`LOW_TRAFFIC_PROMOTE_DELAY`].
+/// Weighted outcomes of the canary from which a router waits no longer than [`LOW_TRAFFIC_PROMOTE_DELAY`] for more.
 const FEW_OUTCOMES_LIMIT: f64 = 5.0;
 
-/// Outcomes below which nothing is known of the canary.
+/// Weighted outcomes below which the canary counts as having none.
 const NO_OUTCOMES_LIMIT: f64 = 1.0;
 
-/// Seconds that a stage bakes where the times of a slowdown hold as they are.
+/// Bake time of a stage, in seconds, that the delays of the slowdown assessment are made for.
 const REFERENCE_BAKE_TIME: f64 = 3.0;
 
-/// Least part of those times, where stages bake less: troubles and builds come and go with the stages there.
+/// Smallest factor by which those delays are shortened where stages bake for less time: disturbances and new builds
+/// follow each other faster there.
 const MIN_BAKE_SCALE: f64 = 0.6;
 
-/// Scale of a normal variate at which the logistic function is closest to its distribution function.
+/// Scale at which the logistic function best approximates the standard normal distribution function.
 const LOGISTIC_SCALE: f64 = 1.702;
 
-/// How the canary looks.
+/// The result of assessing the canary.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Assessment {
     /// Worse than the baseline.
     Worse,
-    /// No worse than the baseline.
+    /// No worse than the baseline, or nothing speaks against it and the delay for too few outcomes is over.
     NotWorse,
-    /// Neither is certain.
+    /// The stage is not settled yet, or the comparison is not conclusive.
     Inconclusive,
-    /// More likely worse than not, and not certain.
+    /// Worse with a probability above [`WITHDRAW_PROBABILITY`], or found worse for too short a time to roll back.
     ProbablyWorse,
-    /// The whole service has become slower, and the canary may be why.
+    /// The whole service has become slower and the canary may be the cause, or an operator holds the canary.
     PromotionBlocked,
-    /// Too few outcomes.
+    /// Too few outcomes to compare, or the build is already released.
     InsufficientData,
 }
 
-/// How short stages that bake for so many seconds are, of those that the times of a slowdown are for.
+/// Factor by which the delays of the slowdown assessment are shortened for stages that bake for `bake` seconds.
 pub(super) fn bake_scale(bake: f64) -> f64 {
     (bake / REFERENCE_BAKE_TIME).clamp(MIN_BAKE_SCALE, 1.0)
 }
 
-/// The fraction of good outcomes that the canary may lack.
+/// By how much the canary's fraction of good outcomes may be below the baseline's.
 fn non_inferiority_margin(signal: Signal) -> f64 {
     match signal {
         Signal::InTime => IN_TIME_MARGIN,
@@ -115,7 +124,7 @@
     }
 }
 
-/// The standard deviation of a signal's fraction among the hosts of one build.
+/// Standard deviation of a signal's fraction of good outcomes between hosts of the same build.
 fn host_deviation(signal: Signal) -> f64 {
     match signal {
         Signal::InTime | Signal::NoError => 0.0,
@@ -130,7 +139,7 @@
 }
 
 impl BetaMoments {
-    /// Of the posterior of these counts, from Beta(1, 1).
+    /// Moments of the posterior for these counts, with the uniform prior Beta(1, 1).
     fn posterior(counts: &SignalCounts) -> Self {
         let alpha = counts.good + 1.0;
         let total = counts.total() + 2.0;
@@ -141,30 +150,30 @@
     }
 }
 
-/// The chance that so few outcomes of the canary come from a fraction in time that is lower by over the margin. The
-/// uniform prior would speak against whatever has few.
+/// Probability that the canary's fraction of answers in time is below the baseline's by more than the margin, by a
+/// normal approximation without a prior: the uniform prior would count against any canary with few outcomes.
 fn probability_worse_than_expected(baseline: &SignalCounts, canary: &SignalCounts) -> f64 {
     let expected = baseline.good_fraction() - IN_TIME_MARGIN;
     let deviation = (expected * (1.0 - expected) / canary.total()).sqrt();
     probability_positive(expected - canary.good_fraction(), deviation)
 }
 
-/// The chance that a difference with this standard deviation is above zero.
+/// Probability that a normally distributed difference with this mean and standard deviation is above zero.
 fn probability_positive(difference: f64, deviation: f64) -> f64 {
     1.0 / (1.0 + (-LOGISTIC_SCALE * difference / deviation).exp())
 }
 
-/// Which evidence is compared.
+/// A comparison of the arms by part of the evidence.
 struct Comparison {
-    /// None: all operations.
+    /// One group of operations; none for all operations.
     slot: Option<usize>,
     signal: Signal,
-    /// What a merged outcome is worth.
+    /// Factor for the counts of the merged evidence.
     weight: f64,
 }
 
 impl Comparison {
-    /// Outcomes of each arm that it needs.
+    /// Weighted outcomes that each arm needs.
     fn min_outcomes(&self) -> f64 {
         if self.slot.is_some() {
             MIN_SLOT_OUTCOMES
@@ -174,22 +183,23 @@
     }
 }
 
-/// How far a stage has come.
+/// How far a stage has come; times are in seconds.
 pub(super) struct StageProgress {
-    /// The share of the machines that the stage should have.
+    /// The share of the hosts that should run the canary in this stage.
     pub(super) share: f64,
-    /// The last listed start of the canary's hosts, or the stage's own, in seconds.
+    /// The latest listed start of a canary host, or the start of the stage if that is later.
     pub(super) latest_start: f64,
+    /// Enough of the stage's hosts have been listed for long enough, or [`SETTLE_TIMEOUT`] is over.
     is_settled: bool,
 }
 
-/// The number of hosts of some builds.
+/// The number of hosts whose build matches.
 fn host_count(index: &HostIndex, is_counted: impl Fn(BuildId) -> bool) -> usize {
     index.sum(is_counted).hosts
 }
 
 impl Router {
-    /// Assesses the canary, or the build that was released last.
+    /// Assesses the canary, or the newest build after its release, which only a slowdown can make worse.
     pub(super) fn assess_canary(&mut self, now: f64, status: &RolloutStatus) -> Assessment {
         let stage = self.stage_progress(now, status);
         let looks_worse = self.looks_worse(status);
@@ -210,7 +220,7 @@
         self.assess_settled_stage(now, &stage)
     }
 
-    /// What the evidence says of a canary whose stage is settled.
+    /// Assesses a canary whose stage is settled, by answers in time over all operations.
     fn assess_settled_stage(&self, now: f64, stage: &StageProgress) -> Assessment {
         let probability = self.probability_worse(&Comparison {
             slot: None,
@@ -232,7 +242,8 @@
         }
     }
 
-    /// What too few outcomes say: a canary that they do not speak against is promoted in time, later the fewer they are.
+    /// Assesses a canary with too few outcomes or too few peers heard. Unless its outcomes count against it, it is
+    /// promoted after a delay, which is longer where the baseline has outcomes and the canary few or none.
     fn assess_insufficient_data(&self, now: f64, stage: &StageProgress) -> Assessment {
         let baseline = self.known_outcomes(Arm::Baseline);
         let canary = self.known_outcomes(Arm::Canary);
@@ -258,7 +269,7 @@
         }
     }
 
-    /// The outcomes of an arm that this router or its peers have seen, by answers in time.
+    /// The counts of answers in time of an arm, by this router's evidence or the merged one, whichever holds more.
     fn known_outcomes(&self, arm: Arm) -> SignalCounts {
         let merged = self.evidence.merged.counts(None, Signal::InTime, arm);
         let own = self.evidence.own.counts(None, Signal::InTime, arm);
@@ -269,14 +280,15 @@
         }
     }
 
-    /// Whether enough peers were heard in this stage.
+    /// Whether gossip from enough peers has arrived in this stage.
     fn has_heard_enough_peers(&self) -> bool {
         let heard = self.peers.heard_since(self.rollout.stage_since);
         heard >= self.peers.live_count().min(MIN_PEERS_HEARD)
     }
 
-    /// The chance that the canary is worse by over the margin, by the merged evidence; none with too few outcomes.
-    /// The more routers, the more evidence comes in clumps.
+    /// Probability that the canary's fraction of good outcomes is below the baseline's by more than the margin, by
+    /// the merged evidence; none where an arm has too few outcomes. Outcomes weigh less the more routers there are,
+    /// see [`HALF_WEIGHT_ROUTERS`].
     fn probability_worse(&self, comparison: &Comparison) -> Option<f64> {
         let weight =
             comparison.weight / (1.0 + f64::from(self.settings.routers) / HALF_WEIGHT_ROUTERS);
@@ -301,8 +313,10 @@
         Some(probability_positive(difference, deviation))
     }
 
-    /// Whether the merged evidence speaks for rolling the canary back. One operation may fail alone, or a build be
-    /// slow yet in time; errors of a few hosts are theirs.
+    /// Whether the merged evidence calls for a roll-back. Slots are compared one by one as well, because a build can
+    /// fail in one operation only. Quick answers show a build that is slower though its answers are in time; they are
+    /// ignored where hosts are faster for keys they have served, since new hosts have served none. Errors count only
+    /// where they are widespread, as a few hosts can fail for their own reasons.
     fn looks_worse(&self, status: &RolloutStatus) -> bool {
         let has_baseline = self.baseline_is_listed();
         let exceeds = |slot, signal, limit: f64| {
@@ -330,7 +344,7 @@
         by_time || by_errors || by_quickness
     }
 
-    /// The canary's hosts.
+    /// The usable hosts that run the canary or a later build.
     fn canary_hosts(&self, status: &RolloutStatus) -> impl Iterator<Item = &Host> {
         let build = status.build;
         self.hosts
@@ -338,14 +352,14 @@
             .filter(move |host| host.entry.build >= build)
     }
 
-    /// Whether so many of the canary's hosts fail that it is the build.
+    /// Whether so many of the canary's used hosts fail that the build must be the cause.
     fn errors_are_widespread(&self, status: &RolloutStatus) -> bool {
         let used = || self.canary_hosts(status).filter(|host| host.was_used());
         let failing = used().filter(|host| host.health.failure_rate > NO_ERROR_MARGIN);
         failing.count() * FAILING_HOSTS_DIVISOR >= used().count()
     }
 
-    /// How far the stage has come. Its machines must run before it is moved on: some builds fail only then.
+    /// How far the stage has come. A stage is promoted only once its hosts run, because some builds fail only then.
     fn stage_progress(&self, now: f64, status: &RolloutStatus) -> StageProgress {
         let is_released = status.phase == Phase::Released;
         let share = self
@@ -359,7 +373,7 @@
             .canary_hosts(status)
             .filter_map(|host| host.entry.started)
             .fold(self.rollout.stage_since, f64::max);
-        // The stage's places: all machines, or the baseline's alone where those stay until the release.
+        // The stage's share is of all hosts, or of the baseline's alone where those stay until the release.
         let canary_hosts = host_count(&self.hosts.index, |build| build >= status.build);
         let all_hosts = host_count(&self.hosts.index, |_| true);
         let stage_hosts = if self.settings.baseline_stays {
@@ -377,7 +391,7 @@
         }
     }
 
-    /// See [`SlowdownAssessment`].
+    /// Observes the slowdown of the service and assesses it, see [`SlowdownAssessment`].
     fn assess_slowdown(
         &mut self,
         now: f64,
--- a/src/decisions/connections.rs
+++ b/src/decisions/connections.rs
@@ -1,4 +1,4 @@
-//! On which connections attempts may go: hosts and networks drop idle ones unseen.
+//! The connections that attempts may use: hosts and networks drop idle connections without notice.
 
 use super::Router;
 use super::host_table::Host;
@@ -7,40 +7,46 @@
 use super::{MIN_DURATION, settings::Operation};
 use crate::interface::{AttemptOutcome, ConnectionRequirements};
 
-/// Seconds without an attempt after which a host's connections are taken for idle, where the carrier does not tell.
+/// Seconds without an attempt after which a host's connections count as idle, where the caller does not report it.
 const IDLE_BY_HOST: f64 = 0.3;
 
-/// Seconds without use after which a connection may have been dropped.
+/// Seconds without use after which a connection counts as idle and may have been dropped.
 const IDLE_BY_CONNECTION: f64 = 0.1;
 
-/// Weight of one attempt in the fractions of lost attempts.
+/// Weight of one attempt in the smoothed fractions of lost attempts.
 const LOSS_WEIGHT: f64 = 0.08;
 
-/// Fraction by which more attempts must be lost on idle connections than on others for none of them to be used.
+/// Difference between the fractions of lost attempts on idle and on other connections above which idle ones are not
+/// used.
 const MAX_LOSS_EXCESS: f64 = 0.2;
 
-/// Of the step in which levels recover, the part by which losses on idle connections are forgotten.
+/// How many times more slowly than other reference levels ([`REFERENCE_STEP`]) losses on idle connections are
+/// forgotten.
 const LOSS_DECAY_DIVISOR: f64 = 4.0;
 
-/// Seconds before a connection's next use: second answers were seen to come up to 4 ms after the first.
+/// Seconds between an answer and the next use of its connection: a second answer can come up to 4 ms after the first,
+/// and would be taken for the answer to the next attempt.
 const MIN_REST: f64 = 0.02;
 
-/// A host's connections at rest beyond which the oldest is used: hosts bear few connections.
+/// Number of a host's connections unused for less than [`MIN_REST`] from which the one unused for longest is used all
+/// the same, as hosts accept few connections.
 const MAX_RESTING: usize = 8;
 
-/// Part of the drain grace in which an attempt must be written, so that no notice overtakes it.
+/// Fraction of the drain grace within which an attempt must be written, so that it arrives before the host has
+/// drained.
 const WRITE_DRAIN_FRACTION: f64 = 0.8;
 
 /// Smoothed fractions of attempts without an answer.
 #[derive(Default)]
 pub(super) struct ConnectionLosses {
+    /// On connections that counted as idle.
     on_idle: f64,
-    /// On connections in use, or new ones.
+    /// On connections in use and on new ones.
     on_others: f64,
 }
 
 impl ConnectionLosses {
-    /// Records an attempt's outcome.
+    /// Records the outcome of an attempt.
     pub(super) fn record(&mut self, outcome: AttemptOutcome, on_idle_connection: bool) {
         let lost = matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset);
         let fraction = if on_idle_connection {
@@ -51,31 +57,32 @@
         *fraction += LOSS_WEIGHT * (f64::from(u8::from(lost)) - *fraction);
     }
 
-    /// Forgets losses on idle connections slowly, so that they are tried again.
+    /// Slowly forgets losses on idle connections, so that they are used again.
     pub(super) fn decay(&mut self) {
         let excess = (self.on_idle - self.on_others).max(0.0);
         self.on_idle -= REFERENCE_STEP / LOSS_DECAY_DIVISOR * excess;
     }
 
-    /// Whether idle connections are dropped so often that none may be used.
+    /// Whether idle connections are dropped so often that none should be used.
     pub(super) fn idle_connections_are_dropped(&self) -> bool {
         self.on_idle > MAX_LOSS_EXCESS + self.on_others
     }
 }
 
-/// Whether a connection that had been idle for this time, in seconds, counts as idle.
+/// Whether a connection that was unused for this time, in seconds, counts as idle.
 pub(super) fn was_idle(idle: f64) -> bool {
     idle > IDLE_BY_CONNECTION
 }
 
-/// Whether a host has been without attempts for so long that its connections count as idle.
+/// Whether a host has had no attempts for so long that its connections count as idle.
 pub(super) fn is_idle(host: &Host, now: f64) -> bool {
     host.in_flight.is_empty() && host.was_used() && now - host.last_used > IDLE_BY_HOST
 }
 
 impl Router {
-    /// The connection that an attempt of this request may use. Rules 2, 3 and 5 hold when the last byte is written,
-    /// not when it is decided: connecting takes time.
+    /// The connection that an attempt of this request may use, and by when the attempt must be written. The limits on
+    /// retries, drained hosts and exposure apply when the last byte is written, not when the attempt is decided, as
+    /// connecting takes time.
     pub(super) fn connection_requirements(
         &self,
         now: f64,
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: how it is polled, and what a new one changes.
+//! The endpoint list: how it is polled, and what changes with a new one.
 
 use rand::RngExt;
 
@@ -6,37 +6,38 @@
 use super::timers::TimerEvent;
 use crate::interface::{Effect, HostEntry, ListScope};
 
-/// Routers that discovery and the platform bear at once; what more of them do is spread over time.
+/// Number of routers that discovery and the platform can serve at once; the calls of larger fleets are spread over
+/// time.
 const SMALL_FLEET_ROUTERS: u32 = 20;
 
-/// Seconds before a failed poll is repeated, at first.
+/// Seconds before a failed poll is first repeated.
 const MIN_BACKOFF: f64 = 0.3;
 
-/// Seconds before a failed poll is repeated, at most, in a small fleet.
+/// Maximum time, in seconds, before a failed poll is repeated in a small fleet.
 const MAX_BACKOFF: f64 = 2.0;
 
-/// Whether there are so many routers that what they do at once is not borne.
+/// Whether there are too many routers for discovery and the platform to serve all of them at once.
 pub(super) fn is_large_fleet(routers: u32) -> bool {
     routers > SMALL_FLEET_ROUTERS
 }
 
-/// The time, in seconds, over which all routers spread their first polls.
+/// The time, in seconds, over which all routers together spread their first polls.
 pub(super) fn poll_spread(poll_interval: f64, routers: u32) -> f64 {
     poll_interval * (1.0 - f64::from(SMALL_FLEET_ROUTERS) / f64::from(routers)).max(0.0)
 }
 
-/// The wait before a failed poll is repeated, doubling with each failure.
+/// The delay before a failed poll is repeated, in seconds, which doubles with each failure.
 pub(super) struct PollBackoff {
     wait: f64,
 }
 
 impl PollBackoff {
-    /// The first wait.
+    /// The first delay.
     pub(super) fn new() -> Self {
         PollBackoff { wait: MIN_BACKOFF }
     }
 
-    /// Returns the present wait, in seconds, and doubles it up to the largest.
+    /// Returns the current delay, in seconds, and doubles it up to a maximum.
     fn next(&mut self, poll_spread: f64) -> f64 {
         let wait = self.wait;
         self.wait = (2.0 * wait).min(MAX_BACKOFF.max(poll_spread));
@@ -45,8 +46,9 @@
 }
 
 impl Router {
-    /// Polls for the first list. Discovery serves all routers in turn, and calls that wait too long are lost, work
-    /// and all: where a large fleet restarts and polls at once, hardly any is served, again and again.
+    /// Polls for the first list. Discovery serves the routers one after another, and calls that wait too long are
+    /// lost after work was spent on them: if a large fleet restarts and polls at once, hardly any call succeeds, and
+    /// the retries fail in the same way.
     pub(super) fn poll_first_list(&mut self, now: f64, effects: &mut Vec<Effect>) {
         if !self.settings.polls_endpoint_list {
             return;
@@ -60,8 +62,8 @@
         }
     }
 
-    /// Polls again later. A subscription that broke would count as notified; so it is renewed soon, spread at
-    /// random, and slower with each failure.
+    /// Polls again after a random delay that grows with each failure. The delay starts small because a router whose
+    /// subscription broke still counts as notified of changes.
     pub(super) fn on_endpoint_list_failed(&mut self, now: f64, effects: &mut Vec<Effect>) {
         if !self.settings.polls_endpoint_list {
             return;
@@ -72,8 +74,8 @@
             .schedule(now + wait, TimerEvent::Subscribe, effects);
     }
 
-    /// Applies a list with all that was staged for it. Requests of an earlier revision do not go to hosts that came
-    /// with a later one.
+    /// Applies a list with everything that was staged for it. Requests that arrived under an earlier revision are not
+    /// sent to hosts that were listed under a later one.
     pub(super) fn apply_endpoint_list(
         &mut self,
         now: f64,
--- a/src/decisions/endpoint_selection.rs
+++ b/src/decisions/endpoint_selection.rs
@@ -1,7 +1,7 @@
-//! Endpoint selection: the host of a request's next attempt.
+//! Endpoint selection: the host for a request's next attempt.
 //!
-//! Among the hosts that the requirements allow, each arm offers the less loaded of two; Thompson sampling then
-//! decides between the arms.
+//! Among the hosts that meet the requirements, the less loaded of two is taken for each arm; Thompson sampling then
+//! selects the arm.
 
 use std::collections::BTreeSet;
 
@@ -18,16 +18,16 @@
 
 use super::host_table::Host;
 
-/// Tier of hosts that are well.
+/// Tier of healthy hosts.
 const TIER_HEALTHY: u8 = 0;
 
-/// Tier of hosts that are ejected, or fail and have attempts in flight.
+/// Tier of hosts that are ejected, or that fail and have attempts in flight.
 const TIER_SUSPECT: u8 = 1;
 
 /// Tier of hosts that this request has been sent to.
 const TIER_TRIED: u8 = 2;
 
-/// The hash of a key, the same at every router.
+/// The hash of a key, which is the same at every router.
 fn hash_key(key: &KeyId) -> u64 {
     key.0
         .bytes()
@@ -35,7 +35,7 @@
 }
 
 impl Router {
-    /// Selects the host of a request's next attempt; none where no host may serve it.
+    /// Selects the host for a request's next attempt; none where no host may serve it.
     pub(super) fn select_endpoint(&mut self, now: f64, id: &RequestId) -> Option<HostId> {
         let request = self.requests.get(id)?;
         let revision_weights = self.weights_of_revision(now, request);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The weights under the revision that a request came under, where another one is in force by now.
+    /// The weights of the revision that was in force when the request arrived, if another one is in force now.
     fn weights_of_revision(
         &self,
         now: f64,
@@ -112,8 +112,8 @@
         })
     }
 
-    /// All hosts that may serve a request. Where a router keeps to pairs of hosts, those that are warm and well are
-    /// only counted.
+    /// The hosts that may serve a request. Where a router uses fixed pairs of hosts, warm and healthy hosts are only
+    /// counted.
     fn candidates(
         &self,
         now: f64,
@@ -148,7 +148,7 @@
     }
 }
 
-/// The tier of a host for a request; lower ones go first.
+/// The tier of a host for a request. Hosts of lower tiers are selected first.
 fn tier(now: f64, requirements: &Requirements, host: &Host) -> u8 {
     let is_ejected = host.health.ejected_until > now;
     let is_suspect =
--- a/src/decisions/evidence.rs
+++ b/src/decisions/evidence.rs
@@ -1,45 +1,48 @@
-//! What a router has measured of both arms, and what it has merged from its peers.
+//! The outcomes that a router has measured for both arms, and those merged from its peers.
 //!
-//! Each outcome of an attempt is recorded as quality signals. The counts fade with a half-life and, gossip aside,
-//! are the parameters of Beta distributions above Beta(1, 1), as in Decentralized Thompson Sampling.
+//! Each outcome of an attempt is recorded for several quality signals. The counts decay with a half-life. Apart from
+//! the averaging by gossip, they are the parameters of Beta posteriors above the prior Beta(1, 1), as in
+//! Decentralized Thompson Sampling.
 
 use super::Router;
 use super::gossip::GOSSIP_INTERVAL;
 use crate::arm::{Arm, PerArm};
 use crate::interface::{BuildId, OperationId};
 
-/// Operations that a gossip message tells apart; more share a slot.
+/// Maximum number of slots in a gossip message. Each operation has a slot of its own; where there are more
+/// operations, several share one.
 const MAX_SIGNAL_SLOTS: usize = 4;
 
-/// Seconds in which evidence halves: about a stage, so that late failures and recoveries show.
+/// Half-life of the evidence, in seconds. It is about the duration of a stage, so that late failures and recoveries
+/// show.
 const EVIDENCE_HALF_LIFE: f64 = 5.0;
 
-/// Outcomes that the baseline's evidence keeps at most while no canary is listed: its past must be as short as
-/// the canary's will be, so that troubles that come and go show in both.
+/// Maximum weighted outcomes of the baseline while no canary is listed. The baseline's history is kept as short as
+/// that of a new canary, so that temporary disturbances affect both arms alike.
 const IDLE_BASELINE_MAX_OUTCOMES: f64 = 20.0;
 
-/// What outcomes are recorded by.
+/// A quality signal: a yes-or-no property of an attempt's outcome.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Signal {
     /// The answer came within the latency objective.
     InTime = 0,
-    /// The host answered with no error.
+    /// The host did not answer with an error.
     NoError = 1,
     /// The answer was as quick as the quick answers of the baseline.
     Quick = 2,
 }
 
 impl Signal {
-    /// All signals, in the order of their counts in a message.
+    /// All signals, in the order of their counts in a gossip message.
     pub(super) const ALL: [Signal; 3] = [Signal::InTime, Signal::NoError, Signal::Quick];
 }
 
-/// The number of groups of operations that evidence tells apart.
+/// The number of slots for this number of operations.
 pub(super) fn signal_slots(operations: usize) -> usize {
     operations.clamp(1, MAX_SIGNAL_SLOTS)
 }
 
-/// Weighted outcomes for and against one signal.
+/// Weighted numbers of good and bad outcomes for one signal.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct SignalCounts {
     pub(super) good: f64,
@@ -47,17 +50,17 @@
 }
 
 impl SignalCounts {
-    /// All outcomes.
+    /// The number of all outcomes.
     pub(super) fn total(&self) -> f64 {
         self.good + self.bad
     }
 
-    /// The fraction of good outcomes; 0 where there are hardly any.
+    /// The fraction of good outcomes; totals below 1 are treated as 1, so that it is near 0 without outcomes.
     pub(super) fn good_fraction(&self) -> f64 {
         self.good / self.total().max(1.0)
     }
 
-    /// Both counts times a factor.
+    /// Both counts multiplied by a factor.
     pub(super) fn scaled(&self, factor: f64) -> Self {
         SignalCounts {
             good: factor * self.good,
@@ -66,7 +69,7 @@
     }
 }
 
-/// The counts of all signals, by slot of operations and arm.
+/// The counts of all signals, by slot and arm.
 #[derive(Clone, Default)]
 pub(super) struct Evidence {
     slots: usize,
@@ -75,7 +78,7 @@
 }
 
 impl Evidence {
-    /// Counts of zero.
+    /// Evidence without outcomes.
     pub(super) fn new(slots: usize) -> Self {
         Evidence {
             slots,
@@ -83,12 +86,12 @@
         }
     }
 
-    /// The number of figures that a message holds of it.
+    /// The number of counts in a gossip message.
     pub(super) fn figure_count(&self) -> usize {
         4 * self.counts.len()
     }
 
-    /// The figures in the order of a message.
+    /// The counts, in the order of a gossip message.
     pub(super) fn figures(&self) -> impl Iterator<Item = f64> {
         self.counts
             .iter()
@@ -96,7 +99,7 @@
             .flat_map(|counts| [counts.good, counts.bad])
     }
 
-    /// The figures in the order of a message, to be changed.
+    /// The counts for modification, in the order of a gossip message.
     pub(super) fn figures_mut(&mut self) -> impl Iterator<Item = &mut f64> {
         self.counts
             .iter_mut()
@@ -104,7 +107,7 @@
             .flat_map(|counts| [&mut counts.good, &mut counts.bad])
     }
 
-    /// The counts of a signal, of one slot or of all.
+    /// The counts of a signal for an arm, in one slot or summed over all.
     pub(super) fn counts(&self, slot: Option<usize>, signal: Signal, arm: Arm) -> SignalCounts {
         let slots = (0..self.slots).filter(|each| slot.is_none_or(|only| only == *each));
         slots
@@ -115,7 +118,7 @@
             })
     }
 
-    /// Adds one outcome of this weight.
+    /// Adds one outcome with a weight.
     fn add(&mut self, operation: usize, signal: Signal, arm: Arm, is_good: bool, weight: f64) {
         let index = self.index(operation % self.slots, signal);
         let counts = &mut self.counts[index][arm];
@@ -127,7 +130,8 @@
         *count += weight;
     }
 
-    /// A new canary begins with no evidence; a released one is the baseline from then on.
+    /// Removes the canary's evidence for a new canary. If the previous canary was released, its evidence becomes the
+    /// baseline's.
     pub(super) fn begin_canary(&mut self, previous_was_released: bool) {
         for arms in &mut self.counts {
             if previous_was_released {
@@ -142,14 +146,15 @@
     }
 }
 
-/// A router's own evidence and the merged one.
+/// The evidence of this router and the merged evidence of all.
 pub(super) struct EvidenceStore {
+    /// This router's evidence: its own outcomes, averaged with those of peers in gossip exchanges.
     pub(super) own: Evidence,
-    /// The mean of what peers told lately of this build.
+    /// The moving average of the evidence that peers have sent for this build.
     pub(super) merged: Evidence,
-    /// What an outcome of the baseline weighs.
+    /// The weight of a baseline outcome.
     pub(super) baseline_weight: f64,
-    /// This router started while a canary was out, and knows nothing of it yet.
+    /// This router started during a rollout and has no evidence about the canary yet.
     pub(super) is_fresh: bool,
 }
 
@@ -163,7 +168,7 @@
         }
     }
 
-    /// Fades the evidence by one gossip interval.
+    /// Decays the evidence by one gossip interval.
     pub(super) fn decay(&mut self, canary_is_listed: bool, baseline_is_listed: bool) {
         let decay = 0.5f64.powf(GOSSIP_INTERVAL / EVIDENCE_HALF_LIFE);
         let max_baseline = if canary_is_listed {
@@ -185,8 +190,9 @@
 }
 
 impl Router {
-    /// Records one signal. It adds as much as there are routers, the paper's eta = N; the baseline's outcomes weigh
-    /// as the canary's, which has fewer machines.
+    /// Records one signal of an outcome. It is weighted by the number of routers N (eta = N in Decentralized Thompson
+    /// Sampling), as gossip averages the counts of all routers. The baseline's outcomes are scaled down to the size
+    /// of the canary, which has fewer hosts.
     pub(super) fn record_signal(
         &mut self,
         build: BuildId,
@@ -210,7 +216,7 @@
             .add(operation, signal, arm, is_good, weight);
     }
 
-    /// Records that an answer of this build turned out to be wrong.
+    /// Records that an answer of a build turned out to be wrong.
     pub(super) fn record_dispute(&mut self, build: BuildId, operation: OperationId) {
         let weight = self.settings.dispute_weight;
         self.record_signal(build, operation.0, Signal::NoError, false, weight);
--- a/src/decisions/exposure.rs
+++ b/src/decisions/exposure.rs
@@ -1,26 +1,29 @@
-//! Rule 5: the canary's attempts stay within its cap, counted over a sliding window.
+//! Exposure: the canary's attempts stay within its cap, a fraction of the requests in a sliding window.
 
 use std::collections::VecDeque;
 
 use super::Router;
 use crate::interface::{BuildId, Phase};
 
-/// Part of the cap beyond which no new key is bound to the canary: its later requests must still fit.
+/// Fraction of the cap up to which new keys are bound to the canary; the rest is kept for later requests of bound
+/// keys.
 const NEW_KEY_CAP_FRACTION: f64 = 0.85;
 
-/// Part of the spare attempts that new keys may use.
+/// Fraction of the spare attempts, allowed beyond the cap, that new keys may use.
 const NEW_KEY_SPARE_FRACTION: f64 = 0.5;
 
-/// A request that was admitted.
+/// A request that was received.
 struct ReceivedRequest {
+    /// When it was received, in seconds.
     at: f64,
     operation: usize,
-    /// Its key may go to the canary alone.
+    /// Its key is bound to the canary.
     is_bound_to_canary: bool,
 }
 
-/// An attempt at a build under a cap.
+/// An attempt at a build that is not released.
 struct CanaryAttempt {
+    /// When it was sent, in seconds.
     at: f64,
     build: BuildId,
     operation: usize,
@@ -34,7 +37,7 @@
 }
 
 impl ExposureWindow {
-    /// Drops what is older than the window, in seconds.
+    /// Drops entries older than the window, in seconds.
     pub(super) fn expire(&mut self, now: f64, window: f64) {
         self.received.retain(|entry| now - entry.at <= window);
         self.canary_attempts
@@ -50,7 +53,7 @@
         });
     }
 
-    /// Counts an attempt at a build under a cap.
+    /// Counts an attempt at a build that is not released.
     pub(super) fn record_canary_attempt(&mut self, now: f64, build: BuildId, operation: usize) {
         self.canary_attempts.push_back(CanaryAttempt {
             at: now,
@@ -64,7 +67,7 @@
         self.received.len() as f64
     }
 
-    /// The fraction of requests whose keys may go to the canary alone.
+    /// The fraction of requests whose key is bound to the canary.
     pub(super) fn bound_fraction(&self) -> f64 {
         let bound = self
             .received
@@ -75,7 +78,8 @@
 }
 
 impl Router {
-    /// Whether one more attempt at this build stays within its cap.
+    /// Whether a build may get one more attempt: always where it is released, and within its cap where it is the
+    /// canary.
     pub(super) fn has_exposure_room(
         &self,
         now: f64,
--- a/src/decisions/gossip.rs
+++ b/src/decisions/gossip.rs
@@ -1,6 +1,7 @@
-//! Gossip: routers average their evidence in random pairs, and learn of each other's traffic and slowdown.
+//! Gossip: routers average their evidence in random pairs, and report their traffic and slowdown to each other.
 //!
-//! Each exchange replaces both figures by their mean (push-pull averaging), so that all converge to the mean of all.
+//! Each exchange moves both routers' counts to their mean (push-pull averaging), so that all converge to the mean of
+//! all routers.
 
 use std::collections::BTreeMap;
 
@@ -13,43 +14,44 @@
 use crate::arm::Arm;
 use crate::interface::{BuildId, Effect, Phase, RouterId};
 
-/// Seconds between a router's gossip rounds: some messages a stage with every peer, at a small price in messages.
+/// Seconds between a router's gossip rounds: short enough to exchange some messages per stage with every peer, at a
+/// low cost.
 pub(super) const GOSSIP_INTERVAL: f64 = 0.2;
 
-/// Weight of one peer's figures in the merged evidence: it is the mean of some six peers.
+/// Weight of one peer's message in the merged evidence, which is thus the mean of about six messages.
 const MERGE_WEIGHT: f64 = 0.15;
 
-/// Seconds without a message after which a peer is taken for dead: a dozen messages missed.
+/// Seconds without a message after which a peer counts as dead; about a dozen gossip rounds.
 const PEER_TIMEOUT: f64 = 2.5;
 
-/// Least slowdown that a peer's message counts for.
+/// Lower limit for the slowdown that a peer reports.
 const MIN_PEER_SLOWDOWN: f64 = 0.1;
 
-/// Largest slowdown that a peer's message counts for.
+/// Upper limit for the slowdown that a peer reports.
 const MAX_PEER_SLOWDOWN: f64 = 10.0;
 
-/// What a peer last told.
+/// The latest report of a peer.
 pub(super) struct PeerReport {
-    /// When, in seconds.
+    /// When the report arrived, in seconds.
     pub(super) at: f64,
-    /// Requests that it admitted in the exposure window.
+    /// The requests that the peer received in its exposure window.
     received: f64,
     slowdown: f64,
 }
 
 /// What a router knows of its peers.
 pub(super) struct GossipPeers {
-    /// This router's evidence as last sent to a peer that has not replied.
+    /// For each peer that has not replied yet, this router's evidence as last sent to it.
     sent: BTreeMap<RouterId, Evidence>,
     last_heard: BTreeMap<RouterId, PeerReport>,
-    /// This router's share of all traffic.
+    /// This router's share of the traffic of all routers.
     pub(super) traffic_share: f64,
-    /// How many times slower the hosts are than before the canary, as all routers see it.
+    /// How many times slower the hosts are than before the canary, averaged over all routers.
     pub(super) shared_slowdown: f64,
 }
 
 impl GossipPeers {
-    /// No peer was heard; all routers are taken to have the same traffic.
+    /// No peer has been heard; all routers are assumed to have the same traffic.
     pub(super) fn new(routers: u32) -> Self {
         GossipPeers {
             sent: BTreeMap::new(),
@@ -59,17 +61,17 @@
         }
     }
 
-    /// Forgets what was sent of an earlier canary.
+    /// Discards the evidence sent to peers, which was about an earlier canary.
     pub(super) fn clear_sent(&mut self) {
         self.sent.clear();
     }
 
-    /// The peers that live.
+    /// The number of live peers that have been heard.
     pub(super) fn live_count(&self) -> usize {
         self.last_heard.len()
     }
 
-    /// The peers that were heard after a point in time.
+    /// The number of peers that have been heard after a point in time.
     pub(super) fn heard_since(&self, since: f64) -> usize {
         self.last_heard
             .values()
@@ -77,8 +79,9 @@
             .count()
     }
 
-    /// Works out this router's share of the traffic and the slowdown that all see from the peers heard, a sample:
-    /// random exchanges reach a known number of those that live, and how many were reached tells how many do.
+    /// Updates this router's share of the traffic and the slowdown averaged over routers. The peers heard are a
+    /// sample: the number of random exchanges within [`PEER_TIMEOUT`] gives the number of peers that would be heard
+    /// if all were alive, and the ratio of both is an estimate of the fraction that is alive.
     fn update(&mut self, now: f64, routers: u32, own_received: f64, own_slowdown: f64) {
         self.last_heard
             .retain(|_, report| now - report.at < PEER_TIMEOUT);
@@ -100,13 +103,14 @@
 }
 
 impl Router {
-    /// Schedules the first round at a random time within an interval.
+    /// Schedules the first gossip round at a random time within one interval.
     pub(super) fn schedule_first_gossip(&mut self, now: f64, effects: &mut Vec<Effect>) {
         let at = now + GOSSIP_INTERVAL * self.rng.random::<f64>();
         self.timers.schedule(at, TimerEvent::Gossip, effects);
     }
 
-    /// One round: levels recover and evidence fades, a peer is told, and the vote is decided.
+    /// Runs one gossip round: updates smoothed levels, weights and the host index, decays the evidence, sends it to a
+    /// peer, and decides the vote.
     pub(super) fn gossip_round(&mut self, now: f64, effects: &mut Vec<Effect>) {
         let next = now + GOSSIP_INTERVAL;
         self.timers.schedule(next, TimerEvent::Gossip, effects);
@@ -128,12 +132,12 @@
         self.decide_vote(now, effects);
     }
 
-    /// Whether another router of the service has this id.
+    /// Whether the id is that of another router of the service.
     fn is_peer(&self, id: RouterId) -> bool {
         id != self.settings.router && id.0 < self.settings.routers
     }
 
-    /// Takes in a peer's message, and replies where it began the exchange.
+    /// Processes a peer's message, and replies to it if the peer began the exchange.
     pub(super) fn on_gossip(
         &mut self,
         now: f64,
@@ -171,7 +175,7 @@
         self.merge(&message, sent);
     }
 
-    /// Sends the evidence to a random peer; a router without peers merges its own alone.
+    /// Sends the evidence to a random peer. A router without peers uses its own evidence as the merged one.
     fn exchange_evidence(&mut self, effects: &mut Vec<Effect>) {
         if !self.settings.may_gossip || self.settings.routers == 1 {
             self.evidence.merged = self.evidence.own.clone();
@@ -184,11 +188,12 @@
         }
     }
 
-    /// Moves this router's evidence to the mean of both, by what was sent to the peer.
+    /// Moves this router's evidence to the mean of both routers'; `sent` is what the peer was sent.
     fn merge(&mut self, message: &GossipMessage, sent: Option<Evidence>) {
         let own = self.evidence.own.figures_mut();
         if self.evidence.is_fresh && !message.is_fresh {
-            // A router that restarted takes a peer's figures as they are: at Beta(1, 1) it would halve them.
+            // A restarted router copies its peer's counts: averaging them with its own, which are zero, would halve
+            // them.
             for (own, theirs) in own.zip(&message.figures) {
                 *own = *theirs;
             }
@@ -197,7 +202,7 @@
         } else if let Some(sent) = sent
             && self.evidence.is_fresh == message.is_fresh
         {
-            // Half the difference of what was sent: outcomes that came in meanwhile survive.
+            // Adds half the difference to the evidence as it was sent, which keeps the outcomes recorded since then.
             for ((own, theirs), sent) in own.zip(&message.figures).zip(sent.figures()) {
                 *own = (*own + (theirs - sent) / 2.0).max(0.0);
             }
@@ -222,7 +227,8 @@
         });
     }
 
-    /// The relative slowdown that this router sees: of the baseline's hosts, of the canary's where none is left.
+    /// The relative slowdown that this router observes: of the baseline's hosts, or of the canary's where no baseline
+    /// host is listed.
     fn own_slowdown(&self) -> f64 {
         let status = self.rollout.status;
         let is_canary = status.is_some_and(|status| status.phase == Phase::Canary);
--- a/src/decisions/gossip_message.rs
+++ b/src/decisions/gossip_message.rs
@@ -1,33 +1,35 @@
-//! The gossip message, as it goes between routers.
+//! The format of gossip messages between routers.
 //!
-//! All numbers are little-endian: one byte whether it is a reply, one whether its sender is fresh, two for the
-//! build, then two for each figure (the upper half of a 32-bit float).
+//! All numbers are little-endian. A message holds one byte that tells whether it is a reply, one byte that tells
+//! whether its sender is fresh, two bytes for the build, and two bytes for each further number: the upper half of a
+//! 32-bit float (bfloat16).
 
 use crate::interface::BuildId;
 
-/// Half of the last place that is kept of a figure's bits.
+/// Half of the last bit that is kept, added to the bits of a 32-bit float to round to nearest.
 const ROUNDING_OFFSET: u32 = 0x8000;
 
-/// Bits of a 32-bit float that are not sent.
+/// The number of low bits of a 32-bit float that are not sent.
 const DROPPED_BITS: u32 = 16;
 
-/// What one router tells another.
+/// A gossip message.
 pub(super) struct GossipMessage {
+    /// Whether it replies to a message of its receiver.
     pub(super) is_reply: bool,
-    /// The sender started while a canary was out, and knows nothing of it yet.
+    /// The sender started during a rollout and has no evidence about the canary yet.
     pub(super) is_fresh: bool,
-    /// The build that the figures are of.
+    /// The build that the counts are about.
     pub(super) build: BuildId,
-    /// Requests that it admitted in the exposure window.
+    /// The requests that the sender received in its exposure window.
     pub(super) received: f64,
-    /// The relative slowdown that it sees.
+    /// The relative slowdown that the sender observes.
     pub(super) slowdown: f64,
-    /// Its evidence, in the order of [`super::evidence::Evidence::figures`].
+    /// The sender's evidence, in the order of [`super::evidence::Evidence::figures`].
     pub(super) figures: Vec<f64>,
 }
 
 impl GossipMessage {
-    /// Writes the message.
+    /// Encodes the message.
     pub(super) fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![u8::from(self.is_reply), u8::from(self.is_fresh)];
         bytes.extend(self.build.0.to_le_bytes());
@@ -38,7 +40,7 @@
         bytes
     }
 
-    /// Reads a message; none where the bytes are not one of finite figures of zero or more.
+    /// Decodes a message; none where the length is wrong or a number is negative or not finite.
     pub(super) fn decode(bytes: &[u8]) -> Option<Self> {
         let ([is_reply, is_fresh, low, high], body) = bytes.split_first_chunk()?;
         let (body, rest) = body.as_chunks::<2>();
@@ -61,12 +63,12 @@
     }
 }
 
-/// The upper half of a 32-bit float, rounded: a figure to one part in 256.
+/// The upper half of a 32-bit float, rounded; the relative error is at most 1/256.
 fn to_bfloat16(figure: f64) -> u16 {
     (((figure as f32).to_bits() + ROUNDING_OFFSET) >> DROPPED_BITS) as u16
 }
 
-/// The figure that two bytes stand for.
+/// The number that two little-endian bytes encode.
 fn from_bfloat16(bytes: [u8; 2]) -> f64 {
     let bits = u32::from(u16::from_le_bytes(bytes)) << DROPPED_BITS;
     f64::from(f32::from_bits(bits))
--- a/src/decisions/host_table.rs
+++ b/src/decisions/host_table.rs
@@ -1,4 +1,4 @@
-//! The hosts that a router knows, and what the list being handed over changes about them.
+//! The known hosts, and the changes to them by an endpoint list that is being handed over.
 
 use std::collections::BTreeMap;
 
@@ -10,34 +10,35 @@
 use crate::interface::{BuildId, HostEntry, HostId, HostState, OperatorOverrides, Revision};
 use crate::operator_weights::{EffectiveWeight, apply_weights};
 
-/// Seconds that the record of a host which left the list is kept.
+/// Seconds for which the record of a host that left the list is kept after its last attempt.
 const RECORD_RETENTION: f64 = 60.0;
 
-/// The one record of a host.
+/// The record of a host.
 pub(super) struct Host {
     pub(super) entry: HostEntry,
+    /// It is listed as running.
     pub(super) usable: bool,
-    /// Start times of the attempts in flight.
+    /// Start times of the attempts in flight, in seconds.
     pub(super) in_flight: Vec<f64>,
-    /// When the last attempt of all was started; `f64::MIN` before the first.
+    /// When the last attempt was started, in seconds; `f64::MIN` before the first.
     pub(super) last_used: f64,
     pub(super) health: HostHealth,
-    /// The revision that it came with, or came back with.
+    /// The operators' revision in force when it was listed, or listed again.
     pub(super) since_revision: Revision,
-    /// What the list that is being handed over changes about it.
+    /// The change to it by the list that is being handed over.
     staged: StagedChange,
-    /// Its effective weight, 1 being an even share.
+    /// Its effective weight; 1 is an even share.
     pub(super) weight: f64,
 }
 
-/// What becomes of a host when the list that is being handed over is complete.
+/// The change to a host once the list that is being handed over is complete.
 #[derive(Clone, Default, PartialEq)]
 enum StagedChange {
     #[default]
     Unchanged,
     Joins,
     Leaves,
-    /// It stays with another entry; a host that left and came back in one list begins anew.
+    /// It stays with a new entry. A host that leaves and returns within one list counts as listed again.
     Changes {
         entry: Box<HostEntry>,
         left_before: bool,
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Whether it has ever had an attempt.
+    /// Whether it has ever been sent an attempt.
     pub(super) fn was_used(&self) -> bool {
         self.last_used > f64::MIN
     }
 
-    /// Notes an entry of a list that is being handed over; nothing of it counts yet.
+    /// Stages an entry of a list that is being handed over; it takes effect in [`Host::commit_staged`].
     fn stage(&mut self, entry: &HostEntry) {
         let is_running = entry.state == HostState::Running;
         let left_before = self.staged == StagedChange::Leaves;
@@ -80,7 +81,7 @@
         };
     }
 
-    /// Applies what was staged; in a full list, a host that was not named leaves.
+    /// Applies the staged change. A host that a full list does not name leaves.
     fn commit_staged(&mut self, list_is_full: bool, revision: Revision) {
         match std::mem::take(&mut self.staged) {
             StagedChange::Unchanged => self.usable &= !list_is_full,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Takes an entry; another process begins afresh, as nothing is known of it yet.
+    /// Replaces the entry. If it is of another process, the health and the attempts in flight are reset.
     fn replace_entry(&mut self, entry: &HostEntry) {
         if !self.entry.same_process(entry) {
             self.health = HostHealth::UNKNOWN;
@@ -115,8 +116,8 @@
             || now - self.last_used < RECORD_RETENTION
     }
 
-    /// Its entry in the index; none while it is not in use. Hosts that warm up, are ejected or fail are looked at
-    /// for each request, all others by their groups.
+    /// Its entry in the index; none while it is not usable. Hosts that are warming up, ejected or failing are
+    /// unsettled: they are examined for each request, all others by group.
     fn index_entry(&self, settings: &DecisionSettings, now: f64) -> Option<IndexedHost> {
         let is_healthy = self.health.ejected_until <= now && !is_failing(self.health.failure_rate);
         let is_warm = settings.warm_up_fraction(&self.entry, now) >= 1.0;
@@ -131,19 +132,19 @@
     }
 }
 
-/// All hosts with their index.
+/// All known hosts with their index.
 #[derive(Default)]
 pub(super) struct HostTable {
-    /// Boxed: lists of thousands are taken at once, and a map moves what it holds.
+    /// Boxed because a list can add thousands of hosts at once and the map moves its values.
     hosts: BTreeMap<HostId, Box<Host>>,
     pub(super) index: HostIndex,
-    /// The hosts that the list being handed over names.
+    /// The hosts named by the list that is being handed over.
     staged: Vec<HostId>,
-    /// Some host's effective weight may be other than 1.
+    /// Some host's effective weight may differ from 1.
     has_weights: bool,
     /// The lowest build that is listed.
     pub(super) lowest_build: Option<BuildId>,
-    /// The largest sum of sizes that was ever listed at once.
+    /// The largest sum of sizes of the hosts listed at one time.
     pub(super) largest_listed_size: f64,
 }
 
@@ -156,13 +157,13 @@
         self.hosts.get_mut(&host).map(|host| &mut **host)
     }
 
-    /// The record of the process behind an entry; none where another process has taken its place.
+    /// The record of the process that an entry is of; none if another process has replaced it.
     pub(super) fn process_mut(&mut self, entry: &HostEntry) -> Option<&mut Host> {
         self.get_mut(entry.host)
             .filter(|host| host.entry.same_process(entry))
     }
 
-    /// All hosts in use, in the order of their ids.
+    /// All usable hosts, in the order of their ids.
     pub(super) fn usable(&self) -> impl Iterator<Item = &Host> {
         self.hosts
             .values()
@@ -170,12 +171,12 @@
             .filter(|host| host.usable)
     }
 
-    /// Whether a build older than this one is listed.
+    /// Whether a host with an older build is listed.
     pub(super) fn lists_older_than(&self, build: BuildId) -> bool {
         self.index.builds().any(|listed| listed < build)
     }
 
-    /// Notes entries ahead: nothing of them counts before the list that they belong to is applied.
+    /// Stages entries in advance; they take effect in [`HostTable::commit_staged`].
     pub(super) fn stage(&mut self, entries: &[HostEntry]) {
         for entry in entries {
             self.hosts
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Applies all that was staged, and names the hosts that it may have changed.
+    /// Applies all staged entries, and returns the hosts that may have changed.
     pub(super) fn commit_staged(&mut self, list_is_full: bool, revision: Revision) -> Vec<HostId> {
         let staged = std::mem::take(&mut self.staged);
         let changed = if list_is_full { self.ids() } else { staged };
@@ -198,12 +199,12 @@
         changed
     }
 
-    /// All known hosts, in use or not.
+    /// All known hosts, usable or not.
     pub(super) fn ids(&self) -> Vec<HostId> {
         self.hosts.keys().copied().collect()
     }
 
-    /// Brings the index up to date with these hosts.
+    /// Updates the index for these hosts.
     pub(super) fn update_index(
         &mut self,
         settings: &DecisionSettings,
@@ -219,14 +220,14 @@
         index.update(changed.into_iter().map(|id| (id, index_entry(&id))));
     }
 
-    /// Drops the records of hosts that left long ago.
+    /// Removes the records that are no longer needed.
     pub(super) fn expire(&mut self, now: f64) {
         if self.hosts.len() > self.index.len() {
             self.hosts.retain(|_, host| host.is_retained(now));
         }
     }
 
-    /// All hosts in use, in their order, with their weights under a revision, which are not in force yet.
+    /// All usable hosts in the order of their ids, with their weights as set by a revision, before [`apply_weights`].
     pub(super) fn weights_under(
         &self,
         settings: &DecisionSettings,
@@ -245,8 +246,8 @@
 }
 
 impl Router {
-    /// Applies the operators' weights anew where any are set, or were until now: what a host that warms up can
-    /// carry of its weight grows with time.
+    /// Recomputes the effective weights if operators have set any, or had until now. They change with time because
+    /// the weight that a host can carry grows while it is warming up.
     pub(super) fn refresh_weights(&mut self, now: f64) {
         let are_set = !self.overrides.weights.is_empty();
         if !self.hosts.has_weights && !are_set {
@@ -264,7 +265,7 @@
         self.update_index(now, self.hosts.ids());
     }
 
-    /// Brings the index up to date with these hosts.
+    /// Updates the index for these hosts.
     pub(super) fn update_index(&mut self, now: f64, changed: Vec<HostId>) {
         self.hosts.update_index(&self.settings, now, changed);
     }
--- a/src/decisions/latency_baselines.rs
+++ b/src/decisions/latency_baselines.rs
@@ -1,26 +1,27 @@
-//! Latency baselines: low quantiles of the times that attempts take, by operation, kind of machine and arm.
+//! Latency baselines: low quantiles of the time that attempts take, by operation, kind of machine and arm.
 //!
-//! Times are in seconds for each unit of expected work. Only warm hosts that do not stand out as slow count.
+//! Times are in seconds per unit of expected work. Only attempts at warm hosts that are not outliers are recorded.
 
 use std::collections::BTreeMap;
 
 use crate::arm::Arm;
 use crate::interface::KindId;
 
-/// Quantile of the times that divides quick answers from others.
+/// Quantile of the answer times that separates quick answers from others.
 const QUICK_QUANTILE: f64 = 0.4;
 
-/// Quantile of the times that shows slowness but hardly any queueing.
+/// Quantile of the answer times that shows slow hosts but hardly any queueing.
 const FLOOR_QUANTILE: f64 = 0.12;
 
-/// Step of both quantiles for each attempt, of their size: some forty attempts move them.
+/// Step of both quantiles per attempt, relative to their size: they follow a change within about forty attempts.
 const QUANTILE_STEP: f64 = 0.08;
 
-/// Fraction of the way to a lower level that the level before a canary goes at each gossip interval, five seconds
-/// in all: what came before the canary may have been a slow spell.
+/// Fraction of the remaining way that a reference level moves per gossip interval, which takes about five seconds.
+/// The levels before a canary are lowered in this way when times decrease, because the time before the canary may
+/// have been a slow period.
 pub(super) const REFERENCE_STEP: f64 = 0.04;
 
-/// What a baseline is kept for; the order is that of the sums over all.
+/// The key of a baseline. The order of the fields determines the order of summation.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct BaselineKey {
     operation: usize,
@@ -28,18 +29,18 @@
     arm: Arm,
 }
 
-/// The quantiles of one operation on one kind of machine.
+/// The quantiles of one operation, kind of machine and arm.
 struct LatencyBaseline {
-    /// Divides quick answers from others.
+    /// The time that separates quick answers from others.
     quick: f64,
-    /// Shows slowness but hardly queues.
+    /// The time that shows slow hosts but hardly any queueing.
     floor: f64,
-    /// The floor before the canary; none where no canary came since.
+    /// The floor before the current canary; none where no canary has begun since the baseline was created.
     floor_before_canary: Option<f64>,
 }
 
 impl LatencyBaseline {
-    /// Moves both quantiles by one attempt; an attempt without an answer counts as slow.
+    /// Updates both quantiles by one attempt; an attempt without an answer counts as slow.
     fn record(&mut self, time: f64, succeeded: bool) {
         let is_below = |level: f64| f64::from(u8::from(succeeded && time < level));
         self.quick *= (QUANTILE_STEP * (QUICK_QUANTILE - is_below(self.quick))).exp();
@@ -54,19 +55,19 @@
 }
 
 impl LatencyBaselines {
-    /// The time that divides quick answers of the baseline build from others, for a unit of work.
+    /// The time that separates quick answers of the baseline build from others, in seconds per unit of work.
     pub(super) fn quick_time(&self, operation: usize, kind: KindId) -> Option<f64> {
         self.get(operation, kind, Arm::Baseline)
             .map(|baseline| baseline.quick)
     }
 
-    /// The time that even quick answers of the baseline build take, for a unit of work.
+    /// The time that even quick answers of the baseline build take, in seconds per unit of work.
     pub(super) fn floor_time(&self, operation: usize, kind: KindId) -> Option<f64> {
         self.get(operation, kind, Arm::Baseline)
             .map(|baseline| baseline.floor)
     }
 
-    /// Records the time of an attempt for a unit of work.
+    /// Records the time of an attempt, in seconds per unit of work.
     pub(super) fn record(
         &mut self,
         operation: usize,
@@ -91,7 +92,8 @@
             .record(time, succeeded);
     }
 
-    /// Begins a canary: the baseline's present floors are what it is compared with, where a build was known before.
+    /// Removes the previous canary's baselines. The current floors of the baseline build become the reference for the
+    /// new canary, unless no build was known before.
     pub(super) fn begin_canary(&mut self, after_known_build: bool) {
         self.by_key.retain(|key, _| key.arm == Arm::Baseline);
         for baseline in self.by_key.values_mut() {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Lets the levels before the canary follow times that have been lower since.
+    /// Moves the floors before the canary towards current floors that are lower.
     pub(super) fn follow_decreases(&mut self) {
         for baseline in self.by_key.values_mut() {
             let decrease = |before: f64| REFERENCE_STEP * (baseline.floor - before).min(0.0);
@@ -109,8 +111,8 @@
         }
     }
 
-    /// How many times slower an arm's hosts are than before the canary, the geometric mean over operations and
-    /// kinds; none where nothing can be compared.
+    /// How many times slower an arm's hosts are than the baseline's were before the canary: the geometric mean over
+    /// operations and kinds of machine; none where there is nothing to compare.
     pub(super) fn relative_slowdown(&self, arm: Arm) -> Option<f64> {
         let mut log_sum = 0.0;
         let mut count = 0.0f64;
--- a/src/decisions/least_loaded.rs
+++ b/src/decisions/least_loaded.rs
@@ -1,4 +1,4 @@
-//! The less loaded of two hosts (the power of two choices), over stable pairs in large fleets.
+//! Selection of the less loaded of two hosts (the power of two choices), with fixed pairs of hosts in large fleets.
 
 use rand::RngExt;
 
@@ -12,35 +12,39 @@
 use crate::interface::HostId;
 use crate::rendezvous::{RankedHost, WeightedHost, highest_two};
 
-/// Routers that keep connections to a host, by their traffic: hosts accept few.
+/// Number of routers that keep connections to each host, divided among them by their traffic; hosts accept few
+/// connections.
 const ROUTERS_PER_HOST: f64 = 60.0;
 
-/// Pairs of hosts that keep one host connected to a router: it is in two of them, and in one of the two it is the
-/// less loaded.
+/// Number of pairs of hosts needed to keep one host connected to a router: each host is in two pairs, and is the less
+/// loaded host in one of them.
 const PAIRS_PER_CONNECTION: f64 = 4.0;
 
-/// Attempts in flight that another zone counts for: it breaks ties towards the router's own.
+/// Attempts in flight that a host in another zone counts as having in addition, so that ties favour the router's
+/// zone.
 const OTHER_ZONE_LOAD: f64 = 0.3;
 
-/// Part of the longest latency objective without an answer after which a host counts as slower.
+/// Fraction of the longest latency objective after which a host that has not answered its oldest attempt counts as
+/// slower.
 const SILENCE_OBJECTIVE_FRACTION: f64 = 0.7;
 
-/// Least slowdown that a host's load is weighed by.
+/// Lower limit for the slowdown that multiplies a host's load.
 const MIN_LOAD_SLOWDOWN: f64 = 0.5;
 
-/// Which host is looked for.
+/// The hosts to choose among.
 pub(super) struct HostChoice {
     pub(super) arm: Arm,
     pub(super) tier: u8,
-    /// The hash of the request's key, where hosts are faster for keys that they know.
+    /// The hash of the request's key, where hosts are faster for keys that they have served.
     pub(super) key_hash: Option<u64>,
 }
 
-/// A host's load: attempts in flight over weight, in times that they take.
+/// A host's load: the expected time of one more attempt, by the attempts in flight relative to the host's weight, its
+/// slowdown and its speed.
 fn host_load(settings: &DecisionSettings, host: &Host, weight: f64, now: f64) -> f64 {
     let is_other_zone = settings.zone.is_some_and(|zone| zone != host.entry.zone);
     let zone_load = if is_other_zone { OTHER_ZONE_LOAD } else { 0.0 };
-    // A host that keeps silent counts as slower the longer it does: against hangs and lost links.
+    // The longer a host has not answered, the slower it counts as; this avoids hosts that hang or are unreachable.
     let oldest = host.in_flight.iter().copied().fold(now, f64::min);
     let max_silence = SILENCE_OBJECTIVE_FRACTION * settings.longest_objective();
     let silence_factor = ((now - oldest) / max_silence).max(1.0);
@@ -51,20 +55,20 @@
 }
 
 impl Router {
-    /// How many routers' worth of traffic this one has, in mean routers.
+    /// This router's traffic as a multiple of the mean traffic of all routers.
     fn relative_traffic(&self) -> f64 {
         f64::from(self.settings.routers) * self.peers.traffic_share
     }
 
-    /// Whether this router keeps to some pairs of hosts: hosts accept few connections, and in a large fleet not all
-    /// routers can keep one to each.
+    /// Whether this router only uses some pairs of hosts: hosts accept few connections, and in a large fleet not
+    /// every router can keep one to every host.
     pub(super) fn uses_fixed_pairs(&self) -> bool {
         ROUTERS_PER_HOST * (1.0 + self.relative_traffic())
             < PAIRS_PER_CONNECTION * f64::from(self.settings.routers)
     }
 
-    /// The salt that names two hosts among `count`: the key's hash, or a random one, of as many as this router's
-    /// traffic keeps connected and known.
+    /// The salt that selects two of `count` hosts: the key's hash or a random number, reduced to as many values as
+    /// this router's traffic can keep pairs of hosts connected.
     fn pair_salt(&mut self, count: f64, key_hash: Option<u64>) -> u64 {
         let salt = key_hash.unwrap_or_else(|| self.rng.random());
         let routers = f64::from(self.settings.routers);
@@ -78,7 +82,7 @@
         }
     }
 
-    /// The less loaded of the two hosts of an arm that a hash names; none where the arm has no host.
+    /// The less loaded of the two hosts that the salt selects; none where the arm has no host.
     pub(super) fn least_loaded_of_two(
         &mut self,
         now: f64,
@@ -109,7 +113,7 @@
         loads.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
     }
 
-    /// The two hosts that a salt names, found by the index without a look at all of them.
+    /// The two hosts that the salt selects, found through the index without examining all hosts.
     fn highest_two_indexed(
         &mut self,
         now: f64,
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,9 +1,10 @@
-//! Every decision of a router: the build and host of a request, what follows a failed attempt, and the vote on a
-//! canary.
+//! All decisions of a router: which build and host serve a request, what follows a failed attempt, and how the router
+//! votes on a canary.
 //!
-//! It does no I/O and reads no clock: [`Router::start`] takes the settings, then [`Router::handle`] takes each event
-//! in its order and adds the effects that it wants. [`crate::interface`] has the types of both; `docs/design.md`
-//! the sources and reasons. Each module holds one concern with its constants.
+//! This module does no I/O and reads no clock. [`Router::start`] takes the settings; [`Router::handle`] takes the
+//! events in order of time and appends the effects to carry out. The types of events, effects and settings are in
+//! [`crate::interface`]; `docs/design.md` describes the algorithms and the reasons for them. Each submodule covers
+//! one concern and holds its constants.
 
 mod admission;
 mod attempt_outcome;
@@ -58,13 +59,14 @@
 use traffic_rates::TrafficRates;
 use voting::VotingState;
 
-/// Seconds that no window or wait is shorter than, for the ticks between two clocks.
+/// Lower bound, in seconds, of the clock tick and of computed windows and waits, which allows for the granularity of
+/// clocks.
 const MIN_DURATION: f64 = 0.01;
 
-/// What a sum that may be empty is divided by at least.
+/// Lower bound of a divisor that can be zero, such as the sum over an empty set of hosts.
 const MIN_DIVISOR: f64 = 0.01;
 
-/// The decisions of one router, with all that it keeps between events.
+/// The decisions of one router, with all state that is kept between events.
 pub struct Router {
     settings: DecisionSettings,
     overrides: Arc<OperatorOverrides>,
@@ -88,8 +90,8 @@
 }
 
 impl Router {
-    /// Starts a router with a service's settings, as of a time in seconds. The same seed and events give the same
-    /// effects.
+    /// Creates a router for a service's settings at time `now`, in seconds. The same settings, seed and events yield
+    /// the same effects.
     pub fn start(settings: ServiceSettings, seed: u64, now: f64) -> Self {
         let settings = DecisionSettings::new(&settings);
         Router {
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Begins what goes by time: gossip rounds and, where it has to be polled, the endpoint list. The first event begins
-    /// them where this was not called; a router that knows nothing yet may wait for that event for long.
+    /// Starts the gossip rounds and, where the endpoint list is polled, the first poll. [`Router::handle`] does so on
+    /// the first event if this was not called; a router without hosts can wait long for that event.
     pub fn begin(&mut self, now: f64, effects: &mut Vec<Effect>) {
         if self.timers.is_unused() {
             self.schedule_first_gossip(now, effects);
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Takes in an event, and adds what it wants done to the effects; `now` is in seconds and never runs back.
+    /// Processes an event and appends the resulting effects. `now` is in seconds and never decreases between calls.
     pub fn handle(&mut self, now: f64, event: Event, effects: &mut Vec<Effect>) {
         self.begin(now, effects);
         match event {
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -1,71 +1,73 @@
-//! Outlier detection: a host that fails far more often than its build's others is ejected for a while.
+//! Outlier detection: a host that fails far more often than the other hosts of its build is ejected for a while.
 //!
-//! A host is judged against its own build alone: a bad build is for the vote.
+//! Hosts are compared only within a build, because a bad build is the subject of the vote.
 
 use super::Router;
 use crate::host_index::BuildSums;
 use crate::interface::{HostEntry, HostId};
 
-/// Weight of a new outcome in a host's own figures: some six attempts.
+/// Weight of a new outcome in a host's smoothed values, which thus cover about six attempts.
 const SAMPLE_WEIGHT: f64 = 0.15;
 
-/// Failure rate above its build's mean at which a host is ejected.
+/// Difference between a host's failure rate and the mean of its build's other hosts above which the host is ejected,
+/// and the failure rate above which a host counts as failing.
 const EJECTION_FAILURE_RATE: f64 = 0.3;
 
-/// Failure rate under which a host that answers counts as recovered.
+/// Failure rate below which a host that answers counts as recovered, which resets the duration of its next ejection.
 const RECOVERED_FAILURE_RATE: f64 = EJECTION_FAILURE_RATE / 3.0;
 
-/// Seconds of a first ejection.
+/// Duration of a first ejection, in seconds; each further one lasts twice as long.
 const MIN_EJECTION: f64 = 1.0;
 
-/// Seconds of the longest ejection; each doubles the one before.
+/// Maximum duration of an ejection, in seconds.
 const MAX_EJECTION: f64 = 6.0;
 
-/// Other hosts of its build that must run before one is ejected.
+/// Number of other hosts of the build that must be listed for a host to be ejected.
 const MIN_OTHER_HOSTS: usize = 2;
 
-/// The others must be this many times those already ejected; else all of them fail, not a few.
+/// Number of other hosts that there must be for each one already ejected; with fewer, the build fails, not single
+/// hosts.
 const MIN_OTHERS_PER_EJECTED: usize = 3;
 
-/// Slowdown of a host before it has answered: unknown hosts get less than known ones.
+/// Slowdown of a host before its first answer, so that new hosts get fewer attempts than known ones.
 const INITIAL_SLOWDOWN: f64 = 1.5;
 
-/// Least slowdown that one answer counts for, so that a single quick one moves little.
+/// Lower limit for the slowdown of one answer, so that a single quick answer has little effect.
 const MIN_SLOWDOWN_SAMPLE: f64 = 0.2;
 
-/// Largest slowdown that one answer counts for.
+/// Upper limit for the slowdown of one answer.
 const MAX_SLOWDOWN_SAMPLE: f64 = 10.0;
 
-/// Times the mean slowdown of its build's others above which a host, not the service, is slow.
+/// Ratio of a host's slowdown to the mean of its build's other hosts above which the host is slow, not the service.
 pub(super) const SLOW_HOST_RATIO: f64 = 1.6;
 
-/// Whether a host with this failure rate is no more taken for well.
+/// Whether a host with this failure rate counts as failing.
 pub(super) fn is_failing(failure_rate: f64) -> bool {
     failure_rate > EJECTION_FAILURE_RATE
 }
 
-/// What a host's outcomes say of it; a restart, or a new machine under a used id, begins afresh.
+/// The health of a host by its outcomes. A restart, or another machine under the same id, resets it.
 #[derive(Clone, Copy)]
 pub(super) struct HostHealth {
-    /// Smoothed fraction of attempts that came to nothing.
+    /// Smoothed fraction of failed attempts.
     pub(super) failure_rate: f64,
-    /// Smoothed time of answers over the quick answers of its kind, warm-up taken off.
+    /// Smoothed ratio of the time of answers to the quick time of the host's kind, corrected for warm-up.
     pub(super) slowdown: f64,
-    /// The end of its ejection, past where it is not ejected.
+    /// The end of the latest ejection, in seconds; in the past while the host is not ejected.
     pub(super) ejected_until: f64,
-    /// How long its next ejection lasts, in seconds.
+    /// The duration of the next ejection, in seconds.
     next_ejection: f64,
 }
 
-/// The other hosts of a host's build.
+/// Averages over the other hosts of a host's build.
 pub(super) struct BuildAverages {
-    /// Too few run, or too many are ejected, for one to stand out.
+    /// There are too few other hosts, or too many of them are ejected, for a host to be an outlier.
     pub(super) too_few: bool,
     mean_failure_rate: f64,
     mean_slowdown: f64,
 }
 
-/// What an outcome tells of a host.
+/// The state of a host after an outcome.
 pub(super) struct HostVerdict {
     pub(super) is_ejected: bool,
     pub(super) is_slow: bool,
@@ -80,8 +82,9 @@
         next_ejection: MIN_EJECTION,
     };
 
-    /// Records an outcome, and ejects the host where it stands out among its peers: a hang, a lost link, errors.
-    /// `slowdown` is the answer's time over the quick time of its kind, where one is known.
+    /// Records an outcome, and ejects the host if it fails more often than its build's other hosts, for example
+    /// because it hangs, is unreachable or answers with errors. `slowdown` is the ratio of the answer's time to the
+    /// quick time of the host's kind, where one is known.
     pub(super) fn record(
         &mut self,
         now: f64,
@@ -111,7 +114,7 @@
 }
 
 impl Router {
-    /// The other hosts of a host's build, as they stand.
+    /// The averages over the other hosts of a host's build.
     pub(super) fn build_averages(&self, now: f64, entry: &HostEntry) -> BuildAverages {
         let indexed = self.hosts.index.get(entry.host);
         let indexed = indexed.filter(|indexed| indexed.group.build == entry.build);
--- a/src/decisions/request_table.rs
+++ b/src/decisions/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that have no final answer yet, with their attempts.
+//! The requests without a final answer, with their attempts, and the builds that keys are bound to.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,41 +11,45 @@
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
     pub(super) host: HostEntry,
+    /// When it was sent, in seconds.
     pub(super) sent_at: f64,
     pub(super) in_flight: bool,
-    /// It ended in a way that does not rule out that the host has run it.
+    /// It has ended, and the host may have run it.
     pub(super) may_have_run: bool,
-    /// Its outcome is evidence of its build: its host was not ejected when it was sent.
+    /// Its outcome counts as evidence about its build: its host was not ejected when it was sent.
     pub(super) is_evidence: bool,
-    /// It went on a connection that had been idle for long.
+    /// It was sent on a connection that counted as idle.
     pub(super) on_idle_connection: bool,
 }
 
-/// An attempt that has ended, with what was known of its request.
+/// An attempt that has ended, with the properties of its request.
 pub(super) struct FinishedAttempt {
     pub(super) attempt: Attempt,
     pub(super) operation: usize,
     /// Expected work of the request, in seconds of a standard core.
     pub(super) work: f64,
     pub(super) outcome: AttemptOutcome,
-    /// The time that it took, in seconds.
+    /// How long it took, in seconds.
     pub(super) duration: f64,
 }
 
-/// A request that has no final answer, or still has attempts in flight; points in time are in seconds.
+/// A request without a final answer or with attempts in flight; points in time are in seconds.
 pub(super) struct TrackedRequest {
     pub(super) operation: usize,
     pub(super) key: Option<KeyId>,
     /// Expected work, in seconds of a standard core.
     pub(super) work: f64,
-    /// The client sends it again after an earlier try.
+    /// The client has sent it before.
     pub(super) is_client_retry: bool,
+    /// The end of the latency objective.
     pub(super) objective_at: f64,
+    /// When the client stops waiting.
     pub(super) deadline: f64,
     pub(super) attempts: Vec<Attempt>,
     pub(super) has_final_answer: bool,
+    /// The hosts that may serve it; none: all.
     pub(super) pool: Option<Arc<Pool>>,
-    /// What operators had set when it came.
+    /// The operators' overrides in force when it arrived.
     pub(super) overrides: Arc<OperatorOverrides>,
 }
 
@@ -58,7 +62,8 @@
             .count()
     }
 
-    /// The first attempt that may have had an effect; retries are bound to it.
+    /// The first attempt that may have an effect. Idempotency keys limit the retries after it, in time and to hosts
+    /// that know the key.
     pub(super) fn first_effect(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
@@ -85,7 +90,7 @@
         self.by_id.insert(id, request);
     }
 
-    /// Marks a request as answered; it is dropped as soon as no attempt of it is in flight.
+    /// Marks a request as answered. It is removed once none of its attempts is in flight.
     pub(super) fn close(&mut self, id: &RequestId) {
         let Some(request) = self.by_id.get_mut(id) else {
             return;
@@ -97,19 +102,19 @@
     }
 }
 
-/// The builds that have answered keys which may not go back to an older one.
+/// The build that each sticky key is bound to; its requests go to no earlier build.
 #[derive(Default)]
 pub(super) struct StickyBuilds {
     by_key: BTreeMap<KeyId, BuildId>,
 }
 
 impl StickyBuilds {
-    /// The build that a key may not go back from.
+    /// The build that a key is bound to.
     pub(super) fn get(&self, key: Option<&KeyId>) -> Option<BuildId> {
         key.and_then(|key| self.by_key.get(key)).copied()
     }
 
-    /// Binds a key to a build; it keeps the newest.
+    /// Binds a key to a build, or keeps its binding to a newer one.
     pub(super) fn bind(&mut self, key: KeyId, build: BuildId) {
         self.by_key
             .entry(key)
@@ -117,7 +122,7 @@
             .or_insert(build);
     }
 
-    /// Frees the keys of a build that is rolled back.
+    /// Removes the bindings to a build that is rolled back.
     pub(super) fn unbind(&mut self, build: BuildId) {
         self.by_key.retain(|_, bound_build| *bound_build != build);
     }
--- a/src/decisions/requirements.rs
+++ b/src/decisions/requirements.rs
@@ -1,4 +1,4 @@
-//! Which groups of hosts may serve a request: exposure, sticky keys, idempotency and the time left.
+//! The groups of hosts that may serve a request, by exposure, sticky keys, idempotency and the time left.
 
 use super::Router;
 use super::request_table::TrackedRequest;
@@ -7,7 +7,7 @@
 use crate::host_group::{Group, Requirements};
 use crate::interface::{BuildId, HostEntry, IdempotencyScope};
 
-/// Whether an idempotency key is known to both the group and the host that may have run the request already.
+/// Whether the hosts of a group know the idempotency keys of the host that may already have run the request.
 fn shares_keys(scope: IdempotencyScope, first: &HostEntry, group: &Group) -> bool {
     match scope {
         IdempotencyScope::All => true,
@@ -17,7 +17,8 @@
 }
 
 impl Router {
-    /// The requirements of a request, worked out once for each group of hosts, however many are of it.
+    /// The requirements of a request. They are computed once for each group of hosts, so that the cost does not
+    /// depend on the number of hosts.
     pub(super) fn requirements(&self, now: f64, request: &TrackedRequest) -> Requirements {
         let mut arms = vec![];
         let mut last_build: Option<(BuildId, bool)> = None;
@@ -44,7 +45,8 @@
         }
     }
 
-    /// Whether a build has room for a request, whose key does not return to an older one.
+    /// Whether a build has exposure left for a request and is not older than the build that the request's key is
+    /// bound to.
     fn may_use_build(&self, now: f64, request: &TrackedRequest, build: BuildId) -> bool {
         let bound_build = self.sticky_builds.get(request.key.as_ref());
         let binds_new_key = bound_build.is_none_or(|bound_build| bound_build < build);
@@ -52,8 +54,9 @@
         may_return && self.has_exposure_room(now, build, request.operation, binds_new_key)
     }
 
-    /// Whether hosts of a group may serve a request. No work is begun where the time left is under what even quick
-    /// answers take; the limit to part of the objective lets hosts be tried again that have long not answered.
+    /// Whether hosts of a group may serve a request. An attempt is not started where the time left is shorter than
+    /// even the group's quickest answers take. That minimum is limited to a fraction of the time to the objective, so
+    /// that hosts which have not answered for long are still tried.
     fn group_may_serve(&self, now: f64, request: &TrackedRequest, group: &Group) -> bool {
         let scope = self.settings.operations[request.operation].idempotency_scope;
         let knows_key = request
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -1,4 +1,4 @@
-//! Attempts of a request: when the first is given up or hedged, and what pays for more.
+//! Attempts of a request: when the first one times out or is hedged, and the budget for further attempts.
 
 use super::Router;
 use super::connections::is_idle;
@@ -6,22 +6,22 @@
 use super::timers::TimerEvent;
 use crate::interface::{Effect, HostEntry, HostId, Phase, RequestId};
 
-/// Retries that each request adds to the budget.
+/// Number of retries that each request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
 
-/// Retries that the budget holds at most.
+/// Maximum number of retries in the budget.
 const MAX_RETRY_TOKENS: f64 = 10.0;
 
-/// Part of the time to the latency objective that an attempt gets before another is sent.
+/// Fraction of the time to the latency objective after which another attempt follows.
 pub(super) const WAIT_OBJECTIVE_FRACTION: f64 = 0.5;
 
-/// Quick times that an attempt gets at least before another is sent.
+/// Minimum time before another attempt, as a multiple of the quick time of the operation and kind of machine.
 const MIN_WAIT_QUICK_TIMES: f64 = 5.0;
 
-/// Part of the latency objective that counts as the quick time where none is known.
+/// Fraction of the latency objective that is used as the quick time where none is known.
 const DEFAULT_QUICK_FRACTION: f64 = 0.1;
 
-/// Retries and hedged attempts that a router may still send.
+/// The budget of retries and hedged attempts.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
@@ -34,36 +34,38 @@
         }
     }
 
-    /// Adds a request's part.
+    /// Adds the share of one request.
     pub(super) fn earn(&mut self) {
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_RETRY_TOKENS);
     }
 
-    /// Whether a retry can be paid for.
+    /// Whether the budget allows a retry.
     pub(super) fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Pays for a retry.
+    /// Takes one retry from the budget.
     pub(super) fn spend(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Makes the retry after a reset free: an open connection broke, which the request had no part in.
+    /// Returns one retry to the budget, so that a retry after a reset costs nothing: the connection broke for a
+    /// reason that is independent of the request.
     pub(super) fn refund(&mut self) {
         self.tokens += 1.0;
     }
 }
 
-/// How an attempt is given up or hedged; times are in seconds.
+/// When an attempt times out or is hedged, in seconds.
 struct AttemptTimes {
     time_out: f64,
-    /// When a hedged attempt follows.
+    /// When a hedged attempt follows; none if it does not.
     hedge_at: Option<f64>,
 }
 
 impl Router {
-    /// Rule 2: whether nothing may follow the attempt any more that may have had an effect.
+    /// Whether no retry may follow, as it could have a second effect: an earlier attempt may have had one, and the
+    /// operation must not run twice or the time for which hosts recognise its idempotency key is almost over.
     pub(super) fn retry_window_is_over(&self, now: f64, request: &TrackedRequest) -> bool {
         let operation = &self.settings.operations[request.operation];
         let window = operation.idempotency_window - 2.0 * self.settings.tick;
@@ -72,7 +74,7 @@
             .is_some_and(|first| now - first.sent_at >= window)
     }
 
-    /// Sends an attempt to a host; `useful_until` is when its answer is worth nothing any more.
+    /// Sends an attempt to a host; `useful_until` is the time after which its answer has no value, in seconds.
     pub(super) fn start_attempt(
         &mut self,
         now: f64,
@@ -88,7 +90,7 @@
         let operation = &self.settings.operations[request.operation];
         let times = self.attempt_times(now, request, &entry, useful_until);
         let connection = self.connection_requirements(now, request, operation);
-        // Connections may be dropped unseen after some time without use: then the idle ones are closed first.
+        // Where hosts or networks drop idle connections without notice, the idle ones are closed before the attempt.
         let is_idle = is_idle(target, now);
         let are_dropped = self.connection_losses.idle_connections_are_dropped();
         if is_idle && are_dropped {
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Where another attempt could follow, this one gets part of the time: it is hedged where that is allowed, and
-    /// given up for a retry where it is not.
+    /// The times of an attempt. Where another attempt may follow, this one gets part of the time: it is hedged where
+    /// hedging is allowed, and times out early for a retry where it is not.
     fn attempt_times(
         &self,
         now: f64,
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Counts an attempt that starts, wherever attempts are counted.
+    /// Adds an attempt that starts to the host, the request and all counters.
     fn count_attempt(&mut self, id: &RequestId, attempt: Attempt) {
         let now = attempt.sent_at;
         let build = attempt.host.build;
--- a/src/decisions/rollout.rs
+++ b/src/decisions/rollout.rs
@@ -1,4 +1,4 @@
-//! The state of the rollout, as the platform tells it, and what a new build or stage begins anew.
+//! The state of the rollout as the platform reports it, and what is reset when a new build or stage begins.
 
 use rand::RngExt;
 
@@ -13,23 +13,24 @@
 
 use super::gossip::GOSSIP_INTERVAL;
 
-/// Seconds by which the beginning of a state may be told wrong: its age grows on the way.
+/// Tolerance, in seconds, for the start of a state as computed from its age: the age does not include the time that
+/// the message takes to arrive.
 const STATUS_AGE_TOLERANCE: f64 = 0.5;
 
 /// What a router knows of the rollout.
 pub(super) struct RolloutState {
-    /// None before the platform has told any.
+    /// The latest status; none before the platform has sent one.
     pub(super) status: Option<RolloutStatus>,
-    /// When the present stage or phase began, in seconds.
+    /// When the current stage or phase began, in seconds.
     pub(super) stage_since: f64,
-    /// The canary's part of the machines, by size.
+    /// The canary's share of the hosts, weighted by size.
     pub(super) canary_share: f64,
-    /// The number of the canary's hosts.
+    /// The number of canary hosts.
     pub(super) canary_hosts: f64,
 }
 
 impl RolloutState {
-    /// No status yet, as of a time.
+    /// The state at time `now`, before the first status.
     pub(super) fn new(now: f64) -> Self {
         RolloutState {
             status: None,
@@ -40,14 +41,15 @@
     }
 }
 
-/// How far the rollout of one build has come, in an order that it does not go back in.
+/// How far the rollout of one build has come, ordered by phase and then by stage; a rollout never goes backwards in
+/// this order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RolloutProgress {
     phase_rank: u8,
     stage: u32,
 }
 
-/// How far a rollout has come by a status.
+/// The progress that a status reports.
 fn progress(status: &RolloutStatus) -> RolloutProgress {
     let phase_rank = match status.phase {
         Phase::Canary => 0,
@@ -62,13 +64,13 @@
 }
 
 impl Router {
-    /// The phase of a build.
+    /// The phase of a build. Builds before that of the latest status count as released, later ones as canaries.
     pub(super) fn phase_of(&self, build: BuildId) -> Phase {
         match self.rollout.status {
             Some(status) if build < status.build => Phase::Released,
             Some(status) if build == status.build => status.phase,
             Some(_) => Phase::Canary,
-            // Before any status, only the lowest listed build is known to be no later one.
+            // Before the first status only the lowest listed build is safe to use, as any other may be a later one.
             None => {
                 let lowest = self.hosts.lowest_build;
                 if lowest.is_none_or(|lowest| build <= lowest) {
@@ -85,21 +87,22 @@
         self.phase_of(build) == Phase::Canary
     }
 
-    /// Whether a build before the canary is listed.
+    /// Whether a host with a build before the canary is listed; true before the first status.
     pub(super) fn baseline_is_listed(&self) -> bool {
         self.rollout
             .status
             .is_none_or(|status| self.hosts.lists_older_than(status.build))
     }
 
-    /// What operators ask of a build; they may hold it, roll it back and lower its cap, never more.
+    /// The operators' override for a build. It can hold the build, roll it back or lower its cap, and nothing more.
     pub(super) fn override_of(&self, build: BuildId) -> Option<RolloutOverride> {
         self.overrides
             .rollout
             .filter(|requested| requested.build == build)
     }
 
-    /// Counts the canary's machines anew, and weighs the baseline's outcomes by them.
+    /// Recomputes the canary's share of the hosts and the weight of the baseline's outcomes, which makes both arms'
+    /// evidence comparable in size.
     pub(super) fn update_canary_share(&mut self) {
         let canary = self.hosts.index.sum(|build| self.is_canary(build));
         let total = self.hosts.index.sum(|_| true);
@@ -113,7 +116,7 @@
         };
     }
 
-    /// Takes in a state of the rollout, or the answer to a vote.
+    /// Processes a status of the rollout, which may also be the answer to a vote.
     pub(super) fn on_rollout_status(
         &mut self,
         now: f64,
@@ -143,8 +146,9 @@
         }
     }
 
-    /// Whether a status is older than the known one: an answer to a vote may cross the news of a later stage; news come
-    /// in their order. A platform that was set back tells a state that has begun since.
+    /// Whether a status is older than the current one. Statuses arrive in order, except that the answer to a vote can
+    /// arrive after the status of a later stage. An earlier stage in such an answer is accepted only if it began
+    /// after the current one, as happens when the platform's state was reset.
     fn is_outdated(&self, now: f64, current: &RolloutStatus, status: &RolloutStatus) -> bool {
         if current.build != status.build {
             return current.build > status.build;
@@ -154,7 +158,7 @@
         status.answers_vote && progress(current) > progress(status) && !has_begun_since
     }
 
-    /// A vote was answered: counted, lost, or turned away because the platform is full.
+    /// Processes the answer to a vote: it was counted, lost, or rejected because the platform is overloaded.
     fn on_vote_answer(&mut self, now: f64, outcome: AttemptOutcome, effects: &mut Vec<Effect>) {
         let is_counted = matches!(
             outcome,
@@ -176,7 +180,7 @@
         self.advance_vote(now, input, effects);
     }
 
-    /// A new build: the canary's evidence begins anew, and the baseline as it is now is what it is compared with.
+    /// Resets the evidence for a new canary; the baseline's current evidence and latencies become the reference.
     fn begin_canary(&mut self, status: &RolloutStatus, old: Option<RolloutStatus>) {
         self.voting.rank = voter_rank(status.build, self.settings.router, self.settings.routers);
         let was_released = old.is_some_and(|old| old.phase == Phase::Released);
@@ -193,7 +197,7 @@
         self.evidence.is_fresh = old.is_none() && is_under_way;
     }
 
-    /// A new stage or phase: what was voted before counts no more.
+    /// Resets the vote for a new stage or phase, where earlier votes no longer count.
     fn begin_stage(
         &mut self,
         now: f64,
--- a/src/decisions/service_slowdown.rs
+++ b/src/decisions/service_slowdown.rs
@@ -1,7 +1,8 @@
-//! A slowdown of the whole service, which no comparison of the arms shows: a canary may slow both.
+//! Slowdown of the whole service, which a comparison of the arms does not show because a canary can slow down both.
 //!
-//! Times are compared with those before the canary, on the baseline's hosts while any is left. Losses beyond what
-//! the canary's machines explain are other trouble until they end, as is a quicker canary.
+//! Answer times are compared with those before the canary: on the baseline's hosts while any are listed, on the
+//! canary's after that. Losses beyond what the canary's share of the hosts explains are attributed to another cause
+//! until they end, and so is a slowdown that the canary's own hosts do not show.
 
 use super::Router;
 use super::canary_assessment::{IN_TIME_MARGIN, StageProgress};
@@ -9,70 +10,76 @@
 use super::latency_baselines::REFERENCE_STEP;
 use crate::arm::Arm;
 
-/// Times slower than before above which the canary is not promoted.
+/// Slowdown (times slower than before the canary) above which the canary is not promoted.
 const BLOCKING_SLOWDOWN: f64 = 1.3;
 
-/// The same, where no baseline host is left to compare with.
+/// The same limit where no baseline host is left to compare with.
 const BLOCKING_SLOWDOWN_NO_BASELINE: f64 = 1.6;
 
-/// Times slower than before above which the service is harmed.
+/// Slowdown above which the service counts as harmed.
 const HARMFUL_SLOWDOWN: f64 = 2.0;
 
-/// Times slower than before at which the delays to a roll-back hold; in proportion less where it is slower.
+/// Slowdown at which the delays before a roll-back apply as they are; they are shortened in inverse proportion to
+/// larger slowdowns and lengthened for smaller ones.
 const ROLL_BACK_REFERENCE_SLOWDOWN: f64 = 2.6;
 
-/// Times slower that losing all answers in time counts for, beyond 1.
+/// Slowdown beyond 1 that a loss of all answers in time counts as; smaller losses count in proportion.
 const SLOWDOWN_PER_LOST_FRACTION: f64 = 4.0;
 
-/// Times slower, for its share of the machines, that a canary may make all others.
+/// Slowdown beyond 1 that a canary on all hosts can explain; a canary on part of the hosts explains it in proportion
+/// to its share.
 const EXPLAINED_SLOWDOWN_PER_SHARE: f64 = 12.0;
 
-/// Part of the service's slowdown that the canary's own hosts must show, where theirs is known.
+/// Fraction of the service's slowdown beyond 1 that the canary's own hosts must exceed, where theirs is known, before
+/// the canary counts as the cause.
 const MIN_CANARY_EXCESS_FRACTION: f64 = 0.5;
 
-/// Part of the slowdown of the stage before that it must have: else it is not in step with the stages.
+/// Fraction of the slowdown beyond 1 at the end of the previous stage that the current slowdown must exceed; a
+/// smaller one does not follow the canary's growth from stage to stage.
 const MIN_STAGE_EXCESS_FRACTION: f64 = 0.9;
 
-/// Times slower under which losses in a large fleet are not a canary's slowdown.
+/// Slowdown by answer times below which lost answers in a large fleet do not count as a slowdown.
 const LARGE_FLEET_MIN_SLOWDOWN: f64 = 1.05;
 
-/// Seconds of a stage for which a slowdown without harm holds the canary.
+/// Seconds that must have passed both since a slowdown began and since the latest start of a canary host before a
+/// slowdown without harm no longer blocks promotion.
 const NEW_SLOWDOWN_TIME: f64 = 8.0;
 
-/// Seconds after a stage's last start within which a slowdown came with the stage.
+/// Seconds after the latest start of a canary host within which a slowdown counts as begun with the stage.
 const STAGE_ONSET_WINDOW: f64 = NEW_SLOWDOWN_TIME / 2.0;
 
-/// Seconds of a slowdown that came with the stage before the vote to roll back.
+/// Seconds that a slowdown which began with the stage must last before the vote to roll back.
 const STAGE_SLOWDOWN_ROLL_BACK_DELAY: f64 = 12.0;
 
-/// Seconds of any other slowdown before the vote to roll back: it must outlast common troubles. The same where no
-/// baseline host is left, as going back stops all for a while.
+/// Seconds that any other slowdown must last before the vote to roll back: longer than common disturbances. It also
+/// applies where no baseline host is left, because rolling back then interrupts all traffic for a while.
 const OTHER_SLOWDOWN_ROLL_BACK_DELAY: f64 = 16.0;
 
-/// What a router remembers of the service's slowdown.
+/// The state that is kept about the service's slowdown.
 #[derive(Default)]
 pub(super) struct ServiceSlowdown {
-    /// Since when it could be the canary's, in seconds.
+    /// The time since which the canary may be the cause, in seconds.
     since: f64,
-    /// It is more than the canary's part of the machines explains.
+    /// The losses are larger than the canary's share of the hosts explains.
     is_unrelated: bool,
-    /// The slowdown when the stage before ended.
+    /// The slowdown at the end of the previous stage.
     pub(super) at_previous_stage: f64,
-    /// The fraction of answers in time, as good as it was lately, before or during the canary.
+    /// The reference for the fraction of answers in time: its value at the start of the canary, raised towards better
+    /// values since.
     pub(super) best_in_time: f64,
 }
 
-/// The service's slowdown as it is now, in times slower than before the canary.
+/// The current slowdown of the service, as a factor relative to the time before the canary.
 pub(super) struct ObservedSlowdown {
-    /// Losses counted where they may be the canary's.
+    /// The slowdown, with losses counted where they may be caused by the canary.
     slowdown: f64,
-    /// Losses counted in any case.
+    /// The slowdown with losses counted in any case.
     slowdown_with_losses: f64,
-    /// The canary's own hosts show their part of it.
+    /// The canary's own hosts show the slowdown, or theirs is not known.
     canary_is_slow: bool,
-    /// The largest that a canary of this stage explains.
+    /// The largest slowdown that a canary of this stage explains.
     max_explained: f64,
-    /// Answers in time are lost.
+    /// The fraction of answers in time is below the reference by more than the margin.
     loses_answers: bool,
     has_baseline: bool,
 }
@@ -82,7 +89,7 @@
         self.loses_answers || self.has_baseline && self.slowdown > HARMFUL_SLOWDOWN
     }
 
-    /// Times slower above which the canary is not promoted.
+    /// The slowdown above which the canary is not promoted.
     fn blocking_threshold(&self) -> f64 {
         if self.has_baseline {
             BLOCKING_SLOWDOWN
@@ -94,25 +101,28 @@
 
 /// What the service's slowdown says of the canary; times are in seconds.
 pub(super) struct SlowdownAssessment {
-    /// It may be the canary's.
+    /// The canary may be the cause.
     may_be_canary: bool,
     is_harmful: bool,
     slowdown_with_losses: f64,
-    /// How long it has lasted.
+    /// For how long the canary may have been the cause.
     duration: f64,
+    /// It has lasted longer than the delay before a roll-back.
     exceeds_delay: bool,
-    /// It came with the stage.
+    /// It began with the stage.
     began_with_stage: bool,
 }
 
 impl SlowdownAssessment {
-    /// Whether the build should be rolled back; a released one only for a slowdown that came with its last stage.
+    /// Whether the build should be rolled back. A released build is rolled back only for a slowdown that began with
+    /// its last stage.
     pub(super) fn calls_for_roll_back(&self, is_released: bool) -> bool {
         self.is_harmful && self.exceeds_delay && (self.began_with_stage || !is_released)
     }
 
-    /// Whether the canary should not be promoted. While the service is harmed, whoever causes it, that holds for a
-    /// time after each start: in a burst a canary's few hosts may be quicker than the baseline's.
+    /// Whether the canary should not be promoted. While the service is harmed, whatever the cause, promotion is
+    /// blocked for a time after each start of a canary host, because during a burst the few hosts of a canary can be
+    /// quicker than the baseline's and make it look better.
     pub(super) fn blocks_promotion(
         &self,
         now: f64,
@@ -130,7 +140,7 @@
 }
 
 impl ServiceSlowdown {
-    /// Takes in the slowdown as it is now.
+    /// Updates the state by the current slowdown and assesses it.
     pub(super) fn assess(
         &mut self,
         now: f64,
@@ -167,9 +177,9 @@
 }
 
 impl Router {
-    /// The service's slowdown as it is now; `stage_share` is the share of the machines that the stage should have.
-    /// Hosts that pause or are lost cost answers, and leave the quick times of all others as they were: what a large
-    /// fleet loses beside them holds a build for a while, but is not its slowdown.
+    /// The current slowdown of the service; `stage_share` is the share of the hosts that should run the canary. Hosts
+    /// that pause or are lost cost answers but leave the quick answer times of all other hosts unchanged. In a large
+    /// fleet such losses alone therefore do not count as a slowdown; they still block promotion for a while.
     pub(super) fn observe_slowdown(
         &mut self,
         stage_share: f64,
--- a/src/decisions/settings.rs
+++ b/src/decisions/settings.rs
@@ -1,4 +1,4 @@
-//! What the decisions keep of the service's settings, worked out once at start.
+//! The service's settings in the form that the decisions use, computed once at the start.
 
 use super::MIN_DURATION;
 use super::admission::is_low_priority;
@@ -14,11 +14,13 @@
 /// One operation; all times are in seconds.
 pub(super) struct Operation {
     pub(super) latency_objective: f64,
+    /// An answer after the latency objective has no value.
     pub(super) late_is_worthless: bool,
-    /// It earns far less for its time than the best operation.
+    /// Its value per unit of time is far below that of the best operation.
     pub(super) low_priority: bool,
     pub(super) idempotency_scope: IdempotencyScope,
-    /// How long a retry is harmless: for ever where idempotent, never where it must not run twice.
+    /// For how long a retry has no second effect: infinite for idempotent operations, 0 for those that must not run
+    /// twice.
     pub(super) idempotency_window: f64,
 }
 
@@ -39,24 +41,24 @@
     }
 }
 
-/// The service's settings as the decisions use them; all times are in seconds.
+/// The service's settings; all times are in seconds.
 pub(super) struct DecisionSettings {
     pub(super) router: RouterId,
     pub(super) routers: u32,
-    /// So many routers that the platform and discovery cannot bear what they do at once.
+    /// There are too many routers for the platform and discovery to serve all of them at once.
     pub(super) is_large_fleet: bool,
     pub(super) zone: Option<ZoneId>,
     pub(super) operations: Vec<Operation>,
-    /// Some operation's idempotency keys are known to the hosts of one cell.
+    /// Some operation's idempotency keys are known only to the hosts of one cell.
     pub(super) idempotency_by_cell: bool,
     pub(super) polls_endpoint_list: bool,
-    /// The time over which all routers spread their first polls for an endpoint list.
+    /// The time over which all routers together spread their first polls for an endpoint list.
     pub(super) poll_spread: f64,
     pub(super) stage_shares: Vec<f64>,
-    /// A timer moves a canary on, unless votes stop it.
+    /// A timer promotes a canary, unless votes stop it.
     pub(super) clock_gated: bool,
     pub(super) vote_pacing: VotePacing,
-    /// How short the stages are, of those that the times of a slowdown are meant for.
+    /// Factor by which the delays of the slowdown assessment are shortened for short stages.
     pub(super) bake_scale: f64,
     pub(super) first_cap: f64,
     pub(super) exposure_window: f64,
@@ -65,9 +67,9 @@
     pub(super) idempotent_only_stages: u32,
     pub(super) sticky_keys: bool,
     pub(super) key_affinity: bool,
-    /// The baseline's machines stay beside the canary's until the release.
+    /// The baseline's hosts stay beside the canary's until the release.
     pub(super) baseline_stays: bool,
-    /// What one disputed answer counts for.
+    /// The weight of a disputed answer, which stands for the wrong answers that are not disputed.
     pub(super) dispute_weight: f64,
     pub(super) drain_grace: f64,
     pub(super) slow_start_initial_fraction: f64,
@@ -76,16 +78,16 @@
     pub(super) overload_multiple: f64,
     pub(super) may_gossip: bool,
     pub(super) may_hedge: bool,
-    /// None where shed requests carry no time to retry after.
+    /// None where responses to shed requests may not carry a time to retry after.
     pub(super) max_retry_after: Option<f64>,
     pub(super) max_attempts: usize,
-    /// How many groups of operations the evidence tells apart.
+    /// The number of slots by which the evidence separates operations.
     pub(super) signal_slots: usize,
     pub(super) tick: f64,
 }
 
 impl DecisionSettings {
-    /// Takes over a service's settings.
+    /// Converts a service's settings.
     pub(super) fn new(settings: &ServiceSettings) -> Self {
         let operations = operations(settings);
         let routers = settings.routers.max(1);
@@ -144,7 +146,7 @@
     }
 }
 
-/// The operations, with those marked that earn little for their time.
+/// The operations, with a mark on those whose value per unit of time is low.
 fn operations(settings: &ServiceSettings) -> Vec<Operation> {
     let value_rate = |operation: &OperationSettings| {
         let cost = if settings.weighted_by_work {
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: hosts that warm up get no more than they can carry.
+//! Slow start: hosts that are warming up get no more attempts than they can carry.
 
 use rand::RngExt;
 
@@ -7,19 +7,20 @@
 use crate::candidates::Candidates;
 use crate::interface::HostEntry;
 
-/// Times its fair share that a host may get while it warms up.
+/// Maximum number of attempts for a host that is warming up, as a multiple of its fair share.
 const MAX_ALLOWANCE: f64 = 1.6;
 
-/// Of the load multiple at which a host that warms up falls over, the part that the allowance may use.
+/// Fraction of the overload multiple that the allowance may use. That multiple is the load at which a host that is
+/// warming up fails, relative to what it can do.
 const ALLOWANCE_OVERLOAD_FRACTION: f64 = 0.5;
 
-/// Times its fair share that a host which warms up may get under these settings.
+/// The attempts that a host may get while it is warming up, as a multiple of its fair share.
 pub(super) fn slow_start_allowance(overload_multiple: f64) -> f64 {
     MAX_ALLOWANCE.min(ALLOWANCE_OVERLOAD_FRACTION * overload_multiple)
 }
 
 impl DecisionSettings {
-    /// The fraction of its work that a host can do by now; 1 once it is warm.
+    /// The fraction of its full work that a host can do at time `now`; 1 once it is warm.
     pub(super) fn warm_up_fraction(&self, host: &HostEntry, now: f64) -> f64 {
         let age = host.started.map_or(f64::INFINITY, |started| now - started);
         let progress = (age / self.slow_start_duration).clamp(0.0, 1.0);
@@ -28,8 +29,9 @@
 }
 
 impl Router {
-    /// Rule 4: one draw for each attempt lets hosts that warm up be chosen at all, so that of all routers together
-    /// such a host gets its fair share of what succeeds, times the allowance, and no more.
+    /// Removes the hosts that are warming up from the candidates unless a random draw admits them. The probability is
+    /// such that a host gets, from all routers together, no more than its fair share of the successful attempts times
+    /// the allowance, which keeps it from being overloaded.
     ///
     /// None where there is no candidate.
     pub(super) fn apply_slow_start(&mut self, now: f64, candidates: &mut Candidates) -> Option<()> {
--- a/src/decisions/thompson_sampling.rs
+++ b/src/decisions/thompson_sampling.rs
@@ -1,8 +1,8 @@
-//! Thompson sampling: which arm gets a request.
+//! Thompson sampling: the arm that gets a request.
 //!
-//! Each arm's chance of an answer in time is drawn from its Beta posterior (Decentralized Thompson Sampling). The
-//! canary always gets a minimum share, and by won draws little more: going up to the cap would load a build into
-//! looking bad.
+//! A probability of an answer in time is drawn from each arm's Beta posterior (Decentralized Thompson Sampling), and
+//! the higher one wins. The canary always gets a minimum share of the requests and only little more by won draws:
+//! filling its cap would load the canary until it looks worse.
 
 use rand::RngExt;
 use rand_distr::{Beta, Distribution};
@@ -12,14 +12,14 @@
 use super::{MIN_DIVISOR, Router};
 use crate::arm::{Arm, PerArm};
 
-/// Times its machines' share that the canary may get by won draws.
+/// Maximum share of the requests that the canary may get by won draws, as a multiple of its minimum share.
 const MAX_CANARY_SHARE_MULTIPLE: f64 = 1.25;
 
-/// Part of its share of the machines beyond which bound keys alone fill the canary's minimum share.
+/// Fraction of the canary's share of the hosts beyond which bound keys alone make up its minimum share.
 const MAX_BOUND_FRACTION_OF_SHARE: f64 = 0.6;
 
 impl Router {
-    /// The arm of a request that both arms can serve; `shares` are what their hosts can carry.
+    /// The arm for a request that both arms can serve; `shares` are the sums of what their hosts can carry.
     pub(super) fn sample_arm(&mut self, now: f64, shares: &PerArm<f64>) -> Arm {
         let minimum = self.minimum_canary_share(shares);
         let dispatched = self.dispatched_fraction(now);
@@ -30,8 +30,9 @@
         Arm::canary_if(draw < minimum || is_won)
     }
 
-    /// Whether the canary holds no more than its machines' part of what is in flight. It matters under pressure
-    /// where keys may not return: bound keys come again and again.
+    /// Whether the canary may get another request under pressure: it must not hold more of the attempts in flight
+    /// than its share of the hosts allows. The check applies only with sticky keys, whose requests keep returning to
+    /// the canary.
     pub(super) fn canary_may_take_more(&self) -> bool {
         if !self.settings.sticky_keys || !self.in_flight.is_under_pressure() {
             return true;
@@ -45,8 +46,8 @@
         canary_in_flight as f64 <= 1.0 + limit
     }
 
-    /// The share of the requests that the canary gets without a draw: its machines' part, less what comes with
-    /// bound keys.
+    /// The share of the requests that the canary gets without a draw: its share of what hosts can carry, less the
+    /// requests of bound keys.
     fn minimum_canary_share(&self, shares: &PerArm<f64>) -> f64 {
         let all = shares.baseline + shares.canary;
         let share = shares.canary / all.max(MIN_DIVISOR);
@@ -61,8 +62,9 @@
         }
     }
 
-    /// The fraction of offered requests that is let in, while the canary is far quicker: then it goes by all that
-    /// came, so that a slow baseline keeps none of its hosts idle. 1 otherwise.
+    /// The ratio of attempts to requests offered by clients, while the canary is much quicker than the baseline;
+    /// otherwise the value is 1. With this ratio the canary's share refers to all requests offered, so that a slow
+    /// baseline does not leave the canary's hosts idle.
     fn dispatched_fraction(&self, now: f64) -> f64 {
         let baseline = self.latency.relative_slowdown(Arm::Baseline);
         let canary = self.latency.relative_slowdown(Arm::Canary);
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Draws an arm's chance of an answer in time from its posterior.
+    /// Draws a probability of an answer in time from an arm's posterior.
     fn thompson_sample(&mut self, arm: Arm) -> f64 {
         let counts = self.evidence.own.counts(None, Signal::InTime, arm);
         Beta::new(1.0 + counts.good, 1.0 + counts.bad)
--- a/src/decisions/timers.rs
+++ b/src/decisions/timers.rs
@@ -1,14 +1,14 @@
-//! Timers that the decisions have scheduled.
+//! The timers that the decisions have scheduled.
 
 use std::collections::BTreeMap;
 
 use crate::interface::{Effect, RequestId, TimerKey};
 
-/// What a timer is for.
+/// What a timer triggers.
 pub(super) enum TimerEvent {
     /// The next gossip round.
     Gossip,
-    /// Subscribing to the endpoint list.
+    /// A subscription to the endpoint list.
     Subscribe,
     /// A hedged attempt of a request.
     Hedge(RequestId),
@@ -22,7 +22,7 @@
 }
 
 impl Timers {
-    /// Whether none was ever scheduled.
+    /// Whether no timer has ever been scheduled.
     pub(super) fn is_unused(&self) -> bool {
         self.last_key == 0
     }
@@ -37,7 +37,7 @@
         });
     }
 
-    /// What an expired timer was for; none for a key that is not known.
+    /// Removes an expired timer and returns its event; none for an unknown key.
     pub(super) fn take(&mut self, key: TimerKey) -> Option<TimerEvent> {
         self.pending.remove(&key.0)
     }
--- a/src/decisions/traffic_rates.rs
+++ b/src/decisions/traffic_rates.rs
@@ -1,9 +1,9 @@
-//! Rates of events that fade over time.
+//! Exponentially smoothed rates of events.
 
-/// Seconds over which a rate is taken: longer than a short jam.
+/// Time constant of the rates, in seconds: longer than a short burst.
 const RATE_TIME_CONSTANT: f64 = 4.0;
 
-/// Events a second, exponentially smoothed.
+/// An exponentially smoothed rate, in events per second.
 #[derive(Clone, Copy)]
 pub(super) struct SmoothedRate {
     per_second: f64,
@@ -11,7 +11,7 @@
 }
 
 impl SmoothedRate {
-    /// A rate of none, as of a time.
+    /// A rate of zero at time `now`, in seconds.
     pub(super) fn new(now: f64) -> Self {
         SmoothedRate {
             per_second: 0.0,
@@ -19,32 +19,32 @@
         }
     }
 
-    /// Lets it fade until now and adds a number of events.
+    /// Decays the rate until `now` and adds a number of events.
     pub(super) fn add(&mut self, now: f64, events: f64) {
         let faded = self.per_second * (-(now - self.updated_at) / RATE_TIME_CONSTANT).exp();
         self.per_second = faded + events / RATE_TIME_CONSTANT;
         self.updated_at = now;
     }
 
-    /// What the rate would be with one more event now.
+    /// The rate with one more event at `now`.
     pub(super) fn with_event(mut self, now: f64) -> f64 {
         self.add(now, 1.0);
         self.per_second
     }
 }
 
-/// The rates of a router's own traffic.
+/// The rates of this router's own traffic.
 pub(super) struct TrafficRates {
-    /// Attempts that were answered in time.
+    /// Attempts answered within the latency objective.
     pub(super) successes: SmoothedRate,
     /// All attempts.
     pub(super) attempts: SmoothedRate,
-    /// Requests that clients sent, whether admitted or not.
+    /// Requests that clients have sent, including those that were shed.
     pub(super) offered: SmoothedRate,
 }
 
 impl TrafficRates {
-    /// Rates of none, as of a time.
+    /// Rates of zero at time `now`, in seconds.
     pub(super) fn new(now: f64) -> Self {
         TrafficRates {
             successes: SmoothedRate::new(now),
--- a/src/decisions/vote_tables.rs
+++ b/src/decisions/vote_tables.rs
@@ -1,18 +1,18 @@
-//! The two tables of voting: the vote that an assessment asks for, and the states of a vote at the platform.
+//! The two tables of voting: the vote for each assessment, and the states of this router's vote at the platform.
 
 use super::canary_assessment::Assessment;
 use crate::interface::Vote;
 
-/// What a router's vote should be, by the assessment of the canary.
+/// The vote for an assessment of the canary.
 struct DesiredVote {
     assessment: Assessment,
-    /// Where votes move a build; none keeps the last.
+    /// Where votes promote a build; none keeps the last vote.
     vote_gated: Option<Vote>,
-    /// Where a timer moves it; none keeps the last.
+    /// Where a timer promotes a build unless votes stop it; none keeps the last vote.
     clock_gated: Option<Vote>,
 }
 
-/// The desired vote of each assessment.
+/// The vote for each assessment.
 const DESIRED_VOTES: [DesiredVote; 6] = [
     DesiredVote {
         assessment: Assessment::Worse,
@@ -49,23 +49,23 @@
 /// The state of this router's vote at the platform.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum VoteState {
-    /// None is cast.
+    /// No vote is cast.
     #[default]
     NoVote,
-    /// It is cast, and not answered.
+    /// A vote is cast and not answered yet.
     Pending,
-    /// The platform has counted it.
+    /// The platform has counted the vote.
     Counted,
 }
 
-/// What may change the state of the vote.
+/// An input to the table of the vote's states.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum VoteInput {
     /// The desired vote is to be cast now.
     Due,
     /// The platform has counted the vote.
     Counted,
-    /// The vote was turned away, or its answer did not come.
+    /// The vote was rejected, or its answer did not arrive.
     Uncertain,
     /// A new build, stage or phase has begun.
     NewStage,
@@ -80,7 +80,7 @@
     pub(super) casts: bool,
 }
 
-/// All transitions; any other input changes nothing.
+/// All transitions. Any other combination of state and input has no effect.
 const VOTE_TRANSITIONS: [VoteTransition; 7] = [
     VoteTransition {
         from: VoteState::NoVote,
@@ -126,7 +126,7 @@
     },
 ];
 
-/// The vote that an assessment asks for; none keeps the last.
+/// The vote for an assessment; none keeps the last vote.
 pub(super) fn desired_vote(assessment: Assessment, is_clock_gated: bool) -> Option<Vote> {
     let row = DESIRED_VOTES
         .iter()
@@ -138,7 +138,7 @@
     }
 }
 
-/// The transition of a state by an input; none changes nothing.
+/// The transition from a state by an input; none where the input has no effect.
 pub(super) fn transition(from: VoteState, input: VoteInput) -> Option<&'static VoteTransition> {
     VOTE_TRANSITIONS
         .iter()
--- a/src/decisions/voting.rs
+++ b/src/decisions/voting.rs
@@ -1,7 +1,7 @@
-//! Voting: what this router votes on the canary, and when.
+//! Voting: how this router votes on the canary, and when.
 //!
-//! A hash of the build and the router names the voters, so that few routers call the platform and all agree on
-//! which. Calls are paced by the rate that the platform accepts.
+//! A hash of the build and the router selects the voters, so that few routers call the platform and all routers agree
+//! on which. The interval between calls follows the rate that the platform accepts.
 
 use super::Router;
 use super::canary_assessment::Assessment;
@@ -15,49 +15,52 @@
     SignalComparison, SignalEvidence, Vote, VoteEvidence,
 };
 
-/// Routers that vote, at least: few enough to agree soon, more than one may be dead.
+/// Minimum number of routers that vote: few enough to reach agreement soon, and more than one in case one is dead.
 const MIN_VOTERS: u32 = 3;
 
-/// Seconds that a build keeps looking worse before the vote to roll it back, for evidence to mix.
+/// Seconds for which the canary must look worse before the vote to roll it back, so that gossip can spread the
+/// evidence.
 const ROLL_BACK_CONFIRM_TIME: f64 = 1.0;
 
-/// Seconds of a stage for which a canary that a timer moves on is held at most.
+/// Maximum time in a stage, in seconds, for which a canary that a timer promotes is held.
 const MAX_HOLD_TIME: f64 = 2.0;
 
-/// Seconds after which a vote is renewed, at least.
+/// Minimum time, in seconds, after which a vote is renewed.
 const MIN_RENEW_INTERVAL: f64 = 5.0;
 
-/// Part of a vote's lifetime after which it is renewed at the latest.
+/// Fraction of a vote's lifetime after which it is renewed at the latest.
 const RENEW_LIFETIME_FRACTION: f64 = 0.8;
 
-/// Turns after which a vote is renewed, at least.
+/// Minimum number of voting rounds after which a vote is renewed, see [`VotePacing`].
 const MIN_RENEW_ROUNDS: f64 = 3.0;
 
-/// Seconds before a vote is cast again that found the platform full, at least.
+/// Minimum time, in seconds, before a vote that the platform rejected as overloaded is cast again.
 const MIN_RECAST_DELAY: f64 = 0.5;
 
-/// Turns before a vote is cast again that found the platform full, at least.
+/// Minimum number of voting rounds before such a vote is cast again.
 const MIN_RECAST_ROUNDS: f64 = 0.5;
 
-/// Turns that a wish to withdraw the vote stands before it is cast; a call stays open for as long.
+/// Number of voting rounds for which `Abstain` must be the desired vote before a vote is withdrawn. A call without an
+/// answer counts as open for as long.
 const WITHDRAW_ROUNDS: f64 = 1.0;
 
-/// Seconds that a wish to withdraw the vote stands before it is cast, at most.
+/// Maximum time, in seconds, for which `Abstain` must be the desired vote before a vote is withdrawn.
 const MAX_WITHDRAW_DELAY: f64 = 3.0;
 
-/// Seconds that a vote goes unmet before the next routers in the hash's order cast it too.
+/// Seconds for which a desired vote must last before the next group of routers in the hash's order casts it too.
 const BACKUP_VOTER_DELAY: f64 = 1.5;
 
-/// How many routers vote, and how fast the platform takes their calls; times are in seconds.
+/// How many routers vote and how fast they call the platform; times are in seconds.
 pub(super) struct VotePacing {
     voters: u32,
-    /// The time in which the platform takes a vote of each voter: renewals and changes of mind count too.
+    /// The duration of a voting round: the time in which the platform accepts one call from each voter, renewals and
+    /// changed votes included.
     round_time: f64,
     renew_interval: f64,
 }
 
 impl VotePacing {
-    /// The pacing by a service's settings.
+    /// The pacing for a service's settings.
     pub(super) fn new(settings: &ServiceSettings) -> Self {
         let needed = settings
             .votes_on
@@ -75,14 +78,15 @@
         }
     }
 
-    /// The delay after which a router of this rank casts a vote that stays unmet: some voters may be dead or cut off.
+    /// The time for which a vote must be desired before a router of this rank casts it, in seconds: 0 for voters.
+    /// Others follow in groups of a third of the number of voters, because voters can be dead or disconnected.
     fn backup_delay(&self, rank: u32) -> f64 {
         let excess_rank = f64::from((rank + 1).saturating_sub(self.voters));
         (excess_rank * f64::from(MIN_VOTERS) / f64::from(self.voters)).ceil() * BACKUP_VOTER_DELAY
     }
 }
 
-/// The number of routers that the hash names before this one for a build.
+/// The number of routers that come before this one in the hash's order for a build.
 pub(super) fn voter_rank(build: BuildId, router: RouterId, routers: u32) -> u32 {
     let sort_key = |router: u32| {
         let hash = hash_mix(hash_mix(u64::from(build.0)) ^ u64::from(router));
@@ -92,24 +96,24 @@
     (0..routers).filter(is_before).count() as u32
 }
 
-/// What this router votes; points in time are in seconds.
+/// The state of this router's vote; points in time are in seconds.
 #[derive(Default)]
 pub(super) struct VotingState {
     state: VoteState,
     /// The vote that was cast last.
     last_cast: Vote,
-    /// What the platform was last known to have counted of this router.
+    /// The vote of this router that the platform is last known to have counted.
     counted: Vote,
     cast_at: f64,
-    /// The time before a vote that was not counted is cast again.
+    /// The delay before a vote that was not counted is cast again.
     recast_delay: f64,
     pub(super) desired: Vote,
     pub(super) desired_since: f64,
-    /// Since when the canary has looked worse.
+    /// The time since which the canary has looked worse.
     worse_since: f64,
-    /// How long the canary was held in this stage.
+    /// For how long the canary has been held in this stage.
     pub(super) hold_time: f64,
-    /// The number of routers that the hash names before this one.
+    /// The number of routers that come before this one in the hash's order.
     pub(super) rank: u32,
 }
 
@@ -121,7 +125,8 @@
         }
     }
 
-    /// Notes the answer to a vote; the next one, where it was not counted, waits for `jitter` times a delay.
+    /// Records the answer to a vote, and sets the delay before a vote that was not counted is cast again, multiplied
+    /// by `jitter`.
     pub(super) fn on_answer(&mut self, may_be_counted: bool, pacing: &VotePacing, jitter: f64) {
         if may_be_counted {
             self.counted = self.last_cast;
@@ -132,7 +137,7 @@
         self.recast_delay = jitter * delay;
     }
 
-    /// A build that only begins to look worse is doubtful.
+    /// Turns `Worse` into `ProbablyWorse` until the canary has looked worse for [`ROLL_BACK_CONFIRM_TIME`].
     fn confirm_worse(&mut self, now: f64, assessment: Assessment) -> Assessment {
         if assessment != Assessment::Worse {
             self.worse_since = now;
@@ -153,9 +158,9 @@
         }
     }
 
-    /// Whether the desired vote is to be cast now. Nothing is cast where nothing stands, nor is a vote withdrawn at
-    /// once that may return: in a large fleet calls for nothing fill the platform, and some of half the voters
-    /// doubt at any time.
+    /// Whether the desired vote should be cast now. There is nothing to withdraw where no vote is counted or pending,
+    /// and a vote is withdrawn only after a delay, because the assessment may change back: in a large fleet, needless
+    /// calls exhaust the platform's rate, and at any time some voters assess the canary as probably worse.
     fn is_due(&self, now: f64, pacing: &VotePacing) -> bool {
         let abstains = self.desired == Vote::Abstain;
         let is_pending = self.state == VoteState::Pending;
@@ -177,7 +182,7 @@
     }
 }
 
-/// Operators' wishes stand beside the evidence: the more careful counts.
+/// Combines the assessment with an operator's override; the more cautious of both counts.
 fn apply_override(assessment: Assessment, requested: Option<&RolloutOverride>) -> Assessment {
     match requested {
         Some(requested) if requested.roll_back => Assessment::Worse,
@@ -187,7 +192,7 @@
 }
 
 impl Router {
-    /// Decides this router's vote on the canary, and casts it where it is due.
+    /// Decides this router's vote on the canary, and casts it when it is due.
     pub(super) fn decide_vote(&mut self, now: f64, effects: &mut Vec<Effect>) {
         let is_voted_on =
             |status: &RolloutStatus| matches!(status.phase, Phase::Canary | Phase::Released);
@@ -208,7 +213,8 @@
             vote
         };
         self.voting.set_desired(now, vote);
-        // Operators' wishes are cast at once and at any rank; others by the voters, then by those next in order.
+        // Votes that operators request are cast at once by every router; others by the voters, and later by the
+        // routers next in order.
         let pacing = &self.settings.vote_pacing;
         let delay = pacing.backup_delay(self.voting.rank);
         let is_voter = requested.is_some() || now - self.voting.desired_since >= delay;
@@ -217,7 +223,8 @@
         }
     }
 
-    /// Holds for one more gossip interval, or no more where the canary was held for long in this stage.
+    /// Votes to hold for one more gossip interval, or abstains once the canary has been held for [`MAX_HOLD_TIME`] in
+    /// this stage.
     fn hold_or_abstain(&mut self) -> Vote {
         self.voting.hold_time += GOSSIP_INTERVAL;
         if self.voting.hold_time > MAX_HOLD_TIME {
@@ -227,7 +234,7 @@
         }
     }
 
-    /// Moves the vote by the table of transitions, and casts it where the table says so.
+    /// Applies an input to the vote's state table, and casts the desired vote where the table says so.
     pub(super) fn advance_vote(&mut self, now: f64, input: VoteInput, effects: &mut Vec<Effect>) {
         let Some(row) = transition(self.voting.state, input) else {
             return;
@@ -242,7 +249,8 @@
         }
     }
 
-    /// Casts the desired vote; a new vote is explained by the first voters, a vote to roll back by all.
+    /// Casts the desired vote. The evidence for a new vote is logged by the first [`MIN_VOTERS`] routers, for a vote
+    /// to roll back by every router.
     fn cast_vote(&mut self, now: f64, status: &RolloutStatus, effects: &mut Vec<Effect>) {
         let vote = self.voting.desired;
         let is_renewal = self.voting.last_cast == vote;
@@ -258,7 +266,7 @@
         }
     }
 
-    /// What speaks for the desired vote.
+    /// The evidence for the desired vote.
     fn vote_evidence(&self, status: &RolloutStatus) -> VoteEvidence {
         VoteEvidence {
             build: status.build,
@@ -271,7 +279,7 @@
         }
     }
 
-    /// The merged evidence of both arms by one signal, over all operations.
+    /// The merged evidence of both arms for one signal, over all operations.
     fn signal_comparison(&self, signal: Signal) -> SignalComparison {
         let arm_evidence = |arm| {
             let counts = self.evidence.merged.counts(None, signal, arm);
