--- a/src/decisions/evidence.rs
+++ b/src/decisions/evidence.rs
@@ -87,12 +87,12 @@
     }
 
     /// The number of counts in a gossip message.
-    pub(super) fn figure_count(&self) -> usize {
+    pub(super) fn flat_counts_len(&self) -> usize {
         4 * self.counts.len()
     }
 
     /// The counts, in the order of a gossip message.
-    pub(super) fn figures(&self) -> impl Iterator<Item = f64> {
+    pub(super) fn flat_counts(&self) -> impl Iterator<Item = f64> {
         self.counts
             .iter()
             .flat_map(|arms| [arms.baseline, arms.canary])
@@ -100,7 +100,7 @@
     }
 
     /// The counts for modification, in the order of a gossip message.
-    pub(super) fn figures_mut(&mut self) -> impl Iterator<Item = &mut f64> {
+    pub(super) fn flat_counts_mut(&mut self) -> impl Iterator<Item = &mut f64> {
         self.counts
             .iter_mut()
             .flat_map(|arms| [&mut arms.baseline, &mut arms.canary])
--- a/src/decisions/gossip.rs
+++ b/src/decisions/gossip.rs
@@ -85,20 +85,22 @@
     fn update(&mut self, now: f64, routers: u32, own_received: f64, own_slowdown: f64) {
         self.last_heard
             .retain(|_, report| now - report.at < PEER_TIMEOUT);
-        let own = own_received.max(1.0);
-        let peers = f64::from(routers - 1).max(MIN_DIVISOR);
+        let own_traffic = own_received.max(1.0);
+        let peer_count = f64::from(routers - 1).max(MIN_DIVISOR);
         let exchanges = 2.0 * PEER_TIMEOUT / GOSSIP_INTERVAL;
-        let reached = peers * (1.0 - (-exchanges / peers).exp());
+        let expected_heard = peer_count * (1.0 - (-exchanges / peer_count).exp());
         let heard = self.last_heard.len() as f64;
-        let live_count = peers * (heard / reached).min(1.0);
+        let live_count = peer_count * (heard / expected_heard).min(1.0);
         let reports = || self.last_heard.values();
-        let weights = reports().map(|report| report.received).sum::<f64>();
-        let others = live_count * weights / heard.max(1.0);
-        let slowdowns = reports()
+        let heard_traffic = reports().map(|report| report.received).sum::<f64>();
+        let peer_traffic = live_count * heard_traffic / heard.max(1.0);
+        let weighted_log_slowdown = reports()
             .map(|report| report.received * report.slowdown.ln())
             .sum::<f64>();
-        self.traffic_share = own / (own + others);
-        self.shared_slowdown = ((own * own_slowdown.ln() + slowdowns) / (own + weights)).exp();
+        self.traffic_share = own_traffic / (own_traffic + peer_traffic);
+        self.shared_slowdown = ((own_traffic * own_slowdown.ln() + weighted_log_slowdown)
+            / (own_traffic + heard_traffic))
+            .exp();
     }
 }
 
@@ -156,12 +158,12 @@
         };
         self.peers.last_heard.insert(from, report);
         let build = self.rollout.status.map(|status| status.build);
-        let has_all_figures = message.figures.len() == self.evidence.own.figure_count();
-        if build != Some(message.build) || !has_all_figures {
+        let has_all_counts = message.counts.len() == self.evidence.own.flat_counts_len();
+        if build != Some(message.build) || !has_all_counts {
             return;
         }
-        let merged = self.evidence.merged.figures_mut();
-        for (merged, theirs) in merged.zip(&message.figures) {
+        let merged = self.evidence.merged.flat_counts_mut();
+        for (merged, theirs) in merged.zip(&message.counts) {
             *merged += MERGE_WEIGHT * (theirs - *merged);
         }
         let sent = if message.is_reply {
@@ -190,11 +192,11 @@
 
     /// Moves this router's evidence to the mean of both routers'; `sent` is what the peer was sent.
     fn merge(&mut self, message: &GossipMessage, sent: Option<Evidence>) {
-        let own = self.evidence.own.figures_mut();
+        let own = self.evidence.own.flat_counts_mut();
         if self.evidence.is_fresh && !message.is_fresh {
             // A restarted router copies its peer's counts: averaging them with its own, which are zero, would halve
             // them.
-            for (own, theirs) in own.zip(&message.figures) {
+            for (own, theirs) in own.zip(&message.counts) {
                 *own = *theirs;
             }
             self.evidence.is_fresh = false;
@@ -203,7 +205,7 @@
             && self.evidence.is_fresh == message.is_fresh
         {
             // Adds half the difference to the evidence as it was sent, which keeps the outcomes recorded since then.
-            for ((own, theirs), sent) in own.zip(&message.figures).zip(sent.figures()) {
+            for ((own, theirs), sent) in own.zip(&message.counts).zip(sent.flat_counts()) {
                 *own = (*own + (theirs - sent) / 2.0).max(0.0);
             }
         }
@@ -219,7 +221,7 @@
                 .map_or(BuildId(0), |status| status.build),
             received: self.exposure.received(),
             slowdown: self.own_slowdown(),
-            figures: self.evidence.own.figures().collect(),
+            counts: self.evidence.own.flat_counts().collect(),
         };
         effects.push(Effect::SendGossip {
             to: Some(to),
--- a/src/decisions/gossip_message.rs
+++ b/src/decisions/gossip_message.rs
@@ -24,8 +24,8 @@
     pub(super) received: f64,
     /// The relative slowdown that the sender observes.
     pub(super) slowdown: f64,
-    /// The sender's evidence, in the order of [`super::evidence::Evidence::figures`].
-    pub(super) figures: Vec<f64>,
+    /// The sender's evidence, in the order of [`super::evidence::Evidence::flat_counts`].
+    pub(super) counts: Vec<f64>,
 }
 
 impl GossipMessage {
@@ -34,8 +34,8 @@
         let mut bytes = vec![u8::from(self.is_reply), u8::from(self.is_fresh)];
         bytes.extend(self.build.0.to_le_bytes());
         let head = [self.received, self.slowdown];
-        for figure in head.iter().chain(&self.figures) {
-            bytes.extend(to_bfloat16(*figure).to_le_bytes());
+        for number in head.iter().chain(&self.counts) {
+            bytes.extend(to_bfloat16(*number).to_le_bytes());
         }
         bytes
     }
@@ -48,7 +48,7 @@
         let is_valid = values
             .iter()
             .all(|value| value.is_finite() && *value >= 0.0);
-        let ([received, slowdown], figures) = values.split_first_chunk()?;
+        let ([received, slowdown], counts) = values.split_first_chunk()?;
         if !is_valid || !rest.is_empty() {
             return None;
         }
@@ -58,14 +58,14 @@
             build: BuildId(u16::from_le_bytes([*low, *high])),
             received: *received,
             slowdown: *slowdown,
-            figures: figures.to_vec(),
+            counts: counts.to_vec(),
         })
     }
 }
 
 /// The upper half of a 32-bit float, rounded; the relative error is at most 1/256.
-fn to_bfloat16(figure: f64) -> u16 {
-    (((figure as f32).to_bits() + ROUNDING_OFFSET) >> DROPPED_BITS) as u16
+fn to_bfloat16(number: f64) -> u16 {
+    (((number as f32).to_bits() + ROUNDING_OFFSET) >> DROPPED_BITS) as u16
 }
 
 /// The number that two little-endian bytes encode.
--- a/src/decisions/settings.rs
+++ b/src/decisions/settings.rs
@@ -69,7 +69,7 @@
     pub(super) key_affinity: bool,
     /// The baseline's hosts stay beside the canary's until the release.
     pub(super) baseline_stays: bool,
-    /// The weight of a disputed answer, which stands for the wrong answers that are not disputed.
+    /// The weight of a disputed answer, which also stands for the wrong answers that are not disputed.
     pub(super) dispute_weight: f64,
     pub(super) drain_grace: f64,
     pub(super) slow_start_initial_fraction: f64,
--- a/src/decisions/voting.rs
+++ b/src/decisions/voting.rs
@@ -62,11 +62,11 @@
 impl VotePacing {
     /// The pacing for a service's settings.
     pub(super) fn new(settings: &ServiceSettings) -> Self {
-        let needed = settings
+        let required_votes = settings
             .votes_on
             .max(settings.votes_back)
             .max(settings.votes_hold);
-        let voters = MIN_VOTERS.max(needed);
+        let voters = MIN_VOTERS.max(required_votes);
         let round_time = f64::from(voters) / settings.vote_rate;
         let renew_interval = MIN_RENEW_INTERVAL
             .max(MIN_RENEW_ROUNDS * round_time)
