--- a/src/decisions/connections.rs
+++ b/src/decisions/connections.rs
@@ -101,9 +101,9 @@
         };
         ConnectionRequirements {
             max_idle,
-            min_rest: MIN_REST,
-            max_resting: MAX_RESTING,
-            write_within: window_left.min(drain_limit).max(MIN_DURATION),
+            min_idle: MIN_REST,
+            max_below_min_idle: MAX_RESTING,
+            write_timeout: window_left.min(drain_limit).max(MIN_DURATION),
         }
     }
 }
--- a/src/decisions/exposure.rs
+++ b/src/decisions/exposure.rs
@@ -126,8 +126,8 @@
         } else {
             1.0
         };
-        let allowed =
-            spare_fraction * self.settings.exposure_spare + cap_fraction * cap * received as f64;
+        let allowed = spare_fraction * self.settings.exposure_allowance
+            + cap_fraction * cap * received as f64;
         sent as f64 + 1.0 <= allowed
     }
 }
--- a/src/decisions/least_loaded.rs
+++ b/src/decisions/least_loaded.rs
@@ -8,7 +8,7 @@
 use crate::arm::Arm;
 use crate::candidates::Candidates;
 use crate::hashing::hash_mix;
-use crate::host_group::{Group, Requirements};
+use crate::host_group::{HostGroup, Requirements};
 use crate::interface::HostId;
 use crate::rendezvous::{RankedHost, WeightedHost, highest_two};
 
@@ -126,14 +126,14 @@
             .arms
             .iter()
             .filter(|entry| entry.1 == choice.arm);
-        let groups: Vec<Group> = arm_groups.map(|entry| entry.0).collect();
+        let groups: Vec<HostGroup> = arm_groups.map(|entry| entry.0).collect();
         let mut index = std::mem::take(&mut self.hosts.index);
         let top_two = index.highest_two(salt, &groups, |id| {
             let host = self.hosts.get(id);
             host.and_then(|host| self.candidate(now, requirements, host, host.weight))
                 .is_some_and(|candidate| {
                     candidate.tier == choice.tier
-                        && (candidates.with_warming_up || !candidate.warming_up)
+                        && (candidates.includes_warming_up || !candidate.warming_up)
                 })
         });
         self.hosts.index = index;
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -119,7 +119,7 @@
 
     /// Starts the gossip rounds and, where the endpoint list is polled, the first poll. [`Router::handle`] does so on
     /// the first event if this was not called; a router without hosts can wait long for that event.
-    pub fn begin(&mut self, now: f64, effects: &mut Vec<Effect>) {
+    pub fn start_timers(&mut self, now: f64, effects: &mut Vec<Effect>) {
         if self.timers.is_unused() {
             self.schedule_first_gossip(now, effects);
             self.poll_first_list(now, effects);
@@ -128,7 +128,7 @@
 
     /// Processes an event and appends the resulting effects. `now` is in seconds and never decreases between calls.
     pub fn handle(&mut self, now: f64, event: Event, effects: &mut Vec<Effect>) {
-        self.begin(now, effects);
+        self.start_timers(now, effects);
         match event {
             Event::EndpointList { scope, entries } => {
                 self.apply_endpoint_list(now, scope, &entries);
@@ -147,15 +147,15 @@
                 attempt,
                 outcome,
                 took,
-                over,
-                unused,
+                request_finished,
+                connection_idle,
                 ..
             } => {
                 let report = AttemptReport {
                     outcome,
                     duration: took,
-                    is_final: over,
-                    idle: unused,
+                    is_final: request_finished,
+                    idle: connection_idle,
                 };
                 self.on_attempt_finished(now, &request, attempt.0, &report, effects);
             }
--- a/src/decisions/requirements.rs
+++ b/src/decisions/requirements.rs
@@ -4,11 +4,11 @@
 use super::request_table::TrackedRequest;
 use super::retry::WAIT_OBJECTIVE_FRACTION;
 use crate::arm::Arm;
-use crate::host_group::{Group, Requirements};
+use crate::host_group::{HostGroup, Requirements};
 use crate::interface::{BuildId, HostEntry, IdempotencyScope};
 
 /// Whether the hosts of a group know the idempotency keys of the host that may already have run the request.
-fn shares_keys(scope: IdempotencyScope, first: &HostEntry, group: &Group) -> bool {
+fn shares_keys(scope: IdempotencyScope, first: &HostEntry, group: &HostGroup) -> bool {
     match scope {
         IdempotencyScope::All => true,
         IdempotencyScope::Zone => first.zone == group.zone,
@@ -57,7 +57,7 @@
     /// Whether hosts of a group may serve a request. An attempt is not started where the time left is shorter than
     /// even the group's quickest answers take. That minimum is limited to a fraction of the time to the objective, so
     /// that hosts which have not answered for long are still tried.
-    fn group_may_serve(&self, now: f64, request: &TrackedRequest, group: &Group) -> bool {
+    fn group_may_serve(&self, now: f64, request: &TrackedRequest, group: &HostGroup) -> bool {
         let scope = self.settings.operations[request.operation].idempotency_scope;
         let knows_key = request
             .first_effect()
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -58,7 +58,7 @@
 
 /// When an attempt times out or is hedged, in seconds.
 struct AttemptTimes {
-    time_out: f64,
+    timeout: f64,
     /// When a hedged attempt follows; none if it does not.
     hedge_at: Option<f64>,
 }
@@ -108,7 +108,7 @@
         effects.push(Effect::StartAttempt {
             request: id.clone(),
             host,
-            time_out: times.time_out,
+            timeout: times.timeout,
             connection,
         });
         if let Some(at) = times.hedge_at {
@@ -143,7 +143,7 @@
         let is_planned = has_room && is_allowed && is_useful;
         let times_out_early = is_planned && !self.settings.may_hedge;
         AttemptTimes {
-            time_out: if times_out_early {
+            timeout: if times_out_early {
                 wait
             } else {
                 useful_until - now
--- a/src/decisions/vote_tables.rs
+++ b/src/decisions/vote_tables.rs
@@ -9,7 +9,7 @@
     /// Where votes promote a build; none keeps the last vote.
     vote_gated: Option<Vote>,
     /// Where a timer promotes a build unless votes stop it; none keeps the last vote.
-    clock_gated: Option<Vote>,
+    timer_gated: Option<Vote>,
 }
 
 /// The vote for each assessment.
@@ -17,32 +17,32 @@
     DesiredVote {
         assessment: Assessment::Worse,
         vote_gated: Some(Vote::RollBack),
-        clock_gated: Some(Vote::RollBack),
+        timer_gated: Some(Vote::RollBack),
     },
     DesiredVote {
         assessment: Assessment::NotWorse,
         vote_gated: Some(Vote::Promote),
-        clock_gated: Some(Vote::Abstain),
+        timer_gated: Some(Vote::Abstain),
     },
     DesiredVote {
         assessment: Assessment::Inconclusive,
         vote_gated: None,
-        clock_gated: Some(Vote::Hold),
+        timer_gated: Some(Vote::Hold),
     },
     DesiredVote {
         assessment: Assessment::ProbablyWorse,
         vote_gated: Some(Vote::Abstain),
-        clock_gated: Some(Vote::Hold),
+        timer_gated: Some(Vote::Hold),
     },
     DesiredVote {
         assessment: Assessment::PromotionBlocked,
         vote_gated: Some(Vote::Abstain),
-        clock_gated: Some(Vote::Hold),
+        timer_gated: Some(Vote::Hold),
     },
     DesiredVote {
         assessment: Assessment::InsufficientData,
         vote_gated: None,
-        clock_gated: Some(Vote::Abstain),
+        timer_gated: Some(Vote::Abstain),
     },
 ];
 
@@ -132,7 +132,7 @@
         .iter()
         .find(|row| row.assessment == assessment)?;
     if is_clock_gated {
-        row.clock_gated
+        row.timer_gated
     } else {
         row.vote_gated
     }
--- a/src/decisions/voting.rs
+++ b/src/decisions/voting.rs
@@ -63,9 +63,9 @@
     /// The pacing for a service's settings.
     pub(super) fn new(settings: &ServiceSettings) -> Self {
         let required_votes = settings
-            .votes_on
-            .max(settings.votes_back)
-            .max(settings.votes_hold);
+            .promote_votes
+            .max(settings.roll_back_votes)
+            .max(settings.hold_votes);
         let voters = MIN_VOTERS.max(required_votes);
         let round_time = f64::from(voters) / settings.vote_rate;
         let renew_interval = MIN_RENEW_INTERVAL
@@ -205,7 +205,7 @@
             requested.roll_back || requested.hold && assessment != Assessment::Worse
         });
         let assessment = apply_override(assessment, requested.as_ref());
-        let vote = desired_vote(assessment, self.settings.clock_gated);
+        let vote = desired_vote(assessment, self.settings.timer_gated);
         let vote = vote.unwrap_or(self.voting.desired);
         let vote = if vote == Vote::Hold && requested.is_none() {
             self.hold_or_abstain()
