--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -50,36 +50,39 @@
 pub struct ManagementInbox {
     mail: Inbox<ManagementMessage>,
     view: Arc<ArcSwap<View>>,
-    in_force: Arc<AtomicU64>,
+    applied_revision: Arc<AtomicU64>,
 }
 
 /// What fronts hold of the loop.
 #[derive(Clone)]
-pub struct LoopHandle {
-    pub post: InboxSender<ManagementMessage>,
+pub struct EventLoopHandle {
+    pub messages: InboxSender<ManagementMessage>,
     pub view: Arc<ArcSwap<View>>,
     /// The revision in force there.
-    pub in_force: Arc<AtomicU64>,
+    pub applied_revision: Arc<AtomicU64>,
 }
 
 impl ManagementInbox {
     /// The two ends: the loop's, and what fronts hold.
-    pub fn open(reactor: &mut Reactor, capacity: usize) -> std::io::Result<(Self, LoopHandle)> {
-        let (mail, post) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
+    pub fn open(
+        reactor: &mut Reactor,
+        capacity: usize,
+    ) -> std::io::Result<(Self, EventLoopHandle)> {
+        let (mail, messages) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
-        let in_force = Arc::new(AtomicU64::new(0));
-        let loop_handle = LoopHandle {
-            post,
+        let applied_revision = Arc::new(AtomicU64::new(0));
+        let event_loop = EventLoopHandle {
+            messages,
             view: view.clone(),
-            in_force: in_force.clone(),
+            applied_revision: applied_revision.clone(),
         };
         Ok((
             ManagementInbox {
                 mail,
                 view,
-                in_force,
+                applied_revision,
             },
-            loop_handle,
+            event_loop,
         ))
     }
 }
@@ -215,7 +218,7 @@
             return;
         };
         management.revision = revision;
-        management.inbox.in_force.store(revision.0, Relaxed);
+        management.inbox.applied_revision.store(revision.0, Relaxed);
         management.revisions_applied += 1;
         let pause = std::mem::take(&mut management.staging_pause).max(now - begun);
         management.longest_pause = management.longest_pause.max(pause);
