--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -52,11 +52,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromotionGate {
     /// A number of votes.
-    Any,
+    VoteCount,
     /// A share of the routers' votes.
-    Share,
+    VoteShare,
     /// A timer, unless votes stop it.
-    Clock,
+    Timer,
 }
 
 /// What the sizes in the endpoint list mean.
@@ -100,7 +100,7 @@
     /// The votes that hold a build.
     pub hold_votes: u32,
     /// The shortest time of a stage, in seconds.
-    pub bake: f64,
+    pub bake_time: f64,
     /// How long a vote counts, in seconds.
     pub vote_lifetime: f64,
     /// How long the platform may take to answer a vote, in seconds.
