--- a/src/decisions/canary_assessment.rs
+++ b/src/decisions/canary_assessment.rs
@@ -42,7 +42,7 @@
 /// By how much the canary's fraction of answers without an error may be below the baseline's.
 const NO_ERROR_MARGIN: f64 = 0.02;
 
-/// By how much the canary's fraction of quick answers may be below the baseline's.
+/// By how much the canary's fraction of quick answers ([`Signal::Quick`]) may be below the baseline's.
 const QUICK_MARGIN: f64 = 0.05;
 
 /// Standard deviation of the fraction of quick answers between hosts of the same build.
@@ -83,7 +83,7 @@
 /// Weighted outcomes below which the canary counts as having none.
 const NO_OUTCOMES_LIMIT: f64 = 1.0;
 
-/// Bake time of a stage, in seconds, that the delays of the slowdown assessment are made for.
+/// Bake time (the minimum duration of a stage), in seconds, that the delays of the slowdown assessment are made for.
 const REFERENCE_BAKE_TIME: f64 = 3.0;
 
 /// Smallest factor by which those delays are shortened where stages bake for less time: disturbances and new builds
--- a/src/decisions/connections.rs
+++ b/src/decisions/connections.rs
@@ -26,11 +26,11 @@
 
 /// Seconds between an answer and the next use of its connection: a second answer can come up to 4 ms after the first,
 /// and would be taken for the answer to the next attempt.
-const MIN_REST: f64 = 0.02;
+const MIN_IDLE: f64 = 0.02;
 
-/// Number of a host's connections unused for less than [`MIN_REST`] from which the one unused for longest is used all
+/// Number of a host's connections unused for less than [`MIN_IDLE`] from which the one unused for longest is used all
 /// the same, as hosts accept few connections.
-const MAX_RESTING: usize = 8;
+const MAX_BELOW_MIN_IDLE: usize = 8;
 
 /// Fraction of the drain grace within which an attempt must be written, so that it arrives before the host has
 /// drained.
@@ -101,8 +101,8 @@
         };
         ConnectionRequirements {
             max_idle,
-            min_idle: MIN_REST,
-            max_below_min_idle: MAX_RESTING,
+            min_idle: MIN_IDLE,
+            max_below_min_idle: MAX_BELOW_MIN_IDLE,
             write_timeout: window_left.min(drain_limit).max(MIN_DURATION),
         }
     }
--- a/src/decisions/exposure.rs
+++ b/src/decisions/exposure.rs
@@ -9,8 +9,8 @@
 /// keys.
 const NEW_KEY_CAP_FRACTION: f64 = 0.85;
 
-/// Fraction of the spare attempts, allowed beyond the cap, that new keys may use.
-const NEW_KEY_SPARE_FRACTION: f64 = 0.5;
+/// Fraction of the exposure allowance (attempts beyond the cap) that new keys may use.
+const NEW_KEY_ALLOWANCE_FRACTION: f64 = 0.5;
 
 /// A request that was received.
 struct ReceivedRequest {
@@ -121,12 +121,12 @@
         } else {
             1.0
         };
-        let spare_fraction = if reserves_headroom {
-            NEW_KEY_SPARE_FRACTION
+        let allowance_fraction = if reserves_headroom {
+            NEW_KEY_ALLOWANCE_FRACTION
         } else {
             1.0
         };
-        let allowed = spare_fraction * self.settings.exposure_allowance
+        let allowed = allowance_fraction * self.settings.exposure_allowance
             + cap_fraction * cap * received as f64;
         sent as f64 + 1.0 <= allowed
     }
