--- a/src/decisions/gossip_message.rs
+++ b/src/decisions/gossip_message.rs
@@ -1,8 +1,8 @@
 //! The format of gossip messages between routers.
 //!
 //! All numbers are little-endian. A message holds one byte that tells whether it is a reply, one byte that tells
-//! whether its sender is fresh, two bytes for the build, and two bytes for each further number: the upper half of a
-//! 32-bit float (bfloat16).
+//! whether its sender is fresh (see [`GossipMessage::is_fresh`]), two bytes for the build, and two bytes for each
+//! further number: the upper half of a 32-bit float (bfloat16).
 
 use crate::interface::BuildId;
 
--- a/src/decisions/least_loaded.rs
+++ b/src/decisions/least_loaded.rs
@@ -68,7 +68,7 @@
     }
 
     /// The salt that selects two of `count` hosts: the key's hash or a random number, reduced to as many values as
-    /// this router's traffic can keep pairs of hosts connected.
+    /// there are pairs of hosts that this router's traffic can keep connected and known.
     fn pair_salt(&mut self, count: f64, key_hash: Option<u64>) -> u64 {
         let salt = key_hash.unwrap_or_else(|| self.rng.random());
         let routers = f64::from(self.settings.routers);
