--- a/src/decisions/request_table.rs
+++ b/src/decisions/request_table.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::interface::{
-    AttemptOutcome, BuildId, HostEntry, KeyId, OperatorOverrides, Pool, RequestId,
+    AttemptOutcome, BuildId, HostEntry, HostPool, KeyId, OperatorOverrides, RequestId,
 };
 
 /// One attempt of a request.
@@ -48,7 +48,7 @@
     pub(super) attempts: Vec<Attempt>,
     pub(super) has_final_answer: bool,
     /// The hosts that may serve it; none: all.
-    pub(super) pool: Option<Arc<Pool>>,
+    pub(super) pool: Option<Arc<HostPool>>,
     /// The operators' overrides in force when it arrived.
     pub(super) overrides: Arc<OperatorOverrides>,
 }
