--- a/datastore/src/lib.rs
+++ b/datastore/src/lib.rs
@@ -26,6 +26,7 @@
 mod host_record;
 mod locks;
 pub mod merge;
+pub mod operational_state;
 mod revision;
 mod route_table;
 mod settings;
@@ -34,9 +35,8 @@
 pub mod tree;
 pub mod tree_builder;
 pub mod validation;
-pub mod view;
 
-pub use access::{Key, Keys, Proof, Rights, RightsError};
+pub use access::{Credential, Key, Keys, Rights, RightsError};
 pub use candidate::{Candidate, InForce};
 pub use check::{DrainedHosts, exceeded_maximums};
 pub use facts::Facts;
