--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -143,7 +143,7 @@
     // A replaced process is gone first: another machine under the same id begins anew.
     let replaced = before.filter(|before| after.is_none_or(|after| before.is_replaced_by(after)));
     let gone = replaced.map(|before| HostEntry {
-        state: HostState::Gone,
+        state: HostState::Removed,
         ..before.entry()
     });
     // A weight is no part of an entry, so that most revisions change none.
