--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -352,7 +352,7 @@
             platform: PlatformLimits {
                 line_bytes: 8 * KIB,
                 pending_votes: 16,
-                vote_timeout: service.vote_wait,
+                vote_timeout: service.vote_timeout,
                 silence_timeout: 3.0,
             },
             reconnect_backoff: BackoffLimits {
--- a/router/src/program/serve.rs
+++ b/router/src/program/serve.rs
@@ -77,7 +77,7 @@
         let level = self.log.unwrap_or(slog::Level::Info);
         let (log, guard) = logs::start(&configuration.name, level, &limits);
         info!(log, "starting"; "version" => env!("CARGO_PKG_VERSION"),
-            "routers" => configuration.service.routers, "me" => configuration.service.me.0);
+            "routers" => configuration.service.routers, "me" => configuration.service.router_id.0);
         let startup_only = StartupOnly::of(&configuration);
         let start = Start {
             log: &log,
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -415,7 +415,7 @@
             key,
             pool,
             time_left,
-            again: command_fields.is_retry,
+            is_retry: command_fields.is_retry,
             command,
         }))
     }
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -125,8 +125,10 @@
         on: ConnectionRequirements,
     ) -> Option<SocketId> {
         let max_idle = on.max_idle.min(event_loop.limits.upstream.idle_timeout);
-        let rested_since = now - on.min_rest;
-        while let Some((id, idle_since)) = self.idle.take_rested(host, rested_since, on.max_resting)
+        let rested_since = now - on.min_idle;
+        while let Some((id, idle_since)) =
+            self.idle
+                .take_rested(host, rested_since, on.max_below_min_idle)
         {
             // Its host may be closing it by now; what is written then is reset, and may not be repeated.
             if now - idle_since > max_idle {
