--- a/src/interface/effects.rs
+++ b/src/interface/effects.rs
@@ -1,96 +1,97 @@
-//! What comes out of the decisions.
+//! Effects: the actions that the decisions ask the adapter to carry out.
 
 use super::ids::{AttemptNumber, BuildId, HostId, RequestId, RouterId, TimerKey};
 use super::rollout::{Vote, VoteEvidence};
 
-/// On which connection an attempt may go, and by when; times in seconds.
+/// Which connection an attempt may use, and by when the request must be written. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionRequirements {
-    /// On none that has been idle for longer.
+    /// A connection that has been idle for longer than this is not used.
     pub max_idle: f64,
-    /// On none whose last answer came less than this ago: answers carry no id, and a second one that comes late
-    /// would be taken for this attempt's own.
+    /// A connection whose last response came less than this ago is not used. Responses carry no id, so a late second
+    /// response to the previous request would be taken for the response to this attempt.
     pub min_idle: f64,
-    /// But where as many of a host's connections rest, the one that has rested for longest is used.
+    /// Once a host has this many idle connections and all of them have been idle for less than `min_idle`, the one
+    /// that has been idle longest is used all the same.
     pub max_below_min_idle: usize,
-    /// What is not written to its last byte by then is given up, and has never run: it may be too late for a
-    /// retry, or the host may be draining by now.
+    /// The time in which the last byte of the request must be written. After that the attempt is abandoned without
+    /// having run: it may be too late for a retry, or the host may be draining.
     pub write_timeout: f64,
 }
 
-/// What a router wants done.
+/// An action that a router's decisions ask the adapter to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Forward a request to a host.
     StartAttempt {
-        /// The request.
+        /// The request to forward.
         request: RequestId,
-        /// The host.
+        /// The host to forward it to.
         host: HostId,
-        /// The time that the host has to answer, in seconds.
+        /// How long to wait for the response, in seconds.
         timeout: f64,
-        /// The connection that it may use.
+        /// Which connection to the host may be used.
         connection: ConnectionRequirements,
     },
     /// Cancel an attempt.
     CancelAttempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which of its attempts.
+        /// The attempt to cancel.
         attempt: AttemptNumber,
     },
-    /// A final answer: the request had no effect and may be retried, not before `retry_after`.
+    /// Reply to the client that its request had no effect and may be retried, no earlier than after `retry_after`.
     ShedRequest {
-        /// The request.
+        /// The request to shed.
         request: RequestId,
-        /// The time to wait, in seconds.
+        /// How long the client should wait before it retries, in seconds; `None` to leave this open.
         retry_after: Option<f64>,
     },
-    /// A final answer that promises nothing about effects.
+    /// Reply to the client that its request failed; it may have had an effect.
     FailRequest {
-        /// The request.
+        /// The request that failed.
         request: RequestId,
     },
     /// Schedule a timer.
     ScheduleTimer {
-        /// When it expires.
+        /// The point in time at which the timer expires, in seconds.
         at: f64,
-        /// What comes back with it.
+        /// The key to return with [`Event::TimerExpired`](super::Event::TimerExpired).
         key: TimerKey,
     },
     /// Check the health of a host.
     StartHealthCheck {
-        /// The host.
+        /// The host to check.
         host: HostId,
     },
     /// Close the idle connections to a host.
     CloseIdleConnections {
-        /// The host.
+        /// The host that the connections lead to.
         host: HostId,
     },
-    /// Send a gossip message to one router, or to all.
+    /// Send a gossip message to one router or to all others.
     SendGossip {
-        /// The router; none: all.
+        /// The receiving router; `None` to send it to all other routers.
         to: Option<RouterId>,
-        /// The message.
+        /// The encoded message.
         payload: Vec<u8>,
     },
-    /// Vote on a canary at the platform.
+    /// Send a vote on a canary to the platform.
     CastVote {
-        /// The build.
+        /// The canary build.
         build: BuildId,
-        /// The stage that the vote is about.
+        /// The stage of the rollout that the vote applies to, from 0.
         stage: u32,
-        /// The vote.
+        /// The vote to cast.
         vote: Vote,
     },
     /// Subscribe to the endpoint list, or end the subscription.
     SubscribeEndpointList {
-        /// Whether to subscribe.
+        /// `true` to subscribe, `false` to unsubscribe.
         on: bool,
     },
-    /// Fetch the endpoint list once.
+    /// Fetch the endpoint list once, without a subscription.
     FetchEndpointList,
-    /// Log why a vote is cast.
+    /// Log the evidence for a vote that is being cast.
     ExplainVote(VoteEvidence),
 }
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -1,91 +1,93 @@
-//! The endpoint list: its entries, and pools of hosts.
+//! The endpoint list and its entries, pools of hosts, and hosts' load reports.
 
 use super::ids::{BuildId, CellId, HostId, MachineKindId, ZoneId};
 
 /// The state of a host in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
-    /// It takes requests.
+    /// The host accepts requests.
     Running,
-    /// It is draining.
+    /// The host is draining.
     Stopping,
-    /// It has left.
+    /// The host has been removed from the service.
     Gone,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostEntry {
-    /// The host.
+    /// The id of the host.
     pub host: HostId,
-    /// The build that it runs.
+    /// The build that the host runs.
     pub build: BuildId,
-    /// Its zone.
+    /// The zone that the host is in.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The cell that the host belongs to.
     pub cell: CellId,
-    /// Its kind of machine.
+    /// The kind of machine that the host runs on.
     pub kind: MachineKindId,
-    /// Its capacity, 1 being a standard machine.
+    /// The host's capacity relative to a standard machine, whose size is 1.
     pub size: f64,
-    /// When it last started; `None` is long ago.
+    /// The point in time at which the host's process started, in seconds; `None` if that was too long ago to matter.
     pub started: Option<f64>,
-    /// Whether it takes requests.
+    /// Whether the host accepts requests.
     pub state: HostState,
 }
 
 impl HostEntry {
-    /// Whether both entries are of one process: an id may come back with another start or build.
+    /// Whether both entries describe the same process. A host id can be reused by a process with another build or
+    /// start time.
     pub fn same_process(&self, other: &HostEntry) -> bool {
         self.build == other.build && self.started == other.started
     }
 }
 
-/// The hosts that a route's requests may use; an empty list is no condition. It narrows and never widens.
+/// The hosts that a route's requests may use. Each non-empty list is a condition that a host must meet; an empty list
+/// allows any host. A pool only restricts which hosts the decisions choose from.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
-    /// The zones of its hosts.
+    /// The allowed zones.
     pub zones: Vec<ZoneId>,
-    /// The kinds of its hosts.
+    /// The allowed kinds of machine.
     pub kinds: Vec<MachineKindId>,
-    /// Its hosts, where they are named one by one.
+    /// The allowed hosts.
     pub hosts: Vec<HostId>,
 }
 
 impl Pool {
     /// Whether this host is in the pool.
     pub fn contains(&self, host: &HostEntry) -> bool {
-        let named = self.hosts.is_empty() || self.hosts.contains(&host.host);
-        named && self.may_contain(host.zone, host.kind)
+        let is_listed = self.hosts.is_empty() || self.hosts.contains(&host.host);
+        is_listed && self.may_contain(host.zone, host.kind)
     }
 
-    /// Whether hosts of this zone and kind may be in the pool.
+    /// Whether the pool allows hosts of this zone and kind of machine, regardless of its list of hosts.
     pub fn may_contain(&self, zone: ZoneId, kind: MachineKindId) -> bool {
         let in_zone = self.zones.is_empty() || self.zones.contains(&zone);
         in_zone && (self.kinds.is_empty() || self.kinds.contains(&kind))
     }
 }
 
-/// What an endpoint list holds.
+/// Which entries an endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Only the changed entries.
+    /// Only the entries that have changed.
     Delta,
-    /// The full list.
+    /// All entries; a host that is not listed has left.
     Full,
-    /// The full list as this router had it last; it may be old.
+    /// All entries as this router last stored them; they may be out of date.
     Cached,
 }
 
-/// A host's report on its own load, as far as it was sent.
+/// The load that a host reports on itself. A value that the host did not send is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub in_flight: Option<f64>,
-    /// Requests that wait in its queue.
+    /// The number of requests waiting in the host's queue.
     pub queued: Option<f64>,
-    /// The fraction of its capacity that is busy.
+    /// The fraction of the host's capacity that is busy.
     pub busy: Option<f64>,
-    /// The time that a request takes, in seconds.
+    /// The time that the host takes to serve a request, in seconds.
     pub service_time: Option<f64>,
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What goes into the decisions.
+//! Events: what the adapter reports to the decisions.
 
 use std::sync::Arc;
 
@@ -9,157 +9,158 @@
 use super::operators::OperatorOverrides;
 use super::rollout::RolloutStatus;
 
-/// How an attempt, a health check or a vote ended.
+/// How an attempt, a health check or the call that casts a vote ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// An answer came.
+    /// It was answered without an error.
     Succeeded,
-    /// The host answered with an error.
+    /// It was answered with an error.
     Error,
-    /// The host rejected it, with no effect.
+    /// It was rejected without an effect.
     Rejected,
-    /// No answer came in its time; it may have run.
+    /// No answer came in time; it may have taken effect.
     TimedOut,
-    /// No connection was made, so it has not run.
+    /// No connection was established, so it had no effect.
     NoConnection,
-    /// The connection was reset; it may have run.
+    /// The connection was reset; it may have taken effect.
     Reset,
     /// This router cancelled it.
     Cancelled,
-    /// It did not matter any more.
+    /// Its result was no longer needed.
     Irrelevant,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// The id that the adapter gave the request.
     pub id: RequestId,
-    /// The operation that it asks for.
+    /// The requested operation.
     pub operation: OperationId,
-    /// What it concerns.
+    /// The key that the request reads or changes, if it has one.
     pub key: Option<KeyId>,
-    /// The time before the client stops waiting for this request, in seconds.
+    /// How much longer the client waits for the response, in seconds.
     pub time_left: f64,
-    /// Expected work, rough, in seconds of a standard core.
+    /// A rough estimate of the work, in seconds of a standard core; `None` if it is unknown.
     pub work: Option<f64>,
-    /// Whether the client sends it again after an earlier try.
+    /// Whether the client has sent the request before and is retrying it.
     pub is_retry: bool,
-    /// The hosts that may serve it; none: all.
+    /// The hosts that may serve the request; `None` if all hosts may.
     pub pool: Option<Arc<Pool>>,
 }
 
-/// What happens to a router.
+/// Something that happened to a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An endpoint list has come.
+    /// An endpoint list has arrived.
     EndpointList {
-        /// What it holds.
+        /// Which entries the list contains.
         scope: ListScope,
-        /// Its entries.
+        /// The entries.
         entries: Arc<[HostEntry]>,
     },
-    /// Part of a long list, handed over ahead: nothing of it counts before the next `OperatorOverridesApplied` or
-    /// `EndpointList`.
+    /// Part of a long endpoint list, delivered ahead of time. Its entries take effect with the next
+    /// `OperatorOverridesApplied` or `EndpointList`.
     EndpointsStaged {
         /// The whole list.
         entries: Arc<[HostEntry]>,
-        /// The first entry of this part.
+        /// The index of the first entry of this part.
         from: usize,
-        /// The end of this part, exclusive.
+        /// The index after the last entry of this part.
         to: usize,
     },
-    /// A revision of the operators' settings is in force, with all that was staged for it and these entries.
+    /// A revision of the operators' settings takes effect, together with all entries staged for it and these.
     OperatorOverridesApplied {
-        /// What operators have set.
+        /// The operators' settings.
         overrides: Arc<OperatorOverrides>,
-        /// The changed entries.
+        /// The entries that have changed and were not staged.
         entries: Arc<[HostEntry]>,
     },
-    /// The endpoint list could not be had, or its watch broke.
+    /// The endpoint list could not be fetched, or the subscription to it broke.
     EndpointListFailed,
-    /// A client's request has come.
+    /// A client has sent a request.
     RequestReceived(Request),
-    /// A streamed answer has begun: the request is final.
+    /// A host has begun to stream its response, so the request can no longer be retried.
     ResponseStarted {
-        /// The request.
+        /// The request that is being answered.
         request: RequestId,
-        /// The attempt that is answered.
+        /// The attempt that is being answered.
         attempt: AttemptNumber,
-        /// Its host.
+        /// The host that answers.
         host: HostId,
     },
     /// An attempt has ended.
     AttemptFinished {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which of its attempts.
+        /// The attempt that ended.
         attempt: AttemptNumber,
-        /// Its host.
+        /// The host that the attempt was sent to.
         host: HostId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// Whether the request has its final answer.
+        /// Whether the request needs no more attempts: the client has its final response or no longer waits for it.
         request_finished: bool,
-        /// The time that it took, in seconds.
+        /// How long the attempt took, in seconds.
         took: f64,
-        /// What the host reported with its answer.
+        /// The load that the host reported with its response.
         load: LoadReport,
-        /// How long its connection had been idle, in seconds, where the carrier knows; 0 for a new one.
+        /// How long the connection had been idle before the attempt, in seconds; 0 for a new connection, `None` if the
+        /// adapter does not know.
         connection_idle: Option<f64>,
     },
-    /// The client has closed its connection.
+    /// A client has closed its connection.
     ClientDisconnected {
-        /// Its request.
+        /// The client's request.
         request: RequestId,
     },
     /// A timer has expired.
     TimerExpired {
-        /// The key that it was scheduled with.
+        /// The key that the timer was scheduled with.
         key: TimerKey,
     },
     /// A health check has ended.
     HealthCheckFinished {
-        /// The host.
+        /// The host that was checked.
         host: HostId,
-        /// How it ended.
+        /// How the check ended.
         outcome: AttemptOutcome,
-        /// The time that it took, in seconds.
+        /// How long the check took, in seconds.
         took: f64,
-        /// What the host reported.
+        /// The load that the host reported with its response.
         load: LoadReport,
     },
-    /// A peer's gossip message has come.
+    /// A gossip message from another router has arrived.
     GossipReceived {
-        /// The peer.
+        /// The sender.
         from: RouterId,
-        /// The message.
+        /// The encoded message.
         payload: Vec<u8>,
     },
-    /// The platform has told the state of the rollout, or answered a vote.
+    /// The platform has sent the state of the rollout, or has answered a vote.
     RolloutStatusReceived(RolloutStatus),
-    /// Figures of a build, as others measured them.
+    /// Metrics of a build, measured outside of this router.
     BuildMetrics {
-        /// The build.
+        /// The build that was measured.
         build: BuildId,
-        /// The operation.
+        /// The operation that was measured.
         operation: OperationId,
-        /// Attempts counted.
+        /// The number of attempts.
         attempts: f64,
-        /// Attempts that failed.
+        /// The number of attempts that failed.
         failed: f64,
-        /// Their mean time, in seconds.
+        /// The mean duration of an attempt, in seconds.
         mean_time: f64,
-        /// How old the figures are, in seconds.
+        /// The age of the metrics, in seconds.
         age: f64,
     },
-    /// An answer that was given turned out to be wrong.
+    /// A response that was delivered has turned out to be wrong.
     AnswerDisputed {
-        /// The host that gave it.
+        /// The host that gave the response.
         host: HostId,
-        /// The operation.
+        /// The operation that the response belongs to.
         operation: OperationId,
-        /// How long ago it was given, in seconds.
+        /// How long ago the response was given, in seconds.
         age: f64,
     },
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,8 +1,8 @@
-//! Plain types between the decisions and whatever carries them: identifiers, the events that go in, the effects
-//! that come out, and the settings read at start.
+//! The types between the decisions and the adapter that runs them: identifiers, the events that the decisions receive,
+//! the effects that they return, and the settings that they start with.
 //!
-//! All times are seconds as `f64`, durations and points in time alike; a point in time is counted from an origin
-//! that the carrier chooses once. Nothing here decides, and nothing here knows a wire protocol.
+//! All times are `f64` in seconds, both durations and points in time. Points in time are counted from an origin that
+//! the adapter chooses once. This module contains no decisions and depends on no wire protocol.
 
 mod effects;
 mod endpoints;
--- a/src/interface/operators.rs
+++ b/src/interface/operators.rs
@@ -1,43 +1,45 @@
-//! What operators have set: weights, and what they ask of a canary.
+//! What operators set at run time: weights of hosts, and restrictions of a canary's rollout.
 
 use super::ids::{BuildId, HostId, Revision};
 
-/// What operators ask of a canary. It can only hold it, roll it back or lower its cap.
+/// What operators demand of a canary. They can hold it, roll it back or lower its cap, but never promote it or raise
+/// its cap.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutOverride {
-    /// The build that it is about.
+    /// The canary build.
     pub build: BuildId,
-    /// Do not promote it.
+    /// Whether the canary must not be promoted.
     pub hold: bool,
-    /// Roll it back.
+    /// Whether the canary must be rolled back.
     pub roll_back: bool,
-    /// The largest share of the requests that it may get.
+    /// The largest share of the requests that the canary may get.
     pub cap: f64,
 }
 
-/// What operators have set, as of one revision. Weights only narrow: they share out what the decisions let a host
-/// have.
+/// The operators' settings as of one revision. Weights divide traffic among the hosts that the decisions allow; they
+/// never raise a limit that the decisions keep.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorOverrides {
-    /// The revision that committed it.
+    /// The revision that committed the settings.
     pub revision: Revision,
-    /// In ascending order of hosts; hosts that are not listed weigh 1.
+    /// The weights of hosts, in ascending order of host ids. A host that is not listed has the weight 1.
     pub weights: Box<[(HostId, f64)]>,
-    /// What they ask of a canary.
+    /// What operators demand of a canary, if anything.
     pub rollout: Option<RolloutOverride>,
 }
 
 impl OperatorOverrides {
-    /// Returns a lookup of weights, to be called with hosts in ascending order.
+    /// Returns a function that looks up a host's weight. It must be called with hosts in ascending order of their ids.
     pub fn weights_in_order(&self) -> impl FnMut(HostId) -> f64 {
-        let mut left = &self.weights[..];
+        let mut remaining = &self.weights[..];
         move |host| {
-            while let [(first, _), rest @ ..] = left
+            while let [(first, _), rest @ ..] = remaining
                 && *first < host
             {
-                left = rest;
+                remaining = rest;
             }
-            left.first()
+            remaining
+                .first()
                 .filter(|(first, _)| *first == host)
                 .map_or(1.0, |(_, weight)| *weight)
         }
--- a/src/interface/rollout.rs
+++ b/src/interface/rollout.rs
@@ -1,4 +1,4 @@
-//! The rollout of a build: its state, votes on it, and what speaks for them.
+//! The rollout of a build: its status, the votes on it, and the evidence for a vote.
 
 use std::fmt;
 
@@ -8,30 +8,31 @@
 /// The phase of a build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It is the canary: part of the machines run it, under a cap.
+    /// The build is the canary: some of the machines run it, and a cap limits its share of the requests.
     Canary,
-    /// It is being rolled back.
+    /// The build is being rolled back.
     RollingBack,
-    /// It is released to all machines.
+    /// The build is released to all machines.
     Released,
-    /// It has been rolled back.
+    /// The build has been rolled back.
     RolledBack,
 }
 
-/// The state of a rollout, as the platform told it.
+/// The status of a rollout, as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutStatus {
-    /// Other than `Succeeded`: the answer to a vote that did not count, or (timed out) may have.
+    /// `Succeeded` if this reports the status. Any other outcome answers a vote, and the status is ignored: the vote was
+    /// counted if the outcome is `Irrelevant`, may have been counted if it is `TimedOut`, and otherwise was not.
     pub outcome: AttemptOutcome,
     /// The newest build.
     pub build: BuildId,
-    /// Its stage, from 0.
+    /// The stage of its rollout, from 0.
     pub stage: u32,
-    /// Its phase.
+    /// The phase of its rollout.
     pub phase: Phase,
-    /// The largest share of the requests that it may get.
+    /// The largest share of the requests that the build may get.
     pub cap: f64,
-    /// The time since this state began, in seconds.
+    /// The time since this stage or phase began, in seconds.
     pub age: f64,
     /// Whether this is the answer to a vote of this router.
     pub answers_vote: bool,
@@ -40,64 +41,64 @@
 /// A router's vote on a canary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Vote {
-    /// No vote, or a vote withdrawn.
+    /// Cast no vote, or withdraw the last one.
     #[default]
     Abstain,
-    /// To the next stage.
+    /// Move the canary on to the next stage.
     Promote,
-    /// Stay at this stage.
+    /// Keep the canary at its stage.
     Hold,
-    /// Back to the baseline.
+    /// Return to the baseline.
     RollBack,
 }
 
-/// What the merged evidence says of one arm by one quality signal.
+/// The evidence for one quality signal of one arm of the comparison (baseline or canary), merged from the routers' gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SignalEvidence {
-    /// The fraction of good outcomes; 0 where there are hardly any.
+    /// The fraction of good outcomes; 0 if there are hardly any outcomes.
     pub good_fraction: f64,
-    /// The outcomes, weighted and faded.
+    /// The number of outcomes, weighted and decayed with age.
     pub outcomes: f64,
 }
 
-/// Written as fraction and outcomes: `0.98/120`.
+/// Formats the fraction and the number of outcomes: `0.98/120`.
 impl fmt::Display for SignalEvidence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:.2}/{:.0}", self.good_fraction, self.outcomes)
     }
 }
 
-/// One quality signal of both arms.
+/// The evidence for one quality signal of both arms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SignalComparison {
-    /// The build, or builds, before the canary.
+    /// The evidence for the builds before the canary.
     pub baseline: SignalEvidence,
-    /// The canary.
+    /// The evidence for the canary.
     pub canary: SignalEvidence,
 }
 
-/// Written as baseline and canary: `0.98/120:0.71/14`.
+/// Formats the baseline and the canary: `0.98/120:0.71/14`.
 impl fmt::Display for SignalComparison {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.baseline, self.canary)
     }
 }
 
-/// What speaks for a vote.
+/// The evidence that a vote is based on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VoteEvidence {
-    /// The build that the vote is about.
+    /// The canary build.
     pub build: BuildId,
-    /// Its stage.
+    /// The stage of its rollout, from 0.
     pub stage: u32,
     /// The vote.
     pub vote: Vote,
-    /// Answers within the latency objective.
+    /// Responses within the latency objective.
     pub in_time: SignalComparison,
-    /// Answers without an error.
+    /// Responses without an error.
     pub no_error: SignalComparison,
-    /// Answers as quick as the quick ones of the baseline.
+    /// Responses as fast as the fast responses of the baseline.
     pub quick: SignalComparison,
-    /// How many times slower hosts are than before the canary, as all routers see it.
+    /// The factor by which hosts respond slower than before the canary, according to all routers.
     pub relative_slowdown: f64,
 }
