--- a/src/host_index.rs
+++ b/src/host_index.rs
@@ -1,8 +1,8 @@
-//! An index of the hosts in use, so that a request need not look at all of them.
+//! An index of the hosts in use, so that the cost of a request does not grow with the number of hosts.
 //!
-//! It is kept up to date by what happens to each host. Hosts that a request cannot tell apart form a [`HostGroup`]; those
-//! that stand out (warming up, ejected or failing) are listed one by one. What stands out is decided in
-//! [`crate::decisions`].
+//! The index is updated whenever a host changes. Hosts that are equivalent for a request form a [`HostGroup`]. A host is
+//! settled if it is neither warming up nor ejected nor failing, which is decided in [`crate::decisions`]. Settled hosts
+//! are summed by group; unsettled ones are kept in a list, as each of them has to be checked for each request.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,40 +11,41 @@
 use crate::interface::{BuildId, HostId};
 use crate::rendezvous::{RankedHost, RendezvousRankings, WeightedHost};
 
-/// More changed hosts than this at once are not followed one by one in the rankings, which are filled anew.
-const FOLLOWED_AT_ONCE: usize = 64;
+/// The largest number of changed hosts for which an update adjusts the rankings host by host. A larger update clears
+/// the rankings, which are then rebuilt as they are needed.
+const MAX_INCREMENTAL_CHANGES: usize = 64;
 
-/// What the index keeps of one host.
+/// What the index records of one host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct IndexedHost {
     pub(crate) group: HostGroup,
     pub(crate) size: f64,
-    /// Its weight among the hosts in use, 1 being an even share.
+    /// The host's weight among the hosts in use; 1 is an even share.
     pub(crate) weight: f64,
-    /// Neither warming up nor ejected nor failing: until something happens to it, it stays so.
+    /// Neither warming up nor ejected nor failing. A settled host stays so until an event changes its state.
     pub(crate) settled: bool,
-    /// The fraction of its attempts that came to nothing.
+    /// The fraction of the host's attempts that failed.
     pub(crate) failure_rate: f64,
-    /// The time of its answers over that of quick ones.
+    /// The host's response time relative to that of fast responses.
     pub(crate) slowdown: f64,
 }
 
 impl IndexedHost {
-    /// Whether both count alike in the sums of their group.
+    /// Whether both records contribute the same to the sums of their group.
     fn counts_as(&self, other: &IndexedHost) -> bool {
-        let of = |of: &IndexedHost| (of.group, of.size, of.weight, of.settled);
-        of(self) == of(other)
+        let key = |host: &IndexedHost| (host.group, host.size, host.weight, host.settled);
+        key(self) == key(other)
     }
 }
 
-/// The hosts of one group with their weights, and the sum of those that are settled.
+/// The hosts of one group with their weights, and the sum of size times weight over the settled ones.
 #[derive(Clone, Debug, Default)]
 struct Members {
     hosts: BTreeMap<HostId, f64>,
     settled: HostSum,
 }
 
-/// Sums over all hosts of one build.
+/// The number of hosts of one build, and sums over them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct BuildSums {
     pub(crate) hosts: usize,
@@ -68,7 +69,7 @@
         self.slowdown -= host.slowdown;
     }
 
-    /// The sums without one host, where it is of them.
+    /// Returns the sums without one host, if one is given; it must be of this build.
     pub(crate) fn without(mut self, host: Option<&IndexedHost>) -> Self {
         if let Some(host) = host {
             self.subtract(host);
@@ -77,7 +78,7 @@
     }
 }
 
-/// All hosts in use, by group and by build.
+/// The hosts in use, by id, by group and by build.
 #[derive(Default)]
 pub(crate) struct HostIndex {
     hosts: BTreeMap<HostId, IndexedHost>,
@@ -88,23 +89,24 @@
 }
 
 impl HostIndex {
-    /// The number of hosts in use.
+    /// Returns the number of hosts in use.
     pub(crate) fn len(&self) -> usize {
         self.hosts.len()
     }
 
-    /// What the index keeps of a host; none while it is not in use.
+    /// Returns the record of a host, or `None` if the host is not in use.
     pub(crate) fn get(&self, host: HostId) -> Option<&IndexedHost> {
         self.hosts.get(&host)
     }
 
-    /// The groups that have hosts, in ascending order.
+    /// Returns the groups that have hosts, in ascending order.
     pub(crate) fn groups(&self) -> impl Iterator<Item = &HostGroup> {
         self.groups.keys()
     }
 
-    /// By arm, the settled hosts that a request may go to with the sum of size times weight, but for those that it has
-    /// tried; and the latter, where they are settled.
+    /// Returns, for each arm, the number of settled hosts that may serve a request and the sum of their size times
+    /// weight. Hosts that the request was already sent to are left out; those of them that are settled and may serve the
+    /// request are returned separately.
     pub(crate) fn settled(&self, requirements: &Requirements) -> (PerArm<HostSum>, Vec<HostId>) {
         let mut sums = PerArm::<HostSum>::default();
         for (group, arm) in &requirements.arms {
@@ -116,52 +118,52 @@
         }
         let mut tried = vec![];
         for host in &requirements.tried {
-            let Some(of) = self.hosts.get(host).filter(|of| of.settled) else {
+            let Some(indexed) = self.hosts.get(host).filter(|indexed| indexed.settled) else {
                 continue;
             };
             let Some(arm) = requirements
-                .arm(&of.group)
+                .arm(&indexed.group)
                 .filter(|_| !tried.contains(host))
             else {
                 continue;
             };
             sums[arm].hosts -= 1;
-            sums[arm].share -= of.size * of.weight;
+            sums[arm].share -= indexed.size * indexed.weight;
             tried.push(*host);
         }
         (sums, tried)
     }
 
-    /// The builds that have hosts, in ascending order.
+    /// Returns the builds that have hosts, in ascending order.
     pub(crate) fn builds(&self) -> impl Iterator<Item = BuildId> {
         self.builds.keys().copied()
     }
 
-    /// The hosts of some builds, with the sum of their sizes.
-    pub(crate) fn sum(&self, of: impl Fn(BuildId) -> bool) -> HostSum {
-        let builds = self.builds.iter().filter(|(build, _)| of(**build));
-        builds.fold(HostSum::default(), |sum, (_, of)| HostSum {
-            hosts: sum.hosts + of.hosts,
-            share: sum.share + of.size,
+    /// Returns the number of hosts of the selected builds, and the sum of their sizes.
+    pub(crate) fn sum(&self, selects: impl Fn(BuildId) -> bool) -> HostSum {
+        let builds = self.builds.iter().filter(|(build, _)| selects(**build));
+        builds.fold(HostSum::default(), |sum, (_, of_build)| HostSum {
+            hosts: sum.hosts + of_build.hosts,
+            share: sum.share + of_build.size,
         })
     }
 
-    /// The sums over the hosts of one build.
+    /// Returns the sums over the hosts of one build.
     pub(crate) fn build(&self, build: BuildId) -> BuildSums {
         self.builds.get(&build).copied().unwrap_or_default()
     }
 
-    /// The hosts that stand out, in the order of their ids.
+    /// Returns the hosts that are not settled, in ascending order of ids.
     pub(crate) fn unsettled(&self) -> impl Iterator<Item = HostId> {
         self.unsettled.iter().copied()
     }
 
-    /// Brings hosts up to date; none: a host is not in use.
+    /// Updates the records of hosts. A host without a record is not in use.
     pub(crate) fn update(&mut self, hosts: impl Iterator<Item = (HostId, Option<IndexedHost>)>) {
         let changed: Vec<_> = hosts
             .filter(|(host, now)| self.hosts.get(host) != now.as_ref())
             .collect();
-        if changed.len() > FOLLOWED_AT_ONCE {
+        if changed.len() > MAX_INCREMENTAL_CHANGES {
             self.rankings.clear();
         }
         for (host, now) in changed {
@@ -172,7 +174,7 @@
                 self.replace(host, &before, now);
                 continue;
             }
-            self.follow(host, before, now);
+            self.update_rankings(host, before, now);
             if let Some(before) = before {
                 self.remove(host, &before);
             }
@@ -182,8 +184,8 @@
         }
     }
 
-    /// The two hosts of these groups, given in their order, that a hash with this salt places first among those
-    /// accepted.
+    /// Returns the two accepted hosts of these groups that rank highest by a hash with this salt. The groups must be in
+    /// ascending order.
     pub(crate) fn highest_two(
         &mut self,
         salt: u64,
@@ -199,10 +201,12 @@
             let ranked = rankings
                 .highest_two(salt, build, members, &accepts)
                 .unwrap_or_else(|| {
-                    let of_request = |group: &HostGroup| {
+                    let is_selected = |group: &HostGroup| {
                         group.build == build && groups.binary_search(group).is_ok()
                     };
-                    let accepted = self.members(of_request).filter(|of| accepts(of.host));
+                    let accepted = self
+                        .members(is_selected)
+                        .filter(|member| accepts(member.host));
                     crate::rendezvous::highest_two(salt, accepted)
                 });
             found.extend(ranked);
@@ -213,8 +217,8 @@
         found
     }
 
-    fn members(&self, of: impl Fn(&HostGroup) -> bool) -> impl Iterator<Item = WeightedHost> {
-        let groups = self.groups.iter().filter(move |(group, _)| of(group));
+    fn members(&self, selects: impl Fn(&HostGroup) -> bool) -> impl Iterator<Item = WeightedHost> {
+        let groups = self.groups.iter().filter(move |(group, _)| selects(group));
         let hosts = groups.flat_map(|(_, members)| &members.hosts);
         hosts.map(|(host, weight)| WeightedHost {
             host: *host,
@@ -222,7 +226,8 @@
         })
     }
 
-    /// Only its failure rate and slowdown have changed, as with nearly every outcome.
+    /// Replaces the record of a host of which only the failure rate and slowdown have changed, as after nearly every
+    /// attempt.
     fn replace(&mut self, host: HostId, before: &IndexedHost, now: IndexedHost) {
         if let Some(sums) = self.builds.get_mut(&before.group.build) {
             sums.subtract(before);
@@ -231,11 +236,18 @@
         self.hosts.insert(host, now);
     }
 
-    /// The rankings go by builds and weights alone.
-    fn follow(&mut self, host: HostId, before: Option<IndexedHost>, now: Option<IndexedHost>) {
-        let place = |of: Option<IndexedHost>| of.map(|of| (of.group.build, of.weight));
-        let before = place(before);
-        let now = place(now);
+    /// Updates the rankings, which only depend on the build and weight of each host.
+    fn update_rankings(
+        &mut self,
+        host: HostId,
+        before: Option<IndexedHost>,
+        now: Option<IndexedHost>,
+    ) {
+        let key = |indexed: Option<IndexedHost>| {
+            indexed.map(|indexed| (indexed.group.build, indexed.weight))
+        };
+        let before = key(before);
+        let now = key(now);
         if before == now {
             return;
         }
@@ -276,7 +288,7 @@
             members.settled.share -= before.size * before.weight;
         }
         if members.settled.hosts == 0 {
-            // What rounding has left.
+            // Discards what rounding errors have left.
             members.settled.share = 0.0;
         }
         if members.hosts.is_empty() {
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -1,8 +1,9 @@
-//! Rendezvous hashing: stable choices of few hosts among many.
+//! Weighted rendezvous hashing: stable choices of a few hosts among many.
 //!
-//! A hash with a salt gives each host a place, in proportion to its weight. A ranking remembers which hosts of a
-//! build have the first places, and follows hosts that come and go, so that finding the first two does not take a
-//! look at all of them. What it answers is what a look at all of them would find.
+//! A hash of the host's id and a salt gives each host a score, and the lowest score ranks highest. A host ranks highest
+//! with a probability in proportion to its weight. For each salt, a ranking caches the highest hosts of a build and is
+//! updated when hosts are added or removed, so that finding the highest two doesn't scan all hosts. The result is the
+//! same as that of a full scan.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -10,56 +11,55 @@
 use crate::hashing::hash_mix;
 use crate::interface::{BuildId, HostId};
 
-/// How many of the first places a ranking remembers when it is filled. It bounds cost and memory, and changes no
-/// answer.
-const REMEMBERED: usize = 32;
+/// The largest number of hosts that a ranking caches. It bounds cost and memory, and doesn't affect the result.
+const MAX_RANKED_HOSTS: usize = 32;
 
-/// How many rankings are remembered at once.
-const RANKINGS: usize = 4096;
+/// The largest number of rankings that are cached at once.
+const MAX_RANKINGS: usize = 4096;
 
-/// 2 to the power of 64, the number of values of a hash.
+/// The number of values of a 64-bit hash: 2 to the power of 64.
 const HASH_VALUES: f64 = 18_446_744_073_709_551_616.0;
 
-/// A host with its weight among others.
+/// A host with its weight relative to other hosts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WeightedHost {
     pub(crate) host: HostId,
     pub(crate) weight: f64,
 }
 
-/// A host with its place for one salt.
+/// A host with its score for one salt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RankedHost {
-    /// The lowest place ranks highest.
-    pub(crate) place: f64,
+    /// The host with the lowest score ranks highest.
+    pub(crate) score: f64,
     pub(crate) host: HostId,
 }
 
 impl RankedHost {
-    /// Draws the place from an exponential distribution whose rate is the weight: each host has the lowest with a
-    /// chance in proportion to its weight.
-    fn new(salt: u64, of: WeightedHost) -> Self {
-        let uniform = hash_mix(salt ^ of.host.0) as f64 / HASH_VALUES;
+    /// Computes the score as an exponentially distributed value whose rate is the weight. A host then has the lowest
+    /// score with a probability in proportion to its weight.
+    fn new(salt: u64, weighted: WeightedHost) -> Self {
+        let uniform = hash_mix(salt ^ weighted.host.0) as f64 / HASH_VALUES;
         RankedHost {
-            place: -(-uniform).ln_1p() / of.weight,
-            host: of.host,
+            score: -(-uniform).ln_1p() / weighted.weight,
+            host: weighted.host,
         }
     }
 
-    /// The order of ranking: by place, then by id.
+    /// Compares by score and then by host id; the lesser ranks higher.
     pub(crate) fn order(&self, other: &RankedHost) -> Ordering {
-        self.place
-            .total_cmp(&other.place)
+        self.score
+            .total_cmp(&other.score)
             .then(self.host.cmp(&other.host))
     }
 }
 
-/// The two hosts that rank highest, by a look at all of them.
+/// Returns the two hosts that rank highest, by a scan of all of them.
 pub(crate) fn highest_two(salt: u64, hosts: impl Iterator<Item = WeightedHost>) -> Vec<RankedHost> {
     let mut found: Vec<RankedHost> = vec![];
     for host in hosts {
         let ranked = RankedHost::new(salt, host);
-        let before = found.partition_point(|other| other.place <= ranked.place);
+        let before = found.partition_point(|other| other.score <= ranked.score);
         if before < 2 {
             found.insert(before, ranked);
             found.truncate(2);
@@ -68,75 +68,77 @@
     found
 }
 
-/// The first places of one salt and build.
+/// The highest-ranking hosts of one build for one salt.
 #[derive(Clone, Debug)]
 struct Ranking {
-    /// In the order of ranking.
-    first: Vec<RankedHost>,
-    /// Every host with a place before this one is in `first`; none: every host is.
-    complete_before: Option<f64>,
+    /// The cached hosts, the highest-ranking first.
+    highest: Vec<RankedHost>,
+    /// Every host of the build with a lower score than this is in `highest`; `None` if every host of the build is.
+    complete_below: Option<f64>,
 }
 
 impl Ranking {
+    /// Builds the ranking from all hosts of the build.
     fn fill(salt: u64, members: impl Iterator<Item = WeightedHost>) -> Self {
-        let mut first: Vec<_> = members.map(|host| RankedHost::new(salt, host)).collect();
-        let mut complete_before = None;
-        if first.len() > REMEMBERED {
-            let (_, last, _) = first.select_nth_unstable_by(REMEMBERED, RankedHost::order);
-            complete_before = Some(last.place);
-            first.truncate(REMEMBERED);
+        let mut highest: Vec<_> = members.map(|host| RankedHost::new(salt, host)).collect();
+        let mut complete_below = None;
+        if highest.len() > MAX_RANKED_HOSTS {
+            let (_, last, _) = highest.select_nth_unstable_by(MAX_RANKED_HOSTS, RankedHost::order);
+            complete_below = Some(last.score);
+            highest.truncate(MAX_RANKED_HOSTS);
         }
-        first.sort_by(RankedHost::order);
-        first.shrink_to_fit();
+        highest.sort_by(RankedHost::order);
+        highest.shrink_to_fit();
         Ranking {
-            first,
-            complete_before,
+            highest,
+            complete_below,
         }
     }
 
-    fn shorten(&mut self) {
-        if self.first.len() > REMEMBERED {
-            self.complete_before = Some(self.first[REMEMBERED].place);
-            self.first.truncate(REMEMBERED);
+    /// Drops the lowest-ranking hosts beyond the maximum.
+    fn truncate(&mut self) {
+        if self.highest.len() > MAX_RANKED_HOSTS {
+            self.complete_below = Some(self.highest[MAX_RANKED_HOSTS].score);
+            self.highest.truncate(MAX_RANKED_HOSTS);
         }
     }
 
+    /// Whether a host with this score has to be in the ranking.
     fn covers(&self, host: &RankedHost) -> bool {
-        self.complete_before
-            .is_none_or(|before| host.place < before)
+        self.complete_below.is_none_or(|bound| host.score < bound)
     }
 
     fn insert(&mut self, host: RankedHost) {
         if self.covers(&host) {
             let before = self
-                .first
+                .highest
                 .partition_point(|other| other.order(&host).is_lt());
-            self.first.insert(before, host);
-            self.shorten();
+            self.highest.insert(before, host);
+            self.truncate();
         }
     }
 
     fn remove(&mut self, host: &RankedHost) {
         if self.covers(host) {
-            self.first.retain(|other| other.host != host.host);
+            self.highest.retain(|other| other.host != host.host);
         }
     }
 }
 
-/// The rankings of all salts in use.
+/// The cached rankings, by salt and build.
 #[derive(Default)]
 pub(crate) struct RendezvousRankings {
-    by_salt: BTreeMap<(u64, BuildId), Ranking>,
+    by_salt_and_build: BTreeMap<(u64, BuildId), Ranking>,
 }
 
 impl RendezvousRankings {
-    /// Forgets all rankings; they are filled anew as they are needed.
+    /// Drops all rankings. They are rebuilt as they are needed.
     pub(crate) fn clear(&mut self) {
-        self.by_salt.clear();
+        self.by_salt_and_build.clear();
     }
 
-    /// The accepted hosts of a build that rank highest, fewer than two where the build has no more; none where what
-    /// is remembered does not tell.
+    /// Returns the two accepted hosts of a build that rank highest, or fewer if the build has fewer. Returns `None` if
+    /// the cached hosts do not determine the result.
     pub(crate) fn highest_two<M: Iterator<Item = WeightedHost>>(
         &mut self,
         salt: u64,
@@ -144,30 +146,32 @@
         members: impl Fn() -> M,
         accepts: impl Fn(HostId) -> bool,
     ) -> Option<Vec<RankedHost>> {
-        if self.by_salt.len() >= RANKINGS && !self.by_salt.contains_key(&(salt, build)) {
+        if self.by_salt_and_build.len() >= MAX_RANKINGS
+            && !self.by_salt_and_build.contains_key(&(salt, build))
+        {
             self.clear();
         }
         let ranking = self
-            .by_salt
+            .by_salt_and_build
             .entry((salt, build))
             .or_insert_with(|| Ranking::fill(salt, members()));
-        if ranking.first.len() < 2 && ranking.complete_before.is_some() {
+        if ranking.highest.len() < 2 && ranking.complete_below.is_some() {
             *ranking = Ranking::fill(salt, members());
         }
-        let accepted = ranking.first.iter().filter(|ranked| accepts(ranked.host));
+        let accepted = ranking.highest.iter().filter(|ranked| accepts(ranked.host));
         let two: Vec<_> = accepted.take(2).copied().collect();
-        let is_answer = two.len() == 2 || ranking.complete_before.is_none();
-        is_answer.then_some(two)
+        let is_determined = two.len() == 2 || ranking.complete_below.is_none();
+        is_determined.then_some(two)
     }
 
-    /// Adds a host that has come to a build.
+    /// Adds a host to the rankings of its build.
     pub(crate) fn insert(&mut self, build: BuildId, host: WeightedHost) {
         for (salt, ranking) in self.of_build(build) {
             ranking.insert(RankedHost::new(salt, host));
         }
     }
 
-    /// Removes a host that has left a build.
+    /// Removes a host from the rankings of its build.
     pub(crate) fn remove(&mut self, build: BuildId, host: WeightedHost) {
         for (salt, ranking) in self.of_build(build) {
             ranking.remove(&RankedHost::new(salt, host));
@@ -175,7 +179,7 @@
     }
 
     fn of_build(&mut self, build: BuildId) -> impl Iterator<Item = (u64, &mut Ranking)> {
-        self.by_salt
+        self.by_salt_and_build
             .iter_mut()
             .filter(move |(key, _)| key.1 == build)
             .map(|(key, ranking)| (key.0, ranking))
