--- a/src/arm.rs
+++ b/src/arm.rs
@@ -1,11 +1,13 @@
-//! The two sides of a rollout that a router compares.
+//! The two arms that a router compares during a rollout: the baseline and the canary.
+//!
+//! The term is that of multi-armed bandits: each request is assigned to one arm.
 
 use std::ops::{Index, IndexMut};
 
-/// One side of a rollout.
+/// One of the two arms of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Arm {
-    /// The build, or builds, before the canary.
+    /// All builds before the canary.
     Baseline,
     /// The newest build.
     Canary,
@@ -15,7 +17,7 @@
     /// Both arms, the baseline first.
     pub(crate) const BOTH: [Arm; 2] = [Arm::Baseline, Arm::Canary];
 
-    /// The canary's arm where the condition holds, the baseline's elsewhere.
+    /// Returns the canary's arm if the condition holds, otherwise the baseline's.
     pub(crate) fn canary_if(is_canary: bool) -> Self {
         if is_canary {
             Arm::Canary
--- a/src/host_group.rs
+++ b/src/host_group.rs
@@ -1,22 +1,23 @@
-//! Groups of hosts that a request cannot tell apart, and what a request requires of them.
+//! Groups of hosts that are equivalent for a request, and what a request requires of them.
 
 use std::sync::Arc;
 
 use crate::arm::Arm;
 use crate::interface::{BuildId, CellId, HostEntry, HostId, MachineKindId, Pool, Revision, ZoneId};
 
-/// What a request's conditions go by; hosts of one group differ for it only in their own state.
+/// The properties of a host that a request's requirements refer to. Within a group, hosts differ only in their own
+/// state, such as load and health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct HostGroup {
     pub(crate) build: BuildId,
     pub(crate) kind: MachineKindId,
     pub(crate) zone: ZoneId,
-    /// Given only where some operation's idempotency keys are known to one cell.
+    /// Set only if the idempotency keys of some operation are known within one cell.
     pub(crate) cell: Option<CellId>,
 }
 
 impl HostGroup {
-    /// The group of a host; `by_cell` tells whether cells matter to any operation.
+    /// Returns the group of a host. `by_cell` states whether cells matter to any operation.
     pub(crate) fn of(entry: &HostEntry, by_cell: bool) -> Self {
         HostGroup {
             build: entry.build,
@@ -27,29 +28,30 @@
     }
 }
 
-/// The number of some hosts and the sum of their shares.
+/// The number of some hosts and the sum of their shares of the traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct HostSum {
     pub(crate) hosts: usize,
-    /// Size, times weight and warm-up fraction where the sum is of candidates.
+    /// The sum of sizes. Where the hosts are candidates for a request, each size is multiplied by the host's weight and
+    /// warm-up fraction.
     pub(crate) share: f64,
 }
 
 /// What a request requires of a host.
 pub(crate) struct Requirements {
-    /// The groups that may serve it, in ascending order, and the arm of each.
+    /// The groups that may serve the request, in ascending order, and the arm of each.
     pub(crate) arms: Vec<(HostGroup, Arm)>,
-    /// Hosts that it has been sent to.
+    /// The hosts that earlier attempts of the request were sent to.
     pub(crate) tried: Vec<HostId>,
     pub(crate) pool: Option<Arc<Pool>>,
-    /// The operators' revision that it is finished under.
+    /// The revision of the operators' settings that the request was admitted under and keeps until it is finished.
     pub(crate) revision: Revision,
 }
 
 impl Requirements {
-    /// The arm of a group; none where the group may not serve the request.
+    /// Returns the arm of a group, or `None` if the group may not serve the request.
     pub(crate) fn arm(&self, group: &HostGroup) -> Option<Arm> {
-        let place = self.arms.binary_search_by(|(of, _)| of.cmp(group)).ok()?;
-        Some(self.arms[place].1)
+        let index = self.arms.binary_search_by(|(of, _)| of.cmp(group)).ok()?;
+        Some(self.arms[index].1)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
 //! kestreltide: the decisions of routers that split requests between a baseline and a canary build.
 //!
-//! [`interface`] has the plain types, [`decisions`] every decision, [`operator_weights`] what operators' weights come
-//! to. `host_index`, `rendezvous` and `candidates` make the cost of a request independent of the number of hosts.
+//! [`interface`] contains the types of events, effects and settings, [`decisions`] all decisions of a router, and
+//! [`operator_weights`] the effect of operators' weights. `host_index`, `rendezvous` and `candidates` make the cost of a
+//! request independent of the number of hosts.
 
 #![deny(missing_docs, unreachable_pub)]
 #![deny(
--- a/src/operator_weights.rs
+++ b/src/operator_weights.rs
@@ -1,25 +1,25 @@
-//! What the weights that operators set come to when they are used.
+//! The effective weights of hosts, derived from the weights that operators set.
 //!
-//! A weight shares out traffic between hosts; that of a host which warms up counts only as far as the host can carry
-//! it, whatever was well when the weight was set. Pure arithmetic, the same for the check of a new revision and for
-//! its use.
+//! A weight divides traffic between hosts. The weight of a host that is warming up only counts as far as the host can
+//! carry the traffic, even if the weight was safe when it was set. This module is pure arithmetic; the check of a new
+//! revision and its use share it.
 
-/// Of the load multiple at which a host that warms up falls over, the part that a weight may use: two hosts are
-/// compared for each attempt, so one may get twice its share before its load shows.
-pub const HEADROOM: f64 = 0.5;
+/// The part of the overload multiple that weights may use on a host that is warming up. The router compares two hosts
+/// for each attempt, so a host may get twice its share before its load shows.
+pub const WARM_UP_HEADROOM: f64 = 0.5;
 
-/// Steps towards the level that all weights are measured by. Each is safe to stop at; three come within a
-/// hundredth where one host in ten warms up.
-const STEPS: usize = 3;
+/// Iterations of the search for the mean effective weight. It is safe to stop after any of them; three come within
+/// 1 % if one host in ten is warming up.
+const MEAN_ITERATIONS: usize = 3;
 
-/// One host's part in the sharing of traffic.
+/// The inputs and the result of the effective weight of one host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EffectiveWeight {
-    /// The host's capacity, 1 being a standard machine.
+    /// The host's capacity relative to a standard machine, whose size is 1.
     pub size: f64,
-    /// As operators set it; after [`apply_weights`], what it counts for.
+    /// The weight that operators set; after [`apply_weights`], the effective weight.
     pub weight: f64,
-    /// The fraction of its work that it can do by now; 1 once it is warm.
+    /// The fraction of its full load that the host can carry now; 1 once it has warmed up.
     pub warm_up_fraction: f64,
 }
 
@@ -28,24 +28,25 @@
         self.warm_up_fraction >= 1.0
     }
 
-    /// What it counts for beside a level of all weights.
-    fn at_level(&self, level: f64, overload_multiple: f64) -> f64 {
-        let most = max_relative_share(self.warm_up_fraction, overload_multiple);
-        self.weight.min(level * most)
+    /// Returns the host's weight, limited to what it may carry if the mean of all effective weights is `mean`.
+    fn limited(&self, mean: f64, overload_multiple: f64) -> f64 {
+        let limit = max_relative_share(self.warm_up_fraction, overload_multiple);
+        self.weight.min(mean * limit)
     }
 }
 
-/// How many times its fair share a host may be given by weight alone: any number when warm, and before that what
-/// leaves room below the overload multiple, but always the fair share itself.
+/// Returns the largest multiple of its fair share that a host may get by its weight. There is no limit for a warm host.
+/// A host that is warming up must stay below the overload multiple with some headroom, but may always get its fair
+/// share.
 pub fn max_relative_share(warm_up_fraction: f64, overload_multiple: f64) -> f64 {
     if warm_up_fraction >= 1.0 {
         f64::INFINITY
     } else {
-        (HEADROOM * overload_multiple * warm_up_fraction).max(1.0)
+        (WARM_UP_HEADROOM * overload_multiple * warm_up_fraction).max(1.0)
     }
 }
 
-/// How many times its fair share a host gets by its weight among others, as the weights stand.
+/// Returns the multiple of its fair share that a host gets among others if all weights count as they are.
 pub fn relative_share(host: &EffectiveWeight, among: &[EffectiveWeight]) -> f64 {
     let size: f64 = among.iter().map(|other| other.size).sum();
     let weights: f64 = among.iter().map(|other| other.size * other.weight).sum();
@@ -56,8 +57,8 @@
     }
 }
 
-/// Puts in each weight's place what it counts for, 1 being an even share: the weight of no host that warms up
-/// exceeds what it may carry, measured by the level of all weights as they count themselves.
+/// Replaces each weight by the effective weight, so that 1 is an even share. No host that is warming up gets more than
+/// it may carry, relative to the mean of the effective weights.
 pub fn apply_weights(hosts: &mut [EffectiveWeight], overload_multiple: f64) {
     let size: f64 = hosts.iter().map(|host| host.size).sum();
     let first = hosts.first().map_or(1.0, |host| host.weight);
@@ -68,30 +69,31 @@
         }
         return;
     }
-    let mean = |level: f64| {
-        let counts = hosts
+    let mean_for = |mean: f64| {
+        let weights = hosts
             .iter()
-            .map(|host| host.size * host.at_level(level, overload_multiple));
-        counts.sum::<f64>() / size
+            .map(|host| host.size * host.limited(mean, overload_multiple));
+        weights.sum::<f64>() / size
     };
-    let mut level = lowest_level(hosts, size);
-    for _ in 0..STEPS {
-        level = mean(level).max(level);
+    let mut mean = lower_bound(hosts, size);
+    for _ in 0..MEAN_ITERATIONS {
+        mean = mean_for(mean).max(mean);
     }
-    let all = mean(level);
+    let effective_mean = mean_for(mean);
     for host in hosts {
-        host.weight = host.at_level(level, overload_multiple) / all;
+        host.weight = host.limited(mean, overload_multiple) / effective_mean;
     }
 }
 
-/// The level to start from, below the true one: a level that is too low only narrows. At the least weight every
-/// host counts alike, and warm hosts count in full whatever the level is.
-fn lowest_level(hosts: &[EffectiveWeight], size: f64) -> f64 {
-    let least = hosts
+/// Returns a lower bound of the mean effective weight to start from: a mean that is too low only lowers limits. The
+/// mean is at least the lowest weight, as every host may get its fair share, and at least the part of the warm hosts,
+/// whose weights always count in full.
+fn lower_bound(hosts: &[EffectiveWeight], size: f64) -> f64 {
+    let lowest = hosts
         .iter()
         .map(|host| host.weight)
         .fold(f64::INFINITY, f64::min);
     let warm = hosts.iter().filter(|host| host.is_warm());
     let of_warm = warm.map(|host| host.size * host.weight).sum::<f64>();
-    least.max(of_warm / size)
+    lowest.max(of_warm / size)
 }
