--- a/settings/src/decode.rs
+++ b/settings/src/decode.rs
@@ -1,4 +1,4 @@
-//! The settings object by its wire names, as the settings of the decisions and of the transport.
+//! Decodes the settings object by its names on the wire into the settings of the decisions and of the transport.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -9,33 +9,34 @@
 use crate::transport::LoadField;
 use crate::{LoadReporting, NameTable, SettingsError, SettingsProblem, TransportSettings};
 
-// The range of a value; beyond it somebody has mistaken a unit or a sign.
-/// Seconds.
+// Accepted ranges of values. A value outside of its range most likely has a wrong unit or sign.
+
+/// Any time, in seconds; at most a day.
 const ANY_TIME: RangeInclusive<f64> = 0.0..=86_400.0;
-/// Seconds, more than 0.
+/// A time of at least a microsecond, in seconds; at most a day.
 const POSITIVE_TIME: RangeInclusive<f64> = 1e-6..=86_400.0;
-/// A fraction of a whole.
+/// A fraction from 0 to 1.
 const FRACTION: RangeInclusive<f64> = 0.0..=1.0;
-/// A fraction of a whole, more than 0.
+/// A fraction greater than 0.
 const POSITIVE_FRACTION: RangeInclusive<f64> = 1e-9..=1.0;
-/// Any quantity that is not negative.
+/// A quantity of at least 0.
 const ANY_QUANTITY: RangeInclusive<f64> = 0.0..=1e9;
-/// Any quantity, more than 0.
+/// A quantity greater than 0.
 const POSITIVE_QUANTITY: RangeInclusive<f64> = 1e-9..=1e9;
 const MAX_ROUTERS: u32 = 1_000_000;
 const MAX_OPEN_CONNECTIONS: usize = 1_000_000_000;
 const MAX_OPERATIONS: usize = 4096;
 const MAX_TENANTS: usize = 64 * 1024;
 
-/// The words for what is known of the sizes of hosts.
-const SIZE_WORDS: [(&str, SizeSource); 4] = [
+/// The values of `weight_kind`.
+const SIZE_SOURCES: [(&str, SizeSource); 4] = [
     ("off", SizeSource::Unspecified),
     ("nominal", SizeSource::Registered),
     ("rough", SizeSource::Rough),
     ("live", SizeSource::Live),
 ];
-/// The words for what lets a rollout move on.
-const GATE_WORDS: [(&str, PromotionGate); 3] = [
+/// The values of `extra.gate_mode`.
+const PROMOTION_GATES: [(&str, PromotionGate); 3] = [
     ("any", PromotionGate::VoteCount),
     ("share", PromotionGate::VoteShare),
     ("timer", PromotionGate::Timer),
@@ -44,9 +45,9 @@
 /// The settings of a deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeploymentSettings {
-    /// For the decisions.
+    /// The settings of the decisions.
     pub service: ServiceSettings,
-    /// For the adapter.
+    /// The settings of the adapter that carries requests, events and effects.
     pub transport: TransportSettings,
 }
 
@@ -54,12 +55,12 @@
 ///
 /// # Errors
 ///
-/// The first value that is missing, of a wrong form or out of its range.
+/// Returns the error of the first value that is missing, malformed or out of range.
 pub fn decode(fields: &Fields, names: &mut NameTable) -> Result<DeploymentSettings, SettingsError> {
     let count: usize = fields.integer_in("request_classes.count", 1..=MAX_OPERATIONS)?;
     let operation_names = unique_names(fields, "request_classes", count)?;
     let operations = (0..count)
-        .map(|number| operation_settings(fields, number))
+        .map(|index| operation_settings(fields, index))
         .collect::<Result<Vec<_>, _>>()?;
     check_tenants(fields)?;
     let transport = transport_settings(fields, operation_names)?;
@@ -67,14 +68,14 @@
     Ok(DeploymentSettings { service, transport })
 }
 
-/// The names of a list of objects, none of them twice.
+/// Returns the names of the objects of a list. No name may occur twice.
 fn unique_names(fields: &Fields, list: &str, count: usize) -> Result<Vec<String>, SettingsError> {
     let mut names = Vec::new();
-    let mut places = BTreeMap::new();
-    for number in 0..count {
-        let key = format!("{list}.{number}.name");
+    let mut first_indices = BTreeMap::new();
+    for index in 0..count {
+        let key = format!("{list}.{index}.name");
         let name = fields.text(&key)?;
-        if let Some(first) = places.insert(name, number) {
+        if let Some(first) = first_indices.insert(name, index) {
             let first = format!("{list}.{first}.name");
             return Err(fields.error(&key, SettingsProblem::DuplicateName { first }));
         }
@@ -83,20 +84,20 @@
     Ok(names)
 }
 
-/// The words for how an operation may be repeated.
+/// The values of an operation's `effect`, which state whether the operation may be repeated.
 #[derive(Clone, Copy)]
-enum EffectWord {
+enum EffectValue {
     Repeatable,
     ByKey,
     Once,
 }
 
-fn idempotency(fields: &Fields, number: usize) -> Result<Idempotency, SettingsError> {
-    let key = |field: &str| format!("request_classes.{number}.{field}");
+fn idempotency(fields: &Fields, index: usize) -> Result<Idempotency, SettingsError> {
+    let key = |field: &str| format!("request_classes.{index}.{field}");
     let effects = [
-        ("repeatable", EffectWord::Repeatable),
-        ("by_key", EffectWord::ByKey),
-        ("once", EffectWord::Once),
+        ("repeatable", EffectValue::Repeatable),
+        ("by_key", EffectValue::ByKey),
+        ("once", EffectValue::Once),
     ];
     let scopes = [
         ("all", IdempotencyScope::All),
@@ -104,23 +105,23 @@
         ("cell", IdempotencyScope::Cell),
     ];
     Ok(match fields.one_of(&key("effect"), &effects)? {
-        EffectWord::Repeatable => Idempotency::Idempotent,
-        EffectWord::ByKey => Idempotency::IdempotencyKey {
+        EffectValue::Repeatable => Idempotency::Idempotent,
+        EffectValue::ByKey => Idempotency::IdempotencyKey {
             scope: fields.one_of(&key("group"), &scopes)?,
             window: fields.time_in(&key("window"), POSITIVE_TIME)?,
         },
-        EffectWord::Once => Idempotency::NonIdempotent,
+        EffectValue::Once => Idempotency::NonIdempotent,
     })
 }
 
-fn operation_settings(fields: &Fields, number: usize) -> Result<OperationSettings, SettingsError> {
-    let key = |field: &str| format!("request_classes.{number}.{field}");
-    let idempotency = idempotency(fields, number)?;
-    let stretch = key("aim_stretch");
+fn operation_settings(fields: &Fields, index: usize) -> Result<OperationSettings, SettingsError> {
+    let key = |field: &str| format!("request_classes.{index}.{field}");
+    let idempotency = idempotency(fields, index)?;
+    let work_factor = key("aim_stretch");
     Ok(OperationSettings {
         latency_objective: fields.time_in(&key("slo"), POSITIVE_TIME)?,
-        latency_objective_work_factor: if fields.get(&stretch).is_some() {
-            fields.number_in(&stretch, ANY_QUANTITY)?
+        latency_objective_work_factor: if fields.get(&work_factor).is_some() {
+            fields.number_in(&work_factor, ANY_QUANTITY)?
         } else {
             0.0
         },
@@ -132,7 +133,7 @@
     })
 }
 
-/// Tenants change nothing that a router does; a list of them that is malformed is refused all the same.
+/// Checks the list of tenants. It doesn't affect a router, but a malformed list is rejected all the same.
 fn check_tenants(fields: &Fields) -> Result<(), SettingsError> {
     let count = if fields.get("accounts.count").is_some() {
         fields.integer_in("accounts.count", 0..=MAX_TENANTS)?
@@ -163,7 +164,7 @@
     let operations = operation_names.into_iter().zip((0..).map(OperationId));
     Ok(TransportSettings {
         operations: operations.collect(),
-        load_fields: LoadField::list(fields.get("telemetry.fields").unwrap_or_default()),
+        load_fields: LoadField::parse_list(fields.get("telemetry.fields").unwrap_or_default()),
         load_reporting: fields.one_of("telemetry.via", &reporting)?,
         connect_timeout: fields.time_in("permissions.connect_timeout", POSITIVE_TIME)?,
         idle_timeout: fields.time_in("permissions.keepalive", POSITIVE_TIME)?,
@@ -174,9 +175,9 @@
 
 /// The stages of a rollout.
 struct Stages {
-    /// The fraction of the routers that each stage reaches.
+    /// The share of the machines that run the canary, by stage.
     shares: Vec<f64>,
-    /// The greatest fraction of the requests that a router sends to the canary in each stage.
+    /// The largest share of the requests that the canary may get, by stage.
     caps: Vec<f64>,
 }
 
@@ -209,15 +210,15 @@
         weighted_by_work: fields.one_of("worth_by", &[("work", true), ("request", false)])?,
         polls_endpoint_list: fields.one_of("discovery", &[("ask", true), ("push", false)])?,
         endpoint_poll_interval: fields.time_in("guarantees.ask_every", POSITIVE_TIME)?,
-        size_source: fields.one_of("weight_kind", &SIZE_WORDS)?,
-        promotion_gate: fields.one_of("extra.gate_mode", &GATE_WORDS)?,
+        size_source: fields.one_of("weight_kind", &SIZE_SOURCES)?,
+        promotion_gate: fields.one_of("extra.gate_mode", &PROMOTION_GATES)?,
         promote_votes: fields.integer_in("extra.votes_to_go", 0..=MAX_ROUTERS)?,
         roll_back_votes: fields.integer_in("extra.back_votes", 0..=MAX_ROUTERS)?,
         hold_votes: fields.integer_in("extra.stoppers", 0..=MAX_ROUTERS)?,
         bake_time: fields.time_in("extra.bake", ANY_TIME)?,
         vote_lifetime: fields.time_in("extra.ballot_ttl", POSITIVE_TIME)?,
         vote_timeout: fields.time_in("extra.vote_wait", POSITIVE_TIME)?,
-        // 0: the platform limits nothing.
+        // 0 means that the platform sets no limit.
         vote_rate: if vote_rate > 0.0 {
             vote_rate
         } else {
@@ -230,8 +231,8 @@
         exposure_by_operation: fields.one_of("extra.counts", &[("class", true), ("all", false)])?,
         idempotent_only_stages: fields.integer("extra.guarded_stages")?,
         sticky_keys: fields.boolean("extra.no_return")?,
-        // The one key of these that may be absent.
-        key_affinity: fields.flag("extra.warm_keys")?,
+        // The only optional key here.
+        key_affinity: fields.optional_boolean("extra.warm_keys")?,
         replaces_in_place: fields.one_of(
             "extra.replace_mode",
             &[("in_place", true), ("beside", false)],
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -1,70 +1,70 @@
-//! Why settings are refused.
+//! Why settings are rejected.
 
 use thiserror::Error;
 
-/// A value of the settings that is missing or cannot be used.
+/// A value of the settings that is missing or invalid.
 ///
-/// Its text begins with the path of the value and ends with the value that was found, if there was one.
+/// The message begins with the path of the value and ends with the value that was found, if there was one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{path}: {problem}{}", found_suffix(.found))]
 pub struct SettingsError {
-    /// The name of the group of fields and the key in it, joined by a dot.
+    /// The name of the object and the key in it, joined by a dot.
     pub path: String,
     /// What is wrong with the value.
     pub problem: SettingsProblem,
-    /// The value as it was written; none where it is missing or empty.
+    /// The value as it was written; `None` if it is missing or empty.
     pub found: Option<String>,
 }
 
 /// What is wrong with a value of the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsProblem {
-    /// There is no such value, or it is empty.
+    /// The value is missing or empty.
     #[error("is missing")]
     Missing,
-    /// None of the words that are known at this place.
+    /// The value is none of the words that the key accepts.
     #[error("is none of {}", .expected.join(", "))]
     UnknownWord {
-        /// The words that are.
+        /// The accepted words.
         expected: Vec<String>,
     },
-    /// No integer of the type that is wanted.
+    /// The value is not an integer, or doesn't fit the required type.
     #[error("is no whole number, or beyond all sense")]
     NotAnInteger,
-    /// No number.
+    /// The value is not a number.
     #[error("is no number")]
     NotANumber,
-    /// An element of a list is no number.
+    /// An element of the list is not a number.
     #[error("is no list of numbers")]
     NotANumberList,
-    /// A number outside of its range.
+    /// The number is out of range.
     #[error("is not within {minimum} and {maximum}")]
     OutOfRange {
-        /// The least value, as text.
+        /// The lowest accepted value, as text.
         minimum: String,
-        /// The greatest value, as text.
+        /// The highest accepted value, as text.
         maximum: String,
     },
-    /// A time outside of its range.
+    /// The time is out of range.
     #[error("is not within {minimum_micros} and {maximum_micros} microseconds")]
     TimeOutOfRange {
-        /// The least value in microseconds, as text.
+        /// The lowest accepted value in microseconds, as text.
         minimum_micros: String,
-        /// The greatest value in microseconds, as text.
+        /// The highest accepted value in microseconds, as text.
         maximum_micros: String,
     },
     /// An earlier object of the list has the same name.
     #[error("stands at {first} already")]
     DuplicateName {
-        /// The path of the first one.
+        /// The path of the earlier object's name.
         first: String,
     },
-    /// The two lists of a rollout's stages are not of one length.
+    /// The lists of the stages' shares and caps differ in length.
     #[error("has {caps} stages, extra.rings {shares}")]
     StageCountMismatch {
-        /// Stages that have a cap of the share.
+        /// The number of stages with a cap on the canary's share of the requests.
         caps: usize,
-        /// Stages that have a share of routers.
+        /// The number of stages with a share of the machines.
         shares: usize,
     },
 }
--- a/settings/src/fields.rs
+++ b/settings/src/fields.rs
@@ -1,4 +1,4 @@
-//! Named values as text, from a line of pairs or from nested JSON, and their conversion to plain types.
+//! Named values as text, read from a line of pairs or from nested JSON, and their conversion to plain types.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -11,24 +11,25 @@
 use crate::error::{SettingsError, SettingsProblem};
 
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Bytes of a path. Known keys are far shorter; each value below a long path would repeat it whole.
+/// The largest length of a path, in bytes. Known paths are far shorter. Every value below a long path repeats the path,
+/// so that without a limit a text of some megabytes could take all memory.
 const MAX_PATH_BYTES: usize = 256;
 
-/// Integer microseconds as seconds.
+/// Converts microseconds to seconds.
 pub fn seconds(micros: u64) -> f64 {
     micros as f64 / MICROS_PER_SECOND
 }
 
-/// A group of named values.
+/// Named values, either of one line of the simulator's protocol or of a JSON object.
 #[derive(Debug)]
 pub struct Fields<'a> {
-    /// The name of the group, with which the path of an error begins.
+    /// The name of the line or object. The path in an error begins with it.
     pub name: &'a str,
     values: BTreeMap<Cow<'a, str>, Cow<'a, str>>,
 }
 
 impl<'a> Fields<'a> {
-    /// A group without values.
+    /// Returns an empty set of values.
     pub fn new(name: &'a str) -> Self {
         Fields {
             name,
@@ -36,17 +37,17 @@
         }
     }
 
-    /// Adds a value; false where the key is empty or was there already.
+    /// Adds a value. Returns `false` if the key is empty or was already present.
     pub fn insert(&mut self, key: impl Into<Cow<'a, str>>, value: impl Into<Cow<'a, str>>) -> bool {
         let key = key.into();
         !key.is_empty() && self.values.insert(key, value.into()).is_none()
     }
 
-    /// The values of a JSON object, by their paths.
+    /// Returns the values of a JSON object by their paths.
     ///
-    /// The keys of nested objects are joined by dots, lists of plain values by commas; lists of objects hold their
-    /// length under `.count` and their items under `.0`, `.1` and onward. What stands below a path of more than
-    /// 256 bytes is ignored, as all unknown keys are.
+    /// The keys of nested objects are joined by dots, the elements of lists of plain values by commas. A list of objects
+    /// has its length under `.count` and its items under `.0`, `.1` and so on. Values below a path of more than 256 bytes
+    /// are ignored, as are all unknown keys.
     pub fn from_json(name: &'a str, value: &Value) -> Self {
         let mut fields = Fields::new(name);
         fields.flatten(String::new(), value);
@@ -54,7 +55,7 @@
     }
 
     fn flatten(&mut self, path: String, value: &Value) {
-        let below = |key: &str| {
+        let child_path = |key: &str| {
             if path.is_empty() {
                 key.to_owned()
             } else {
@@ -66,13 +67,13 @@
             Value::Null => {}
             Value::Object(map) => {
                 for (key, value) in map {
-                    self.flatten(below(key), value);
+                    self.flatten(child_path(key), value);
                 }
             }
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.insert(below("count"), items.len().to_string());
-                for (place, item) in items.iter().enumerate() {
-                    self.flatten(below(&place.to_string()), item);
+                self.insert(child_path("count"), items.len().to_string());
+                for (index, item) in items.iter().enumerate() {
+                    self.flatten(child_path(&index.to_string()), item);
                 }
             }
             Value::Array(items) => {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The value of a key; none where it is absent or empty.
+    /// Returns the value of a key, or `None` if it is missing or empty.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.values
             .get(key)
@@ -93,7 +94,7 @@
             .filter(|value| !value.is_empty())
     }
 
-    /// The error of a key's value.
+    /// Returns the error for a problem with a key's value.
     pub fn error(&self, key: &str, problem: SettingsProblem) -> SettingsError {
         SettingsError {
             path: format!("{}.{key}", self.name),
@@ -102,21 +103,21 @@
         }
     }
 
-    /// The value of a key.
+    /// Returns the value of a key.
     ///
     /// # Errors
     ///
-    /// Where it is missing.
+    /// Returns an error if the value is missing.
     pub fn text(&self, key: &str) -> Result<&str, SettingsError> {
         self.get(key)
             .ok_or_else(|| self.error(key, SettingsProblem::Missing))
     }
 
-    /// The meaning of a value that is one of `words`, which come with their meanings.
+    /// Looks up a value in `words`, each of which stands for a value of `T`.
     ///
     /// # Errors
     ///
-    /// Where the value is missing or none of the words.
+    /// Returns an error if the value is missing or none of the words.
     pub fn one_of<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Result<T, SettingsError> {
         let text = self.text(key)?;
         let found = words.iter().find(|(word, _)| *word == text);
@@ -151,20 +152,20 @@
         Err(self.error(key, problem))
     }
 
-    /// An integer of the wanted type.
+    /// Returns an integer.
     ///
     /// # Errors
     ///
-    /// Where the value is missing, no integer or too large for the type.
+    /// Returns an error if the value is missing, not an integer or too large for the type.
     pub fn integer<T: FromStr>(&self, key: &str) -> Result<T, SettingsError> {
         self.parse(key, self.text(key)?, SettingsProblem::NotAnInteger)
     }
 
-    /// An integer within a range.
+    /// Returns an integer within a range.
     ///
     /// # Errors
     ///
-    /// Where the value is missing, no integer or out of the range.
+    /// Returns an error if the value is missing, not an integer or out of range.
     pub fn integer_in<T: FromStr + PartialOrd + Display>(
         &self,
         key: &str,
@@ -173,48 +174,48 @@
         self.check_range(key, self.integer(key)?, &range)
     }
 
-    /// An integer that may be absent.
+    /// Returns an integer, or `None` if the value is missing or empty.
     ///
     /// # Errors
     ///
-    /// Where there is a value that is no integer or too large for the type.
+    /// Returns an error if there is a value that is not an integer or too large for the type.
     pub fn optional_integer<T: FromStr>(&self, key: &str) -> Result<Option<T>, SettingsError> {
         self.get(key).map(|_| self.integer(key)).transpose()
     }
 
-    /// A finite number.
+    /// Returns a finite number.
     ///
     /// # Errors
     ///
-    /// Where the value is missing, no number or not finite.
+    /// Returns an error if the value is missing, not a number or not finite.
     pub fn number(&self, key: &str) -> Result<f64, SettingsError> {
         self.number_in(key, f64::MIN..=f64::MAX)
     }
 
-    /// A number within a range.
+    /// Returns a number within a range.
     ///
     /// # Errors
     ///
-    /// Where the value is missing, no number or out of the range.
+    /// Returns an error if the value is missing, not a number or out of range.
     pub fn number_in(&self, key: &str, range: RangeInclusive<f64>) -> Result<f64, SettingsError> {
         let number = self.parse(key, self.text(key)?, SettingsProblem::NotANumber)?;
         self.check_range(key, number, &range)
     }
 
-    /// A time in integer microseconds, as seconds.
+    /// Returns a time in seconds, which is given in integer microseconds.
     ///
     /// # Errors
     ///
-    /// Where the value is missing or no integer.
+    /// Returns an error if the value is missing, not an integer, negative or too large.
     pub fn time(&self, key: &str) -> Result<f64, SettingsError> {
         Ok(seconds(self.integer(key)?))
     }
 
-    /// A time in integer microseconds, as seconds, within a range in seconds.
+    /// Returns a time in seconds, which is given in integer microseconds. `range` is in seconds.
     ///
     /// # Errors
     ///
-    /// Where the value is missing, no integer or out of the range.
+    /// Returns an error if the value is missing, not an integer, negative or out of range.
     pub fn time_in(&self, key: &str, range: RangeInclusive<f64>) -> Result<f64, SettingsError> {
         let time = self.time(key)?;
         if range.contains(&time) {
@@ -228,11 +229,11 @@
         Err(self.error(key, problem))
     }
 
-    /// A truth value.
+    /// Returns a boolean.
     ///
     /// # Errors
     ///
-    /// Where the value is missing or none of `true`, `1`, `false` and `0`.
+    /// Returns an error if the value is missing or none of `true`, `1`, `false` and `0`.
     pub fn boolean(&self, key: &str) -> Result<bool, SettingsError> {
         self.one_of(
             key,
@@ -240,20 +241,21 @@
         )
     }
 
-    /// A truth value that is false where it is absent.
+    /// Returns a boolean, or `false` if the value is missing or empty.
     ///
     /// # Errors
     ///
-    /// Where there is a value that is none of `true`, `1`, `false` and `0`.
-    pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
+    /// Returns an error if there is a value that is none of `true`, `1`, `false` and `0`.
+    pub fn optional_boolean(&self, key: &str) -> Result<bool, SettingsError> {
         Ok(self.get(key).is_some() && self.boolean(key)?)
     }
 
-    /// Finite numbers joined by commas; an absent list is empty.
+    /// Returns a list of finite numbers, which are separated by commas. The list is empty if the value is missing or
+    /// empty.
     ///
     /// # Errors
     ///
-    /// Where an element is no number or not finite.
+    /// Returns an error if an element is not a number or not finite.
     pub fn numbers(&self, key: &str) -> Result<Vec<f64>, SettingsError> {
         if self.get(key).is_some() {
             self.numbers_in(key, f64::MIN..=f64::MAX)
@@ -262,11 +264,11 @@
         }
     }
 
-    /// Numbers joined by commas, at least one, each within a range.
+    /// Returns a list of at least one number, each within a range. The numbers are separated by commas.
     ///
     /// # Errors
     ///
-    /// Where the list is missing, or an element is no number or out of the range.
+    /// Returns an error if the list is missing or empty, or an element is not a number or out of range.
     pub fn numbers_in(
         &self,
         key: &str,
@@ -280,6 +282,7 @@
     }
 }
 
+/// Returns a string without quotes, and any other value as JSON.
 fn plain_text(value: &Value) -> String {
     value
         .as_str()
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The `settings` object of a deployment, decoded for the decisions and for the transport.
+//! Decodes the `settings` object of a deployment into the settings of the decisions and of the transport.
 //!
-//! The simulator sends the object as pairs of names and values, a real deployment as nested JSON; [`Fields`] reads
-//! both, and [`decode`] knows the names.
+//! The simulator sends the object as pairs of names and values, a real deployment as nested JSON. [`Fields`] reads
+//! both forms, and [`decode`] converts them.
 
 #![deny(
     missing_docs,
--- a/settings/src/name_table.rs
+++ b/settings/src/name_table.rs
@@ -1,20 +1,20 @@
-//! Identifiers of zones and machine kinds, by their names.
+//! Assigns identifiers to the names of zones and kinds of machines.
 
 use std::collections::BTreeMap;
 
 use kestreltide::interface::{MachineKindId, ZoneId};
 
-/// Gives zones and machine kinds their identifiers.
+/// How the names of zones and kinds of machines are converted to identifiers.
 pub enum NameTable {
-    /// Numbers names in the order in which they are first met: small numbers for a peer that sends few names.
+    /// Numbers the names in the order in which they first occur. The table stores each name, so this is for input with
+    /// few names, as of the simulator.
     Sequential(BTreeMap<String, u64>),
-    /// Derives the identifier from the name itself, so that every thread comes to the same one and nothing is
-    /// stored.
+    /// Hashes the name, so that all threads get the same identifier and nothing is stored.
     Hashed,
 }
 
 impl NameTable {
-    /// The identifier of a zone.
+    /// Returns the identifier of a zone.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         match self {
             NameTable::Sequential(numbers) => ZoneId(Self::number(numbers, name)),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The identifier of a machine kind.
+    /// Returns the identifier of a kind of machine.
     pub fn kind(&mut self, name: &str) -> MachineKindId {
         match self {
             NameTable::Sequential(numbers) => MachineKindId(Self::number(numbers, name)),
--- a/settings/src/transport.rs
+++ b/settings/src/transport.rs
@@ -1,23 +1,23 @@
-//! What an adapter itself needs of the settings, and load reports in their form.
+//! The settings that an adapter itself needs, and the decoding of hosts' load reports.
 
 use std::collections::BTreeMap;
 
 use kestreltide::interface::{LoadReport, OperationId};
 
-/// A figure of a load report.
+/// One value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadField {
     InFlight,
     Queued,
     Busy,
-    ServiceMillis,
-    /// Sent by hosts and not used here.
-    Other,
+    ServiceTimeMillis,
+    /// A value that hosts send and that is ignored.
+    Ignored,
 }
 
 impl LoadField {
-    /// The fields of a list of names, joined by commas, in their order.
-    pub(crate) fn list(names: &str) -> Vec<Self> {
+    /// Parses a list of names that are separated by commas, and keeps their order.
+    pub(crate) fn parse_list(names: &str) -> Vec<Self> {
         let names = names.split(',').filter(|name| !name.is_empty());
         names.map(LoadField::from_name).collect()
     }
@@ -27,8 +27,8 @@
             "rif" | "inflight" => LoadField::InFlight,
             "q" | "queue" => LoadField::Queued,
             "busy" | "util" => LoadField::Busy,
-            "lat_ms" | "latency_ms" => LoadField::ServiceMillis,
-            _ => LoadField::Other,
+            "lat_ms" | "latency_ms" => LoadField::ServiceTimeMillis,
+            _ => LoadField::Ignored,
         }
     }
 
@@ -37,41 +37,42 @@
             LoadField::InFlight => report.in_flight = Some(value),
             LoadField::Queued => report.queued = Some(value),
             LoadField::Busy => report.busy = Some(value),
-            LoadField::ServiceMillis => report.service_time = Some(value / 1e3),
-            LoadField::Other => {}
+            LoadField::ServiceTimeMillis => report.service_time = Some(value / 1e3),
+            LoadField::Ignored => {}
         }
     }
 }
 
-/// Where hosts report their load.
+/// Which responses of hosts include a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// Nowhere.
+    /// None.
     Off,
-    /// In responses to health checks.
+    /// Responses to health checks.
     OnProbe,
-    /// In responses to requests and to health checks.
+    /// Responses to requests and to health checks.
     Inline,
 }
 
-/// What an adapter itself needs of the settings. Times in seconds.
+/// The settings that an adapter itself needs. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransportSettings {
-    /// The operations by their names on the wire.
+    /// The operations, by their names on the wire.
     pub operations: BTreeMap<String, OperationId>,
     pub(crate) load_fields: Vec<LoadField>,
-    /// Where hosts report their load.
+    /// Which responses of hosts include a load report.
     pub load_reporting: LoadReporting,
-    /// A connection that is not established after this time counts as failed.
+    /// The time after which an attempt to connect counts as failed.
     pub connect_timeout: f64,
-    /// Hosts close an idle connection after this time at the latest.
+    /// The time after which hosts have closed an idle connection.
     pub idle_timeout: f64,
-    /// Connections to hosts that a router may have in use at once, and so its requests in flight.
+    /// The largest number of connections to hosts that a router may use at once, which also limits its requests in
+    /// flight.
     pub max_open_connections: usize,
 }
 
 impl TransportSettings {
-    /// A report whose values come in the order that the settings name.
+    /// Builds a report from values in the order of the load fields in the settings.
     pub fn load_from_values(&self, values: &[f64]) -> LoadReport {
         let mut report = LoadReport::default();
         for (field, value) in self.load_fields.iter().zip(values) {
@@ -80,14 +81,14 @@
         report
     }
 
-    /// A report of `name=value` pairs, joined by commas; a pair that cannot be read is left out.
+    /// Parses a report of `name=value` pairs that are separated by commas. Malformed pairs are skipped.
     pub fn load_from_pairs(text: &str) -> LoadReport {
         let mut report = LoadReport::default();
         let pairs = text
             .split(',')
             .filter_map(|part| part.trim().split_once('='));
         for (name, value) in pairs {
-            // The parser reads words such as "inf" as numbers, but no load is infinite.
+            // The parser accepts words such as "inf" as numbers, but no load is infinite.
             let value = value
                 .parse()
                 .ok()
--- a/simulator-adapter/src/codec.rs
+++ b/simulator-adapter/src/codec.rs
@@ -1,6 +1,6 @@
 //! Translates the simulator's messages to events and host entries, and effects to messages.
 //!
-//! The protocol's own words occur only here and in [`crate::session`].
+//! The names of the protocol's messages and fields occur only here and in [`crate::session`].
 
 use std::fmt::Write;
 
@@ -16,16 +16,16 @@
 use crate::error::LineError;
 use crate::line::microseconds;
 
-/// The addressee of a gossip message that goes to every other router.
+/// The receiver of a gossip message that is sent to all other routers.
 const ALL_ROUTERS: i64 = -1;
-/// A payload without bytes.
+/// How an empty payload is written.
 const EMPTY_PAYLOAD: &str = "-";
 
 /// Decodes an `ENTRY` line: one host of a list.
 ///
 /// # Errors
 ///
-/// A field is missing, or its value is not of the protocol.
+/// Returns an error if a field is missing or its value is invalid.
 pub(crate) fn decode_entry(line: &Fields, names: &mut NameTable) -> Result<HostEntry, LineError> {
     let started: u64 = line.optional_integer("since")?.unwrap_or(0);
     let state = host_state(line)?;
@@ -114,11 +114,11 @@
         .ok_or_else(|| unknown_value("kind", kind))
 }
 
-/// Decodes a message for one router; all but `MEMBERS`, whose list is held by the session.
+/// Decodes a message for one router, except `MEMBERS`, which refers to a list that the session holds.
 ///
 /// # Errors
 ///
-/// The message is not of the protocol, a field is missing, or its value is not of the protocol.
+/// Returns an error if the message is unknown, a field is missing, or the value of a field is invalid.
 pub(crate) fn decode_event(
     line: &Fields,
     transport: &TransportSettings,
@@ -165,7 +165,7 @@
         key: line.get("affinity").map(|key| KeyId(key.into())),
         time_left: line.time("time_budget")?,
         work: line.optional_integer("cost")?.map(seconds),
-        is_retry: line.flag("retry")?,
+        is_retry: line.optional_boolean("retry")?,
         pool: None,
     })
 }
@@ -176,7 +176,7 @@
         attempt: attempt_number(line)?,
         host: host_id(line)?,
         outcome: outcome(line)?,
-        request_finished: line.flag("done_flag")?,
+        request_finished: line.optional_boolean("done_flag")?,
         took: line.time("cost_time")?,
         load: transport.load_from_values(&line.numbers("telemetry")?),
         connection_idle: None,
@@ -194,7 +194,7 @@
             None => 0.0,
         },
         age: line.optional_integer("behind")?.map_or(0.0, seconds),
-        answers_vote: line.flag("sense")?,
+        answers_vote: line.optional_boolean("sense")?,
     })
 }
 
@@ -209,12 +209,12 @@
     })
 }
 
-/// Appends the line of an effect of the router `who` to the reply.
+/// Appends the line for an effect of the router `who` to the reply.
 pub(crate) fn encode(effect: &Effect, who: &str, reply: &mut String) {
     let name = message_name(effect);
     let fields = encode_fields(effect);
     let written = writeln!(reply, "{name} who={who}{fields}");
-    debug_assert!(written.is_ok(), "writing to a String does not fail");
+    debug_assert!(written.is_ok(), "writing to a String never fails");
 }
 
 fn message_name(effect: &Effect) -> &'static str {
@@ -234,7 +234,7 @@
     }
 }
 
-/// The fields after the router's name, each with a space before it.
+/// Returns the fields that follow the router's name, each preceded by a space.
 fn encode_fields(effect: &Effect) -> String {
     match effect {
         Effect::StartAttempt {
@@ -277,7 +277,8 @@
     }
 }
 
-/// The line that explains a vote; of each signal, the fraction of good outcomes and all of them, for both arms.
+/// Returns the text that explains a vote. For each signal, it contains the fraction of good outcomes and the number of
+/// outcomes of the baseline and of the canary.
 fn encode_evidence(evidence: &VoteEvidence) -> String {
     let VoteEvidence {
         in_time,
@@ -286,7 +287,7 @@
         relative_slowdown,
         ..
     } = evidence;
-    let vote = vote_word(evidence.vote);
+    let vote = vote_name(evidence.vote);
     let build = evidence.build.0;
     let stage = evidence.stage;
     format!(
@@ -294,8 +295,8 @@
     )
 }
 
-/// The word of a vote in the line that explains it.
-fn vote_word(vote: Vote) -> &'static str {
+/// Returns the name of a vote in the text that explains it.
+fn vote_name(vote: Vote) -> &'static str {
     match vote {
         Vote::Abstain => "None",
         Vote::Promote => "On",
