--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,25 +1,25 @@
-//! What can be wrong with the simulator's input.
+//! The errors in the simulator's input.
 
 use std::io;
 
 use kestreltide_settings::SettingsError;
 use thiserror::Error;
 
-/// Why a line of the simulator cannot be translated.
+/// Why a line of the simulator cannot be handled.
 #[derive(Debug, Error, PartialEq)]
 pub(crate) enum LineError {
-    /// The line does not begin with the name of a message.
+    /// The line does not begin with a message name.
     #[error("the line has no message name")]
     NoMessageName,
     /// A part of the line has no `=`.
     #[error("'{part}' in {message} is not name=value")]
     NotNameAndValue {
-        /// The part as it stands in the line.
+        /// The part as written in the line.
         part: String,
         /// The name of the message.
         message: String,
     },
-    /// A field has an empty name or stands twice in the line.
+    /// A field has an empty name or occurs twice in the line.
     #[error("field '{key}' in {message} is unnamed or given twice")]
     UnnamedOrRepeatedField {
         /// The name of the field.
@@ -30,18 +30,18 @@
     /// A field is missing, or its value is out of range.
     #[error(transparent)]
     Field(#[from] SettingsError),
-    /// The value of a field is none of the words or numbers of the protocol.
+    /// The value of a field is not defined in the protocol.
     #[error("{field} {value} is not known")]
     UnknownValue {
         /// The name of the field.
         field: &'static str,
-        /// The value as it stands in the line.
+        /// The value as written in the line.
         value: String,
     },
-    /// The outcome of an attempt is none of the numbers of the protocol.
+    /// The number of an outcome is not defined in the protocol.
     #[error("verdict {number} in {message} is not known")]
     UnknownOutcome {
-        /// The number as it stands in the line.
+        /// The number as written in the line.
         number: u32,
         /// The name of the message.
         message: String,
@@ -49,51 +49,51 @@
     /// The payload of a gossip message is not base64.
     #[error("payload in PEER is not base64")]
     PayloadNotBase64,
-    /// A line other than `ENTRY` within a list.
+    /// A list contains a line other than `ENTRY`.
     #[error("expected {remaining} more ENTRY lines of list {list}")]
     ListIncomplete {
-        /// Entries that are missing.
+        /// The number of missing entries.
         remaining: u64,
         /// The number of the list.
         list: u64,
     },
-    /// A batch begins within another one.
+    /// A batch begins before the previous one has ended.
     #[error("SYNC before the batch has ended")]
     BatchNotEnded,
-    /// A message outside of a batch.
+    /// A message is outside of a batch.
     #[error("the batch has not begun with SYNC")]
     BatchNotBegun,
-    /// An endpoint list refers to a list that was never defined.
+    /// A `MEMBERS` message refers to a list that has not been defined.
     #[error("list {0} is not defined")]
     UndefinedList(u64),
-    /// A message for a router that has not been attached.
+    /// A message is for a router that has not been attached.
     #[error("no instance {0} has been attached")]
     NotAttached(String),
-    /// A router is retired that has not been attached.
+    /// A `RETIRE` message names a router that is not attached.
     #[error("no instance {0} to retire")]
-    NothingToRetire(String),
+    RetiredNotAttached(String),
 }
 
-/// Why the adapter ends before its input does.
+/// Why the adapter exits with an error.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
     /// A line cannot be read from standard input.
     #[error("line {number}: cannot be read: {source}")]
     Read {
-        /// The line's number; the first line is 1.
+        /// The number of the line, from 1.
         number: u64,
-        /// What the operating system says.
+        /// The error of the read.
         source: io::Error,
     },
     /// A line cannot be translated.
     #[error("line {number}: {source}")]
     Line {
-        /// The line's number; the first line is 1.
+        /// The number of the line, from 1.
         number: u64,
-        /// What is wrong with it.
+        /// What is wrong with the line.
         source: LineError,
     },
-    /// The input ends before the batch or the list does.
+    /// The input ends within a batch or a list.
     #[error("the input ended within a batch")]
     EndedWithinBatch,
     /// A reply cannot be written to standard output.
--- a/simulator-adapter/src/fields.rs
+++ b/simulator-adapter/src/fields.rs
@@ -1,12 +1,13 @@
-//! One line of the wire: a name and `name=value` fields.
+//! One line of the protocol: the name of a message and its `name=value` fields.
 
 use kestreltide_settings::Fields;
 
 const MICROS: f64 = 1e6;
-/// In microseconds: undoes the error of a division by a million, far below the wire's unit.
+/// Compensates the rounding error of a time that was divided by a million before, in microseconds. It is far below the
+/// protocol's resolution of one microsecond.
 const ROUNDING: f64 = 0.01;
 
-/// Seconds as whole microseconds, never past the time given.
+/// Converts seconds to whole microseconds, rounded down. Negative times become 0.
 pub fn micros(seconds: f64) -> u64 {
     (seconds * MICROS + ROUNDING).floor().max(0.0) as u64
 }
--- a/simulator-adapter/src/line.rs
+++ b/simulator-adapter/src/line.rs
@@ -5,10 +5,11 @@
 use crate::error::LineError;
 
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// Microseconds that undo the error of an earlier division by a million; far below the protocol's unit.
+/// Compensates the rounding error of a time that was divided by a million before, in microseconds. It is far below the
+/// protocol's resolution of one microsecond.
 const ROUNDING_MICROSECONDS: f64 = 0.01;
 
-/// Converts seconds to complete microseconds, rounded down; negative times become 0.
+/// Converts seconds to whole microseconds, rounded down. Negative times become 0.
 pub(crate) fn microseconds(seconds: f64) -> u64 {
     (seconds * MICROSECONDS_PER_SECOND + ROUNDING_MICROSECONDS)
         .floor()
@@ -19,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// The line has no message name, a part is not `name=value`, or a field is unnamed or given twice.
+/// Returns an error if the line has no message name, a part is not `name=value`, or a field is unnamed or given twice.
 pub(crate) fn parse(text: &str) -> Result<Fields<'_>, LineError> {
     let mut parts = text.split(' ');
     let message = parts.next().unwrap_or_default();
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,6 +1,7 @@
-//! Runs kestreltide routers for the simulator: batches of lines on standard input, one reply each on standard output.
+//! Runs kestreltide routers in the simulator. It reads batches of lines from standard input and writes one reply to
+//! each batch to standard output.
 //!
-//! The adapter only translates; every decision is made in the `kestreltide` library.
+//! The adapter only translates; all decisions are made in the `kestreltide` library.
 
 #![deny(
     missing_docs,
@@ -24,11 +25,12 @@
 use error::AdapterError;
 use session::{BatchProgress, Session};
 
-/// Answers batch after batch until the input ends.
+/// Replies to each batch until the input ends.
 ///
 /// # Errors
 ///
-/// The input cannot be read, is not of the protocol or ends within a batch, or a reply cannot be written.
+/// Returns an error if the input cannot be read, violates the protocol or ends within a batch, or if a reply cannot be
+/// written.
 fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     let mut text = String::new();
--- a/simulator-adapter/src/session.rs
+++ b/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! The state that lasts from one line of the simulator to the next: routers, lists and the batch in progress.
+//! The state that is kept between the lines of the simulator: routers, lists of hosts and the current batch.
 
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -21,27 +21,27 @@
 /// A list of hosts whose entries are being read.
 struct PartialList {
     number: u64,
-    /// Entries still to come.
+    /// The number of entries that are still to be read.
     remaining: u64,
     entries: Vec<HostEntry>,
 }
 
-/// What a line means for the batch that it is part of.
+/// Whether a line completes its batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BatchProgress {
     /// More lines of the batch follow.
     Continues,
-    /// The batch has ended; its reply is complete.
+    /// The batch has ended, and its reply is complete.
     Complete,
 }
 
-/// The routers of a simulation and the reply to the batch in progress.
+/// The routers of a simulation and the reply to the current batch.
 #[derive(Default)]
 pub(crate) struct Session {
     instances: BTreeMap<String, Instance>,
     lists: BTreeMap<u64, Arc<[HostEntry]>>,
     names: NameTable,
-    /// The time of the batch in progress, in microseconds.
+    /// The time of the current batch, in microseconds; `None` between batches.
     batch_time: Option<u64>,
     partial_list: Option<PartialList>,
     effects: Vec<Effect>,
@@ -54,12 +54,12 @@
         self.batch_time.is_some() || self.partial_list.is_some()
     }
 
-    /// The lines of the reply to the batch in progress.
+    /// Returns the lines of the reply to the current batch.
     pub(crate) fn reply(&self) -> &str {
         &self.reply
     }
 
-    /// Begins the reply to the next batch.
+    /// Clears the reply before the next batch.
     pub(crate) fn clear_reply(&mut self) {
         self.reply.clear();
     }
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// The line is not of the protocol, or not allowed at this point of the batch.
+    /// Returns an error if the line violates the protocol or is not allowed at this point of the batch.
     pub(crate) fn handle_line(&mut self, text: &str) -> Result<BatchProgress, LineError> {
         let line = line::parse(text)?;
         if let Some(list) = self.partial_list.take() {
@@ -156,7 +156,7 @@
         let who = line.text("who")?;
         match self.instances.remove(who) {
             Some(_) => Ok(()),
-            None => Err(LineError::NothingToRetire(who.into())),
+            None => Err(LineError::RetiredNotAttached(who.into())),
         }
     }
 
@@ -191,7 +191,7 @@
     }
 }
 
-/// Decodes a `MEMBERS` line, which refers to a list that was defined before.
+/// Decodes a `MEMBERS` line, which refers to a list that was defined earlier.
 fn endpoint_list(
     line: &Fields,
     lists: &BTreeMap<u64, Arc<[HostEntry]>>,
