--- a/settings/src/decode.rs
+++ b/settings/src/decode.rs
@@ -47,7 +47,7 @@
 pub struct DeploymentSettings {
     /// The settings of the decisions.
     pub service: ServiceSettings,
-    /// The settings of the adapter that carries requests, events and effects.
+    /// The settings of the adapter that runs the decisions.
     pub transport: TransportSettings,
 }
 
--- a/settings/src/fields.rs
+++ b/settings/src/fields.rs
@@ -45,9 +45,9 @@
 
     /// Returns the values of a JSON object by their paths.
     ///
-    /// The keys of nested objects are joined by dots, the elements of lists of plain values by commas. A list of objects
-    /// has its length under `.count` and its items under `.0`, `.1` and so on. Values below a path of more than 256 bytes
-    /// are ignored, as are all unknown keys.
+    /// The keys of nested objects are joined by dots, the elements of lists of plain values by commas. A list of
+    /// objects has its length under `.count` and its items under `.0`, `.1` and so on. Values below a path of more than
+    /// 256 bytes are ignored, as are all unknown keys.
     pub fn from_json(name: &'a str, value: &Value) -> Self {
         let mut fields = Fields::new(name);
         fields.flatten(String::new(), value);
--- a/settings/src/transport.rs
+++ b/settings/src/transport.rs
@@ -46,7 +46,7 @@
 /// Which responses of hosts include a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// None.
+    /// No responses.
     Off,
     /// Responses to health checks.
     OnProbe,
--- a/src/arm.rs
+++ b/src/arm.rs
@@ -1,6 +1,6 @@
 //! The two arms that a router compares during a rollout: the baseline and the canary.
 //!
-//! The term is that of multi-armed bandits: each request is assigned to one arm.
+//! The term is that of multi-armed bandits: each attempt goes to a host of one arm.
 
 use std::ops::{Index, IndexMut};
 
--- a/src/host_index.rs
+++ b/src/host_index.rs
@@ -1,8 +1,8 @@
 //! An index of the hosts in use, so that the cost of a request does not grow with the number of hosts.
 //!
-//! The index is updated whenever a host changes. Hosts that are equivalent for a request form a [`HostGroup`]. A host is
-//! settled if it is neither warming up nor ejected nor failing, which is decided in [`crate::decisions`]. Settled hosts
-//! are summed by group; unsettled ones are kept in a list, as each of them has to be checked for each request.
+//! The index is updated whenever a host changes. Hosts that are equivalent for a request form a [`HostGroup`]. A host
+//! is settled if it is neither warming up nor ejected nor failing, which is decided in [`crate::decisions`]. Settled
+//! hosts are summed by group; unsettled ones are kept in a set, as each of them has to be checked for each request.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -40,7 +40,7 @@
 
 /// The hosts of one group with their weights, and the sum of size times weight over the settled ones.
 #[derive(Clone, Debug, Default)]
-struct Members {
+struct GroupMembers {
     hosts: BTreeMap<HostId, f64>,
     settled: HostSum,
 }
@@ -82,7 +82,7 @@
 #[derive(Default)]
 pub(crate) struct HostIndex {
     hosts: BTreeMap<HostId, IndexedHost>,
-    groups: BTreeMap<HostGroup, Members>,
+    groups: BTreeMap<HostGroup, GroupMembers>,
     builds: BTreeMap<BuildId, BuildSums>,
     unsettled: BTreeSet<HostId>,
     rankings: RendezvousRankings,
@@ -105,8 +105,8 @@
     }
 
     /// Returns, for each arm, the number of settled hosts that may serve a request and the sum of their size times
-    /// weight. Hosts that the request was already sent to are left out; those of them that are settled and may serve the
-    /// request are returned separately.
+    /// weight. Hosts that the request was already sent to are left out; those of them that are settled and may serve
+    /// the request are returned separately.
     pub(crate) fn settled(&self, requirements: &Requirements) -> (PerArm<HostSum>, Vec<HostId>) {
         let mut sums = PerArm::<HostSum>::default();
         for (group, arm) in &requirements.arms {
--- a/src/interface/rollout.rs
+++ b/src/interface/rollout.rs
@@ -21,8 +21,8 @@
 /// The status of a rollout, as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutStatus {
-    /// `Succeeded` if this reports the status. Any other outcome answers a vote, and the status is ignored: the vote was
-    /// counted if the outcome is `Irrelevant`, may have been counted if it is `TimedOut`, and otherwise was not.
+    /// `Succeeded` if this reports the status. Any other outcome answers a vote, and the status is ignored: the vote
+    /// was counted if the outcome is `Irrelevant`, may have been counted if it is `TimedOut`, and otherwise was not.
     pub outcome: AttemptOutcome,
     /// The newest build.
     pub build: BuildId,
@@ -52,7 +52,7 @@
     RollBack,
 }
 
-/// The evidence for one quality signal of one arm of the comparison (baseline or canary), merged from the routers' gossip.
+/// The evidence for one quality signal of the baseline or of the canary, merged from the routers' gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SignalEvidence {
     /// The fraction of good outcomes; 0 if there are hardly any outcomes.
@@ -68,7 +68,7 @@
     }
 }
 
-/// The evidence for one quality signal of both arms.
+/// The evidence for one quality signal of the baseline and of the canary.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SignalComparison {
     /// The evidence for the builds before the canary.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! kestreltide: the decisions of routers that split requests between a baseline and a canary build.
 //!
 //! [`interface`] contains the types of events, effects and settings, [`decisions`] all decisions of a router, and
-//! [`operator_weights`] the effect of operators' weights. `host_index`, `rendezvous` and `candidates` make the cost of a
-//! request independent of the number of hosts.
+//! [`operator_weights`] the effect of operators' weights. `host_index`, `rendezvous` and `candidates` make the cost of
+//! a request independent of the number of hosts.
 
 #![deny(missing_docs, unreachable_pub)]
 #![deny(
