--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -128,7 +128,7 @@
         let rested_since = now - on.min_idle;
         while let Some((id, idle_since)) =
             self.idle
-                .take_rested(host, rested_since, on.max_below_min_idle)
+                .take_reusable(host, rested_since, on.max_below_min_idle)
         {
             // Its host may be closing it by now; what is written then is reset, and may not be repeated.
             if now - idle_since > max_idle {
@@ -204,7 +204,7 @@
 
     /// Closes the connections that have been idle since this time.
     pub(super) fn close_idle_since(&mut self, event_loop: &EventLoop, time: f64) {
-        for id in self.idle.take_unused_since(time) {
+        for id in self.idle.take_idle_since(time) {
             self.close(event_loop, id);
         }
     }
