--- a/router/src/protocol/client.rs
+++ b/router/src/protocol/client.rs
@@ -178,7 +178,7 @@
             .map_or(&[], |end| &self.bytes[self.ends[ID - 1]..*end])
     }
 
-    /// Writes the command as the client sent it, but with `time_limit_millis` as the time that is left (`d`).
+    /// Writes the command as the client sent it, but with `time_limit_millis` as the time limit that is left (`d`).
     pub fn write(&self, out: &mut Vec<u8>, time_limit_millis: u64) {
         let starts = std::iter::once(0).chain(self.ends.iter().copied());
         let mut words: Vec<_> = starts
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -56,10 +56,10 @@
 /// What is to be done after a turn of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    Next,
+    Continue,
     /// The configuration is to be read again, then the next turn.
-    Reread,
-    Over,
+    ReloadConfiguration,
+    Stop,
 }
 
 /// Why the router reports that it is ready to serve.
