--- a/routes/src/lib.rs
+++ b/routes/src/lib.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use kestreltide::interface::Pool;
+use kestreltide::interface::HostPool;
 
 /// The requests that a route applies to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     /// The requests that the route applies to.
     pub matcher: RouteMatch,
     /// The hosts that these requests may use.
-    pub pool: Arc<Pool>,
+    pub pool: Arc<HostPool>,
 }
 
 impl Route {
--- a/src/host_group.rs
+++ b/src/host_group.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use crate::arm::Arm;
-use crate::interface::{BuildId, CellId, HostEntry, HostId, MachineKindId, Pool, Revision, ZoneId};
+use crate::interface::{
+    BuildId, CellId, HostEntry, HostId, HostPool, MachineKindId, Revision, ZoneId,
+};
 
 /// The properties of a host that a request's requirements refer to. Within a group, hosts differ only in their own
 /// state, such as load and health.
@@ -43,7 +45,7 @@
     pub(crate) arms: Vec<(HostGroup, Arm)>,
     /// The hosts that earlier attempts of the request were sent to.
     pub(crate) tried: Vec<HostId>,
-    pub(crate) pool: Option<Arc<Pool>>,
+    pub(crate) pool: Option<Arc<HostPool>>,
     /// The revision of the operators' settings that the request was admitted under and keeps until it is finished.
     pub(crate) revision: Revision,
 }
--- a/src/interface/effects.rs
+++ b/src/interface/effects.rs
@@ -93,5 +93,5 @@
     /// Fetch the endpoint list once, without a subscription.
     FetchEndpointList,
     /// Log the evidence for a vote that is being cast.
-    ExplainVote(VoteEvidence),
+    LogVoteEvidence(VoteEvidence),
 }
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -45,7 +45,7 @@
 /// The hosts that a route's requests may use. Each non-empty list is a condition that a host must meet; an empty list
 /// allows any host. A pool only restricts which hosts the decisions choose from.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Pool {
+pub struct HostPool {
     /// The allowed zones.
     pub zones: Vec<ZoneId>,
     /// The allowed kinds of machine.
@@ -54,7 +54,7 @@
     pub hosts: Vec<HostId>,
 }
 
-impl Pool {
+impl HostPool {
     /// Whether this host is in the pool.
     pub fn contains(&self, host: &HostEntry) -> bool {
         let is_listed = self.hosts.is_empty() || self.hosts.contains(&host.host);
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::endpoints::{HostEntry, ListScope, LoadReport, Pool};
+use super::endpoints::{HostEntry, HostPool, ListScope, LoadReport};
 use super::ids::{
     AttemptNumber, BuildId, HostId, KeyId, OperationId, RequestId, RouterId, TimerKey,
 };
@@ -46,7 +46,7 @@
     /// Whether the client has sent the request before and is retrying it.
     pub is_retry: bool,
     /// The hosts that may serve the request; `None` if all hosts may.
-    pub pool: Option<Arc<Pool>>,
+    pub pool: Option<Arc<HostPool>>,
 }
 
 /// Something that happened to a router.
