--- a/datastore/src/access.rs
+++ b/datastore/src/access.rs
@@ -1,4 +1,4 @@
-//! Who may do what: keys by name, each with the rights that the file of keys grants.
+//! Access control of the management interfaces: named keys, each with the rights that the keys file grants.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 /// What the holder of a key may read and change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Rights {
-    /// Everything may be read.
+    /// The configuration and the operational state may be read.
     pub read: bool,
     /// Hosts, weights, administrative states and guards may be changed.
     pub weights: bool,
@@ -24,26 +24,26 @@
 const WEIGHTS: &str = "weights";
 const ROUTES: &str = "routes";
 const ROLLOUT: &str = "ring";
-/// The names of all rights, as shown.
+/// The names of all rights, for error texts.
 const ALL_RIGHTS: &str = "read, weights, routes, ring";
 
-/// Why a text grants no rights.
+/// Why a text is not a list of rights.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RightsError {
-    /// A word is no right's name.
+    /// A word is not the name of a right.
     #[error("{0} is none of {ALL_RIGHTS}")]
     Unknown(String),
-    /// There is no right's name.
+    /// The text contains no name of a right.
     #[error("names none of {ALL_RIGHTS}")]
     Missing,
 }
 
 impl Rights {
-    /// Reads names of rights, separated by commas or spaces.
+    /// Parses names of rights, separated by commas or spaces.
     ///
     /// # Errors
     ///
-    /// A name is not known, or there is none.
+    /// Returns an error if a name is unknown or if there is none.
     pub fn parse(text: &str) -> Result<Self, RightsError> {
         let mut rights = Rights::default();
         for word in text.split([',', ' ']).filter(|word| !word.is_empty()) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The right by which a path may be changed.
+    /// Returns the name of the right that is required to change a path.
     fn needed_for(path: &Path) -> &'static str {
         match path {
             Path::Host(..) | Path::Guards(_) => WEIGHTS,
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Returns whether these rights allow changing a path.
     fn covers(self, path: &Path) -> bool {
         match path {
             Path::Host(..) | Path::Guards(_) => self.weights,
@@ -83,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// The first change that is not allowed.
+    /// Returns an error for the first change that is not allowed.
     pub fn check(self, changes: &[Difference]) -> Result<(), ValidationError> {
         match changes.iter().find(|change| !self.covers(&change.path)) {
             None => Ok(()),
@@ -117,42 +118,42 @@
     }
 }
 
-/// By what the holder of a key is recognized.
+/// The credential that authenticates the holder of a key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Proof {
-    /// A public key as OpenSSH writes it: its type and its text, without a comment.
+    /// A public key in OpenSSH format: its type and its base64 text, without the comment.
     Ssh(String),
-    /// The SHA-256 of a client's certificate.
+    /// The SHA-256 hash of a client certificate.
     Certificate([u8; 32]),
 }
 
-/// A key that grants access.
+/// A key that grants access to the management interfaces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Key {
     /// The name of its holder.
     pub name: String,
-    /// By what its holder is recognized.
+    /// The credential that authenticates its holder.
     pub proof: Proof,
     /// What its holder may do.
     pub rights: Rights,
 }
 
-/// All keys of one version of the file of keys.
+/// All keys of one version of the keys file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Keys {
-    /// The name of the version.
+    /// The generation that the file names.
     pub generation: String,
     /// The keys, in the order of the file.
     pub keys: Vec<Key>,
 }
 
 impl Keys {
-    /// The key with this proof.
+    /// Returns the key with this credential.
     pub fn find(&self, proof: &Proof) -> Option<&Key> {
         self.keys.iter().find(|key| key.proof == *proof)
     }
 
-    /// What a session may do now that was opened with this key; `None` where the key is no longer there.
+    /// Returns the current rights of a session that was opened with this key; `None` if the key has been removed.
     pub fn rights(&self, name: &str, proof: &Proof) -> Option<Rights> {
         self.find(proof)
             .filter(|key| key.name == name)
--- a/datastore/src/candidate.rs
+++ b/datastore/src/candidate.rs
@@ -1,4 +1,4 @@
-//! What is in force, and candidates made from it.
+//! The revision in force, and candidates that are made from it.
 
 use std::sync::Arc;
 
@@ -7,33 +7,33 @@
 use crate::merge::FirstListed;
 use crate::tree::Tree;
 
-/// The revision that is in force.
+/// The revision that is in force: the one that was committed last.
 #[derive(Debug, Default)]
 pub struct InForce {
-    /// Its number; 0 before the first commit.
+    /// The number of the revision; 0 before the first commit.
     pub revision: Revision,
-    /// Its tree.
+    /// The configuration of the revision.
     pub tree: Arc<Tree>,
     pub(crate) first_listed: Arc<FirstListed>,
 }
 
 impl InForce {
-    /// When hosts were first listed of which no start is known.
+    /// Returns when each host without a known start was first listed.
     pub fn first_listed(&self) -> &FirstListed {
         &self.first_listed
     }
 }
 
-/// A tree to be committed, and the revision that it was made from.
+/// A tree that is proposed for a commit, and the revision that it was made from.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     base: Arc<InForce>,
-    /// The tree as it is to be.
+    /// The proposed tree.
     pub tree: Tree,
 }
 
 impl Candidate {
-    /// A candidate that changes nothing yet.
+    /// Creates a candidate that changes nothing yet.
     pub fn new(base: &Arc<InForce>) -> Self {
         Candidate {
             base: base.clone(),
@@ -41,17 +41,17 @@
         }
     }
 
-    /// Whether the tree is still the one that it was made from.
+    /// Returns whether the proposed tree equals the tree that it was made from.
     pub fn is_unchanged(&self) -> bool {
         *self.base.tree == self.tree
     }
 
-    /// The tree that it was made from.
+    /// Returns the tree that the candidate was made from.
     pub fn base_tree(&self) -> &Tree {
         &self.base.tree
     }
 
-    /// The revision that it was made from.
+    /// Returns the revision that the candidate was made from.
     pub fn base_revision(&self) -> Revision {
         self.base.revision
     }
--- a/datastore/src/check/builds.rs
+++ b/datastore/src/check/builds.rs
@@ -1,4 +1,4 @@
-//! Rule 5: no host is put in service with a build that the platform has rolled back.
+//! Rule 5: no host enters service with a build that the platform has rolled back or is rolling back.
 
 use kestreltide::interface::{Phase, RolloutStatus};
 
@@ -6,7 +6,8 @@
 use crate::host_record::HostRecord;
 use crate::validation::{Rule, ValidationError, ValidationErrors};
 
-/// No host joins a build that is rolled back or being rolled back.
+/// Reports hosts that enter service with a build that is rolled back or being rolled back. Hosts that already served
+/// with this build are not reported.
 pub(super) fn check_no_host_joins_rolled_back_build(
     context: &Context,
     errors: &mut ValidationErrors,
--- a/datastore/src/check/context.rs
+++ b/datastore/src/check/context.rs
@@ -1,4 +1,4 @@
-//! What the checks see: the tree and its hosts before and after the candidate, and what the router observes.
+//! The input of the checks: the tree and its hosts before and after the candidate, and what the router observes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,13 +12,13 @@
 use crate::settings::RuleSettings;
 use crate::tree::{Difference, Tree};
 
-/// Seconds after which a candidate that waits for discovery is checked again.
+/// Seconds after which a candidate that depends on missing data of discovery may be checked again.
 pub(super) const RETRY_DELAY: f64 = 0.2;
 
-/// A tree, and all hosts as they count under it.
+/// A tree, and its hosts merged with those of discovery.
 pub(crate) struct HostsOfTree<'a> {
     pub(super) tree: &'a Tree,
-    /// In the order of names.
+    /// The merged hosts by name.
     pub(super) hosts: BTreeMap<Arc<str>, HostRecord>,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// How many hosts in service fulfil a condition.
+    /// Returns the number of hosts in service that fulfil a condition.
     pub(super) fn count_in_service(&self, condition: impl Fn(&HostRecord) -> bool) -> usize {
         self.hosts
             .values()
@@ -40,20 +40,21 @@
     }
 }
 
-/// Everything that a check may look at.
+/// Everything that a check may use.
 pub(crate) struct Context<'a> {
     pub(crate) settings: &'a RuleSettings,
     pub(crate) facts: &'a Facts,
     pub(crate) before: HostsOfTree<'a>,
     pub(crate) after: HostsOfTree<'a>,
+    /// The hosts that operators have drained.
     pub(crate) drained: &'a DrainedHosts,
     /// The leaves that the candidate changes.
     pub(crate) differences: &'a [Difference],
 }
 
 impl Context<'_> {
-    /// The released build among these hosts: the newest that is no canary any more, or every listed build before
-    /// the platform has sent a rollout status.
+    /// Returns the released build. Unless the platform reports its newest build as released, that is the newest listed
+    /// build before it. Returns every listed build if the platform has not sent a rollout status yet.
     pub(super) fn released_builds(&self, side: &HostsOfTree) -> Vec<BuildId> {
         let builds: BTreeSet<BuildId> = side.hosts.values().map(|host| host.build).collect();
         let baseline = |rollout: &RolloutStatus| builds.range(..rollout.build).next_back().copied();
--- a/datastore/src/check/drains.rs
+++ b/datastore/src/check/drains.rs
@@ -1,4 +1,4 @@
-//! Rule 3: a drained host comes back as another process only.
+//! Rule 3: a drained host returns to service only as a new process.
 
 use std::collections::BTreeMap;
 
@@ -6,11 +6,11 @@
 use crate::tree::{HostName, Leaf, Path};
 use crate::validation::{Rule, ValidationError, ValidationErrors};
 
-/// The hosts that operators have drained: when the drained process had started, or when it was drained where no start
-/// is known (Unix seconds).
+/// The hosts that operators have drained, each with the start of the drained process, or with the time of the drain if
+/// the start is not known (Unix seconds).
 pub type DrainedHosts = BTreeMap<HostName, f64>;
 
-/// No host that was drained is in service with the same process.
+/// Reports drained hosts that are in service and have not been restarted since.
 pub(super) fn check_drained_hosts_stay_out(context: &Context, errors: &mut ValidationErrors) {
     for (name, drained_process) in context.drained {
         let host = context.after.hosts.get(name.as_str());
--- a/datastore/src/check/hosts.rs
+++ b/datastore/src/check/hosts.rs
@@ -1,4 +1,4 @@
-//! Checks of the entries of hosts: complete, at distinct addresses, not started in the future.
+//! Checks of host entries: they are complete, have distinct ids and addresses, and do not start in the future.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,13 +10,14 @@
 use crate::tree::{HostConfig, HostName, Leaf, Path};
 use crate::validation::{Rule, ValidationError, ValidationErrors};
 
-/// Seconds that a start may lie ahead, as clocks of machines differ a little.
+/// Seconds that a start may lie in the future, as the clocks of machines differ slightly.
 const CLOCK_TOLERANCE: f64 = 1.0;
 
-/// The leaves without which an entry of its own is not complete.
+/// The leaves that an entry needs if discovery does not list the host.
 const REQUIRED_LEAVES: [Leaf; 4] = [Leaf::Endpoint, Leaf::Zone, Leaf::Kind, Leaf::Build];
 
-/// An entry of its own has all leaves that an entry needs; any other refers to a host that is listed.
+/// Reports configured hosts that neither discovery nor a complete entry lists. An entry that sets none of the required
+/// leaves is taken for a reference to a host that is not listed.
 pub(super) fn check_entries_complete(context: &Context, errors: &mut ValidationErrors) {
     let incomplete = context
         .after
@@ -45,7 +46,7 @@
         "endpoint, zone, kind and build",
     );
     match context.facts.discovery {
-        // Discovery may list it later.
+        // Discovery may list the host later.
         Some(_) => error.with_retry_at(context.facts.now + RETRY_DELAY),
         None => error,
     }
@@ -60,8 +61,8 @@
     )
 }
 
-/// Each host has an address and an id of its own: otherwise an answer, or the record of one host, would be taken for
-/// another's.
+/// Reports hosts with the same id or address: answers and records of one host would be attributed to the other. A host
+/// that is gone no longer occupies its address.
 pub(super) fn check_addresses_distinct(context: &Context, errors: &mut ValidationErrors) {
     let mut by_address: BTreeMap<SocketAddr, &HostRecord> = BTreeMap::new();
     let mut by_id: BTreeMap<HostId, &HostRecord> = BTreeMap::new();
@@ -89,7 +90,7 @@
     }
 }
 
-/// No host has started in the future.
+/// Reports configured starts that lie in the future by more than the clock tolerance.
 pub(super) fn check_starts_not_ahead(context: &Context, errors: &mut ValidationErrors) {
     let latest = context.facts.now + CLOCK_TOLERANCE;
     let ahead = |config: &HostConfig| config.started.filter(|started| *started > latest);
--- a/datastore/src/check/maximums.rs
+++ b/datastore/src/check/maximums.rs
@@ -1,4 +1,4 @@
-//! Checks that a tree is not larger than a router can keep.
+//! Checks that a tree does not exceed the numbers of items and the memory that a router allows.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +7,14 @@
 use crate::tree::{RouteConfig, Tree};
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// How much of each thing there is.
+/// The number of items of each kind in a tree.
 struct Sizes {
-    /// Hosts, whoever lists them.
+    /// Hosts that discovery or operators list.
     hosts: usize,
-    /// Hosts of which operators set something.
+    /// Hosts for which operators set a leaf.
     configured_hosts: usize,
     routes: usize,
-    /// Names in all routes together.
+    /// Names of operations, zones, kinds and hosts in all routes together.
     route_names: usize,
 }
 
@@ -37,7 +37,8 @@
         .sum()
 }
 
-/// What a tree has more of than a router keeps, where operators and discovery together list `listed_hosts` hosts.
+/// Returns an error for each maximum that a tree exceeds, where discovery and operators together list `listed_hosts`
+/// hosts.
 pub fn exceeded_maximums(
     tree: &Tree,
     listed_hosts: usize,
@@ -98,7 +99,7 @@
     ))
 }
 
-/// The candidate fits in what the router keeps.
+/// Reports the maximums that the candidate exceeds.
 pub(super) fn check_maximums(context: &Context, errors: &mut ValidationErrors) {
     let listed_hosts = context.after.hosts.len();
     let exceeded = exceeded_maximums(context.after.tree, listed_hosts, &context.settings.maximums);
--- a/datastore/src/check/mod.rs
+++ b/datastore/src/check/mod.rs
@@ -1,5 +1,5 @@
-//! The checks of a candidate against the service's settings and rules. Each check sees the whole candidate and
-//! reports every violation that it finds; none changes anything.
+//! The checks of a candidate against the service's settings and rules. Each check sees the entire candidate, reports
+//! every violation that it finds, and changes nothing.
 
 mod builds;
 mod context;
@@ -18,10 +18,10 @@
 use self::context::RETRY_DELAY;
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// Adds all that it finds wrong with a candidate.
+/// A check: adds an error for each violation that it finds in a candidate.
 type Check = fn(&Context, &mut ValidationErrors);
 
-/// Every check, in the order in which their errors are shown.
+/// All checks, in the order in which their errors are shown.
 const CHECKS: [Check; 13] = [
     hosts::check_entries_complete,
     maximums::check_maximums,
@@ -38,7 +38,8 @@
     rollout::check_overrides,
 ];
 
-/// All that is wrong with a candidate.
+/// Runs all checks on a candidate and returns their errors. Until discovery has sent its endpoint list, no check runs
+/// and the only error is that the list is missing.
 pub(crate) fn check(context: &Context) -> ValidationErrors {
     let mut errors = ValidationErrors::default();
     if context.facts.discovery.is_some() && !context.facts.discovery_received {
--- a/datastore/src/check/removal.rs
+++ b/datastore/src/check/removal.rs
@@ -1,4 +1,4 @@
-//! The guards: how much one revision may take out of service.
+//! The guards: limits on how many hosts one revision takes out of service.
 
 use std::collections::BTreeSet;
 
@@ -8,17 +8,17 @@
 use crate::host_record::HostRecord;
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// A minimum of hosts that a revision leaves in service.
+/// The minimum number of hosts that a revision leaves in service in a group of hosts.
 struct MinimumHosts {
-    /// What it is a minimum of, as shown.
+    /// The group of hosts, for error texts.
     group: String,
-    /// The path of the guard.
+    /// The path of the guard that sets the minimum.
     guard: &'static str,
     minimum: u32,
 }
 
 impl MinimumHosts {
-    /// The error where a candidate takes hosts out of the group and leaves fewer than the minimum.
+    /// Returns an error if the candidate takes hosts of the group out of service and leaves fewer than the minimum.
     fn check(
         &self,
         context: &Context,
@@ -41,7 +41,8 @@
     }
 }
 
-/// Each zone, the released build and the canary keep hosts in service.
+/// Reports zones and builds (the released one and the canary) of which too few hosts would stay in service. The guards
+/// of the tree before the candidate apply, so that a candidate cannot loosen them for itself.
 pub(super) fn check_zones_and_builds_keep_hosts(context: &Context, errors: &mut ValidationErrors) {
     let guards = context.before.tree.guards.effective();
     let before = context.before.hosts.values();
@@ -70,7 +71,8 @@
     }
 }
 
-/// One revision takes out of service no more than the guard allows: a list that lost most of its lines is an accident.
+/// Reports a candidate that takes a larger share of the hosts out of service than the guard allows: a file that has
+/// lost most of its lines is taken for an accident.
 pub(super) fn check_largest_removal(context: &Context, errors: &mut ValidationErrors) {
     let largest = context.before.tree.guards.effective().largest_removal;
     let mut before = 0_u32;
@@ -85,7 +87,7 @@
         removed += u32::from(!stays);
     }
     let removed_share = f64::from(removed) / f64::from(before.max(1));
-    // The last host of a short list is left to the other guards.
+    // A single host may exceed the share in a short list, unless the guard is 0: the minimums protect such a list.
     if removed_share > largest && (removed > 1 || largest <= 0.0) {
         errors.push(ValidationError::new(
             "hosts",
--- a/datastore/src/check/rollout.rs
+++ b/datastore/src/check/rollout.rs
@@ -1,4 +1,4 @@
-//! Rule 5: overrides of a rollout only narrow the exposure of the canary, and name the build that they are about.
+//! Rule 5: an override of a rollout can only lower the exposure of the canary, and names the canary's build.
 
 use kestreltide::interface::RolloutStatus;
 
@@ -6,7 +6,7 @@
 use crate::tree::RolloutConfig;
 use crate::validation::{Rule, ValidationError, ValidationErrors};
 
-/// A changed override is of the newest build and does not raise its cap.
+/// Reports a changed override that names no build or not the newest one, or that raises the cap of the platform.
 pub(super) fn check_overrides(context: &Context, errors: &mut ValidationErrors) {
     let config = &context.after.tree.rollout;
     if context.before.tree.rollout == *config || !overrides_anything(config) {
--- a/datastore/src/check/routes.rs
+++ b/datastore/src/check/routes.rs
@@ -1,4 +1,4 @@
-//! Checks of routes: what they refer to exists, their order is clear, and their pools keep hosts.
+//! Checks of routes: their references exist, their precedence is unambiguous, and their pools have hosts.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::tree::{Leaf, Path, RouteConfig, RouteName};
 use crate::validation::{MAX_KEPT_ERRORS, Rule, ValidationError, ValidationErrors};
 
-/// A route refers to operations of the service and to listed hosts, and sets more than a precedence.
+/// Reports routes that refer to unknown operations or unlisted hosts, and routes that set only a precedence.
 pub(super) fn check_references(context: &Context, errors: &mut ValidationErrors) {
     for (name, route) in &context.after.tree.routes {
         errors.extend(unknown_operations(context, name, route));
@@ -59,7 +59,7 @@
         .collect()
 }
 
-/// Whether a route sets nothing besides its precedence.
+/// Returns whether a route sets nothing besides its precedence.
 fn is_empty(route: &RouteConfig) -> bool {
     let only_precedence = RouteConfig {
         precedence: route.precedence,
@@ -68,10 +68,10 @@
     *route == only_precedence
 }
 
-/// Which of two overlapping routes a request takes is always set.
+/// Reports pairs of overlapping routes whose precedences do not decide which of them a request takes.
 pub(super) fn check_precedence_is_clear(context: &Context, errors: &mut ValidationErrors) {
     let routes = build_routes(context.after.tree);
-    // More pairs than errors are shown need not be found.
+    // More pairs than errors are kept need not be found.
     for (route, other) in kestreltide_routes::ambiguous_pairs(&routes, MAX_KEPT_ERRORS) {
         let found = route
             .precedence
@@ -88,8 +88,8 @@
     }
 }
 
-/// Every pool has a host of the released build in service while one is listed: otherwise its requests could go nowhere,
-/// or to the canary alone.
+/// Reports routes whose pool has no host of the released build in service: their requests could go nowhere, or only to
+/// the canary. Reports none if no such host is in service at all.
 pub(super) fn check_pools_keep_hosts(context: &Context, errors: &mut ValidationErrors) {
     let released = context.released_builds(&context.after);
     let serving: Vec<&HostRecord> = context
--- a/datastore/src/check/slow_start.rs
+++ b/datastore/src/check/slow_start.rs
@@ -1,8 +1,9 @@
-//! Rule 4: weights send no more to a host that is warming up than it can carry.
+//! Rule 4: weights do not overload a host that is warming up.
 //!
-//! The service's traffic is taken to be all that its hosts can do. A host's fair share is what it can do itself once
-//! warm; its weight over the mean of all weights is how many times that share all routers together send it. Just
-//! started, it can do its warm-up fraction of it, and is overloaded at the overload multiple of that.
+//! The check assumes that the service's traffic equals the capacity of all its hosts. A host's fair share is its own
+//! capacity once it is warm. All routers together send it a multiple of this share: its weight over the mean of all
+//! weights, each weighted by the capacity of its host. A host that is warming up can handle its warm-up fraction of
+//! the fair share, and is overloaded at the overload multiple of that.
 
 use std::sync::Arc;
 
@@ -13,12 +14,13 @@
 use crate::tree::{AdminState, HostName, Leaf, Path, Value};
 use crate::validation::{Rule, ValidationError, ValidationErrors};
 
-/// A share that grew by less than this factor has not grown: the rest is rounding.
+/// The factor by which a share has to exceed the previous one to count as grown; a smaller difference may be a rounding
+/// error.
 const SHARE_GROWTH_TOLERANCE: f64 = 1.0001;
-/// The least part of the warm-up that is divided by.
+/// The smallest warm-up range that is used as a divisor, which avoids a division by zero.
 const MIN_WARM_UP_RANGE: f64 = 1e-9;
 
-/// The weights of all hosts in service; names and weights are in the same order.
+/// The weights of all hosts in service. Both lists are in the order of the hosts' names.
 struct Weights {
     names: Vec<Arc<str>>,
     weights: Vec<EffectiveWeight>,
@@ -47,7 +49,7 @@
         Weights { names, weights }
     }
 
-    /// How many times its fair share a host gets; `None` where it is not in service.
+    /// Returns the multiple of its fair share that a host gets; `None` if it is not in service.
     fn share_of(&self, name: &Arc<str>) -> Option<f64> {
         let position = self.names.binary_search(name).ok()?;
         let weight = &self.weights[position];
@@ -55,10 +57,10 @@
     }
 }
 
-/// No weight overloads a host that is warming up, unless it got that share before.
+/// Reports weights that overload a host that is warming up, unless the host got the same share before.
 pub(super) fn check_weights_of_warming_hosts(context: &Context, errors: &mut ValidationErrors) {
     if only_removes_hosts(context) {
-        // Nothing may delay a drain; its effect on the other hosts is limited when weights are applied.
+        // A drain is never delayed. Its effect on the other hosts is limited when the weights are applied.
         return;
     }
     let after = Weights::of(context, &context.after);
@@ -72,7 +74,7 @@
         }
         let overload = context.settings.overload_multiple * weight.warm_up_fraction;
         let share = operator_weights::relative_share(weight, &after.weights);
-        // A fair share is what every host gets without weights.
+        // The fair share is always allowed, as every host gets it without weights.
         if share <= overload.max(1.0) {
             continue;
         }
@@ -85,7 +87,7 @@
     }
 }
 
-/// Whether the candidate does nothing but take hosts out, drain them or list them no longer.
+/// Returns whether all that the candidate does is to drain hosts, take them out of service or remove their entries.
 fn only_removes_hosts(context: &Context) -> bool {
     let leaves_service = |value: &Option<Value>| matches!(value, Some(Value::State(state)) if *state != AdminState::InService);
     context.differences.iter().all(|change| match &change.path {
@@ -128,7 +130,7 @@
     .with_retry_at(carried_at)
 }
 
-/// Seconds after its start in which a host can carry this share.
+/// Returns the seconds after its start at which a host can handle this multiple of its fair share.
 fn warm_up_time(settings: &RuleSettings, share: f64) -> f64 {
     let initial = settings.slow_start_initial_fraction;
     let progress = ((share / settings.overload_multiple).min(1.0) - initial)
@@ -136,7 +138,7 @@
     settings.slow_start_duration * progress.clamp(0.0, 1.0)
 }
 
-/// Whether one router alone or only all of them together send more than the host carries.
+/// Describes who overloads the host, for error texts: one router by itself, or only all of them together.
 fn senders(settings: &RuleSettings, share: f64, overload: f64) -> String {
     let overloads_alone = share / f64::from(settings.routers) > overload;
     if settings.routers == 1 {
--- a/datastore/src/commit_coordinator.rs
+++ b/datastore/src/commit_coordinator.rs
@@ -1,7 +1,7 @@
-//! Coordinates the commits of all management interfaces: locks, commits, and confirmed commits that are rolled back
+//! Coordinates the commits of all management interfaces: locks, commits, and confirmed commits, which are rolled back
 //! unless they are confirmed in time (RFC 6241, sections 7.5 and 8.4).
 //!
-//! Free of I/O: the datastore's thread hands in the time and what the router knows.
+//! Performs no I/O: the datastore thread passes in the time and what the router observes.
 
 use std::sync::Arc;
 
@@ -16,38 +16,38 @@
 use crate::store::{CommitOutcome, Datastore};
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// How many of the newest revisions a status shows.
+/// The number of newest revisions in a [`CoordinatorStatus`].
 const SHOWN_REVISIONS: usize = 32;
-/// The version that the author of a roll-back of an unconfirmed commit has.
+/// The author's version in the revision that rolls an unconfirmed commit back.
 const NOT_CONFIRMED: &str = "not confirmed";
 
-/// Who asks: a session, or none, as watched files have none.
+/// The session that a request comes from; `None` for watched files, which have no session.
 pub type CommitOwner = Option<SessionId>;
 
-/// A commit that is rolled back unless it is confirmed in time.
+/// The parameters of a confirmed commit, which is rolled back unless it is confirmed in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfirmedCommit {
-    /// Seconds.
+    /// Seconds until the commit is rolled back unless it is confirmed.
     pub timeout: f64,
-    /// By this id another session may confirm it too, and it outlives its own.
+    /// An id by which any session may confirm the commit. A commit with such an id outlives its session.
     pub persist_id: Option<String>,
 }
 
-/// A commit that waits to be confirmed.
+/// A confirmed commit that is pending: it has not been confirmed yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PendingCommit {
-    /// The revision that it is rolled back to.
+    /// The revision that is restored if the commit is not confirmed.
     #[serde(rename = "to")]
     pub rolls_back_to: u64,
-    /// Unix seconds.
+    /// When the commit is rolled back unless it is confirmed, in Unix seconds.
     #[serde(rename = "until")]
     pub expires_at: f64,
-    /// The session that may confirm it; `None` after a restart, which ends all sessions.
+    /// The session that made the commit and may confirm it; `None` after a restart, which ends all sessions.
     pub session: Option<SessionId>,
-    /// The id by which any session may confirm it.
+    /// The id by which any session may confirm the commit.
     #[serde(rename = "persist")]
     pub persist_id: Option<String>,
-    /// Who committed it.
+    /// The author of the commit.
     pub author: Author,
 }
 
@@ -60,18 +60,18 @@
     /// Another session holds the lock.
     #[error("session {0} holds the lock")]
     Locked(SessionId),
-    /// Another's commit waits to be confirmed.
+    /// A commit is pending that the requester may not confirm.
     #[error("a commit ({}) waits to be confirmed", .0.author)]
     CommitPending(PendingCommit),
-    /// No commit waits to be confirmed, or not by who asks.
+    /// No commit is pending, or none that the requester may confirm.
     #[error("no commit of this session or name waits to be confirmed")]
     NoPendingCommit,
-    /// The session does not hold the lock that it releases.
+    /// The session does not hold the lock that it wants to release.
     #[error("this session does not hold the lock")]
     LockNotHeld,
 }
 
-/// The datastore with its locks and the commit that waits to be confirmed.
+/// The datastore with its locks and the pending commit.
 pub struct CommitCoordinator {
     /// The datastore.
     pub store: Datastore,
@@ -81,7 +81,8 @@
 }
 
 impl CommitCoordinator {
-    /// `pending` is the commit that waited to be confirmed when the program ended: it is rolled back at once.
+    /// Creates a coordinator without sessions. `pending` is the commit that was pending when the program ended: it
+    /// expires at once, as no session is left that could confirm it.
     pub fn new(store: Datastore, pending: Option<PendingCommit>) -> Self {
         let pending = pending.map(|pending| PendingCommit {
             session: None,
@@ -97,18 +98,18 @@
         }
     }
 
-    /// Opens a session.
+    /// Opens a session and returns its id.
     pub fn open_session(&mut self) -> SessionId {
         self.sessions += 1;
         SessionId(self.sessions)
     }
 
-    /// The commit that waits to be confirmed.
+    /// Returns the pending commit.
     pub fn pending(&self) -> Option<&PendingCommit> {
         self.pending.as_ref()
     }
 
-    /// The session that holds a lock.
+    /// Returns the session that holds a lock.
     pub fn lock_holder(&self, target: Target) -> CommitOwner {
         self.locks.holder(target)
     }
@@ -117,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// A session holds the lock, or another's commit waits to be confirmed.
+    /// Returns an error if any session holds the lock, or if a commit of another session is pending.
     pub fn lock(&mut self, session: SessionId, target: Target) -> Result<(), CommitError> {
         if let Some(holder) = self.locks.holder(target) {
             return Err(CommitError::Locked(holder));
@@ -134,7 +135,7 @@
     ///
     /// # Errors
     ///
-    /// The session does not hold it.
+    /// Returns an error if the session does not hold the lock.
     pub fn unlock(&mut self, session: SessionId, target: Target) -> Result<(), CommitError> {
         if self.locks.holder(target) != Some(session) {
             return Err(CommitError::LockNotHeld);
@@ -143,13 +144,13 @@
         Ok(())
     }
 
-    /// Commits a candidate. While a commit waits to be confirmed only those that may confirm it may commit, and an
-    /// ordinary commit of theirs confirms it.
+    /// Commits a candidate. While a commit is pending, only a requester that may confirm it may commit: an ordinary
+    /// commit then confirms the pending one, and a confirmed commit extends it.
     ///
     /// # Errors
     ///
-    /// Another session holds a lock, another's commit waits, none waits under `persist_id`, or the candidate is not
-    /// valid.
+    /// Returns an error if another session holds a lock, if a commit is pending that the requester may not confirm, if
+    /// none is pending though `persist_id` is given, or if the candidate is not valid.
     pub fn commit(
         &mut self,
         asker: CommitOwner,
@@ -172,7 +173,7 @@
         }
         let revision_before = self.store.in_force().revision.0;
         let outcome = self.store.commit(candidate, author.clone(), facts)?;
-        // Of several confirmed commits the first tells what is rolled back to.
+        // A chain of confirmed commits is rolled back to the revision before the first of them.
         let rolls_back_to = self
             .pending
             .as_ref()
@@ -187,6 +188,8 @@
         Ok(outcome)
     }
 
+    /// Returns whether a requester may confirm or cancel the pending commit: by its persist id if it has one, otherwise
+    /// from the session that made it.
     fn may_confirm(&self, asker: CommitOwner, persist_id: Option<&str>) -> bool {
         let Some(pending) = &self.pending else {
             return false;
@@ -198,11 +201,11 @@
         }
     }
 
-    /// Confirms the commit that waits.
+    /// Confirms the pending commit.
     ///
     /// # Errors
     ///
-    /// None waits that may be confirmed by who asks.
+    /// Returns an error if no commit is pending that the requester may confirm.
     pub fn confirm(
         &mut self,
         asker: CommitOwner,
@@ -215,11 +218,12 @@
         Ok(())
     }
 
-    /// Rolls back the commit that waits.
+    /// Rolls back the pending commit.
     ///
     /// # Errors
     ///
-    /// None waits that may be cancelled by who asks, or the tree of before is not valid any more.
+    /// Returns an error if no commit is pending that the requester may cancel, or if the previous tree is no longer
+    /// valid.
     pub fn cancel(
         &mut self,
         asker: CommitOwner,
@@ -232,8 +236,8 @@
         self.roll_back_pending(facts).map_err(CommitError::Invalid)
     }
 
-    /// Closes a session, however it ended: its locks are released, and a commit that only it could confirm is rolled
-    /// back. `None` where no commit was.
+    /// Closes a session, whatever the reason: releases its locks, and rolls back the pending commit if only this
+    /// session could confirm it. Returns `None` if no commit was rolled back.
     pub fn close_session(
         &mut self,
         session: SessionId,
@@ -245,12 +249,13 @@
         only_its.then(|| self.roll_back_pending(facts))
     }
 
-    /// When the commit that waits expires, in Unix seconds.
+    /// Returns when the pending commit expires, in Unix seconds.
     pub fn next_expiry(&self) -> Option<f64> {
         self.pending.as_ref().map(|pending| pending.expires_at)
     }
 
-    /// Rolls back a commit that was not confirmed in time, whoever holds a lock. `None` where none has expired.
+    /// Rolls back the pending commit if it was not confirmed in time, regardless of locks. Returns `None` if no commit
+    /// has expired.
     pub fn expire_pending(
         &mut self,
         facts: &Facts,
@@ -268,22 +273,22 @@
             version: NOT_CONFIRMED.into(),
             ..pending.author
         };
-        // The rules go before the promise to roll back: a tree that would break one now stays away, and the rejection
-        // is recorded.
+        // The rules take precedence over the rollback: if the previous tree breaks one by now, the rollback is rejected
+        // and recorded, and the revision in force stays.
         self.store
             .roll_back(Revision(pending.rolls_back_to), author, facts)
     }
 
-    /// Checks a candidate as a commit would.
+    /// Runs the checks of a commit on a candidate, without regard to locks and the pending commit.
     ///
     /// # Errors
     ///
-    /// All that is wrong with it.
+    /// Returns all errors of the candidate.
     pub fn validate(&self, candidate: &Candidate, facts: &Facts) -> Result<(), ValidationErrors> {
         self.store.validate(candidate, facts)
     }
 
-    /// The status for the management interfaces.
+    /// Returns the status for the management interfaces.
     pub fn status(&self) -> CoordinatorStatus {
         let newest = self.store.history().rev().take(SHOWN_REVISIONS);
         let mut history: Vec<_> = newest.cloned().collect();
@@ -298,23 +303,23 @@
     }
 }
 
-/// What management interfaces read of the coordinator, at one time.
+/// The state of the coordinator at one time, as the management interfaces read it.
 #[derive(Clone, Debug, Default)]
 pub struct CoordinatorStatus {
     /// The revision in force.
     pub in_force: Arc<InForce>,
     /// The newest revisions, oldest first.
     pub history: Arc<[RevisionRecord]>,
-    /// The candidate that was rejected last.
+    /// The newest rejected commit.
     pub last_rejection: Option<Arc<RejectedCommit>>,
-    /// The commit that waits to be confirmed.
+    /// The pending commit.
     pub pending: Option<PendingCommit>,
-    /// The locks.
+    /// The sessions that hold the locks.
     pub locks: Locks,
 }
 
-/// A rejection for a caller that knows only validation errors; a lock or a commit that waits may be gone by `retry_at`
-/// (Unix seconds).
+/// Converts an error for a caller that handles only validation errors. A lock or a pending commit may be gone by
+/// `retry_at` (Unix seconds), so its error can be retried then.
 pub fn into_validation_errors(error: CommitError, retry_at: f64) -> ValidationErrors {
     match error {
         CommitError::Invalid(errors) => errors,
--- a/datastore/src/facts.rs
+++ b/datastore/src/facts.rs
@@ -1,4 +1,4 @@
-//! What the router observes and operators do not set.
+//! What the router observes, as opposed to what operators configure.
 
 use std::sync::Arc;
 
@@ -6,15 +6,15 @@
 
 use crate::host_record::HostRecord;
 
-/// What the router knows at the time of a check.
+/// The observations of the router that a check depends on.
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
-    /// Unix seconds.
+    /// The time of the check, in Unix seconds.
     pub now: f64,
-    /// The endpoint list of discovery; `None` where no discovery is configured.
+    /// The endpoint list of discovery; `None` if no discovery is configured.
     pub discovery: Option<Arc<[HostRecord]>>,
     /// Whether discovery has sent its list, or is not configured.
     pub discovery_received: bool,
-    /// The platform's last rollout status.
+    /// The latest rollout status of the platform.
     pub rollout: Option<RolloutStatus>,
 }
--- a/datastore/src/history.rs
+++ b/datastore/src/history.rs
@@ -1,4 +1,4 @@
-//! The past that a datastore keeps: the newest revisions, rejected commits and drained hosts, within limits.
+//! The history that a datastore keeps, within limits: the newest revisions, rejected commits and drained hosts.
 
 use std::collections::VecDeque;
 
@@ -8,16 +8,16 @@
 use crate::revision::{RejectedCommit, RevisionRecord};
 use crate::tree::{HostName, Path};
 
-/// How much of the past is kept.
+/// The maximum number of each kind of item that history keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HistoryLimits {
-    /// Revisions.
+    /// Maximum number of revisions.
     pub revisions: usize,
-    /// Changed leaves of all kept revisions together.
+    /// Maximum number of changed leaves in all revisions together. The newest revision is kept even if it exceeds this.
     pub changes: usize,
-    /// Rejected commits.
+    /// Maximum number of rejected commits.
     pub rejections: usize,
-    /// Drained hosts.
+    /// Maximum number of drained hosts.
     pub drained: usize,
 }
 
@@ -32,18 +32,19 @@
     }
 }
 
-/// What is kept; always within its limits.
+/// The history of a datastore, which is cut down to its limits after each addition.
 pub(crate) struct History {
     limits: HistoryLimits,
     /// Oldest first.
     revisions: VecDeque<RevisionRecord>,
     /// Oldest first.
     rejections: VecDeque<RejectedCommit>,
+    /// The hosts that operators have drained.
     drained: DrainedHosts,
 }
 
 impl History {
-    /// What was kept before, cut down to the limits.
+    /// Restores a stored history and cuts it down to the limits.
     pub(crate) fn new(
         limits: HistoryLimits,
         revisions: VecDeque<RevisionRecord>,
@@ -60,29 +61,29 @@
         history
     }
 
-    /// The kept revisions, oldest first.
+    /// Returns the kept revisions, oldest first.
     pub(crate) fn revisions(&self) -> &VecDeque<RevisionRecord> {
         &self.revisions
     }
 
-    /// The kept rejected commits, oldest first.
+    /// Returns the kept rejected commits, oldest first.
     pub(crate) fn rejections(&self) -> &VecDeque<RejectedCommit> {
         &self.rejections
     }
 
-    /// The hosts that operators have drained.
+    /// Returns the hosts that operators have drained.
     pub(crate) fn drained(&self) -> &DrainedHosts {
         &self.drained
     }
 
-    /// The revision before the oldest that is kept: the oldest whose tree can be restored.
+    /// Returns the oldest revision whose tree can be restored: the one before the oldest kept revision.
     pub(crate) fn oldest_base(&self) -> Option<u64> {
         self.revisions
             .front()
             .map(|first| first.number.saturating_sub(1))
     }
 
-    /// The kept revisions after this one, newest first.
+    /// Returns the kept revisions after a revision, newest first.
     pub(crate) fn revisions_after(
         &self,
         revision: Revision,
@@ -93,7 +94,7 @@
             .take_while(move |record| record.number > revision.0)
     }
 
-    /// The newest revision that changed a leaf.
+    /// Returns the newest kept revision that changed a leaf.
     pub(crate) fn last_change_of(&self, path: &Path) -> Option<&RevisionRecord> {
         self.revisions
             .iter()
@@ -107,7 +108,7 @@
         self.trim();
     }
 
-    /// Adds a rejected commit; repeated attempts count as one.
+    /// Adds a rejected commit. One with the author and errors of the newest only updates the time of that one.
     pub(crate) fn push_rejection(&mut self, rejection: RejectedCommit) {
         let last = self
             .rejections
@@ -121,16 +122,17 @@
         self.trim();
     }
 
-    /// Records that a host's process is drained. `started` is its start, where it is known (times in Unix seconds).
+    /// Records that a process of a host is drained. `started` is the start of the process if it is known; both times
+    /// are in Unix seconds.
     pub(crate) fn record_drained(&mut self, name: &HostName, started: Option<f64>, now: f64) {
         let recorded = self.drained.get(name).copied();
-        // A start that is not known lies before the drain.
+        // A process whose start is not known started before its drain, at the latest when the drain was first recorded.
         let process = started.unwrap_or(recorded.unwrap_or(now));
         let latest = recorded.map_or(process, |recorded| recorded.max(process));
         self.drained.insert(name.clone(), latest);
     }
 
-    /// Drops the oldest of all that exceeds the limits.
+    /// Drops the oldest items of each kind until the limits are met.
     fn trim(&mut self) {
         while self.rejections.len() > self.limits.rejections {
             self.rejections.pop_front();
@@ -152,7 +154,7 @@
         }
     }
 
-    /// The host whose process is oldest is the least likely to be listed again.
+    /// Drops the host whose drained process is oldest, as it is the least likely to be listed again.
     fn drop_oldest_drained_host(&mut self) {
         let oldest = self
             .drained
--- a/datastore/src/host_record.rs
+++ b/datastore/src/host_record.rs
@@ -1,4 +1,4 @@
-//! A host as it is listed, by discovery or by operators.
+//! The record of a host that discovery or operators list.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,31 +10,31 @@
 pub struct HostRecord {
     /// The host's name, unique in the list.
     pub name: Arc<str>,
-    /// Where it accepts connections.
+    /// The address where the host accepts connections.
     pub endpoint: SocketAddr,
-    /// The zone that it is in.
+    /// The zone of the host.
     pub zone: Arc<str>,
-    /// Hosts of one zone and cell drop each other's repeated requests.
+    /// The cell of the host: hosts of one zone and cell share their record of idempotency keys.
     pub cell: u32,
     /// The kind of machine.
     pub kind: Arc<str>,
-    /// Its capacity; 1 for a usual host.
+    /// The capacity of the host; 1 for a standard machine.
     pub size: f64,
-    /// The build that it runs.
+    /// The build that the host runs.
     pub build: BuildId,
-    /// When its process started, in Unix seconds; `None`: long ago.
+    /// When the host's process started, in Unix seconds. `None` if it is not known: the host then counts as warm.
     pub started: Option<f64>,
-    /// Whether it takes new requests.
+    /// Whether the host takes new requests.
     pub state: HostState,
 }
 
 impl HostRecord {
-    /// The id that the decisions know it by.
+    /// Returns the id by which the decision module knows the host.
     pub fn id(&self) -> HostId {
         HostId::named(&self.name)
     }
 
-    /// The entry as the decisions take it.
+    /// Returns the entry of the host for the decision module.
     pub fn entry(&self) -> HostEntry {
         HostEntry {
             host: self.id(),
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Whether `new`, under the same id, is another process or at another address.
+    /// Returns whether `new`, a record with the same id, is of another process or another address.
     pub fn is_replaced_by(&self, new: &HostRecord) -> bool {
         self.endpoint != new.endpoint || self.build != new.build || self.started != new.started
     }
 
-    /// Whether new requests may go to it.
+    /// Returns whether new requests may go to the host.
     pub fn is_in_service(&self) -> bool {
         self.state == HostState::Running
     }
--- a/datastore/src/lib.rs
+++ b/datastore/src/lib.rs
@@ -1,10 +1,9 @@
-//! The datastore of what operators set of a running router: one typed tree with one way in.
+//! The datastore of what operators configure on a running router: one typed tree that only commits change.
 //!
-//! A candidate is checked as a whole against the service's settings and rules. It is committed as a revision, or
-//! rejected with everything that is wrong with it. Watched files, management protocols and the command line are only
-//! ways to bring a candidate.
+//! A candidate is checked in its entirety against the service's settings and rules. It is committed as a revision, or
+//! rejected with all of its errors. Watched files, management protocols and the command line all submit candidates.
 //!
-//! Free of I/O: the time, what the router knows of hosts and builds, and who asks are arguments.
+//! Performs no I/O: the time, what the router observes of hosts and builds, and the requester are arguments.
 
 #![deny(missing_docs, unreachable_pub)]
 #![deny(
--- a/datastore/src/locks.rs
+++ b/datastore/src/locks.rs
@@ -14,7 +14,8 @@
     }
 }
 
-/// The datastore that a lock is of. Either lock keeps others from committing: each session has a candidate of its own.
+/// The datastore that a lock protects. As each session has a candidate of its own, either lock keeps other sessions
+/// from committing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// The running datastore.
@@ -33,7 +34,7 @@
 }
 
 impl Locks {
-    /// The holder of a lock.
+    /// Returns the holder of a lock.
     pub fn holder(&self, target: Target) -> Option<SessionId> {
         match target {
             Target::Running => self.running,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Gives a lock to a session, or releases it.
+    /// Sets the holder of a lock, or releases the lock.
     pub(crate) fn set_holder(&mut self, target: Target, holder: Option<SessionId>) {
         match target {
             Target::Running => self.running = holder,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// A session other than the one that asks which holds a lock.
+    /// Returns a session other than the requester that holds a lock.
     pub(crate) fn held_by_other(&self, asker: Option<SessionId>) -> Option<SessionId> {
         let is_other = |holder: &SessionId| Some(*holder) != asker;
         self.running
--- a/datastore/src/merge.rs
+++ b/datastore/src/merge.rs
@@ -1,4 +1,4 @@
-//! Where discovery and operators both list a host: whose value counts, leaf by leaf.
+//! Merges what discovery and operators list of a host, leaf by leaf.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,29 +8,29 @@
 use crate::host_record::HostRecord;
 use crate::tree::{AdminState, HostConfig, HostName, Leaf, Tree};
 
-/// When operators first listed each host of which no start is known, in Unix seconds.
+/// When operators first listed each host whose start is not known, in Unix seconds.
 pub type FirstListed = BTreeMap<HostName, f64>;
 
-/// The size of a host where nobody gives one.
+/// The size of a host if neither discovery nor operators set it.
 const DEFAULT_SIZE: f64 = 1.0;
-/// The cell of a host where nobody gives one.
+/// The cell of a host if neither discovery nor operators set it.
 const DEFAULT_CELL: u32 = 0;
 
-/// Whose value counts where both give one; where only one does, that one counts.
+/// How a value is chosen if both discovery and operators set a leaf. If only one of them does, its value is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
-    /// Discovery's: it observes the processes.
+    /// Discovery's value is used, as discovery observes the processes.
     Discovery,
-    /// The operators': they know what they want of a machine.
+    /// The operators' value is used, as operators decide how to use a machine.
     Operators,
-    /// The later time.
+    /// The later time is used.
     LaterTime,
-    /// The one that lets less traffic go to the host.
+    /// The state that lets less traffic go to the host is used.
     MostRestrictive,
 }
 
-/// Whose value of a leaf counts. Zone and cell are discovery's as rule 2 rests on them: they tell which hosts drop each
-/// other's repeated requests.
+/// Returns how the value of a leaf is chosen. Discovery decides on zone and cell because rule 2 depends on them: hosts
+/// of one zone and cell share their record of idempotency keys and drop each other's repeated requests.
 pub fn precedence_of(leaf: Leaf) -> Precedence {
     match leaf {
         Leaf::Size | Leaf::Weight => Precedence::Operators,
@@ -41,7 +41,7 @@
 }
 
 impl AdminState {
-    /// The state for the decisions: nothing new goes to a host that is draining or out.
+    /// Returns the state for the decision module: no new requests go to a host that is draining or out.
     pub fn host_state(self) -> HostState {
         match self {
             AdminState::InService => HostState::Running,
@@ -50,7 +50,7 @@
     }
 }
 
-/// How little may go to a host in this state: higher is less.
+/// Ranks states by how little traffic may go to a host; a higher rank means less traffic.
 fn restriction(state: HostState) -> u8 {
     match state {
         HostState::Running => 0,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The value of a leaf that counts; `combine` decides where its precedence compares the values.
+/// Returns the value of a leaf that is used. `combine` chooses where the values themselves decide.
 fn pick<T>(
     leaf: Leaf,
     discovery: Option<T>,
@@ -85,15 +85,15 @@
     }
 }
 
-/// The value of a leaf whose precedence is discovery's or the operators'.
+/// Returns the value of a leaf for which either discovery or operators decide, whatever the values are.
 fn pick_either<T>(leaf: Leaf, discovery: Option<T>, operators: Option<T>) -> Option<T> {
     pick(leaf, discovery, operators, |first, _| first)
 }
 
-/// The host as it counts; `None` where all that is known of it makes no complete entry.
+/// Merges what discovery and operators list of one host; `None` if this makes no complete entry.
 ///
-/// `first_listed` is when operators listed it first (Unix seconds), where no start is known: that it has just started
-/// is the careful guess.
+/// `first_listed` is when operators first listed the host (Unix seconds), if its start is not known. It stands in for
+/// the start of a host that discovery does not list: the safe assumption is that the host has just started.
 pub fn merge(
     name: &HostName,
     discovery: Option<&HostRecord>,
@@ -151,7 +151,7 @@
     })
 }
 
-/// All hosts as they count under a tree, by name.
+/// Merges all hosts of a tree with those of discovery, and returns them by name.
 pub fn merge_all(
     tree: &Tree,
     first_listed: &FirstListed,
@@ -174,7 +174,7 @@
     hosts
 }
 
-/// A host of discovery with what operators set of it.
+/// Merges a host of discovery with what operators configure for it.
 fn merge_listed(tree: &Tree, listed: &HostRecord) -> Option<HostRecord> {
     let name: Option<HostName> = listed.name.parse().ok();
     let configured = name.and_then(|name| {
--- a/datastore/src/revision.rs
+++ b/datastore/src/revision.rs
@@ -1,4 +1,4 @@
-//! Revisions and rejected commits as history keeps them, with their authors.
+//! The records of revisions and rejected commits that history keeps, with their authors.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use crate::tree::Difference;
 use crate::validation::ValidationErrors;
 
-/// By which way a change came.
+/// The interface through which a change was requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
@@ -18,7 +18,7 @@
     Management,
     /// A command of the program.
     CommandLine,
-    /// A roll-back to the revision with this number.
+    /// A rollback to the revision with this number.
     RolledBack(u64),
 }
 
@@ -33,14 +33,14 @@
     }
 }
 
-/// Who wants a change.
+/// The author of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Author {
-    /// By which way it came.
+    /// The interface through which the change was requested.
     pub source: Source,
-    /// The name that the author gave.
+    /// The author's name.
     pub name: String,
-    /// How the author numbers this version; empty where it does not.
+    /// The author's own version of the change, such as a generation; empty if there is none.
     pub version: String,
 }
 
@@ -55,32 +55,32 @@
     }
 }
 
-/// One revision as history keeps it.
+/// The record of a revision in history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RevisionRecord {
-    /// Its number; the first is 1.
+    /// The number of the revision; the first is 1.
     pub number: u64,
-    /// The revision that it was made from; smaller than the one before it where others committed meanwhile.
+    /// The revision that the candidate was made from. It is not the preceding revision if others committed meanwhile.
     pub based_on: u64,
-    /// When it was committed, in Unix seconds.
+    /// When the revision was committed, in Unix seconds.
     pub at: f64,
-    /// Who committed it.
+    /// The author of the commit.
     pub author: Author,
-    /// The leaves that it changed.
+    /// The leaves that the revision changed.
     pub changes: Arc<[Difference]>,
 }
 
-/// A candidate that was rejected.
+/// The record of a rejected commit in history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RejectedCommit {
-    /// When it was rejected last, in Unix seconds.
+    /// When the commit was rejected last, in Unix seconds.
     pub at: f64,
-    /// Who wanted it.
+    /// The author of the commit.
     pub author: Author,
     /// The revision that stayed in force.
     #[serde(rename = "stays")]
     pub revision: u64,
-    /// Why it was rejected.
+    /// Why the commit was rejected.
     #[serde(rename = "faults")]
     pub errors: ValidationErrors,
 }
--- a/datastore/src/route_table.rs
+++ b/datastore/src/route_table.rs
@@ -1,4 +1,4 @@
-//! The routes of a tree in the form in which requests are matched.
+//! Builds from a tree the routes that requests are matched against.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::tree::{RouteConfig, RouteName, Tree};
 
-/// The routes of a tree, each with its pool, in the order of their names.
+/// Returns the routes of a tree, each with its pool, in the order of their names.
 pub(crate) fn build_routes(tree: &Tree) -> Vec<Route> {
     tree.routes
         .iter()
--- a/datastore/src/settings.rs
+++ b/datastore/src/settings.rs
@@ -1,28 +1,28 @@
-//! The settings that the checks of a candidate go by.
+//! The settings that the checks of a candidate use.
 
 use kestreltide::interface::ServiceSettings;
 
-/// The most that a router keeps of each thing that operators list.
+/// The maximum number of items in a configuration, and the memory that they may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Maximums {
-    /// Hosts, listed by discovery or by operators.
+    /// Maximum number of hosts that discovery or operators list.
     pub hosts: usize,
-    /// Routes.
+    /// Maximum number of routes.
     pub routes: usize,
-    /// Names of operations, zones, kinds and hosts in all routes together.
+    /// Maximum number of names of operations, zones, kinds and hosts in all routes together.
     pub route_names: usize,
-    /// The memory that all of these may take.
+    /// The memory that hosts and routes may take.
     pub memory: MemorySettings,
 }
 
-/// The memory for hosts and routes, and what each of them takes of it, in bytes.
+/// The memory for hosts and routes, and how much of it an item takes, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemorySettings {
-    /// The memory that there is for all hosts and routes together.
+    /// Maximum for all hosts and routes together.
     pub maximum: usize,
-    /// For a host, whoever lists it.
+    /// For a host that discovery or operators list.
     pub per_host: usize,
-    /// For what operators set of a host, in addition.
+    /// For a host that operators configure, in addition to `per_host`.
     pub per_configured_host: usize,
     /// For a route.
     pub per_route: usize,
@@ -52,25 +52,25 @@
     }
 }
 
-/// The part of the service's settings that the checks go by.
+/// The part of the service's settings that the checks use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleSettings {
-    /// Names of the service's operations.
+    /// The names of the service's operations.
     pub operations: Vec<String>,
-    /// Routers of the service, at least 1.
+    /// The number of routers of the service, at least 1.
     pub routers: u32,
-    /// The fraction of its work that a host can do at its start.
+    /// The fraction of its capacity that a host has right after its start.
     pub slow_start_initial_fraction: f64,
-    /// Seconds from a host's start until it can do all of its work.
+    /// Seconds from a host's start until it has its full capacity.
     pub slow_start_duration: f64,
-    /// A host is overloaded by this many times the work that it can do.
+    /// The load at which a host is overloaded, as a multiple of the capacity that it has at the time.
     pub overload_multiple: f64,
-    /// What the router keeps at most.
+    /// The largest configuration that the router accepts.
     pub maximums: Maximums,
 }
 
 impl RuleSettings {
-    /// Takes from the service's settings what the checks go by.
+    /// Takes from the service's settings what the checks use.
     pub fn new(settings: &ServiceSettings, operations: Vec<String>, maximums: Maximums) -> Self {
         RuleSettings {
             maximums,
@@ -82,8 +82,8 @@
         }
     }
 
-    /// The fraction of its work that a host can do at `now`, where it started at `started` (Unix seconds; `None`:
-    /// long ago).
+    /// Returns the fraction of its capacity that a host has at `now` if it started at `started` (both in Unix seconds).
+    /// A host whose start is not known counts as warm.
     pub fn warm_up_fraction(&self, started: Option<f64>, now: f64) -> f64 {
         let age = started.map_or(f64::INFINITY, |started| (now - started).max(0.0));
         let progress = if self.slow_start_duration > 0.0 {
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -1,6 +1,6 @@
-//! A revision as the router's event loop takes it: immutable, and computed in advance as far as possible.
+//! A revision in the form that the router's event loop applies: immutable, and computed in advance as far as possible.
 //!
-//! What depends on the latest list of discovery is merged where that list is known, in the event loop.
+//! What depends on the latest endpoint list of discovery is merged in the event loop, where that list is known.
 
 use std::sync::Arc;
 
@@ -14,20 +14,20 @@
 use crate::route_table::build_routes;
 use crate::tree::{Difference, HostConfig, HostName, Path, Tree};
 
-/// What a revision sets of one host.
+/// The configuration of one host in a revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfiguredHost {
-    /// The id that the decisions know it by.
+    /// The id by which the decision module knows the host.
     pub host: HostId,
-    /// Its name.
+    /// The name of the host.
     pub name: HostName,
-    /// What is set.
+    /// The leaves that operators set.
     pub config: HostConfig,
-    /// When it was first listed, where no start is known (Unix seconds).
+    /// When operators first listed the host, if its start is not known (Unix seconds).
     pub first_listed: Option<f64>,
-    /// As it counts where discovery does not list it; `None` where that makes no complete entry.
+    /// The record of the host if discovery does not list it; `None` if the configuration makes no complete entry.
     pub standalone: Option<HostRecord>,
-    /// The same for the decisions.
+    /// The entry of `standalone` for the decision module.
     pub entry: Option<HostEntry>,
 }
 
@@ -46,27 +46,27 @@
     }
 }
 
-/// A revision, with its changes from the revision before.
+/// A revision, with its changes from the previous revision.
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    /// Weights and rollout override, for the decisions.
+    /// Weights and rollout override, for the decision module.
     pub overrides: Arc<OperatorOverrides>,
-    /// In ascending order of ids.
+    /// The configured hosts, in ascending order of ids.
     pub hosts: Box<[ConfiguredHost]>,
-    /// The hosts that are set otherwise than in the revision before, in ascending order of ids.
+    /// The hosts whose configuration differs from the previous revision, in ascending order of ids.
     pub changed: Box<[HostId]>,
-    /// Those hosts for the decisions, as they count where discovery does not list them.
+    /// The changed entries for the decision module if discovery lists none of the changed hosts.
     pub entries: Arc<[HostEntry]>,
-    /// The revision before.
+    /// The previous revision, from which the changes are counted.
     pub changed_since: Revision,
-    /// The routes.
+    /// The routes of the revision.
     pub routes: Arc<Routes>,
-    /// When it was committed, in Unix seconds.
+    /// When the revision was committed, in Unix seconds.
     pub committed_at: f64,
 }
 
 impl Snapshot {
-    /// The snapshot of a tree that was committed as `revision`; `differences` are its changes from `previous`.
+    /// Creates the snapshot of a tree that is committed as `revision`; `differences` are its changes from `previous`.
     pub fn new(
         previous: &Snapshot,
         revision: Revision,
@@ -97,8 +97,9 @@
         snapshot
     }
 
-    /// The entries that the decisions are given of hosts that may have changed since `previous`. `before` and `after`
-    /// give those hosts that discovery lists too as they counted and count; `None` for any other.
+    /// Returns the entries that tell the decision module how these hosts changed from `previous` to this revision.
+    /// `before` and `after` return the merged record of a host that discovery lists, under the previous and under this
+    /// revision; `None` for any other host.
     pub fn host_changes<'a>(
         &'a self,
         previous: &'a Snapshot,
@@ -121,12 +122,12 @@
         entries
     }
 
-    /// The number of the revision.
+    /// Returns the number of the revision.
     pub fn revision(&self) -> Revision {
         self.overrides.revision
     }
 
-    /// What is set of a host, if anything.
+    /// Returns the configuration of a host, if it has one.
     pub fn configured(&self, host: HostId) -> Option<&ConfiguredHost> {
         let position = self
             .hosts
@@ -135,18 +136,19 @@
     }
 }
 
-/// The entries that lead from one state of a host to another.
+/// Returns the entries that turn one record of a host into another.
 fn entry_changes(
     before: Option<&HostRecord>,
     after: Option<&HostRecord>,
 ) -> impl Iterator<Item = HostEntry> {
-    // A replaced process is gone first: another machine under the same id begins anew.
+    // A replaced process is first reported as gone, so that the new process under the same id starts without the old
+    // one's state.
     let replaced = before.filter(|before| after.is_none_or(|after| before.is_replaced_by(after)));
     let gone = replaced.map(|before| HostEntry {
         state: HostState::Gone,
         ..before.entry()
     });
-    // A weight is no part of an entry, so that most revisions change none.
+    // Weights are not part of an entry, so most revisions change no entry.
     let entry_before = before.map(HostRecord::entry);
     let entry_after = after
         .map(HostRecord::entry)
@@ -154,7 +156,7 @@
     gone.into_iter().chain(entry_after)
 }
 
-/// The hosts of a tree in ascending order of ids.
+/// Returns the configured hosts of a tree, in ascending order of ids.
 fn configured_hosts(tree: &Tree, first_listed: &FirstListed) -> Box<[ConfiguredHost]> {
     let mut hosts: Box<[ConfiguredHost]> = tree
         .hosts
@@ -165,7 +167,7 @@
     hosts
 }
 
-/// The weights other than 1, in ascending order of ids.
+/// Returns the weights other than 1, in ascending order of ids.
 fn weights_of(hosts: &[ConfiguredHost]) -> Box<[(HostId, f64)]> {
     hosts
         .iter()
@@ -174,7 +176,7 @@
         .collect()
 }
 
-/// The hosts of which a leaf changed, in ascending order of ids.
+/// Returns the hosts of which a leaf changed, in ascending order of ids.
 fn changed_hosts(differences: &[Difference]) -> Box<[HostId]> {
     let mut changed: Vec<HostId> = differences
         .iter()
@@ -188,9 +190,9 @@
     changed.into()
 }
 
-/// The override of the canary's rollout, where one is set.
+/// Returns the override of the canary's rollout, if one is set.
 fn rollout_override(tree: &Tree) -> Option<RolloutOverride> {
-    /// The cap where none is set: no limit.
+    /// The cap if none is set: all requests, which is no limit.
     const NO_CAP: f64 = 1.0;
     let config = &tree.rollout;
     let build = u16::try_from(config.build?).ok()?;
--- a/datastore/src/store.rs
+++ b/datastore/src/store.rs
@@ -1,7 +1,6 @@
 //! The running tree, its revisions and their history.
 //!
-//! A commit applies a candidate completely or not at all: nothing of the datastore changes before every check has
-//! passed.
+//! A commit applies a candidate completely or not at all: the datastore changes only after every check has passed.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -21,14 +20,14 @@
 use crate::tree::{AdminState, Difference, HostConfig, Tree};
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// The state that is persisted: all that a start needs to go on where the last one ended.
+/// The persisted state: everything that a restarted router needs to continue where it stopped.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DatastoreState {
-    /// The revision in force.
+    /// The number of the revision in force.
     pub revision: u64,
-    /// Its tree.
+    /// The tree of the revision in force.
     pub tree: Arc<Tree>,
-    /// When hosts were first listed of which no start is known.
+    /// When each host whose start is not known was first listed.
     #[serde(rename = "seen")]
     pub first_listed: Arc<FirstListed>,
     /// The hosts that operators have drained.
@@ -40,23 +39,23 @@
     pub rejections: VecDeque<RejectedCommit>,
 }
 
-/// What a commit led to.
+/// The result of a commit that was not rejected.
 #[derive(Clone, Debug)]
 pub enum CommitOutcome {
-    /// It is in force as this revision.
+    /// The candidate is in force as a new revision.
     Applied(Arc<Snapshot>),
-    /// It would change nothing.
+    /// The candidate changes nothing, and no revision is made of it.
     Unchanged,
 }
 
-/// A checked candidate on top of the revision in force.
+/// A candidate that was rebased onto the revision in force and has passed every check.
 struct CheckedCandidate {
     tree: Tree,
     first_listed: FirstListed,
     differences: Vec<Difference>,
 }
 
-/// The running tree, its history, and the checks that a candidate passes.
+/// The running tree, its history, and the settings that candidates are checked against.
 pub struct Datastore {
     settings: RuleSettings,
     in_force: Arc<InForce>,
@@ -65,13 +64,13 @@
 }
 
 impl Datastore {
-    /// An empty datastore.
+    /// Creates an empty datastore.
     pub fn new(settings: RuleSettings, limits: HistoryLimits) -> Self {
         Self::from_state(settings, limits, DatastoreState::default())
     }
 
-    /// The datastore as it was persisted. Nothing is checked again: it was valid then, and what has become dangerous
-    /// since is guarded when it is used.
+    /// Restores a persisted datastore. Its tree is not checked again: it was valid when it was committed, and the rules
+    /// that depend on changing conditions are also enforced when the tree is used.
     pub fn from_state(
         settings: RuleSettings,
         limits: HistoryLimits,
@@ -101,7 +100,7 @@
         }
     }
 
-    /// The state to persist.
+    /// Returns the state to persist.
     pub fn state(&self) -> DatastoreState {
         DatastoreState {
             revision: self.in_force.revision.0,
@@ -113,22 +112,22 @@
         }
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn in_force(&self) -> &Arc<InForce> {
         &self.in_force
     }
 
-    /// The kept revisions, oldest first.
+    /// Returns the kept revisions, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &RevisionRecord> {
         self.history.revisions().iter()
     }
 
-    /// The kept rejected commits, oldest first.
+    /// Returns the kept rejected commits, oldest first.
     pub fn rejections(&self) -> impl DoubleEndedIterator<Item = &RejectedCommit> {
         self.history.rejections().iter()
     }
 
-    /// The revision in force for an event loop that has none yet.
+    /// Returns the snapshot of the revision in force, for an event loop that has not applied any yet.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
@@ -137,7 +136,7 @@
     ///
     /// # Errors
     ///
-    /// All that is wrong with the candidate as things stand.
+    /// Returns all errors of the candidate under these facts.
     pub fn validate(&self, candidate: &Candidate, facts: &Facts) -> Result<(), ValidationErrors> {
         self.check_candidate(candidate, facts).map(|_| ())
     }
@@ -146,7 +145,7 @@
     ///
     /// # Errors
     ///
-    /// All that is wrong with the candidate; nothing of it is applied, and the rejection is recorded.
+    /// Returns all errors of the candidate. Nothing of it is applied, and the rejection is recorded.
     pub fn commit(
         &mut self,
         candidate: &Candidate,
@@ -169,7 +168,7 @@
         ))
     }
 
-    /// Puts a checked candidate in force.
+    /// Puts a checked candidate in force as a new revision.
     fn apply(
         &mut self,
         checked: CheckedCandidate,
@@ -202,11 +201,11 @@
         self.snapshot.clone()
     }
 
-    /// Commits the tree of an earlier revision as a new one: what has been committed since is undone.
+    /// Commits the tree of an earlier revision as a new revision, which undoes all commits since.
     ///
     /// # Errors
     ///
-    /// The revision is no longer kept, or its tree is not valid any more; the rejection is recorded.
+    /// Returns an error if the revision is not kept or its tree is no longer valid. The rejection is recorded.
     pub fn roll_back(
         &mut self,
         to: Revision,
@@ -226,11 +225,11 @@
         self.commit(&candidate, author, facts)
     }
 
-    /// The tree of a revision that history still keeps.
+    /// Returns the tree of a revision that history still keeps.
     ///
     /// # Errors
     ///
-    /// The revision is not kept.
+    /// Returns an error if the revision is not kept.
     pub fn tree_at(&self, revision: Revision) -> Result<Tree, ValidationError> {
         let newest = self.in_force.revision.0;
         let oldest = self.history.oldest_base().unwrap_or(newest);
@@ -251,8 +250,8 @@
         Ok(tree)
     }
 
-    /// Records a rejection, also of what never became a candidate, such as a file that cannot be read. `at` is in Unix
-    /// seconds.
+    /// Records a rejection, also of input that never became a candidate, such as a file that cannot be read. `at` is in
+    /// Unix seconds.
     pub fn record_rejection(&mut self, author: Author, at: f64, errors: ValidationErrors) {
         self.history.push_rejection(RejectedCommit {
             at,
@@ -262,7 +261,7 @@
         });
     }
 
-    /// Puts a candidate on top of the revision in force and checks it.
+    /// Rebases a candidate onto the revision in force and checks it.
     fn check_candidate(
         &self,
         candidate: &Candidate,
@@ -292,8 +291,8 @@
         })
     }
 
-    /// When the hosts of a tree were first listed that have no start. One that is listed anew may have just started;
-    /// those of the first revision are taken to have run before.
+    /// Returns when each host of a tree without a start was first listed. A newly listed host may have just started. The
+    /// hosts of the first revision are assumed to have been running long before, and get no time.
     fn first_listed_hosts(&self, tree: &Tree, facts: &Facts) -> FirstListed {
         let in_force = &*self.in_force;
         if in_force.revision == Revision(0) {
@@ -318,7 +317,8 @@
         first_listed
     }
 
-    /// Puts a candidate of an earlier revision on top of what others committed since, where they changed other leaves.
+    /// Applies the changes of a candidate of an earlier revision to the tree in force. It is a conflict if a leaf has
+    /// been changed to another value since.
     fn rebase(&self, candidate: &Candidate) -> Result<Tree, ValidationErrors> {
         let ours = candidate.base_tree().differences(&candidate.tree);
         let theirs = candidate.base_tree().differences(&self.in_force.tree);
@@ -336,7 +336,7 @@
         self.in_force.tree.with_changes(&ours)
     }
 
-    /// The error of a candidate that changes a leaf which was changed since.
+    /// Returns the error for a leaf that the candidate changes and that was changed since the candidate's base revision.
     fn conflict(
         &self,
         candidate: &Candidate,
@@ -364,7 +364,7 @@
         )
     }
 
-    /// Records which process of each host operators drain.
+    /// Records the process of each host that operators drain.
     fn record_drained_hosts(&mut self, tree: &Tree, first_listed: &FirstListed, facts: &Facts) {
         let is_draining = |config: &HostConfig| config.state == Some(AdminState::Draining);
         if !tree.hosts.values().any(is_draining) {
--- a/datastore/src/tree/config.rs
+++ b/datastore/src/tree/config.rs
@@ -1,4 +1,4 @@
-//! What is set of one host, of one route, of the rollout, and the guards.
+//! The configuration of a host, of a route and of the rollout, and the guards.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,11 +9,12 @@
 use super::leaf::Leaf;
 use super::value::{AdminState, Value};
 
-/// The getter and setter of the leaves of a container, each with the kind of value that it takes.
+/// Defines the getter and the setter of a container's leaves. For each leaf it lists the field and the variant of
+/// [`Value`].
 macro_rules! leaves {
     ($container:ident { $($leaf:ident => $field:ident : $kind:ident),+ $(,)? }) => {
         impl $container {
-            /// The value of a leaf, where it is set.
+            /// Returns the value of a leaf, if it is set.
             pub fn get(&self, leaf: Leaf) -> Option<Value> {
                 match leaf {
                     $(Leaf::$leaf => self.$field.clone().map(Value::$kind),)+
@@ -21,7 +22,7 @@
                 }
             }
 
-            /// Sets or removes the value of a leaf; false where the value is not of the leaf's type.
+            /// Sets or removes the value of a leaf; returns false if the value is not of the leaf's type.
             pub(super) fn set(&mut self, leaf: Leaf, value: Option<Value>) -> bool {
                 match (leaf, value) {
                     $((Leaf::$leaf, Some(Value::$kind(value))) => self.$field = Some(value),
@@ -34,28 +35,29 @@
     };
 }
 
-/// What is set of one host.
+/// The configuration of one host.
 ///
-/// With an endpoint it is an entry of its own; without one it adds to a host that discovery lists.
+/// With an endpoint it can be a complete entry of the endpoint list; without one it supplements a host that discovery
+/// lists.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostConfig {
-    /// Where it accepts connections.
+    /// The address where the host accepts connections.
     pub endpoint: Option<SocketAddr>,
-    /// The zone that it is in.
+    /// The zone of the host.
     pub zone: Option<Arc<str>>,
-    /// Hosts of one zone and cell drop each other's repeated requests.
+    /// The cell of the host: hosts of one zone and cell share their record of idempotency keys.
     pub cell: Option<u32>,
     /// The kind of machine.
     pub kind: Option<Arc<str>>,
-    /// Its capacity; 1 for a usual host.
+    /// The capacity of the host; 1 for a standard machine.
     pub size: Option<f64>,
-    /// The build that it runs.
+    /// The build that the host runs.
     pub build: Option<u32>,
-    /// When its process started, in Unix seconds.
+    /// When the host's process started, in Unix seconds.
     pub started: Option<f64>,
-    /// The share of requests that it gets, over that of a host with weight 1.
+    /// The host's share of the requests, relative to that of a host with weight 1.
     pub weight: Option<f64>,
-    /// Whether it takes new requests.
+    /// Whether the host takes new requests.
     pub state: Option<AdminState>,
 }
 
@@ -71,20 +73,20 @@
     State => state: State,
 });
 
-/// What is set of one route: which requests it is for, and which hosts they may use.
+/// The configuration of one route: which requests it matches, and which hosts they may use.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteConfig {
-    /// Of overlapping routes, the lower goes first.
+    /// Of overlapping routes, the one with the lowest precedence is used.
     pub precedence: Option<u32>,
-    /// The operations whose requests it is for; all where it is not set.
+    /// The operations whose requests match; all if not set.
     pub operations: Option<BTreeSet<Arc<str>>>,
-    /// How the keys of its requests begin.
+    /// The prefix of the keys of matching requests; any key if not set.
     pub key_prefix: Option<Arc<str>>,
-    /// The zones whose hosts its requests may use; all where it is not set.
+    /// The zones whose hosts may be used; all if not set.
     pub zones: Option<BTreeSet<Arc<str>>>,
-    /// The kinds of machine that its requests may use; all where it is not set.
+    /// The kinds of machine that may be used; all if not set.
     pub kinds: Option<BTreeSet<Arc<str>>>,
-    /// The hosts that its requests may use; all where it is not set.
+    /// The hosts that may be used; all if not set.
     pub hosts: Option<BTreeSet<Arc<str>>>,
 }
 
@@ -100,14 +102,14 @@
 /// The override of the rollout of a canary.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RolloutConfig {
-    /// The canary that this is about.
+    /// The build of the canary that the override applies to.
     pub build: Option<u32>,
-    /// Do not promote the canary.
+    /// Whether promotion of the canary is suspended.
     pub hold: Option<bool>,
-    /// Roll the canary back.
+    /// Whether the canary is to be rolled back.
     #[serde(rename = "back")]
     pub roll_back: Option<bool>,
-    /// The largest share of the requests that the canary may get.
+    /// The largest share of the requests that the canary may get, from 0 to 1.
     pub cap: Option<f64>,
 }
 
@@ -118,39 +120,40 @@
     Cap => cap: Number,
 });
 
-/// What a single change may do at most; unset ones are as in [`Guards::DEFAULT`].
+/// Limits on what a single revision may change; a limit that is not set is as in [`Guards::DEFAULT`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Guards {
-    /// Share of the hosts in service that one revision may take out.
+    /// The largest share of the hosts in service that one revision may take out of service, from 0 to 1.
     pub largest_removal: Option<f64>,
-    /// Hosts that a revision leaves in service in each zone that it takes some from.
+    /// The number of hosts that a revision has to leave in service in each zone that it takes hosts out of.
     #[serde(rename = "least_hosts_zone")]
     pub min_hosts_per_zone: Option<u32>,
-    /// Hosts that a revision leaves in service of the released build, and of the canary.
+    /// The number of hosts that a revision has to leave in service of the released build, and of the canary.
     #[serde(rename = "least_hosts_build")]
     pub min_hosts_per_build: Option<u32>,
 }
 
-/// The guards as they count, each with its default where it is not set.
+/// The guards that apply: those that are set, and the defaults of the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EffectiveGuards {
-    /// Share of the hosts in service that one revision may take out.
+    /// The largest share of the hosts in service that one revision may take out of service, from 0 to 1.
     pub largest_removal: f64,
-    /// Hosts that a revision leaves in service in each zone that it takes some from.
+    /// The number of hosts that a revision has to leave in service in each zone that it takes hosts out of.
     pub min_hosts_per_zone: u32,
-    /// Hosts that a revision leaves in service of the released build, and of the canary.
+    /// The number of hosts that a revision has to leave in service of the released build, and of the canary.
     pub min_hosts_per_build: u32,
 }
 
 impl Guards {
-    /// What counts where nothing is set: a file that lost half of its lines is an accident.
+    /// The guards that apply if none is set. They reject the removal of more than half of the hosts, as a file that has
+    /// lost half of its lines is taken for an accident.
     pub const DEFAULT: EffectiveGuards = EffectiveGuards {
         largest_removal: 0.5,
         min_hosts_per_zone: 1,
         min_hosts_per_build: 1,
     };
 
-    /// What counts: what is set, and the defaults.
+    /// Returns the guards that apply: those that are set, and the defaults of the others.
     pub fn effective(&self) -> EffectiveGuards {
         let default = Self::DEFAULT;
         EffectiveGuards {
--- a/datastore/src/tree/difference.rs
+++ b/datastore/src/tree/difference.rs
@@ -1,4 +1,4 @@
-//! Leaves that differ between two trees.
+//! The differences between two trees, leaf by leaf.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -13,21 +13,21 @@
 /// A leaf that differs between two trees.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
-    /// Where it stands.
+    /// The path of the leaf.
     pub path: Path,
-    /// What it was; `None`: not set.
+    /// The value in the old tree; `None` if not set.
     pub old: Option<Value>,
-    /// What it is; `None`: not set.
+    /// The value in the new tree; `None` if not set.
     pub new: Option<Value>,
 }
 
 impl Difference {
-    /// The old value as text.
+    /// Returns the old value as text.
     pub fn old_text(&self) -> String {
         text_of(&self.old)
     }
 
-    /// The new value as text.
+    /// Returns the new value as text.
     pub fn new_text(&self) -> String {
         text_of(&self.new)
     }
@@ -67,7 +67,8 @@
     }
 }
 
-/// Walks two maps in the order of their keys and visits those whose values differ; a missing value is the default.
+/// Walks two maps in the order of their keys and visits each key whose values differ. A missing key counts as the
+/// default value.
 pub(super) fn for_each_changed<K: Ord, V: Default + PartialEq>(
     old: &BTreeMap<K, V>,
     new: &BTreeMap<K, V>,
--- a/datastore/src/tree/leaf.rs
+++ b/datastore/src/tree/leaf.rs
@@ -1,4 +1,4 @@
-//! The leaves of the tree: what each is of, its name there, and what it takes.
+//! The leaves of the tree: the container of each, its name there, and the format of its value.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Leaf {
-    /// Where a host accepts connections.
+    /// The address where a host accepts connections.
     Endpoint,
     /// A host's zone.
     Zone,
@@ -18,25 +18,25 @@
     Size,
     /// The build that a host runs.
     Build,
-    /// The start of a host's process.
+    /// The time when a host's process started.
     Started,
     /// A host's weight.
     Weight,
     /// A host's administrative state.
     State,
-    /// The guard of removals.
+    /// The guard that limits the share of hosts that a revision takes out of service.
     LargestRemoval,
-    /// The guard of zones.
+    /// The guard of the minimum number of hosts in each zone.
     #[serde(rename = "least-hosts-zone")]
     MinHostsPerZone,
-    /// The guard of builds.
+    /// The guard of the minimum number of hosts of the released build and of the canary.
     #[serde(rename = "least-hosts-build")]
     MinHostsPerBuild,
     /// A route's precedence.
     Precedence,
     /// A route's operations.
     Operations,
-    /// A route's prefix of keys.
+    /// A route's key prefix.
     KeyPrefix,
     /// The zones of a route's pool.
     Zones,
@@ -44,19 +44,19 @@
     Kinds,
     /// The hosts of a route's pool.
     Hosts,
-    /// The canary that an override is about.
+    /// The build of the canary that an override applies to.
     #[serde(rename = "ring-build")]
     RolloutBuild,
-    /// Whether the canary is held.
+    /// Whether promotion of the canary is suspended.
     Hold,
-    /// Whether the canary is rolled back.
+    /// Whether the canary is to be rolled back.
     #[serde(rename = "back")]
     RollBack,
     /// The canary's largest share of the requests.
     Cap,
 }
 
-/// What leaves are of.
+/// A part of the tree that has leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Container {
     /// A host.
@@ -69,23 +69,23 @@
     Rollout,
 }
 
-/// The format of a name.
+/// The format of a name, for error texts.
 pub(super) const NAME_FORMAT: &str = "a name of letters, digits and . _ : -";
-/// The format of a list of names.
+/// The format of a list of names, for error texts.
 const NAMES_FORMAT: &str = "names of letters, digits and . _ : -";
 
-/// What there is to say of a leaf.
+/// The properties of a leaf.
 struct Description {
     leaf: Leaf,
-    /// What it is of.
+    /// The container that has the leaf.
     container: Container,
-    /// Its name there.
+    /// The name of the leaf in its container.
     name: &'static str,
-    /// What it takes, in words.
+    /// The format of its value, for error texts.
     expected_format: &'static str,
 }
 
-/// All leaves, in the order of their declaration: [`Leaf::description`] looks them up by it.
+/// All leaves, in the order of their declaration, which [`Leaf::description`] relies on.
 const LEAVES: [Description; 22] = [
     Description {
         leaf: Leaf::Endpoint,
@@ -227,27 +227,27 @@
         &LEAVES[self as usize]
     }
 
-    /// Its name in its container.
+    /// Returns the name of the leaf in its container.
     pub fn name(self) -> &'static str {
         self.description().name
     }
 
-    /// What it takes, in words.
+    /// Returns the format of the leaf's value, for error texts.
     pub fn expected_format(self) -> &'static str {
         self.description().expected_format
     }
 
-    /// What it is of.
+    /// Returns the container that has the leaf.
     pub fn container(self) -> Container {
         self.description().container
     }
 
-    /// The leaf of a container with this name.
+    /// Returns the leaf of a container with this name.
     pub fn by_name(container: Container, name: &str) -> Option<Leaf> {
         Leaf::all_of(container).find(|leaf| leaf.name() == name)
     }
 
-    /// The leaves of a container, in the order in which they are shown.
+    /// Returns the leaves of a container, in the order in which they are shown.
     pub fn all_of(container: Container) -> impl Iterator<Item = Leaf> {
         LEAVES
             .iter()
@@ -255,12 +255,12 @@
             .map(|description| description.leaf)
     }
 
-    /// The leaf of a host with this name.
+    /// Returns the leaf of a host with this name.
     pub fn of_host(name: &str) -> Option<Leaf> {
         Leaf::by_name(Container::Host, name)
     }
 
-    /// The guard with this name.
+    /// Returns the guard with this name.
     pub fn of_guards(name: &str) -> Option<Leaf> {
         Leaf::by_name(Container::Guards, name)
     }
--- a/datastore/src/tree/leaf/tests.rs
+++ b/datastore/src/tree/leaf/tests.rs
@@ -1,4 +1,4 @@
-//! What only `leaf` itself can see.
+//! Tests of the private table of leaves.
 
 use super::*;
 
--- a/datastore/src/tree/mod.rs
+++ b/datastore/src/tree/mod.rs
@@ -1,6 +1,6 @@
-//! The typed tree of what operators set: hosts, guards, routes and the override of a rollout.
+//! The typed tree of what operators configure: hosts, guards, routes and the override of a rollout.
 //!
-//! Every value stands at a leaf with a path; two trees differ by leaves, and a change is a list of them.
+//! Every value is at a leaf, which has a path. The difference between two trees is a list of leaves.
 
 mod config;
 mod difference;
@@ -23,24 +23,24 @@
 use self::difference::{add_leaves, for_each_changed};
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// All that operators have set.
+/// Everything that operators have configured.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tree {
-    /// What is set of each host.
+    /// The configuration of each host.
     pub hosts: BTreeMap<HostName, HostConfig>,
-    /// What a single change may do at most.
+    /// Limits on what a single revision may change.
     pub guards: Guards,
-    /// What is set of each route.
+    /// The configuration of each route.
     #[serde(default)]
     pub routes: BTreeMap<RouteName, RouteConfig>,
-    /// What is asked of the canary's rollout.
+    /// The override of the canary's rollout.
     #[serde(default)]
     #[serde(rename = "ring")]
     pub rollout: RolloutConfig,
 }
 
 impl Tree {
-    /// The value of a leaf, where it is set.
+    /// Returns the value of a leaf, if it is set.
     pub fn get(&self, path: &Path) -> Option<Value> {
         match path {
             Path::Host(host, leaf) => self.hosts.get(host)?.get(*leaf),
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Sets a leaf, or removes it where there is no value. A host or route of which nothing is set any more is no
-    /// longer in the tree.
+    /// Sets a leaf, or removes its value if `value` is `None`. A host or route that has no values left is removed from
+    /// the tree.
     ///
     /// # Errors
     ///
-    /// The value is not of the leaf's type.
+    /// Returns an error if the value is not of the leaf's type.
     pub fn set(&mut self, path: &Path, value: Option<Value>) -> Result<(), ValidationError> {
         let found = value.as_ref().map(Value::to_string).unwrap_or_default();
         let is_of_type = match path {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The leaves that differ, in the order of their paths.
+    /// Returns the leaves that differ from `new`, in the order of their paths.
     pub fn differences(&self, new: &Tree) -> Vec<Difference> {
         let mut found = Vec::new();
         for_each_changed(&self.hosts, &new.hosts, |name, old, new| {
@@ -128,20 +128,20 @@
         found
     }
 
-    /// The tree after these changes.
+    /// Returns the tree after these changes.
     ///
     /// # Errors
     ///
-    /// The values that are not of their leaf's type.
+    /// Returns an error for each value that is not of its leaf's type.
     pub fn with_changes(&self, changes: &[Difference]) -> Result<Tree, ValidationErrors> {
         self.with_values(changes.iter().map(|change| (&change.path, &change.new)))
     }
 
-    /// The tree before these changes.
+    /// Returns the tree before these changes.
     ///
     /// # Errors
     ///
-    /// The values that are not of their leaf's type.
+    /// Returns an error for each value that is not of its leaf's type.
     pub fn without_changes(&self, changes: &[Difference]) -> Result<Tree, ValidationErrors> {
         self.with_values(changes.iter().map(|change| (&change.path, &change.old)))
     }
--- a/datastore/src/tree/names.rs
+++ b/datastore/src/tree/names.rs
@@ -7,24 +7,24 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Characters of a name of a host, a route, a zone or a kind, at most.
+/// The maximum length of a name or key prefix, in bytes.
 pub(super) const MAX_NAME_LENGTH: usize = 128;
 
-/// Why a text is no name.
+/// Why a text is not a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum NameError {
-    /// It has no characters.
+    /// The text is empty.
     #[error("is empty")]
     Empty,
-    /// It is too long.
+    /// The text is too long.
     #[error("is longer than {MAX_NAME_LENGTH} characters")]
     TooLong,
-    /// It has characters that names do not have.
+    /// The text has characters that are not allowed in names.
     #[error("has characters other than letters, digits and . _ : -")]
     InvalidCharacter,
 }
 
-/// Reads a name of letters, digits and `. _ : -`.
+/// Parses a name of ASCII letters, digits and `. _ : -`.
 pub(super) fn parse_name(text: &str) -> Result<Arc<str>, NameError> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._:-".contains(c);
     if text.is_empty() {
@@ -46,12 +46,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
 
-            /// The name as text that is shared, not copied.
+            /// Returns the name as shared text, without copying it.
             pub fn shared(&self) -> Arc<str> {
                 self.0.clone()
             }
@@ -88,10 +88,10 @@
 }
 
 name_type!(
-    /// A host's name, the same as discovery's id where both list it.
+    /// The name of a host. If discovery lists the host too, it is the same as the id there.
     HostName
 );
 name_type!(
-    /// A route's name.
+    /// The name of a route.
     RouteName
 );
--- a/datastore/src/tree/path.rs
+++ b/datastore/src/tree/path.rs
@@ -1,4 +1,4 @@
-//! Paths: where a leaf stands.
+//! The paths of leaves.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,7 +9,7 @@
 use super::names::{HostName, NameError, RouteName};
 use crate::validation::ValidationError;
 
-/// Where a leaf stands.
+/// The path of a leaf in the tree.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Path {
     /// A leaf of a host.
@@ -24,7 +24,7 @@
 }
 
 impl Path {
-    /// The leaf that stands there.
+    /// Returns the leaf at this path.
     pub fn leaf(&self) -> Leaf {
         match self {
             Path::Host(_, leaf)
--- a/datastore/src/tree/value.rs
+++ b/datastore/src/tree/value.rs
@@ -1,4 +1,4 @@
-//! The values of leaves, and how they are read from text.
+//! The values of leaves, and their parsers.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -12,20 +12,20 @@
 use super::leaf::Leaf;
 use super::names::{MAX_NAME_LENGTH, NameError, parse_name};
 
-/// What operators want of a host, whatever it does itself.
+/// The state that operators set for a host, independent of the state that discovery reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AdminState {
-    /// It takes new requests.
+    /// The host takes new requests.
     InService,
-    /// It is being shut down: nothing new goes to it, and it comes back only with a new start.
+    /// The host is being shut down: it gets no new requests, and returns to service only after a restart.
     Draining,
-    /// Nothing new goes to it until it is put in service again.
+    /// The host gets no new requests until it is put in service again.
     Out,
 }
 
 impl AdminState {
-    /// The name that it is shown and set by.
+    /// Returns the name by which the state is shown and set.
     fn name(self) -> &'static str {
         match self {
             AdminState::InService => "in-service",
@@ -41,14 +41,14 @@
     }
 }
 
-/// A value at a leaf.
+/// The value of a leaf.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Value {
     /// An address with a port.
     Address(SocketAddr),
     /// A text, such as a zone's name.
     Text(Arc<str>),
-    /// An integer without a sign.
+    /// An unsigned integer.
     #[serde(rename = "Whole")]
     Integer(u32),
     /// A finite number.
@@ -79,68 +79,68 @@
     }
 }
 
-/// The least weight: less is meant as an administrative state, or an error.
+/// The lowest weight. A lower one is a mistake: the administrative state takes a host out of service.
 pub const MIN_WEIGHT: f64 = 0.01;
-/// The greatest weight: more is an error.
+/// The highest weight. A higher one is a mistake.
 pub const MAX_WEIGHT: f64 = 100.0;
-/// The greatest size of a host; 1 is a usual host.
+/// The largest size of a host; 1 is a standard machine.
 const MAX_SIZE: f64 = 1e6;
-/// The greatest minimum of hosts that a guard takes.
+/// The largest minimum number of hosts that a guard can set.
 const MAX_MIN_HOSTS: u32 = 16 * 1024;
-/// The greatest number of a build.
+/// The highest build number.
 const MAX_BUILD: u32 = u16::MAX as u32;
-/// Seconds: the year 9999, after which dates have no form.
+/// The end of the year 9999 in Unix seconds: the last time that RFC 3339 can express.
 const LAST_TIME: f64 = 253_402_300_799.0;
-/// Parts of a second to which times are rounded.
+/// Times are rounded to microseconds.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Why a text is no value of a leaf.
+/// Why a text is not a value of a leaf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ValueError {
-    /// It is no name.
+    /// The text is not a name.
     #[error(transparent)]
     Name(#[from] NameError),
-    /// It is infinite or no number by IEEE 754.
+    /// The number is infinite or NaN.
     #[error("is no finite number")]
     NotFinite,
-    /// It is a number that the leaf does not take.
+    /// The number is below the minimum or above the maximum of the leaf.
     #[error("is out of range")]
     OutOfRange,
-    /// It is no number.
+    /// The text is not a number.
     #[error("is no number")]
     NotANumber,
-    /// It is no integer, or none of 32 bits without a sign.
+    /// The text is not an unsigned integer of 32 bits.
     #[error("is no whole number in range")]
     NotAnInteger,
-    /// It is an address to which nobody can connect: without a host or a port.
+    /// The address cannot be connected to: its port is 0, or its IP address is unspecified.
     #[error("can be connected to by nobody")]
     UnusableAddress,
-    /// It is no address with a port.
+    /// The text is not an IP address with a port.
     #[error("is no address and port")]
     NotAnAddress,
-    /// It is neither a date nor seconds since 1970, or out of range.
+    /// The text is neither a date nor seconds since 1970, or the time is out of range.
     #[error("is no time")]
     NotATime,
-    /// It is no administrative state.
+    /// The text is not an administrative state.
     #[error("is no administrative state")]
     UnknownState,
-    /// It is too long.
+    /// The text is too long.
     #[error("is longer than {MAX_NAME_LENGTH} bytes")]
     TooLong,
-    /// It has control characters.
+    /// The text has control characters.
     #[error("has control characters")]
     ControlCharacters,
-    /// It is no boolean.
+    /// The text is neither `true` nor `false`.
     #[error("is neither true nor false")]
     NotABoolean,
 }
 
 impl Leaf {
-    /// The value that a text gives.
+    /// Parses a value of this leaf.
     ///
     /// # Errors
     ///
-    /// The text is no value of this leaf.
+    /// Returns an error if the text is not a value of this leaf.
     pub fn parse(self, text: &str) -> Result<Value, ValueError> {
         match self {
             Leaf::Endpoint => parse_address(text),
@@ -187,13 +187,13 @@
     Ok(Value::Integer(number))
 }
 
-/// Unix seconds, or a date and time in UTC (RFC 3339).
+/// Parses Unix seconds, or a date and time in UTC (RFC 3339).
 fn parse_time(text: &str) -> Result<Value, ValueError> {
     let seconds = match text.parse::<f64>() {
         Ok(seconds) => seconds,
         Err(_) => parse_date(text)?,
     };
-    // To the microsecond, so that a time that was written out and read again is the same.
+    // Rounded to the microsecond, so that a time that is written out and read again stays the same.
     let rounded = (seconds * MICROSECONDS_PER_SECOND).round() / MICROSECONDS_PER_SECOND;
     if !(0.0..=LAST_TIME).contains(&rounded) {
         return Err(ValueError::NotATime);
@@ -217,7 +217,7 @@
         .ok_or(ValueError::UnknownState)
 }
 
-/// Names, separated by commas or spaces.
+/// Parses names, separated by commas or spaces.
 fn parse_names(text: &str) -> Result<Value, ValueError> {
     let words = text.split([',', ' ']).filter(|word| !word.is_empty());
     let names: Result<_, NameError> = words.map(parse_name).collect();
--- a/datastore/src/tree_builder.rs
+++ b/datastore/src/tree_builder.rs
@@ -1,28 +1,29 @@
-//! Builds a tree leaf by leaf from text, and keeps every error on the way.
+//! Builds a tree leaf by leaf from text, and collects the errors.
 
 use std::collections::BTreeMap;
 
 use crate::tree::{HostName, Leaf, Path, Tree};
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// Characters of a text that are shown, at most.
+/// The number of characters after which a printed text is cut.
 const MAX_PRINTED: usize = 80;
-/// Shown in place of a control character.
+/// The character that is printed in place of a control character.
 const REPLACEMENT: char = '\u{fffd}';
 
-/// The tree that one or several sources give together, and what is wrong with them.
+/// The tree that one or several sources make up together, and the errors found in them.
 #[derive(Clone, Debug, Default)]
 pub struct TreeBuilder {
     tree: Tree,
     errors: ValidationErrors,
-    /// Where each leaf was set first.
+    /// Where each leaf was set first, for error texts.
     leaf_places: BTreeMap<Path, String>,
-    /// Where each host's section was first.
+    /// Where the section of each host was found first, for error texts.
     host_places: BTreeMap<HostName, String>,
 }
 
 impl TreeBuilder {
-    /// Begins a host's own section. Two sections of one name are an error, as either could be meant.
+    /// Begins the section of a host; `None` if its name is not valid. A second section of the same name is an error, as
+    /// it is not clear which one is meant.
     pub fn begin_host(&mut self, place: &str, name: &str) -> Option<HostName> {
         let host: HostName = match name.parse() {
             Ok(host) => host,
@@ -47,7 +48,7 @@
         Some(host)
     }
 
-    /// Sets a leaf from text; `place` is where the text stands, for those who read the errors.
+    /// Sets a leaf from text; `place` is the file and line of the text, for error texts.
     pub fn set(&mut self, place: &str, path: Path, text: &str) {
         let leaf = path.leaf();
         let value = match leaf.parse(text) {
@@ -82,22 +83,22 @@
         self.set(place, Path::Host(host.clone(), leaf), text);
     }
 
-    /// Adds an error.
     fn push_error(&mut self, error: ValidationError) {
         self.errors.push(error);
     }
 
-    /// The tree.
+    /// Returns the tree.
     ///
     /// # Errors
     ///
-    /// Everything that was wrong.
+    /// Returns all errors that were found.
     pub fn finish(self) -> Result<Tree, ValidationErrors> {
         self.errors.into_result().map(|()| self.tree)
     }
 }
 
-/// A text as it may be shown: shortened, and without control characters that a terminal or a log would obey.
+/// Returns a text in a form that is safe to print: shortened, and without control characters, which a terminal or a log
+/// viewer would execute.
 pub fn printable(text: &str) -> String {
     let replace_control = |c: char| if c.is_control() { REPLACEMENT } else { c };
     let mut printed: String = text
--- a/datastore/src/validation.rs
+++ b/datastore/src/validation.rs
@@ -1,4 +1,4 @@
-//! Why something is not accepted, in the one form that every management interface shows:
+//! Validation errors, in the form that every management interface shows:
 //! `PATH: problem (given: what was found; taken: what would be accepted; the rule)`.
 
 use std::error::Error;
@@ -6,17 +6,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Errors that are kept of one candidate; of any more only the count is.
+/// The number of errors that are kept of one candidate; further errors are only counted.
 pub const MAX_KEPT_ERRORS: usize = 100;
 
 /// The five rules of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rule {
-    /// Rule 1: each request has one final answer in time.
+    /// Rule 1: each request gets exactly one final answer, in time.
     OneAnswer,
     /// Rule 2: no request takes effect twice.
     NoEffectTwice,
-    /// Rule 3: drained hosts get nothing new.
+    /// Rule 3: drained hosts get no new requests.
     DrainsKept,
     /// Rule 4: a host that is warming up is not overloaded.
     #[serde(rename = "ColdHostsCarried")]
@@ -37,10 +37,10 @@
     }
 }
 
-/// One thing that is wrong.
+/// A validation error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ValidationError {
-    /// Where: a leaf's path, or the place in a file.
+    /// Where the error is: the path of a leaf, or a file and line.
     pub path: String,
     /// What is wrong.
     #[serde(rename = "what")]
@@ -51,15 +51,15 @@
     /// What would be accepted.
     #[serde(rename = "taken")]
     pub expected: String,
-    /// The rule that would be broken, where one would.
+    /// The rule that would be broken, if there is one.
     pub rule: Option<Rule>,
-    /// When the same may be accepted, in Unix seconds; `None`: never.
+    /// When the same input may be accepted, in Unix seconds; `None` if waiting does not help.
     #[serde(rename = "passes_at")]
     pub retry_at: Option<f64>,
 }
 
 impl ValidationError {
-    /// An error that no rule is behind and that waiting does not mend.
+    /// Creates an error that breaks no rule and that waiting does not resolve.
     pub fn new(
         path: impl fmt::Display,
         problem: impl fmt::Display,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Adds when the same may be accepted, in Unix seconds.
+    /// Adds the time when the same input may be accepted, in Unix seconds.
     pub fn with_retry_at(self, at: f64) -> Self {
         ValidationError {
             retry_at: Some(at),
@@ -109,20 +109,20 @@
 
 impl Error for ValidationError {}
 
-/// All that is wrong, of which the first [`MAX_KEPT_ERRORS`] are kept.
+/// All errors of an input, of which the first [`MAX_KEPT_ERRORS`] are kept.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ValidationErrors {
     /// The errors that are kept.
     pub first: Vec<ValidationError>,
-    /// How many more there were.
+    /// The number of errors that are not kept.
     pub more: usize,
-    /// Whether each of them, kept or not, may be accepted later.
+    /// Whether waiting may resolve each of the errors, kept or not.
     #[serde(rename = "all_pass")]
     all_retryable: bool,
 }
 
 impl ValidationErrors {
-    /// Adds an error, or counts it where enough are kept.
+    /// Adds an error, or only counts it if [`MAX_KEPT_ERRORS`] are kept already.
     pub fn push(&mut self, error: ValidationError) {
         self.all_retryable = (self.is_empty() || self.all_retryable) && error.retry_at.is_some();
         if self.first.len() < MAX_KEPT_ERRORS {
@@ -132,22 +132,22 @@
         }
     }
 
-    /// Whether nothing is wrong.
+    /// Returns whether there are no errors.
     pub fn is_empty(&self) -> bool {
         self.first.is_empty()
     }
 
-    /// When all of it may be accepted, in Unix seconds; `None` where something never will.
+    /// Returns when the same input may be accepted, in Unix seconds; `None` if waiting does not resolve every error.
     pub fn retry_at(&self) -> Option<f64> {
         let times = self.first.iter().filter_map(|error| error.retry_at);
         self.all_retryable.then(|| times.fold(f64::MIN, f64::max))
     }
 
-    /// Nothing where nothing is wrong.
+    /// Converts to a result that is `Ok` if there are no errors.
     ///
     /// # Errors
     ///
-    /// Itself where something is wrong.
+    /// Returns `self` if there are errors.
     pub fn into_result(self) -> Result<(), ValidationErrors> {
         if self.is_empty() { Ok(()) } else { Err(self) }
     }
@@ -168,7 +168,7 @@
 }
 
 impl fmt::Display for ValidationErrors {
-    /// A line each.
+    /// Writes one line per error.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (position, error) in self.first.iter().enumerate() {
             let separator = if position == 0 { "" } else { "\n" };
--- a/datastore/src/view.rs
+++ b/datastore/src/view.rs
@@ -1,4 +1,4 @@
-//! The operational state: what the router observes and did, as one immutable value that every management interface
+//! The operational state: what the router observes and has done, as one immutable value that every management interface
 //! reads.
 
 use std::sync::Arc;
@@ -8,50 +8,50 @@
 use crate::facts::Facts;
 use crate::host_record::HostRecord;
 
-/// Counts of requests since the start of the program.
+/// Numbers of requests since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RequestCounts {
-    /// Admitted.
+    /// Requests that were admitted.
     pub admitted: u64,
-    /// Answered with success.
+    /// Requests that were answered with success.
     pub succeeded: u64,
-    /// Rejected as the load was too high.
+    /// Requests that were rejected because the load was too high.
     pub shed: u64,
-    /// Given up without an answer of a host.
+    /// Requests that failed without an answer of a host.
     pub failed: u64,
-    /// Attempts of all requests.
+    /// Attempts of all requests together.
     pub attempts: u64,
 }
 
-/// The state of a router at one time.
+/// The operational state of a router at one time.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Unix seconds.
+    /// The time of this state, in Unix seconds.
     pub at: f64,
-    /// The endpoint list of discovery, with hosts that are gone; `None` where no discovery is configured.
+    /// The endpoint list of discovery, including hosts that are gone; `None` if no discovery is configured.
     pub discovery: Option<Arc<[HostRecord]>>,
     /// Whether discovery has sent its list, or is not configured.
     pub discovery_received: bool,
-    /// The platform's last rollout status.
+    /// The latest rollout status of the platform.
     pub rollout: Option<RolloutStatus>,
     /// The revision that the event loop applied last.
     pub revision: Revision,
-    /// Revisions that the event loop applied since the start.
+    /// The number of revisions that the event loop has applied since the start.
     pub revisions_applied: u64,
     /// The longest time that the event loop took to apply a revision, in seconds.
     pub longest_apply_time: f64,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub requests_in_flight: usize,
-    /// Connected clients.
+    /// The number of connected clients.
     pub clients: usize,
-    /// Connections to hosts.
+    /// The number of connections to hosts.
     pub upstream_connections: usize,
-    /// Counts since the start.
+    /// Numbers of requests since the start.
     pub counts: RequestCounts,
 }
 
 impl View {
-    /// The facts that a check at `now` (Unix seconds) goes by.
+    /// Returns the facts for a check at `now` (Unix seconds).
     pub fn facts(&self, now: f64) -> Facts {
         Facts {
             now,
