--- a/file-watch/src/debounce.rs
+++ b/file-watch/src/debounce.rs
@@ -1,33 +1,34 @@
-//! Decides when the content of files is a version. Free of I/O: it is given changes and what was read, and says when to
-//! look next and what to offer.
+//! Decides when changed content of files has settled, so that a file is not taken up while it is being written.
+//! Performs no I/O: it is given the changes and a digest of what was read, and returns when to poll next and whether to
+//! hand the content on.
 
-/// The shortest sleep in seconds: a look that finds nothing yet is not repeated at once.
+/// The shortest time between polls, in seconds, which avoids a busy loop.
 const MIN_DELAY: f64 = 0.001;
 
-/// The times that the decision goes by, in seconds.
+/// The times that the decision depends on, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DebounceSettings {
-    /// Files without a change for this time are taken for completely written.
+    /// The time without a change after which content has settled: the files are taken to be completely written.
     pub quiet_period: f64,
-    /// Files that change all the time are looked at all the same after this time.
+    /// The time after which a complete version is handed on though the files keep changing.
     pub max_delay: f64,
-    /// The time between looks where no change is notified.
+    /// The time between polls if no change is notified.
     pub poll_interval: f64,
-    /// The least time between versions that are offered, however often files change.
+    /// The minimum time between versions that are handed on, however often the files change.
     pub min_interval: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// What was seen last has been handled.
+    /// The content that was read last has been handled.
     Settled,
-    /// Content that has not been handled.
+    /// The content that was read last has not been handled.
     Changing {
-        /// When the first change was seen.
+        /// When the first change was seen, in seconds.
         since: f64,
-        /// When the content changed last.
+        /// When the last change was seen, in seconds.
         changed: f64,
-        /// What it was then.
+        /// The digest of the content after the last change.
         digest: u64,
     },
 }
@@ -35,22 +36,22 @@
 /// What to do with content that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DebounceAction {
-    /// Wait: nothing is new, or it has not settled.
+    /// Wait: nothing is new, the content has not settled, or the last version was handed on too recently.
     Wait,
-    /// Offer it if it is complete by its ends; if not, it may still be written.
+    /// Hand the content on if it is a complete version. Otherwise wait, as it may still be being written.
     OfferIfComplete,
-    /// Offer it: it has settled, and if it is not complete now, that is how it was meant.
+    /// Hand the content on: it has settled, so if it is not complete, that is an error.
     Offer,
 }
 
-/// Content that was handled, and when.
+/// Content that was handled, and when (in seconds).
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Handled {
     digest: u64,
     at: f64,
 }
 
-/// Decides when content has settled; all times are seconds of one clock.
+/// Decides when content has settled. All times are in seconds of one monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Debouncer {
     settings: DebounceSettings,
@@ -60,7 +61,7 @@
 }
 
 impl Debouncer {
-    /// Before anything was read.
+    /// Creates a debouncer before any content was read.
     pub fn new(settings: DebounceSettings) -> Self {
         Debouncer {
             settings,
@@ -70,24 +71,24 @@
         }
     }
 
-    /// Marks content as in force already.
+    /// Marks content as handled: it is not handed on again.
     pub fn mark_handled(&mut self, now: f64, digest: u64) {
         self.state = State::Settled;
         self.last_handled = Some(Handled { digest, at: now });
     }
 
-    /// Marks that something may have changed.
+    /// Marks that the files may have changed, so that they are read at the next poll.
     pub fn mark_changed(&mut self) {
         self.change_notified = true;
     }
 
-    /// Whether the content is to be read though its stamp is as it was.
+    /// Returns whether the files have to be read though their stamps are unchanged.
     pub fn needs_read(&self) -> bool {
         self.change_notified || self.state != State::Settled
     }
 
-    /// Decides on content that was read now. What is offered counts as handled; what is offered if complete only
-    /// after [`Debouncer::mark_handled`].
+    /// Decides what to do with content that was read at `now`. After [`DebounceAction::Offer`] the content counts as
+    /// handled; after [`DebounceAction::OfferIfComplete`] only once [`Debouncer::mark_handled`] is called.
     pub fn observe(&mut self, now: f64, digest: u64) -> DebounceAction {
         self.change_notified = false;
         let is_handled = self.last_handled.is_some_and(|last| last.digest == digest);
@@ -109,7 +110,7 @@
         };
         let has_settled = now - changed >= self.settings.quiet_period;
         if has_settled && is_handled {
-            // It changed and came back before anybody handled it.
+            // The content changed and changed back before the change was handled.
             self.state = State::Settled;
             return DebounceAction::Wait;
         }
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Seconds to sleep where no change is notified.
+    /// Returns the seconds until the next poll if no change is notified before.
     pub fn next_poll_delay(&self, now: f64) -> f64 {
         let State::Changing { changed, .. } = self.state else {
             return self.settings.poll_interval;
--- a/file-watch/src/ini.rs
+++ b/file-watch/src/ini.rs
@@ -1,6 +1,6 @@
-//! INI as all operators' files have it: sections, keys, and the line of each for whoever has to correct it.
+//! Parses the INI files of operators into sections and keys, with the line of each for error texts.
 //!
-//! The parser is rust-ini's; it gives no line numbers, which are found again in the text.
+//! The parser is that of rust-ini. It returns no line numbers, so the lines are searched for in the text.
 
 use ini::{Ini, ParseOption};
 use kestreltide_datastore::tree_builder::printable;
@@ -9,30 +9,31 @@
 /// One key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Key {
-    /// The line in the text, from 1; 0 where it was not found again.
+    /// The line in the text, from 1; 0 if it was not found.
     pub line: usize,
-    /// The name without white space around it.
+    /// The name, without surrounding white space.
     pub name: String,
-    /// The value without white space around it.
+    /// The value, without surrounding white space.
     pub value: String,
 }
 
-/// A section, the one without a name first.
+/// A section of an INI file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
-    /// The line of its head in the text, from 1; 0 where it was not found again.
+    /// The line of the section's header in the text, from 1; 0 if it was not found.
     pub line: usize,
-    /// What stands in brackets; empty for the keys before the first section.
+    /// The name in the brackets; empty for the keys before the first header.
     pub name: String,
-    /// Its keys in the order of the text.
+    /// The keys in the order of the text.
     pub keys: Vec<Key>,
 }
 
-/// The sections of a text in their order, those of one name apart; `place` is the text as it is shown.
+/// Parses the sections of a text in their order. Keys before the first header make up a section without a name, which
+/// comes first. Sections of the same name are not merged. `place` names the text in errors.
 ///
 /// # Errors
 ///
-/// The first line that is no INI.
+/// Returns an error for the first line that is not INI.
 pub fn sections(place: &str, text: &str) -> Result<Vec<Section>, ValidationError> {
     if let Some(at) = text.find('\0') {
         let line = text[..at].matches('\n').count() + 1;
@@ -82,10 +83,11 @@
     Ok(sections)
 }
 
-/// Finds the lines of sections and keys, once from top to bottom, as rust-ini gives them in their order.
+/// Finds the lines of sections and keys. They are searched for in the order in which rust-ini returns them, each behind
+/// the one found before.
 struct LineFinder<'a> {
     lines: Vec<&'a str>,
-    /// Where the next search begins.
+    /// The index of the line at which the next search begins.
     next: usize,
 }
 
@@ -97,9 +99,9 @@
         }
     }
 
-    /// The number of the next line that fulfils a condition, from 1; 0 where there is none.
+    /// Returns the number of the next line that fulfils a condition, from 1; 0 if there is none.
     fn find(&mut self, condition: impl Fn(&str) -> bool) -> usize {
-        // Where the order is not that of the text, the search begins anew.
+        // The search wraps around, in case the order is not that of the text.
         let found = (self.next..self.lines.len())
             .chain(0..self.next)
             .find(|line| condition(self.lines[*line]));
@@ -132,14 +134,14 @@
     }
 }
 
-/// The known name that is nearest to a mistyped one.
+/// Returns the known name that is closest to a mistyped one by edit distance.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
         .min_by_key(|known| strsim::damerau_levenshtein(name, known))
 }
 
-/// The error of a name that is not known, with the one that may have been meant; `kind` is what it names.
+/// Returns the error for an unknown name, which suggests the closest known one; `kind` is what it names, such as a key.
 pub fn unknown_name<'a>(
     path: &str,
     kind: &str,
@@ -154,7 +156,7 @@
     ValidationError::new(path, format!("no such {kind}"), printable(name), expected)
 }
 
-/// Adds an error for each key that is there twice, or is not known.
+/// Adds an error for each key of a section that is not known or that is repeated.
 pub fn check_keys(place: &str, section: &Section, known: &[&str], errors: &mut ValidationErrors) {
     for (number, key) in section.keys.iter().enumerate() {
         let path = format!(
--- a/file-watch/src/lib.rs
+++ b/file-watch/src/lib.rs
@@ -1,8 +1,8 @@
-//! Files that operators edit by hand, read as complete versions or not at all.
+//! Watches files that operators edit by hand, and hands on complete versions only.
 //!
-//! [`ini`] reads INI with line numbers, [`parse`] what the files give, and [`debounce`] decides when what was read is a
-//! version, all three without I/O. [`read_file`] reads files that may be anything, [`notifier`] is notified of changes,
-//! and [`watch`] joins them in a thread of its own.
+//! [`ini`] parses INI with line numbers, [`parse`] parses the watched files, and [`debounce`] decides when content that
+//! was read is handed on; these three perform no I/O. [`read_file`] reads files safely whatever their type and size,
+//! [`notifier`] receives change notifications of the operating system, and [`watch`] combines them in a thread.
 
 #![deny(missing_docs, unreachable_pub)]
 #![deny(
--- a/file-watch/src/notifier.rs
+++ b/file-watch/src/notifier.rs
@@ -1,6 +1,7 @@
-//! Notifications of changes in the folders of the watched files, from the operating system.
+//! Notifications of the operating system about changes in the folders of the watched files.
 //!
-//! They only say that it is time to look: a lost or surplus one does no harm, as looks go on without any.
+//! A notification only wakes the watching thread to poll the files. A lost or surplus one does no harm, as the thread
+//! also polls at intervals.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -10,7 +11,7 @@
 
 use notify::{Event, RecommendedWatcher, RecursiveMode, Watcher};
 
-/// What makes a folder the same one, whatever its path.
+/// Identifies a folder independently of its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FolderId {
     device: u64,
@@ -27,21 +28,24 @@
     }
 }
 
-/// The watches on the folders of all files.
+/// Watches the folders of all files for changes.
 pub struct FileNotifier {
     watcher: Option<RecommendedWatcher>,
-    /// Which folder is watched at each path: another one there needs another watch.
+    /// The folder that is watched at each path; `None` if none is. If the path leads to another folder, the watch has to
+    /// be renewed.
     folders: BTreeMap<PathBuf, Option<FolderId>>,
 }
 
 impl FileNotifier {
-    /// Watches the folders of these files. Where the operating system notifies nothing, looks alone find changes.
+    /// Watches the folders of these files, and sends to `wake` after each change. If the operating system does not
+    /// support notifications, only polling finds changes.
     pub fn new(files: &[PathBuf], wake: SyncSender<()>) -> Self {
         let on_event = move |event: notify::Result<Event>| {
-            // Reading a file is no change; lost notifications come as errors or rescans.
+            // Access to a file is not a change. Errors and rescan events count as one, as they stand for lost
+            // notifications.
             let is_access = event.is_ok_and(|event| event.kind.is_access());
             if !is_access {
-                // A message that waits already stands for this one too.
+                // The channel may be full: the message that waits in it covers this change too.
                 let _ = wake.try_send(());
             }
         };
@@ -53,7 +57,7 @@
         notifier
     }
 
-    /// Watches anew what is another folder now, or has come back; true where something was.
+    /// Renews the watches of paths that lead to another folder than before, or to none. Returns whether there were any.
     pub fn renew_watches(&mut self) -> bool {
         let Some(watcher) = &mut self.watcher else {
             return false;
@@ -62,7 +66,7 @@
         for (path, watched) in &mut self.folders {
             let found = FolderId::at(path);
             if found != *watched {
-                // Nothing may have been watched there.
+                // This fails if nothing was watched at the path, which does no harm.
                 let _ = watcher.unwatch(path);
                 let is_watched =
                     found.is_some() && watcher.watch(path, RecursiveMode::NonRecursive).is_ok();
@@ -74,8 +78,8 @@
     }
 }
 
-/// The folder of each file, and the folder of the file that a link leads to: the one changes when the link is swapped,
-/// the other when the file is.
+/// Returns the folder of each file as named, and the folder that it is in once symbolic links are resolved: replacing a
+/// link changes the first, replacing its target changes the second.
 fn folders_of(files: &[PathBuf]) -> impl Iterator<Item = PathBuf> {
     files.iter().flat_map(|file| {
         let own_folder = file
--- a/file-watch/src/parse/configuration.rs
+++ b/file-watch/src/parse/configuration.rs
@@ -1,4 +1,4 @@
-//! Files of hosts, and files of weights and states.
+//! Parses files of hosts, and files of weights and states.
 
 use kestreltide_datastore::tree_builder::printable;
 use kestreltide_datastore::{Container, HostName, Leaf, Path, TreeBuilder, ValidationError};
@@ -7,11 +7,11 @@
 use super::frame::{Generation, parse_framed};
 use crate::ini::{self, Section, unknown_name};
 
-/// Reads one file into the tree.
+/// Parses one file into the tree. Invalid entries are added to `errors`.
 ///
 /// # Errors
 ///
-/// The file is not complete, whatever else is wrong with it.
+/// Returns an error if the file is not complete, whatever else is wrong with it.
 pub(super) fn parse_file(
     kind: FileKind,
     text: &str,
@@ -24,7 +24,7 @@
     })
 }
 
-/// Reads the sections of hosts and guards, and counts the hosts.
+/// Parses the sections of hosts and guards, and returns the number of hosts.
 fn parse_hosts(body: &[Section], tree: &mut TreeBuilder, errors: &mut FileErrors) -> usize {
     let mut count = 0;
     for section in body {
@@ -53,6 +53,7 @@
     count
 }
 
+/// Parses the keys of a section as leaves of a container, and passes each to `set` with its file and line.
 fn parse_leaves(
     section: &Section,
     container: Container,
@@ -72,7 +73,7 @@
     }
 }
 
-/// Reads the sections of weights and states, and counts their entries.
+/// Parses the sections of weights and states, and returns the number of entries.
 fn parse_weights(body: &[Section], tree: &mut TreeBuilder, errors: &mut FileErrors) -> usize {
     let mut count = 0;
     for section in body {
--- a/file-watch/src/parse/file.rs
+++ b/file-watch/src/parse/file.rs
@@ -1,4 +1,4 @@
-//! What the parsers of all files share: kinds of file, results, and errors with their places.
+//! Common parts of the parsers: kinds of files, results, and errors with the file and line.
 
 use std::str;
 
@@ -8,10 +8,10 @@
 
 /// The name of the section that ends a file.
 pub(super) const END_SECTION: &str = "end";
-/// The key of the generation, at the head and at the end of a file.
+/// The key of the generation, in the header and in the end section of a file.
 pub(super) const GENERATION_KEY: &str = "generation";
 
-/// What a file holds.
+/// The kind of content of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
     /// `[host NAME]` with the leaves of each host, and `[guards]`.
@@ -23,7 +23,7 @@
 }
 
 impl FileKind {
-    /// The key at the end of a file that counts its entries.
+    /// Returns the key in the end section that holds the number of entries.
     pub(super) fn count_key(self) -> &'static str {
         match self {
             FileKind::Hosts => "hosts",
@@ -36,32 +36,33 @@
 /// The result of parsing files.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Parsed<V> {
-    /// The files are complete, belong together and are valid.
+    /// The files are complete, of one generation, and valid.
     Complete(V),
-    /// Each file is complete, but they do not belong together: one may still be written.
+    /// Each file is complete, but their generations differ: one of them may not have been replaced yet.
     Mismatched(ValidationErrors),
-    /// A file is not complete: it may still be written.
+    /// A file is not complete: it may still be being written.
     Incomplete(ValidationErrors),
-    /// The files are complete and not valid.
+    /// The files are complete but not valid.
     Invalid(ValidationErrors),
 }
 
-/// Why a file has no text.
+/// Why the content of a file is not text.
 pub(super) enum TextError {
-    /// It may still be written.
+    /// The file cannot be read or is cut, so it may still be being written.
     Incomplete(ValidationError),
-    /// It holds something else.
+    /// The file holds bytes that are not text.
     Invalid(ValidationError),
 }
 
-/// The place of a file, as it is shown, and the errors found in it.
+/// Collects the errors found in a file.
 pub(super) struct FileErrors<'a> {
+    /// The name of the file in errors.
     pub(super) place: &'a str,
     pub(super) errors: &'a mut ValidationErrors,
 }
 
 impl FileErrors<'_> {
-    /// A line of the file, as it is shown.
+    /// Returns the file and line as they are shown in errors.
     pub(super) fn line(&self, line: usize) -> String {
         format!("{}:{line}", self.place)
     }
@@ -71,7 +72,7 @@
     }
 }
 
-/// The text of a file.
+/// Returns the text of a file; `place` names the file in errors.
 pub(super) fn text_of<'a>(place: &str, content: &'a Content) -> Result<&'a str, TextError> {
     let bytes = content.as_ref().map_err(|why| {
         let error = ValidationError::new(place, "cannot be read", why, "a file of text");
@@ -80,7 +81,7 @@
     str::from_utf8(bytes).map_err(|e| {
         let problem = format!("is not UTF-8 from byte {}", e.valid_up_to());
         let error = ValidationError::new(place, problem, "other bytes", "UTF-8");
-        // A character that is cut at the end is a file that is cut there.
+        // Without an error length the last character is incomplete, which means that the file is cut there.
         let is_cut = e.error_len().is_none();
         if is_cut {
             TextError::Incomplete(error)
--- a/file-watch/src/parse/frame.rs
+++ b/file-watch/src/parse/frame.rs
@@ -1,4 +1,4 @@
-//! The head and the end of a file, by which it is known to be complete.
+//! Parses the header and the end section of a file, which show that the file is complete.
 
 use kestreltide_datastore::ValidationError;
 use kestreltide_datastore::tree_builder::printable;
@@ -6,17 +6,18 @@
 use super::file::{END_SECTION, FileErrors, FileKind, GENERATION_KEY};
 use crate::ini::{self, Section};
 
-/// Characters of a generation's name, at most.
+/// The maximum length of a generation's name, in bytes.
 const MAX_GENERATION_LENGTH: usize = 64;
 
-/// The generation that a complete file names; `None` where it names none, which is an error of its own.
+/// The generation that a complete file names; `None` if the header names none, which is reported as an error.
 pub(super) struct Generation(pub(super) Option<String>);
 
-/// Reads a file with its head and its end; `parse_body` reads the sections between and counts their entries.
+/// Parses a file with its header and end section. `parse_body` parses the sections between them and returns the number
+/// of their entries.
 ///
 /// # Errors
 ///
-/// The file is not complete, whatever else is wrong with it.
+/// Returns an error if the file is not complete, whatever else is wrong with it.
 pub(super) fn parse_framed(
     kind: FileKind,
     text: &str,
@@ -24,7 +25,7 @@
     parse_body: impl FnOnce(&[Section], &mut FileErrors) -> usize,
 ) -> Result<Generation, ValidationError> {
     check_last_line(errors.place, text)?;
-    // What is cut may be no INI any more; what is complete has its end.
+    // A file that is cut may no longer be valid INI, so a syntax error also means that the file is not complete.
     let sections = ini::sections(errors.place, text)?;
     let (head, rest) = match sections.split_first() {
         Some((head, rest)) if head.name.is_empty() => (head, rest),
@@ -65,7 +66,7 @@
     Ok(())
 }
 
-/// The end of a file, and the sections before it.
+/// Returns the end section of a file, and the sections before it.
 fn split_end<'a>(
     place: &str,
     sections: &'a [Section],
@@ -115,7 +116,7 @@
     Some(key.value.clone())
 }
 
-/// The end names the generation of the head, and counts what stands between.
+/// Checks that the end section names the generation of the header and the number of entries.
 fn check_end(
     kind: FileKind,
     end: &Section,
--- a/file-watch/src/parse/keys.rs
+++ b/file-watch/src/parse/keys.rs
@@ -1,4 +1,4 @@
-//! The file of keys.
+//! Parses the keys file.
 
 use kestreltide_datastore::tree_builder::printable;
 use kestreltide_datastore::{Key, Keys, Proof, Rights, ValidationError, ValidationErrors};
@@ -8,14 +8,14 @@
 use crate::ini::{self, Section, unknown_name};
 use crate::read_file::Content;
 
-/// Characters that the text of a public key has more of.
+/// The base64 text of a public key has more bytes than this.
 const MIN_PUBLIC_KEY_LENGTH: usize = 16;
-/// Bytes of a SHA-256.
+/// The length of a SHA-256 hash in bytes.
 const HASH_LENGTH: usize = 32;
-/// Hexadecimal digits of a byte.
+/// The number of hexadecimal digits of a byte.
 const DIGITS_PER_BYTE: usize = 2;
 
-/// Reads a file of keys; `place` is the file as it is shown.
+/// Parses a keys file; `place` names the file in errors.
 pub fn parse_keys(place: &str, content: &Content) -> Parsed<Keys> {
     let text = match text_of(place, content) {
         Ok(text) => text,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads one section, which gives a key for each proof in it.
+/// Parses the section of one holder, and adds a key for each of its credentials.
 fn parse_key(section: &Section, name: &str, keys: &mut Vec<Key>, errors: &mut FileErrors) {
     let place = errors.line(section.line);
     ini::check_keys(
@@ -124,7 +124,7 @@
     }
 }
 
-/// By what the holder of a key is recognized: a public key of SSH, the hash of a certificate, or both.
+/// Returns the credentials in a section: an SSH public key, the hash of a certificate, or both.
 fn parse_proofs(section: &Section, name: &str, errors: &mut FileErrors) -> Vec<Proof> {
     let mut proofs = vec![];
     if let Some(key) = key_named(section, "ssh") {
@@ -152,7 +152,7 @@
     proofs
 }
 
-/// The type and the text of a public key, without its comment.
+/// Returns the type and the base64 text of a public key, without its comment.
 fn parse_public_key(line: &str) -> Option<String> {
     let mut words = line.split_whitespace();
     let key_type = words.next()?;
@@ -160,7 +160,7 @@
     (text.len() > MIN_PUBLIC_KEY_LENGTH).then(|| format!("{key_type} {text}"))
 }
 
-/// Hexadecimal digits, with or without colons.
+/// Parses a SHA-256 hash in hexadecimal digits, with or without colons.
 fn parse_hash(text: &str) -> Option<[u8; HASH_LENGTH]> {
     let digits: Vec<u8> = text.bytes().filter(|byte| *byte != b':').collect();
     if digits.len() != HASH_LENGTH * DIGITS_PER_BYTE {
--- a/file-watch/src/parse/mod.rs
+++ b/file-watch/src/parse/mod.rs
@@ -1,8 +1,8 @@
-//! What operators' files give.
+//! Parses the files of operators.
 //!
-//! Every file names its generation at its head and again at its end, with the count of what it holds: a file that was
-//! cut, or is being overwritten, is recognized by its ends. Files that belong together are one version where they name
-//! the same generation.
+//! Every file names its generation in its header and again in its end section, which also holds the number of entries.
+//! A file that is cut or being overwritten is recognized by these. Several files make up one version if they name the
+//! same generation.
 
 mod configuration;
 mod file;
@@ -19,16 +19,16 @@
 use self::frame::Generation;
 use crate::read_file::Content;
 
-/// What all files together give.
+/// The version that all files make up together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Version {
     /// The generation that all files name.
     pub generation: String,
-    /// The hosts and guards that they set.
+    /// The hosts and guards that the files set.
     pub tree: Tree,
 }
 
-/// What these files give together; each with the place by which it is shown.
+/// Parses files that make up a version together. Each has a kind, a name for errors, and its content.
 pub fn parse_version(files: &[(FileKind, &str, &Content)]) -> Parsed<Version> {
     let mut tree = TreeBuilder::default();
     let mut incomplete = ValidationErrors::default();
@@ -77,7 +77,7 @@
     }
 }
 
-/// The error of the first file that is of another generation than the first one.
+/// Returns an error for the first file whose generation differs from that of the first one.
 fn other_generation(generations: &[(&str, String)]) -> Option<ValidationError> {
     let (first_place, first) = generations.first()?;
     let (place, other) = generations.iter().find(|(_, other)| other != first)?;
--- a/file-watch/src/read_file.rs
+++ b/file-watch/src/read_file.rs
@@ -1,5 +1,5 @@
-//! Reads a file that may be anything, or become anything while it is read: never waits for a pipe, and never reads more
-//! than allowed.
+//! Reads a file safely, even if the path leads to something else or changes while it is read: the read never blocks on
+//! a pipe and never exceeds a size limit.
 
 use std::fs::{self, File, Metadata, OpenOptions};
 use std::hash::{DefaultHasher, Hasher};
@@ -16,8 +16,8 @@
     nanoseconds: i64,
 }
 
-/// What tells cheaply that a file may have changed. Times of files are coarse: the same stamp does not mean the same
-/// content.
+/// Metadata of a file that shows without reading it that the file may have changed. The times in it are coarse, so the
+/// same stamp does not guarantee the same content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileStamp {
     device: u64,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The stamp of the file at a path; `None` where there is no file.
+    /// Returns the stamp of the file at a path; `None` if its metadata cannot be read.
     pub fn at(path: &Path) -> Option<Self> {
         let metadata = fs::metadata(path).ok()?;
         Some(FileStamp::of(&metadata))
@@ -54,21 +54,21 @@
 /// Why a file could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
 pub enum ReadError {
-    /// The operating system's error.
+    /// The operating system returned an error.
     #[error("{0}")]
     Io(String),
-    /// It is a folder, a pipe, a socket or a device.
+    /// The path leads to a folder, a pipe, a socket or a device.
     #[error("is no file")]
     NotAFile,
-    /// It has more bytes than are read.
+    /// The file is longer than the maximum.
     #[error("has {length} bytes, {maximum} at most are read")]
     TooLarge {
-        /// Its length in bytes.
+        /// The length of the file in bytes.
         length: u64,
-        /// The bytes that are read at most.
+        /// The maximum in bytes.
         maximum: usize,
     },
-    /// It grew beyond this many bytes while it was read.
+    /// The file grew beyond this maximum, in bytes, while it was read.
     #[error("is longer than {0} bytes")]
     Grew(usize),
 }
@@ -82,14 +82,15 @@
 /// The content of a file.
 pub type Content = Result<Vec<u8>, ReadError>;
 
-/// Reads a file of at most `maximum` bytes. A file that changed meanwhile is read as far as it went: its ends tell that
-/// it is not complete.
+/// Reads a file of at most `maximum` bytes. If the file changes during the read, the result may be a mixture; the
+/// header and end section of a watched file then show that it is not complete.
 ///
 /// # Errors
 ///
-/// There is no such file, it is too large, or it cannot be read.
+/// Returns an error if there is no such file, if it is too large, or if it cannot be read.
 pub fn read(path: &Path, maximum: usize) -> Content {
-    // Checked before it is opened, as opening a pipe can wait for ever or wake who writes to it.
+    // Checked before the file is opened, as opening a pipe can block forever, or unblock a process that waits to write
+    // to it.
     check_readable(&fs::metadata(path)?, maximum)?;
     let file: File = OpenOptions::new()
         .read(true)
@@ -118,9 +119,9 @@
     Ok(())
 }
 
-/// A number for the content of several files, the same for the same content within one process.
+/// Returns a hash of the contents of several files. It is only comparable within one process.
 pub fn digest(contents: &[Content]) -> u64 {
-    /// Marks of the two kinds of content, so that an error is no file with its text.
+    /// Tags of the two kinds of content, so that an error never equals a file that contains the error's text.
     const ERROR: u8 = 0;
     const BYTES: u8 = 1;
     let mut hasher = DefaultHasher::new();
--- a/file-watch/src/watch.rs
+++ b/file-watch/src/watch.rs
@@ -1,4 +1,5 @@
-//! The watching thread: looks when a change is notified or time has passed, reads, and hands on versions and rejections.
+//! The watching thread: polls the files after a notification or at intervals, reads them if they may have changed, and
+//! hands on versions and rejections.
 
 use std::path::PathBuf;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
@@ -16,43 +17,44 @@
 pub struct WatchSettings {
     /// The paths of the files, in the order in which their contents are handed on.
     pub files: Vec<PathBuf>,
-    /// Bytes of one file that are read at most.
+    /// The maximum size of a file, in bytes.
     pub max_file_size: usize,
-    /// When changes have settled and how far versions are apart.
+    /// The times that decide when changed content is handed on.
     pub debounce: DebounceSettings,
-    /// Seconds after which content is compared though nothing seems to have changed.
+    /// Seconds after which the files are read and compared though their stamps are unchanged.
     pub compare_interval: f64,
-    /// Whether the operating system is asked to notify changes; if not, looks alone find them.
+    /// Whether to use change notifications of the operating system; if not, only polling finds changes.
     pub use_notifier: bool,
 }
 
-/// What a watch hands on.
+/// An event that the watching thread hands on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent<V> {
     /// A complete version.
     Version(V),
-    /// Files that are not accepted as they are, and would not be later.
+    /// The files have settled and are not a valid version.
     Rejected(ValidationErrors),
-    /// Files that may become a version: they do not belong together yet.
+    /// The files have settled but are of different generations: one of them may be replaced later.
     Pending(ValidationErrors),
 }
 
-/// Wakes the watching thread; one message that waits stands for any number.
+/// The channel that wakes the watching thread. It holds one message, which stands for any number of wake-ups.
 #[derive(Debug)]
 pub struct WakeChannel {
-    /// Wakes the thread.
+    /// The end that wakes the thread.
     pub sender: SyncSender<()>,
-    /// Where the thread waits.
+    /// The end that the thread waits on.
     pub receiver: Receiver<()>,
 }
 
-/// A channel by which the notifier and others wake the thread.
+/// Creates a channel through which the notifier and others wake the thread.
 pub fn wake_channel() -> WakeChannel {
     let (sender, receiver) = sync_channel(1);
     WakeChannel { sender, receiver }
 }
 
-/// Reads everything now, as a start needs it; returns what it gives and its digest.
+/// Reads and parses all files at once, without debouncing, as needed at startup. Returns the result and the digest of
+/// the contents.
 pub fn poll_files<V>(
     settings: &WatchSettings,
     parse: impl Fn(&[Content]) -> Parsed<V>,
@@ -69,7 +71,7 @@
         .collect()
 }
 
-/// What files of these kinds give together.
+/// Parses files of these kinds that make up a version together.
 pub fn parse_files(files: &[(FileKind, PathBuf)], contents: &[Content]) -> Parsed<Version> {
     let places: Vec<String> = files
         .iter()
@@ -84,10 +86,10 @@
     parse_version(&files)
 }
 
-/// Watches until `notify` returns false or all senders of `wake` are gone.
+/// Watches the files until `notify` returns false or all senders of `wake` are dropped.
 ///
-/// `known_digest` is the digest of what is in force already; `heartbeat` is called at every look; `parse` is given the
-/// contents of all files.
+/// `known_digest` is the digest of the contents that are in force already; `heartbeat` is called at every poll; `parse`
+/// is given the contents of all files; `notify` is given each event.
 pub fn run<V>(
     settings: &WatchSettings,
     known_digest: Option<u64>,
@@ -120,13 +122,13 @@
     }
 }
 
-/// What a watch knows of its files.
+/// The state of a watch.
 struct Watcher<'a> {
     settings: &'a WatchSettings,
     debouncer: Debouncer,
-    /// The stamps at the last reading.
+    /// The stamps of the files just before they were read last.
     stamps: Vec<Option<FileStamp>>,
-    /// When content was read last, in seconds since the start; `None`: never.
+    /// When the files were read last, in seconds since the start of the watch; `None` if never.
     last_read: Option<f64>,
 }
 
@@ -134,7 +136,7 @@
     fn new(settings: &'a WatchSettings, known_digest: Option<u64>, now: f64) -> Self {
         let mut debouncer = Debouncer::new(settings.debounce);
         if let Some(digest) = known_digest {
-            // As if handled long enough ago: the first change is not delayed.
+            // Dated back by the minimum interval, so that the first change is not delayed.
             debouncer.mark_handled(now - settings.debounce.min_interval, digest);
         }
         Watcher {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Looks at the files and reads them where they may have changed; returns what is to be handed on.
+    /// Polls the files, and reads them if they may have changed. Returns the event to hand on, if there is one.
     fn look<V>(
         &mut self,
         now: impl Fn() -> f64,
@@ -159,7 +161,7 @@
         if stamps == self.stamps && !is_due && !self.debouncer.needs_read() {
             return None;
         }
-        // The stamps from before the reading: what changes during it is seen again.
+        // These stamps are from before the read, so that a change during the read is seen at the next poll.
         self.stamps = stamps;
         let contents = read_all(self.settings);
         let digest = digest(&contents);
@@ -174,7 +176,8 @@
     }
 }
 
-/// What is handed on: only a complete version where nothing has settled, otherwise whatever the files give.
+/// Returns the event to hand on: only a complete version if the content has not settled, otherwise whatever the result
+/// of parsing is.
 fn event_of<V>(action: DebounceAction, parse: impl FnOnce() -> Parsed<V>) -> Option<WatchEvent<V>> {
     match action {
         DebounceAction::Wait => None,
