--- a/datastore/src/check/builds.rs
+++ b/datastore/src/check/builds.rs
@@ -24,7 +24,7 @@
         }
         let error = ValidationError::new(
             format!("hosts/{name}/build"),
-            "the platform has taken this build back",
+            "the platform has rolled back this build or is rolling it back",
             host.build.0,
             "an earlier build",
         );
--- a/datastore/src/check/drains.rs
+++ b/datastore/src/check/drains.rs
@@ -28,9 +28,11 @@
             .map_or("no start".into(), |started| format!("started {started}"));
         let error = ValidationError::new(
             Path::Host(name.clone(), Leaf::State),
-            "it was drained and has not started anew since",
+            "it was drained and has not been restarted since",
             found,
-            format!("a start after {drained_process}, or the host left draining"),
+            format!(
+                "a start after {drained_process} (Unix seconds), or a state other than in-service"
+            ),
         );
         errors.push(error.with_rule(Rule::DrainsKept));
     }
--- a/datastore/src/check/hosts.rs
+++ b/datastore/src/check/hosts.rs
@@ -70,7 +70,7 @@
         if let Some(other) = by_id.insert(host.id(), host) {
             errors.push(ValidationError::new(
                 format!("hosts/{}", host.name),
-                format!("its name leads to the same number as {}", other.name),
+                format!("its name has the same hash as {}", other.name),
                 &host.name,
                 "another name",
             ));
@@ -100,7 +100,7 @@
                 Path::Host(name.clone(), Leaf::Started),
                 format!("lies {:.1} s ahead", started - context.facts.now),
                 started,
-                "a time that has been",
+                "a time in the past",
             );
             errors.push(error.with_retry_at(started));
         }
--- a/datastore/src/check/mod.rs
+++ b/datastore/src/check/mod.rs
@@ -45,9 +45,9 @@
     if context.facts.discovery.is_some() && !context.facts.discovery_received {
         let error = ValidationError::new(
             "hosts",
-            "discovery has not told its list yet",
+            "discovery has not sent its endpoint list yet",
             "nothing",
-            "a list",
+            "an endpoint list",
         );
         errors.push(error.with_retry_at(context.facts.now + RETRY_DELAY));
         return errors;
--- a/datastore/src/check/rollout.rs
+++ b/datastore/src/check/rollout.rs
@@ -17,13 +17,13 @@
             "ring/build",
             "does not say which build is meant",
             "nothing",
-            "the build on trial",
+            "the number of the canary build",
         )),
         (Some(build), None) => errors.push(ValidationError::new(
             "ring/build",
-            "the platform has told of no build",
+            "the platform has not sent a rollout status yet",
             build,
-            "a build on trial",
+            "a build that is rolled out",
         )),
         (Some(build), Some(rollout)) => {
             errors.extend(other_build(build, rollout));
@@ -54,7 +54,7 @@
         "ring/cap",
         "would be raised, and can only be lowered",
         cap,
-        format!("{} at most, the cap told", rollout.cap),
+        format!("{} at most, the platform's cap", rollout.cap),
     );
     Some(error.with_rule(Rule::ExposureCapped))
 }
--- a/datastore/src/tree/leaf.rs
+++ b/datastore/src/tree/leaf.rs
@@ -115,7 +115,7 @@
         leaf: Leaf::Size,
         container: Container::Host,
         name: "size",
-        expected_format: "a number over 0, at most 1000000, 1 for a usual host",
+        expected_format: "a number over 0, at most 1000000, 1 for a standard machine",
     },
     Description {
         leaf: Leaf::Build,
@@ -175,7 +175,7 @@
         leaf: Leaf::KeyPrefix,
         container: Container::Route,
         name: "key-prefix",
-        expected_format: "up to 128 characters",
+        expected_format: "up to 128 bytes without control characters",
     },
     Description {
         leaf: Leaf::Zones,
@@ -199,7 +199,7 @@
         leaf: Leaf::RolloutBuild,
         container: Container::Rollout,
         name: "build",
-        expected_format: "the number of the build on trial",
+        expected_format: "the number of the canary build",
     },
     Description {
         leaf: Leaf::Hold,
@@ -217,7 +217,7 @@
         leaf: Leaf::Cap,
         container: Container::Rollout,
         name: "cap",
-        expected_format: "a share from 0 to 1, at most the cap told",
+        expected_format: "a share from 0 to 1, at most the platform's cap",
     },
 ];
 
--- a/datastore/src/validation.rs
+++ b/datastore/src/validation.rs
@@ -31,7 +31,7 @@
             Rule::OneAnswer => "rule 1, one final answer in time",
             Rule::NoEffectTwice => "rule 2, no effect twice",
             Rule::DrainsKept => "rule 3, drains are kept",
-            Rule::WarmUpRespected => "rule 4, no cold host is pushed over",
+            Rule::WarmUpRespected => "rule 4, no warming host is overloaded",
             Rule::ExposureCapped => "rule 5, exposure within the cap",
         })
     }
--- a/file-watch/src/parse/frame.rs
+++ b/file-watch/src/parse/frame.rs
@@ -110,7 +110,7 @@
             format!("{}: generation", errors.line(key.line)),
             "is no name",
             printable(&key.value),
-            format!("1 to {MAX_GENERATION_LENGTH} characters"),
+            format!("1 to {MAX_GENERATION_LENGTH} bytes without control characters"),
         ));
     }
     Some(key.value.clone())
