--- a/datastore/src/access.rs
+++ b/datastore/src/access.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns the name of the right that is required to change a path.
-    fn needed_for(path: &Path) -> &'static str {
+    fn required_right(path: &Path) -> &'static str {
         match path {
             Path::Host(..) | Path::Guards(_) => WEIGHTS,
             Path::Route(..) => ROUTES,
@@ -72,7 +72,7 @@
     }
 
     /// Returns whether these rights allow changing a path.
-    fn covers(self, path: &Path) -> bool {
+    fn allows(self, path: &Path) -> bool {
         match path {
             Path::Host(..) | Path::Guards(_) => self.weights,
             Path::Route(..) => self.routes,
@@ -86,13 +86,13 @@
     ///
     /// Returns an error for the first change that is not allowed.
     pub fn check(self, changes: &[Difference]) -> Result<(), ValidationError> {
-        match changes.iter().find(|change| !self.covers(&change.path)) {
+        match changes.iter().find(|change| !self.allows(&change.path)) {
             None => Ok(()),
             Some(change) => Err(ValidationError::new(
                 &change.path,
                 "is beyond the rights of this key",
                 self,
-                format!("the right {}", Self::needed_for(&change.path)),
+                format!("the right {}", Self::required_right(&change.path)),
             )),
         }
     }
--- a/datastore/src/check/maximums.rs
+++ b/datastore/src/check/maximums.rs
@@ -19,7 +19,7 @@
 }
 
 impl Sizes {
-    fn of(tree: &Tree, listed_hosts: usize) -> Self {
+    fn new(tree: &Tree, listed_hosts: usize) -> Self {
         Sizes {
             hosts: listed_hosts.max(tree.hosts.len()),
             configured_hosts: tree.hosts.len(),
@@ -44,7 +44,7 @@
     listed_hosts: usize,
     maximums: &Maximums,
 ) -> ValidationErrors {
-    let sizes = Sizes::of(tree, listed_hosts);
+    let sizes = Sizes::new(tree, listed_hosts);
     let mut errors = ValidationErrors::default();
     let mut check = |path: &str, problem: &str, found: usize, maximum: usize| {
         if found > maximum {
@@ -70,11 +70,11 @@
         sizes.route_names,
         maximums.route_names,
     );
-    errors.extend(exceeded_memory(&sizes, &maximums.memory));
+    errors.extend(exceeded_memory_error(&sizes, &maximums.memory));
     errors
 }
 
-fn exceeded_memory(sizes: &Sizes, memory: &MemorySettings) -> Option<ValidationError> {
+fn exceeded_memory_error(sizes: &Sizes, memory: &MemorySettings) -> Option<ValidationError> {
     let for_hosts =
         sizes.hosts * memory.per_host + sizes.configured_hosts * memory.per_configured_host;
     let for_routes = sizes.routes * memory.per_route + sizes.route_names * memory.per_route_name;
--- a/datastore/src/check/slow_start.rs
+++ b/datastore/src/check/slow_start.rs
@@ -9,7 +9,7 @@
 
 use kestreltide::operator_weights::{self, EffectiveWeight};
 
-use super::context::{Context, HostsOfTree};
+use super::context::{Context, MergedTree};
 use crate::settings::RuleSettings;
 use crate::tree::{AdminState, HostName, Leaf, Path, Value};
 use crate::validation::{Rule, ValidationError, ValidationErrors};
@@ -27,13 +27,16 @@
 }
 
 impl Weights {
-    fn of(context: &Context, side: &HostsOfTree) -> Self {
+    fn new(context: &Context, merged_tree: &MergedTree) -> Self {
         let configured_weight = |name: &Arc<str>| {
             let name: Option<HostName> = name.parse().ok();
-            name.and_then(|name| side.tree.hosts.get(&name)?.weight)
+            name.and_then(|name| merged_tree.tree.hosts.get(&name)?.weight)
                 .unwrap_or(1.0)
         };
-        let in_service = side.hosts.iter().filter(|(_, host)| host.is_in_service());
+        let in_service = merged_tree
+            .hosts
+            .iter()
+            .filter(|(_, host)| host.is_in_service());
         let (names, weights) = in_service
             .map(|(name, host)| {
                 let weight = EffectiveWeight {
@@ -63,8 +66,8 @@
         // A drain is never delayed. Its effect on the other hosts is limited when the weights are applied.
         return;
     }
-    let after = Weights::of(context, &context.after);
-    let before = Weights::of(context, &context.before);
+    let after = Weights::new(context, &context.after);
+    let before = Weights::new(context, &context.before);
     if after.weights.iter().all(|host| host.weight == 1.0) {
         return;
     }
@@ -82,7 +85,7 @@
             .share_of(name)
             .is_none_or(|share_before| share > SHARE_GROWTH_TOLERANCE * share_before);
         if has_grown {
-            errors.push(overloaded(context, name, weight, share, overload));
+            errors.push(overload_error(context, name, weight, share, overload));
         }
     }
 }
@@ -97,7 +100,7 @@
     })
 }
 
-fn overloaded(
+fn overload_error(
     context: &Context,
     name: &Arc<str>,
     weight: &EffectiveWeight,
@@ -107,11 +110,11 @@
     let now = context.facts.now;
     let host = context.after.hosts.get(name);
     let started = host.and_then(|host| host.started).unwrap_or(now);
-    let carried_at = started + warm_up_time(context.settings, share);
+    let carried_at = started + warm_up_seconds(context.settings, share);
     let problem = format!(
         "{} would send the host {share:.2} times its fair share; it started {:.1} s ago, has {:.2} of \
          its capacity and is overloaded at {overload:.2}",
-        senders(context.settings, share, overload),
+        describe_senders(context.settings, share, overload),
         now - started,
         weight.warm_up_fraction
     );
@@ -131,7 +134,7 @@
 }
 
 /// Returns the seconds after its start at which a host can handle this multiple of its fair share.
-fn warm_up_time(settings: &RuleSettings, share: f64) -> f64 {
+fn warm_up_seconds(settings: &RuleSettings, share: f64) -> f64 {
     let initial = settings.slow_start_initial_fraction;
     let progress = ((share / settings.overload_multiple).min(1.0) - initial)
         / (1.0 - initial).max(MIN_WARM_UP_RANGE);
@@ -139,7 +142,7 @@
 }
 
 /// Describes who overloads the host, for error texts: one router by itself, or only all of them together.
-fn senders(settings: &RuleSettings, share: f64, overload: f64) -> String {
+fn describe_senders(settings: &RuleSettings, share: f64, overload: f64) -> String {
     let overloads_alone = share / f64::from(settings.routers) > overload;
     if settings.routers == 1 {
         "this router".into()
--- a/datastore/src/commit_coordinator.rs
+++ b/datastore/src/commit_coordinator.rs
@@ -16,10 +16,10 @@
 use crate::store::{CommitOutcome, Datastore};
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// The number of newest revisions in a [`CoordinatorStatus`].
-const SHOWN_REVISIONS: usize = 32;
+/// The maximum number of revisions in a [`CoordinatorStatus`].
+const MAX_STATUS_REVISIONS: usize = 32;
 /// The author's version in the revision that rolls an unconfirmed commit back.
-const NOT_CONFIRMED: &str = "not confirmed";
+const UNCONFIRMED_VERSION: &str = "not confirmed";
 
 /// The session that a request comes from; `None` for watched files, which have no session.
 pub type CommitOwner = Option<SessionId>;
@@ -77,7 +77,8 @@
     pub store: Datastore,
     locks: Locks,
     pending: Option<PendingCommit>,
-    sessions: u32,
+    /// The id of the session that was opened last.
+    last_session_id: u32,
 }
 
 impl CommitCoordinator {
@@ -94,14 +95,14 @@
             store,
             locks: Locks::default(),
             pending,
-            sessions: 0,
+            last_session_id: 0,
         }
     }
 
     /// Opens a session and returns its id.
     pub fn open_session(&mut self) -> SessionId {
-        self.sessions += 1;
-        SessionId(self.sessions)
+        self.last_session_id += 1;
+        SessionId(self.last_session_id)
     }
 
     /// Returns the pending commit.
@@ -153,17 +154,17 @@
     /// none is pending though `persist_id` is given, or if the candidate is not valid.
     pub fn commit(
         &mut self,
-        asker: CommitOwner,
+        requester: CommitOwner,
         candidate: &Candidate,
         author: Author,
         confirm: Option<ConfirmedCommit>,
         persist_id: Option<&str>,
         facts: &Facts,
     ) -> Result<CommitOutcome, CommitError> {
-        if let Some(holder) = self.locks.held_by_other(asker) {
+        if let Some(holder) = self.locks.held_by_other(requester) {
             return Err(CommitError::Locked(holder));
         }
-        let may_confirm = self.may_confirm(asker, persist_id);
+        let may_confirm = self.may_confirm(requester, persist_id);
         match &self.pending {
             Some(pending) if !may_confirm => {
                 return Err(CommitError::CommitPending(pending.clone()));
@@ -181,7 +182,7 @@
         self.pending = confirm.map(|confirm| PendingCommit {
             rolls_back_to,
             expires_at: facts.now + confirm.timeout,
-            session: asker,
+            session: requester,
             persist_id: confirm.persist_id,
             author,
         });
@@ -190,13 +191,13 @@
 
     /// Returns whether a requester may confirm or cancel the pending commit: by its persist id if it has one, otherwise
     /// from the session that made it.
-    fn may_confirm(&self, asker: CommitOwner, persist_id: Option<&str>) -> bool {
+    fn may_confirm(&self, requester: CommitOwner, persist_id: Option<&str>) -> bool {
         let Some(pending) = &self.pending else {
             return false;
         };
         match (&pending.persist_id, persist_id) {
             (Some(expected), Some(given)) => expected == given,
-            (None, None) => pending.session.is_some() && pending.session == asker,
+            (None, None) => pending.session.is_some() && pending.session == requester,
             _ => false,
         }
     }
@@ -208,10 +209,10 @@
     /// Returns an error if no commit is pending that the requester may confirm.
     pub fn confirm(
         &mut self,
-        asker: CommitOwner,
+        requester: CommitOwner,
         persist_id: Option<&str>,
     ) -> Result<(), CommitError> {
-        if !self.may_confirm(asker, persist_id) {
+        if !self.may_confirm(requester, persist_id) {
             return Err(CommitError::NoPendingCommit);
         }
         self.pending = None;
@@ -226,11 +227,11 @@
     /// valid.
     pub fn cancel(
         &mut self,
-        asker: CommitOwner,
+        requester: CommitOwner,
         persist_id: Option<&str>,
         facts: &Facts,
     ) -> Result<CommitOutcome, CommitError> {
-        if !self.may_confirm(asker, persist_id) {
+        if !self.may_confirm(requester, persist_id) {
             return Err(CommitError::NoPendingCommit);
         }
         self.roll_back_pending(facts).map_err(CommitError::Invalid)
@@ -245,8 +246,8 @@
     ) -> Option<Result<CommitOutcome, ValidationErrors>> {
         self.locks.release_all(session);
         let pending = self.pending.as_ref()?;
-        let only_its = pending.session == Some(session) && pending.persist_id.is_none();
-        only_its.then(|| self.roll_back_pending(facts))
+        let is_only_confirmer = pending.session == Some(session) && pending.persist_id.is_none();
+        is_only_confirmer.then(|| self.roll_back_pending(facts))
     }
 
     /// Returns when the pending commit expires, in Unix seconds.
@@ -270,7 +271,7 @@
         };
         let author = Author {
             source: Source::Management,
-            version: NOT_CONFIRMED.into(),
+            version: UNCONFIRMED_VERSION.into(),
             ..pending.author
         };
         // The rules take precedence over the rollback: if the previous tree breaks one by now, the rollback is rejected
@@ -290,7 +291,7 @@
 
     /// Returns the status for the management interfaces.
     pub fn status(&self) -> CoordinatorStatus {
-        let newest = self.store.history().rev().take(SHOWN_REVISIONS);
+        let newest = self.store.history().rev().take(MAX_STATUS_REVISIONS);
         let mut history: Vec<_> = newest.cloned().collect();
         history.reverse();
         CoordinatorStatus {
--- a/datastore/src/history.rs
+++ b/datastore/src/history.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns the oldest revision whose tree can be restored: the one before the oldest kept revision.
-    pub(crate) fn oldest_base(&self) -> Option<u64> {
+    pub(crate) fn oldest_restorable_revision(&self) -> Option<u64> {
         self.revisions
             .front()
             .map(|first| first.number.saturating_sub(1))
@@ -127,8 +127,8 @@
     pub(crate) fn record_drained(&mut self, name: &HostName, started: Option<f64>, now: f64) {
         let recorded = self.drained.get(name).copied();
         // A process whose start is not known started before its drain, at the latest when the drain was first recorded.
-        let process = started.unwrap_or(recorded.unwrap_or(now));
-        let latest = recorded.map_or(process, |recorded| recorded.max(process));
+        let process_start = started.unwrap_or(recorded.unwrap_or(now));
+        let latest = recorded.map_or(process_start, |recorded| recorded.max(process_start));
         self.drained.insert(name.clone(), latest);
     }
 
--- a/datastore/src/locks.rs
+++ b/datastore/src/locks.rs
@@ -60,8 +60,8 @@
     }
 
     /// Returns a session other than the requester that holds a lock.
-    pub(crate) fn held_by_other(&self, asker: Option<SessionId>) -> Option<SessionId> {
-        let is_other = |holder: &SessionId| Some(*holder) != asker;
+    pub(crate) fn held_by_other(&self, requester: Option<SessionId>) -> Option<SessionId> {
+        let is_other = |holder: &SessionId| Some(*holder) != requester;
         self.running
             .filter(is_other)
             .or(self.candidate.filter(is_other))
--- a/datastore/src/merge.rs
+++ b/datastore/src/merge.rs
@@ -18,11 +18,11 @@
 
 /// How a value is chosen if both discovery and operators set a leaf. If only one of them does, its value is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Precedence {
+pub enum MergePolicy {
     /// Discovery's value is used, as discovery observes the processes.
-    Discovery,
+    PreferDiscovery,
     /// The operators' value is used, as operators decide how to use a machine.
-    Operators,
+    PreferOperators,
     /// The later time is used.
     LaterTime,
     /// The state that lets less traffic go to the host is used.
@@ -31,12 +31,12 @@
 
 /// Returns how the value of a leaf is chosen. Discovery decides on zone and cell because rule 2 depends on them: hosts
 /// of one zone and cell share their record of idempotency keys and drop each other's repeated requests.
-pub fn precedence_of(leaf: Leaf) -> Precedence {
+pub fn merge_policy(leaf: Leaf) -> MergePolicy {
     match leaf {
-        Leaf::Size | Leaf::Weight => Precedence::Operators,
-        Leaf::Started => Precedence::LaterTime,
-        Leaf::State => Precedence::MostRestrictive,
-        _ => Precedence::Discovery,
+        Leaf::Size | Leaf::Weight => MergePolicy::PreferOperators,
+        Leaf::Started => MergePolicy::LaterTime,
+        Leaf::State => MergePolicy::MostRestrictive,
+        _ => MergePolicy::PreferDiscovery,
     }
 }
 
@@ -51,7 +51,7 @@
 }
 
 /// Ranks states by how little traffic may go to a host; a higher rank means less traffic.
-fn restriction(state: HostState) -> u8 {
+fn restriction_rank(state: HostState) -> u8 {
     match state {
         HostState::Running => 0,
         HostState::Stopping => 1,
@@ -60,7 +60,7 @@
 }
 
 fn more_restrictive(first: HostState, second: HostState) -> HostState {
-    if restriction(first) >= restriction(second) {
+    if restriction_rank(first) >= restriction_rank(second) {
         first
     } else {
         second
@@ -68,17 +68,16 @@
 }
 
 /// Returns the value of a leaf that is used. `combine` chooses where the values themselves decide.
-fn pick<T>(
+fn resolve_leaf<T>(
     leaf: Leaf,
     discovery: Option<T>,
     operators: Option<T>,
     combine: impl Fn(T, T) -> T,
 ) -> Option<T> {
-    match (precedence_of(leaf), discovery, operators) {
-        (Precedence::Discovery, Some(value), _) | (Precedence::Operators, _, Some(value)) => {
-            Some(value)
-        }
-        (Precedence::LaterTime | Precedence::MostRestrictive, Some(first), Some(second)) => {
+    match (merge_policy(leaf), discovery, operators) {
+        (MergePolicy::PreferDiscovery, Some(value), _)
+        | (MergePolicy::PreferOperators, _, Some(value)) => Some(value),
+        (MergePolicy::LaterTime | MergePolicy::MostRestrictive, Some(first), Some(second)) => {
             Some(combine(first, second))
         }
         (_, first, second) => first.or(second),
@@ -86,8 +85,8 @@
 }
 
 /// Returns the value of a leaf for which either discovery or operators decide, whatever the values are.
-fn pick_either<T>(leaf: Leaf, discovery: Option<T>, operators: Option<T>) -> Option<T> {
-    pick(leaf, discovery, operators, |first, _| first)
+fn resolve_leaf_by_source<T>(leaf: Leaf, discovery: Option<T>, operators: Option<T>) -> Option<T> {
+    resolve_leaf(leaf, discovery, operators, |first, _| first)
 }
 
 /// Merges what discovery and operators list of one host; `None` if this makes no complete entry.
@@ -111,37 +110,37 @@
         .or(first_listed.filter(|_| discovery.is_none()));
     Some(HostRecord {
         name: discovery.map_or_else(|| name.shared(), |host| host.name.clone()),
-        endpoint: pick_either(
+        endpoint: resolve_leaf_by_source(
             Leaf::Endpoint,
             discovery.map(|host| host.endpoint),
             config.endpoint,
         )?,
-        zone: pick_either(
+        zone: resolve_leaf_by_source(
             Leaf::Zone,
             discovery.map(|host| host.zone.clone()),
             config.zone.clone(),
         )?,
-        cell: pick_either(Leaf::Cell, discovery.map(|host| host.cell), config.cell)
+        cell: resolve_leaf_by_source(Leaf::Cell, discovery.map(|host| host.cell), config.cell)
             .unwrap_or(DEFAULT_CELL),
-        kind: pick_either(
+        kind: resolve_leaf_by_source(
             Leaf::Kind,
             discovery.map(|host| host.kind.clone()),
             config.kind.clone(),
         )?,
-        size: pick_either(Leaf::Size, discovery.map(|host| host.size), config.size)
+        size: resolve_leaf_by_source(Leaf::Size, discovery.map(|host| host.size), config.size)
             .unwrap_or(DEFAULT_SIZE),
-        build: pick_either(
+        build: resolve_leaf_by_source(
             Leaf::Build,
             discovery.map(|host| host.build),
             configured_build,
         )?,
-        started: pick(
+        started: resolve_leaf(
             Leaf::Started,
             discovery.and_then(|host| host.started),
             configured_start,
             f64::max,
         ),
-        state: pick(
+        state: resolve_leaf(
             Leaf::State,
             discovery.map(|host| host.state),
             config.state.map(AdminState::host_state),
--- a/datastore/src/route_table.rs
+++ b/datastore/src/route_table.rs
@@ -17,14 +17,14 @@
 }
 
 fn build_route(name: &RouteName, config: &RouteConfig) -> Route {
-    let matches = RouteMatch {
+    let matcher = RouteMatch {
         operations: config.operations.clone().unwrap_or_default(),
         key_prefix: config.key_prefix.clone().unwrap_or_default(),
     };
     Route {
         name: name.shared(),
         precedence: config.precedence,
-        matcher: matches,
+        matcher,
         pool: Arc::new(build_pool(config)),
     }
 }
--- a/datastore/src/store.rs
+++ b/datastore/src/store.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::candidate::{Candidate, InForce};
-use crate::check::{Context, DrainedHosts, HostsOfTree, check};
+use crate::check::{Context, DrainedHosts, MergedTree, run_checks};
 use crate::facts::Facts;
 use crate::history::{History, HistoryLimits};
 use crate::merge::{FirstListed, merge_all};
@@ -232,7 +232,7 @@
     /// Returns an error if the revision is not kept.
     pub fn tree_at(&self, revision: Revision) -> Result<Tree, ValidationError> {
         let newest = self.in_force.revision.0;
-        let oldest = self.history.oldest_base().unwrap_or(newest);
+        let oldest = self.history.oldest_restorable_revision().unwrap_or(newest);
         if !(oldest..=newest).contains(&revision.0) {
             return Err(ValidationError::new(
                 "revision",
@@ -278,12 +278,12 @@
         let context = Context {
             settings: &self.settings,
             facts,
-            before: HostsOfTree::new(&in_force.tree, &in_force.first_listed, facts),
-            after: HostsOfTree::new(&tree, &first_listed, facts),
+            before: MergedTree::new(&in_force.tree, &in_force.first_listed, facts),
+            after: MergedTree::new(&tree, &first_listed, facts),
             drained: self.history.drained(),
             differences: &differences,
         };
-        check(&context).into_result()?;
+        run_checks(&context).into_result()?;
         Ok(CheckedCandidate {
             tree,
             first_listed,
@@ -291,8 +291,8 @@
         })
     }
 
-    /// Returns when each host of a tree without a start was first listed. A newly listed host may have just started. The
-    /// hosts of the first revision are assumed to have been running long before, and get no time.
+    /// Returns when each host of a tree without a start was first listed. A newly listed host may have just started.
+    /// The hosts of the first revision are assumed to have been running long before, and get no time.
     fn first_listed_hosts(&self, tree: &Tree, facts: &Facts) -> FirstListed {
         let in_force = &*self.in_force;
         if in_force.revision == Revision(0) {
@@ -329,15 +329,16 @@
             };
             let other = &theirs[position];
             if other.new != change.new {
-                errors.push(self.conflict(candidate, change, other));
+                errors.push(self.conflict_error(candidate, change, other));
             }
         }
         errors.into_result()?;
         self.in_force.tree.with_changes(&ours)
     }
 
-    /// Returns the error for a leaf that the candidate changes and that was changed since the candidate's base revision.
-    fn conflict(
+    /// Returns the error for a leaf that the candidate changes and that has been changed since the candidate's base
+    /// revision.
+    fn conflict_error(
         &self,
         candidate: &Candidate,
         ours: &Difference,
--- a/datastore/src/tree/config.rs
+++ b/datastore/src/tree/config.rs
@@ -11,7 +11,7 @@
 
 /// Defines the getter and the setter of a container's leaves. For each leaf it lists the field and the variant of
 /// [`Value`].
-macro_rules! leaves {
+macro_rules! leaf_accessors {
     ($container:ident { $($leaf:ident => $field:ident : $kind:ident),+ $(,)? }) => {
         impl $container {
             /// Returns the value of a leaf, if it is set.
@@ -61,7 +61,7 @@
     pub state: Option<AdminState>,
 }
 
-leaves!(HostConfig {
+leaf_accessors!(HostConfig {
     Endpoint => endpoint: Address,
     Zone => zone: Text,
     Cell => cell: Integer,
@@ -90,7 +90,7 @@
     pub hosts: Option<BTreeSet<Arc<str>>>,
 }
 
-leaves!(RouteConfig {
+leaf_accessors!(RouteConfig {
     Precedence => precedence: Integer,
     Operations => operations: Names,
     KeyPrefix => key_prefix: Text,
@@ -113,7 +113,7 @@
     pub cap: Option<f64>,
 }
 
-leaves!(RolloutConfig {
+leaf_accessors!(RolloutConfig {
     RolloutBuild => build: Integer,
     Hold => hold: Boolean,
     RollBack => roll_back: Boolean,
@@ -168,7 +168,7 @@
     }
 }
 
-leaves!(Guards {
+leaf_accessors!(Guards {
     LargestRemoval => largest_removal: Number,
     MinHostsPerZone => min_hosts_per_zone: Integer,
     MinHostsPerBuild => min_hosts_per_build: Integer,
--- a/datastore/src/tree/leaf.rs
+++ b/datastore/src/tree/leaf.rs
@@ -75,7 +75,7 @@
 const NAMES_FORMAT: &str = "names of letters, digits and . _ : -";
 
 /// The properties of a leaf.
-struct Description {
+struct LeafDescription {
     leaf: Leaf,
     /// The container that has the leaf.
     container: Container,
@@ -86,134 +86,134 @@
 }
 
 /// All leaves, in the order of their declaration, which [`Leaf::description`] relies on.
-const LEAVES: [Description; 22] = [
-    Description {
+const LEAVES: [LeafDescription; 22] = [
+    LeafDescription {
         leaf: Leaf::Endpoint,
         container: Container::Host,
         name: "endpoint",
         expected_format: "an address and port, such as 10.1.0.18:6379",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Zone,
         container: Container::Host,
         name: "zone",
         expected_format: NAME_FORMAT,
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Cell,
         container: Container::Host,
         name: "cell",
         expected_format: "a whole number from 0 to 4294967295",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Kind,
         container: Container::Host,
         name: "kind",
         expected_format: NAME_FORMAT,
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Size,
         container: Container::Host,
         name: "size",
         expected_format: "a number over 0, at most 1000000, 1 for a standard machine",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Build,
         container: Container::Host,
         name: "build",
         expected_format: "a whole number from 0 to 65535",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Started,
         container: Container::Host,
         name: "started",
         expected_format: "a time such as 2026-12-01T03:00:00Z, or seconds since 1970",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Weight,
         container: Container::Host,
         name: "weight",
         expected_format: "a number from 0.01 to 100, 1 for an even share",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::State,
         container: Container::Host,
         name: "state",
         expected_format: "in-service, draining or out",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::LargestRemoval,
         container: Container::Guards,
         name: "largest-removal",
         expected_format: "a share from 0 to 1 of the hosts in service",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::MinHostsPerZone,
         container: Container::Guards,
         name: "least-hosts-zone",
         expected_format: "a whole number from 0 to 16384",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::MinHostsPerBuild,
         container: Container::Guards,
         name: "least-hosts-build",
         expected_format: "a whole number from 0 to 16384",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Precedence,
         container: Container::Route,
         name: "precedence",
         expected_format: "a whole number from 0 to 4294967295, lower first",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Operations,
         container: Container::Route,
         name: "operation",
         expected_format: "names of the service's operations",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::KeyPrefix,
         container: Container::Route,
         name: "key-prefix",
         expected_format: "up to 128 bytes without control characters",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Zones,
         container: Container::Route,
         name: "zone",
         expected_format: NAMES_FORMAT,
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Kinds,
         container: Container::Route,
         name: "kind",
         expected_format: NAMES_FORMAT,
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Hosts,
         container: Container::Route,
         name: "host",
         expected_format: NAMES_FORMAT,
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::RolloutBuild,
         container: Container::Rollout,
         name: "build",
         expected_format: "the number of the canary build",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Hold,
         container: Container::Rollout,
         name: "hold",
         expected_format: "true or false",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::RollBack,
         container: Container::Rollout,
         name: "back",
         expected_format: "true or false",
     },
-    Description {
+    LeafDescription {
         leaf: Leaf::Cap,
         container: Container::Rollout,
         name: "cap",
@@ -222,7 +222,7 @@
 ];
 
 impl Leaf {
-    fn description(self) -> &'static Description {
+    fn description(self) -> &'static LeafDescription {
         // A test checks that the table is in the order of the declaration.
         &LEAVES[self as usize]
     }
@@ -256,12 +256,12 @@
     }
 
     /// Returns the leaf of a host with this name.
-    pub fn of_host(name: &str) -> Option<Leaf> {
+    pub fn host_leaf_by_name(name: &str) -> Option<Leaf> {
         Leaf::by_name(Container::Host, name)
     }
 
     /// Returns the guard with this name.
-    pub fn of_guards(name: &str) -> Option<Leaf> {
+    pub fn guard_by_name(name: &str) -> Option<Leaf> {
         Leaf::by_name(Container::Guards, name)
     }
 }
--- a/datastore/src/tree/leaf/tests.rs
+++ b/datastore/src/tree/leaf/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn every_leaf_stands_at_its_place_in_the_table() {
+fn leaf_table_is_in_declaration_order() {
     for (number, row) in LEAVES.iter().enumerate() {
         assert_eq!(
             (row.leaf as usize, Leaf::by_name(row.container, row.name)),
--- a/datastore/src/tree/names.rs
+++ b/datastore/src/tree/names.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The maximum length of a name or key prefix, in bytes.
-pub(super) const MAX_NAME_LENGTH: usize = 128;
+/// The maximum length of a name or a key prefix, in bytes.
+pub(super) const MAX_NAME_BYTES: usize = 128;
 
 /// Why a text is not a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -17,7 +17,7 @@
     #[error("is empty")]
     Empty,
     /// The text is too long.
-    #[error("is longer than {MAX_NAME_LENGTH} characters")]
+    #[error("is longer than {MAX_NAME_BYTES} characters")]
     TooLong,
     /// The text has characters that are not allowed in names.
     #[error("has characters other than letters, digits and . _ : -")]
@@ -29,7 +29,7 @@
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._:-".contains(c);
     if text.is_empty() {
         Err(NameError::Empty)
-    } else if text.len() > MAX_NAME_LENGTH {
+    } else if text.len() > MAX_NAME_BYTES {
         Err(NameError::TooLong)
     } else if !text.chars().all(is_allowed) {
         Err(NameError::InvalidCharacter)
--- a/datastore/src/tree/value.rs
+++ b/datastore/src/tree/value.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 use super::leaf::Leaf;
-use super::names::{MAX_NAME_LENGTH, NameError, parse_name};
+use super::names::{MAX_NAME_BYTES, NameError, parse_name};
 
 /// The state that operators set for a host, independent of the state that discovery reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -90,7 +90,7 @@
 /// The highest build number.
 const MAX_BUILD: u32 = u16::MAX as u32;
 /// The end of the year 9999 in Unix seconds: the last time that RFC 3339 can express.
-const LAST_TIME: f64 = 253_402_300_799.0;
+const MAX_UNIX_SECONDS: f64 = 253_402_300_799.0;
 /// Times are rounded to microseconds.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
@@ -125,7 +125,7 @@
     #[error("is no administrative state")]
     UnknownState,
     /// The text is too long.
-    #[error("is longer than {MAX_NAME_LENGTH} bytes")]
+    #[error("is longer than {MAX_NAME_BYTES} bytes")]
     TooLong,
     /// The text has control characters.
     #[error("has control characters")]
@@ -195,7 +195,7 @@
     };
     // Rounded to the microsecond, so that a time that is written out and read again stays the same.
     let rounded = (seconds * MICROSECONDS_PER_SECOND).round() / MICROSECONDS_PER_SECOND;
-    if !(0.0..=LAST_TIME).contains(&rounded) {
+    if !(0.0..=MAX_UNIX_SECONDS).contains(&rounded) {
         return Err(ValueError::NotATime);
     }
     Ok(Value::Number(rounded))
@@ -225,7 +225,7 @@
 }
 
 fn parse_key_prefix(text: &str) -> Result<Value, ValueError> {
-    if text.len() > MAX_NAME_LENGTH {
+    if text.len() > MAX_NAME_BYTES {
         return Err(ValueError::TooLong);
     }
     if text.chars().any(char::is_control) {
--- a/file-watch/src/debounce.rs
+++ b/file-watch/src/debounce.rs
@@ -3,7 +3,7 @@
 //! hand the content on.
 
 /// The shortest time between polls, in seconds, which avoids a busy loop.
-const MIN_DELAY: f64 = 0.001;
+const MIN_DELAY_SECONDS: f64 = 0.001;
 
 /// The times that the decision depends on, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -46,7 +46,7 @@
 
 /// Content that was handled, and when (in seconds).
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Handled {
+struct HandledContent {
     digest: u64,
     at: f64,
 }
@@ -56,7 +56,7 @@
 pub struct Debouncer {
     settings: DebounceSettings,
     state: State,
-    last_handled: Option<Handled>,
+    last_handled: Option<HandledContent>,
     change_notified: bool,
 }
 
@@ -74,7 +74,7 @@
     /// Marks content as handled: it is not handed on again.
     pub fn mark_handled(&mut self, now: f64, digest: u64) {
         self.state = State::Settled;
-        self.last_handled = Some(Handled { digest, at: now });
+        self.last_handled = Some(HandledContent { digest, at: now });
     }
 
     /// Marks that the files may have changed, so that they are read at the next poll.
@@ -140,6 +140,6 @@
             .map_or(0.0, |last| last.at + self.settings.min_interval - now);
         until_settled
             .max(until_allowed)
-            .clamp(MIN_DELAY, self.settings.poll_interval)
+            .clamp(MIN_DELAY_SECONDS, self.settings.poll_interval)
     }
 }
--- a/file-watch/src/ini.rs
+++ b/file-watch/src/ini.rs
@@ -29,16 +29,16 @@
 }
 
 /// Parses the sections of a text in their order. Keys before the first header make up a section without a name, which
-/// comes first. Sections of the same name are not merged. `place` names the text in errors.
+/// comes first. Sections of the same name are not merged. `location` names the text in errors.
 ///
 /// # Errors
 ///
 /// Returns an error for the first line that is not INI.
-pub fn sections(place: &str, text: &str) -> Result<Vec<Section>, ValidationError> {
+pub fn sections(location: &str, text: &str) -> Result<Vec<Section>, ValidationError> {
     if let Some(at) = text.find('\0') {
         let line = text[..at].matches('\n').count() + 1;
         return Err(ValidationError::new(
-            format!("{place}:{line}"),
+            format!("{location}:{line}"),
             "holds a NUL",
             "a NUL",
             "text",
@@ -55,7 +55,7 @@
             .nth(e.line.saturating_sub(1))
             .unwrap_or_default();
         ValidationError::new(
-            format!("{place}:{}", e.line),
+            format!("{location}:{}", e.line),
             format!("is no INI: {}", e.msg),
             printable(found),
             "[section] or key = value",
@@ -135,7 +135,7 @@
 }
 
 /// Returns the known name that is closest to a mistyped one by edit distance.
-pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn nearest_name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
         .min_by_key(|known| strsim::damerau_levenshtein(name, known))
@@ -149,7 +149,7 @@
     known: impl IntoIterator<Item = &'a str> + Clone,
 ) -> ValidationError {
     let names: Vec<_> = known.clone().into_iter().collect();
-    let expected = match nearest(name, known) {
+    let expected = match nearest_name(name, known) {
         Some(nearest) => format!("{nearest}? All: {}", names.join(", ")),
         None => "nothing".into(),
     };
@@ -157,10 +157,15 @@
 }
 
 /// Adds an error for each key of a section that is not known or that is repeated.
-pub fn check_keys(place: &str, section: &Section, known: &[&str], errors: &mut ValidationErrors) {
+pub fn check_keys(
+    location: &str,
+    section: &Section,
+    known: &[&str],
+    errors: &mut ValidationErrors,
+) {
     for (number, key) in section.keys.iter().enumerate() {
         let path = format!(
-            "{place}:{}: [{}] {}",
+            "{location}:{}: [{}] {}",
             key.line,
             section.name,
             printable(&key.name)
--- a/file-watch/src/notifier.rs
+++ b/file-watch/src/notifier.rs
@@ -19,7 +19,7 @@
 }
 
 impl FolderId {
-    fn at(path: &Path) -> Option<Self> {
+    fn of_path(path: &Path) -> Option<Self> {
         let metadata = fs::metadata(path).ok()?;
         Some(FolderId {
             device: metadata.dev(),
@@ -31,8 +31,8 @@
 /// Watches the folders of all files for changes.
 pub struct FileNotifier {
     watcher: Option<RecommendedWatcher>,
-    /// The folder that is watched at each path; `None` if none is. If the path leads to another folder, the watch has to
-    /// be renewed.
+    /// The folder that is watched at each path; `None` if none is. If the path leads to another folder, the watch has
+    /// to be renewed.
     folders: BTreeMap<PathBuf, Option<FolderId>>,
 }
 
@@ -64,7 +64,7 @@
         };
         let mut is_renewed = false;
         for (path, watched) in &mut self.folders {
-            let found = FolderId::at(path);
+            let found = FolderId::of_path(path);
             if found != *watched {
                 // This fails if nothing was watched at the path, which does no harm.
                 let _ = watcher.unwatch(path);
--- a/file-watch/src/parse/configuration.rs
+++ b/file-watch/src/parse/configuration.rs
@@ -28,22 +28,22 @@
 fn parse_hosts(body: &[Section], tree: &mut TreeBuilder, errors: &mut FileErrors) -> usize {
     let mut count = 0;
     for section in body {
-        let place = errors.line(section.line);
+        let location = errors.line(section.line);
         if section.name == "guards" {
-            parse_leaves(section, Container::Guards, errors, |key, leaf, place| {
-                tree.set(place, Path::Guards(leaf), &key.value);
+            parse_leaves(section, Container::Guards, errors, |key, leaf, location| {
+                tree.set(location, Path::Guards(leaf), &key.value);
             });
         } else if let Some(name) = section.name.strip_prefix("host ") {
             count += 1;
-            let Some(host) = tree.begin_host(&place, name.trim()) else {
+            let Some(host) = tree.begin_host(&location, name.trim()) else {
                 continue;
             };
-            parse_leaves(section, Container::Host, errors, |key, leaf, place| {
-                tree.set_host(place, &host, leaf, &key.value);
+            parse_leaves(section, Container::Host, errors, |key, leaf, location| {
+                tree.set_host(location, &host, leaf, &key.value);
             });
         } else {
             errors.push(unknown_name(
-                &place,
+                &location,
                 "section",
                 &section.name,
                 ["host NAME", "guards", END_SECTION],
@@ -61,12 +61,12 @@
     mut set: impl FnMut(&ini::Key, Leaf, &str),
 ) {
     for key in &section.keys {
-        let place = errors.line(key.line);
+        let location = errors.line(key.line);
         match Leaf::by_name(container, &key.name) {
-            Some(leaf) => set(key, leaf, &place),
+            Some(leaf) => set(key, leaf, &location),
             None => {
                 let known: Vec<_> = Leaf::all_of(container).map(Leaf::name).collect();
-                let path = format!("{place}: [{}] {}", section.name, printable(&key.name));
+                let path = format!("{location}: [{}] {}", section.name, printable(&key.name));
                 errors.push(unknown_name(&path, "key", &key.name, known));
             }
         }
@@ -92,11 +92,11 @@
         };
         for key in &section.keys {
             count += 1;
-            let place = errors.line(key.line);
+            let location = errors.line(key.line);
             match key.name.parse::<HostName>() {
-                Ok(host) => tree.set_host(&place, &host, leaf, &key.value),
+                Ok(host) => tree.set_host(&location, &host, leaf, &key.value),
                 Err(why) => errors.push(ValidationError::new(
-                    place,
+                    location,
                     format!("the host's name {why}"),
                     printable(&key.name),
                     "letters, digits and . _ : -",
--- a/file-watch/src/parse/file.rs
+++ b/file-watch/src/parse/file.rs
@@ -57,14 +57,14 @@
 /// Collects the errors found in a file.
 pub(super) struct FileErrors<'a> {
     /// The name of the file in errors.
-    pub(super) place: &'a str,
+    pub(super) location: &'a str,
     pub(super) errors: &'a mut ValidationErrors,
 }
 
 impl FileErrors<'_> {
     /// Returns the file and line as they are shown in errors.
     pub(super) fn line(&self, line: usize) -> String {
-        format!("{}:{line}", self.place)
+        format!("{}:{line}", self.location)
     }
 
     pub(super) fn push(&mut self, error: ValidationError) {
@@ -72,15 +72,15 @@
     }
 }
 
-/// Returns the text of a file; `place` names the file in errors.
-pub(super) fn text_of<'a>(place: &str, content: &'a Content) -> Result<&'a str, TextError> {
+/// Returns the text of a file; `location` names the file in errors.
+pub(super) fn text_of<'a>(location: &str, content: &'a Content) -> Result<&'a str, TextError> {
     let bytes = content.as_ref().map_err(|why| {
-        let error = ValidationError::new(place, "cannot be read", why, "a file of text");
+        let error = ValidationError::new(location, "cannot be read", why, "a file of text");
         TextError::Incomplete(error)
     })?;
     str::from_utf8(bytes).map_err(|e| {
         let problem = format!("is not UTF-8 from byte {}", e.valid_up_to());
-        let error = ValidationError::new(place, problem, "other bytes", "UTF-8");
+        let error = ValidationError::new(location, problem, "other bytes", "UTF-8");
         // Without an error length the last character is incomplete, which means that the file is cut there.
         let is_cut = e.error_len().is_none();
         if is_cut {
--- a/file-watch/src/parse/frame.rs
+++ b/file-watch/src/parse/frame.rs
@@ -7,7 +7,7 @@
 use crate::ini::{self, Section};
 
 /// The maximum length of a generation's name, in bytes.
-const MAX_GENERATION_LENGTH: usize = 64;
+const MAX_GENERATION_BYTES: usize = 64;
 
 /// The generation that a complete file names; `None` if the header names none, which is reported as an error.
 pub(super) struct Generation(pub(super) Option<String>);
@@ -24,31 +24,31 @@
     errors: &mut FileErrors,
     parse_body: impl FnOnce(&[Section], &mut FileErrors) -> usize,
 ) -> Result<Generation, ValidationError> {
-    check_last_line(errors.place, text)?;
+    check_last_line(errors.location, text)?;
     // A file that is cut may no longer be valid INI, so a syntax error also means that the file is not complete.
-    let sections = ini::sections(errors.place, text)?;
-    let (head, rest) = match sections.split_first() {
-        Some((head, rest)) if head.name.is_empty() => (head, rest),
+    let sections = ini::sections(errors.location, text)?;
+    let (header, rest) = match sections.split_first() {
+        Some((header, rest)) if header.name.is_empty() => (header, rest),
         _ => {
             return Err(ValidationError::new(
-                errors.place,
+                errors.location,
                 "names no generation before its first section",
                 "nothing",
                 "generation = NAME",
             ));
         }
     };
-    let generation = parse_generation(head, errors);
-    let (end, body) = split_end(errors.place, rest)?;
+    let generation = parse_generation(header, errors);
+    let (end, body) = split_end_section(errors.location, rest)?;
     let count = parse_body(body, errors);
     check_end(kind, end, count, generation.as_deref(), errors)?;
     Ok(Generation(generation))
 }
 
-fn check_last_line(place: &str, text: &str) -> Result<(), ValidationError> {
+fn check_last_line(location: &str, text: &str) -> Result<(), ValidationError> {
     if text.trim().is_empty() {
         return Err(ValidationError::new(
-            place,
+            location,
             "is empty",
             "nothing",
             "a generation, entries and an [end]",
@@ -57,7 +57,7 @@
     if !text.ends_with('\n') {
         let last = text.lines().next_back().unwrap_or_default();
         return Err(ValidationError::new(
-            place,
+            location,
             "its last line has no end",
             printable(last),
             "a line feed behind [end]",
@@ -67,8 +67,8 @@
 }
 
 /// Returns the end section of a file, and the sections before it.
-fn split_end<'a>(
-    place: &str,
+fn split_end_section<'a>(
+    location: &str,
     sections: &'a [Section],
 ) -> Result<(&'a Section, &'a [Section]), ValidationError> {
     let is_end = |section: &&Section| section.name == END_SECTION;
@@ -77,13 +77,13 @@
     }
     Err(match sections.iter().find(is_end) {
         Some(end) => ValidationError::new(
-            format!("{place}:{}", end.line),
+            format!("{location}:{}", end.line),
             "sections stand behind [end]",
             "more of them",
             "[end] last",
         ),
         None => ValidationError::new(
-            place,
+            location,
             "has no [end]",
             "nothing",
             "[end] with the count and the generation",
@@ -91,11 +91,11 @@
     })
 }
 
-fn parse_generation(head: &Section, errors: &mut FileErrors) -> Option<String> {
-    ini::check_keys(errors.place, head, &[GENERATION_KEY], errors.errors);
-    let Some(key) = head.keys.iter().find(|key| key.name == GENERATION_KEY) else {
+fn parse_generation(header: &Section, errors: &mut FileErrors) -> Option<String> {
+    ini::check_keys(errors.location, header, &[GENERATION_KEY], errors.errors);
+    let Some(key) = header.keys.iter().find(|key| key.name == GENERATION_KEY) else {
         errors.push(ValidationError::new(
-            errors.place,
+            errors.location,
             "names no generation",
             "nothing",
             "generation = NAME",
@@ -103,14 +103,14 @@
         return None;
     };
     let is_name = !key.value.is_empty()
-        && key.value.len() <= MAX_GENERATION_LENGTH
+        && key.value.len() <= MAX_GENERATION_BYTES
         && !key.value.contains(char::is_control);
     if !is_name {
         errors.push(ValidationError::new(
             format!("{}: generation", errors.line(key.line)),
             "is no name",
             printable(&key.value),
-            format!("1 to {MAX_GENERATION_LENGTH} bytes without control characters"),
+            format!("1 to {MAX_GENERATION_BYTES} bytes without control characters"),
         ));
     }
     Some(key.value.clone())
@@ -124,23 +124,23 @@
     generation: Option<&str>,
     errors: &mut FileErrors,
 ) -> Result<(), ValidationError> {
-    let place = errors.place;
+    let location = errors.location;
     let count_key = kind.count_key();
-    ini::check_keys(place, end, &[count_key, GENERATION_KEY], errors.errors);
-    let counted = key_of_end(place, end, count_key, &count.to_string())?;
+    ini::check_keys(location, end, &[count_key, GENERATION_KEY], errors.errors);
+    let counted = required_end_key(location, end, count_key, &count.to_string())?;
     if counted.value.parse() != Ok(count) {
         return Err(ValidationError::new(
-            format!("{place}:{}: [end] {count_key}", counted.line),
+            format!("{location}:{}: [end] {count_key}", counted.line),
             format!("{count} stand in the file"),
             printable(&counted.value),
             count,
         ));
     }
     let expected = generation.unwrap_or("that of the head");
-    let named = key_of_end(place, end, GENERATION_KEY, expected)?;
+    let named = required_end_key(location, end, GENERATION_KEY, expected)?;
     if Some(named.value.as_str()) != generation {
         return Err(ValidationError::new(
-            format!("{place}:{}: [end] generation", named.line),
+            format!("{location}:{}: [end] generation", named.line),
             "is not that of the head",
             printable(&named.value),
             printable(generation.unwrap_or_default()),
@@ -149,14 +149,14 @@
     Ok(())
 }
 
-fn key_of_end<'a>(
-    place: &str,
+fn required_end_key<'a>(
+    location: &str,
     end: &'a Section,
     name: &str,
     expected: &str,
 ) -> Result<&'a ini::Key, ValidationError> {
     end.keys.iter().find(|key| key.name == name).ok_or_else(|| {
-        let path = format!("{place}:{}: [end] {name}", end.line);
+        let path = format!("{location}:{}: [end] {name}", end.line);
         ValidationError::new(path, "is missing", "nothing", expected)
     })
 }
--- a/file-watch/src/parse/keys.rs
+++ b/file-watch/src/parse/keys.rs
@@ -8,16 +8,16 @@
 use crate::ini::{self, Section, unknown_name};
 use crate::read_file::Content;
 
-/// The base64 text of a public key has more bytes than this.
-const MIN_PUBLIC_KEY_LENGTH: usize = 16;
+/// The length in bytes up to which the base64 text of a public key is rejected as too short.
+const MAX_REJECTED_KEY_BYTES: usize = 16;
 /// The length of a SHA-256 hash in bytes.
-const HASH_LENGTH: usize = 32;
+const HASH_BYTES: usize = 32;
 /// The number of hexadecimal digits of a byte.
 const DIGITS_PER_BYTE: usize = 2;
 
-/// Parses a keys file; `place` names the file in errors.
-pub fn parse_keys(place: &str, content: &Content) -> Parsed<Keys> {
-    let text = match text_of(place, content) {
+/// Parses a keys file; `location` names the file in errors.
+pub fn parse_keys(location: &str, content: &Content) -> Parsed<Keys> {
+    let text = match text_of(location, content) {
         Ok(text) => text,
         Err(TextError::Incomplete(error)) => return Parsed::Incomplete(error.into()),
         Err(TextError::Invalid(error)) => return Parsed::Invalid(error.into()),
@@ -25,11 +25,11 @@
     let mut keys = vec![];
     let mut invalid = ValidationErrors::default();
     let mut errors = FileErrors {
-        place,
+        location,
         errors: &mut invalid,
     };
     let framed = parse_framed(FileKind::Keys, text, &mut errors, |body, errors| {
-        parse_sections(body, &mut keys, errors);
+        parse_key_sections(body, &mut keys, errors);
         body.len()
     });
     match framed {
@@ -42,7 +42,7 @@
     }
 }
 
-fn parse_sections(body: &[Section], keys: &mut Vec<Key>, errors: &mut FileErrors) {
+fn parse_key_sections(body: &[Section], keys: &mut Vec<Key>, errors: &mut FileErrors) {
     for section in body {
         let name = section.name.strip_prefix("key ").map(str::trim);
         match name.filter(|name| !name.is_empty()) {
@@ -59,9 +59,9 @@
 
 /// Parses the section of one holder, and adds a key for each of its credentials.
 fn parse_key(section: &Section, name: &str, keys: &mut Vec<Key>, errors: &mut FileErrors) {
-    let place = errors.line(section.line);
+    let location = errors.line(section.line);
     ini::check_keys(
-        errors.place,
+        errors.location,
         section,
         &["ssh", "certificate", "rights"],
         errors.errors,
@@ -72,7 +72,7 @@
     let proofs = parse_proofs(section, name, errors);
     if proofs.is_empty() && errors.errors.is_empty() {
         errors.push(ValidationError::new(
-            format!("{place}: [key {name}]"),
+            format!("{location}: [key {name}]"),
             "has neither of both",
             "nothing",
             "ssh or certificate",
@@ -81,7 +81,7 @@
     for proof in proofs {
         if let Some(other) = keys.iter().find(|key| key.proof == proof) {
             errors.push(ValidationError::new(
-                &place,
+                &location,
                 format!("is the key of {} too", other.name),
                 name,
                 "a key of its own",
@@ -95,13 +95,13 @@
     }
 }
 
-fn key_named<'a>(section: &'a Section, name: &str) -> Option<&'a ini::Key> {
+fn find_key<'a>(section: &'a Section, name: &str) -> Option<&'a ini::Key> {
     section.keys.iter().find(|key| key.name == name)
 }
 
 fn parse_rights(section: &Section, name: &str, errors: &mut FileErrors) -> Option<Rights> {
     let expected = "read, weights, routes, ring";
-    let Some(key) = key_named(section, "rights") else {
+    let Some(key) = find_key(section, "rights") else {
         errors.push(ValidationError::new(
             format!("{}: [key {name}] rights", errors.line(section.line)),
             "is missing",
@@ -127,7 +127,7 @@
 /// Returns the credentials in a section: an SSH public key, the hash of a certificate, or both.
 fn parse_proofs(section: &Section, name: &str, errors: &mut FileErrors) -> Vec<Proof> {
     let mut proofs = vec![];
-    if let Some(key) = key_named(section, "ssh") {
+    if let Some(key) = find_key(section, "ssh") {
         match parse_public_key(&key.value) {
             Some(public_key) => proofs.push(Proof::Ssh(public_key)),
             None => errors.push(ValidationError::new(
@@ -138,7 +138,7 @@
             )),
         }
     }
-    if let Some(key) = key_named(section, "certificate") {
+    if let Some(key) = find_key(section, "certificate") {
         match parse_hash(&key.value) {
             Some(hash) => proofs.push(Proof::Certificate(hash)),
             None => errors.push(ValidationError::new(
@@ -157,16 +157,16 @@
     let mut words = line.split_whitespace();
     let key_type = words.next()?;
     let text = words.next()?;
-    (text.len() > MIN_PUBLIC_KEY_LENGTH).then(|| format!("{key_type} {text}"))
+    (text.len() > MAX_REJECTED_KEY_BYTES).then(|| format!("{key_type} {text}"))
 }
 
 /// Parses a SHA-256 hash in hexadecimal digits, with or without colons.
-fn parse_hash(text: &str) -> Option<[u8; HASH_LENGTH]> {
+fn parse_hash(text: &str) -> Option<[u8; HASH_BYTES]> {
     let digits: Vec<u8> = text.bytes().filter(|byte| *byte != b':').collect();
-    if digits.len() != HASH_LENGTH * DIGITS_PER_BYTE {
+    if digits.len() != HASH_BYTES * DIGITS_PER_BYTE {
         return None;
     }
-    let mut hash = [0; HASH_LENGTH];
+    let mut hash = [0; HASH_BYTES];
     for (byte, pair) in hash.iter_mut().zip(digits.chunks(DIGITS_PER_BYTE)) {
         *byte = u8::from_str_radix(str::from_utf8(pair).ok()?, 16).ok()?;
     }
--- a/file-watch/src/parse/mod.rs
+++ b/file-watch/src/parse/mod.rs
@@ -34,8 +34,8 @@
     let mut incomplete = ValidationErrors::default();
     let mut invalid = ValidationErrors::default();
     let mut generations: Vec<(&str, String)> = vec![];
-    for (kind, place, content) in files {
-        let text = match text_of(place, content) {
+    for (kind, location, content) in files {
+        let text = match text_of(location, content) {
             Ok(text) => text,
             Err(TextError::Incomplete(error)) => {
                 incomplete.push(error);
@@ -47,12 +47,12 @@
             }
         };
         let mut errors = FileErrors {
-            place,
+            location,
             errors: &mut invalid,
         };
         match configuration::parse_file(*kind, text, &mut tree, &mut errors) {
             Ok(Generation(generation)) => {
-                generations.extend(generation.map(|generation| (*place, generation)));
+                generations.extend(generation.map(|generation| (*location, generation)));
             }
             Err(error) => incomplete.push(error),
         }
@@ -68,7 +68,7 @@
     let Some((_, generation)) = generations.first().cloned() else {
         return Parsed::Invalid(invalid);
     };
-    if let Some(error) = other_generation(&generations) {
+    if let Some(error) = generation_mismatch_error(&generations) {
         return Parsed::Mismatched(error.into());
     }
     match tree {
@@ -78,13 +78,13 @@
 }
 
 /// Returns an error for the first file whose generation differs from that of the first one.
-fn other_generation(generations: &[(&str, String)]) -> Option<ValidationError> {
-    let (first_place, first) = generations.first()?;
-    let (place, other) = generations.iter().find(|(_, other)| other != first)?;
+fn generation_mismatch_error(generations: &[(&str, String)]) -> Option<ValidationError> {
+    let (first_location, first) = generations.first()?;
+    let (location, other) = generations.iter().find(|(_, other)| other != first)?;
     Some(ValidationError::new(
-        format!("{place}: generation"),
+        format!("{location}: generation"),
         format!(
-            "is of another generation than {first_place}, which names {}",
+            "is of another generation than {first_location}, which names {}",
             printable(first)
         ),
         printable(other),
--- a/file-watch/src/read_file.rs
+++ b/file-watch/src/read_file.rs
@@ -28,7 +28,7 @@
 }
 
 impl FileStamp {
-    fn of(metadata: &Metadata) -> Self {
+    fn from_metadata(metadata: &Metadata) -> Self {
         FileStamp {
             device: metadata.dev(),
             inode: metadata.ino(),
@@ -45,9 +45,9 @@
     }
 
     /// Returns the stamp of the file at a path; `None` if its metadata cannot be read.
-    pub fn at(path: &Path) -> Option<Self> {
+    pub fn of_path(path: &Path) -> Option<Self> {
         let metadata = fs::metadata(path).ok()?;
-        Some(FileStamp::of(&metadata))
+        Some(FileStamp::from_metadata(&metadata))
     }
 }
 
--- a/file-watch/src/watch.rs
+++ b/file-watch/src/watch.rs
@@ -73,15 +73,15 @@
 
 /// Parses files of these kinds that make up a version together.
 pub fn parse_files(files: &[(FileKind, PathBuf)], contents: &[Content]) -> Parsed<Version> {
-    let places: Vec<String> = files
+    let locations: Vec<String> = files
         .iter()
         .map(|(_, path)| path.display().to_string())
         .collect();
     let files: Vec<_> = files
         .iter()
-        .zip(&places)
+        .zip(&locations)
         .zip(contents)
-        .map(|(((kind, _), place), content)| (*kind, place.as_str(), content))
+        .map(|(((kind, _), location), content)| (*kind, location.as_str(), content))
         .collect();
     parse_version(&files)
 }
@@ -106,7 +106,7 @@
         .then(|| FileNotifier::new(&settings.files, wake.sender.clone()));
     loop {
         heartbeat();
-        let event = watcher.look(now, &parse);
+        let event = watcher.poll(now, &parse);
         if event.is_some_and(|event| !notify(event)) {
             return;
         }
@@ -148,13 +148,13 @@
     }
 
     /// Polls the files, and reads them if they may have changed. Returns the event to hand on, if there is one.
-    fn look<V>(
+    fn poll<V>(
         &mut self,
         now: impl Fn() -> f64,
         parse: impl Fn(&[Content]) -> Parsed<V>,
     ) -> Option<WatchEvent<V>> {
         let files = &self.settings.files;
-        let stamps: Vec<_> = files.iter().map(|path| FileStamp::at(path)).collect();
+        let stamps: Vec<_> = files.iter().map(|path| FileStamp::of_path(path)).collect();
         let is_due = self
             .last_read
             .is_none_or(|last_read| now() - last_read >= self.settings.compare_interval);
@@ -168,7 +168,7 @@
         let read_at = now();
         self.last_read = Some(read_at);
         let action = self.debouncer.observe(read_at, digest);
-        let event = event_of(action, || parse(&contents));
+        let event = event_for(action, || parse(&contents));
         if action == DebounceAction::OfferIfComplete && event.is_some() {
             self.debouncer.mark_handled(read_at, digest);
         }
@@ -178,7 +178,10 @@
 
 /// Returns the event to hand on: only a complete version if the content has not settled, otherwise whatever the result
 /// of parsing is.
-fn event_of<V>(action: DebounceAction, parse: impl FnOnce() -> Parsed<V>) -> Option<WatchEvent<V>> {
+fn event_for<V>(
+    action: DebounceAction,
+    parse: impl FnOnce() -> Parsed<V>,
+) -> Option<WatchEvent<V>> {
     match action {
         DebounceAction::Wait => None,
         DebounceAction::OfferIfComplete => match parse() {
