--- a/datastore/src/access.rs
+++ b/datastore/src/access.rs
@@ -120,7 +120,7 @@
 
 /// The credential that authenticates the holder of a key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Proof {
+pub enum Credential {
     /// A public key in OpenSSH format: its type and its base64 text, without the comment.
     Ssh(String),
     /// The SHA-256 hash of a client certificate.
@@ -133,7 +133,7 @@
     /// The name of its holder.
     pub name: String,
     /// The credential that authenticates its holder.
-    pub proof: Proof,
+    pub credential: Credential,
     /// What its holder may do.
     pub rights: Rights,
 }
@@ -149,13 +149,13 @@
 
 impl Keys {
     /// Returns the key with this credential.
-    pub fn find(&self, proof: &Proof) -> Option<&Key> {
-        self.keys.iter().find(|key| key.proof == *proof)
+    pub fn find(&self, credential: &Credential) -> Option<&Key> {
+        self.keys.iter().find(|key| key.credential == *credential)
     }
 
     /// Returns the current rights of a session that was opened with this key; `None` if the key has been removed.
-    pub fn rights(&self, name: &str, proof: &Proof) -> Option<Rights> {
-        self.find(proof)
+    pub fn rights(&self, name: &str, credential: &Credential) -> Option<Rights> {
+        self.find(credential)
             .filter(|key| key.name == name)
             .map(|key| key.rights)
     }
--- a/datastore/src/commit_coordinator.rs
+++ b/datastore/src/commit_coordinator.rs
@@ -22,7 +22,7 @@
 const UNCONFIRMED_VERSION: &str = "not confirmed";
 
 /// The session that a request comes from; `None` for watched files, which have no session.
-pub type CommitOwner = Option<SessionId>;
+pub type RequestingSession = Option<SessionId>;
 
 /// The parameters of a confirmed commit, which is rolled back unless it is confirmed in time.
 #[derive(Clone, Debug, PartialEq)]
@@ -111,7 +111,7 @@
     }
 
     /// Returns the session that holds a lock.
-    pub fn lock_holder(&self, target: Target) -> CommitOwner {
+    pub fn lock_holder(&self, target: Target) -> Option<SessionId> {
         self.locks.holder(target)
     }
 
@@ -154,7 +154,7 @@
     /// none is pending though `persist_id` is given, or if the candidate is not valid.
     pub fn commit(
         &mut self,
-        requester: CommitOwner,
+        requester: RequestingSession,
         candidate: &Candidate,
         author: Author,
         confirm: Option<ConfirmedCommit>,
@@ -191,7 +191,7 @@
 
     /// Returns whether a requester may confirm or cancel the pending commit: by its persist id if it has one, otherwise
     /// from the session that made it.
-    fn may_confirm(&self, requester: CommitOwner, persist_id: Option<&str>) -> bool {
+    fn may_confirm(&self, requester: RequestingSession, persist_id: Option<&str>) -> bool {
         let Some(pending) = &self.pending else {
             return false;
         };
@@ -209,7 +209,7 @@
     /// Returns an error if no commit is pending that the requester may confirm.
     pub fn confirm(
         &mut self,
-        requester: CommitOwner,
+        requester: RequestingSession,
         persist_id: Option<&str>,
     ) -> Result<(), CommitError> {
         if !self.may_confirm(requester, persist_id) {
@@ -227,7 +227,7 @@
     /// valid.
     pub fn cancel(
         &mut self,
-        requester: CommitOwner,
+        requester: RequestingSession,
         persist_id: Option<&str>,
         facts: &Facts,
     ) -> Result<CommitOutcome, CommitError> {
--- a/datastore/src/merge.rs
+++ b/datastore/src/merge.rs
@@ -93,7 +93,7 @@
 ///
 /// `first_listed` is when operators first listed the host (Unix seconds), if its start is not known. It stands in for
 /// the start of a host that discovery does not list: the safe assumption is that the host has just started.
-pub fn merge(
+pub fn merge_host(
     name: &HostName,
     discovery: Option<&HostRecord>,
     config: Option<&HostConfig>,
@@ -151,7 +151,7 @@
 }
 
 /// Merges all hosts of a tree with those of discovery, and returns them by name.
-pub fn merge_all(
+pub fn merge_hosts(
     tree: &Tree,
     first_listed: &FirstListed,
     discovery: Option<&[HostRecord]>,
@@ -166,7 +166,7 @@
         if hosts.contains_key(name.as_str()) {
             continue;
         }
-        if let Some(host) = merge(name, None, Some(config), first_listed.get(name).copied()) {
+        if let Some(host) = merge_host(name, None, Some(config), first_listed.get(name).copied()) {
             hosts.insert(name.shared(), host);
         }
     }
@@ -181,7 +181,7 @@
         Some((name, config))
     });
     match configured {
-        Some((name, config)) => merge(&name, Some(listed), Some(config), None),
+        Some((name, config)) => merge_host(&name, Some(listed), Some(config), None),
         None => Some(listed.clone()),
     }
 }
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -10,7 +10,7 @@
 use kestreltide_routes::Routes;
 
 use crate::host_record::HostRecord;
-use crate::merge::{FirstListed, merge};
+use crate::merge::{FirstListed, merge_host};
 use crate::route_table::build_routes;
 use crate::tree::{Difference, HostConfig, HostName, Path, Tree};
 
@@ -33,10 +33,10 @@
 
 impl ConfiguredHost {
     fn new(name: &HostName, config: &HostConfig, first_listed: Option<f64>) -> Self {
-        let standalone = merge(name, None, Some(config), first_listed);
+        let standalone = merge_host(name, None, Some(config), first_listed);
         let entry = standalone.as_ref().map(HostRecord::entry);
         ConfiguredHost {
-            host: HostId::named(name.as_str()),
+            host: HostId::from_name(name.as_str()),
             name: name.clone(),
             config: config.clone(),
             first_listed,
@@ -54,11 +54,11 @@
     /// The configured hosts, in ascending order of ids.
     pub hosts: Box<[ConfiguredHost]>,
     /// The hosts whose configuration differs from the previous revision, in ascending order of ids.
-    pub changed: Box<[HostId]>,
+    pub changed_hosts: Box<[HostId]>,
     /// The changed entries for the decision module if discovery lists none of the changed hosts.
-    pub entries: Arc<[HostEntry]>,
+    pub changed_entries: Arc<[HostEntry]>,
     /// The previous revision, from which the changes are counted.
-    pub changed_since: Revision,
+    pub previous_revision: Revision,
     /// The routes of the revision.
     pub routes: Arc<Routes>,
     /// When the revision was committed, in Unix seconds.
@@ -84,15 +84,15 @@
         let mut snapshot = Snapshot {
             overrides: Arc::new(overrides),
             hosts,
-            changed: changed_hosts(differences),
-            entries: Arc::default(),
-            changed_since: previous.revision(),
+            changed_hosts: changed_hosts(differences),
+            changed_entries: Arc::default(),
+            previous_revision: previous.revision(),
             routes: Arc::new(Routes::new(build_routes(tree))),
             committed_at,
         };
         let not_listed = |_: HostId| None;
-        snapshot.entries = snapshot
-            .host_changes(previous, &snapshot.changed, not_listed, not_listed)
+        snapshot.changed_entries = snapshot
+            .host_changes(previous, &snapshot.changed_hosts, not_listed, not_listed)
             .into();
         snapshot
     }
@@ -181,7 +181,7 @@
     let mut changed: Vec<HostId> = differences
         .iter()
         .filter_map(|difference| match &difference.path {
-            Path::Host(name, _) => Some(HostId::named(name.as_str())),
+            Path::Host(name, _) => Some(HostId::from_name(name.as_str())),
             Path::Guards(_) | Path::Route(..) | Path::Rollout(_) => None,
         })
         .collect();
--- a/datastore/src/view.rs
+++ b/datastore/src/view.rs
@@ -25,7 +25,7 @@
 
 /// The operational state of a router at one time.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct OperationalState {
     /// The time of this state, in Unix seconds.
     pub at: f64,
     /// The endpoint list of discovery, including hosts that are gone; `None` if no discovery is configured.
@@ -50,7 +50,7 @@
     pub counts: RequestCounts,
 }
 
-impl View {
+impl OperationalState {
     /// Returns the facts for a check at `now` (Unix seconds).
     pub fn facts(&self, now: f64) -> Facts {
         Facts {
--- a/file-watch/src/ini.rs
+++ b/file-watch/src/ini.rs
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// Returns an error for the first line that is not INI.
-pub fn sections(location: &str, text: &str) -> Result<Vec<Section>, ValidationError> {
+pub fn parse_sections(location: &str, text: &str) -> Result<Vec<Section>, ValidationError> {
     if let Some(at) = text.find('\0') {
         let line = text[..at].matches('\n').count() + 1;
         return Err(ValidationError::new(
@@ -142,7 +142,7 @@
 }
 
 /// Returns the error for an unknown name, which suggests the closest known one; `kind` is what it names, such as a key.
-pub fn unknown_name<'a>(
+pub fn unknown_name_error<'a>(
     path: &str,
     kind: &str,
     name: &str,
@@ -171,7 +171,12 @@
             printable(&key.name)
         );
         if !known.contains(&key.name.as_str()) {
-            errors.push(unknown_name(&path, "key", &key.name, known.iter().copied()));
+            errors.push(unknown_name_error(
+                &path,
+                "key",
+                &key.name,
+                known.iter().copied(),
+            ));
         } else if section.keys[..number]
             .iter()
             .any(|before| before.name == key.name)
--- a/file-watch/src/parse/frame.rs
+++ b/file-watch/src/parse/frame.rs
@@ -26,7 +26,7 @@
 ) -> Result<Generation, ValidationError> {
     check_last_line(errors.location, text)?;
     // A file that is cut may no longer be valid INI, so a syntax error also means that the file is not complete.
-    let sections = ini::sections(errors.location, text)?;
+    let sections = ini::parse_sections(errors.location, text)?;
     let (header, rest) = match sections.split_first() {
         Some((header, rest)) if header.name.is_empty() => (header, rest),
         _ => {
--- a/file-watch/src/read_file.rs
+++ b/file-watch/src/read_file.rs
@@ -88,7 +88,7 @@
 /// # Errors
 ///
 /// Returns an error if there is no such file, if it is too large, or if it cannot be read.
-pub fn read(path: &Path, maximum: usize) -> Content {
+pub fn read_bounded(path: &Path, maximum: usize) -> Content {
     // Checked before the file is opened, as opening a pipe can block forever, or unblock a process that waits to write
     // to it.
     check_readable(&fs::metadata(path)?, maximum)?;
--- a/file-watch/src/watch.rs
+++ b/file-watch/src/watch.rs
@@ -10,7 +10,7 @@
 use crate::debounce::{DebounceAction, DebounceSettings, Debouncer};
 use crate::notifier::FileNotifier;
 use crate::parse::{FileKind, Parsed, Version, parse_version};
-use crate::read_file::{Content, FileStamp, digest, read};
+use crate::read_file::{Content, FileStamp, digest, read_bounded};
 
 /// Which files are watched, and how.
 #[derive(Clone, Debug, PartialEq)]
@@ -55,7 +55,7 @@
 
 /// Reads and parses all files at once, without debouncing, as needed at startup. Returns the result and the digest of
 /// the contents.
-pub fn poll_files<V>(
+pub fn read_and_parse_files<V>(
     settings: &WatchSettings,
     parse: impl Fn(&[Content]) -> Parsed<V>,
 ) -> (Parsed<V>, u64) {
@@ -67,7 +67,7 @@
     settings
         .files
         .iter()
-        .map(|path| read(path, settings.max_file_size))
+        .map(|path| read_bounded(path, settings.max_file_size))
         .collect()
 }
 
@@ -90,7 +90,7 @@
 ///
 /// `known_digest` is the digest of the contents that are in force already; `heartbeat` is called at every poll; `parse`
 /// is given the contents of all files; `notify` is given each event.
-pub fn run<V>(
+pub fn watch_files<V>(
     settings: &WatchSettings,
     known_digest: Option<u64>,
     wake: &WakeChannel,
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -27,7 +27,8 @@
     /// Lets the decisions begin what goes by time, though no event has come yet.
     pub(super) fn begin_decisions(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
-        self.decisions.begin(self.event_loop.now(), &mut effects);
+        self.decisions
+            .start_timers(self.event_loop.now(), &mut effects);
         self.carry_out_all(effects);
     }
 
@@ -42,9 +43,9 @@
             Effect::StartAttempt {
                 request,
                 host,
-                time_out,
+                timeout,
                 connection,
-            } => self.start_attempt(request, host, time_out, connection),
+            } => self.start_attempt(request, host, timeout, connection),
             Effect::CancelAttempt { request, attempt } => self.cancel_attempt(&request, attempt),
             Effect::ShedRequest {
                 request,
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use kestreltide::interface::*;
-use kestreltide_datastore::merge::merge;
+use kestreltide_datastore::merge::merge_host;
 use kestreltide_datastore::{HostRecord, Snapshot};
 use kestreltide_routes::Route;
 
@@ -51,7 +51,7 @@
 
     fn merged<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, HostRecord>> {
         match (self.discovered.get(&host), revision.configured(host)) {
-            (Some(discovered), Some(configured)) => merge(
+            (Some(discovered), Some(configured)) => merge_host(
                 &configured.name,
                 Some(discovered),
                 Some(&configured.config),
@@ -80,7 +80,7 @@
 
     /// Notes one entry of discovery's list; None where there is no room for one more host.
     pub(super) fn stage_entry(&mut self, target: &ListedEndpoint) -> Option<StagedEntry> {
-        let host = HostId::named(&target.uid);
+        let host = HostId::from_name(&target.uid);
         if !self.discovered.contains_key(&host) && self.discovered.len() >= self.capacity {
             return None;
         }
@@ -121,20 +121,20 @@
     /// Whether a revision's own entries are all that it changes: discovery lists nobody, so that they are worked
     /// out already and can be told ahead.
     pub(super) fn can_stage(&self, new: &Snapshot) -> bool {
-        new.changed_since == self.revision.revision() && self.discovered.is_empty()
+        new.previous_revision == self.revision.revision() && self.discovered.is_empty()
     }
 
     /// Takes a revision; the entries that it changes, where what was staged for it has been told or not.
     pub(super) fn take(&mut self, new: &Arc<Snapshot>, staged: bool) -> Arc<[HostEntry]> {
         let old = std::mem::replace(&mut self.revision, new.clone());
-        let follows = new.changed_since == old.revision();
+        let follows = new.previous_revision == old.revision();
         if staged {
             return Arc::default();
         }
         if follows && self.discovered.is_empty() {
-            return new.entries.clone();
+            return new.changed_entries.clone();
         }
-        let mut hosts = new.changed.to_vec();
+        let mut hosts = new.changed_hosts.to_vec();
         if !follows {
             hosts = old
                 .hosts
