--- a/measure/src/capacity/slopes/decisions.rs
+++ b/measure/src/capacity/slopes/decisions.rs
@@ -102,7 +102,7 @@
         promotion_gate: PromotionGate::VoteShare,
         promote_votes: routers.div_ceil(2),
         roll_back_votes: routers.div_ceil(2),
-        bake: 3.0,
+        bake_time: 3.0,
         vote_lifetime: 20.0,
         vote_rate: 16.0,
         stage_shares: vec![0.5, 1.0],
