--- a/datastore/src/tree/path.rs
+++ b/datastore/src/tree/path.rs
@@ -56,7 +56,7 @@
             Leaf::by_name(container, name)
                 .ok_or_else(|| unknown("no such leaf", &names_of_leaves(container)))
         };
-        let invalid_name = |why: NameError| unknown(&format!("the name {why}"), NAME_FORMAT);
+        let invalid_name = |reason: NameError| unknown(&format!("the name {reason}"), NAME_FORMAT);
         let parts: Vec<_> = text.trim_start_matches('/').split('/').collect();
         match parts.as_slice() {
             ["hosts", host, name] => Ok(Path::Host(
--- a/datastore/src/tree_builder.rs
+++ b/datastore/src/tree_builder.rs
@@ -27,10 +27,10 @@
     pub fn begin_host(&mut self, location: &str, name: &str) -> Option<HostName> {
         let host: HostName = match name.parse() {
             Ok(host) => host,
-            Err(why) => {
+            Err(reason) => {
                 self.push_error(ValidationError::new(
                     location,
-                    format!("the host's name {why}"),
+                    format!("the host's name {reason}"),
                     name,
                     "up to 128 letters, digits and . _ : -",
                 ));
@@ -53,10 +53,10 @@
         let leaf = path.leaf();
         let value = match leaf.parse(text) {
             Ok(value) => value,
-            Err(why) => {
+            Err(reason) => {
                 return self.push_error(ValidationError::new(
                     format!("{location}: {path}"),
-                    why,
+                    reason,
                     printable(text),
                     leaf.expected_format(),
                 ));
--- a/file-watch/src/debounce.rs
+++ b/file-watch/src/debounce.rs
@@ -1,6 +1,6 @@
 //! Decides when changed content of files has settled, so that a file is not taken up while it is being written.
 //! Performs no I/O: it is given the changes and a digest of what was read, and returns when to poll next and whether to
-//! hand the content on.
+//! emit the content.
 
 /// The shortest time between polls, in seconds, which avoids a busy loop.
 const MIN_DELAY_SECONDS: f64 = 0.001;
@@ -10,11 +10,11 @@
 pub struct DebounceSettings {
     /// The time without a change after which content has settled: the files are taken to be completely written.
     pub quiet_period: f64,
-    /// The time after which a complete version is handed on though the files keep changing.
+    /// The time after which a complete version is emitted though the files keep changing.
     pub max_delay: f64,
     /// The time between polls if no change is notified.
     pub poll_interval: f64,
-    /// The minimum time between versions that are handed on, however often the files change.
+    /// The minimum time between versions that are emitted, however often the files change.
     pub min_interval: f64,
 }
 
@@ -36,12 +36,12 @@
 /// What to do with content that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DebounceAction {
-    /// Wait: nothing is new, the content has not settled, or the last version was handed on too recently.
+    /// Wait: nothing is new, the content has not settled, or the last version was emitted too recently.
     Wait,
-    /// Hand the content on if it is a complete version. Otherwise wait, as it may still be being written.
-    OfferIfComplete,
-    /// Hand the content on: it has settled, so if it is not complete, that is an error.
-    Offer,
+    /// Emit the content if it is a complete version. Otherwise wait, as it may still be being written.
+    EmitIfComplete,
+    /// Emit the content: it has settled, so if it is not complete, that is an error.
+    Emit,
 }
 
 /// Content that was handled, and when (in seconds).
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Marks content as handled: it is not handed on again.
+    /// Marks content as handled: it is not emitted again.
     pub fn mark_handled(&mut self, now: f64, digest: u64) {
         self.state = State::Settled;
         self.last_handled = Some(HandledContent { digest, at: now });
@@ -87,8 +87,8 @@
         self.change_notified || self.state != State::Settled
     }
 
-    /// Decides what to do with content that was read at `now`. After [`DebounceAction::Offer`] the content counts as
-    /// handled; after [`DebounceAction::OfferIfComplete`] only once [`Debouncer::mark_handled`] is called.
+    /// Decides what to do with content that was read at `now`. After [`DebounceAction::Emit`] the content counts as
+    /// handled; after [`DebounceAction::EmitIfComplete`] only once [`Debouncer::mark_handled`] is called.
     pub fn observe(&mut self, now: f64, digest: u64) -> DebounceAction {
         self.change_notified = false;
         let is_handled = self.last_handled.is_some_and(|last| last.digest == digest);
@@ -121,9 +121,9 @@
             DebounceAction::Wait
         } else if has_settled {
             self.mark_handled(now, digest);
-            DebounceAction::Offer
+            DebounceAction::Emit
         } else if now - since >= self.settings.max_delay {
-            DebounceAction::OfferIfComplete
+            DebounceAction::EmitIfComplete
         } else {
             DebounceAction::Wait
         }
--- a/file-watch/src/lib.rs
+++ b/file-watch/src/lib.rs
@@ -1,7 +1,7 @@
-//! Watches files that operators edit by hand, and hands on complete versions only.
+//! Watches files that operators edit by hand, and emits complete versions only.
 //!
 //! [`ini`] parses INI with line numbers, [`parse`] parses the watched files, and [`debounce`] decides when content that
-//! was read is handed on; these three perform no I/O. [`read_file`] reads files safely whatever their type and size,
+//! was read is emitted; these three perform no I/O. [`read_file`] reads files safely whatever their type and size,
 //! [`notifier`] receives change notifications of the operating system, and [`watch`] combines them in a thread.
 
 #![deny(missing_docs, unreachable_pub)]
--- a/file-watch/src/parse/configuration.rs
+++ b/file-watch/src/parse/configuration.rs
@@ -95,9 +95,9 @@
             let location = errors.line(key.line);
             match key.name.parse::<HostName>() {
                 Ok(host) => tree.set_host(&location, &host, leaf, &key.value),
-                Err(why) => errors.push(ValidationError::new(
+                Err(reason) => errors.push(ValidationError::new(
                     location,
-                    format!("the host's name {why}"),
+                    format!("the host's name {reason}"),
                     printable(&key.name),
                     "letters, digits and . _ : -",
                 )),
--- a/file-watch/src/parse/file.rs
+++ b/file-watch/src/parse/file.rs
@@ -74,8 +74,8 @@
 
 /// Returns the text of a file; `location` names the file in errors.
 pub(super) fn text_of<'a>(location: &str, content: &'a Content) -> Result<&'a str, TextError> {
-    let bytes = content.as_ref().map_err(|why| {
-        let error = ValidationError::new(location, "cannot be read", why, "a file of text");
+    let bytes = content.as_ref().map_err(|reason| {
+        let error = ValidationError::new(location, "cannot be read", reason, "a file of text");
         TextError::Incomplete(error)
     })?;
     str::from_utf8(bytes).map_err(|e| {
--- a/file-watch/src/parse/keys.rs
+++ b/file-watch/src/parse/keys.rs
@@ -112,10 +112,10 @@
     };
     match Rights::parse(&key.value) {
         Ok(rights) => Some(rights),
-        Err(why) => {
+        Err(reason) => {
             errors.push(ValidationError::new(
                 format!("{}: [key {name}] rights", errors.line(key.line)),
-                why,
+                reason,
                 printable(&key.value),
                 expected,
             ));
--- a/file-watch/src/read_file.rs
+++ b/file-watch/src/read_file.rs
@@ -132,9 +132,9 @@
                 hasher.write_usize(bytes.len());
                 hasher.write(bytes);
             }
-            Err(why) => {
+            Err(reason) => {
                 hasher.write_u8(ERROR);
-                hasher.write(why.to_string().as_bytes());
+                hasher.write(reason.to_string().as_bytes());
             }
         }
     }
--- a/file-watch/src/watch.rs
+++ b/file-watch/src/watch.rs
@@ -1,5 +1,5 @@
 //! The watching thread: polls the files after a notification or at intervals, reads them if they may have changed, and
-//! hands on versions and rejections.
+//! emits versions and rejections.
 
 use std::path::PathBuf;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
@@ -15,11 +15,11 @@
 /// Which files are watched, and how.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchSettings {
-    /// The paths of the files, in the order in which their contents are handed on.
+    /// The paths of the files, in the order in which their contents are passed to the parser.
     pub files: Vec<PathBuf>,
     /// The maximum size of a file, in bytes.
     pub max_file_size: usize,
-    /// The times that decide when changed content is handed on.
+    /// The times that decide when changed content is emitted.
     pub debounce: DebounceSettings,
     /// Seconds after which the files are read and compared though their stamps are unchanged.
     pub compare_interval: f64,
@@ -27,7 +27,7 @@
     pub use_notifier: bool,
 }
 
-/// An event that the watching thread hands on.
+/// An event that the watching thread emits.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent<V> {
     /// A complete version.
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Polls the files, and reads them if they may have changed. Returns the event to hand on, if there is one.
+    /// Polls the files, and reads them if they may have changed. Returns the event to emit, if there is one.
     fn poll<V>(
         &mut self,
         now: impl Fn() -> f64,
@@ -169,14 +169,14 @@
         self.last_read = Some(read_at);
         let action = self.debouncer.observe(read_at, digest);
         let event = event_for(action, || parse(&contents));
-        if action == DebounceAction::OfferIfComplete && event.is_some() {
+        if action == DebounceAction::EmitIfComplete && event.is_some() {
             self.debouncer.mark_handled(read_at, digest);
         }
         event
     }
 }
 
-/// Returns the event to hand on: only a complete version if the content has not settled, otherwise whatever the result
+/// Returns the event to emit: only a complete version if the content has not settled, otherwise whatever the result
 /// of parsing is.
 fn event_for<V>(
     action: DebounceAction,
@@ -184,11 +184,11 @@
 ) -> Option<WatchEvent<V>> {
     match action {
         DebounceAction::Wait => None,
-        DebounceAction::OfferIfComplete => match parse() {
+        DebounceAction::EmitIfComplete => match parse() {
             Parsed::Complete(version) => Some(WatchEvent::Version(version)),
             _ => None,
         },
-        DebounceAction::Offer => Some(match parse() {
+        DebounceAction::Emit => Some(match parse() {
             Parsed::Complete(version) => WatchEvent::Version(version),
             Parsed::Mismatched(errors) => WatchEvent::Pending(errors),
             Parsed::Incomplete(errors) | Parsed::Invalid(errors) => WatchEvent::Rejected(errors),
