--- a/datastore/src/merge.rs
+++ b/datastore/src/merge.rs
@@ -55,7 +55,7 @@
     match state {
         HostState::Running => 0,
         HostState::Stopping => 1,
-        HostState::Gone => 2,
+        HostState::Removed => 2,
     }
 }
 
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -145,7 +145,7 @@
     // one's state.
     let replaced = before.filter(|before| after.is_none_or(|after| before.is_replaced_by(after)));
     let gone = replaced.map(|before| HostEntry {
-        state: HostState::Gone,
+        state: HostState::Removed,
         ..before.entry()
     });
     // Weights are not part of an entry, so most revisions change no entry.
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -102,7 +102,7 @@
             .iter_mut()
             .filter(|(host, _)| !listed.contains(host));
         let gone = missing.map(|(host, discovered)| {
-            discovered.state = HostState::Gone;
+            discovered.state = HostState::Removed;
             *host
         });
         gone.collect()
@@ -167,7 +167,7 @@
         // Who is gone stays gone though operators still list it, until discovery says otherwise.
         let configured = |host: &HostId| self.revision.configured(*host).is_some();
         self.discovered.retain(|host, discovered| {
-            discovered.state != HostState::Gone || using.contains(host) || configured(host)
+            discovered.state != HostState::Removed || using.contains(host) || configured(host)
         });
     }
 }
