--- a/datastore/src/check/hosts.rs
+++ b/datastore/src/check/hosts.rs
@@ -66,7 +66,7 @@
 }
 
 /// Reports hosts with the same id or address: answers and records of one host would be attributed to the other. A host
-/// that is gone no longer occupies its address.
+/// that is removed no longer occupies its address.
 pub(super) fn check_addresses_distinct(context: &Context, errors: &mut ValidationErrors) {
     let mut by_address: BTreeMap<SocketAddr, &HostRecord> = BTreeMap::new();
     let mut by_id: BTreeMap<HostId, &HostRecord> = BTreeMap::new();
--- a/datastore/src/operational_state.rs
+++ b/datastore/src/operational_state.rs
@@ -28,7 +28,7 @@
 pub struct OperationalState {
     /// The time of this state, in Unix seconds.
     pub at: f64,
-    /// The endpoint list of discovery, including hosts that are gone; `None` if no discovery is configured.
+    /// The endpoint list of discovery, including hosts that are removed; `None` if no discovery is configured.
     pub discovery: Option<Arc<[HostRecord]>>,
     /// Whether discovery has sent its list, or is not configured.
     pub discovery_received: bool,
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -141,10 +141,10 @@
     before: Option<&HostRecord>,
     after: Option<&HostRecord>,
 ) -> impl Iterator<Item = HostEntry> {
-    // A replaced process is first reported as gone, so that the new process under the same id starts without the old
+    // A replaced process is first reported as removed, so that the new process under the same id starts without the old
     // one's state.
     let replaced = before.filter(|before| after.is_none_or(|after| before.is_replaced_by(after)));
-    let gone = replaced.map(|before| HostEntry {
+    let removed = replaced.map(|before| HostEntry {
         state: HostState::Removed,
         ..before.entry()
     });
@@ -153,7 +153,7 @@
     let entry_after = after
         .map(HostRecord::entry)
         .filter(|entry| replaced.is_some() || entry_before != Some(*entry));
-    gone.into_iter().chain(entry_after)
+    removed.into_iter().chain(entry_after)
 }
 
 /// Returns the configured hosts of a tree, in ascending order of ids.
