--- a/datastore/src/store.rs
+++ b/datastore/src/store.rs
@@ -345,7 +345,7 @@
         theirs: &Difference,
     ) -> ValidationError {
         let last = self.history.last_change_of(&ours.path);
-        let changed_by = last.map_or("a revision that is no longer kept".into(), |record| {
+        let changed_by = last.map_or("somebody".into(), |record| {
             let at = UNIX_EPOCH + Duration::from_secs_f64(record.at.max(0.0));
             format!(
                 "revision {} ({}, {})",
