--- a/router/src/management_threads/datastore_thread/management_requests.rs
+++ b/router/src/management_threads/datastore_thread/management_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of management interfaces: sessions, locks and commits.
+//! Handles the requests of management interfaces: sessions, locks and commits.
 
 use std::sync::Arc;
 
@@ -13,16 +13,16 @@
 
 use super::{DatastoreThread, applied_snapshot};
 
-/// What a request led to.
+/// The result of a handled request.
 pub(super) struct HandledRequest {
-    /// To be sent to the event loop.
+    /// The new snapshot, to be sent to the event loop; `None` if nothing was applied.
     pub(super) snapshot: Option<Arc<Snapshot>>,
-    /// Sends the reply, which has to wait until the snapshot is sent and the status published.
+    /// Sends the reply. It is called only after the snapshot was sent and the status published.
     reply: Option<Box<dyn FnOnce()>>,
 }
 
 impl HandledRequest {
-    /// Nobody waits for a reply, or it was sent already.
+    /// A result without a reply, or whose reply was already sent.
     pub(super) fn without_reply(snapshot: Option<Arc<Snapshot>>) -> Self {
         HandledRequest {
             snapshot,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends the reply, if one is left to send.
+    /// Sends the reply, if there is one.
     pub(super) fn send_reply(self) {
         if let Some(reply) = self.reply {
             reply();
@@ -49,7 +49,7 @@
     }
 }
 
-/// Sends a reply; a requester that does not wait for it any more gets none.
+/// Sends a reply; it is dropped if the requester no longer waits for it.
 fn send<T>(reply: oneshot::Sender<T>, content: T) {
     let _ = reply.send(content);
 }
@@ -149,7 +149,7 @@
             Err(CommitError::Invalid(errors)) => {
                 self.log_rejection("commit rejected", &author.to_string(), errors);
             }
-            // Locks and other commits that wait are the requester's affair.
+            // Conflicts with locks and pending commits are reported to the requester only.
             Ok(CommitOutcome::Unchanged) | Err(_) => {}
         }
     }
--- a/router/src/management_threads/datastore_thread/mod.rs
+++ b/router/src/management_threads/datastore_thread/mod.rs
@@ -1,7 +1,8 @@
-//! The datastore thread: the only owner of the datastore, which serves all requests one after another.
+//! The datastore thread: the only owner of the datastore, which handles all requests one after another.
 //!
-//! Watched files and management interfaces send it [`DatastoreRequest`]s. Every snapshot that a commit leads to is
-//! sent to the event loop, which never waits for this thread. What the interfaces read is published without a lock.
+//! The threads of the watched files and the management interfaces send it [`DatastoreRequest`]s. The snapshot of every
+//! applied commit is sent to the event loop, which never waits for this thread. The status that the interfaces read is
+//! published without a lock.
 
 mod management_requests;
 mod rejection_log;
@@ -38,20 +39,22 @@
 use crate::routing::{Heartbeat, LoopHandle, ManagementMessage};
 use crate::transport::Clock;
 
-/// The longest wait for a request, in seconds: what is due by time is done at least this often.
-const MAX_WAIT: f64 = 0.25;
+/// The longest wait for a request, in seconds. Saves, retries and expiries that are due are handled at least this
+/// often.
+const MAX_WAIT_SECONDS: f64 = 0.25;
 
-/// The longest wait for the event loop's view of now; a loop that is held up for longer is taken by its last view.
+/// The longest wait for the event loop to publish a fresh view. If the loop is delayed for longer, its last view is
+/// used.
 const VIEW_REFRESH_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A request to the datastore thread.
 #[derive(Debug)]
 pub(super) enum DatastoreRequest {
-    /// The watched files have changed.
+    /// The watch thread read changed files.
     WatchedFiles(WatchEvent<Version>),
-    /// A management interface asks the commit service.
+    /// A request of a management interface to the commit service.
     Management(CommitServiceRequest),
-    /// The thread saves what is not saved yet, and ends.
+    /// Saves unsaved changes and ends the thread.
     Stop,
 }
 
@@ -60,26 +63,26 @@
 pub(super) struct DatastoreThreadSettings {
     /// Name of this router.
     pub(super) router: String,
-    /// What each commit is checked against.
+    /// The rules that each commit is validated against.
     pub(super) rules: RuleSettings,
-    /// How much of the past is kept.
+    /// How much of the history is kept.
     pub(super) history: HistoryLimits,
-    /// The state directory; none: nothing outlives the process.
+    /// The state directory; nothing is persisted if `None`.
     pub(super) state_directory: Option<PathBuf>,
 }
 
-/// What a router starts to serve with.
+/// The configuration that the router starts with.
 pub(super) struct InitialState {
-    /// The snapshot in force; none where there is no revision yet.
+    /// The snapshot in force; `None` if there is no revision yet.
     pub(super) snapshot: Option<Arc<Snapshot>>,
-    /// Digest of the watched files as they were read; none without any.
+    /// Digest of the watched files as read; `None` if no files are watched.
     pub(super) files_digest: Option<u64>,
 }
 
-/// The event loop has ended and takes no snapshots any more.
+/// The event loop has ended, so that snapshots can no longer be sent to it.
 struct EventLoopClosed;
 
-/// The datastore and all that the thread keeps between two requests.
+/// The datastore and the other state of the thread.
 pub(super) struct DatastoreThread {
     log: Logger,
     clock: Clock,
@@ -88,24 +91,24 @@
     rejection_log: RejectionLog,
     saver: StateSaver,
     files: WatchedFiles,
-    /// Snapshots that were sent and that the event loop may still hold. They are kept so that the memory of a long
-    /// list is freed by this thread, not by the event loop.
+    /// Sent snapshots that the event loop may still hold. This thread keeps a reference to each, so that the memory of
+    /// a long endpoint list is freed here and does not delay the event loop.
     sent_snapshots: VecDeque<Arc<Snapshot>>,
 }
 
 impl DatastoreThread {
-    /// Restores the persisted state, if there is any; a damaged file is quarantined.
+    /// Restores the persisted state, if there is any; a damaged state file is quarantined.
     ///
     /// # Errors
     ///
-    /// A damaged file that cannot be quarantined.
+    /// If a damaged state file cannot be quarantined.
     pub(super) fn restore(
         log: Logger,
         clock: Clock,
         settings: DatastoreThreadSettings,
     ) -> Result<Self, StartError> {
         let state = match &settings.state_directory {
-            Some(folder) => load_or_quarantine(&log, folder)?,
+            Some(directory) => load_or_quarantine(&log, directory)?,
             None => PersistedState::default(),
         };
         let store = Datastore::from_state(settings.rules, settings.history, state.datastore);
@@ -123,11 +126,11 @@
         })
     }
 
-    /// Applies the watched files; where they are invalid, the last good revision stays in force.
+    /// Applies the watched files at the start; if they are invalid, the last good revision stays in force.
     ///
     /// # Errors
     ///
-    /// Invalid files where there is no last good revision.
+    /// If the files are invalid and there is no last good revision.
     pub(super) fn prepare(
         &mut self,
         file_watch: Option<&FileWatchSettings>,
@@ -145,7 +148,7 @@
         })
     }
 
-    /// Serves requests until one of them is to stop, no sender is left or the event loop has ended.
+    /// Handles requests until a [`DatastoreRequest::Stop`], until no sender is left or until the event loop has ended.
     pub(super) fn run(
         &mut self,
         requests: &Receiver<DatastoreRequest>,
@@ -169,32 +172,32 @@
         }
         self.saver.make_due();
         self.save_if_due(&event_loop.view.load());
-        // Zero says that the thread has ended.
+        // A heartbeat of 0 marks the thread as ended.
         heartbeat.record(0.0);
     }
 
-    /// What management interfaces read.
+    /// The status that management interfaces read.
     pub(super) fn published_status(&self) -> Arc<ArcSwap<CoordinatorStatus>> {
         self.status.published()
     }
 
-    /// Where management interfaces subscribe to commits and rejections.
+    /// The channel on which management interfaces subscribe to commits and rejections.
     pub(super) fn notifications(&self) -> broadcast::Sender<Notification> {
         self.status.notifications()
     }
 
-    /// How long to wait for the next request.
+    /// How long to wait for the next request: until the next retry or expiry, at most [`MAX_WAIT_SECONDS`].
     fn max_wait(&self, now: f64) -> Duration {
         let deadline = self
             .files
             .next_retry()
             .into_iter()
             .chain(self.coordinator.next_expiry())
-            .fold(now + MAX_WAIT, f64::min);
-        Duration::from_secs_f64((deadline - now).clamp(0.0, MAX_WAIT))
+            .fold(now + MAX_WAIT_SECONDS, f64::min);
+        Duration::from_secs_f64((deadline - now).clamp(0.0, MAX_WAIT_SECONDS))
     }
 
-    /// Handles what is due by time and one request, and sends the new snapshots to the event loop.
+    /// Expires pending commits, handles `request`, and sends the new snapshots to the event loop.
     fn serve(
         &mut self,
         request: Option<DatastoreRequest>,
@@ -209,14 +212,14 @@
         let mut is_closed = false;
         for snapshot in rolled_back.into_iter().chain(handled.snapshot.clone()) {
             self.sent_snapshots.push_back(snapshot.clone());
-            // A full inbox makes this thread wait, never the event loop.
+            // If the inbox is full this thread blocks; the event loop never does.
             is_closed |= event_loop
                 .post
                 .send(ManagementMessage::Revision(snapshot))
                 .is_err();
         }
         self.publish_status();
-        // The reply comes last: who is told of a commit can read it.
+        // The reply is sent last, so that its receiver can read the committed state.
         handled.send_reply();
         if is_closed {
             Err(EventLoopClosed)
@@ -225,8 +228,8 @@
         }
     }
 
-    /// What the checks go by. Where something may be committed, that is the event loop's view of now: the published
-    /// one may lack a drain, and a commit that takes the last host away would pass.
+    /// The facts that commits are validated against. If something may be committed, the view is refreshed first: the
+    /// published view may lack a recent drain, so that a commit that removes the last host would pass validation.
     fn facts_for(&self, has_request: bool, event_loop: &LoopHandle) -> Facts {
         let now = self.clock.now();
         let mut deadlines = self
@@ -254,7 +257,7 @@
         }
     }
 
-    /// Logs the rollback of a commit that was not confirmed, and returns the snapshot that is to be sent.
+    /// Logs the rollback of an unconfirmed commit, and returns its snapshot.
     fn log_rollback(
         &mut self,
         outcome: Result<CommitOutcome, ValidationErrors>,
@@ -272,7 +275,7 @@
         }
     }
 
-    /// Logs why something is not applied.
+    /// Logs why a change is rejected.
     fn log_rejection(
         &mut self,
         message: &'static str,
@@ -290,8 +293,8 @@
         }
     }
 
-    /// Drops the snapshots that the event loop has replaced: it holds the one in force, and lets the one before go
-    /// as it applies the next.
+    /// Drops the snapshots that the event loop has replaced: it holds only the snapshot in force, and releases the
+    /// previous one when it applies the next.
     fn drop_replaced_snapshots(&mut self, view: &View) {
         while self
             .sent_snapshots
@@ -327,19 +330,19 @@
     }
 }
 
-/// Waits until the event loop has published its view of now.
+/// Makes the event loop publish a fresh view, and waits until it has.
 fn refresh_view(event_loop: &LoopHandle) {
-    let (refreshed, is_refreshed) = sync_channel(1);
-    let message = ManagementMessage::RefreshView(refreshed);
+    let (notify_refreshed, refreshed) = sync_channel(1);
+    let message = ManagementMessage::RefreshView(notify_refreshed);
     if event_loop.post.send(message).is_ok() {
-        // Without an answer in time the last view has to do.
-        let _ = is_refreshed.recv_timeout(VIEW_REFRESH_TIMEOUT);
+        // After the timeout the last published view is used.
+        let _ = refreshed.recv_timeout(VIEW_REFRESH_TIMEOUT);
     }
 }
 
-/// The persisted state of a state directory, or an empty one where there is none or it is damaged.
-fn load_or_quarantine(log: &Logger, folder: &Path) -> Result<PersistedState, StartError> {
-    let error = match persistence::load(folder) {
+/// Loads the persisted state; an empty state if there is none or if it is damaged.
+fn load_or_quarantine(log: &Logger, directory: &Path) -> Result<PersistedState, StartError> {
+    let error = match persistence::load(directory) {
         Ok(None) => return Ok(PersistedState::default()),
         Ok(Some(state)) => {
             info!(log, "persisted state loaded"; "revision" => state.datastore.revision);
@@ -347,7 +350,7 @@
         }
         Err(error) => error,
     };
-    let moved_to = match persistence::quarantine(folder) {
+    let quarantined_as = match persistence::quarantine(directory) {
         Ok(path) => path.display().to_string(),
         Err(source) => {
             return Err(StartError::Quarantine {
@@ -356,11 +359,11 @@
             });
         }
     };
-    warn!(log, "persisted state damaged"; "why" => %error, "quarantined_as" => moved_to);
+    warn!(log, "persisted state damaged"; "why" => %error, "quarantined_as" => quarantined_as);
     Ok(PersistedState::default())
 }
 
-/// The snapshot that a commit led to; none where it changed nothing.
+/// The snapshot of an applied commit; `None` if the commit changed nothing.
 fn applied_snapshot(outcome: &CommitOutcome) -> Option<Arc<Snapshot>> {
     match outcome {
         CommitOutcome::Applied(snapshot) => Some(snapshot.clone()),
--- a/router/src/management_threads/datastore_thread/rejection_log.rs
+++ b/router/src/management_threads/datastore_thread/rejection_log.rs
@@ -1,20 +1,20 @@
-//! Log lines about what is rejected, limited in their number.
+//! Rate-limited log rejections about rejected changes.
 
 use kestreltide_datastore::ValidationErrors;
 use slog::{Logger, warn};
 
-/// The most lines in each [`WINDOW`]: a file that is written again and again must not fill the log.
-const MAX_LINES: u32 = 10;
-/// Seconds in which lines are counted.
-const WINDOW: f64 = 1.0;
+/// Most rejections in a window of [`WINDOW_SECONDS`], so that a file that is rewritten again and again does not fill the log.
+const MAX_LINES_PER_WINDOW: u32 = 10;
+/// Length of the window in which rejections are counted, in seconds.
+const WINDOW_SECONDS: f64 = 1.0;
 
-/// Logs rejections, at most [`MAX_LINES`] in a window.
+/// Logs rejections, at most [`MAX_LINES_PER_WINDOW`] in each window.
 pub(super) struct RejectionLog {
     log: Logger,
-    /// Unix seconds.
+    /// Start of the current window, in Unix seconds.
     window_start: f64,
-    /// Lines that were wanted in this window, logged or not.
-    lines: u32,
+    /// Rejections in the current window, logged or not.
+    rejections: u32,
 }
 
 impl RejectionLog {
@@ -22,11 +22,11 @@
         RejectionLog {
             log,
             window_start: 0.0,
-            lines: 0,
+            rejections: 0,
         }
     }
 
-    /// Logs the first error, how many more there are, and the revision that stays in force.
+    /// Logs the first error, the number of further errors, and the revision that stays in force.
     pub(super) fn warn(
         &mut self,
         now: f64,
@@ -35,21 +35,21 @@
         errors: &ValidationErrors,
         revision: u64,
     ) {
-        if now - self.window_start >= WINDOW {
+        if now - self.window_start >= WINDOW_SECONDS {
             self.window_start = now;
-            self.lines = 0;
+            self.rejections = 0;
         }
-        self.lines += 1;
-        if self.lines > MAX_LINES {
+        self.rejections += 1;
+        if self.rejections > MAX_LINES_PER_WINDOW {
             return;
         }
-        let first = errors
+        let first_error = errors
             .first
             .first()
             .map(ToString::to_string)
             .unwrap_or_default();
         let further = errors.first.len().saturating_sub(1) + errors.more;
-        warn!(self.log, "{}", message; "generation" => generation, "why" => first,
+        warn!(self.log, "{}", message; "generation" => generation, "why" => first_error,
             "further" => further, "stays" => revision);
     }
 }
--- a/router/src/management_threads/datastore_thread/state_saver.rs
+++ b/router/src/management_threads/datastore_thread/state_saver.rs
@@ -1,4 +1,4 @@
-//! Decides when the state is saved, and saves it.
+//! Saves the state after changes, at a limited rate.
 
 use std::path::PathBuf;
 
@@ -6,28 +6,28 @@
 
 use crate::management_threads::persistence::{self, PersistedState};
 
-/// Seconds between two savings at least: a save writes the whole file and waits for the disk.
-const MIN_SAVE_INTERVAL: f64 = 0.5;
+/// Shortest interval between two saves, in seconds: each save writes the whole file and waits for the disk.
+const MIN_SAVE_INTERVAL_SECONDS: f64 = 0.5;
 
-/// Saves the state to the state directory after it has changed.
+/// Tracks unsaved changes and saves the state to the state directory.
 pub(super) struct StateSaver {
     log: Logger,
     router: String,
-    folder: Option<PathBuf>,
+    directory: Option<PathBuf>,
     has_changes: bool,
-    /// Unix seconds.
+    /// When the last save was attempted, in Unix seconds.
     saved_at: f64,
-    /// A failure is logged once, until a save succeeds again.
+    /// Whether the current series of failed saves was logged; only its first failure is.
     is_failure_logged: bool,
 }
 
 impl StateSaver {
-    /// The first save is due at once.
-    pub(super) fn new(log: Logger, router: String, folder: Option<PathBuf>) -> Self {
+    /// A saver whose first save is due immediately. Nothing is saved if `directory` is `None`.
+    pub(super) fn new(log: Logger, router: String, directory: Option<PathBuf>) -> Self {
         StateSaver {
             log,
             router,
-            folder,
+            directory,
             has_changes: true,
             saved_at: 0.0,
             is_failure_logged: false,
@@ -39,27 +39,29 @@
         &self.router
     }
 
-    /// Something that is saved has changed.
+    /// Marks the state as changed since the last save.
     pub(super) fn mark_changed(&mut self) {
         self.has_changes = true;
     }
 
-    /// Changes are due now, however short ago the last save was.
+    /// Makes unsaved changes due now, regardless of when the last save was.
     pub(super) fn make_due(&mut self) {
         self.saved_at = f64::MIN;
     }
 
-    /// Whether there are changes and the last save is long enough ago.
+    /// Whether there are unsaved changes and the last save was at least [`MIN_SAVE_INTERVAL_SECONDS`] ago.
     pub(super) fn is_due(&self, now: f64) -> bool {
-        self.folder.is_some() && self.has_changes && now - self.saved_at >= MIN_SAVE_INTERVAL
+        self.directory.is_some()
+            && self.has_changes
+            && now - self.saved_at >= MIN_SAVE_INTERVAL_SECONDS
     }
 
-    /// Saves the state; after a failure it is tried again when it is due next.
+    /// Saves the state; a failed save is retried when the next one is due.
     pub(super) fn save(&mut self, now: f64, state: &PersistedState) {
-        let Some(folder) = &self.folder else {
+        let Some(directory) = &self.directory else {
             return;
         };
-        match persistence::save(folder, state) {
+        match persistence::save(directory, state) {
             Ok(()) => {
                 self.has_changes = false;
                 self.is_failure_logged = false;
--- a/router/src/management_threads/datastore_thread/status_publisher.rs
+++ b/router/src/management_threads/datastore_thread/status_publisher.rs
@@ -1,4 +1,4 @@
-//! Publishes the state of the commit coordinator, and notifies of commits and rejections.
+//! Publishes the status of the commit coordinator, and notifies subscribers of commits and rejections.
 
 use std::sync::Arc;
 
@@ -7,42 +7,43 @@
 use kestreltide_management::Notification;
 use tokio::sync::broadcast;
 
-/// Notifications that are kept for a slow subscriber.
-const NOTIFICATION_QUEUE: usize = 1024;
+/// Number of notifications that are queued for a slow subscriber.
+const NOTIFICATION_QUEUE_CAPACITY: usize = 1024;
 
-/// What management interfaces read and subscribe to.
+/// The status that management interfaces read and the notifications that they subscribe to.
 pub(super) struct StatusPublisher {
     status: Arc<ArcSwap<CoordinatorStatus>>,
     notifications: broadcast::Sender<Notification>,
-    /// The newest revision that subscribers were notified of.
+    /// The newest revision that subscribers have been notified of.
     notified_revision: u64,
-    /// Time of the newest rejection that subscribers were notified of, in Unix seconds.
+    /// Time of the newest rejection that subscribers have been notified of, in Unix seconds.
     notified_rejection_at: Option<f64>,
 }
 
 impl StatusPublisher {
-    /// Publishes the status as it is; nobody is notified of what was before.
+    /// Publishes the current status; existing commits and rejections are not notified.
     pub(super) fn new(coordinator: &CommitCoordinator) -> Self {
         let last_rejection = coordinator.store.rejections().next_back();
         StatusPublisher {
             status: Arc::new(ArcSwap::from_pointee(coordinator.status())),
-            notifications: broadcast::channel(NOTIFICATION_QUEUE).0,
+            notifications: broadcast::channel(NOTIFICATION_QUEUE_CAPACITY).0,
             notified_revision: coordinator.store.in_force().revision.0,
             notified_rejection_at: last_rejection.map(|rejection| rejection.at),
         }
     }
 
-    /// The published status, renewed as a whole.
+    /// The published status, which each update replaces as a whole.
     pub(super) fn published(&self) -> Arc<ArcSwap<CoordinatorStatus>> {
         self.status.clone()
     }
 
-    /// Where to subscribe.
+    /// The channel to subscribe to.
     pub(super) fn notifications(&self) -> broadcast::Sender<Notification> {
         self.notifications.clone()
     }
 
-    /// Notifies of what happened since the last time, and renews the published status. Returns whether it changed.
+    /// Notifies subscribers of commits and rejections since the last call, and updates the published status. Returns
+    /// whether the status changed.
     pub(super) fn publish(&mut self, coordinator: &CommitCoordinator) -> bool {
         self.notify_of_commits(coordinator);
         self.notify_of_rejection(coordinator);
@@ -80,12 +81,12 @@
     }
 
     fn notify(&self, notification: Notification) {
-        // An error says that there is no subscriber.
+        // Sending fails only if there is no subscriber.
         let _ = self.notifications.send(notification);
     }
 }
 
-/// Compares what interfaces can see a difference in; trees are compared by their revision.
+/// Whether the interfaces would read the same status; configuration trees are compared by their revision.
 fn is_same(before: &CoordinatorStatus, after: &CoordinatorStatus) -> bool {
     let rejected_at =
         |status: &CoordinatorStatus| status.last_rejection.as_ref().map(|rejection| rejection.at);
--- a/router/src/management_threads/datastore_thread/watched_files.rs
+++ b/router/src/management_threads/datastore_thread/watched_files.rs
@@ -1,4 +1,4 @@
-//! Versions of the watched files: commits them, and holds back those that are valid but not yet allowed.
+//! Commits the versions of the watched files, and holds back a version that cannot be committed yet.
 
 use std::sync::Arc;
 
@@ -16,32 +16,32 @@
 use crate::management_threads::persistence::PendingVersion;
 use crate::management_threads::settings::FileWatchSettings;
 
-/// Seconds before a version that is held back is tried again, at least.
-const MIN_RETRY_DELAY: f64 = 0.05;
+/// Shortest delay before a held-back version is retried, in seconds.
+const MIN_RETRY_DELAY_SECONDS: f64 = 0.05;
 
-/// A version that would be valid later.
+/// A version that is rejected now but may be valid at `retry_at`.
 struct HeldBackVersion {
     version: Version,
     pending: PendingVersion,
-    /// Unix seconds.
+    /// When the version is retried, in Unix seconds.
     retry_at: f64,
 }
 
-/// Whether a version is tried for the first time; that it is held back is logged once.
+/// Whether a version is tried for the first time. Holding it back is logged at the first attempt only.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Attempt {
     First,
     Retry,
 }
 
-/// The version of the files that was applied last, and one that waits.
+/// The version of the files that was applied last, and one that is pending.
 pub(super) struct WatchedFiles {
     applied_tree: Tree,
     applied_generation: String,
-    /// What was in force when that version was applied.
+    /// The configuration in force right after that version was applied.
     base: Arc<InForce>,
     held_back: Option<HeldBackVersion>,
-    /// Files of different generations: some of them are still to be written.
+    /// Files of different generations: the operator has not yet written all of them.
     mismatched: Option<PendingVersion>,
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// What the files configured when a version of them was applied last.
+    /// The configuration of the version that was applied last.
     pub(super) fn applied_tree(&self) -> &Tree {
         &self.applied_tree
     }
@@ -66,7 +66,7 @@
         &self.applied_generation
     }
 
-    /// The version that waits, if any.
+    /// The pending version, if any.
     pub(super) fn pending_version(&self) -> Option<&PendingVersion> {
         self.held_back
             .as_ref()
@@ -74,7 +74,7 @@
             .or(self.mismatched.as_ref())
     }
 
-    /// When the version that is held back is to be tried again, in Unix seconds.
+    /// When the held-back version is to be retried, in Unix seconds; `None` if there is none.
     pub(super) fn next_retry(&self) -> Option<f64> {
         self.held_back.as_ref().map(|held_back| held_back.retry_at)
     }
@@ -84,12 +84,12 @@
             .take_if(|held_back| held_back.retry_at <= now)
     }
 
-    /// What the files changed since they were last applied, as changes of what was in force then: a leaf that
-    /// somebody else has changed meanwhile is a conflict, and not overwritten.
+    /// The candidate with the changes that the files made since they were last applied, based on the configuration that
+    /// was in force then: a leaf that another author has changed since is a conflict and is not overwritten.
     fn candidate(&self, version: &Version) -> Result<Candidate, ValidationErrors> {
         let is_same_generation = version.generation == self.applied_generation;
         if is_same_generation && version.tree != self.applied_tree {
-            // A file of another version that is half written looks like this, too.
+            // A partly written file of another version looks like this as well.
             return Err(ValidationError::new(
                 "generation",
                 "is that of the version in force, and the content is another",
@@ -106,7 +106,7 @@
 }
 
 impl DatastoreThread {
-    /// Reads and applies the files at the start, and returns the digest of their content.
+    /// Reads and applies the files at the start. Returns the digest of their content.
     pub(super) fn apply_initial_files(
         &mut self,
         settings: &FileWatchSettings,
@@ -130,9 +130,9 @@
                 "revision" => self.revision());
             return Ok(digest);
         }
-        // Hosts that discovery has not listed yet are no reason not to start: those that it lists serve until then.
-        let may_pass = settings.discovery && errors.retry_at().is_some();
-        if may_pass {
+        // Hosts that discovery has not listed yet must not prevent the start: until they are, the listed hosts serve.
+        let may_be_valid_later = settings.discovery && errors.retry_at().is_some();
+        if may_be_valid_later {
             Ok(digest)
         } else {
             Err(StartError::InvalidFiles(errors))
@@ -144,7 +144,7 @@
         event: WatchEvent<Version>,
         facts: &Facts,
     ) -> Option<Arc<Snapshot>> {
-        // The files have changed since this version was read.
+        // The held-back version is outdated: the files have changed since it was read.
         self.files.held_back = None;
         match event {
             WatchEvent::Version(version) => {
@@ -171,10 +171,10 @@
         }
     }
 
-    /// Tries the version that is held back again, if it is due.
+    /// Retries the held-back version, if it is due.
     pub(super) fn retry_held_back(&mut self, facts: &Facts) -> Option<Arc<Snapshot>> {
         let held_back = self.files.take_due(facts.now)?;
-        // Validating alone records no rejection: it was logged when it was held back first.
+        // Only validated, which records no rejection: it was logged when the version was first held back.
         let validated = self
             .files
             .candidate(&held_back.version)
@@ -182,12 +182,12 @@
         match validated.err().and_then(|errors| errors.retry_at()) {
             Some(at) => {
                 self.files.held_back = Some(HeldBackVersion {
-                    retry_at: next_retry(at, facts),
+                    retry_at: earliest_retry(at, facts),
                     ..held_back
                 });
                 None
             }
-            // Valid by now, but a lock of somebody may still hold it back.
+            // The version is valid now, but a lock of another session may still hold it back.
             None => self
                 .apply_version(held_back.version, facts, Attempt::Retry)
                 .ok()
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Commits a version; one that may be valid later is held back.
+    /// Commits a version; it is held back if it may be valid later.
     fn apply_version(
         &mut self,
         version: Version,
@@ -214,14 +214,14 @@
         let committed = self
             .coordinator
             .commit(None, &candidate, author, None, None, facts);
-        // A lock or a pending commit passes, and operators still want what the files configure.
-        let lock_retry_at = facts.now + MIN_RETRY_DELAY;
+        // Locks and pending commits are temporary, and the files still describe what operators want: retried.
+        let lock_retry_at = facts.now + MIN_RETRY_DELAY_SECONDS;
         match committed.map_err(|error| into_validation_errors(error, lock_retry_at)) {
             Ok(outcome) => Ok(self.record_applied(version, outcome)),
             Err(errors) => {
                 match errors.retry_at() {
                     Some(at) => {
-                        self.hold_back(version, &errors, next_retry(at, facts), facts, attempt)
+                        self.hold_back(version, &errors, earliest_retry(at, facts), facts, attempt)
                     }
                     None => {
                         self.log_rejection("watched files rejected", &version.generation, &errors)
@@ -272,7 +272,7 @@
         });
     }
 
-    /// Records files of which no candidate can be made.
+    /// Logs and records the rejection of files from which no candidate can be made.
     fn reject_files(&mut self, generation: &str, errors: ValidationErrors) {
         self.log_rejection("watched files rejected", generation, &errors);
         self.coordinator
@@ -282,11 +282,11 @@
     }
 }
 
-fn next_retry(at: f64, facts: &Facts) -> f64 {
-    at.max(facts.now + MIN_RETRY_DELAY)
+fn earliest_retry(at: f64, facts: &Facts) -> f64 {
+    at.max(facts.now + MIN_RETRY_DELAY_SECONDS)
 }
 
-/// The author that revisions of the watched files have.
+/// The author of revisions that come from the watched files.
 fn files_author(generation: &str) -> Author {
     Author {
         source: Source::Files,
--- a/router/src/management_threads/error.rs
+++ b/router/src/management_threads/error.rs
@@ -1,4 +1,4 @@
-//! Why the management threads cannot start.
+//! Errors that keep the management threads from starting.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,44 +10,44 @@
 
 use super::persistence::PersistenceError;
 
-/// Why the management threads cannot start.
+/// An error that keeps the management threads from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A thread, or the inbox by which it reaches the event loop, cannot be created.
+    /// A thread, or the message queue to the event loop, cannot be created.
     #[error("a thread cannot be started: {0}")]
     Thread(#[source] io::Error),
-    /// The persisted state is damaged, and its file cannot be moved out of the way.
+    /// The persisted state is damaged, and its file cannot be renamed.
     #[error("{damage}; it cannot be put aside: {source}")]
     Quarantine {
         /// Why the state cannot be loaded.
         damage: PersistenceError,
-        /// Why its file cannot be moved.
+        /// Why its file cannot be renamed.
         source: io::Error,
     },
-    /// The watched files or the file of keys are invalid.
+    /// A watched file or the file of keys is invalid.
     #[error("{0}")]
     InvalidFiles(ValidationErrors),
-    /// An interface cannot listen on its address.
+    /// A management interface cannot listen on its address.
     #[error("[management] {option}: {address} cannot be listened on: {source}")]
     Listen {
         /// Key of the operator file that sets the address.
         option: &'static str,
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file that an interface needs cannot be read.
+    /// A file that a management interface needs cannot be read.
     #[error("[management] {option}: {} cannot be read: {source}", .path.display())]
     ReadFile {
         /// Key of the operator file that names the file.
         option: &'static str,
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file of the SSH host key holds no private key.
+    /// The file of the SSH host key does not hold a private key.
     #[error("[management] ssh-host-key: {} is no private key: {source}", .path.display())]
     HostKey {
         /// The file.
--- a/router/src/management_threads/error/tests.rs
+++ b/router/src/management_threads/error/tests.rs
@@ -1,4 +1,4 @@
-//! Texts of the errors: operators see them, so that they must not change by accident.
+//! Error texts, which operators read and match: a change must be deliberate.
 
 use std::io::ErrorKind;
 
@@ -43,6 +43,6 @@
     StartError::HostKey { path: "host_key".into(), source: keys::Error::KeyIsCorrupt },
     "[management] ssh-host-key: host_key is no private key: The key is corrupt"
 )]
-fn an_error_has_the_text_that_operators_know(#[case] error: StartError, #[case] text: &str) {
+fn start_errors_have_stable_texts(#[case] error: StartError, #[case] text: &str) {
     assert_eq!(error.to_string(), text);
 }
--- a/router/src/management_threads/interfaces.rs
+++ b/router/src/management_threads/interfaces.rs
@@ -1,6 +1,7 @@
-//! The thread of the management interfaces, NETCONF over SSH and gNMI over TLS.
+//! The thread that serves the management interfaces, NETCONF over SSH and gNMI over TLS.
 //!
-//! The listeners belong to the program: a thread that is started again after a panic goes on with the same.
+//! The listening sockets are opened once, before the thread starts, and a thread that is restarted after a panic
+//! continues with the same sockets.
 
 use std::fs;
 use std::io;
@@ -23,16 +24,16 @@
 use crate::routing::Heartbeat;
 use crate::transport::Clock;
 
-/// Time between two heartbeats of the thread.
+/// Interval between two heartbeats of the thread.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The interfaces as they were opened at the start, so that errors are reported before the router serves.
+/// The opened interfaces. They are opened before the router serves, so that errors end the start.
 pub(super) struct ManagementInterfaces {
     keys_file: KeysFile,
     listeners: Listeners,
 }
 
-/// What the thread serves.
+/// The listening sockets that the thread serves.
 struct Listeners {
     netconf: Option<NetconfListener>,
     gnmi: Option<GnmiListener>,
@@ -45,7 +46,7 @@
 
 struct GnmiListener {
     listener: TcpListener,
-    /// In PEM, as are the next two.
+    /// In PEM format, like `key` and `client_ca`.
     certificate: Vec<u8>,
     key: Vec<u8>,
     client_ca: Vec<u8>,
@@ -56,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// A file that cannot be read or is invalid, or an address that cannot be listened on.
+    /// If a file cannot be read or is invalid, or an address cannot be listened on.
     pub(super) fn open(log: &Logger, settings: &ManagementSettings) -> Result<Self, StartError> {
         let keys_file = KeysFile::load(&settings.keys)?;
         let netconf = settings.netconf.as_ref().map(NetconfListener::open);
@@ -75,16 +76,16 @@
         })
     }
 
-    /// The keys in force, renewed when their file changes.
+    /// The keys in force, replaced when the file of keys changes.
     pub(super) fn keys(&self) -> Arc<ArcSwap<Keys>> {
         self.keys_file.keys()
     }
 
-    /// Starts the threads of the interfaces and of the file of keys.
+    /// Starts the thread that serves the interfaces and the thread that watches the file of keys.
     ///
     /// # Errors
     ///
-    /// A thread that cannot be created.
+    /// If a thread cannot be created.
     pub(super) fn start(
         self,
         log: &Logger,
@@ -187,7 +188,7 @@
     }
 }
 
-/// Serves both interfaces, and gives the heartbeat, until the thread ends with the process.
+/// Serves both interfaces and records heartbeats. Does not return: the thread ends with the process.
 async fn serve(
     log: &Logger,
     clock: Clock,
@@ -235,7 +236,7 @@
         .map_or(String::new(), |address| address.to_string())
 }
 
-/// A second handle of a listener, for the runtime of the thread.
+/// A duplicate of the listener, registered with the thread's tokio runtime.
 fn async_listener(listener: &TcpListener) -> io::Result<tokio::net::TcpListener> {
     listener
         .try_clone()
--- a/router/src/management_threads/keys_file.rs
+++ b/router/src/management_threads/keys_file.rs
@@ -1,4 +1,5 @@
-//! The file of keys: who may use the management interfaces, watched while the router serves.
+//! The file of keys, which lists the clients that may use the management interfaces. It is watched while the router
+//! serves.
 
 use std::io;
 use std::sync::Arc;
@@ -13,11 +14,11 @@
 use super::error::StartError;
 use super::supervise::supervise;
 
-/// The file of keys as it was read at the start.
+/// The file of keys as read at the start.
 pub(super) struct KeysFile {
     keys: Arc<ArcSwap<Keys>>,
     settings: WatchSettings,
-    /// Digest of the content that was read.
+    /// Digest of the file's content as read.
     digest: u64,
 }
 
@@ -26,7 +27,7 @@
     ///
     /// # Errors
     ///
-    /// A file that cannot be read or is invalid.
+    /// If the file cannot be read or is invalid.
     pub(super) fn load(settings: &WatchSettings) -> Result<Self, StartError> {
         let path = display_path(settings);
         let (parsed, digest) = poll_files(settings, |contents| parse(&path, contents));
@@ -42,12 +43,12 @@
         }
     }
 
-    /// The keys in force.
+    /// The keys in force, which the watch thread replaces.
     pub(super) fn keys(&self) -> Arc<ArcSwap<Keys>> {
         self.keys.clone()
     }
 
-    /// Logs which keys are in force.
+    /// Logs the generation and the number of the keys in force.
     pub(super) fn log_loaded(&self, log: &Logger) {
         log_applied(log, &self.keys.load());
     }
@@ -56,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// A thread that cannot be created.
+    /// If the thread cannot be created.
     pub(super) fn watch(self, log: &Logger) -> io::Result<()> {
         let KeysFile {
             keys,
@@ -66,7 +67,7 @@
         let wake_channel = wake_channel();
         let thread_log = log.clone();
         let path = display_path(&settings);
-        // A thread that is started again reads the file anew.
+        // After a panic no digest is known, so that the thread reads and applies the file again.
         let mut known_digest = Some(digest);
         supervise(log.clone(), "keys", move || {
             kestreltide_file_watch::run(
@@ -85,22 +86,22 @@
     }
 }
 
-/// Puts a new version of the keys in force; the keys stay as they are where it is invalid.
+/// Applies a new version of the keys; an invalid one is logged, and the keys in force stay.
 fn apply(log: &Logger, keys: &ArcSwap<Keys>, event: WatchEvent<Keys>) {
     match event {
         WatchEvent::Version(version) => {
             let version = Arc::new(version);
-            // Stored before it is logged: who reads the line finds these keys in force.
+            // Stored before it is logged, so that the keys are in force once the line is visible.
             keys.store(version.clone());
             log_applied(log, &version);
         }
         WatchEvent::Rejected(errors) | WatchEvent::Pending(errors) => {
-            let first = errors
+            let first_error = errors
                 .first
                 .first()
                 .map(ToString::to_string)
                 .unwrap_or_default();
-            warn!(log, "file of keys rejected"; "why" => first);
+            warn!(log, "file of keys rejected"; "why" => first_error);
         }
     }
 }
@@ -116,7 +117,7 @@
     }
 }
 
-/// Path of the file as errors name it.
+/// Path of the file, as used in error messages.
 fn display_path(settings: &WatchSettings) -> String {
     settings
         .files
--- a/router/src/management_threads/mod.rs
+++ b/router/src/management_threads/mod.rs
@@ -1,7 +1,7 @@
-//! Threads beside the event loop: the datastore, the watched files and the management interfaces.
+//! The threads that run beside the event loop: the datastore, the watched files and the management interfaces.
 //!
-//! Each is started only where the operator file asks for it, sends messages to the event loop and reads the view that
-//! the loop publishes, and is started again after a panic.
+//! A thread is started only if the operator file configures it, and is restarted after a panic. The threads send
+//! messages to the event loop and read the view of the router's state that the loop publishes.
 
 #![deny(
     missing_docs,
--- a/router/src/management_threads/persistence.rs
+++ b/router/src/management_threads/persistence.rs
@@ -1,8 +1,8 @@
-//! The state that outlives the process: one file in the state directory, replaced as a whole.
+//! The state that persists over restarts: one file in the state directory, which each save replaces atomically.
 //!
-//! The file has three lines: its format, the state as JSON, and a checksum of the first two (without the line break at
-//! the end of the second).
-//! The program's commands read it too, as a router opens no further listener on the platform.
+//! The file has three lines: the format, the state as JSON, and a checksum of the first two (without the line feed at
+//! the end of the second line). The sub-command `revisions` reads the file as well, since a router has no listener for
+//! such queries.
 
 use std::fs::{self, File};
 use std::io::{self, BufWriter, ErrorKind, Write};
@@ -14,12 +14,12 @@
 use thiserror::Error;
 
 /// Name of the file in the state directory.
-const FILE_NAME: &str = "revisions.json";
-/// The first line of the file.
+const STATE_FILE_NAME: &str = "revisions.json";
+/// The first line of the file: the name and version of its format.
 const FORMAT_LINE: &str = "kestreltide-revisions 1";
-/// How the last line begins, before the checksum (CRC-32) in hexadecimal.
+/// The prefix of the last line, followed by the checksum (CRC-32) in hexadecimal.
 const CHECKSUM_PREFIX: &str = "check ";
-/// Characters of the checksum.
+/// Hexadecimal digits of the checksum.
 const CHECKSUM_DIGITS: usize = 8;
 
 /// Why the state cannot be loaded or saved.
@@ -30,10 +30,10 @@
     Io {
         /// The file or directory.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is not one that was saved as a whole.
+    /// The file is incomplete or was changed after it was saved.
     #[error("{}: is damaged: {damage}", .path.display())]
     Damaged {
         /// The file.
@@ -46,72 +46,72 @@
 /// What is wrong with a damaged file.
 #[derive(Debug, Error)]
 pub enum Damage {
-    /// It is shorter than its last line.
+    /// The file is shorter than the checksum line.
     #[error("it is too short")]
     TooShort,
-    /// The checksum is not that of the content.
+    /// The checksum does not match the content.
     #[error("its check is not that of its content")]
     ChecksumMismatch,
     /// The first line names another format.
     #[error("its form is not known")]
     UnknownFormat,
-    /// The content is no persisted state.
+    /// The content is not the JSON of a [`PersistedState`].
     #[error("{0}")]
     InvalidContent(serde_json::Error),
 }
 
-/// A version of the watched files that is not in force yet.
+/// A version of the watched files that is not in force yet, because it is held back or incomplete.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PendingVersion {
-    /// Since when it waits, in Unix seconds.
+    /// When it became pending, in Unix seconds.
     pub since: f64,
-    /// Whose version it is.
+    /// The author of the version.
     pub author: Author,
-    /// What it waits for.
+    /// Why it cannot be applied yet.
     #[serde(rename = "faults")]
     pub errors: ValidationErrors,
 }
 
-/// All that is kept in the state directory.
+/// The content of the state file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PersistedState {
-    /// Name of the router that saved it.
+    /// Name of the router that saved the state.
     pub router: String,
-    /// When it was saved, in Unix seconds.
+    /// When the state was saved, in Unix seconds.
     #[serde(rename = "written")]
     pub written_at: f64,
-    /// What is in force, and its history.
+    /// The configuration in force and its history.
     #[serde(rename = "memory")]
     pub datastore: DatastoreState,
-    /// What the watched files configured when a version of them was applied last.
+    /// The configuration in the version of the watched files that was applied last.
     pub files: Tree,
     /// Generation of that version.
     pub generation: String,
-    /// A version of the files that waits.
+    /// A version of the watched files that is not in force yet.
     #[serde(rename = "held")]
     pub pending_version: Option<PendingVersion>,
-    /// A commit that waits to be confirmed: a start rolls it back.
+    /// A commit that has not been confirmed; the next start of the router rolls it back.
     #[serde(default, rename = "pending")]
     pub pending_commit: Option<PendingCommit>,
-    /// Revisions that the event loop has applied since the program's start.
+    /// Number of revisions that the event loop has applied since the program started.
     #[serde(rename = "taken")]
     pub revisions_applied: u64,
-    /// The longest that the event loop stood still for one of them, in seconds.
+    /// The longest pause of the event loop for applying one of them, in seconds.
     #[serde(rename = "longest_pause")]
     pub longest_apply_time: f64,
 }
 
 /// Path of the file in a state directory.
-fn state_file(folder: &Path) -> PathBuf {
-    folder.join(FILE_NAME)
+fn state_file(directory: &Path) -> PathBuf {
+    directory.join(STATE_FILE_NAME)
 }
 
-/// The last line of the file, with the line break before it.
+/// The last line of the file, including the line feed before it.
 fn checksum_line(checksum: u32) -> String {
     format!("\n{CHECKSUM_PREFIX}{checksum:0CHECKSUM_DIGITS$x}\n")
 }
 
-/// A writer that computes the checksum of all that is written through it.
+/// A writer that computes the checksum of everything written through it.
 struct ChecksumWriter<W> {
     inner: W,
     checksum: crc32fast::Hasher,
@@ -129,25 +129,25 @@
     }
 }
 
-/// Saves the state; after a crash either the old file or the new one is there as a whole.
+/// Saves the state atomically: after a crash the state file is complete, either the old or the new one.
 ///
 /// # Errors
 ///
-/// A state directory that cannot be written.
-pub(super) fn save(folder: &Path, state: &PersistedState) -> Result<(), PersistenceError> {
-    replace_file(folder, state).map_err(|source| PersistenceError::Io {
-        path: folder.to_owned(),
+/// If the state directory cannot be written.
+pub(super) fn save(directory: &Path, state: &PersistedState) -> Result<(), PersistenceError> {
+    replace_file(directory, state).map_err(|source| PersistenceError::Io {
+        path: directory.to_owned(),
         source,
     })
 }
 
-fn replace_file(folder: &Path, state: &PersistedState) -> io::Result<()> {
-    let new_path = folder.join(format!("{FILE_NAME}.new"));
+fn replace_file(directory: &Path, state: &PersistedState) -> io::Result<()> {
+    let new_path = directory.join(format!("{STATE_FILE_NAME}.new"));
     let file = write_file(&new_path, state)?;
     file.sync_all()?;
-    fs::rename(&new_path, state_file(folder))?;
-    // The name belongs to the directory, which has to reach the disk as well.
-    File::open(folder)?.sync_all()
+    fs::rename(&new_path, state_file(directory))?;
+    // The rename is durable only once the directory itself is synced.
+    File::open(directory)?.sync_all()
 }
 
 fn write_file(path: &Path, state: &PersistedState) -> io::Result<File> {
@@ -156,7 +156,7 @@
         checksum: crc32fast::Hasher::new(),
     };
     writeln!(writer, "{FORMAT_LINE}")?;
-    // Written piece by piece: the text of a long history would need much memory.
+    // Streamed to the file: a long history as one string would need much memory.
     serde_json::to_writer(&mut writer, state)?;
     let ChecksumWriter {
         mut inner,
@@ -166,13 +166,13 @@
     inner.into_inner().map_err(io::IntoInnerError::into_error)
 }
 
-/// Loads the state of a state directory; `None` where none was ever saved.
+/// Loads the state from a state directory; `None` if the directory has no state file.
 ///
 /// # Errors
 ///
-/// A file that cannot be read, or that is damaged.
-pub fn load(folder: &Path) -> Result<Option<PersistedState>, PersistenceError> {
-    let path = state_file(folder);
+/// If the file cannot be read or is damaged.
+pub fn load(directory: &Path) -> Result<Option<PersistedState>, PersistenceError> {
+    let path = state_file(directory);
     let bytes = match fs::read(&path) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
@@ -199,14 +199,14 @@
     serde_json::from_slice(json).map_err(Damage::InvalidContent)
 }
 
-/// Moves a damaged file out of the way, so that it can be examined and is not loaded again. Returns its new path.
+/// Renames a damaged file, so that it can be examined and is not loaded again. Returns its new path.
 ///
 /// # Errors
 ///
-/// A file that cannot be renamed.
-pub(super) fn quarantine(folder: &Path) -> io::Result<PathBuf> {
-    let quarantined = folder.join(format!("{FILE_NAME}.damaged"));
-    fs::rename(state_file(folder), &quarantined)?;
+/// If the file cannot be renamed.
+pub(super) fn quarantine(directory: &Path) -> io::Result<PathBuf> {
+    let quarantined = directory.join(format!("{STATE_FILE_NAME}.damaged"));
+    fs::rename(state_file(directory), &quarantined)?;
     Ok(quarantined)
 }
 
--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the threads that the operator file asks for. Whatever is wrong is reported before the router serves.
+//! Starts the threads that the operator file configures. Errors are reported before the router serves.
 
 use std::io;
 use std::sync::Arc;
@@ -21,38 +21,38 @@
 use crate::routing::{Heartbeat, LoopHandle, ManagementInbox};
 use crate::transport::{Clock, Reactor};
 
-/// How long the program waits, when it ends, for the datastore thread to save.
+/// How long a shutdown waits for the datastore thread to save its state.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between two looks whether the datastore thread has ended.
+/// Interval between two checks of whether the datastore thread has ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The running threads, as the program holds them.
+/// The handle of the running threads.
 pub struct ManagementThreads {
     requests: SyncSender<DatastoreRequest>,
-    /// Wakes the thread that watches files; none where none are watched.
+    /// Wakes the thread that watches files; `None` if no files are watched.
     wake_file_watch: Option<SyncSender<()>>,
     datastore_thread: JoinHandle<u32>,
     heartbeats: Vec<Heartbeat>,
 }
 
 impl ManagementThreads {
-    /// The heartbeats of the threads, for the event loop to check.
+    /// The heartbeats of the threads, which the event loop checks.
     pub fn heartbeats(&self) -> Vec<Heartbeat> {
         self.heartbeats.clone()
     }
 
-    /// Has the watched files read now, whether or not a change was noticed.
+    /// Makes the watch thread read the files now, even if no change was noticed.
     pub fn poll_files(&self) {
         if let Some(wake) = &self.wake_file_watch {
-            // A full channel says that a wake-up is waiting already.
+            // The channel is full if a wake-up is already pending.
             let _ = wake.try_send(());
         }
     }
 
-    /// Has the datastore thread save its state, and waits for it, at most for a second.
+    /// Makes the datastore thread save its state and end, and waits for that for at most [`SHUTDOWN_TIMEOUT`].
     pub fn shut_down(self) {
         let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
-        // The queue may be full of requests.
+        // Retried while the queue is full.
         while self.requests.try_send(DatastoreRequest::Stop).is_err() && Instant::now() < deadline {
             thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
@@ -62,40 +62,39 @@
     }
 }
 
-/// What the threads need of the program.
+/// What the threads need from the program.
 pub struct ThreadContext<'a> {
-    /// The program's log.
+    /// The log.
     pub log: &'a Logger,
-    /// The program's clock.
+    /// The clock of this process.
     pub clock: Clock,
-    /// The program's limits.
+    /// The limits of this router.
     pub limits: &'a Limits,
     /// Name of this router.
     pub router: &'a str,
-    /// Settings of the service that commits are checked against.
+    /// The service settings that commits are validated against.
     pub service_settings: &'a ServiceSettings,
     /// Names of the service's operations.
     pub operations: Vec<String>,
 }
 
-/// Threads that were started, and what the event loop needs of them.
+/// The started threads, and what the event loop needs from them.
 pub struct StartedThreads {
-    /// The event loop's end of the message queue.
+    /// The event loop's end of the queue of messages from the threads.
     pub inbox: ManagementInbox,
-    /// What the router starts to serve with; none where there is no revision yet.
+    /// The configuration that the router starts with; `None` if there is no revision yet.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// The threads.
+    /// The handle of the threads.
     pub threads: ManagementThreads,
 }
 
 impl ThreadContext<'_> {
-    /// Starts the threads that the operator file asks for; `None` where it asks for none. `known_hosts` are those that
-    /// discovery listed last, as far as that is known.
+    /// Starts the threads that the operator file configures; `None` if it configures none. `known_hosts` are the hosts
+    /// that discovery listed last; `None` if they are not known.
     ///
     /// # Errors
     ///
-    /// Files that are invalid or cannot be read, an address that cannot be listened on, or a thread that cannot be
-    /// created.
+    /// If a file is invalid or cannot be read, an address cannot be listened on, or a thread cannot be created.
     pub fn start_threads(
         &self,
         reactor: &mut Reactor,
@@ -227,8 +226,8 @@
         })
     }
 
-    /// Starts the thread that watches the files, and returns what wakes it. `digest` is that of the files as they were
-    /// read at the start.
+    /// Starts the thread that watches the files, and returns the sender that wakes it. `digest` is the digest of the
+    /// files as read at the start.
     fn spawn_file_watch_thread(
         &self,
         settings: FileWatchSettings,
@@ -239,7 +238,8 @@
         let clock = self.clock;
         let wake_channel = wake_channel();
         let wake = wake_channel.sender.clone();
-        // A thread that is started again reports all files anew: what is in force already changes nothing.
+        // After a panic no digest is known, so that the thread reports the files again; committing a version that is
+        // already in force changes nothing.
         let mut known_digest = digest;
         supervise(self.log.clone(), "watch", move || {
             kestreltide_file_watch::run(
@@ -250,7 +250,7 @@
                 |contents| parse_files(&settings.files, contents),
                 |event| requests.send(DatastoreRequest::WatchedFiles(event)).is_ok(),
             );
-            // Zero says that the thread has ended.
+            // A heartbeat of 0 marks the thread as ended.
             heartbeat.record(0.0);
         })?;
         Ok(wake)
--- a/router/src/management_threads/supervise.rs
+++ b/router/src/management_threads/supervise.rs
@@ -1,4 +1,4 @@
-//! A thread that is started again after a panic, with a growing delay.
+//! Runs a thread and restarts it after a panic, with exponential backoff.
 
 use std::any::Any;
 use std::io;
@@ -8,17 +8,18 @@
 
 use slog::{Logger, error, warn};
 
-/// Delay of the first restart; it doubles with each further one.
+/// Delay of the first restart; it doubles with each further restart.
 const MIN_RESTART_DELAY: Duration = Duration::from_millis(100);
-/// The longest delay of a restart. A thread that has run for longer than this begins again with the shortest one.
+/// The longest delay of a restart. A thread that ran for longer than this before its panic is restarted with the
+/// shortest delay again.
 const MAX_RESTART_DELAY: Duration = Duration::from_secs(10);
 
-/// Runs a function in a thread of its own until it returns, and starts it again after a panic. Its state has to be
-/// consistent between its steps, as it goes on with it after a panic. The thread returns the number of panics.
+/// Runs `run` in its own thread until it returns, and calls it again after a panic. `run` keeps its state over a panic,
+/// so that state has to be consistent whenever `run` may panic. The thread returns the number of panics.
 ///
 /// # Errors
 ///
-/// A thread that cannot be created.
+/// If the thread cannot be created.
 pub(super) fn supervise(
     log: Logger,
     name: &'static str,
@@ -44,7 +45,7 @@
     })
 }
 
-/// The message of a panic; empty where it is no text.
+/// The message of a panic; empty if the payload is not a string.
 fn panic_message(panic: &(dyn Any + Send)) -> String {
     if let Some(message) = panic.downcast_ref::<&str>() {
         return (*message).to_owned();
