--- a/router/src/management_threads/datastore_thread/mod.rs
+++ b/router/src/management_threads/datastore_thread/mod.rs
@@ -36,7 +36,7 @@
 use super::error::StartError;
 use super::persistence::{self, PersistedState};
 use super::settings::FileWatchSettings;
-use crate::routing::{Heartbeat, LoopHandle, ManagementMessage};
+use crate::routing::{EventLoopHandle, Heartbeat, ManagementMessage};
 use crate::transport::Clock;
 
 /// The longest wait for a request, in seconds. Saves, retries and expiries that are due are handled at least this
@@ -152,7 +152,7 @@
     pub(super) fn run(
         &mut self,
         requests: &Receiver<DatastoreRequest>,
-        event_loop: &LoopHandle,
+        event_loop: &EventLoopHandle,
         heartbeat: &Heartbeat,
     ) {
         loop {
@@ -201,7 +201,7 @@
     fn serve(
         &mut self,
         request: Option<DatastoreRequest>,
-        event_loop: &LoopHandle,
+        event_loop: &EventLoopHandle,
     ) -> Result<(), EventLoopClosed> {
         let facts = self.facts_for(request.is_some(), event_loop);
         let rolled_back = self
@@ -214,7 +214,7 @@
             self.sent_snapshots.push_back(snapshot.clone());
             // If the inbox is full this thread blocks; the event loop never does.
             is_closed |= event_loop
-                .post
+                .messages
                 .send(ManagementMessage::Revision(snapshot))
                 .is_err();
         }
@@ -230,7 +230,7 @@
 
     /// The facts that commits are validated against. If something may be committed, the view is refreshed first: the
     /// published view may lack a recent drain, so that a commit that removes the last host would pass validation.
-    fn facts_for(&self, has_request: bool, event_loop: &LoopHandle) -> Facts {
+    fn facts_for(&self, has_request: bool, event_loop: &EventLoopHandle) -> Facts {
         let now = self.clock.now();
         let mut deadlines = self
             .files
@@ -331,10 +331,10 @@
 }
 
 /// Makes the event loop publish a fresh view, and waits until it has.
-fn refresh_view(event_loop: &LoopHandle) {
+fn refresh_view(event_loop: &EventLoopHandle) {
     let (notify_refreshed, refreshed) = sync_channel(1);
     let message = ManagementMessage::RefreshView(notify_refreshed);
-    if event_loop.post.send(message).is_ok() {
+    if event_loop.messages.send(message).is_ok() {
         // After the timeout the last published view is used.
         let _ = refreshed.recv_timeout(VIEW_REFRESH_TIMEOUT);
     }
--- a/router/src/routing/admission.rs
+++ b/router/src/routing/admission.rs
@@ -19,7 +19,7 @@
     /// The hosts that are for it, by the routes in force when it came.
     pub(super) pool: Option<Arc<Pool>>,
     pub(super) time_left: f64,
-    pub(super) again: bool,
+    pub(super) is_retry: bool,
     pub(super) command: StoredCommand,
 }
 
@@ -143,7 +143,7 @@
             key,
             pool,
             time_left,
-            again,
+            is_retry,
             command,
         } = request;
         // Nothing has been dispatched: a client may be told that trying again is harmless.
@@ -164,7 +164,7 @@
                 key,
                 time_left,
                 work: None,
-                again,
+                is_retry,
                 pool,
             }));
     }
--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -19,7 +19,7 @@
         &mut self,
         request: RequestId,
         host: HostId,
-        time_out: f64,
+        timeout: f64,
         on: ConnectionRequirements,
     ) {
         let now = self.event_loop.now();
@@ -51,7 +51,7 @@
             );
         };
         // As long as the router will wait, and never told as nothing.
-        let millis = (time_out * MILLIS).ceil().max(1.0) as u64;
+        let millis = (timeout * MILLIS).ceil().max(1.0) as u64;
         if let (Some(upstream), Some(command)) =
             (self.upstreams.get_mut(id), self.requests.command(&request))
         {
@@ -61,7 +61,7 @@
             id,
             ConnectionUse::Attempt(AttemptInFlight { request, attempt }),
             now,
-            (time_out, on.write_within),
+            (timeout, on.write_timeout),
         );
     }
 
@@ -69,15 +69,15 @@
         let now = self.event_loop.now();
         let health_checks = self.upstreams.health_checks();
         let room = health_checks < self.event_loop.limits.upstream.probes_in_flight;
-        let (longest, write_within) = (
+        let (longest, write_timeout) = (
             f64::INFINITY,
             self.event_loop.limits.upstream.connect_timeout,
         );
         let any = ConnectionRequirements {
             max_idle: longest,
-            min_rest: 0.0,
-            max_resting: 1,
-            write_within,
+            min_idle: 0.0,
+            max_below_min_idle: 1,
+            write_timeout,
         };
         let Some(id) = room
             .then(|| {
@@ -106,7 +106,7 @@
             id,
             ConnectionUse::HealthCheck,
             now,
-            (self.event_loop.limits.upstream.probe_timeout, write_within),
+            (self.event_loop.limits.upstream.probe_timeout, write_timeout),
         );
     }
 
@@ -115,14 +115,14 @@
         id: SocketId,
         current_use: ConnectionUse,
         now: f64,
-        (time_out, write_within): (f64, f64),
+        (timeout, write_timeout): (f64, f64),
     ) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
         let number = upstream.begin_use(current_use, now);
         self.event_loop
-            .schedule(now + time_out, TimerEvent::UpstreamUseTimeout(id, number));
+            .schedule(now + timeout, TimerEvent::UpstreamUseTimeout(id, number));
         self.flush_upstream(id);
         // Connecting has its time, and what is decided has to be written while what it was decided by holds.
         if self
@@ -135,7 +135,7 @@
                 .limits
                 .upstream
                 .connect_timeout
-                .min(write_within);
+                .min(write_timeout);
             self.event_loop
                 .schedule(now + within, TimerEvent::UpstreamWriteTimeout(id, number));
         }
@@ -171,7 +171,7 @@
                 return;
             }
             let filled = upstream.stream.read_available(
-                self.event_loop.limits.resp.message,
+                self.event_loop.limits.resp.message_bytes,
                 self.event_loop.limits.event_loop.read_bytes_per_turn,
             );
             self.read_upstream(id, filled == ReadStatus::Closed);
@@ -251,7 +251,7 @@
         };
         let load = load
             .filter(|_| self.transport.load_reporting == LoadReporting::Inline)
-            .map(TransportSettings::load_by_name)
+            .map(TransportSettings::load_from_pairs)
             .unwrap_or_default();
         let attempt = AttemptInFlight {
             request: carried.request.clone(),
@@ -281,7 +281,7 @@
         };
         let load = response
             .load
-            .map(TransportSettings::load_by_name)
+            .map(TransportSettings::load_from_pairs)
             .unwrap_or_default();
         self.event_loop
             .notify_decisions(Event::HealthCheckFinished {
@@ -295,7 +295,7 @@
 
     /// An incomplete response: the rest of it is waited for, unless it is longer than it may be.
     fn await_more(&self, input: &[u8]) -> Result<Option<usize>, Malformed> {
-        if input.len() < self.event_loop.limits.resp.message {
+        if input.len() < self.event_loop.limits.resp.message_bytes {
             Ok(None)
         } else {
             Err(Malformed::new("an answer is too long"))
@@ -343,8 +343,8 @@
             && matches!(upstream.stream.is_connected(), Ok(true))
         {
             let filled = upstream.stream.read_available(
-                self.event_loop.limits.resp.message,
-                self.event_loop.limits.resp.message,
+                self.event_loop.limits.resp.message_bytes,
+                self.event_loop.limits.resp.message_bytes,
             );
             self.read_upstream(id, filled == ReadStatus::Closed);
         }
@@ -445,17 +445,17 @@
     ) {
         self.event_loop.metrics.count_attempt(outcome);
         let AttemptInFlight { request, attempt } = out;
-        let over = !self.requests.owes_response(&request);
-        let (took, unused) = (times.0, Some(times.1));
+        let request_finished = !self.requests.owes_response(&request);
+        let (took, connection_idle) = (times.0, Some(times.1));
         self.event_loop.notify_decisions(Event::AttemptFinished {
             request,
             attempt,
             host,
             outcome,
-            over,
+            request_finished,
             took,
             load,
-            unused,
+            connection_idle,
         });
     }
 }
--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -511,10 +511,10 @@
         let Some((response, bytes)) = discovery::parse_response(input, limits, &mut self.chunks)?
         else {
             // Nothing more of it would ever be read.
-            if input.len() >= limits.max_total() {
+            if input.len() >= limits.max_response_bytes() {
                 return Err(Malformed::new(format!(
                     "the answer is too long (over {} bytes)",
-                    limits.max_total()
+                    limits.max_response_bytes()
                 )));
             }
             return Ok(None);
@@ -532,7 +532,7 @@
 
     /// Reads what is there, up to the longest answer.
     fn read(&mut self, event_loop: &EventLoop) {
-        let max_bytes = event_loop.limits.discovery.response.max_total();
+        let max_bytes = event_loop.limits.discovery.response.max_response_bytes();
         let read_bytes = event_loop.limits.event_loop.read_bytes_per_turn;
         let mut status = ReadStatus::More;
         while status == ReadStatus::More && self.stream.input().len() < max_bytes {
--- a/router/src/routing/endpoint_list.rs
+++ b/router/src/routing/endpoint_list.rs
@@ -147,7 +147,7 @@
         let mut hosts: Vec<_> = list
             .targets
             .iter()
-            .map(|target| HostId::named(&target.uid))
+            .map(|target| HostId::from_name(&target.uid))
             .collect();
         hosts.sort_unstable();
         hosts.dedup();
@@ -160,7 +160,7 @@
     /// Who has left makes room for who comes, and is taken after them: both would else be kept together until the
     /// next sweep, and at the limit who comes be left out.
     fn make_room(&mut self, targets: &mut [&ListedEndpoint], is_full: bool) {
-        let host = |target: &&ListedEndpoint| HostId::named(&target.uid);
+        let host = |target: &&ListedEndpoint| HostId::from_name(&target.uid);
         let last: BTreeMap<_, _> = targets
             .iter()
             .map(|target| (host(target), target.state()))
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -80,7 +80,7 @@
 
     /// Notes one entry of discovery's list; None where there is no room for one more host.
     pub(super) fn stage_entry(&mut self, target: &ListedEndpoint) -> Option<StagedEntry> {
-        let host = HostId::named(&target.uid);
+        let host = HostId::from_name(&target.uid);
         if !self.discovered.contains_key(&host) && self.discovered.len() >= self.capacity {
             return None;
         }
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -55,8 +55,8 @@
 
 /// What fronts hold of the loop.
 #[derive(Clone)]
-pub struct LoopHandle {
-    pub post: InboxSender<ManagementMessage>,
+pub struct EventLoopHandle {
+    pub messages: InboxSender<ManagementMessage>,
     pub view: Arc<ArcSwap<View>>,
     /// The revision in force there.
     pub in_force: Arc<AtomicU64>,
@@ -64,11 +64,14 @@
 
 impl ManagementInbox {
     /// The two ends: the loop's, and what fronts hold.
-    pub fn open(reactor: &mut Reactor, capacity: usize) -> std::io::Result<(Self, LoopHandle)> {
+    pub fn open(
+        reactor: &mut Reactor,
+        capacity: usize,
+    ) -> std::io::Result<(Self, EventLoopHandle)> {
         let (mail, post) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
         let in_force = Arc::new(AtomicU64::new(0));
-        let loop_handle = LoopHandle {
+        let loop_handle = EventLoopHandle {
             post,
             view: view.clone(),
             in_force: in_force.clone(),
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -39,7 +39,7 @@
 use event_loop::{EventLoop, ReadySocket, SocketOwner, TimerEvent};
 use gossip_peers::GossipPeers;
 use graceful_shutdown::{GracefulShutdown, ShutdownInput};
-pub use management_link::{Heartbeat, LoopHandle, ManagementInbox, ManagementMessage};
+pub use management_link::{EventLoopHandle, Heartbeat, ManagementInbox, ManagementMessage};
 use platform_client::PlatformClient;
 use upstream_pool::UpstreamPool;
 
@@ -55,7 +55,7 @@
 
 /// What is to be done after a turn of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum NextStep {
     Next,
     /// The configuration is to be read again, then the next turn.
     Reread,
@@ -189,7 +189,7 @@
     }
 
     /// Reaches out to discovery and the platform; what the router held before has been told by now.
-    pub fn begin(&mut self) {
+    pub fn connect(&mut self) {
         if !self.discovery.is_on_demand() {
             self.begin_watch();
         }
@@ -212,7 +212,7 @@
     }
 
     /// Sleeps until something happens and serves it.
-    pub fn turn(&mut self) -> io::Result<Turn> {
+    pub fn run_iteration(&mut self) -> io::Result<NextStep> {
         let may_sleep = self.ready_again.is_empty() && !self.is_staging();
         let (sockets, signals) = self.event_loop.poll(may_sleep)?;
         if signals.stop {
@@ -236,9 +236,9 @@
             self.process_pending();
         }
         Ok(match signals.reload {
-            _ if self.is_over() => Turn::Over,
-            true => Turn::Reread,
-            false => Turn::Next,
+            _ if self.is_over() => NextStep::Stop,
+            true => NextStep::ReloadConfiguration,
+            false => NextStep::Continue,
         })
     }
 
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -125,8 +125,10 @@
         on: ConnectionRequirements,
     ) -> Option<SocketId> {
         let max_idle = on.max_idle.min(event_loop.limits.upstream.idle_timeout);
-        let rested_since = now - on.min_rest;
-        while let Some((id, idle_since)) = self.idle.take_rested(host, rested_since, on.max_resting)
+        let rested_since = now - on.min_idle;
+        while let Some((id, idle_since)) =
+            self.idle
+                .take_reusable(host, rested_since, on.max_below_min_idle)
         {
             // Its host may be closing it by now; what is written then is reset, and may not be repeated.
             if now - idle_since > max_idle {
@@ -202,7 +204,7 @@
 
     /// Closes the connections that have been idle since this time.
     pub(super) fn close_idle_since(&mut self, event_loop: &EventLoop, time: f64) {
-        for id in self.idle.take_unused_since(time) {
+        for id in self.idle.take_idle_since(time) {
             self.close(event_loop, id);
         }
     }
