--- a/testkit/src/decisions.rs
+++ b/testkit/src/decisions.rs
@@ -48,7 +48,7 @@
         promote_votes: 0,
         roll_back_votes: 0,
         hold_votes: 0,
-        bake: 1.0,
+        bake_time: 1.0,
         vote_lifetime: 6.0,
         vote_timeout: 1.0,
         vote_rate: 250.0,
