--- a/router/src/management_threads/datastore_thread/rejection_log.rs
+++ b/router/src/management_threads/datastore_thread/rejection_log.rs
@@ -1,9 +1,10 @@
-//! Rate-limited log rejections about rejected changes.
+//! Rate-limited log lines about rejected changes.
 
 use kestreltide_datastore::ValidationErrors;
 use slog::{Logger, warn};
 
-/// Most rejections in a window of [`WINDOW_SECONDS`], so that a file that is rewritten again and again does not fill the log.
+/// Most lines in a window of [`WINDOW_SECONDS`], so that a file that is rewritten again and again does not fill the
+/// log.
 const MAX_LINES_PER_WINDOW: u32 = 10;
 /// Length of the window in which rejections are counted, in seconds.
 const WINDOW_SECONDS: f64 = 1.0;
