--- a/router/src/management_threads/datastore_thread/watched_files.rs
+++ b/router/src/management_threads/datastore_thread/watched_files.rs
@@ -92,9 +92,9 @@
             // A partly written file of another version looks like this as well.
             return Err(ValidationError::new(
                 "generation",
-                "is that of the version in force, and the content is another",
+                "is that of the version in force, but the content differs",
                 &version.generation,
-                "a name for each version",
+                "a new name for each version",
             )
             .into());
         }
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -1,4 +1,4 @@
-//! Commands for operators that look and change nothing.
+//! Read-only sub-commands for operators.
 
 use std::path::PathBuf;
 use std::time::{Duration, UNIX_EPOCH};
@@ -12,22 +12,22 @@
 use kestreltide_file_watch::parse::Parsed;
 use kestreltide_file_watch::watch::{parse_files, poll_files};
 
-use super::config::{self, ReadTime};
+use super::config::{self, ReadMode};
 use super::operator;
 use crate::management_threads::{PendingVersion, load};
 
-/// say all that is wrong with an operator file and the files it names, and end
+/// check an operator file and the watched files that it names, and report all errors
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check-operator")]
 pub(super) struct CheckOperator {
     #[argh(positional)]
     file: PathBuf,
-    /// the configuration of a router that it is for: what its terms and memory bear is checked too
+    /// the configuration file of the router that will use it: its settings and memory limit are checked too
     #[argh(option, short = 'c')]
     config: Option<String>,
 }
 
-/// print what an operator file leads to, with defaults
+/// print all keys of an operator file with the values in force, defaults included
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show-operator")]
 pub(super) struct ShowOperator {
@@ -35,14 +35,14 @@
     file: Option<PathBuf>,
 }
 
-/// print the revisions that a router has taken, and why it did not take others
+/// print the revisions that a router has applied, and why it rejected the last one that it did not apply
 #[derive(FromArgs)]
 #[argh(subcommand, name = "revisions")]
 pub(super) struct Revisions {
     /// the operator file that names the router's state directory (default: $KESTRELTIDE_OPERATOR)
     #[argh(option, short = 'o')]
     operator: Option<PathBuf>,
-    /// the state directory itself
+    /// the state directory, in place of an operator file that names it
     #[argh(option, short = 's')]
     state: Option<PathBuf>,
     /// show what this revision changed, leaf by leaf
@@ -53,11 +53,11 @@
     newest: usize,
 }
 
-/// print the published models: their tree, or one whole
+/// print the trees of the published YANG models, or the text of one module
 #[derive(FromArgs)]
 #[argh(subcommand, name = "models")]
 pub(super) struct Models {
-    /// a module's name: its text
+    /// the name of the module whose text is printed
     #[argh(positional)]
     module: Option<String>,
 }
@@ -71,7 +71,7 @@
             });
             return Ok(());
         };
-        let known: Vec<_> = schema
+        let module_names: Vec<_> = schema
             .modules
             .iter()
             .map(|module| module.name.as_str())
@@ -80,7 +80,7 @@
         let found = found.ok_or_else(|| {
             format!(
                 "module: no such module (given: {name}; taken: {})",
-                known.join(", ")
+                module_names.join(", ")
             )
         })?;
         print!("{}", found.text);
@@ -90,10 +90,10 @@
 
 impl CheckOperator {
     pub(super) fn run(&self) -> Result<(), String> {
-        let terms = operator::load(&self.file)?;
-        if let Some(watching) = &terms.file_watch {
-            let version = match poll_files(&watching.watched, |contents| {
-                parse_files(&watching.files, contents)
+        let settings = operator::load(&self.file)?;
+        if let Some(file_watch) = &settings.file_watch {
+            let version = match poll_files(&file_watch.watched, |contents| {
+                parse_files(&file_watch.files, contents)
             })
             .0
             {
@@ -108,7 +108,7 @@
             exceeded_maximums(&version.tree, 0, &rules.maximums)
                 .into_result()
                 .map_err(|errors| errors.to_string())?;
-            if !watching.discovery {
+            if !file_watch.discovery {
                 let mut store = Datastore::new(rules, HistoryLimits::default());
                 let mut candidate = Candidate::new(store.in_force());
                 candidate.tree = version.tree;
@@ -118,7 +118,7 @@
                     version: String::new(),
                 };
                 let facts = Facts {
-                    now: now(),
+                    now: unix_now(),
                     discovery_received: true,
                     ..Facts::default()
                 };
@@ -133,7 +133,8 @@
 }
 
 impl CheckOperator {
-    /// As a router that starts with it would check it; without its configuration, as the most lenient one.
+    /// The rules by which the router with this configuration validates commits. Without a configuration, the checks that
+    /// depend on it are off (memory, slow start and overload), so that only what every router rejects is an error.
     fn rules(&self) -> Result<RuleSettings, String> {
         let Some(config) = &self.config else {
             return Ok(RuleSettings {
@@ -146,7 +147,7 @@
             });
         };
         let text = config::load(Some(config.clone()))?;
-        let configuration = config::read(&text, ReadTime::Start)?;
+        let configuration = config::read(&text, ReadMode::Start)?;
         let operations = configuration.transport.operations.keys().cloned().collect();
         Ok(RuleSettings::new(
             &configuration.service,
@@ -162,44 +163,49 @@
     }
 }
 
-fn now() -> f64 {
+/// The current Unix time in seconds.
+fn unix_now() -> f64 {
     UNIX_EPOCH
         .elapsed()
         .map_or(0.0, |since| since.as_secs_f64())
 }
 
-fn time(at: f64) -> String {
-    let at = Duration::try_from_secs_f64(at).map(|since| UNIX_EPOCH + since);
-    at.map_or_else(
+/// Formats a Unix time in seconds; `unknown` if it is out of range.
+fn format_time(seconds: f64) -> String {
+    let time = Duration::try_from_secs_f64(seconds).map(|since| UNIX_EPOCH + since);
+    time.map_or_else(
         |_| "unknown".into(),
-        |at| humantime::format_rfc3339_millis(at).to_string(),
+        |time| humantime::format_rfc3339_millis(time).to_string(),
     )
 }
 
 impl Revisions {
     pub(super) fn run(&self) -> Result<(), String> {
-        let folder = match &self.state {
-            Some(folder) => folder.clone(),
-            None => super::operators(&self.operator)?.state_directory.ok_or(
-                "no state directory: neither --state nor [datastore] state-directory names one",
-            )?,
+        let directory = match &self.state {
+            Some(directory) => directory.clone(),
+            None => super::load_operator_settings(&self.operator)?
+                .state_directory
+                .ok_or(
+                    "no state directory: neither --state nor [datastore] state-directory names one",
+                )?,
         };
-        let remembered = load(&folder)
+        let state = load(&directory)
             .map_err(|error| error.to_string())?
-            .ok_or_else(|| format!("{}: no revision is remembered", folder.display()))?;
-        let memory = &remembered.datastore;
+            .ok_or_else(|| format!("{}: no state has been saved", directory.display()))?;
+        let datastore = &state.datastore;
         if let Some(number) = self.diff {
-            let held = || memory.history.iter().map(|record| record.number);
-            let found = memory
+            let numbers = || datastore.history.iter().map(|record| record.number);
+            let record = datastore
                 .history
                 .iter()
                 .find(|record| record.number == number)
                 .ok_or_else(|| {
-                    let (least, most) = (held().min().unwrap_or(0), held().max().unwrap_or(0));
-                    format!("revision: is not held (given: {number}; taken: {least} to {most})")
+                    let (oldest, newest) =
+                        (numbers().min().unwrap_or(0), numbers().max().unwrap_or(0));
+                    format!("revision: is not held (given: {number}; taken: {oldest} to {newest})")
                 })?;
-            println!("{}", line(found));
-            found
+            println!("{}", format_record(record));
+            record
                 .changes
                 .iter()
                 .for_each(|change| println!("  {change}"));
@@ -208,31 +214,31 @@
         println!(
             "router {}: revision {} in force, {} taken by the loop since its start, its longest pause {:.3} ms; \
              as of {}",
-            remembered.router,
-            memory.revision,
-            remembered.revisions_applied,
-            1e3 * remembered.longest_apply_time,
-            time(remembered.written_at)
+            state.router,
+            datastore.revision,
+            state.revisions_applied,
+            1e3 * state.longest_apply_time,
+            format_time(state.written_at)
         );
-        let newest = memory.history.iter().rev().take(self.newest);
-        newest.for_each(|record| println!("{}", line(record)));
+        let newest = datastore.history.iter().rev().take(self.newest);
+        newest.for_each(|record| println!("{}", format_record(record)));
         if let Some(PendingVersion {
             since,
             author,
             errors,
-        }) = &remembered.pending_version
+        }) = &state.pending_version
         {
-            println!("held back since {}: {author}", time(*since));
+            println!("held back since {}: {author}", format_time(*since));
             errors
                 .to_string()
                 .lines()
                 .for_each(|error| println!("  {error}"));
         }
-        match memory.rejections.back() {
+        match datastore.rejections.back() {
             Some(last) => {
                 println!(
                     "last refused {}: {}; revision {} stayed",
-                    time(last.at),
+                    format_time(last.at),
                     last.author,
                     last.revision
                 );
@@ -247,7 +253,8 @@
     }
 }
 
-fn line(record: &RevisionRecord) -> String {
+/// The line that describes a revision.
+fn format_record(record: &RevisionRecord) -> String {
     let RevisionRecord {
         number,
         based_on,
@@ -257,7 +264,7 @@
     } = record;
     format!(
         "{number:>6}  {}  {:>6} leaves  {author} (based on {based_on})",
-        time(*at),
+        format_time(*at),
         changes.len()
     )
 }
--- a/router/src/program/config.rs
+++ b/router/src/program/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file and the environment.
+//! The configuration of a router, read from the configuration file and environment variables.
 
 mod error;
 mod file;
@@ -25,34 +25,34 @@
 pub(super) struct ProgramConfiguration<'a> {
     /// The router's name.
     pub(super) name: String,
-    /// Where clients connect to.
+    /// The address that clients connect to.
     pub(super) listen: SocketAddr,
     /// The address of discovery.
     pub(super) discovery: SocketAddr,
-    /// The seed of the random numbers.
+    /// The seed of the random number generator.
     pub(super) seed: u64,
-    /// What the process may use.
+    /// The memory and file descriptors that the process may use.
     pub(super) limits: ResourceLimits,
-    /// Where gossip is received.
+    /// The address on which gossip is received; no gossip is received if `None`.
     pub(super) peer_listen: Option<SocketAddr>,
-    /// The other routers, by their numbers.
+    /// The gossip addresses of the routers, by router number.
     pub(super) peers: Vec<SocketAddr>,
-    /// An address that reaches all other routers.
+    /// An address that reaches all other routers; no gossip is broadcast if `None`.
     pub(super) peers_all: Option<SocketAddr>,
-    /// The platform, if there is one.
+    /// The platform's address and last known state; `None` without a platform.
     pub(super) platform: Option<PlatformSettings>,
-    /// The endpoint list as last known.
+    /// The last known endpoint list.
     pub(super) known: Option<EndpointList<'a>>,
-    /// For the decisions.
+    /// The settings of the decisions.
     pub(super) service: ServiceSettings,
-    /// For the transport.
+    /// The settings of the transport.
     pub(super) transport: TransportSettings,
-    /// What memory is left for the hosts that are listed.
+    /// The memory that is left for endpoint lists.
     pub(super) budget: MemoryBudget,
 }
 
 impl ProgramConfiguration<'_> {
-    /// The limits that follow.
+    /// The limits that follow from this configuration.
     pub(super) fn limits(&self) -> Limits {
         Limits::new(
             self.limits.sockets,
@@ -64,11 +64,11 @@
     }
 }
 
-/// Reads the text of the file that `path` or else the environment names.
+/// Reads the text of the file at `path` or else at `$PROXY_CONFIG`.
 ///
 /// # Errors
 ///
-/// Where none is named, or it cannot be read, is no regular file or is too long.
+/// If neither names a file, or the file cannot be read, is not a regular file or is too long.
 pub(super) fn load(path: Option<String>) -> Result<String, ConfigError> {
     let path = path.or_else(|| env::var("PROXY_CONFIG").ok());
     let path = path.ok_or(ConfigError::NotNamed)?;
@@ -77,7 +77,7 @@
 
 fn read_file(path: &str) -> Result<String, String> {
     let file = File::open(path).map_err(|e| e.to_string())?;
-    // Neither an endless pipe nor an oversized file may hold up a router that serves.
+    // Reading an endless pipe or an oversized file would block a serving router on a reload.
     let metadata = file.metadata().map_err(|e| e.to_string())?;
     if !metadata.is_file() {
         return Err("it is no file".into());
@@ -96,25 +96,25 @@
     Ok(text)
 }
 
-/// When a configuration is read.
+/// Whether a configuration is read at the start or on a reload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ReadTime {
+pub(super) enum ReadMode {
     /// At the start of the program.
     Start,
-    /// While it runs. The environment only tells where discovery was at the start.
+    /// While the program runs. `$PROXY_DISCOVERY` is ignored then, since the file may name a new address of discovery.
     Reload {
         /// The memory that the program was started with, in MiB.
         memory_mb: usize,
     },
 }
 
-/// The address in an environment variable, which goes before the file's.
-fn address(variable: &'static str, in_file: SocketAddr) -> Result<SocketAddr, ConfigError> {
+/// The address in an environment variable, which takes precedence over the one in the file.
+fn address(variable: &'static str, file_value: SocketAddr) -> Result<SocketAddr, ConfigError> {
     match env::var(variable) {
         Ok(text) => text
             .parse()
             .map_err(|_| ConfigError::NotAnAddress { variable, text }),
-        Err(_) => Ok(in_file),
+        Err(_) => Ok(file_value),
     }
 }
 
@@ -122,16 +122,16 @@
 ///
 /// # Errors
 ///
-/// The first value that is missing, malformed or more than there is memory for.
-pub(super) fn read(text: &str, time: ReadTime) -> Result<ProgramConfiguration<'_>, ConfigError> {
+/// The first value that is missing, malformed or exceeds the memory budget.
+pub(super) fn read(text: &str, mode: ReadMode) -> Result<ProgramConfiguration<'_>, ConfigError> {
     let file = parse_file(text)?;
     let seed = parse_seed(&file.seed)?;
     if file.limits.sockets == 0 || file.limits.memory_mb == 0 {
         return Err(ConfigError::ZeroLimit);
     }
-    let mut budget = MemoryBudget::new(match time {
-        ReadTime::Start => file.limits.memory_mb,
-        ReadTime::Reload { memory_mb } => memory_mb.min(file.limits.memory_mb),
+    let mut budget = MemoryBudget::new(match mode {
+        ReadMode::Start => file.limits.memory_mb,
+        ReadMode::Reload { memory_mb } => memory_mb.min(file.limits.memory_mb),
     });
     budget
         .reserve(text.len())
@@ -154,9 +154,9 @@
     Ok(ProgramConfiguration {
         name: env::var("PROXY_NAME").unwrap_or(file.name),
         listen: address("PROXY_LISTEN", file.listen)?,
-        discovery: match time {
-            ReadTime::Start => address("PROXY_DISCOVERY", file.discovery)?,
-            ReadTime::Reload { .. } => file.discovery,
+        discovery: match mode {
+            ReadMode::Start => address("PROXY_DISCOVERY", file.discovery)?,
+            ReadMode::Reload { .. } => file.discovery,
         },
         seed,
         limits: file.limits,
--- a/router/src/program/config/error.rs
+++ b/router/src/program/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration is not used.
+//! Errors in a configuration.
 
 use std::fmt;
 
@@ -7,10 +7,10 @@
 
 use crate::limits::MemoryBudgetError;
 
-/// Why a configuration cannot be read or used.
+/// Why a configuration cannot be read or applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(in crate::program) enum ConfigError {
-    /// No file is named.
+    /// Neither the command line nor the environment names a configuration file.
     #[error("no configuration: neither --config nor PROXY_CONFIG names a file")]
     NotNamed,
     /// The file cannot be read.
@@ -18,10 +18,10 @@
     Unreadable {
         /// The file's path.
         path: String,
-        /// What the operating system says, or what is wrong with the file.
+        /// The error of the operating system, or the reason why the file is not accepted.
         problem: String,
     },
-    /// An environment variable is no address.
+    /// An environment variable does not hold an address and port.
     #[error("{variable}={text} is no address and port")]
     NotAnAddress {
         /// The variable's name.
@@ -29,21 +29,21 @@
         /// Its value.
         text: String,
     },
-    /// The file is no JSON object of the expected form.
+    /// The file is not JSON, or not of the expected structure.
     #[error("{}{problem}", path_prefix(.path))]
     Malformed {
-        /// The path of the value that is wrong; empty where it is not known.
+        /// The path of the wrong value; empty if it is not known.
         path: String,
-        /// What the parser says.
+        /// The parser's error.
         problem: String,
     },
-    /// The seed is no hexadecimal number.
+    /// The seed is not a hexadecimal number.
     #[error("seed: {0} is no hexadecimal number")]
     Seed(String),
-    /// A limit is 0.
+    /// `limits.sockets` or `limits.memory_mb` is 0.
     #[error("limits: sockets and memory_mb must be more than 0")]
     ZeroLimit,
-    /// A field lists more than there is memory for.
+    /// A field exceeds the memory budget.
     #[error(
         "{field}: more than memory bears ({count} {unit}; {} at most where limits.memory_mb is {})",
         .budget.maximum,
@@ -52,27 +52,27 @@
     TooMuchMemory {
         /// The field's path.
         field: &'static str,
-        /// How much it lists.
+        /// The number of units in the field.
         count: usize,
-        /// Of what.
+        /// The unit of `count`.
         unit: MemoryUnit,
-        /// What there is memory for.
+        /// The maximum that the memory budget allows.
         budget: MemoryBudgetError,
     },
-    /// More hosts are listed than a router keeps.
+    /// More hosts are listed than a router keeps at most.
     #[error("{field}: more than a router keeps ({count} hosts; {maximum} at most)")]
     TooManyHosts {
         /// The field's path.
         field: &'static str,
-        /// How many are listed.
+        /// The number of listed hosts.
         count: usize,
-        /// How many are kept.
+        /// The most hosts that a router keeps.
         maximum: usize,
     },
-    /// A value of the settings is missing or cannot be used.
+    /// A value of the settings is missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Fields differ that cannot change while the program runs.
+    /// Fields have changed that cannot change while the program runs.
     #[error("{}: only a restart changes it", .fields.join(", "))]
     NeedsRestart {
         /// The fields' names.
@@ -80,14 +80,14 @@
     },
 }
 
-/// What is counted where memory does not suffice.
+/// The unit in which a field that exceeds the memory budget is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::program) enum MemoryUnit {
     /// Bytes of the file.
     Bytes,
     /// Addresses of peers.
     Addresses,
-    /// Listed hosts.
+    /// Hosts of an endpoint list.
     Hosts,
 }
 
--- a/router/src/program/config/file.rs
+++ b/router/src/program/config/file.rs
@@ -1,7 +1,7 @@
-//! The configuration file by its names.
+//! The structure of the configuration file.
 //!
-//! serde's error texts hold the Rust names of these types, which routers print and log: they are kept as they have
-//! been, and exported by the names that the rest of the program uses.
+//! serde's error texts, which routers print and log, contain the Rust names of these types. The types therefore keep
+//! their names, and the rest of the program imports them under other names.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 
 use crate::protocol::platform::RolloutStateFields;
 
-/// The file by its names.
+/// The configuration file.
 #[derive(Deserialize)]
 pub(super) struct File<'a> {
     pub(super) name: String,
@@ -19,7 +19,7 @@
     pub(super) seed: String,
     pub(super) limits: Sizes,
     pub(super) peer_listen: Option<SocketAddr>,
-    // Each of these is parsed once it is known how much memory there is for it.
+    // The raw values are parsed later, once the memory budget is known.
     #[serde(borrow, default = "no_peers")]
     pub(super) peers: &'a RawValue,
     pub(super) peers_all: Option<SocketAddr>,
@@ -34,20 +34,20 @@
     serde_json::from_str("[]").unwrap_or(RawValue::NULL)
 }
 
-/// What the process may use.
+/// The memory and file descriptors that the process may use.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub(in crate::program) struct Sizes {
     /// Memory in MiB.
     pub(in crate::program) memory_mb: usize,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub(in crate::program) sockets: usize,
 }
 
-/// Where the platform is.
+/// The platform's address and last known state.
 #[derive(Deserialize)]
 pub(in crate::program) struct Platform {
     /// The platform's address.
     pub(in crate::program) address: SocketAddr,
-    /// The state of the rollout as last known.
+    /// The last known state of the rollout.
     pub(in crate::program) news: Option<RolloutStateFields>,
 }
--- a/router/src/program/config/parts.rs
+++ b/router/src/program/config/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of the file that are parsed once it is known how much memory there is for them.
+//! The parts of the configuration file that are parsed once the memory budget is known.
 
 use std::net::SocketAddr;
 
@@ -9,18 +9,19 @@
 
 use super::error::{ConfigError, MemoryUnit};
 use crate::limits::MemoryBudget;
-use crate::program::unique::Unique;
+use crate::program::unique_keys::UniqueKeys;
 use crate::protocol::discovery::{self, EndpointList};
 
-const KNOWN_HOSTS: &str = "known.targets";
+/// The field of the configuration file that lists the last known hosts.
+const KNOWN_HOSTS_FIELD: &str = "known.targets";
 
-/// The addresses of the peers.
+/// Parses the addresses of the peers and reserves memory for them.
 pub(super) fn peers(
     raw: &RawValue,
     budget: &mut MemoryBudget,
 ) -> Result<Vec<SocketAddr>, ConfigError> {
     let text = raw.get();
-    // No address holds a comma, so that addresses can be counted before memory is reserved for them.
+    // Addresses contain no comma, so that they can be counted, and memory reserved, before they are parsed.
     let count = if text.contains('"') {
         text.matches(',').count() + 1
     } else {
@@ -39,16 +40,16 @@
         .map_err(|error| part_error("peers", &error.path().to_string(), error.inner()))
 }
 
-/// The settings object, no key of which may stand twice.
+/// Parses the settings object, in which no key may occur twice, and reserves memory for it.
 pub(super) fn settings(raw: &RawValue, budget: &mut MemoryBudget) -> Result<Value, ConfigError> {
     let reader = &mut serde_json::Deserializer::from_str(raw.get());
     let mut track = Track::new();
     let deserializer = serde_path_to_error::Deserializer::new(reader, &mut track);
-    let value = Unique { budget }.deserialize(deserializer);
+    let value = UniqueKeys { budget }.deserialize(deserializer);
     value.map_err(|error| part_error("settings", &track.path().to_string(), &error))
 }
 
-/// The endpoint list as last known.
+/// Parses the last known endpoint list and checks its length. No memory is reserved, as later lists replace it.
 pub(super) fn known_hosts<'a>(
     raw: &'a RawValue,
     budget: &MemoryBudget,
@@ -64,14 +65,14 @@
     budget
         .check_hosts(count)
         .map_err(|budget| ConfigError::TooMuchMemory {
-            field: KNOWN_HOSTS,
+            field: KNOWN_HOSTS_FIELD,
             count,
             unit: MemoryUnit::Hosts,
             budget,
         })?;
     if count > budget.max_hosts() {
         return Err(ConfigError::TooManyHosts {
-            field: KNOWN_HOSTS,
+            field: KNOWN_HOSTS_FIELD,
             count,
             maximum: budget.max_hosts(),
         });
@@ -79,7 +80,7 @@
     Ok(list)
 }
 
-/// An error within a part of the file, by its path in the file.
+/// An error in a part of the file, with `path` (within the part) extended to the path in the file.
 fn part_error(field: &str, path: &str, error: &serde_json::Error) -> ConfigError {
     let path = if path == "." {
         field.to_owned()
@@ -94,7 +95,7 @@
     }
 }
 
-/// A parser's error without line and column, which would be those within the part.
+/// A parser's error without line and column, which are relative to the part and would be wrong for the file.
 fn without_position(problem: &str) -> &str {
     problem
         .split_once(" at line ")
--- a/router/src/program/config/startup_only.rs
+++ b/router/src/program/config/startup_only.rs
@@ -1,4 +1,4 @@
-//! The fields that cannot change while the program runs.
+//! The configuration fields that cannot change while the program runs.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use super::{ConfigError, ProgramConfiguration, ResourceLimits};
 
-/// What the program was started with and keeps until it ends.
+/// The values that those fields had at the start.
 pub(in crate::program) struct StartupOnly {
     name: String,
     listen: SocketAddr,
@@ -21,7 +21,7 @@
 }
 
 impl StartupOnly {
-    /// Copies the fields.
+    /// Copies the fields from the configuration that the program starts with.
     pub(in crate::program) fn of(configuration: &ProgramConfiguration) -> Self {
         StartupOnly {
             name: configuration.name.clone(),
@@ -36,12 +36,12 @@
         }
     }
 
-    /// The memory that the program may use, in MiB.
+    /// The memory limit that the program was started with, in MiB.
     pub(in crate::program) fn memory_mb(&self) -> usize {
         self.limits.memory_mb
     }
 
-    /// Checks that a configuration that was read again differs in none of these fields.
+    /// Checks that a reloaded configuration has the same values in these fields.
     ///
     /// # Errors
     ///
@@ -68,7 +68,7 @@
         ];
         let fields: Vec<_> = unchanged
             .iter()
-            .filter(|(_, unchanged)| !unchanged)
+            .filter(|(_, is_unchanged)| !is_unchanged)
             .map(|(field, _)| *field)
             .collect();
         if fields.is_empty() {
--- a/router/src/program/logs.rs
+++ b/router/src/program/logs.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error, written by a thread of their own so that nothing waits for them.
+//! The log: lines on standard error, written by a thread of their own so that logging never blocks the event loop.
 
 use std::io::{BufWriter, stderr};
 
@@ -7,11 +7,13 @@
 
 use crate::limits::Limits;
 
-/// The logger, and what keeps its thread; lines beyond the backlog are dropped and counted.
+/// Starts the logging thread. Returns the logger, and the guard that flushes the log and ends the thread when dropped.
+/// Lines that exceed the queue's capacity are dropped and counted.
 pub fn start(name: &str, level: Level, limits: &Limits) -> (Logger, AsyncGuard) {
-    // A line is written as one, where it would be some twenty pieces that each can wait for whoever reads them.
-    let whole = BufWriter::with_capacity(limits.log.line_bytes, stderr());
-    let lines = slog_term::FullFormat::new(slog_term::PlainDecorator::new(whole));
+    // Buffered, so that a line is one write. Unbuffered it would be some twenty writes, each of which can block on a
+    // slow reader.
+    let buffered = BufWriter::with_capacity(limits.log.line_bytes, stderr());
+    let lines = slog_term::FullFormat::new(slog_term::PlainDecorator::new(buffered));
     let lines = lines
         .use_utc_timestamp()
         .use_original_order()
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -1,11 +1,11 @@
-//! The command line, the configuration, the log and the loop.
+//! The program: its command line and sub-commands, its configuration and its log.
 
 mod commands;
 mod config;
 mod logs;
 pub mod operator;
 mod serve;
-mod unique;
+mod unique_keys;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,13 +13,13 @@
 use argh::FromArgs;
 
 use crate::management_threads::OperatorSettings;
-use config::{ConfigError, ProgramConfiguration, ReadTime};
+use config::{ConfigError, ProgramConfiguration, ReadMode};
 use serve::Serve;
 
-/// kestreltide splits invocations between an earlier and a trial build of a service, and votes the trial on
-/// or back.
+/// kestreltide splits requests between the baseline and the canary build of a service, and votes to promote
+/// the canary or to roll it back.
 #[derive(FromArgs)]
-struct Line {
+struct CommandLine {
     #[argh(subcommand)]
     command: Option<Command>,
 }
@@ -37,7 +37,7 @@
     Version(Version),
 }
 
-/// read the configuration as serve would, say what is wrong with it, and end
+/// check a configuration as serve does at its start, and report the first error
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check-config")]
 struct CheckConfig {
@@ -46,7 +46,7 @@
     config: Option<String>,
 }
 
-/// print the limits that a configuration leads to
+/// print the limits that follow from a configuration
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show-limits")]
 struct ShowLimits {
@@ -60,10 +60,12 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-/// Runs the sub-command of the command line.
+/// Runs the sub-command that the command line names, `serve` by default.
 pub fn main() -> ExitCode {
-    let line: Line = argh::from_env();
-    let result = run(line.command.unwrap_or(Command::Serve(Serve::default())));
+    let command_line: CommandLine = argh::from_env();
+    let result = run(command_line
+        .command
+        .unwrap_or(Command::Serve(Serve::default())));
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -99,19 +101,19 @@
     }
 }
 
-/// Reads the configuration as a router would at its start.
+/// Reads the configuration as a router does at its start, and passes it to `show`.
 fn with_configuration(
     path: Option<String>,
     show: impl FnOnce(&ProgramConfiguration),
 ) -> Result<(), ConfigError> {
     let text = config::load(path)?;
-    show(&config::read(&text, ReadTime::Start)?);
+    show(&config::read(&text, ReadMode::Start)?);
     Ok(())
 }
 
-/// What the operator file says that the command line or else the environment names.
-fn operators(named: &Option<PathBuf>) -> Result<OperatorSettings, String> {
-    let path = named
+/// Loads the operator file at `path` or else at `$KESTRELTIDE_OPERATOR`; the defaults if neither names a file.
+fn load_operator_settings(path: &Option<PathBuf>) -> Result<OperatorSettings, String> {
+    let path = path
         .clone()
         .or_else(|| std::env::var_os("KESTRELTIDE_OPERATOR").map(PathBuf::from));
     path.map_or_else(
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -1,5 +1,5 @@
-//! The operator file: what a router has beside the platform's, section by section. All of it is off by default,
-//! and all that is wrong in it is told at once.
+//! The operator file, which configures the datastore, the watched files and the management interfaces. All of them are
+//! off by default. All errors in the file are reported at once.
 
 use std::fmt::Write;
 use std::fs;
@@ -18,20 +18,18 @@
     FileWatchSettings, GnmiSettings, ManagementSettings, NetconfSettings, OperatorSettings,
 };
 
-/// What the value of a key is.
+/// The type of a key's value.
 #[derive(Clone, Copy, Debug)]
 enum ValueKind {
-    /// A path, from the operator file's own folder where it is not absolute.
+    /// A path; a relative one is resolved against the directory of the operator file.
     Path,
+    /// `on` or `off`.
     Flag,
-    Integer {
-        minimum: usize,
-        maximum: usize,
-    },
-    Seconds {
-        minimum: f64,
-        maximum: f64,
-    },
+    /// A whole number in this range, bounds included.
+    Integer { minimum: usize, maximum: usize },
+    /// Seconds in this range, bounds included.
+    Seconds { minimum: f64, maximum: f64 },
+    /// An IP address and port.
     Address,
 }
 
@@ -40,13 +38,13 @@
     section: &'static str,
     key: &'static str,
     kind: ValueKind,
-    /// Its default as text; empty: it has none.
+    /// The default value as text; empty if there is none.
     default: &'static str,
-    /// What it is for, in words.
+    /// The description that `show-operator` prints.
     purpose: &'static str,
 }
 
-/// All keys, section by section.
+/// All keys, grouped by section.
 const KEYS: [KeyDefinition; 16] = [
     KeyDefinition {
         section: "datastore",
@@ -174,19 +172,25 @@
     },
 ];
 
-/// Bytes of a watched file.
+/// Maximum size of a watched file in bytes.
 const MAX_FILE_BYTES: usize = 8 << 20;
-/// How long a file that never rests is waited for, as a multiple of the settling time.
+/// Longest time that a file which keeps changing is waited for, as a multiple of the key `settle`.
 const MAX_DELAY_PER_SETTLE: f64 = 7.5;
-/// The least time between two versions, as a multiple of the settling time.
+/// Shortest interval between two versions, as a multiple of the key `settle`.
 const MIN_INTERVAL_PER_SETTLE: f64 = 1.0;
 
+/// The names of the sections, in the order of [`KEYS`].
 fn sections() -> Vec<&'static str> {
     let mut names: Vec<_> = KEYS.iter().map(|definition| definition.section).collect();
     names.dedup();
     names
 }
 
+/// Checks the value of a key.
+///
+/// # Errors
+///
+/// What is wrong with the value, and what is allowed.
 fn check_value(kind: ValueKind, text: &str) -> Result<(), (&'static str, String)> {
     match kind {
         ValueKind::Path if text.is_empty() => Err(("is empty", "a path".into())),
@@ -213,23 +217,27 @@
     }
 }
 
-/// What a whole operator file says, or everything that is wrong with it.
-pub fn parse(place: &Path, text: &str) -> Result<OperatorSettings, ValidationErrors> {
-    let (name, folder) = (
-        place.display().to_string(),
-        place.parent().unwrap_or(Path::new("")),
+/// Parses the text of an operator file. `path` is used to resolve relative paths and in error messages.
+///
+/// # Errors
+///
+/// All errors of the file.
+pub fn parse(path: &Path, text: &str) -> Result<OperatorSettings, ValidationErrors> {
+    let (file_name, directory) = (
+        path.display().to_string(),
+        path.parent().unwrap_or(Path::new("")),
     );
-    let read = ini::sections(&name, text)?;
+    let file_sections = ini::sections(&file_name, text)?;
     let mut errors = ValidationErrors::default();
-    for (number, section) in read.iter().enumerate() {
-        check_section(&name, section, &mut errors);
-        if let Some(first) = read[..number]
+    for (number, section) in file_sections.iter().enumerate() {
+        check_section(&file_name, section, &mut errors);
+        if let Some(first) = file_sections[..number]
             .iter()
             .find(|first| first.name == section.name)
         {
-            let path = format!("{name}:{}: [{}]", section.line, section.name);
+            let location = format!("{file_name}:{}: [{}]", section.line, section.name);
             errors.push(ValidationError::new(
-                path,
+                location,
                 format!("stands at line {} too", first.line),
                 &section.name,
                 "each section once",
@@ -237,23 +245,23 @@
         }
     }
     errors.into_result()?;
-    let said = |section: &str, key: &str| {
-        let section = read.iter().find(|read| read.name == section)?;
+    let file_value = |section: &str, key: &str| {
+        let section = file_sections.iter().find(|found| found.name == section)?;
         section
             .keys
             .iter()
-            .find(|read| read.name == key)
+            .find(|found| found.name == key)
             .map(|key| key.value.as_str())
     };
-    let text = |section: &str, key: &str| {
-        said(section, key).unwrap_or_else(|| {
+    let value_or_default = |section: &str, key: &str| {
+        file_value(section, key).unwrap_or_else(|| {
             KEYS.iter()
                 .find(|definition| definition.section == section && definition.key == key)
                 .map_or("", |definition| definition.default)
         })
     };
-    let path = |section, key| said(section, key).map(|path| folder.join(path));
-    let seconds = |section, key| text(section, key).parse().unwrap_or(0.0);
+    let path = |section, key| file_value(section, key).map(|path| directory.join(path));
+    let seconds = |section, key| value_or_default(section, key).parse().unwrap_or(0.0);
     let files = [
         (FileKind::Hosts, path("watch", "hosts")),
         (FileKind::Weights, path("watch", "weights")),
@@ -263,44 +271,51 @@
         .filter_map(|(kind, path)| Some((kind, path?)))
         .collect();
     let (discovery, watch) = (
-        text("watch", "discovery") == "on",
-        read.iter().find(|section| section.name == "watch"),
+        value_or_default("watch", "discovery") == "on",
+        file_sections.iter().find(|section| section.name == "watch"),
     );
-    let management = read.iter().find(|section| section.name == "management");
+    let management = file_sections
+        .iter()
+        .find(|section| section.name == "management");
     let mut errors = ValidationErrors::default();
     if let Some(section) = management {
-        // A front that cannot prove itself, or let anybody in, is a mistake.
+        // An interface needs the keys of its clients, and a key or certificate of its own.
         let (netconf, gnmi) = (
-            said("management", "netconf").is_some(),
-            said("management", "gnmi").is_some(),
+            file_value("management", "netconf").is_some(),
+            file_value("management", "gnmi").is_some(),
         );
-        let needs = [
+        let required_keys = [
             ("keys", netconf || gnmi),
             ("ssh-host-key", netconf),
             ("certificate", gnmi),
             ("key", gnmi),
             ("client-ca", gnmi),
         ];
-        for (key, _) in needs
+        for (key, _) in required_keys
             .into_iter()
-            .filter(|(key, needed)| *needed && said("management", key).is_none())
+            .filter(|(key, is_required)| *is_required && file_value("management", key).is_none())
         {
-            let at = format!("{name}:{}: [management] {key}", section.line);
-            errors.push(ValidationError::new(at, "is missing", "nothing", "a path"));
+            let location = format!("{file_name}:{}: [management] {key}", section.line);
+            errors.push(ValidationError::new(
+                location,
+                "is missing",
+                "nothing",
+                "a path",
+            ));
         }
     }
     if let Some(section) = watch {
-        let at = format!("{name}:{}: [watch]", section.line);
+        let location = format!("{file_name}:{}: [watch]", section.line);
         if files.is_empty() {
             errors.push(ValidationError::new(
-                &at,
+                &location,
                 "names no file to watch",
                 "nothing",
                 "hosts, weights or both",
             ));
-        } else if !discovery && said("watch", "hosts").is_none() {
+        } else if !discovery && file_value("watch", "hosts").is_none() {
             errors.push(ValidationError::new(
-                at,
+                location,
                 "nobody would list hosts",
                 "discovery = off",
                 "a file of hosts with it",
@@ -309,25 +324,26 @@
     }
     errors.into_result()?;
     let settle = seconds("watch", "settle");
-    let patience = DebounceSettings {
+    let debounce = DebounceSettings {
         quiet_period: settle,
         max_delay: MAX_DELAY_PER_SETTLE * settle,
         poll_interval: seconds("watch", "poll"),
         min_interval: MIN_INTERVAL_PER_SETTLE * settle,
     };
-    let (compare, notices) = (
+    let (compare_interval, use_notifier) = (
         seconds("watch", "compare"),
-        text("watch", "notices") == "on",
+        value_or_default("watch", "notices") == "on",
     );
     let paths = files.iter().map(|(_, path)| path.clone()).collect();
     let watched = WatchSettings {
         files: paths,
         max_file_size: MAX_FILE_BYTES,
-        debounce: patience,
-        compare_interval: compare,
-        use_notifier: notices,
+        debounce,
+        compare_interval,
+        use_notifier,
     };
-    let address = |key| said("management", key).and_then(|text| text.parse::<SocketAddr>().ok());
+    let address =
+        |key| file_value("management", key).and_then(|text| text.parse::<SocketAddr>().ok());
     let file = |key| path("management", key).unwrap_or_default();
     let netconf = address("netconf").map(|listen| NetconfSettings {
         listen,
@@ -348,7 +364,7 @@
         gnmi,
         keys,
     });
-    let revisions = text("datastore", "history")
+    let revisions = value_or_default("datastore", "history")
         .parse()
         .unwrap_or(HistoryLimits::default().revisions);
     Ok(OperatorSettings {
@@ -366,13 +382,14 @@
     })
 }
 
-fn check_section(name: &str, section: &Section, errors: &mut ValidationErrors) {
+/// Checks the name of a section, and its keys and their values.
+fn check_section(file_name: &str, section: &Section, errors: &mut ValidationErrors) {
     let keys: Vec<_> = KEYS
         .iter()
         .filter(|definition| definition.section == section.name)
         .map(|definition| definition.key)
         .collect();
-    let at = format!("{name}:{}", section.line);
+    let location = format!("{file_name}:{}", section.line);
     if section.name.is_empty() {
         let first = section
             .keys
@@ -380,59 +397,73 @@
             .map(|key| printable(&key.name))
             .unwrap_or_default();
         return errors.push(ValidationError::new(
-            at,
+            location,
             "a key stands before the first section",
             first,
             "[section] first",
         ));
     }
     if keys.is_empty() {
-        return errors.push(ini::unknown_name(&at, "section", &section.name, sections()));
+        return errors.push(ini::unknown_name(
+            &location,
+            "section",
+            &section.name,
+            sections(),
+        ));
     }
-    ini::check_keys(name, section, &keys, errors);
+    ini::check_keys(file_name, section, &keys, errors);
     for key in &section.keys {
         let definition = KEYS
             .iter()
             .find(|definition| definition.section == section.name && definition.key == key.name);
-        if let Some(Err((what, taken))) =
+        if let Some(Err((problem, allowed))) =
             definition.map(|definition| check_value(definition.kind, &key.value))
         {
-            let path = format!("{name}:{}: [{}] {}", key.line, section.name, key.name);
+            let location = format!("{file_name}:{}: [{}] {}", key.line, section.name, key.name);
             errors.push(ValidationError::new(
-                path,
-                what,
+                location,
+                problem,
                 printable(&key.value),
-                taken,
+                allowed,
             ));
         }
     }
 }
 
-/// Reads the file, and says of everything that is wrong what and where.
+/// Reads and parses an operator file.
+///
+/// # Errors
+///
+/// If the file cannot be read, or all errors in it with their lines.
 pub fn load(path: &Path) -> Result<OperatorSettings, String> {
-    let unread = |why: &dyn std::fmt::Display| format!("{}: cannot be read: {why}", path.display());
+    let unreadable =
+        |reason: &dyn std::fmt::Display| format!("{}: cannot be read: {reason}", path.display());
     let bytes = kestreltide_file_watch::read_file::read(path, Limits::CONFIG_FILE_BYTES)
-        .map_err(|why| unread(&why))?;
-    let text = String::from_utf8(bytes).map_err(|e| unread(&e))?;
+        .map_err(|error| unreadable(&error))?;
+    let text = String::from_utf8(bytes).map_err(|error| unreadable(&error))?;
     parse(path, &text).map_err(|errors| errors.to_string())
 }
 
-/// All keys with their values in force, as a file that says the same.
+/// All keys with their values in force, in the format of the operator file. Without a file, all are at their defaults.
+///
+/// # Errors
+///
+/// If the file cannot be read or is invalid.
 pub fn show(path: Option<&Path>) -> Result<String, String> {
-    let mut said = vec![];
+    let mut file_sections = vec![];
     if let Some(path) = path {
         load(path)?;
         let text = fs::read_to_string(path).map_err(|e| e.to_string())?;
-        said =
+        file_sections =
             ini::sections(&path.display().to_string(), &text).map_err(|error| error.to_string())?;
     }
     let mut out = String::new();
     for section in sections() {
-        let on = said.iter().find(|said| said.name == section);
+        let in_file = file_sections.iter().find(|found| found.name == section);
         let _ = writeln!(
             out,
             "[{section}]{}",
-            if on.is_some() {
+            if in_file.is_some() {
                 ""
             } else {
                 " ; not in the file"
@@ -447,7 +478,8 @@
             .iter()
             .filter(|definition| definition.section == section)
         {
-            let value = on.and_then(|on| on.keys.iter().find(|said| said.name == *key));
+            let value =
+                in_file.and_then(|found| found.keys.iter().find(|found| found.name == *key));
             let _ = match value {
                 Some(value) => writeln!(out, "{key} = {}", value.value),
                 None if default.is_empty() => writeln!(out, "; {key} =   ({purpose})"),
--- a/router/src/program/serve.rs
+++ b/router/src/program/serve.rs
@@ -1,4 +1,4 @@
-//! Running a router until it is told to stop.
+//! The sub-command `serve`, which runs a router until SIGTERM or SIGINT.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,14 +10,14 @@
 use slog::{Logger, error, info, warn};
 use thiserror::Error;
 
-use super::config::{self, ConfigError, ProgramConfiguration, ReadTime, StartupOnly};
+use super::config::{self, ConfigError, ProgramConfiguration, ReadMode, StartupOnly};
 use super::logs;
 use crate::limits::Limits;
 use crate::management_threads::{ManagementThreads, OperatorSettings, StartError, ThreadContext};
 use crate::routing::{Addresses, NextStep, Routing};
 use crate::transport::{Clock, Reactor};
 
-/// run a router until it is told to stop (also what happens without a sub-command)
+/// run a router until SIGTERM or SIGINT (the default without a sub-command)
 #[derive(FromArgs, Default)]
 #[argh(subcommand, name = "serve")]
 pub(super) struct Serve {
@@ -27,40 +27,40 @@
     /// how much to log: error, warn, info or debug (default: info)
     #[argh(option, short = 'l', from_str_fn(log_level))]
     log: Option<slog::Level>,
-    /// the operator file (default: $KESTRELTIDE_OPERATOR; without one nothing of it is on)
+    /// the operator file (default: $KESTRELTIDE_OPERATOR; without one, all that it configures is off)
     #[argh(option, short = 'o')]
     operator: Option<PathBuf>,
 }
 
 fn log_level(text: &str) -> Result<slog::Level, String> {
     text.parse()
-        .map_err(|()| format!("{text} is no level: error, warn, info or debug"))
+        .map_err(|()| format!("{text} is not a log level: error, warn, info or debug"))
 }
 
-/// Why a router does not serve any more, or never did.
+/// An error that keeps the router from starting or ends it.
 #[derive(Debug, Error)]
 pub(super) enum ServeError {
-    /// The system refuses what the event loop needs.
+    /// The event loop cannot be created.
     #[error("the event loop cannot start: {0}")]
     EventLoopStart(io::Error),
-    /// The configuration cannot be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The operator file cannot be used.
+    /// The operator file cannot be read or is invalid.
     #[error("{0}")]
     OperatorFile(String),
-    /// The threads beside the event loop cannot be started.
+    /// The management threads cannot be started.
     #[error(transparent)]
     ManagementThreads(#[from] StartError),
-    /// The address for clients cannot be listened on.
+    /// The router cannot listen on the address for clients.
     #[error("listen: {address} cannot be listened on: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The system's poll failed.
+    /// Polling the sockets failed.
     #[error("the event loop failed: {0}")]
     EventLoop(io::Error),
 }
@@ -70,8 +70,8 @@
     pub(super) fn run(&self) -> Result<(), ServeError> {
         let reactor = Reactor::start().map_err(ServeError::EventLoopStart)?;
         let text = config::load(self.config.clone())?;
-        let configuration = config::read(&text, ReadTime::Start)?;
-        let operators = self.operators()?;
+        let configuration = config::read(&text, ReadMode::Start)?;
+        let operator_settings = self.operator_settings()?;
         let clock = Clock::start();
         let limits = configuration.limits();
         let level = self.log.unwrap_or(slog::Level::Info);
@@ -79,20 +79,20 @@
         info!(log, "starting"; "version" => env!("CARGO_PKG_VERSION"),
             "routers" => configuration.service.routers, "me" => configuration.service.router_id.0);
         let startup_only = StartupOnly::of(&configuration);
-        let start = Start {
+        let startup = RouterStartup {
             log: &log,
             clock,
             limits,
-            operators: &operators,
+            operator_settings: &operator_settings,
         };
-        let (mut routing, threads) = start.routing(reactor, configuration)?;
+        let (mut routing, threads) = startup.start(reactor, configuration)?;
         let result = loop {
             match routing.run_iteration() {
                 Ok(NextStep::Continue) => {}
                 Ok(NextStep::ReloadConfiguration) => {
                     self.reload(&log, &mut routing, &startup_only);
                     threads.iter().for_each(ManagementThreads::poll_files);
-                    self.check_operator_file(&log, &operators);
+                    self.check_operator_file(&log, &operator_settings);
                 }
                 Ok(NextStep::Stop) => break Ok(()),
                 Err(e) => break Err(ServeError::EventLoop(e)),
@@ -110,18 +110,18 @@
         result
     }
 
-    fn operators(&self) -> Result<OperatorSettings, ServeError> {
-        super::operators(&self.operator).map_err(ServeError::OperatorFile)
+    fn operator_settings(&self) -> Result<OperatorSettings, ServeError> {
+        super::load_operator_settings(&self.operator).map_err(ServeError::OperatorFile)
     }
 
-    /// Reads the configuration again. A router that serves goes on by what it has where that fails.
+    /// Reads the configuration again. If that fails, the router keeps serving with the configuration that it has.
     fn reload(&self, log: &Logger, routing: &mut Routing, startup_only: &StartupOnly) {
         if let Err(error) = self.apply_configuration(log, routing, startup_only) {
             warn!(log, "reloaded configuration rejected"; "why" => error.to_string());
         }
     }
 
-    /// Applies the fields that may change while the program runs, if all of the configuration is well.
+    /// Applies the fields that may change while the program runs, if the whole configuration is valid.
     fn apply_configuration(
         &self,
         log: &Logger,
@@ -129,10 +129,10 @@
         startup_only: &StartupOnly,
     ) -> Result<(), ConfigError> {
         let text = config::load(self.config.clone())?;
-        let time = ReadTime::Reload {
+        let mode = ReadMode::Reload {
             memory_mb: startup_only.memory_mb(),
         };
-        let configuration = config::read(&text, time)?;
+        let configuration = config::read(&text, mode)?;
         startup_only.check(&configuration)?;
         let platform = configuration.platform.map(|platform| platform.address);
         info!(log, "configuration reloaded"; "discovery" => %configuration.discovery,
@@ -141,35 +141,38 @@
         Ok(())
     }
 
-    fn check_operator_file(&self, log: &Logger, operators: &OperatorSettings) {
-        if !matches!(self.operators(), Ok(found) if found == *operators) {
+    /// Logs a warning if the operator file differs from the settings in use: they are read only at the start.
+    fn check_operator_file(&self, log: &Logger, in_use: &OperatorSettings) {
+        if !matches!(self.operator_settings(), Ok(current) if current == *in_use) {
             warn!(log, "operator file changed or invalid, a restart is needed");
         }
     }
 }
 
-/// What the start of a router needs beside its configuration.
-struct Start<'a> {
+/// What the start of a router needs in addition to its configuration.
+struct RouterStartup<'a> {
     log: &'a Logger,
     clock: Clock,
     limits: Limits,
-    operators: &'a OperatorSettings,
+    operator_settings: &'a OperatorSettings,
 }
 
-impl Start<'_> {
-    /// Starts the router, and the threads that the operator file asks for.
-    fn routing(
+impl RouterStartup<'_> {
+    /// Starts the management threads that the operator file configures, and the router.
+    fn start(
         self,
         mut reactor: Reactor,
         configuration: ProgramConfiguration,
     ) -> Result<(Routing, Option<ManagementThreads>), ServeError> {
         let clock = self.clock;
-        let lists_alone = self.operators.replaces_discovery();
+        let files_replace_discovery = self.operator_settings.replaces_discovery();
         let rollout = known_rollout(&configuration);
         let addresses = addresses(&configuration);
-        let known = configuration.known.filter(|_| !lists_alone);
-        let listed = known.as_ref().filter(|_| self.operators.has_threads());
-        let listed: Option<Vec<HostRecord>> = listed.map(|known| {
+        let known = configuration.known.filter(|_| !files_replace_discovery);
+        let known_hosts = known
+            .as_ref()
+            .filter(|_| self.operator_settings.has_threads());
+        let known_hosts: Option<Vec<HostRecord>> = known_hosts.map(|known| {
             let hosts = known.targets.iter();
             hosts.map(|host| host.to_host_record()).collect()
         });
@@ -181,7 +184,8 @@
             service_settings: &configuration.service,
             operations: configuration.transport.operations.keys().cloned().collect(),
         };
-        let started = context.start_threads(&mut reactor, self.operators, listed, rollout)?;
+        let started =
+            context.start_threads(&mut reactor, self.operator_settings, known_hosts, rollout)?;
         let mut routing = Routing::start(
             self.log.clone(),
             (self.limits, clock),
@@ -196,7 +200,7 @@
         })?;
         let started = started.map(|started| {
             let heartbeats = started.threads.heartbeats();
-            routing.attach_management(started.inbox, heartbeats, !lists_alone);
+            routing.attach_management(started.inbox, heartbeats, !files_replace_discovery);
             (started.snapshot, started.threads)
         });
         if let Some(known) = known {
@@ -216,7 +220,7 @@
     }
 }
 
-/// The state of the rollout as last known.
+/// The last known state of the rollout, from the configuration.
 fn known_rollout(configuration: &ProgramConfiguration) -> Option<RolloutStatus> {
     let platform = configuration.platform.as_ref()?;
     let fields = platform.news.as_ref()?;
--- a/router/src/program/unique.rs
+++ b/router/src/program/unique_keys.rs
@@ -1,5 +1,6 @@
-//! JSON whose objects say each key once: of two values one would be passed over in silence. It may take so much
-//! memory and no more, which is reckoned while it is read: a short text can hold very many values.
+//! Parses JSON into a value and rejects objects in which a key occurs twice, since one of the two values would be
+//! ignored silently. Memory for the values is reserved while they are parsed, since a short text can hold very many
+//! values.
 
 use std::fmt;
 
@@ -8,18 +9,20 @@
 
 use crate::limits::MemoryBudget;
 
-/// Bytes that a value takes beside its text, and an object for its entries, as JSON and as the settings' fields
-/// (measured: 1,340 bytes for an object of three short values, 2,310 for one of seven).
-const VALUE: usize = 256;
-const OBJECT: usize = 640;
+/// Bytes reserved for a value in addition to its text: it exists as JSON and as a field of the settings.
+const VALUE_BYTES: usize = 256;
+/// Bytes reserved for an object in addition to its values. With [`VALUE_BYTES`] this covers the 1,340 bytes of an
+/// object of three short values and the 2,310 bytes of one of seven.
+const OBJECT_BYTES: usize = 640;
 
-/// Reads one value.
-pub struct Unique<'r> {
+/// Deserializes one value.
+pub struct UniqueKeys<'r> {
+    /// The budget from which memory for the value is reserved.
     pub budget: &'r mut MemoryBudget,
 }
 
-impl Unique<'_> {
-    fn take<E: de::Error>(&mut self, bytes: usize) -> Result<(), E> {
+impl UniqueKeys<'_> {
+    fn reserve<E: de::Error>(&mut self, bytes: usize) -> Result<(), E> {
         self.budget.reserve(bytes).map_err(|error| {
             E::custom(format!(
                 "holds more than memory bears (limits.memory_mb is {})",
@@ -29,16 +32,16 @@
     }
 }
 
-impl<'de> DeserializeSeed<'de> for Unique<'_> {
+impl<'de> DeserializeSeed<'de> for UniqueKeys<'_> {
     type Value = Value;
 
-    fn deserialize<D: Deserializer<'de>>(mut self, from: D) -> Result<Value, D::Error> {
-        self.take(VALUE)?;
-        from.deserialize_any(self)
+    fn deserialize<D: Deserializer<'de>>(mut self, deserializer: D) -> Result<Value, D::Error> {
+        self.reserve(VALUE_BYTES)?;
+        deserializer.deserialize_any(self)
     }
 }
 
-impl<'de> Visitor<'de> for Unique<'_> {
+impl<'de> Visitor<'de> for UniqueKeys<'_> {
     type Value = Value;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -66,13 +69,13 @@
     }
 
     fn visit_str<E: de::Error>(mut self, value: &str) -> Result<Value, E> {
-        self.take(2 * value.len())?;
+        self.reserve(2 * value.len())?;
         Ok(value.into())
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut from: A) -> Result<Value, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut elements: A) -> Result<Value, A::Error> {
         let mut items = Vec::new();
-        while let Some(item) = from.next_element_seed(Unique {
+        while let Some(item) = elements.next_element_seed(UniqueKeys {
             budget: &mut *self.budget,
         })? {
             items.push(item);
@@ -80,15 +83,15 @@
         Ok(Value::Array(items))
     }
 
-    fn visit_map<A: MapAccess<'de>>(mut self, mut from: A) -> Result<Value, A::Error> {
-        self.take(OBJECT)?;
+    fn visit_map<A: MapAccess<'de>>(mut self, mut entries: A) -> Result<Value, A::Error> {
+        self.reserve(OBJECT_BYTES)?;
         let mut map = Map::new();
-        while let Some(key) = from.next_key::<String>()? {
+        while let Some(key) = entries.next_key::<String>()? {
             if map.contains_key(&key) {
                 return Err(de::Error::custom(format!("{key} stands twice")));
             }
-            self.take(2 * key.len())?;
-            let value = from.next_value_seed(Unique {
+            self.reserve(2 * key.len())?;
+            let value = entries.next_value_seed(UniqueKeys {
                 budget: &mut *self.budget,
             })?;
             map.insert(key, value);
