--- a/router/src/protocol/client.rs
+++ b/router/src/protocol/client.rs
@@ -1,4 +1,4 @@
-//! Commands of clients, and the responses that are made here.
+//! Commands of clients, and the responses that the router itself makes.
 
 use std::fmt::Write;
 
@@ -10,10 +10,10 @@
 const IDEMPOTENT_COMMAND: &[u8] = b"Q.ASK";
 /// The command for all other operations.
 const NON_IDEMPOTENT_COMMAND: &[u8] = b"Q.DO";
-/// The place of the request's id among the words of its command.
-const ID: usize = 2;
-/// The place of the list of names and values among the words of a request's command.
-const PARAMETERS: usize = 3;
+/// Index of the request id among the words of a request's command.
+const REQUEST_ID_INDEX: usize = 2;
+/// Index of the list of parameters (`name=value`) among the words of a request's command.
+const PARAMETERS_INDEX: usize = 3;
 
 /// A command of a client.
 #[derive(Debug, PartialEq, Eq)]
@@ -22,28 +22,28 @@
     Request(RequestCommand<'a>),
     /// A health check of this router.
     Ping,
-    /// A set-up command that many client libraries send, which changes nothing here.
+    /// `CLIENT` or `SELECT`, which many client libraries send after connecting and which has no effect here.
     SetUp,
     /// Any other command.
     Unknown,
 }
 
-/// A request as a client has written it.
+/// A request as sent by a client.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RequestCommand<'a> {
-    /// It came by the command for idempotent operations.
+    /// Whether the client used the command for idempotent operations.
     pub idempotent: bool,
-    /// The key by which hosts are chosen; may be empty.
+    /// The key for choosing a host by affinity; may be empty.
     pub key: &'a str,
-    /// What the client calls the request.
+    /// The request id, chosen by the client.
     pub id: &'a [u8],
     /// The operation's name.
     pub operation: &'a str,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for the response, in milliseconds.
     pub time_limit_millis: u64,
-    /// The client has sent the request before.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// It carries a key by which hosts recognize a repeated request.
+    /// Whether the request carries an idempotency key, by which hosts recognize a repeated request.
     pub has_idempotency_key: bool,
     words: Vec<&'a [u8]>,
 }
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// Where the bytes are no RESP command, or a request's words are not of its form.
+/// If the bytes are not a RESP command, or the words of a request are invalid.
 pub fn parse_command<'a>(bytes: &'a [u8], limits: &RespLimits) -> ParseResult<Command<'a>> {
     let Some((words, length)) = resp::parse_command(bytes, limits)? else {
         return Ok(None);
@@ -60,7 +60,7 @@
     let name = words[0].to_ascii_uppercase();
     let command = match name.as_slice() {
         IDEMPOTENT_COMMAND | NON_IDEMPOTENT_COMMAND => {
-            Command::Request(request(words, name == IDEMPOTENT_COMMAND, limits)?)
+            Command::Request(parse_request(words, name == IDEMPOTENT_COMMAND, limits)?)
         }
         b"PING" => Command::Ping,
         b"CLIENT" | b"SELECT" => Command::SetUp,
@@ -69,11 +69,11 @@
     Ok(Some((command, length)))
 }
 
-/// The values of a request's `name=value` list that are known here.
+/// The parameters of a request that the router uses; others are passed on to the host unread.
 #[derive(Default)]
 struct Parameters<'a> {
     operation: Option<&'a str>,
-    time: Option<&'a str>,
+    time_limit: Option<&'a str>,
     retry: Option<&'a str>,
     idempotency_key: Option<&'a str>,
 }
@@ -87,12 +87,12 @@
                 .ok_or_else(|| Malformed::new("a part is not name=value"))?;
             let known = match name {
                 "c" => &mut parameters.operation,
-                "d" => &mut parameters.time,
+                "d" => &mut parameters.time_limit,
                 "r" => &mut parameters.retry,
                 "k" => &mut parameters.idempotency_key,
                 _ => continue,
             };
-            // Who reads the first of two values would see another command than who reads the second.
+            // With two values, the router and the host could disagree on which one is valid.
             if known.replace(value).is_some() {
                 return Err(Malformed::new("a name stands twice"));
             }
@@ -101,13 +101,15 @@
     }
 
     fn time_limit_millis(&self) -> Option<u64> {
-        // The parser would also take a sign.
-        let digits = |time: &&str| time.bytes().all(|byte| byte.is_ascii_digit());
-        self.time.filter(digits)?.parse().ok()
+        // Rust's parser would also accept a leading `+`.
+        let has_only_digits =
+            |time_limit: &&str| time_limit.bytes().all(|byte| byte.is_ascii_digit());
+        self.time_limit.filter(has_only_digits)?.parse().ok()
     }
 }
 
-fn request<'a>(
+/// Builds a request from the words of its command.
+fn parse_request<'a>(
     words: Vec<&'a [u8]>,
     idempotent: bool,
     limits: &RespLimits,
@@ -142,62 +144,62 @@
 }
 
 impl RequestCommand<'_> {
-    /// A copy of the command that outlives the buffer it was read into.
+    /// Copies the command out of the receive buffer.
     pub fn to_stored(&self) -> StoredCommand {
         let mut bytes = Vec::with_capacity(self.words.iter().map(|word| word.len()).sum());
-        let mut ends = Vec::with_capacity(self.words.len());
+        let mut word_ends = Vec::with_capacity(self.words.len());
         for word in &self.words {
             bytes.extend_from_slice(word);
-            ends.push(bytes.len());
+            word_ends.push(bytes.len());
         }
         StoredCommand {
             bytes: bytes.into(),
-            ends: ends.into(),
+            word_ends: word_ends.into(),
         }
     }
 }
 
-/// The words of a request's command, one after another.
+/// A copy of the words of a request's command, in one buffer.
 #[derive(Debug)]
 pub struct StoredCommand {
     bytes: Box<[u8]>,
-    /// Where each word ends.
-    ends: Box<[usize]>,
+    /// The end of each word in `bytes`.
+    word_ends: Box<[usize]>,
 }
 
 impl StoredCommand {
-    /// Bytes of all words.
+    /// Total length of the words, in bytes.
     pub fn size(&self) -> usize {
         self.bytes.len()
     }
 
-    /// What the client calls the request.
+    /// The request id, chosen by the client.
     pub fn id(&self) -> &[u8] {
-        self.ends
-            .get(ID)
-            .map_or(&[], |end| &self.bytes[self.ends[ID - 1]..*end])
+        self.word_ends.get(REQUEST_ID_INDEX).map_or(&[], |end| {
+            &self.bytes[self.word_ends[REQUEST_ID_INDEX - 1]..*end]
+        })
     }
 
-    /// Writes the command as the client sent it, but with `time_limit_millis` as the time limit that is left (`d`).
+    /// Writes the command as the client sent it, but with `time_limit_millis` as the remaining time limit (`d`).
     pub fn write(&self, out: &mut Vec<u8>, time_limit_millis: u64) {
-        let starts = std::iter::once(0).chain(self.ends.iter().copied());
+        let starts = std::iter::once(0).chain(self.word_ends.iter().copied());
         let mut words: Vec<_> = starts
-            .zip(&self.ends)
+            .zip(&self.word_ends)
             .map(|(start, end)| &self.bytes[start..*end])
             .collect();
         let parameters = words
-            .get(PARAMETERS)
+            .get(PARAMETERS_INDEX)
             .and_then(|word| std::str::from_utf8(word).ok())
-            .map(|list| with_time(list, time_limit_millis));
+            .map(|list| with_time_limit(list, time_limit_millis));
         if let Some(parameters) = &parameters {
-            words[PARAMETERS] = parameters.as_bytes();
+            words[PARAMETERS_INDEX] = parameters.as_bytes();
         }
         write_command(out, &words);
     }
 }
 
-/// A list of names and values with another time.
-fn with_time(list: &str, time_limit_millis: u64) -> String {
+/// A list of parameters with its time limit (`d`) replaced.
+fn with_time_limit(list: &str, time_limit_millis: u64) -> String {
     let mut replaced = String::new();
     for part in list.split(',') {
         if !replaced.is_empty() {
@@ -212,8 +214,7 @@
     replaced
 }
 
-/// Writes the response to a rejected request, which the client may send again, not before `retry_after_millis` if
-/// that is given.
+/// Writes the response to a rejected request. The client may retry it, after `retry_after_millis` if that is given.
 pub fn write_busy(out: &mut Vec<u8>, retry_after_millis: Option<u64>) {
     match retry_after_millis {
         Some(millis) => write_error(out, &format!("BUSY {millis}")),
--- a/router/src/protocol/discovery.rs
+++ b/router/src/protocol/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's endpoint lists: the JSON objects, and the requests for them.
+//! Discovery's protocol: the endpoint lists in JSON, and the HTTP requests for them.
 
 mod http;
 mod wire;
@@ -13,17 +13,17 @@
 use super::Malformed;
 use crate::limits::Limits;
 
-/// Why bytes are not an endpoint list.
+/// Why bytes are not a valid endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{}{reason}", prefix(.path))]
+#[error("{}{reason}", path_prefix(.path))]
 pub struct EndpointListError {
-    /// The path of the value that is wrong; empty where the whole is no list.
+    /// The path of the invalid value; empty if the whole is not an endpoint list.
     pub path: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub reason: String,
 }
 
-fn prefix(path: &str) -> String {
+fn path_prefix(path: &str) -> String {
     if path.is_empty() {
         String::new()
     } else {
@@ -41,17 +41,18 @@
 ///
 /// # Errors
 ///
-/// Where the body is no JSON object of this form, or a name in it is too long.
+/// If the body is not an endpoint list in JSON, or a name in it is too long.
 pub fn parse_list(body: &[u8]) -> Result<EndpointList<'_>, EndpointListError> {
     let list: EndpointList =
         serde_json::from_slice(body).map_err(|error| locate_error(body, &error))?;
-    for (place, endpoint) in list.targets.iter().enumerate() {
-        check_name_lengths(place, endpoint)?;
+    for (index, endpoint) in list.targets.iter().enumerate() {
+        check_name_lengths(index, endpoint)?;
     }
     Ok(list)
 }
 
-/// Finds the path of an error by parsing once more, as tracking paths would cost every well-formed list.
+/// Finds the path of an error by parsing the list a second time, since tracking paths would slow down the parsing of
+/// every valid list.
 fn locate_error(body: &[u8], error: &serde_json::Error) -> EndpointListError {
     let reader = &mut serde_json::Deserializer::from_slice(body);
     let result: Result<EndpointList, _> = serde_path_to_error::deserialize(reader);
@@ -65,7 +66,7 @@
     }
 }
 
-fn check_name_lengths(place: usize, endpoint: &ListedEndpoint) -> Result<(), EndpointListError> {
+fn check_name_lengths(index: usize, endpoint: &ListedEndpoint) -> Result<(), EndpointListError> {
     let names = [
         ("uid", &endpoint.uid),
         ("az", &endpoint.az),
@@ -78,7 +79,7 @@
         return Ok(());
     };
     Err(EndpointListError {
-        path: format!("targets[{place}].{field}"),
+        path: format!("targets[{index}].{field}"),
         reason: format!(
             "is too long ({} bytes; {} at most)",
             name.len(),
@@ -87,16 +88,16 @@
     })
 }
 
-/// How a list is watched.
+/// A request to watch the list for changes (long polling).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListWatch {
-    /// The version that is known; the response holds what has changed since.
+    /// The list revision that the router has; the response holds the changes since.
     pub known_revision: u64,
-    /// Without a change, discovery responds after this time, in milliseconds.
+    /// How long discovery holds the request if nothing changes, in milliseconds.
     pub hold_millis: u64,
 }
 
-/// Writes a request for the list; without `watch`, for the full list now.
+/// Writes a request for the list; without `watch`, for the full list at once.
 pub fn write_list_request(out: &mut Vec<u8>, host: SocketAddr, watch: Option<ListWatch>) {
     let query = watch.map_or_else(String::new, |watch| {
         format!(
--- a/router/src/protocol/discovery/http.rs
+++ b/router/src/protocol/discovery/http.rs
@@ -1,11 +1,11 @@
-//! HTTP/1.1 responses (RFC 9112), with a length or in chunks.
+//! Parsing of HTTP/1.1 responses (RFC 9112) with a content length or chunked encoding.
 
 use std::borrow::Cow;
 
 use crate::limits::ResponseLimits;
 use crate::protocol::{Malformed, ParseResult};
 
-/// Bytes of the line end after a chunk.
+/// The line terminator after a chunk.
 const CHUNK_END: &[u8] = b"\r\n";
 
 /// A complete response.
@@ -15,25 +15,26 @@
     pub status: u16,
     /// The body.
     pub body: Cow<'a, [u8]>,
-    /// The server keeps the connection open.
+    /// Whether the server keeps the connection open.
     pub stays_open: bool,
 }
 
-/// A chunked body as far as it has been received; each chunk is read once, however many pieces the body comes in.
+/// The part of a chunked body that has been received. Each chunk is decoded once, regardless of how many reads the body
+/// takes.
 #[derive(Debug, Default)]
 pub struct ChunkedBody {
-    /// Bytes after the head that have been read.
+    /// Bytes after the head that have been decoded.
     consumed: usize,
     body: Vec<u8>,
 }
 
-/// Parses a response within `limits`. `received` is what has been read of its body before, a new one for each
+/// Parses a response. `received` keeps the decoded part of a chunked body between calls, and is a new one for each
 /// response.
 ///
 /// # Errors
 ///
-/// Where the bytes are no HTTP response, it exceeds the limits, or it has neither a length nor chunks: such a response
-/// cannot be told from one that was cut off.
+/// If the bytes are not an HTTP response, it exceeds the limits, or it has neither a content length nor chunked
+/// encoding: such a response cannot be distinguished from a truncated one.
 pub fn parse_response<'a>(
     bytes: &'a [u8],
     limits: &ResponseLimits,
@@ -79,7 +80,7 @@
     }))
 }
 
-/// The value of a header; empty where it is not UTF-8.
+/// The value of a header; empty if it is not UTF-8.
 fn header<'a>(head: &httparse::Response<'_, 'a>, name: &str) -> Option<&'a str> {
     let header = head
         .headers
@@ -90,7 +91,8 @@
 
 fn content_length(head: &httparse::Response, limits: &ResponseLimits) -> Result<usize, Malformed> {
     let length = header(head, "content-length").and_then(|value| value.parse::<usize>().ok());
-    let length = length.ok_or_else(|| Malformed::new("no length"))?;
+    let length =
+        length.ok_or_else(|| Malformed::new("content-length is missing or not a number"))?;
     if length > limits.body_bytes {
         return Err(too_long("content-length", length, limits.body_bytes));
     }
@@ -103,16 +105,16 @@
     ))
 }
 
-/// Where a chunk stands in the bytes that have not been read.
+/// The sizes of a chunk, in bytes.
 struct ChunkSize {
-    /// Bytes of the line that tells the size.
+    /// The line with the chunk's size.
     line: usize,
-    /// Bytes of the chunk.
+    /// The data of the chunk.
     size: usize,
 }
 
 impl ChunkedBody {
-    /// The whole body and the bytes that it took, once its last chunk has been received.
+    /// Decodes the received chunks. Returns the body and its encoded length once the last chunk has been received.
     fn read(&mut self, bytes: &[u8], limits: &ResponseLimits) -> ParseResult<Vec<u8>> {
         loop {
             let unread = bytes.get(self.consumed..).unwrap_or_default();
@@ -128,7 +130,7 @@
                 return Ok(None);
             };
             if !data.ends_with(CHUNK_END) {
-                return Err(Malformed::new("a chunk does not end where it says"));
+                return Err(Malformed::new("a chunk does not end at its declared size"));
             }
             self.body.extend_from_slice(&data[..chunk.size]);
             self.consumed += end;
@@ -143,10 +145,10 @@
     }
 }
 
-/// The next chunk's size; none where its line has not been received whole.
+/// The size of the next chunk; `None` if the line with the size has not been received completely.
 fn chunk_size(unread: &[u8], limits: &ResponseLimits) -> Result<Option<ChunkSize>, Malformed> {
     let parsed = httparse::parse_chunk_size(unread)
-        .map_err(|_| Malformed::new("a chunk's size is no number"))?;
+        .map_err(|_| Malformed::new("a chunk's size is not a number"))?;
     match parsed {
         httparse::Status::Complete((line, size)) => Ok(Some(ChunkSize {
             line,
--- a/router/src/protocol/discovery/wire.rs
+++ b/router/src/protocol/discovery/wire.rs
@@ -1,7 +1,7 @@
-//! Endpoint lists by their names on the wire.
+//! The JSON structure of endpoint lists.
 //!
-//! serde's error texts hold the Rust names of these types, which routers print and log: they are kept as they have
-//! been, and exported by the names that the rest of the program uses.
+//! serde's error texts, which routers print and log, contain the Rust names of these types. The types therefore keep
+//! their names, and the parent module exports them under other names.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
 use kestreltide_datastore::HostRecord;
 use serde::Deserialize;
 
-/// An endpoint list, or what has changed in it.
+/// An endpoint list, or the changes since an earlier revision.
 #[derive(Debug, Deserialize)]
 pub struct List<'a> {
-    /// The list's version.
+    /// The revision of the list.
     pub rev: u64,
-    /// It is the full list, not only what changed.
+    /// Whether this is the full list; otherwise it holds only the hosts that changed.
     pub all: bool,
     /// The hosts.
     #[serde(borrow)]
@@ -28,7 +28,7 @@
     /// The host's name.
     #[serde(borrow)]
     pub uid: Cow<'a, str>,
-    /// Where it serves.
+    /// The address on which the host serves requests.
     pub endpoint: SocketAddr,
     /// The name of its zone.
     #[serde(borrow)]
@@ -39,7 +39,7 @@
     /// The number of its cell.
     pub pod_group: u32,
     state: State,
-    /// Its size in comparison to other hosts.
+    /// The capacity of the host relative to other hosts.
     pub capacity_hint: f64,
     boot_ms: u64,
     /// The number of its build.
@@ -54,7 +54,7 @@
 }
 
 impl Target<'_> {
-    /// Whether it runs.
+    /// The lifecycle state of the host.
     pub fn state(&self) -> HostState {
         match self.state {
             State::Ready => HostState::Running,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The host as the datastore keeps it.
+    /// Converts the host to the datastore's representation.
     pub fn to_host_record(&self) -> HostRecord {
         HostRecord {
             name: self.uid.as_ref().into(),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// When it started last, in Unix time in seconds.
+    /// When the host started last, in Unix seconds; `None` if it is not known.
     pub fn started(&self) -> Option<f64> {
         (self.boot_ms > 0).then(|| self.boot_ms as f64 / 1e3)
     }
--- a/router/src/protocol/host.rs
+++ b/router/src/protocol/host.rs
@@ -1,10 +1,10 @@
-//! Responses of hosts, and health checks.
+//! Responses of hosts to requests, and health checks.
 
 use super::resp::{self, Reply, write_command};
 use super::{Malformed, ParseResult};
 use crate::limits::RespLimits;
 
-/// A host's response to a request. `load` is its load report, if it sent one.
+/// A host's response to a request. `load` is the host's load report, if it sent one.
 #[derive(Debug, PartialEq, Eq)]
 pub enum HostResponse<'a> {
     /// The request succeeded.
@@ -14,34 +14,35 @@
         /// The load report.
         load: Option<&'a str>,
     },
-    /// The request failed; it may have run.
+    /// The request failed; the host may have executed it.
     Error {
         /// The load report.
         load: Option<&'a str>,
     },
-    /// The host was full; the request has not run.
+    /// The host was at capacity and has not executed the request.
     Rejected {
         /// The load report.
         load: Option<&'a str>,
     },
-    /// The host does not know a command of this form, which is a defect of this router.
+    /// The host does not accept the command's format, which is a defect of this router. Holds the host's error.
     UnknownCommand(&'a str),
 }
 
 /// A host's response to a health check.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ProbeResponse<'a> {
-    /// Whether the host says that it is well.
+    /// Whether the host reports that it is healthy.
     pub is_healthy: bool,
     /// The load report.
     pub load: Option<&'a str>,
 }
 
-fn text(bytes: &[u8]) -> &str {
+/// The bytes as text; empty if they are not UTF-8.
+fn text_or_empty(bytes: &[u8]) -> &str {
     std::str::from_utf8(bytes).unwrap_or_default()
 }
 
-/// The last word of an error line, which is the load report if it holds a `=`.
+/// The load report at the end of an error: its last word, if that contains a `=`.
 fn trailing_load_report(line: &str) -> Option<&str> {
     line.rsplit(' ').next().filter(|word| word.contains('='))
 }
@@ -50,25 +51,29 @@
 ///
 /// # Errors
 ///
-/// Where the bytes are no RESP reply, or none that a host sends.
+/// If the bytes are not a RESP reply, or not one that a host may send.
 pub fn parse_response<'a>(bytes: &'a [u8], limits: &RespLimits) -> ParseResult<HostResponse<'a>> {
     let Some((reply, length)) = resp::parse_reply(bytes, limits)? else {
         return Ok(None);
     };
     let response = match reply {
         Reply::Array(Some(items)) => value_response(&items)?,
-        Reply::Error(line) => error_response(text(line)),
-        _ => return Err(Malformed::new("an answer is neither an array nor an error")),
+        Reply::Error(line) => error_response(text_or_empty(line)),
+        _ => {
+            return Err(Malformed::new(
+                "a response is neither an array nor an error",
+            ));
+        }
     };
     Ok(Some((response, length)))
 }
 
 fn value_response<'a>(items: &[Reply<'a>]) -> Result<HostResponse<'a>, Malformed> {
     let [Reply::Bulk(Some(value)), rest @ ..] = items else {
-        return Err(Malformed::new("an answer begins with no value"));
+        return Err(Malformed::new("a response does not begin with a value"));
     };
     let report = rest.iter().rev().find_map(|item| match item {
-        Reply::Bulk(report) => Some(report.map(text)),
+        Reply::Bulk(report) => Some(report.map(text_or_empty)),
         _ => None,
     });
     Ok(HostResponse::Value {
@@ -90,7 +95,7 @@
 ///
 /// # Errors
 ///
-/// Where the bytes are no RESP reply, or none that a host sends.
+/// If the bytes are not a RESP reply, or not one that a host may send.
 pub fn parse_probe_response<'a>(
     bytes: &'a [u8],
     limits: &RespLimits,
@@ -100,14 +105,18 @@
     };
     let (is_healthy, load) = match reply {
         Reply::Simple(_) => (true, None),
-        Reply::Bulk(report) => (true, report.map(text)),
-        Reply::Error(line) => (false, trailing_load_report(text(line))),
-        _ => return Err(Malformed::new("an answer to a probe is of no known form")),
+        Reply::Bulk(report) => (true, report.map(text_or_empty)),
+        Reply::Error(line) => (false, trailing_load_report(text_or_empty(line))),
+        _ => {
+            return Err(Malformed::new(
+                "a response to a probe has an unexpected type",
+            ));
+        }
     };
     Ok(Some((ProbeResponse { is_healthy, load }, length)))
 }
 
-/// Writes a health check, which asks for a load report or not.
+/// Writes a health check, which asks for a load report if `with_report` is set.
 pub fn write_probe(out: &mut Vec<u8>, with_report: bool) {
     if with_report {
         write_command(out, &[b"INFO", b"load"]);
--- a/router/src/protocol/mod.rs
+++ b/router/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Messages to and from bytes, without any I/O. A parsed message borrows from the buffer that it was read from.
+//! Parsing and writing of messages, without any I/O. A parsed message borrows from the buffer that it was read from.
 
 #![deny(
     missing_docs,
@@ -20,17 +20,17 @@
 
 use thiserror::Error;
 
-/// Why bytes are not a message.
+/// Why bytes are not a valid message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct Malformed(String);
 
 impl Malformed {
-    /// The error with this text.
+    /// An error with this text.
     pub fn new(problem: impl Into<String>) -> Self {
         Malformed(problem.into())
     }
 }
 
-/// A message and the number of bytes that it took; none where its end has not been received yet.
+/// A message and its length in bytes; `None` if its end has not been received yet.
 pub type ParseResult<T> = Result<Option<(T, usize)>, Malformed>;
--- a/router/src/protocol/platform.rs
+++ b/router/src/protocol/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol: JSON-RPC 2.0, one object a line.
+//! The platform's protocol: JSON-RPC 2.0, one object per line.
 
 mod wire;
 
@@ -12,57 +12,57 @@
 pub use wire::StateForm as RolloutStateFields;
 use wire::{ComplaintForm, Line, age_seconds};
 
-/// A message of the platform.
+/// A message from the platform.
 #[derive(Debug, PartialEq)]
 pub enum PlatformMessage<'a> {
-    /// The rollout has changed.
+    /// The state of the rollout has changed.
     Rollout(RolloutState),
-    /// A client disputes the answers of a host.
+    /// A client complains about the responses of a host.
     Complaint {
         /// The host's name.
         host: Cow<'a, str>,
         /// The operation's name.
         operation: Cow<'a, str>,
-        /// How long ago that was, in seconds.
+        /// The age of the complaint, in seconds.
         age: f64,
     },
-    /// The connection is alive.
+    /// A keep-alive message.
     Ping,
     /// A call has succeeded.
     Result {
-        /// The call's number.
+        /// The id of the call.
         call: u64,
-        /// The rollout after it, if the result holds one.
+        /// The state of the rollout after the call, if the result holds one.
         state: Option<RolloutState>,
     },
     /// A call has failed.
     Error {
-        /// The call's number.
+        /// The id of the call.
         call: u64,
-        /// What that means.
+        /// The outcome that the error stands for.
         outcome: AttemptOutcome,
     },
-    /// A notification that is not known here.
+    /// A notification with an unknown method.
     Unknown,
 }
 
-/// Where the rollout of the newest build stands.
+/// The state of the rollout of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutState {
     /// The newest build.
     pub build: BuildId,
     /// The number of its stage.
     pub stage: u32,
-    /// Whether it is tried, released or taken back.
+    /// The phase of the rollout: canary, rolling back, released or rolled back.
     pub phase: Phase,
-    /// The greatest fraction of the requests that it may get.
+    /// The largest fraction of the requests that the newest build may get.
     pub cap: f64,
-    /// How old this is, in seconds.
+    /// The age of this state, in seconds.
     pub age: f64,
 }
 
 impl RolloutState {
-    /// The state as an event of the decisions.
+    /// Converts the state to an event for the decisions.
     pub fn to_status(&self, answers_vote: bool) -> RolloutStatus {
         let RolloutState {
             build,
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 ///
-/// Where the line has more than `max_bytes` bytes, is no UTF-8, or is no message of the platform.
+/// If the line is longer than `max_bytes`, is not UTF-8, or is not a message from the platform.
 pub fn parse_line(bytes: &[u8], max_bytes: usize) -> ParseResult<PlatformMessage<'_>> {
     let Some(end) = bytes.iter().take(max_bytes).position(|byte| *byte == b'\n') else {
         if bytes.len() >= max_bytes {
@@ -155,7 +155,7 @@
         }
         Some("ping") => PlatformMessage::Ping,
         Some(_) => PlatformMessage::Unknown,
-        None => return Err(Malformed::new("neither an answer nor a notification")),
+        None => return Err(Malformed::new("neither a response nor a notification")),
     })
 }
 
@@ -165,7 +165,7 @@
     out.extend_from_slice(line.as_bytes());
 }
 
-/// Writes the call that casts a vote on a build's stage.
+/// Writes the call that votes on a stage of a build's rollout.
 pub fn write_vote(out: &mut Vec<u8>, call: u64, build: BuildId, stage: u32, vote: Vote) {
     let opinion = match vote {
         Vote::Abstain => "none",
--- a/router/src/protocol/platform/wire.rs
+++ b/router/src/protocol/platform/wire.rs
@@ -1,7 +1,7 @@
-//! The platform's messages by their names on the wire.
+//! The JSON structure of the platform's messages.
 //!
-//! serde's error texts hold the Rust names of these types, which routers print and log: they are kept as they have
-//! been, and exported by the names that the rest of the program uses.
+//! serde's error texts, which routers print and log, contain the Rust names of these types. The types therefore keep
+//! their names, and the parent module exports them under other names.
 
 use std::borrow::Cow;
 
@@ -39,7 +39,7 @@
     Recalled,
 }
 
-/// The state of a rollout by its names on the wire.
+/// The JSON structure of a rollout's state.
 #[derive(Deserialize)]
 pub struct StateForm {
     image: u16,
@@ -50,7 +50,7 @@
 }
 
 impl StateForm {
-    /// The state in the terms of the decisions.
+    /// Converts the fields to a [`RolloutState`].
     pub fn state(&self) -> RolloutState {
         let phase = match self.progress {
             Progress::Testing => Phase::Canary,
@@ -77,6 +77,7 @@
     pub(super) lag_ms: f64,
 }
 
+/// The age in seconds that a lag in milliseconds stands for; a negative lag counts as 0.
 pub(super) fn age_seconds(lag_ms: f64) -> f64 {
     lag_ms.max(0.0) / 1e3
 }
--- a/router/src/protocol/resp.rs
+++ b/router/src/protocol/resp.rs
@@ -1,6 +1,6 @@
-//! RESP2, the protocol of clients and hosts: parsing replies and commands, and writing both.
+//! RESP2, the protocol of clients and hosts: parsing and writing of replies and commands.
 //!
-//! What cannot become a message any more is an error at its first wrong byte, not only at its end.
+//! An invalid message is an error as soon as its first wrong byte has been received, not only at its end.
 
 use std::io::Write;
 
@@ -10,24 +10,26 @@
 /// A reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply<'a> {
-    /// A status line.
+    /// A simple string, which is a status.
     Simple(&'a [u8]),
-    /// An error line.
+    /// An error.
     Error(&'a [u8]),
     /// An integer.
     Number(i64),
-    /// A bulk string; none for the null string.
+    /// A bulk string; `None` for the null string.
     Bulk(Option<&'a [u8]>),
-    /// An array; none for the null array.
+    /// An array; `None` for the null array.
     Array(Option<Vec<Reply<'a>>>),
 }
 
-/// Arrays are not nested: a reply is at most an array of plain values.
+/// Maximum nesting depth of a reply: an array of values that are not arrays.
 const MAX_DEPTH: usize = 2;
-/// The length that stands for a null string or array.
-const NULL: i64 = -1;
+/// The length that marks a null string or array.
+const NULL_LENGTH: i64 = -1;
+/// The line terminator, CR LF.
 const LINE_END: &[u8] = b"\r\n";
 
+/// Parses the rest of a line of at most `max_bytes` bytes.
 fn parse_text_line(bytes: &[u8], max_bytes: usize) -> ParseResult<&[u8]> {
     match bytes.iter().take(max_bytes).position(|byte| *byte == b'\n') {
         Some(end) if end > 0 && bytes[end - 1] == b'\r' => Ok(Some((&bytes[..end - 1], end + 1))),
@@ -37,7 +39,7 @@
     }
 }
 
-/// A length or number with its line end.
+/// Parses a length or number and its line terminator.
 fn parse_number_line(bytes: &[u8], max_digits: usize) -> ParseResult<i64> {
     let sign = usize::from(bytes.first() == Some(&b'-'));
     let digits = bytes[sign..]
@@ -46,10 +48,10 @@
         .take_while(|byte| byte.is_ascii_digit())
         .count();
     let (text, rest) = bytes.split_at(sign + digits);
-    let is_possible = digits <= max_digits
+    let may_be_number = digits <= max_digits
         && (digits > 0 || rest.is_empty())
         && LINE_END.starts_with(&rest[..rest.len().min(LINE_END.len())]);
-    if !is_possible {
+    if !may_be_number {
         return Err(not_a_number());
     }
     if rest.len() < LINE_END.len() {
@@ -58,12 +60,13 @@
     Ok(Some((parse_number(text)?, text.len() + LINE_END.len())))
 }
 
+/// Parses an integer, which unlike in Rust must not begin with a `+`.
 fn parse_number(text: &[u8]) -> Result<i64, Malformed> {
     let digits = text.strip_prefix(b"-").unwrap_or(text);
-    let is_plain = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
+    let has_only_digits = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
     let parsed = std::str::from_utf8(text)
         .ok()
-        .filter(|_| is_plain)
+        .filter(|_| has_only_digits)
         .and_then(|text| text.parse().ok());
     parsed.ok_or_else(not_a_number)
 }
@@ -72,17 +75,17 @@
     Malformed::new("a length or number is not one")
 }
 
-/// The bytes of a bulk string and its line end, after the line with its length. `before` is how much of the message
-/// came before them.
+/// Parses the content of a bulk string and its line terminator, which follow the line with its length. `offset` is
+/// their position in the message.
 fn parse_bulk_string<'a>(
     bytes: &'a [u8],
     length: i64,
-    before: usize,
+    offset: usize,
     limits: &RespLimits,
 ) -> ParseResult<&'a [u8]> {
     let fits = |length: &usize| {
         *length <= limits.bulk_string_bytes
-            && before + length + LINE_END.len() <= limits.message_bytes
+            && offset + length + LINE_END.len() <= limits.message_bytes
     };
     let length = usize::try_from(length)
         .ok()
@@ -100,26 +103,26 @@
 ///
 /// # Errors
 ///
-/// Where the bytes are no RESP reply, or it exceeds the limits.
+/// If the bytes are not a RESP reply, or the reply exceeds the limits.
 pub fn parse_reply<'a>(bytes: &'a [u8], limits: &RespLimits) -> ParseResult<Reply<'a>> {
     parse_nested(bytes, 0, limits, MAX_DEPTH)
 }
 
-/// The reply that begins after `before` bytes of the message.
+/// Parses the reply at `offset` in the message. `depth` is the remaining nesting depth.
 fn parse_nested<'a>(
     message: &'a [u8],
-    before: usize,
+    offset: usize,
     limits: &RespLimits,
     depth: usize,
 ) -> ParseResult<Reply<'a>> {
-    let bytes = &message[before..];
-    let Some(marker) = bytes.first() else {
+    let bytes = &message[offset..];
+    let Some(type_byte) = bytes.first() else {
         return Ok(None);
     };
-    match marker {
+    match type_byte {
         b'+' | b'-' => {
             let line = parse_text_line(&bytes[1..], limits.line_bytes)?;
-            let reply = |text| match marker {
+            let reply = |text| match type_byte {
                 b'+' => Reply::Simple(text),
                 _ => Reply::Error(text),
             };
@@ -131,54 +134,52 @@
                 return Ok(None);
             };
             let header = 1 + length;
-            match marker {
+            match type_byte {
                 b':' => Ok(Some((Reply::Number(number), header))),
-                b'$' => parse_bulk_reply(message, before, header, number, limits),
-                _ => parse_array(message, before, header, number, limits, depth),
+                b'$' => parse_bulk_reply(message, offset, header, number, limits),
+                _ => parse_array(message, offset, header, number, limits, depth),
             }
         }
-        _ => Err(Malformed::new(
-            "a reply begins with none of the known marks",
-        )),
+        _ => Err(Malformed::new("a reply begins with an unknown type byte")),
     }
 }
 
-/// A bulk string whose line with the length took `header` bytes.
+/// Parses a bulk string at `offset` whose length line takes `header` bytes.
 fn parse_bulk_reply<'a>(
     message: &'a [u8],
-    before: usize,
+    offset: usize,
     header: usize,
     length: i64,
     limits: &RespLimits,
 ) -> ParseResult<Reply<'a>> {
-    if length == NULL {
+    if length == NULL_LENGTH {
         return Ok(Some((Reply::Bulk(None), header)));
     }
-    let start = before + header;
+    let start = offset + header;
     let string = parse_bulk_string(&message[start..], length, start, limits)?;
     Ok(string.map(|(value, length)| (Reply::Bulk(Some(value)), header + length)))
 }
 
-/// An array whose line with the length took `header` bytes.
+/// Parses an array at `offset` whose length line takes `header` bytes.
 fn parse_array<'a>(
     message: &'a [u8],
-    before: usize,
+    offset: usize,
     header: usize,
     length: i64,
     limits: &RespLimits,
     depth: usize,
 ) -> ParseResult<Reply<'a>> {
-    if length == NULL {
+    if length == NULL_LENGTH {
         return Ok(Some((Reply::Array(None), header)));
     }
     let count = usize::try_from(length)
         .ok()
         .filter(|count| *count <= limits.elements && depth > 1)
-        .ok_or_else(|| Malformed::new("an array is too long or too deep"))?;
+        .ok_or_else(|| Malformed::new("an array is too long or nested too deeply"))?;
     let mut used = header;
     let mut items = Vec::with_capacity(count);
     for _ in 0..count {
-        let Some((item, length)) = parse_nested(message, before + used, limits, depth - 1)? else {
+        let Some((item, length)) = parse_nested(message, offset + used, limits, depth - 1)? else {
             return Ok(None);
         };
         used += length;
@@ -191,12 +192,12 @@
 ///
 /// # Errors
 ///
-/// Where the bytes are no RESP command, or it exceeds the limits.
+/// If the bytes are not a RESP command, or the command exceeds the limits.
 pub fn parse_command<'a>(bytes: &'a [u8], limits: &RespLimits) -> ParseResult<Vec<&'a [u8]>> {
-    let Some(marker) = bytes.first() else {
+    let Some(type_byte) = bytes.first() else {
         return Ok(None);
     };
-    if *marker != b'*' {
+    if *type_byte != b'*' {
         return Err(Malformed::new("a command is an array of bulk strings"));
     }
     let Some((count, length)) = parse_number_line(&bytes[1..], limits.number_digits)? else {
@@ -218,24 +219,24 @@
     Ok(Some((words, used)))
 }
 
-/// The word of a command that begins after `before` bytes of the message.
-fn parse_word<'a>(bytes: &'a [u8], before: usize, limits: &RespLimits) -> ParseResult<&'a [u8]> {
-    match bytes.get(before) {
+/// Parses the word of a command at `offset` in the message.
+fn parse_word<'a>(bytes: &'a [u8], offset: usize, limits: &RespLimits) -> ParseResult<&'a [u8]> {
+    match bytes.get(offset) {
         Some(b'$') => {}
         Some(_) => return Err(Malformed::new("a word of a command is no bulk string")),
         None => return Ok(None),
     }
-    let Some((length, line)) = parse_number_line(&bytes[before + 1..], limits.number_digits)?
+    let Some((length, line)) = parse_number_line(&bytes[offset + 1..], limits.number_digits)?
     else {
         return Ok(None);
     };
     let header = 1 + line;
-    let start = before + header;
+    let start = offset + header;
     let string = parse_bulk_string(&bytes[start..], length, start, limits)?;
     Ok(string.map(|(word, length)| (word, header + length)))
 }
 
-// Writing to a vector cannot fail, so that the results of the writers below are ignored.
+// The functions below ignore the results of writing, since writing to a vector cannot fail.
 
 /// Writes a command.
 pub fn write_command(out: &mut Vec<u8>, words: &[&[u8]]) {
@@ -252,12 +253,12 @@
     out.extend_from_slice(LINE_END);
 }
 
-/// Writes a status line.
+/// Writes a simple string.
 pub fn write_simple(out: &mut Vec<u8>, text: &str) {
     let _ = write!(out, "+{text}\r\n");
 }
 
-/// Writes an error line.
+/// Writes an error.
 pub fn write_error(out: &mut Vec<u8>, text: &str) {
     let _ = write!(out, "-{text}\r\n");
 }
