--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -10,7 +10,7 @@
     exceeded_maximums,
 };
 use kestreltide_file_watch::parse::Parsed;
-use kestreltide_file_watch::watch::{parse_files, poll_files};
+use kestreltide_file_watch::watch::{parse_files, read_and_parse_files};
 
 use super::config::{self, ReadMode};
 use super::operator;
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -227,7 +227,7 @@
         path.display().to_string(),
         path.parent().unwrap_or(Path::new("")),
     );
-    let file_sections = ini::sections(&file_name, text)?;
+    let file_sections = ini::parse_sections(&file_name, text)?;
     let mut errors = ValidationErrors::default();
     for (number, section) in file_sections.iter().enumerate() {
         check_section(&file_name, section, &mut errors);
@@ -404,7 +404,7 @@
         ));
     }
     if keys.is_empty() {
-        return errors.push(ini::unknown_name(
+        return errors.push(ini::unknown_name_error(
             &location,
             "section",
             &section.name,
@@ -438,7 +438,7 @@
 pub fn load(path: &Path) -> Result<OperatorSettings, String> {
     let unreadable =
         |reason: &dyn std::fmt::Display| format!("{}: cannot be read: {reason}", path.display());
-    let bytes = kestreltide_file_watch::read_file::read(path, Limits::CONFIG_FILE_BYTES)
+    let bytes = kestreltide_file_watch::read_file::read_bounded(path, Limits::CONFIG_FILE_BYTES)
         .map_err(|error| unreadable(&error))?;
     let text = String::from_utf8(bytes).map_err(|error| unreadable(&error))?;
     parse(path, &text).map_err(|errors| errors.to_string())
@@ -454,8 +454,8 @@
     if let Some(path) = path {
         load(path)?;
         let text = fs::read_to_string(path).map_err(|e| e.to_string())?;
-        file_sections =
-            ini::sections(&path.display().to_string(), &text).map_err(|error| error.to_string())?;
+        file_sections = ini::parse_sections(&path.display().to_string(), &text)
+            .map_err(|error| error.to_string())?;
     }
     let mut out = String::new();
     for section in sections() {
--- a/router/src/protocol/discovery/http.rs
+++ b/router/src/protocol/discovery/http.rs
@@ -40,7 +40,7 @@
     limits: &ResponseLimits,
     received: &mut ChunkedBody,
 ) -> ParseResult<Response<'a>> {
-    let mut headers = vec![httparse::EMPTY_HEADER; limits.header_count];
+    let mut headers = vec![httparse::EMPTY_HEADER; limits.headers];
     let mut head = httparse::Response::new(&mut headers);
     let parsed = head
         .parse(bytes)
@@ -49,8 +49,8 @@
         httparse::Status::Complete(length) => length,
         httparse::Status::Partial => bytes.len(),
     };
-    if head_length > limits.head_bytes {
-        return Err(too_long("head", head_length, limits.head_bytes));
+    if head_length > limits.head {
+        return Err(too_long("head", head_length, limits.head));
     }
     if parsed.is_partial() {
         return Ok(None);
@@ -93,8 +93,8 @@
     let length = header(head, "content-length").and_then(|value| value.parse::<usize>().ok());
     let length =
         length.ok_or_else(|| Malformed::new("content-length is missing or not a number"))?;
-    if length > limits.body_bytes {
-        return Err(too_long("content-length", length, limits.body_bytes));
+    if length > limits.body {
+        return Err(too_long("content-length", length, limits.body));
     }
     Ok(length)
 }
@@ -122,8 +122,8 @@
                 return Ok(None);
             };
             let body_length = chunk.size.saturating_add(self.body.len());
-            if body_length > limits.body_bytes {
-                return Err(too_long("chunks", body_length, limits.body_bytes));
+            if body_length > limits.body {
+                return Err(too_long("chunks", body_length, limits.body));
             }
             let end = chunk.line + chunk.size + CHUNK_END.len();
             let Some(data) = unread.get(chunk.line..end) else {
@@ -154,8 +154,8 @@
             line,
             size: size as usize,
         })),
-        httparse::Status::Partial if unread.len() > limits.head_bytes => {
-            Err(too_long("a chunk's size", unread.len(), limits.head_bytes))
+        httparse::Status::Partial if unread.len() > limits.head => {
+            Err(too_long("a chunk's size", unread.len(), limits.head))
         }
         httparse::Status::Partial => Ok(None),
     }
--- a/router/src/routing/admission.rs
+++ b/router/src/routing/admission.rs
@@ -17,7 +17,7 @@
     pub(super) operation: OperationId,
     pub(super) key: Option<KeyId>,
     /// The hosts that are for it, by the routes in force when it came.
-    pub(super) pool: Option<Arc<Pool>>,
+    pub(super) pool: Option<Arc<HostPool>>,
     pub(super) time_left: f64,
     pub(super) is_retry: bool,
     pub(super) command: StoredCommand,
--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -171,7 +171,7 @@
                 return;
             }
             let filled = upstream.stream.read_available(
-                self.event_loop.limits.resp.message_bytes,
+                self.event_loop.limits.resp.message,
                 self.event_loop.limits.event_loop.read_bytes_per_turn,
             );
             self.read_upstream(id, filled == ReadStatus::Closed);
@@ -295,7 +295,7 @@
 
     /// An incomplete response: the rest of it is waited for, unless it is longer than it may be.
     fn await_more(&self, input: &[u8]) -> Result<Option<usize>, Malformed> {
-        if input.len() < self.event_loop.limits.resp.message_bytes {
+        if input.len() < self.event_loop.limits.resp.message {
             Ok(None)
         } else {
             Err(Malformed::new("an answer is too long"))
@@ -343,8 +343,8 @@
             && matches!(upstream.stream.is_connected(), Ok(true))
         {
             let filled = upstream.stream.read_available(
-                self.event_loop.limits.resp.message_bytes,
-                self.event_loop.limits.resp.message_bytes,
+                self.event_loop.limits.resp.message,
+                self.event_loop.limits.resp.message,
             );
             self.read_upstream(id, filled == ReadStatus::Closed);
         }
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -204,7 +204,7 @@
             .clients
             .iter()
             .filter(|(_, client)| stays(client) && client.command_begun.is_none());
-        if idle_clients.clone().count() >= self.event_loop.limits.clients.idle_connections {
+        if idle_clients.clone().count() >= self.event_loop.limits.clients.idle {
             let oldest = idle_clients
                 .min_by(|a, b| a.1.last_used.total_cmp(&b.1.last_used))
                 .map(|(id, _)| *id);
@@ -254,12 +254,12 @@
             return self.discard_input(id);
         }
         let filled = client.fill(
-            self.event_loop.limits.resp.message_bytes,
+            self.event_loop.limits.resp.message,
             self.event_loop.limits.event_loop.read_bytes_per_turn,
             arrived_since,
         );
         // Who has left more unread commands than are kept is gone all the same, with what waits for it.
-        let full = client.stream.input().len() >= self.event_loop.limits.resp.message_bytes;
+        let full = client.stream.input().len() >= self.event_loop.limits.resp.message;
         if filled == ReadStatus::Closed || full && client.stream.is_closed_by_peer() {
             return self.close_client(id);
         }
@@ -282,7 +282,7 @@
             return;
         };
         let filled = client.stream.read_available(
-            self.event_loop.limits.resp.message_bytes,
+            self.event_loop.limits.resp.message,
             self.event_loop.limits.event_loop.read_bytes_per_turn,
         );
         let read = client.stream.input().len();
@@ -304,7 +304,7 @@
             let Some(client) = client else { return false };
             // Backpressure: who does not read answers gives no more commands.
             if client.queue.len() >= limits.clients.pipelined_commands
-                || client.stream.unwritten() > limits.resp.bulk_string_bytes
+                || client.stream.unwritten() > limits.resp.value
             {
                 client.command_begun = None;
                 return progress;
@@ -313,7 +313,7 @@
                 return false;
             };
             let read = client::parse_command(client.stream.input(), &limits.resp);
-            let may_grow = client.stream.input().len() < limits.resp.message_bytes;
+            let may_grow = client.stream.input().len() < limits.resp.message;
             let (step, used) = match read {
                 Ok(Some((command, used))) => match self.step(command, client.arrivals.of(used)) {
                     Ok(Step::Left(holder)) if holder != id => {
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -27,7 +27,8 @@
     /// Lets the decisions begin what goes by time, though no event has come yet.
     pub(super) fn begin_decisions(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
-        self.decisions.begin(self.event_loop.now(), &mut effects);
+        self.decisions
+            .start_timers(self.event_loop.now(), &mut effects);
         self.carry_out_all(effects);
     }
 
@@ -73,7 +74,7 @@
             Effect::CastVote { build, stage, vote } => self.cast_vote(build, stage, vote),
             Effect::SubscribeEndpointList { on } => self.subscribe_endpoint_list(on),
             Effect::FetchEndpointList => self.fetch_endpoint_list(),
-            Effect::ExplainVote(evidence) => info!(self.event_loop.log, "vote evidence";
+            Effect::LogVoteEvidence(evidence) => info!(self.event_loop.log, "vote evidence";
                 "build" => evidence.build.0,
                 "stage" => evidence.stage,
                 "vote" => ?evidence.vote,
--- a/router/src/routing/endpoint_list.rs
+++ b/router/src/routing/endpoint_list.rs
@@ -100,7 +100,7 @@
         let mut entries = Vec::with_capacity(targets.len());
         let mut left_out = vec![];
         for target in targets {
-            let goes = target.state() == HostState::Gone;
+            let goes = target.state() == HostState::Removed;
             let (entry, drop_idle) = match self.endpoints.stage_entry(target) {
                 Some(staged) => (staged.entry, staged.drop_idle),
                 // It takes no room, and whoever still sends to it has to hear of it.
@@ -165,7 +165,7 @@
             .iter()
             .map(|target| (host(target), target.state()))
             .collect();
-        let goes = |target: &&ListedEndpoint| last.get(&host(target)) == Some(&HostState::Gone);
+        let goes = |target: &&ListedEndpoint| last.get(&host(target)) == Some(&HostState::Removed);
         targets.sort_by_key(goes);
         for target in targets.iter().filter(|target| goes(target)) {
             self.endpoints.stage_entry(target);
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use kestreltide::interface::*;
-use kestreltide_datastore::merge::merge;
+use kestreltide_datastore::merge::merge_host;
 use kestreltide_datastore::{HostRecord, Snapshot};
 use kestreltide_routes::Route;
 
@@ -51,7 +51,7 @@
 
     fn merged<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, HostRecord>> {
         match (self.discovered.get(&host), revision.configured(host)) {
-            (Some(discovered), Some(configured)) => merge(
+            (Some(discovered), Some(configured)) => merge_host(
                 &configured.name,
                 Some(discovered),
                 Some(&configured.config),
@@ -102,7 +102,7 @@
             .iter_mut()
             .filter(|(host, _)| !listed.contains(host));
         let gone = missing.map(|(host, discovered)| {
-            discovered.state = HostState::Gone;
+            discovered.state = HostState::Removed;
             *host
         });
         gone.collect()
@@ -121,20 +121,20 @@
     /// Whether a revision's own entries are all that it changes: discovery lists nobody, so that they are worked
     /// out already and can be told ahead.
     pub(super) fn can_stage(&self, new: &Snapshot) -> bool {
-        new.changed_since == self.revision.revision() && self.discovered.is_empty()
+        new.previous_revision == self.revision.revision() && self.discovered.is_empty()
     }
 
     /// Takes a revision; the entries that it changes, where what was staged for it has been told or not.
     pub(super) fn take(&mut self, new: &Arc<Snapshot>, staged: bool) -> Arc<[HostEntry]> {
         let old = std::mem::replace(&mut self.revision, new.clone());
-        let follows = new.changed_since == old.revision();
+        let follows = new.previous_revision == old.revision();
         if staged {
             return Arc::default();
         }
         if follows && self.discovered.is_empty() {
-            return new.entries.clone();
+            return new.changed_entries.clone();
         }
-        let mut hosts = new.changed.to_vec();
+        let mut hosts = new.changed_hosts.to_vec();
         if !follows {
             hosts = old
                 .hosts
@@ -167,7 +167,7 @@
         // Who is gone stays gone though operators still list it, until discovery says otherwise.
         let configured = |host: &HostId| self.revision.configured(*host).is_some();
         self.discovered.retain(|host, discovered| {
-            discovered.state != HostState::Gone || using.contains(host) || configured(host)
+            discovered.state != HostState::Removed || using.contains(host) || configured(host)
         });
     }
 }
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwap;
 use kestreltide::interface::*;
 use kestreltide_datastore::Snapshot;
-use kestreltide_datastore::view::View;
+use kestreltide_datastore::operational_state::OperationalState;
 use slog::{info, warn};
 
 use super::{Routing, SocketOwner, TimerEvent};
@@ -49,7 +49,7 @@
 /// The loop's end of it.
 pub struct ManagementInbox {
     mail: Inbox<ManagementMessage>,
-    view: Arc<ArcSwap<View>>,
+    view: Arc<ArcSwap<OperationalState>>,
     applied_revision: Arc<AtomicU64>,
 }
 
@@ -57,7 +57,7 @@
 #[derive(Clone)]
 pub struct EventLoopHandle {
     pub messages: InboxSender<ManagementMessage>,
-    pub view: Arc<ArcSwap<View>>,
+    pub view: Arc<ArcSwap<OperationalState>>,
     /// The revision in force there.
     pub applied_revision: Arc<AtomicU64>,
 }
@@ -69,7 +69,7 @@
         capacity: usize,
     ) -> std::io::Result<(Self, EventLoopHandle)> {
         let (mail, messages) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
-        let view = Arc::new(ArcSwap::from_pointee(View::default()));
+        let view = Arc::new(ArcSwap::from_pointee(OperationalState::default()));
         let applied_revision = Arc::new(AtomicU64::new(0));
         let event_loop = EventLoopHandle {
             messages,
@@ -159,7 +159,7 @@
     /// Takes a revision, at once where it is short; a long list of who comes and goes is told ahead in parts, one
     /// a turn, so that the loop never stands still for it.
     pub fn apply_revision(&mut self, snapshot: &Arc<Snapshot>) {
-        let ahead = snapshot.entries.len()
+        let ahead = snapshot.changed_entries.len()
             > self.event_loop.limits.management.staged_hosts_per_turn
             && self.endpoints.can_stage(snapshot);
         match &mut self.management {
@@ -177,15 +177,15 @@
         else {
             return;
         };
-        if from >= snapshot.entries.len() {
+        if from >= snapshot.changed_entries.len() {
             self.apply_snapshot(&snapshot, true);
             return self.on_management_message();
         }
         let begun = self.event_loop.now();
         let to = (from + self.event_loop.limits.management.staged_hosts_per_turn)
-            .min(snapshot.entries.len());
+            .min(snapshot.changed_entries.len());
         self.dispatch_event(Event::EndpointsStaged {
-            entries: snapshot.entries.clone(),
+            entries: snapshot.changed_entries.clone(),
             from,
             to,
         });
@@ -207,7 +207,7 @@
     fn apply_snapshot(&mut self, snapshot: &Arc<Snapshot>, staged: bool) {
         let begun = self.event_loop.now();
         let entries = self.endpoints.take(snapshot, staged);
-        let count = snapshot.changed.len();
+        let count = snapshot.changed_hosts.len();
         self.close_unusable_connections();
         self.dispatch_event(Event::OperatorOverridesApplied {
             overrides: snapshot.overrides.clone(),
@@ -262,7 +262,7 @@
         };
         management.stale = false;
         let is_watched = !self.discovery.is_off();
-        let view = View {
+        let view = OperationalState {
             at: self.event_loop.now(),
             discovery: is_watched.then(|| self.endpoints.discovered().cloned().collect()),
             discovery_received: self.discovery.has_list(),
--- a/router/src/routing/shutdown_actions.rs
+++ b/router/src/routing/shutdown_actions.rs
@@ -52,8 +52,8 @@
         let requested_at = self.event_loop.arrived_since();
         let limits = &self.event_loop.limits.shutdown;
         let serving_over = self.event_loop.woken_at() + limits.accept_time;
-        let give_up = requested_at + limits.fail_requests_after;
-        let exit = requested_at + limits.exit_after;
+        let give_up = requested_at + limits.give_up;
+        let exit = requested_at + limits.exit;
         self.shutdown.set_gives_up_at(give_up);
         let timers = [
             (serving_over, TimerEvent::ServingOver),
