--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -92,7 +92,7 @@
     pub(super) fn run(&self) -> Result<(), String> {
         let settings = operator::load(&self.file)?;
         if let Some(file_watch) = &settings.file_watch {
-            let version = match poll_files(&file_watch.watched, |contents| {
+            let version = match read_and_parse_files(&file_watch.watched, |contents| {
                 parse_files(&file_watch.files, contents)
             })
             .0
