--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -1,4 +1,6 @@
-//! Every limit of the router: sizes, counts and times, computed once at start and handed down.
+//! All limits of the router: sizes, counts and times. They are computed once at the start.
+//!
+//! The sub-command `show-limits` prints the fields of [`Limits`] under their own names.
 
 #![deny(
     missing_docs,
@@ -20,282 +22,288 @@
 
 pub use memory_budget::{MemoryBudget, MemoryBudgetError};
 
+/// Bytes of a KiB.
 const KIB: usize = 1024;
+/// Bytes of a MiB.
 const MIB: usize = 1024 * KIB;
-/// Descriptors for everything but the connections to clients and hosts.
+/// File descriptors reserved for everything except the connections to clients and hosts.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// One in so many of the client connections is spare.
-const SPARE_CLIENTS_PART: usize = 4;
-/// Bytes of a RESP bulk string.
+/// One out of this many client connections is a spare that never holds an open request.
+const SPARE_CLIENTS_DIVISOR: usize = 4;
+/// Maximum length of a RESP bulk string, in bytes.
 const BULK_STRING_BYTES: usize = 64 * KIB;
-/// Bytes of a whole RESP message.
+/// Maximum length of a RESP message, in bytes.
 const MESSAGE_BYTES: usize = BULK_STRING_BYTES + 4 * KIB;
 
-/// Seconds in which the platform still sends new connections after SIGTERM, with a margin.
-const SHUTDOWN_ACCEPT_TIME: f64 = 0.45;
-/// SIGKILL comes so many seconds after the longest time limit of an operation has passed since SIGTERM.
-const KILL_AFTER: f64 = 0.7;
-/// The most that the longest time limit counts for SIGKILL, in seconds.
-const KILL_MAX_TIME_LIMIT: f64 = 3.0;
-/// Seconds before SIGKILL at which open requests are given up.
-const GIVE_UP_BEFORE_KILL: f64 = 0.3;
-/// Seconds before SIGKILL at which the program ends: time for an event loop that is late.
-const EXIT_BEFORE_KILL: f64 = 0.1;
-/// Seconds that a client may say it waits, as a multiple of the longest time limit of an operation.
+/// How long the platform may still send new connections after SIGTERM, in seconds, with a margin.
+const SHUTDOWN_ACCEPT_SECONDS: f64 = 0.45;
+/// The platform sends SIGKILL this many seconds after SIGTERM plus the longest time limit of an operation.
+const KILL_DELAY_SECONDS: f64 = 0.7;
+/// The longest time limit of an operation that delays SIGKILL, in seconds; longer ones count as this.
+const KILL_MAX_TIME_LIMIT_SECONDS: f64 = 3.0;
+/// How long before SIGKILL open requests are failed, in seconds.
+const GIVE_UP_BEFORE_KILL_SECONDS: f64 = 0.3;
+/// How long before SIGKILL the program exits, in seconds: a margin for delays of the event loop.
+const EXIT_BEFORE_KILL_SECONDS: f64 = 0.1;
+/// Maximum time limit that a client may send, as a multiple of the longest time limit of an operation.
 const MAX_TIME_LIMIT_MULTIPLE: f64 = 100.0;
-/// Seconds that a client may leave responses unread, as a multiple of the longest time limit of an operation.
+/// How long a client may leave responses unread, as a multiple of the longest time limit of an operation.
 const CLIENT_WRITE_TIMEOUT_MULTIPLE: f64 = 10.0;
-/// A connection to a host is closed when it has been idle for this fraction of the time after which the host may.
+/// The router closes an idle connection to a host after this fraction of the time after which the host may close it.
 const UPSTREAM_IDLE_FRACTION: f64 = 0.8;
 
-/// What a RESP message may hold, in bytes unless a count is meant.
+/// Limits of RESP messages. Lengths are in bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RespLimits {
-    /// One bulk string.
+    /// Length of one bulk string.
     pub value: usize,
-    /// Elements of a command or an array.
+    /// Number of words of a command, and of elements of an array.
     pub words: usize,
-    /// A status or an error.
+    /// Length of a simple string or an error, with its line terminator.
     pub line: usize,
-    /// Digits of a length or number.
+    /// Number of digits of a length or integer.
     pub digits: usize,
-    /// A whole command or reply; nothing is read of one that announces more.
+    /// Length of a whole command or reply. One that announces more is rejected before the rest is read.
     pub message: usize,
-    /// The id of a request.
+    /// Length of a request id.
     pub id: usize,
 }
 
-/// What an HTTP response of discovery may be.
+/// Limits of an HTTP response of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseLimits {
-    /// Bytes of the body.
+    /// Length of the body in bytes.
     pub body: usize,
-    /// Bytes of the head.
+    /// Length of the head in bytes.
     pub head: usize,
-    /// Bytes of the chunk sizes and line ends beside the body.
+    /// Bytes of chunk sizes and line terminators in addition to the body.
     pub frame: usize,
-    /// Headers.
+    /// Number of headers.
     pub headers: usize,
 }
 
 impl ResponseLimits {
-    /// Bytes that a whole response may have on its way.
+    /// The most bytes of an encoded response that are buffered.
     pub fn max_response_bytes(&self) -> usize {
         self.body + self.frame
     }
 }
 
-/// Limits of the event loop. Times in seconds.
+/// Limits of the event loop. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EventLoopLimits {
-    /// Timers that are set at once.
+    /// Number of scheduled timers.
     pub timers: usize,
-    /// Bytes read from one socket before others get their turn.
+    /// Bytes read from one socket in one iteration, before other sockets are served.
     pub read_bytes_per_turn: usize,
-    /// The longest sleep, so that a process that stood still notices.
+    /// The longest sleep. It bounds the time until a process that was suspended notices the delay.
     pub max_sleep: f64,
-    /// An event loop delay of more than this is logged.
+    /// A delay of the event loop that exceeds this is logged.
     pub delay_warning: f64,
-    /// What is ready after a shorter sleep than this was ready before.
+    /// Sockets that are ready after a sleep shorter than this count as having been ready before the sleep.
     pub immediate_wake: f64,
-    /// Between two searches for what has expired.
+    /// Interval between two checks for expired connections and missed heartbeats.
     pub expiry_interval: f64,
-    /// Between two log lines of the router's state.
+    /// Interval between two log lines with the router's state.
     pub state_log_interval: f64,
-    /// A router that has received nothing from discovery or the platform serves by what it has after this time.
+    /// How long after its start a router waits for discovery and the platform. After that it reports itself ready and
+    /// serves with the last known endpoint list and rollout state.
     pub ready_timeout: f64,
-    /// The longest time that it waits for its first turn to ask, where lists are asked for in turn.
+    /// How long after its start a router waits for discovery's first response if discovery serves the polls of the
+    /// routers one after another.
     pub first_poll_timeout: f64,
-    /// Between two looks at whether that turn has come.
+    /// Interval between two checks of whether that response has arrived.
     pub ready_retry_interval: f64,
 }
 
-/// Limits of client connections. Times in seconds.
+/// Limits of client connections. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// Connections.
+    /// Number of connections.
     pub connections: usize,
-    /// Connections that have sent one command and stay open while idle.
+    /// Number of idle connections, which have sent at least one command, that are kept open.
     pub idle: usize,
-    /// Connections that the system holds until they are accepted.
+    /// Number of connections that the operating system queues until they are accepted.
     pub backlog: i32,
-    /// Connections accepted at one wake.
+    /// Number of connections accepted per wake-up of the event loop.
     pub accepts_per_wake: usize,
-    /// Before accepting is tried again.
+    /// Delay before accepting is retried after a failure.
     pub accept_retry_delay: f64,
-    /// Commands of one client that wait for their responses.
+    /// Number of commands of one client that are in progress at once.
     pub pipelined_commands: usize,
-    /// Unknown commands of one client, of which a client library's set-up has a few.
+    /// Number of unknown commands accepted from one client; client libraries send a few when they connect.
     pub unknown_commands: usize,
-    /// Bytes read and discarded of a rejected client, so that it can read the error.
+    /// Bytes that are read from a rejected client and discarded, so that it can read the error before the close.
     pub discarded_bytes: usize,
-    /// Bytes of responses that clients have not read.
+    /// Bytes of responses that all clients together have not read.
     pub unread_response_bytes: usize,
-    /// For a client's first command, counted from connecting, and for the rest of one that has begun.
+    /// Time for a client's first command, from connecting, and for the rest of a partly received command.
     pub command_timeout: f64,
-    /// How long an idle client that has sent one command is kept when others need its connection.
+    /// How long an idle client that has sent at least one command is kept if other clients need its connection.
     pub idle_timeout: f64,
-    /// A rejected client has this time to read the error.
+    /// How long a rejected client may take to read the error.
     pub lingering_close: f64,
-    /// The longest time limit that a client may send.
+    /// The longest time limit that a client may send with a request.
     pub max_time_limit: f64,
-    /// A client that has not read its responses for this time is disconnected.
+    /// A client that does not read its responses for this time is disconnected.
     pub write_timeout: f64,
-    /// A response that was not read for this time is too late for anybody.
+    /// A response that the client has not read for this time is outdated, so that its connection may be closed in favor
+    /// of another client.
     pub stale_response_age: f64,
 }
 
 /// Limits of admitted requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestLimits {
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: usize,
-    /// Bytes of their commands, which are kept for retries.
+    /// Bytes of their commands, which are stored for retries.
     pub stored_command_bytes: usize,
 }
 
-/// Limits of connections to hosts. Times in seconds.
+/// Limits of connections to hosts. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamLimits {
-    /// Connections.
+    /// Number of connections.
     pub connections: usize,
-    /// Connections that are kept while idle.
+    /// Number of idle connections that are kept.
     pub idle_connections: usize,
     /// How long an idle connection is kept.
     pub idle_timeout: f64,
     /// How long connecting may take.
     pub connect_timeout: f64,
-    /// Health checks at once.
+    /// Number of health checks in flight.
     pub probes_in_flight: usize,
     /// How long a health check may take.
     pub probe_timeout: f64,
 }
 
-/// Limits of discovery. Times in seconds.
+/// Limits of the connections to discovery and of its endpoint list. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryLimits {
-    /// One HTTP response.
+    /// Limits of one HTTP response.
     pub response: ResponseLimits,
-    /// Hosts that are kept.
+    /// Number of hosts that are kept.
     pub hosts: usize,
-    /// A watch is asked to respond after this time at the latest.
+    /// How long discovery may hold a watch request if nothing changes.
     pub watch_hold: f64,
-    /// What a watch is given beyond that.
+    /// Time for the response to a watch request in addition to `watch_hold`.
     pub watch_grace: f64,
-    /// How long a poll of the endpoint list may take. Discovery serves the polls of all routers in turn. Giving up a
-    /// response that is on its way wastes a turn and asks for another: discovery itself rejects what waits for 2 s.
+    /// How long a poll of the endpoint list may take. Discovery serves the polls of all routers one after another, and
+    /// rejects a poll that has waited for 2 s. A shorter timeout would abandon responses that are on their way, which
+    /// wastes the work of discovery and causes another poll.
     pub list_poll_timeout: f64,
 }
 
-/// Limits of the connection to the platform. Times in seconds.
+/// Limits of the connection to the platform. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformLimits {
-    /// Bytes of a line.
+    /// Length of a line in bytes.
     pub line_bytes: usize,
-    /// Votes without an answer.
+    /// Number of votes without a response.
     pub pending_votes: usize,
-    /// How long a vote may be without an answer.
+    /// How long the platform may take to respond to a vote.
     pub vote_timeout: f64,
-    /// A connection on which nothing was received for this time is opened anew.
+    /// A connection on which nothing is received for this time is reopened.
     pub silence_timeout: f64,
 }
 
 /// Limits of the gossip with peers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerLimits {
-    /// Bytes of a datagram.
+    /// Length of a datagram in bytes.
     pub datagram_bytes: usize,
-    /// Datagrams received at one wake.
+    /// Number of datagrams received per wake-up of the event loop.
     pub datagrams_per_wake: usize,
 }
 
 /// Limits of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLimits {
-    /// Lines that wait to be written; what exceeds them is dropped and counted.
+    /// Number of lines that are queued for writing; further lines are dropped and counted.
     pub lines: usize,
-    /// Bytes of a line that is written in one piece.
+    /// Length up to which a line is written in one piece, in bytes.
     pub line_bytes: usize,
-    /// Warnings per second about malformed input.
+    /// Number of warnings about malformed input per second.
     pub warnings_per_second: u64,
 }
 
-/// Limits of the management interfaces and their threads. Times in seconds.
+/// Limits of the management threads. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ManagementLimits {
-    /// What operators may configure.
+    /// The most that operators may configure.
     pub maximums: Maximums,
-    /// Messages of other threads that wait for the event loop.
+    /// Number of messages that are queued for the event loop.
     pub inbox_messages: usize,
-    /// Requests of the interfaces that wait for the datastore thread.
+    /// Number of requests that are queued for the datastore thread.
     pub datastore_requests: usize,
-    /// Hosts that a revision adds or removes and that are handed to the decisions in one turn.
+    /// Number of hosts of a new revision that are passed to the decisions per iteration of the event loop.
     pub staged_hosts_per_turn: usize,
-    /// From a change to the next view of the state that the interfaces read.
+    /// Delay from a change until the state that the management interfaces read is published.
     pub view_publish_delay: f64,
-    /// A thread without a heartbeat for this time is reported as stalled.
+    /// A thread without a heartbeat for this time is logged as not responding.
     pub stall_timeout: f64,
 }
 
-/// Times of a graceful shutdown, in seconds.
+/// Times of the graceful shutdown, in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShutdownLimits {
-    /// From SIGTERM on: new clients still come.
+    /// Time from SIGTERM during which the platform still sends new clients.
     pub accept_time: f64,
-    /// How long is waited for a client that has connected and sent nothing, that has just got a response, that was
-    /// notified of the close or whose command crossed the notification.
+    /// How long the shutdown waits for a client that has connected without sending a command, that has just received a
+    /// response, that was notified of the close, or that may reconnect because its command crossed the notification.
     pub quiet_time: f64,
-    /// The same for a client that has just got a response once no client comes any more: one that has a command
-    /// ready writes it at once.
+    /// Replaces `quiet_time` for clients that have just received a response once the listener is closed: a client that
+    /// has a further command ready sends it immediately.
     pub brief_quiet_time: f64,
-    /// From SIGTERM on: open requests are given up and answered, and what still comes is rejected.
+    /// Time from SIGTERM until open requests are failed and new ones are rejected.
     pub give_up: f64,
-    /// From SIGTERM on: the program ends, whoever is left.
+    /// Time from SIGTERM until the program exits, even with clients connected.
     pub exit: f64,
 }
 
-/// The pauses between attempts to connect, in seconds; each is twice the one before.
+/// Exponential backoff between connection attempts, in seconds; each delay is twice the previous one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackoffLimits {
-    /// The first pause.
+    /// The first delay.
     pub initial: f64,
-    /// The longest pause. A connection that has stood for this time is opened anew at once.
+    /// The longest delay. A connection that was open for at least this time is reopened without a delay.
     pub maximum: f64,
 }
 
 /// All limits of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// RESP messages of clients and hosts.
+    /// Limits of RESP messages of clients and hosts.
     pub resp: RespLimits,
-    /// The event loop.
+    /// Limits of the event loop.
     pub event_loop: EventLoopLimits,
-    /// Client connections.
+    /// Limits of client connections.
     pub clients: ClientLimits,
-    /// Admitted requests.
+    /// Limits of admitted requests.
     pub requests: RequestLimits,
-    /// Connections to hosts.
+    /// Limits of connections to hosts.
     pub upstream: UpstreamLimits,
-    /// Discovery.
+    /// Limits of discovery.
     pub discovery: DiscoveryLimits,
-    /// The platform.
+    /// Limits of the connection to the platform.
     pub platform: PlatformLimits,
-    /// Between attempts to reach discovery or the platform.
+    /// Backoff between attempts to connect to discovery or the platform.
     pub reconnect_backoff: BackoffLimits,
-    /// A response or line of discovery or the platform that has begun is given up without a further byte for this
-    /// time, in seconds.
+    /// A partly received response of discovery or line of the platform is abandoned if no further byte arrives for this
+    /// time, in seconds. Connecting to discovery may take as long.
     pub message_stall_timeout: f64,
-    /// Gossip.
+    /// Limits of the gossip with peers.
     pub peers: PeerLimits,
-    /// The log.
+    /// Limits of the log.
     pub log: LogLimits,
-    /// The management interfaces.
+    /// Limits of the management threads.
     pub management: ManagementLimits,
-    /// Graceful shutdown.
+    /// Times of the graceful shutdown.
     pub shutdown: ShutdownLimits,
 }
 
-/// How many connections the descriptors and the memory allow.
+/// How many connections the file descriptors and the memory allow.
 struct ConnectionCounts {
     clients: usize,
     upstream: usize,
@@ -305,7 +313,7 @@
     fn new(sockets: usize, connection_bytes: usize) -> Self {
         let available = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(4);
         let upstream = available / 2;
-        // Each connection may be in the middle of one whole message.
+        // Each client connection may buffer one whole message, in half of the memory for connections.
         let in_memory = connection_bytes / 2 / MESSAGE_BYTES;
         ConnectionCounts {
             clients: (available - upstream).min(in_memory).max(2),
@@ -313,21 +321,23 @@
         }
     }
 
-    /// Requests in flight. Some client connections never hold an open request: a client that comes when all others
-    /// do is accepted, read and rejected at once, where it would wait outside without an answer.
+    /// The most requests in flight. Some client connections are spares that never hold an open request: while all the
+    /// others do, a further client can still be accepted and rejected immediately, instead of waiting in the backlog
+    /// without a response.
     fn requests(&self, max_open: usize) -> usize {
-        let busy = (self.clients - self.clients.div_ceil(SPARE_CLIENTS_PART)).max(1);
+        let busy = (self.clients - self.clients.div_ceil(SPARE_CLIENTS_DIVISOR)).max(1);
         max_open.min(busy).min(self.upstream)
     }
 }
 
 impl Limits {
-    /// Bytes of the configuration file, from which all other limits are derived.
+    /// Maximum length of the configuration file and of the operator file, in bytes.
     pub const CONFIG_FILE_BYTES: usize = 4 * MIB;
-    /// Bytes of the name of a host, a zone or a kind in discovery's lists.
+    /// Maximum length of the name of a host, a zone or a machine kind in an endpoint list, in bytes.
     pub const NAME_BYTES: usize = 256;
 
-    /// The limits of a router with so many sockets and so much memory; the budget is what the configuration leaves.
+    /// The limits of a router that may use `sockets` file descriptors and `memory_mb` MiB. `budget` is the memory that
+    /// the configuration leaves.
     pub fn new(
         sockets: usize,
         memory_mb: usize,
@@ -338,11 +348,11 @@
         let connection_bytes = memory_budget::connection_bytes(memory_mb);
         let counts = ConnectionCounts::new(sockets, connection_bytes);
         let time_limits = service.operations.iter().map(|o| o.time_limit);
-        let longest = time_limits.fold(0.0, f64::max);
+        let longest_time_limit = time_limits.fold(0.0, f64::max);
         Limits {
             resp: RespLimits::new(),
             event_loop: EventLoopLimits::new(),
-            clients: ClientLimits::new(counts.clients, connection_bytes, longest),
+            clients: ClientLimits::new(counts.clients, connection_bytes, longest_time_limit),
             requests: RequestLimits {
                 in_flight: counts.requests(transport.max_open_connections),
                 stored_command_bytes: connection_bytes / 4,
@@ -370,7 +380,7 @@
                 warnings_per_second: 10,
             },
             management: ManagementLimits::new(budget.operator_maximums()),
-            shutdown: ShutdownLimits::new(longest),
+            shutdown: ShutdownLimits::new(longest_time_limit),
         }
     }
 }
@@ -406,8 +416,8 @@
 }
 
 impl ClientLimits {
-    /// `longest` is the longest time limit of an operation.
-    fn new(connections: usize, connection_bytes: usize, longest: f64) -> Self {
+    /// `longest_time_limit` is the longest time limit of an operation, in seconds.
+    fn new(connections: usize, connection_bytes: usize, longest_time_limit: f64) -> Self {
         ClientLimits {
             connections,
             idle: (connections / 4).max(1),
@@ -421,9 +431,9 @@
             command_timeout: 2.0,
             idle_timeout: 0.1,
             lingering_close: 0.5,
-            max_time_limit: MAX_TIME_LIMIT_MULTIPLE * longest,
-            write_timeout: CLIENT_WRITE_TIMEOUT_MULTIPLE * longest,
-            stale_response_age: longest,
+            max_time_limit: MAX_TIME_LIMIT_MULTIPLE * longest_time_limit,
+            write_timeout: CLIENT_WRITE_TIMEOUT_MULTIPLE * longest_time_limit,
+            stale_response_age: longest_time_limit,
         }
     }
 }
@@ -472,15 +482,15 @@
 }
 
 impl ShutdownLimits {
-    /// `longest` is the longest time limit of an operation.
-    fn new(longest: f64) -> Self {
-        let kill = longest.min(KILL_MAX_TIME_LIMIT) + KILL_AFTER;
+    /// `longest_time_limit` is the longest time limit of an operation, in seconds.
+    fn new(longest_time_limit: f64) -> Self {
+        let kill_after = longest_time_limit.min(KILL_MAX_TIME_LIMIT_SECONDS) + KILL_DELAY_SECONDS;
         ShutdownLimits {
-            accept_time: SHUTDOWN_ACCEPT_TIME,
+            accept_time: SHUTDOWN_ACCEPT_SECONDS,
             quiet_time: 0.1,
             brief_quiet_time: 0.005,
-            give_up: kill - GIVE_UP_BEFORE_KILL,
-            exit: kill - EXIT_BEFORE_KILL,
+            give_up: kill_after - GIVE_UP_BEFORE_KILL_SECONDS,
+            exit: kill_after - EXIT_BEFORE_KILL_SECONDS,
         }
     }
 }
--- a/router/src/limits/memory_budget.rs
+++ b/router/src/limits/memory_budget.rs
@@ -1,35 +1,35 @@
-//! What of the configured memory is left for the configuration and the endpoint lists.
+//! The budget of the configured memory for the configuration and the endpoint lists.
 
 use kestreltide_datastore::{Maximums, MemorySettings};
 
 use super::{KIB, MIB};
 
-/// The fraction of the memory that connections may use; the rest is the program's own.
+/// The fraction of the memory that connections may use; the program uses the rest.
 const CONNECTIONS_FRACTION: f64 = 0.5;
-/// The least memory that is reckoned with, in MiB.
+/// The smallest memory that limits are computed for, in MiB; a smaller setting counts as this.
 const MIN_MEMORY_MB: usize = 16;
-/// Bytes of the program's own part that it uses with nothing listed: most of it pages of the program's file.
+/// Bytes that the program uses with an empty configuration, most of them pages of the executable.
 const PROGRAM_BYTES: usize = 7 * MIB;
-// What each of these takes at most, in bytes, measured (`docs/design/start.md`).
-/// A listed host while a list replaces all: the list as received and as parsed, and the router's and the
-/// decisions' entries of it, before and after.
+// The most memory that an item of each kind takes (see `docs/design/start.md`).
+/// Bytes of a listed host while a new list replaces the whole previous one: the received list, the parsed list, and
+/// the router's and the decisions' old and new entries.
 const HOST_BYTES: usize = 3 * KIB / 2;
-/// What operators configure of a host: in the tree, in a candidate and in the revision before.
-const HOST_SET_BYTES: usize = 3 * KIB;
-/// A configured route.
+/// Bytes of what operators configure for a host: in the tree, in a candidate and in the previous revision.
+const CONFIGURED_HOST_BYTES: usize = 3 * KIB;
+/// Bytes of a configured route, without its names.
 const ROUTE_BYTES: usize = 3 * KIB;
-/// Each name of an operation, a zone, a kind or a host in a configured route.
+/// Bytes of each name of an operation, a zone, a machine kind or a host in a configured route.
 const ROUTE_NAME_BYTES: usize = 256;
-/// A peer: its address in three places, and what it has sent last of the builds.
+/// Bytes of a peer: its address, which is stored in three places, and its last gossip about the builds.
 const PEER_BYTES: usize = 640;
-/// Hosts that are kept however large the memory is.
+/// The most hosts that are kept, regardless of the memory.
 const MAX_HOSTS: usize = 16 * KIB;
 
-/// The memory that is left for the configuration and the lists, while a configuration is read.
+/// The memory that is left for the configuration and the endpoint lists. Reading a configuration reserves from it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemoryBudget {
     memory_mb: usize,
-    left_bytes: usize,
+    remaining_bytes: usize,
 }
 
 impl MemoryBudget {
@@ -38,7 +38,7 @@
         let memory = memory_mb.saturating_mul(MIB).max(MIN_MEMORY_MB * MIB);
         MemoryBudget {
             memory_mb,
-            left_bytes: memory.saturating_sub(connection_bytes(memory_mb)) - PROGRAM_BYTES,
+            remaining_bytes: memory.saturating_sub(connection_bytes(memory_mb)) - PROGRAM_BYTES,
         }
     }
 
@@ -46,45 +46,45 @@
     ///
     /// # Errors
     ///
-    /// Where less is left; the error holds how much is.
+    /// If less is left; the error holds how many bytes are.
     pub fn reserve(&mut self, bytes: usize) -> Result<(), MemoryBudgetError> {
-        let left = self.left_bytes.checked_sub(bytes);
-        self.left_bytes = left.ok_or(MemoryBudgetError {
-            maximum: self.left_bytes,
+        let left = self.remaining_bytes.checked_sub(bytes);
+        self.remaining_bytes = left.ok_or(MemoryBudgetError {
+            maximum: self.remaining_bytes,
             memory_mb: self.memory_mb,
         })?;
         Ok(())
     }
 
-    /// Reserves memory for so many peers.
+    /// Reserves memory for `peers` peers.
     ///
     /// # Errors
     ///
-    /// Where it is not left; the error holds how many peers there is memory for.
+    /// If less is left; the error holds how many peers there is memory for.
     pub fn reserve_peers(&mut self, peers: usize) -> Result<(), MemoryBudgetError> {
         self.reserve_each(peers, PEER_BYTES)
     }
 
-    /// Checks that so many hosts can be listed. Nothing is reserved, as lists change.
+    /// Checks that there is memory for `hosts` listed hosts. Nothing is reserved, since lists change.
     ///
     /// # Errors
     ///
-    /// Where they cannot; the error holds how many can.
+    /// If less is left; the error holds how many hosts there is memory for.
     pub fn check_hosts(&self, hosts: usize) -> Result<(), MemoryBudgetError> {
         self.clone().reserve_each(hosts, HOST_BYTES)
     }
 
-    /// How many hosts are kept at most.
+    /// The most hosts that the router keeps.
     pub fn max_hosts(&self) -> usize {
-        (self.left_bytes / HOST_BYTES).min(MAX_HOSTS)
+        (self.remaining_bytes / HOST_BYTES).min(MAX_HOSTS)
     }
 
-    /// How much operators may configure.
+    /// The most that operators may configure.
     pub fn operator_maximums(&self) -> Maximums {
         let memory = MemorySettings {
-            maximum: self.left_bytes,
+            maximum: self.remaining_bytes,
             per_host: HOST_BYTES,
-            per_configured_host: HOST_SET_BYTES,
+            per_configured_host: CONFIGURED_HOST_BYTES,
             per_route: ROUTE_BYTES,
             per_route_name: ROUTE_NAME_BYTES,
         };
@@ -96,7 +96,7 @@
 
     fn reserve_each(&mut self, count: usize, each_bytes: usize) -> Result<(), MemoryBudgetError> {
         let error = MemoryBudgetError {
-            maximum: self.left_bytes / each_bytes,
+            maximum: self.remaining_bytes / each_bytes,
             memory_mb: self.memory_mb,
         };
         self.reserve(count.saturating_mul(each_bytes))
@@ -104,16 +104,16 @@
     }
 }
 
-/// More was listed than there is memory for.
+/// The configuration exceeds the memory budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryBudgetError {
-    /// What could have been reserved, in bytes or in entries as it was asked for.
+    /// The most that could have been reserved, in the unit of the request: bytes, peers or hosts.
     pub maximum: usize,
-    /// The memory that the budget was made for, in MiB.
+    /// The configured memory of the router, in MiB.
     pub memory_mb: usize,
 }
 
-/// The bytes of `memory_mb` MiB that connections may use.
+/// The part of `memory_mb` MiB that connections may use, in bytes.
 pub(super) fn connection_bytes(memory_mb: usize) -> usize {
     let megabytes = memory_mb.max(MIN_MEMORY_MB) as f64 * CONNECTIONS_FRACTION;
     (megabytes as usize).saturating_mul(MIB)
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,4 +1,4 @@
-//! `kestreltide`: see `kestreltide help`.
+//! The `kestreltide` binary. `kestreltide help` lists its sub-commands.
 
 fn main() -> std::process::ExitCode {
     kestreltide_router::program::main()
