--- a/router/src/transport/clock.rs
+++ b/router/src/transport/clock.rs
@@ -1,17 +1,17 @@
-//! The clock of one process: Unix time in seconds that never goes back.
+//! The clock of the process: monotonic Unix time in seconds.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Reads the system clock once and counts on from there by the monotonic clock.
+/// A monotonic clock that starts at the system time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// Unix time at the start, in seconds.
+    /// Unix time at the start of the clock, in seconds.
     start_time: f64,
     started_at: Instant,
 }
 
 impl Clock {
-    /// Starts at the system's time; at 0 where the system's time is before 1970.
+    /// Starts a clock at the system time, or at 0 if the system time is before 1970.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         Clock {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// The Unix time in seconds.
+    /// The current Unix time in seconds.
     pub fn now(&self) -> f64 {
         self.start_time + self.started_at.elapsed().as_secs_f64()
     }
--- a/router/src/transport/datagram_socket.rs
+++ b/router/src/transport/datagram_socket.rs
@@ -1,4 +1,4 @@
-//! One UDP socket.
+//! A UDP socket.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
@@ -9,7 +9,7 @@
 
 /// A bound, non-blocking UDP socket with its receive buffer.
 pub struct DatagramSocket {
-    /// What the event loop reports as ready.
+    /// The identifier that the event loop reports when the socket is ready.
     pub id: SocketId,
     socket: Rc<UdpSocket>,
     buffer: Vec<u8>,
@@ -18,11 +18,11 @@
 impl DatagramSocket {
     /// Binds to `address` and registers with the event loop.
     ///
-    /// Of a datagram longer than `max_bytes` one byte more than that is received, which shows that it is too long.
+    /// A datagram longer than `max_bytes` is truncated to `max_bytes + 1` bytes, so that the caller can detect it.
     ///
     /// # Errors
     ///
-    /// Where the address cannot be bound or the socket cannot be registered.
+    /// If the address cannot be bound or the socket cannot be registered.
     pub fn open(
         reactor: &mut Reactor,
         address: SocketAddr,
@@ -44,12 +44,12 @@
     ///
     /// # Errors
     ///
-    /// Where it cannot be sent now. The caller may ignore that: any datagram may be lost.
+    /// If it cannot be sent now. The caller may ignore the error, since any datagram may be lost.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) -> io::Result<()> {
         self.socket.send_to(bytes, to).map(|_| ())
     }
 
-    /// The next datagram with its sender; none where nothing waits or the socket fails.
+    /// Receives the next datagram with its sender; `None` if none is available or the socket fails.
     pub fn receive(&mut self) -> Option<(SocketAddr, &[u8])> {
         let (length, from) = loop {
             match self.socket.recv_from(&mut self.buffer) {
--- a/router/src/transport/idle_connections.rs
+++ b/router/src/transport/idle_connections.rs
@@ -1,19 +1,20 @@
-//! A pool of idle connections, by peer.
+//! The idle connections, by the peer that they lead to.
 
 use std::collections::BTreeMap;
 
 use super::socket_id::SocketId;
 
-/// An idle connection, and since when it has been idle (Unix time in seconds).
+/// An idle connection.
 #[derive(Clone, Copy)]
-struct Idle {
+struct IdleConnection {
     id: SocketId,
-    since: f64,
+    /// When the connection became idle, in Unix seconds.
+    idle_since: f64,
 }
 
-/// The idle connections to each peer, the most recently used last.
+/// The idle connections to each peer, ordered by when they became idle.
 pub struct IdleConnections<K> {
-    by_peer: BTreeMap<K, Vec<Idle>>,
+    by_peer: BTreeMap<K, Vec<IdleConnection>>,
     count: usize,
 }
 
@@ -27,21 +28,24 @@
 }
 
 impl<K: Ord + Copy> IdleConnections<K> {
-    /// How many connections are idle, to all peers together.
+    /// The number of idle connections to all peers.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// Adds a connection that becomes idle at `now`.
+    /// Adds a connection that became idle at `now`.
     pub fn insert(&mut self, peer: K, id: SocketId, now: f64) {
-        let idle = Idle { id, since: now };
-        self.by_peer.entry(peer).or_default().push(idle);
+        let connection = IdleConnection {
+            id,
+            idle_since: now,
+        };
+        self.by_peer.entry(peer).or_default().push(connection);
         self.count += 1;
     }
 
-    /// Removes the most recently used connection to `peer` that has been idle since `idle_since` or longer, and
-    /// returns it with the time since when it has been idle. Where all have been idle for less and there are
-    /// `max_below_min_idle` or more of them, removes the one that has been idle longest.
+    /// Removes the connection to `peer` that became idle last, among those that became idle at `idle_since` or earlier.
+    /// Returns it with the time when it became idle. If all became idle later and there are `max_below_min_idle` or more
+    /// of them, removes the one that has been idle longest.
     pub fn take_reusable(
         &mut self,
         peer: K,
@@ -49,29 +53,31 @@
         max_below_min_idle: usize,
     ) -> Option<(SocketId, f64)> {
         let idle = self.by_peer.get_mut(&peer)?;
-        let rested = idle.iter().rposition(|idle| idle.since <= idle_since);
-        let place = rested
+        let reusable = idle
+            .iter()
+            .rposition(|connection| connection.idle_since <= idle_since);
+        let index = reusable
             .or_else(|| (!idle.is_empty() && idle.len() >= max_below_min_idle).then_some(0))?;
         self.count -= 1;
-        let taken = idle.remove(place);
-        Some((taken.id, taken.since))
+        let taken = idle.remove(index);
+        Some((taken.id, taken.idle_since))
     }
 
-    /// All idle connections, by peer.
+    /// The identifiers of all idle connections.
     pub fn ids(&self) -> Vec<SocketId> {
         self.by_peer
             .values()
             .flatten()
-            .map(|idle| idle.id)
+            .map(|connection| connection.id)
             .collect()
     }
 
     /// Removes one connection to `peer`, if it is idle.
     pub fn remove(&mut self, peer: K, id: SocketId) {
         if let Some(idle) = self.by_peer.get_mut(&peer) {
-            let before = idle.len();
+            let count_before = idle.len();
             idle.retain(|other| other.id != id);
-            self.count -= before - idle.len();
+            self.count -= count_before - idle.len();
         }
     }
 
@@ -79,15 +85,15 @@
     pub fn take_all(&mut self, peer: K) -> Vec<SocketId> {
         let taken = self.by_peer.remove(&peer).unwrap_or_default();
         self.count -= taken.len();
-        taken.into_iter().map(|idle| idle.id).collect()
+        taken.into_iter().map(|connection| connection.id).collect()
     }
 
-    /// Removes all connections that have been idle since `time` or longer.
+    /// Removes all connections that became idle at `time` or earlier.
     pub fn take_idle_since(&mut self, time: f64) -> Vec<SocketId> {
         let mut taken = Vec::new();
         for idle in self.by_peer.values_mut() {
-            let expired = idle.extract_if(.., |idle| idle.since <= time);
-            taken.extend(expired.map(|idle| idle.id));
+            let expired = idle.extract_if(.., |connection| connection.idle_since <= time);
+            taken.extend(expired.map(|connection| connection.id));
         }
         self.by_peer.retain(|_, idle| !idle.is_empty());
         self.count -= taken.len();
@@ -99,7 +105,7 @@
         let oldest_by_peer = self
             .by_peer
             .iter()
-            .filter_map(|(peer, idle)| idle.first().map(|first| (first.since, *peer)));
+            .filter_map(|(peer, idle)| idle.first().map(|first| (first.idle_since, *peer)));
         let (_, peer) = oldest_by_peer.min_by(|a, b| a.0.total_cmp(&b.0))?;
         self.count -= 1;
         self.by_peer.get_mut(&peer).map(|idle| idle.remove(0).id)
--- a/router/src/transport/inbox.rs
+++ b/router/src/transport/inbox.rs
@@ -1,6 +1,6 @@
-//! The bounded message queue by which other threads reach the event loop.
+//! The bounded queue of messages from other threads to the event loop.
 //!
-//! A sender waits while the queue is full; the event loop never waits.
+//! A sender blocks while the queue is full; the event loop never blocks on it.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -10,16 +10,16 @@
 
 use super::socket_id::SocketId;
 
-/// Received messages that the event loop has not handled yet, in the order of their arrival.
+/// The received messages that have not been handled yet, oldest first.
 pub struct Inbox<T> {
-    /// What the event loop reports as ready once a message waits.
+    /// The identifier that the event loop reports when a message is available.
     pub id: SocketId,
-    pub(super) waiting: Rc<RefCell<VecDeque<T>>>,
+    pub(super) pending: Rc<RefCell<VecDeque<T>>>,
 }
 
 impl<T> Inbox<T> {
-    /// Removes the oldest message.
+    /// Removes and returns the oldest message.
     pub fn pop(&self) -> Option<T> {
-        self.waiting.borrow_mut().pop_front()
+        self.pending.borrow_mut().pop_front()
     }
 }
--- a/router/src/transport/listener.rs
+++ b/router/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! The listening TCP socket.
+//! A listening TCP socket.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,7 +12,7 @@
 
 /// A bound, non-blocking TCP listener.
 pub struct Listener {
-    /// What the event loop reports as ready.
+    /// The identifier that the event loop reports when a client may be accepted.
     pub id: SocketId,
     socket: Rc<TcpListener>,
     token: RegistrationToken,
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     ///
-    /// Where the address cannot be listened on or the socket cannot be registered.
+    /// If the address cannot be listened on or the socket cannot be registered.
     pub fn open(
         reactor: &mut Reactor,
         address: SocketAddr,
@@ -44,20 +44,20 @@
         Ok(Listener { id, socket, token })
     }
 
-    /// The address that is listened on.
+    /// The local address, with the port that the operating system chose if the configured one is 0.
     ///
     /// # Errors
     ///
-    /// Where the system does not tell it.
+    /// If the operating system does not report it.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// The next waiting client, if any.
+    /// Accepts the next client; `None` if none is waiting.
     ///
     /// # Errors
     ///
-    /// Where no client can be accepted now though one may wait, such as for want of file descriptors.
+    /// If accepting fails although a client may be waiting, for example because no file descriptor is left.
     pub fn accept(&self) -> io::Result<Option<TcpStream>> {
         loop {
             match self.socket.accept() {
--- a/router/src/transport/mod.rs
+++ b/router/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Non-blocking sockets on one calloop event loop, without knowledge of the protocols spoken on them.
+//! Non-blocking sockets on one calloop event loop, independent of the protocols that use them.
 
 #![deny(
     missing_docs,
@@ -32,9 +32,9 @@
 pub use stream::{ReadStatus, Stream};
 pub use timers::Timers;
 
-/// Whether a call failed because no file descriptor was left.
+/// Whether a call failed because the process or the system has no file descriptor left.
 ///
-/// Only then does it help to close an idle connection and to try again.
+/// Only then does it help to close an idle connection and retry.
 pub fn out_of_descriptors(error: &std::io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE))
 }
--- a/router/src/transport/reactor.rs
+++ b/router/src/transport/reactor.rs
@@ -1,7 +1,7 @@
-//! The event loop: which sockets are ready, and which signals came.
+//! The event loop, which waits for ready sockets and for signals.
 //!
-//! The event loop only collects what is ready; the caller then serves it in the order of priorities, so that a
-//! change of state is always read before the requests that depend on it.
+//! The event loop only collects the ready sockets. The caller handles them in the order of their priorities, so that a
+//! change of state is read before the requests that depend on it.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -18,46 +18,49 @@
 use super::inbox::{Inbox, InboxSender};
 use super::socket_id::{Priority, SocketId};
 
+/// What has become ready since the last [`Reactor::poll`].
 #[derive(Default)]
-struct Ready {
+struct ReadyEvents {
     sockets: Vec<(Priority, SocketId)>,
     signals: ReceivedSignals,
 }
 
-/// The signals that were received since the last [`Reactor::poll`].
+/// The signals received since the last [`Reactor::poll`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReceivedSignals {
-    /// SIGTERM or SIGINT: shut down gracefully.
+    /// SIGTERM or SIGINT, which request a graceful shutdown.
     pub stop: bool,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP, which requests a reload of the configuration.
     pub reload: bool,
 }
 
-/// The calloop event loop and what it has found ready.
+/// The calloop event loop and the events that it has collected.
 pub struct Reactor {
-    event_loop: EventLoop<'static, Ready>,
-    handle: LoopHandle<'static, Ready>,
-    ready: Ready,
+    event_loop: EventLoop<'static, ReadyEvents>,
+    handle: LoopHandle<'static, ReadyEvents>,
+    ready: ReadyEvents,
     last_id: u64,
 }
 
 impl Reactor {
-    /// Starts the event loop and takes over SIGTERM, SIGINT and SIGHUP.
+    /// Creates the event loop, which handles SIGTERM, SIGINT and SIGHUP from here on.
     ///
-    /// To be called before anything that takes time, as a SIGHUP that is not taken over ends the program, and
-    /// before any thread starts, as threads inherit the signal mask.
+    /// Must be called before any slow step of the start, since an unhandled SIGHUP ends the program, and before any
+    /// thread starts, since threads inherit the signal mask.
     ///
     /// # Errors
     ///
-    /// Where the system refuses the poller or the signal descriptor.
+    /// If the operating system does not create the poller or the signal descriptor.
     pub fn start() -> io::Result<Self> {
-        let event_loop: EventLoop<'static, Ready> =
+        let event_loop: EventLoop<'static, ReadyEvents> =
             EventLoop::try_new().map_err(io::Error::other)?;
         let handle = event_loop.handle();
-        let handled = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
-        let signals = Signals::new(&handled).map_err(io::Error::other)?;
+        let signals_to_handle = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
+        let signals = Signals::new(&signals_to_handle).map_err(io::Error::other)?;
         let on_signal =
-            |event: calloop::signals::Event, _: &mut _, ready: &mut Ready| match event.signal() {
+            |event: calloop::signals::Event, _: &mut _, ready: &mut ReadyEvents| match event
+                .signal()
+            {
                 Signal::SIGHUP => ready.signals.reload = true,
                 _ => ready.signals.stop = true,
             };
@@ -67,7 +70,7 @@
         Ok(Reactor {
             event_loop,
             handle,
-            ready: Ready::default(),
+            ready: ReadyEvents::default(),
             last_id: 0,
         })
     }
@@ -77,11 +80,11 @@
         SocketId(self.last_id)
     }
 
-    /// Registers a socket, edge-triggered: its owner reads and writes until the socket would block.
+    /// Registers a socket, edge-triggered: its owner must read and write until the socket would block.
     ///
     /// # Errors
     ///
-    /// Where the system refuses to watch the socket.
+    /// If the operating system does not watch the socket.
     pub fn register<S: AsFd + 'static>(
         &mut self,
         socket: Rc<S>,
@@ -89,7 +92,7 @@
     ) -> io::Result<(SocketId, RegistrationToken)> {
         let id = self.next_id();
         let source = Generic::new(socket, Interest::BOTH, Mode::Edge);
-        let on_ready = move |_, _: &mut _, ready: &mut Ready| {
+        let on_ready = move |_, _: &mut _, ready: &mut ReadyEvents| {
             ready.sockets.push((priority, id));
             Ok(PostAction::Continue)
         };
@@ -100,34 +103,34 @@
         Ok((id, token))
     }
 
-    /// Opens a message queue of `capacity` places; a waiting message makes its id ready as data does a socket.
+    /// Opens a queue of at most `capacity` messages. Its identifier is reported as ready when a message is available.
     ///
     /// # Errors
     ///
-    /// Where the system refuses the queue's wake-up descriptor.
+    /// If the operating system does not create the queue's wake-up descriptor.
     pub fn inbox<T: 'static>(
         &mut self,
         capacity: usize,
         priority: Priority,
     ) -> io::Result<(Inbox<T>, InboxSender<T>)> {
         let id = self.next_id();
-        let waiting = Rc::new(RefCell::new(VecDeque::new()));
+        let pending = Rc::new(RefCell::new(VecDeque::new()));
         let (sender, source) = sync_channel(capacity);
-        let received = waiting.clone();
-        let on_message = move |event, _: &mut _, ready: &mut Ready| {
-            // Reported once, however many messages wait.
+        let received = pending.clone();
+        let on_message = move |event, _: &mut _, ready: &mut ReadyEvents| {
+            // Reported once for all pending messages.
             if let Event::Msg(message) = event {
-                let mut waiting = received.borrow_mut();
-                if waiting.is_empty() {
+                let mut pending = received.borrow_mut();
+                if pending.is_empty() {
                     ready.sockets.push((priority, id));
                 }
-                waiting.push_back(message);
+                pending.push_back(message);
             }
         };
         self.handle
             .insert_source(source, on_message)
             .map_err(|e| io::Error::other(e.error.to_string()))?;
-        Ok((Inbox { id, waiting }, sender))
+        Ok((Inbox { id, pending }, sender))
     }
 
     /// Stops watching a socket.
@@ -135,12 +138,12 @@
         self.handle.remove(token);
     }
 
-    /// Sleeps until a socket is ready or `seconds` are over; returns the ready sockets, in the order of their
-    /// priorities, and the signals received.
+    /// Sleeps until a socket is ready, a signal is received or `seconds` have passed. Returns the ready sockets,
+    /// ordered by priority, and the received signals.
     ///
     /// # Errors
     ///
-    /// Where the system's poll fails.
+    /// If the operating system's poll fails.
     pub fn poll(
         &mut self,
         seconds: f64,
--- a/router/src/transport/stream.rs
+++ b/router/src/transport/stream.rs
@@ -1,4 +1,4 @@
-//! One non-blocking TCP connection with its read and write buffers.
+//! A non-blocking TCP connection with its read and write buffers.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -11,23 +11,23 @@
 use super::reactor::Reactor;
 use super::socket_id::{Priority, SocketId};
 
-/// Bytes of one read, and the capacity that the buffer of an idle connection keeps.
-const CHUNK: usize = 4096;
+/// Maximum bytes of one read, and the capacity that an empty buffer keeps.
+const CHUNK_BYTES: usize = 4096;
 
 /// How a read ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadStatus {
     /// The socket is empty.
     Drained,
-    /// The buffer is full or this connection's turn is over: more may wait.
+    /// The buffer is full or the read limit is reached; more data may be available.
     More,
-    /// The peer has ended its sending, or the connection broke.
+    /// The peer has closed its sending direction, or the connection failed.
     Closed,
 }
 
 /// A TCP connection that is registered with the event loop.
 pub struct Stream {
-    /// What the event loop reports as ready.
+    /// The identifier that the event loop reports when the connection is readable or writable.
     pub id: SocketId,
     socket: Rc<TcpStream>,
     token: RegistrationToken,
@@ -41,11 +41,11 @@
 }
 
 impl Stream {
-    /// Takes over a connection that a listener has accepted.
+    /// Wraps a connection that a listener has accepted.
     ///
     /// # Errors
     ///
-    /// Where the socket cannot be configured or registered.
+    /// If the socket cannot be configured or registered.
     pub fn accepted(
         reactor: &mut Reactor,
         socket: TcpStream,
@@ -55,11 +55,11 @@
         Self::new(reactor, socket, priority, true)
     }
 
-    /// Begins to connect; [`Stream::is_connected`] tells when that has succeeded.
+    /// Starts connecting; [`Stream::is_connected`] reports whether the connection is established.
     ///
     /// # Errors
     ///
-    /// Where the connection fails at once, or the socket cannot be configured or registered.
+    /// If connecting fails immediately, or the socket cannot be configured or registered.
     pub fn connect(reactor: &mut Reactor, to: SocketAddr, priority: Priority) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// Where connecting has failed.
+    /// If connecting has failed.
     pub fn is_connected(&mut self) -> io::Result<bool> {
         if !self.connected {
             if let Some(error) = self.socket.take_error()? {
@@ -113,15 +113,15 @@
         Ok(self.connected)
     }
 
-    /// Reads until the socket is empty, `max_unconsumed` bytes wait to be consumed, or `max_read` bytes or more
-    /// have been read at this call, so that other connections get their turn.
+    /// Reads until the socket is empty, the input holds `max_unconsumed` bytes, or this call has read `max_read` bytes
+    /// or more. The latter limit keeps one connection from delaying the others.
     pub fn read_available(&mut self, max_unconsumed: usize, max_read: usize) -> ReadStatus {
         self.input.drain(..self.consumed);
         self.consumed = 0;
-        let mut total = 0;
-        while total < max_read {
+        let mut total_read = 0;
+        while total_read < max_read {
             let buffered = self.input.len();
-            let capacity = max_unconsumed.saturating_sub(buffered).min(CHUNK);
+            let capacity = max_unconsumed.saturating_sub(buffered).min(CHUNK_BYTES);
             if capacity == 0 {
                 return ReadStatus::More;
             }
@@ -130,10 +130,10 @@
             self.input.truncate(buffered + *read.as_ref().unwrap_or(&0));
             match read {
                 Ok(0) => return ReadStatus::Closed,
-                Ok(length) => total += length,
+                Ok(length) => total_read += length,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     if self.input.is_empty() {
-                        self.input.shrink_to(CHUNK);
+                        self.input.shrink_to(CHUNK_BYTES);
                     }
                     return ReadStatus::Drained;
                 }
@@ -144,7 +144,8 @@
         ReadStatus::More
     }
 
-    /// Whether the peer has ended its sending or is gone, though data from before that may wait to be read.
+    /// Whether the peer has closed its sending direction or the whole connection. Data that it sent before may still be
+    /// unread.
     pub fn is_closed_by_peer(&self) -> bool {
         let mut polled = [PollFd::new(&*self.socket, PollFlags::RDHUP)];
         let result = poll(&mut polled, Some(&Timespec::default()));
@@ -154,7 +155,7 @@
                 .intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
     }
 
-    /// What has been read and not consumed.
+    /// The bytes that have been read but not consumed.
     pub fn input(&self) -> &[u8] {
         &self.input[self.consumed..]
     }
@@ -163,28 +164,28 @@
     pub fn consume(&mut self, length: usize) {
         self.consumed = self.consumed.saturating_add(length).min(self.input.len());
         if self.consumed == self.input.len() {
-            // One long message is no reason to keep its buffer for good.
+            // Frees the memory of a long message instead of keeping it for the life of the connection.
             self.input.clear();
-            self.input.shrink_to(CHUNK);
+            self.input.shrink_to(CHUNK_BYTES);
             self.consumed = 0;
         }
     }
 
-    /// The buffer that further output is appended to; [`Stream::flush`] writes it.
+    /// The buffer to append output to; [`Stream::flush`] writes it to the socket.
     pub fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
-    /// Bytes of the output that have not been written.
+    /// Number of output bytes that have not been written.
     pub fn unwritten(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Writes what can be written now; true once nothing is left.
+    /// Writes as much output as the socket accepts. Returns whether all output has been written.
     ///
     /// # Errors
     ///
-    /// Where the connection is broken.
+    /// If the connection has failed.
     pub fn flush(&mut self) -> io::Result<bool> {
         while self.written < self.output.len() {
             match (&*self.socket).write(&self.output[self.written..]) {
@@ -196,16 +197,16 @@
             }
         }
         self.output.clear();
-        self.output.shrink_to(CHUNK);
+        self.output.shrink_to(CHUNK_BYTES);
         self.written = 0;
         Ok(true)
     }
 
-    /// Shuts down the sending direction; the peer may still send.
+    /// Closes the sending direction; the peer may still send.
     ///
     /// # Errors
     ///
-    /// Where the connection is broken.
+    /// If the connection has failed.
     pub fn shutdown_write(&self) -> io::Result<()> {
         self.socket.shutdown(Shutdown::Write)
     }
--- a/router/src/transport/timers.rs
+++ b/router/src/transport/timers.rs
@@ -3,16 +3,19 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
+/// A scheduled timer.
 struct Entry<T> {
+    /// Unix seconds.
     deadline: f64,
-    /// Counts the timers, so that those of one deadline expire in the order in which they were scheduled.
+    /// Increases with each timer, so that timers with the same deadline expire in the order in which they were
+    /// scheduled.
     sequence: u64,
     event: T,
 }
 
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // Reversed: the heap yields its greatest entry first.
+        // Reversed, since the heap yields its greatest entry first and the earliest deadline is needed.
         other
             .deadline
             .total_cmp(&self.deadline)
@@ -34,7 +37,7 @@
 
 impl<T> Eq for Entry<T> {}
 
-/// Timers that carry an event each. Deadlines are Unix time in seconds.
+/// A queue of timers, each with an event. Deadlines are in Unix seconds.
 pub struct Timers<T> {
     heap: BinaryHeap<Entry<T>>,
     last_sequence: u64,
@@ -42,7 +45,7 @@
 }
 
 impl<T> Timers<T> {
-    /// An empty queue of at most `capacity` timers.
+    /// Creates an empty queue for at most `capacity` timers.
     pub fn new(capacity: usize) -> Self {
         Timers {
             heap: BinaryHeap::new(),
@@ -51,7 +54,7 @@
         }
     }
 
-    /// Adds a timer; false, and the event is dropped, where the queue is full.
+    /// Schedules a timer. If the queue is full, drops the event and returns false.
     pub fn schedule(&mut self, deadline: f64, event: T) -> bool {
         let has_capacity = self.heap.len() < self.capacity;
         if has_capacity {
@@ -70,7 +73,7 @@
         self.heap.peek().map(|entry| entry.deadline)
     }
 
-    /// Removes the earliest timer whose deadline is not after `now`.
+    /// Removes the earliest timer if its deadline is not after `now`, and returns its event.
     pub fn pop_due(&mut self, now: f64) -> Option<T> {
         if self.next_deadline()? > now {
             return None;
