--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -115,7 +115,7 @@
             ManagementInbox::open(reactor, inbox_messages).map_err(StartError::Thread)?;
         let mut datastore = self.restore_datastore(settings)?;
         let facts = self.initial_facts(settings, known_hosts, rollout);
-        let initial = datastore.prepare(settings.file_watch.as_ref(), &facts)?;
+        let initial = datastore.apply_files_at_start(settings.file_watch.as_ref(), &facts)?;
         let file_watch = settings
             .file_watch
             .clone()
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -16,7 +16,7 @@
 use super::operator;
 use crate::management_threads::{PendingVersion, load};
 
-/// check an operator file and the watched files that it names, and report all errors
+/// check an operator file and the watched files that it names, and report their errors
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check-operator")]
 pub(super) struct CheckOperator {
@@ -35,7 +35,7 @@
     file: Option<PathBuf>,
 }
 
-/// print the revisions that a router has applied, and why it rejected the last one that it did not apply
+/// print the revisions that a router has applied, and its last rejection with the reasons
 #[derive(FromArgs)]
 #[argh(subcommand, name = "revisions")]
 pub(super) struct Revisions {
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -175,9 +175,9 @@
 /// Maximum size of a watched file in bytes.
 const MAX_FILE_BYTES: usize = 8 << 20;
 /// Longest time that a file which keeps changing is waited for, as a multiple of the key `settle`.
-const MAX_DELAY_PER_SETTLE: f64 = 7.5;
+const MAX_DELAY_SETTLE_MULTIPLE: f64 = 7.5;
 /// Shortest interval between two versions, as a multiple of the key `settle`.
-const MIN_INTERVAL_PER_SETTLE: f64 = 1.0;
+const MIN_INTERVAL_SETTLE_MULTIPLE: f64 = 1.0;
 
 /// The names of the sections, in the order of [`KEYS`].
 fn sections() -> Vec<&'static str> {
@@ -326,9 +326,9 @@
     let settle = seconds("watch", "settle");
     let debounce = DebounceSettings {
         quiet_period: settle,
-        max_delay: MAX_DELAY_PER_SETTLE * settle,
+        max_delay: MAX_DELAY_SETTLE_MULTIPLE * settle,
         poll_interval: seconds("watch", "poll"),
-        min_interval: MIN_INTERVAL_PER_SETTLE * settle,
+        min_interval: MIN_INTERVAL_SETTLE_MULTIPLE * settle,
     };
     let (compare_interval, use_notifier) = (
         seconds("watch", "compare"),
