--- a/router/src/management_threads/datastore_thread/mod.rs
+++ b/router/src/management_threads/datastore_thread/mod.rs
@@ -43,8 +43,8 @@
 /// often.
 const MAX_WAIT_SECONDS: f64 = 0.25;
 
-/// The longest wait for the event loop to publish a fresh view of the router's state. If the loop is delayed for longer,
-/// its last view is used.
+/// The longest wait for the event loop to publish a fresh view of the router's state. If the loop is delayed for
+/// longer, its last view is used.
 const VIEW_REFRESH_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A request to the datastore thread.
@@ -126,8 +126,8 @@
         })
     }
 
-    /// Applies the watched files at the start, if there are any, and returns the configuration in force. If the files are
-    /// invalid, that is the last good revision.
+    /// Applies the watched files at the start, if there are any, and returns the configuration in force. If the files
+    /// are invalid, that is the last good revision.
     ///
     /// # Errors
     ///
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -133,8 +133,8 @@
 }
 
 impl CheckOperator {
-    /// The rules by which the router with this configuration validates commits. Without a configuration, the checks that
-    /// depend on it are off (memory, slow start and overload), so that only what every router rejects is an error.
+    /// The rules by which the router with this configuration validates commits. Without a configuration, the checks
+    /// that depend on it are off (memory, slow start and overload), so that only what every router rejects is an error.
     fn rules(&self) -> Result<RuleSettings, String> {
         let Some(config) = &self.config else {
             return Ok(RuleSettings {
--- a/router/src/transport/idle_connections.rs
+++ b/router/src/transport/idle_connections.rs
@@ -44,8 +44,8 @@
     }
 
     /// Removes the connection to `peer` that became idle last, among those that became idle at `idle_since` or earlier.
-    /// Returns it with the time when it became idle. If all became idle later and there are `max_below_min_idle` or more
-    /// of them, removes the one that has been idle longest.
+    /// Returns it with the time when it became idle. If all became idle later and there are `max_below_min_idle` or
+    /// more of them, removes the one that has been idle longest.
     pub fn take_reusable(
         &mut self,
         peer: K,
