--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Makes the datastore thread save its state and end, and waits for that for at most [`SHUTDOWN_TIMEOUT`].
+    /// Makes the datastore thread save its state and end, and waits for that for at most one second.
     pub fn shut_down(self) {
         let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
         // Retried while the queue is full.
