--- a/router/src/routing/admission.rs
+++ b/router/src/routing/admission.rs
@@ -19,7 +19,7 @@
     /// The hosts that are for it, by the routes in force when it came.
     pub(super) pool: Option<Arc<Pool>>,
     pub(super) time_left: f64,
-    pub(super) again: bool,
+    pub(super) is_retry: bool,
     pub(super) command: StoredCommand,
 }
 
@@ -123,12 +123,12 @@
     }
 
     /// The connection that holds the open request with this id of a client.
-    pub(super) fn holder(&self, client_id: &[u8]) -> Option<SocketId> {
+    pub(super) fn open_request_connection(&self, client_id: &[u8]) -> Option<SocketId> {
         self.open_ids.get(client_id).copied()
     }
 
     /// All requests with the number of their attempts.
-    pub(super) fn attempts_of_all(&self) -> Vec<(RequestId, u32)> {
+    pub(super) fn attempt_counts(&self) -> Vec<(RequestId, u32)> {
         self.requests
             .iter()
             .map(|(id, request)| (id.clone(), request.attempts))
@@ -143,7 +143,7 @@
             key,
             pool,
             time_left,
-            again,
+            is_retry,
             command,
         } = request;
         // Nothing has been dispatched: a client may be told that trying again is harmless.
@@ -164,7 +164,7 @@
                 key,
                 time_left,
                 work: None,
-                again,
+                again: is_retry,
                 pool,
             }));
     }
--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -12,15 +12,15 @@
 use crate::protocol::resp::write_bulk;
 use crate::transport::{ReadStatus, SocketId};
 
-const MILLIS: f64 = 1e3;
+const MILLIS_PER_SECOND: f64 = 1e3;
 
 impl Routing {
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
         host: HostId,
-        time_out: f64,
-        on: ConnectionRequirements,
+        timeout: f64,
+        requirements: ConnectionRequirements,
     ) {
         let now = self.event_loop.now();
         let Some(attempt) = self.requests.begin_attempt(&request) else {
@@ -38,10 +38,13 @@
                 LoadReport::default(),
             );
         }
-        let Some(id) =
-            self.upstreams
-                .checkout(&mut self.event_loop, &self.endpoints, host, now, on)
-        else {
+        let Some(id) = self.upstreams.checkout(
+            &mut self.event_loop,
+            &self.endpoints,
+            host,
+            now,
+            requirements,
+        ) else {
             return self.finish_attempt(
                 AttemptInFlight { request, attempt },
                 host,
@@ -51,7 +54,7 @@
             );
         };
         // As long as the router will wait, and never told as nothing.
-        let millis = (time_out * MILLIS).ceil().max(1.0) as u64;
+        let millis = (timeout * MILLIS_PER_SECOND).ceil().max(1.0) as u64;
         if let (Some(upstream), Some(command)) =
             (self.upstreams.get_mut(id), self.requests.command(&request))
         {
@@ -61,28 +64,33 @@
             id,
             ConnectionUse::Attempt(AttemptInFlight { request, attempt }),
             now,
-            (time_out, on.write_within),
+            (timeout, requirements.write_within),
         );
     }
 
     pub(super) fn start_health_check(&mut self, host: HostId) {
         let now = self.event_loop.now();
-        let health_checks = self.upstreams.health_checks();
-        let room = health_checks < self.event_loop.limits.upstream.probes_in_flight;
-        let (longest, write_within) = (
+        let health_checks = self.upstreams.health_check_count();
+        let has_capacity = health_checks < self.event_loop.limits.upstream.probes_in_flight;
+        let (no_idle_limit, write_within) = (
             f64::INFINITY,
             self.event_loop.limits.upstream.connect_timeout,
         );
-        let any = ConnectionRequirements {
-            max_idle: longest,
+        let requirements = ConnectionRequirements {
+            max_idle: no_idle_limit,
             min_rest: 0.0,
             max_resting: 1,
             write_within,
         };
-        let Some(id) = room
+        let Some(id) = has_capacity
             .then(|| {
-                self.upstreams
-                    .checkout(&mut self.event_loop, &self.endpoints, host, now, any)
+                self.upstreams.checkout(
+                    &mut self.event_loop,
+                    &self.endpoints,
+                    host,
+                    now,
+                    requirements,
+                )
             })
             .flatten()
         else {
@@ -115,14 +123,14 @@
         id: SocketId,
         current_use: ConnectionUse,
         now: f64,
-        (time_out, write_within): (f64, f64),
+        (timeout, write_timeout): (f64, f64),
     ) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
         let number = upstream.begin_use(current_use, now);
         self.event_loop
-            .schedule(now + time_out, TimerEvent::UpstreamUseTimeout(id, number));
+            .schedule(now + timeout, TimerEvent::UpstreamUseTimeout(id, number));
         self.flush_upstream(id);
         // Connecting has its time, and what is decided has to be written while what it was decided by holds.
         if self
@@ -130,14 +138,16 @@
             .get(id)
             .is_some_and(|upstream| !upstream.is_written)
         {
-            let within = self
+            let write_timeout = self
                 .event_loop
                 .limits
                 .upstream
                 .connect_timeout
-                .min(write_within);
-            self.event_loop
-                .schedule(now + within, TimerEvent::UpstreamWriteTimeout(id, number));
+                .min(write_timeout);
+            self.event_loop.schedule(
+                now + write_timeout,
+                TimerEvent::UpstreamWriteTimeout(id, number),
+            );
         }
     }
 
@@ -147,7 +157,7 @@
             return false;
         };
         match upstream.flush() {
-            Ok(all) => upstream.is_written |= all,
+            Ok(is_complete) => upstream.is_written |= is_complete,
             Err(_) => self.on_upstream_failed(id),
         }
         self.upstreams.contains(id)
@@ -155,12 +165,14 @@
 
     pub(super) fn on_upstream_readable(&mut self, id: SocketId) {
         // What concerns hosts goes before what clients have done: a close may lie unread.
-        let waits = self
+        let unwritten = self
             .upstreams
             .get(id)
             .and_then(UpstreamConnection::unwritten_request)
             .cloned();
-        if waits.is_some_and(|request| self.is_client_gone(&request)) || !self.flush_upstream(id) {
+        if unwritten.is_some_and(|request| self.is_client_gone(&request))
+            || !self.flush_upstream(id)
+        {
             return;
         }
         loop {
@@ -170,30 +182,30 @@
             if !matches!(upstream.stream.is_connected(), Ok(true)) {
                 return;
             }
-            let filled = upstream.stream.read_available(
+            let status = upstream.stream.read_available(
                 self.event_loop.limits.resp.message,
                 self.event_loop.limits.event_loop.read_bytes_per_turn,
             );
-            self.read_upstream(id, filled == ReadStatus::Closed);
-            if filled == ReadStatus::Closed {
+            self.process_input(id, status == ReadStatus::Closed);
+            if status == ReadStatus::Closed {
                 return self.on_upstream_failed(id);
             }
-            if filled == ReadStatus::Drained {
+            if status == ReadStatus::Drained {
                 return;
             }
         }
     }
 
     /// Takes the answer that a connection holds, if it is whole.
-    fn read_upstream(&mut self, id: SocketId, ended: bool) {
+    fn process_input(&mut self, id: SocketId, is_closed: bool) {
         // Out of the map meanwhile: the value is passed on from the buffer it was read into.
         let Some(upstream) = self.upstreams.take(id) else {
             return;
         };
-        let read = self.take_answer(&upstream);
+        let handled = self.handle_input(&upstream);
         self.upstreams.put_back(upstream);
-        match read {
-            Ok(Some(used)) => self.finish_use(id, used, ended),
+        match handled {
+            Ok(Some(length)) => self.finish_use(id, length, is_closed),
             Ok(None) => {}
             Err(why) => {
                 if self.event_loop.may_warn() {
@@ -210,26 +222,26 @@
     }
 
     /// Passes on and books what has come; the bytes it took, None where it is not whole.
-    fn take_answer(&mut self, upstream: &UpstreamConnection) -> Result<Option<usize>, Malformed> {
+    fn handle_input(&mut self, upstream: &UpstreamConnection) -> Result<Option<usize>, Malformed> {
         match &upstream.current_use {
             ConnectionUse::Idle if upstream.stream.input().is_empty() => Ok(None),
             ConnectionUse::Idle => Err(Malformed::new("nothing was asked")),
-            ConnectionUse::Attempt(carried) => self.take_response(upstream, carried),
-            ConnectionUse::HealthCheck => self.take_health_check_response(upstream),
+            ConnectionUse::Attempt(in_flight) => self.handle_response(upstream, in_flight),
+            ConnectionUse::HealthCheck => self.handle_health_check_response(upstream),
         }
     }
 
     /// Relays the response of an attempt and reports its outcome; the bytes it took, `None` where it is incomplete.
-    fn take_response(
+    fn handle_response(
         &mut self,
         upstream: &UpstreamConnection,
-        carried: &AttemptInFlight,
+        in_flight: &AttemptInFlight,
     ) -> Result<Option<usize>, Malformed> {
         let input = upstream.stream.input();
-        let took = self.event_loop.now() - upstream.used_since;
-        let Some((response, used)) = host::parse_response(input, &self.event_loop.limits.resp)?
+        let took = self.event_loop.now() - upstream.use_began_at;
+        let Some((response, length)) = host::parse_response(input, &self.event_loop.limits.resp)?
         else {
-            return self.await_more(input);
+            return self.check_incomplete_length(input);
         };
         let (outcome, load) = match response {
             // No host has begun it.
@@ -239,7 +251,7 @@
                 ));
             }
             HostResponse::Value { value, load } => {
-                self.relay_value(&carried.request, value);
+                self.relay_value(&in_flight.request, value);
                 (AttemptOutcome::Succeeded, load)
             }
             HostResponse::Error { load } => (AttemptOutcome::Error, load),
@@ -254,25 +266,25 @@
             .map(TransportSettings::load_by_name)
             .unwrap_or_default();
         let attempt = AttemptInFlight {
-            request: carried.request.clone(),
-            attempt: carried.attempt,
+            request: in_flight.request.clone(),
+            attempt: in_flight.attempt,
         };
-        let times = (took, upstream.idle_time);
-        self.finish_attempt(attempt, upstream.host, outcome, times, load);
-        Ok(Some(used))
+        let took_and_idle_time = (took, upstream.idle_time);
+        self.finish_attempt(attempt, upstream.host, outcome, took_and_idle_time, load);
+        Ok(Some(length))
     }
 
     /// Reports the outcome of a health check; the bytes its response took, `None` where it is incomplete.
-    fn take_health_check_response(
+    fn handle_health_check_response(
         &mut self,
         upstream: &UpstreamConnection,
     ) -> Result<Option<usize>, Malformed> {
         let input = upstream.stream.input();
-        let took = self.event_loop.now() - upstream.used_since;
-        let Some((response, used)) =
+        let took = self.event_loop.now() - upstream.use_began_at;
+        let Some((response, length)) =
             host::parse_probe_response(input, &self.event_loop.limits.resp)?
         else {
-            return self.await_more(input);
+            return self.check_incomplete_length(input);
         };
         let outcome = if response.is_healthy {
             AttemptOutcome::Succeeded
@@ -290,11 +302,11 @@
                 took,
                 load,
             });
-        Ok(Some(used))
+        Ok(Some(length))
     }
 
     /// An incomplete response: the rest of it is waited for, unless it is longer than it may be.
-    fn await_more(&self, input: &[u8]) -> Result<Option<usize>, Malformed> {
+    fn check_incomplete_length(&self, input: &[u8]) -> Result<Option<usize>, Malformed> {
         if input.len() < self.event_loop.limits.resp.message {
             Ok(None)
         } else {
@@ -303,7 +315,7 @@
     }
 
     fn relay_value(&mut self, request: &RequestId, value: &[u8]) {
-        if self.answer(request, |out| write_bulk(out, value)) {
+        if self.respond(request, |out| write_bulk(out, value)) {
             self.event_loop
                 .metrics
                 .increment(Counter::RequestsSucceeded);
@@ -311,21 +323,21 @@
     }
 
     /// The connection is without use again, and kept where the host may be used again.
-    fn finish_use(&mut self, id: SocketId, used: usize, ended: bool) {
+    fn finish_use(&mut self, id: SocketId, length: usize, is_closed: bool) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.stream.consume(used);
+        upstream.stream.consume(length);
         self.upstreams
-            .check_in(&mut self.event_loop, &self.endpoints, id, ended);
+            .check_in(&mut self.event_loop, &self.endpoints, id, is_closed);
     }
 
     /// The connection broke or was never up. An answer that had come before counts; else what it carried ends by
     /// how far its command had come.
     fn on_upstream_failed(&mut self, id: SocketId) {
-        self.read_final_answer(id);
-        let outcome = |written| {
-            if written {
+        self.read_final_response(id);
+        let outcome = |is_written| {
+            if is_written {
                 AttemptOutcome::Reset
             } else {
                 AttemptOutcome::NoConnection
@@ -335,18 +347,18 @@
     }
 
     /// Takes an answer that is here already, before what it answers is given up.
-    fn read_final_answer(&mut self, id: SocketId) {
+    fn read_final_response(&mut self, id: SocketId) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
         if !matches!(upstream.current_use, ConnectionUse::Idle)
             && matches!(upstream.stream.is_connected(), Ok(true))
         {
-            let filled = upstream.stream.read_available(
+            let status = upstream.stream.read_available(
                 self.event_loop.limits.resp.message,
                 self.event_loop.limits.resp.message,
             );
-            self.read_upstream(id, filled == ReadStatus::Closed);
+            self.process_input(id, status == ReadStatus::Closed);
         }
     }
 
@@ -356,11 +368,11 @@
             return;
         };
         let (outcome, host) = (outcome(upstream.is_written), upstream.host);
-        let took = self.event_loop.now() - upstream.used_since;
+        let took = self.event_loop.now() - upstream.use_began_at;
         match upstream.current_use {
             ConnectionUse::Idle => self.upstreams.forget_idle(host, id),
-            ConnectionUse::Attempt(out) => self.finish_attempt(
-                out,
+            ConnectionUse::Attempt(in_flight) => self.finish_attempt(
+                in_flight,
                 host,
                 outcome,
                 (took, upstream.idle_time),
@@ -382,10 +394,10 @@
     /// Gives up the attempts whose clients are gone and whose command is not written whole, so that no host has begun
     /// them: a connection may come up long after its client has gone.
     pub(super) fn abandon_unwritten_attempts(&mut self) {
-        let gone = |request: &RequestId| self.requests.is_abandoned(request);
+        let is_abandoned = |request: &RequestId| self.requests.is_abandoned(request);
         let abandoned = self
             .upstreams
-            .ids_where(|upstream| upstream.unwritten_request().is_some_and(gone));
+            .ids_matching(|upstream| upstream.unwritten_request().is_some_and(is_abandoned));
         for id in abandoned {
             self.abandon_use(id, |_| AttemptOutcome::Irrelevant);
         }
@@ -400,14 +412,14 @@
 
     /// Timers come after all that the last wait told of; what has come since then is here all the same.
     pub(super) fn on_use_timeout(&mut self, id: SocketId, number: u64) {
-        let same = |upstream: &UpstreamConnection| upstream.use_number == number;
-        if self.upstreams.get(id).is_some_and(same) {
-            self.read_final_answer(id);
+        let is_same_use = |upstream: &UpstreamConnection| upstream.use_number == number;
+        if self.upstreams.get(id).is_some_and(is_same_use) {
+            self.read_final_response(id);
         }
-        if self.upstreams.get(id).is_some_and(same) {
+        if self.upstreams.get(id).is_some_and(is_same_use) {
             // A command whose last byte was never written has not been begun.
-            self.abandon_use(id, |written| {
-                if written {
+            self.abandon_use(id, |is_written| {
+                if is_written {
                     AttemptOutcome::TimedOut
                 } else {
                     AttemptOutcome::NoConnection
@@ -427,26 +439,26 @@
     }
 
     pub(super) fn cancel_attempt(&mut self, request: &RequestId, attempt: AttemptNumber) {
-        let carrying = self
+        let connections = self
             .upstreams
-            .ids_where(|upstream| upstream.carries(request, attempt));
-        if let Some(&id) = carrying.first() {
+            .ids_matching(|upstream| upstream.carries(request, attempt));
+        if let Some(&id) = connections.first() {
             self.abandon_use(id, |_| AttemptOutcome::Cancelled);
         }
     }
 
     fn finish_attempt(
         &mut self,
-        out: AttemptInFlight,
+        in_flight: AttemptInFlight,
         host: HostId,
         outcome: AttemptOutcome,
-        times: (f64, f64),
+        took_and_idle_time: (f64, f64),
         load: LoadReport,
     ) {
         self.event_loop.metrics.count_attempt(outcome);
-        let AttemptInFlight { request, attempt } = out;
+        let AttemptInFlight { request, attempt } = in_flight;
         let over = !self.requests.owes_response(&request);
-        let (took, unused) = (times.0, Some(times.1));
+        let (took, unused) = (took_and_idle_time.0, Some(took_and_idle_time.1));
         self.event_loop.notify_decisions(Event::AttemptFinished {
             request,
             attempt,
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -7,7 +7,7 @@
 use slog::{info, warn};
 
 use super::admission::ParsedRequest;
-use super::arrivals::Arrivals;
+use super::arrival_times::ArrivalTimes;
 use super::metrics::Counter;
 use super::{Routing, SocketOwner, TimerEvent};
 use crate::protocol::client::{self, Command, StoredCommand};
@@ -24,18 +24,18 @@
 pub(super) struct Client {
     pub(super) stream: Stream,
     /// Arrival times of what has been read and not taken.
-    arrivals: Arrivals,
+    arrival_times: ArrivalTimes,
     pub(super) queue: VecDeque<QueuedReply>,
     /// No more commands are taken; the connection is closed once all that was taken is answered.
-    pub(super) closing: bool,
+    pub(super) is_closing: bool,
     /// The client was notified of the close: what it still sends is discarded for a while.
     pub(super) lingering: Option<Lingering>,
     /// When it connected, or when its last command or response was.
     pub(super) last_used: f64,
     /// Complete commands that it has sent.
-    commands: usize,
+    commands_received: usize,
     /// Since when a command has begun and not ended.
-    command_begun: Option<f64>,
+    command_began_at: Option<f64>,
     unknown_commands: usize,
     /// Since when what was written has not been read.
     pub(super) unread_since: Option<f64>,
@@ -52,13 +52,13 @@
     fn new(stream: Stream, now: f64) -> Self {
         Client {
             stream,
-            arrivals: Arrivals::default(),
+            arrival_times: ArrivalTimes::default(),
             queue: VecDeque::new(),
-            closing: false,
+            is_closing: false,
             lingering: None,
             last_used: now,
-            commands: 0,
-            command_begun: None,
+            commands_received: 0,
+            command_began_at: None,
             unknown_commands: 0,
             unread_since: None,
         }
@@ -66,18 +66,23 @@
 
     /// Reads what is there, up to so many unused bytes and so many at a time. What is found arrived at this time or
     /// later.
-    fn fill(&mut self, most: usize, step: usize, arrived_since: f64) -> ReadStatus {
+    fn read_input(
+        &mut self,
+        max_unconsumed: usize,
+        max_read: usize,
+        arrived_since: f64,
+    ) -> ReadStatus {
         let before = self.stream.input().len();
-        let filled = self.stream.read_available(most, step);
+        let status = self.stream.read_available(max_unconsumed, max_read);
         let read = self.stream.input().len() - before;
-        self.arrivals
-            .read(read, arrived_since, filled != ReadStatus::More);
-        filled
+        self.arrival_times
+            .record_read(read, arrived_since, status != ReadStatus::More);
+        status
     }
 
     fn consume(&mut self, bytes: usize) {
         self.stream.consume(bytes);
-        self.arrivals.consume(bytes);
+        self.arrival_times.consume(bytes);
     }
 
     pub(super) fn is_idle(&self) -> bool {
@@ -85,30 +90,30 @@
     }
 
     /// In the middle of a command.
-    pub(super) fn is_begun(&self) -> bool {
-        self.command_begun.is_some()
+    pub(super) fn is_mid_command(&self) -> bool {
+        self.command_began_at.is_some()
     }
 
     /// Who makes room first: the turned away, the silent and who has asked but once, then those that came back;
     /// those that are in the middle of a command last, who have little time for it anyway.
-    fn rank(&self) -> u8 {
+    fn eviction_rank(&self) -> u8 {
         match () {
-            () if self.closing => 0,
-            () if self.command_begun.is_some() => 3,
-            () if self.commands > 1 => 2,
+            () if self.is_closing => 0,
+            () if self.command_began_at.is_some() => 3,
+            () if self.commands_received > 1 => 2,
             () => 1,
         }
     }
 }
 
-const OPEN_ID: &str = "ERR the id is that of an open invocation";
+const OPEN_ID_ERROR: &str = "ERR the id is that of an open invocation";
 
-enum Step {
-    Take(ParsedRequest),
+enum CommandAction {
+    Admit(ParsedRequest),
     /// The client that holds its id is gone, and this comes after that.
-    Left(SocketId),
+    CloseHolder(SocketId),
     Reply(&'static str),
-    Fail(&'static str),
+    Error(&'static str),
     Unknown,
 }
 
@@ -122,38 +127,40 @@
             if self.clients.len() >= self.event_loop.limits.clients.connections
                 && !self.close_idle_client()
             {
-                return self.accept_again(now + self.event_loop.limits.clients.accept_retry_delay);
+                return self
+                    .schedule_accept(now + self.event_loop.limits.clients.accept_retry_delay);
             }
             self.close_idle_client_over_limit(now);
             let Some(listener) = &self.listener else {
                 return false;
             };
             match listener.accept() {
-                Ok(Some(socket)) => self.accepted(socket, now),
+                Ok(Some(socket)) => self.add_client(socket, now),
                 Ok(None) => return false,
                 Err(e) => {
                     // Those without use make room; else it is tried again, not at once.
                     if !out_of_descriptors(&e) || !self.free_descriptor() {
                         warn!(self.event_loop.log, "client connection not accepted"; "error" => %e);
-                        return self
-                            .accept_again(now + self.event_loop.limits.clients.accept_retry_delay);
+                        return self.schedule_accept(
+                            now + self.event_loop.limits.clients.accept_retry_delay,
+                        );
                     }
                 }
             }
         }
-        self.accept_again(now);
+        self.schedule_accept(now);
         true
     }
 
-    fn accept_again(&mut self, at: f64) -> bool {
-        if !self.accept_due {
-            self.accept_due = true;
+    fn schedule_accept(&mut self, at: f64) -> bool {
+        if !self.accept_scheduled {
+            self.accept_scheduled = true;
             self.event_loop.schedule(at, TimerEvent::AcceptAgain);
         }
         false
     }
 
-    fn accepted(&mut self, socket: TcpStream, now: f64) {
+    fn add_client(&mut self, socket: TcpStream, now: f64) {
         match Stream::accepted(
             &mut self.event_loop.reactor,
             socket,
@@ -174,21 +181,28 @@
     /// Closes a connection of no use, or one whose answers are stale: of the first rank the one that has been
     /// so for longest.
     fn close_idle_client(&mut self) -> bool {
-        let stale = self.event_loop.now() - self.event_loop.limits.clients.stale_response_age;
-        let of_no_use = |client: &Client| {
-            client.is_idle() || client.unread_since.is_some_and(|since| since < stale)
+        let stale_before =
+            self.event_loop.now() - self.event_loop.limits.clients.stale_response_age;
+        let is_evictable = |client: &Client| {
+            client.is_idle()
+                || client
+                    .unread_since
+                    .is_some_and(|since| since < stale_before)
         };
         loop {
-            let idle = self.clients.iter().filter(|(_, client)| of_no_use(client));
-            let order = |a: &Client, b: &Client| {
-                a.rank()
-                    .cmp(&b.rank())
+            let evictable = self
+                .clients
+                .iter()
+                .filter(|(_, client)| is_evictable(client));
+            let by_rank_and_age = |a: &Client, b: &Client| {
+                a.eviction_rank()
+                    .cmp(&b.eviction_rank())
                     .then(a.last_used.total_cmp(&b.last_used))
             };
-            let Some((&id, _)) = idle.min_by(|a, b| order(a.1, b.1)) else {
+            let Some((&id, _)) = evictable.min_by(|a, b| by_rank_and_age(a.1, b.1)) else {
                 return false;
             };
-            if self.close_unused(id) {
+            if self.close_if_unused(id) {
                 return true;
             }
         }
@@ -197,42 +211,42 @@
     /// Some clients ask once and keep their connection for good: all of them together may hold as many as their
     /// side can open, and none be left to ask on.
     fn close_idle_client_over_limit(&mut self, now: f64) {
-        let since = now - self.event_loop.limits.clients.idle_timeout;
-        let stays =
-            |client: &Client| client.commands == 1 && client.last_used < since && client.is_idle();
-        let idle_clients = self
-            .clients
-            .iter()
-            .filter(|(_, client)| stays(client) && client.command_begun.is_none());
+        let idle_since = now - self.event_loop.limits.clients.idle_timeout;
+        let is_idle_after_one_command = |client: &Client| {
+            client.commands_received == 1 && client.last_used < idle_since && client.is_idle()
+        };
+        let idle_clients = self.clients.iter().filter(|(_, client)| {
+            is_idle_after_one_command(client) && client.command_began_at.is_none()
+        });
         if idle_clients.clone().count() >= self.event_loop.limits.clients.idle {
             let oldest = idle_clients
                 .min_by(|a, b| a.1.last_used.total_cmp(&b.1.last_used))
                 .map(|(id, _)| *id);
             if let Some(id) = oldest {
-                self.close_unused(id);
+                self.close_if_unused(id);
             }
         }
     }
 
     /// Closes a connection for want of use, unless its next command is here by now and only not read yet. False
     /// where it is in use.
-    fn close_unused(&mut self, id: SocketId) -> bool {
-        let use_of = |c: &Client| {
+    fn close_if_unused(&mut self, id: SocketId) -> bool {
+        let usage = |c: &Client| {
             (
-                c.rank(),
+                c.eviction_rank(),
                 c.last_used,
-                c.commands,
+                c.commands_received,
                 c.unread_since,
                 c.is_idle(),
             )
         };
-        let before = self.clients.get(&id).map(use_of);
+        let before = self.clients.get(&id).map(usage);
         self.read_client(id);
-        let now = self.clients.get(&id).map(use_of);
-        if now.is_some() && now == before {
+        let after = self.clients.get(&id).map(usage);
+        if after.is_some() && after == before {
             self.close_client(id);
         }
-        now.is_none() || now == before
+        after.is_none() || after == before
     }
 
     fn free_descriptor(&mut self) -> bool {
@@ -250,24 +264,24 @@
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
-        if client.closing {
+        if client.is_closing {
             return self.discard_input(id);
         }
-        let filled = client.fill(
+        let status = client.read_input(
             self.event_loop.limits.resp.message,
             self.event_loop.limits.event_loop.read_bytes_per_turn,
             arrived_since,
         );
         // Who has left more unread commands than are kept is gone all the same, with what waits for it.
-        let full = client.stream.input().len() >= self.event_loop.limits.resp.message;
-        if filled == ReadStatus::Closed || full && client.stream.is_closed_by_peer() {
+        let is_buffer_full = client.stream.input().len() >= self.event_loop.limits.resp.message;
+        if status == ReadStatus::Closed || is_buffer_full && client.stream.is_closed_by_peer() {
             return self.close_client(id);
         }
-        if self.take_commands(id) && filled == ReadStatus::More {
-            self.ready_again.push(id);
+        if self.take_commands(id) && status == ReadStatus::More {
+            self.clients_with_more_input.push(id);
         }
         // Only after a read that found nothing more: a command that is here already is not left unanswered.
-        if filled == ReadStatus::Drained && self.shutdown.is_draining() {
+        if status == ReadStatus::Drained && self.shutdown.is_draining() {
             self.drain_client(id);
         }
     }
@@ -281,58 +295,63 @@
         let Some(lingering) = &mut client.lingering else {
             return;
         };
-        let filled = client.stream.read_available(
+        let status = client.stream.read_available(
             self.event_loop.limits.resp.message,
             self.event_loop.limits.event_loop.read_bytes_per_turn,
         );
         let read = client.stream.input().len();
         client.stream.consume(read);
         lingering.bytes_left = lingering.bytes_left.saturating_sub(read);
-        let is_over = lingering.bytes_left == 0;
-        if filled == ReadStatus::Closed || is_over {
+        let is_limit_reached = lingering.bytes_left == 0;
+        if status == ReadStatus::Closed || is_limit_reached {
             self.close_client(id);
-        } else if filled == ReadStatus::More {
-            self.ready_again.push(id);
+        } else if status == ReadStatus::More {
+            self.clients_with_more_input.push(id);
         }
     }
 
     fn take_commands(&mut self, id: SocketId) -> bool {
-        let mut progress = false;
+        let mut has_taken = false;
         loop {
             let limits = &self.event_loop.limits;
-            let client = self.clients.get_mut(&id).filter(|client| !client.closing);
+            let client = self
+                .clients
+                .get_mut(&id)
+                .filter(|client| !client.is_closing);
             let Some(client) = client else { return false };
             // Backpressure: who does not read answers gives no more commands.
             if client.queue.len() >= limits.clients.pipelined_commands
                 || client.stream.unwritten() > limits.resp.value
             {
-                client.command_begun = None;
-                return progress;
+                client.command_began_at = None;
+                return has_taken;
             }
             let Some(client) = self.clients.get(&id) else {
                 return false;
             };
-            let read = client::parse_command(client.stream.input(), &limits.resp);
+            let parsed = client::parse_command(client.stream.input(), &limits.resp);
             let may_grow = client.stream.input().len() < limits.resp.message;
-            let (step, used) = match read {
-                Ok(Some((command, used))) => match self.step(command, client.arrivals.of(used)) {
-                    Ok(Step::Left(holder)) if holder != id => {
-                        self.close_client(holder);
-                        continue;
+            let (action, length) = match parsed {
+                Ok(Some((command, length))) => {
+                    match self.command_action(command, client.arrival_times.arrival_of(length)) {
+                        Ok(CommandAction::CloseHolder(holder)) if holder != id => {
+                            self.close_client(holder);
+                            continue;
+                        }
+                        Ok(action) => (action, length),
+                        Err(why) => return self.reject(id, &why),
                     }
-                    Ok(step) => (step, used),
-                    Err(why) => return self.reject(id, &why),
-                },
+                }
                 Ok(None) if may_grow => {
                     let now = self.event_loop.now();
                     let Some(client) = self.clients.get_mut(&id) else {
                         return false;
                     };
-                    client.command_begun =
+                    client.command_began_at =
                         client
-                            .command_begun
+                            .command_began_at
                             .or((!client.stream.input().is_empty()).then_some(now));
-                    return progress;
+                    return has_taken;
                 }
                 Ok(None) => return self.reject(id, &Malformed::new("a command is too long")),
                 Err(why) => return self.reject(id, &why),
@@ -340,20 +359,25 @@
             let Some(client) = self.clients.get_mut(&id) else {
                 return false;
             };
-            client.consume(used);
-            (client.last_used, client.commands, client.command_begun) =
-                (self.event_loop.now(), client.commands + 1, None);
-            client.unknown_commands += usize::from(matches!(step, Step::Unknown));
+            client.consume(length);
+            (
+                client.last_used,
+                client.commands_received,
+                client.command_began_at,
+            ) = (self.event_loop.now(), client.commands_received + 1, None);
+            client.unknown_commands += usize::from(matches!(action, CommandAction::Unknown));
             if client.unknown_commands > self.event_loop.limits.clients.unknown_commands {
                 return self.reject(id, &Malformed::new("too many unknown commands"));
             }
-            progress = true;
-            match step {
-                Step::Take(request) => self.admit(id, request),
-                Step::Reply(text) => self.reply(id, |out| resp::write_simple(out, text)),
-                Step::Left(_) => self.reply(id, |out| resp::write_error(out, OPEN_ID)),
-                Step::Fail(text) => self.reply(id, |out| resp::write_error(out, text)),
-                Step::Unknown => {
+            has_taken = true;
+            match action {
+                CommandAction::Admit(request) => self.admit(id, request),
+                CommandAction::Reply(text) => self.reply(id, |out| resp::write_simple(out, text)),
+                CommandAction::CloseHolder(_) => {
+                    self.reply(id, |out| resp::write_error(out, OPEN_ID_ERROR))
+                }
+                CommandAction::Error(text) => self.reply(id, |out| resp::write_error(out, text)),
+                CommandAction::Unknown => {
                     self.reply(id, |out| resp::write_error(out, "ERR unknown command"))
                 }
             }
@@ -361,13 +385,17 @@
     }
 
     /// What is to be done about a command whose last byte arrived at this time.
-    fn step(&self, command: Command, arrived: Option<f64>) -> Result<Step, Malformed> {
+    fn command_action(
+        &self,
+        command: Command,
+        arrived_at: Option<f64>,
+    ) -> Result<CommandAction, Malformed> {
         let command_fields = match command {
             Command::Request(command_fields) => command_fields,
-            Command::Ping if self.ready => return Ok(Step::Reply("PONG")),
-            Command::Ping => return Ok(Step::Fail("ERR starting")),
-            Command::SetUp => return Ok(Step::Reply("OK")),
-            Command::Unknown => return Ok(Step::Unknown),
+            Command::Ping if self.is_ready => return Ok(CommandAction::Reply("PONG")),
+            Command::Ping => return Ok(CommandAction::Error("ERR starting")),
+            Command::SetUp => return Ok(CommandAction::Reply("OK")),
+            Command::Unknown => return Ok(CommandAction::Unknown),
         };
         let operation = self.transport.operations.get(command_fields.operation);
         let operation = *operation.ok_or_else(|| Malformed::new("the operation is not known"))?;
@@ -383,16 +411,16 @@
             _ => return Err(Malformed::new("the command is not that of the operation")),
         }
         // Hosts know a request by its id: with another's, one would be answered for the other.
-        if let Some(holder) = self.requests.holder(command_fields.id) {
+        if let Some(holder) = self.requests.open_request_connection(command_fields.id) {
             // Unless that client is gone, which is only not read yet: then it is sent again.
-            let left = self
+            let is_gone = self
                 .clients
                 .get(&holder)
                 .is_some_and(|client| client.stream.is_closed_by_peer());
-            return Ok(if left {
-                Step::Left(holder)
+            return Ok(if is_gone {
+                CommandAction::CloseHolder(holder)
             } else {
-                Step::Fail(OPEN_ID)
+                CommandAction::Error(OPEN_ID_ERROR)
             });
         }
         if command_fields.time_millis as f64 > self.event_loop.limits.clients.max_time_limit * 1e3 {
@@ -406,16 +434,16 @@
             .map(|route| route.pool.clone());
         // A command that lay unread, while this process stood still or behind a full pipeline, has less time left.
         let now = self.event_loop.now();
-        let unread = now - arrived.unwrap_or(now);
-        let time_left = (command_fields.time_millis as f64 / 1e3 - unread)
+        let unread_time = now - arrived_at.unwrap_or(now);
+        let time_left = (command_fields.time_millis as f64 / 1e3 - unread_time)
             .max(0.0)
             .min(self.shutdown.time_left(now));
-        Ok(Step::Take(ParsedRequest {
+        Ok(CommandAction::Admit(ParsedRequest {
             operation,
             key,
             pool,
             time_left,
-            again: command_fields.is_retry,
+            is_retry: command_fields.is_retry,
             command,
         }))
     }
@@ -428,7 +456,7 @@
             .metrics
             .increment(Counter::MalformedMessages);
         if let Some(client) = self.clients.get_mut(&id) {
-            client.closing = true;
+            client.is_closing = true;
             client.consume(usize::MAX);
         }
         self.reply(id, |out| resp::write_error(out, &format!("ERR {why}")));
@@ -437,30 +465,33 @@
     }
 
     /// Turns away who has connected and said nothing for long, or has begun a command and not ended it.
-    pub(super) fn expire_clients_without_request(&mut self, now: f64) {
-        let since = now - self.event_loop.limits.clients.command_timeout;
-        let late = self
+    pub(super) fn expire_clients_without_command(&mut self, now: f64) {
+        let began_before = now - self.event_loop.limits.clients.command_timeout;
+        let expired = self
             .clients
             .iter()
-            .filter(|(_, client)| match client.command_begun {
-                _ if client.closing => client
+            .filter(|(_, client)| match client.command_began_at {
+                _ if client.is_closing => client
                     .lingering
                     .as_ref()
                     .is_some_and(|lingering| lingering.until < now),
-                Some(begun) => begun < since || client.commands == 0 && client.last_used < since,
-                None => client.commands == 0 && client.last_used < since,
+                Some(began_at) => {
+                    began_at < began_before
+                        || client.commands_received == 0 && client.last_used < began_before
+                }
+                None => client.commands_received == 0 && client.last_used < began_before,
             });
-        for (id, begun) in late
-            .map(|(id, client)| (*id, client.command_begun.is_some()))
+        for (id, is_mid_command) in expired
+            .map(|(id, client)| (*id, client.command_began_at.is_some()))
             .collect::<Vec<_>>()
         {
             match self.clients.get(&id) {
-                Some(client) if begun && !client.closing => {
+                Some(client) if is_mid_command && !client.is_closing => {
                     self.reject(id, &Malformed::new("a command does not end"));
                 }
-                Some(client) if client.closing => self.close_client(id),
+                Some(client) if client.is_closing => self.close_client(id),
                 _ => {
-                    self.close_unused(id);
+                    self.close_if_unused(id);
                 }
             }
         }
@@ -471,9 +502,9 @@
         let Some(client) = self.clients.remove(&id) else {
             return;
         };
-        let waited = !client.queue.is_empty();
-        for waiting in client.queue {
-            if let QueuedReply::Pending(request) = waiting
+        let had_queued_replies = !client.queue.is_empty();
+        for reply in client.queue {
+            if let QueuedReply::Pending(request) = reply
                 && self.requests.abandon(&request)
             {
                 self.event_loop
@@ -484,7 +515,7 @@
             }
         }
         client.stream.close(&self.event_loop.reactor);
-        if waited {
+        if had_queued_replies {
             self.abandon_unwritten_attempts();
         }
     }
@@ -509,27 +540,30 @@
 
     /// Closes connections whose clients have not read for long, and the fullest where too much is unread.
     pub(super) fn close_clients_not_reading(&mut self, now: f64) {
-        let (most, longest) = (
+        let (max_unread_bytes, write_timeout) = (
             self.event_loop.limits.clients.unread_response_bytes,
             self.event_loop.limits.clients.write_timeout,
         );
-        let not_reading = self
-            .clients
-            .iter()
-            .filter(|(_, c)| c.unread_since.is_some_and(|since| now - since > longest));
-        let mut closed: Vec<_> = not_reading.map(|(id, _)| *id).collect();
-        let unread = |client: &Client| {
-            let waiting = client.queue.iter().map(|waiting| match waiting {
+        let not_reading = self.clients.iter().filter(|(_, c)| {
+            c.unread_since
+                .is_some_and(|since| now - since > write_timeout)
+        });
+        let mut to_close: Vec<_> = not_reading.map(|(id, _)| *id).collect();
+        let unread_bytes = |client: &Client| {
+            let queued = client.queue.iter().map(|reply| match reply {
                 QueuedReply::Pending(_) => 0,
                 QueuedReply::Ready(bytes) => bytes.len(),
             });
-            client.stream.unwritten() + waiting.sum::<usize>()
+            client.stream.unwritten() + queued.sum::<usize>()
         };
-        if self.clients.values().map(unread).sum::<usize>() > most {
-            let fullest = self.clients.iter().max_by_key(|(_, client)| unread(client));
-            closed.extend(fullest.map(|(id, _)| *id));
+        if self.clients.values().map(unread_bytes).sum::<usize>() > max_unread_bytes {
+            let fullest = self
+                .clients
+                .iter()
+                .max_by_key(|(_, client)| unread_bytes(client));
+            to_close.extend(fullest.map(|(id, _)| *id));
         }
-        for id in closed {
+        for id in to_close {
             warn!(
                 self.event_loop.log,
                 "client does not read, connection closed"
--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -13,29 +13,29 @@
 use crate::protocol::discovery::{self, ChunkedBody, EndpointList, ListWatch, Response};
 use crate::transport::{ReadStatus, SocketId, Stream};
 
-const MILLIS: f64 = 1e3;
+const MILLIS_PER_SECOND: f64 = 1e3;
 const STATUS_OK: u16 = 200;
 
 /// What a call asks for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Query {
     /// The full list, to begin a watch with.
-    First,
+    InitialFull,
     Changes,
     /// The full list once, for the decisions.
-    Once,
+    SingleFull,
 }
 
 /// A connection to discovery with one question on it.
 pub(super) struct Call {
     stream: Stream,
     query: Query,
-    number: u64,
+    request_number: u64,
     /// How many lists had been accepted when it was asked.
     accepted_before: u64,
     connected_at: f64,
     /// Of an answer that has begun and is not complete.
-    partial: Option<PartialAnswer>,
+    partial: Option<PartialResponse>,
     /// The same, where it comes in chunks: what has been read of it.
     chunks: ChunkedBody,
     /// Nothing more comes on the connection.
@@ -43,7 +43,7 @@
 }
 
 /// How much of an answer has come.
-struct PartialAnswer {
+struct PartialResponse {
     bytes: usize,
     /// When the last of it came.
     last_received: f64,
@@ -62,13 +62,13 @@
     /// Lists come only when the decisions ask for them.
     on_demand: bool,
     /// Operators alone list the endpoints: discovery is not asked.
-    off: bool,
-    following: bool,
+    is_disabled: bool,
+    is_watch_wanted: bool,
     /// The version of the list that was accepted last.
     version: Option<u64>,
     lists_accepted: u64,
     calls: BTreeMap<SocketId, Call>,
-    last_number: u64,
+    last_request_number: u64,
     backoff: f64,
     has_answered: bool,
     /// A call found nobody there. One that is refused for want of room has found discovery at work.
@@ -81,12 +81,12 @@
         DiscoveryWatch {
             address,
             on_demand,
-            off: false,
-            following: !on_demand,
+            is_disabled: false,
+            is_watch_wanted: !on_demand,
             version: None,
             lists_accepted: 0,
             calls: BTreeMap::new(),
-            last_number: 0,
+            last_request_number: 0,
             backoff: limits.reconnect_backoff.initial,
             has_answered: false,
             was_unreachable: false,
@@ -95,18 +95,18 @@
     }
 
     /// Discovery is not asked from now on.
-    pub(super) fn turn_off(&mut self) {
-        self.off = true;
-        self.following = false;
+    pub(super) fn disable(&mut self) {
+        self.is_disabled = true;
+        self.is_watch_wanted = false;
     }
 
     /// Whether a list is there to go by, be it a cached one.
     pub(super) fn has_list(&self) -> bool {
-        self.has_list || self.off
+        self.has_list || self.is_disabled
     }
 
-    pub(super) fn is_off(&self) -> bool {
-        self.off
+    pub(super) fn is_disabled(&self) -> bool {
+        self.is_disabled
     }
 
     pub(super) fn is_on_demand(&self) -> bool {
@@ -115,7 +115,7 @@
 
     /// Whether nothing has to be waited for before the router is ready.
     pub(super) fn has_answered(&self) -> bool {
-        self.has_answered || self.off
+        self.has_answered || self.is_disabled
     }
 
     /// Whether the first answer is still to come from a discovery that is there.
@@ -132,12 +132,12 @@
     }
 
     /// A list has been applied.
-    pub(super) fn note_list_applied(&mut self) {
+    pub(super) fn record_list_applied(&mut self) {
         self.has_list = true;
     }
 
     /// A cached list of this version was applied at the start.
-    pub(super) fn note_restored(&mut self, version: u64) {
+    pub(super) fn record_restored(&mut self, version: u64) {
         // What has changed since then is asked for in one call, where a full list and a watch are two: after a
         // mass restart discovery has as many to serve.
         self.version = Some(version).filter(|_| self.on_demand);
@@ -145,23 +145,23 @@
 
     /// Follows the list from now on, or no more.
     pub(super) fn subscribe(&mut self, event_loop: &mut EventLoop, on: bool) -> Option<Call> {
-        self.following = on && !self.off;
+        self.is_watch_wanted = on && !self.is_disabled;
         match self.watch_connection() {
-            Some(id) if !self.following => {
+            Some(id) if !self.is_watch_wanted => {
                 self.close_call(event_loop, id);
                 None
             }
-            None if self.following => self.begin_watch(event_loop),
+            None if self.is_watch_wanted => self.begin_watch(event_loop),
             _ => None,
         }
     }
 
     /// Asks for the full list once.
     pub(super) fn fetch_list(&mut self, event_loop: &mut EventLoop) -> Option<Call> {
-        if self.off {
+        if self.is_disabled {
             return None;
         }
-        self.call(event_loop, Query::Once)
+        self.start_call(event_loop, Query::SingleFull)
     }
 
     /// Drops the calls to the old address; the full list is asked for at the new one, as the count of versions
@@ -179,7 +179,7 @@
                 continue;
             };
             if self.on_demand {
-                self.following &= query == Query::Once;
+                self.is_watch_wanted &= query == Query::SingleFull;
                 event_loop.notify_decisions(Event::EndpointListFailed);
             }
         }
@@ -188,25 +188,25 @@
 
     /// Begins to watch the list, where it is followed and no watch is open.
     pub(super) fn begin_watch(&mut self, event_loop: &mut EventLoop) -> Option<Call> {
-        if !self.following || self.watch_connection().is_some() {
+        if !self.is_watch_wanted || self.watch_connection().is_some() {
             return None;
         }
         let query = if self.version.is_some() {
             Query::Changes
         } else {
-            Query::First
+            Query::InitialFull
         };
-        self.call(event_loop, query)
+        self.start_call(event_loop, query)
     }
 
     fn watch_connection(&self) -> Option<SocketId> {
         self.calls
             .iter()
-            .find(|(_, call)| call.query != Query::Once)
+            .find(|(_, call)| call.query != Query::SingleFull)
             .map(|(id, _)| *id)
     }
 
-    fn call(&mut self, event_loop: &mut EventLoop, query: Query) -> Option<Call> {
+    fn start_call(&mut self, event_loop: &mut EventLoop, query: Query) -> Option<Call> {
         match Stream::connect(
             &mut event_loop.reactor,
             self.address,
@@ -217,7 +217,7 @@
                 let call = Call {
                     stream,
                     query,
-                    number: 0,
+                    request_number: 0,
                     accepted_before: 0,
                     connected_at: event_loop.now(),
                     partial: None,
@@ -225,7 +225,7 @@
                     is_closed: false,
                 };
                 self.calls.insert(id, call);
-                self.ask(event_loop, id, query)
+                self.send_request(event_loop, id, query)
             }
             Err(e) => {
                 let now = event_loop.now();
@@ -237,20 +237,25 @@
     }
 
     /// Writes the next question on a connection that has none out.
-    fn ask(&mut self, event_loop: &mut EventLoop, id: SocketId, query: Query) -> Option<Call> {
+    fn send_request(
+        &mut self,
+        event_loop: &mut EventLoop,
+        id: SocketId,
+        query: Query,
+    ) -> Option<Call> {
         let now = event_loop.now();
         let call = self.calls.get_mut(&id)?;
         // What was missed comes at once where a watch begins on demand, even if it is nothing.
-        let answers_at_once = self.on_demand && call.number == 0;
-        let hold = if answers_at_once {
+        let responds_at_once = self.on_demand && call.request_number == 0;
+        let hold = if responds_at_once {
             0.0
         } else {
             event_loop.limits.discovery.watch_hold
         };
-        self.last_number += 1;
+        self.last_request_number += 1;
         event_loop.metrics.increment(Counter::EndpointListRequests);
         call.query = query;
-        call.number = self.last_number;
+        call.request_number = self.last_request_number;
         call.partial = None;
         call.accepted_before = self.lists_accepted;
         call.chunks = ChunkedBody::default();
@@ -259,18 +264,18 @@
             .filter(|_| query == Query::Changes)
             .map(|version| ListWatch {
                 known_revision: version,
-                hold_millis: (hold * MILLIS) as u64,
+                hold_millis: (hold * MILLIS_PER_SECOND) as u64,
             });
         discovery::write_list_request(call.stream.output(), self.address, watch);
-        let number = call.number;
-        let served_in_turn = self.on_demand && hold <= 0.0 || query == Query::Once;
-        let grace = if served_in_turn {
+        let number = call.request_number;
+        let is_served_in_turn = self.on_demand && hold <= 0.0 || query == Query::SingleFull;
+        let grace = if is_served_in_turn {
             event_loop.limits.discovery.list_poll_timeout
         } else {
             event_loop.limits.discovery.watch_grace
         };
-        let patience = if watch.is_some() { hold } else { 0.0 } + grace;
-        event_loop.schedule(now + patience, TimerEvent::DiscoveryCallTimeout(id, number));
+        let timeout = if watch.is_some() { hold } else { 0.0 } + grace;
+        event_loop.schedule(now + timeout, TimerEvent::DiscoveryCallTimeout(id, number));
         // A connection that does not come up would cost a whole wait, in which all that is missed counts as told.
         event_loop.schedule(
             now + event_loop.limits.message_stall_timeout,
@@ -307,28 +312,28 @@
         let end = match response {
             Ok(Some(end)) => end,
             Ok(None) if call.is_closed => {
-                self.give_up(event_loop, call, "the connection ended");
+                self.abandon_call(event_loop, call, "the connection ended");
                 return None;
             }
             Ok(None) => {
-                self.await_rest_of_answer(event_loop, call);
+                self.await_rest_of_response(event_loop, call);
                 return None;
             }
             Err(why) => {
                 event_loop.metrics.increment(Counter::MalformedMessages);
-                self.give_up(event_loop, call, &why.to_string());
+                self.abandon_call(event_loop, call, &why.to_string());
                 return None;
             }
         };
         call.stream.consume(end.bytes);
         let can_ask = end.stays_open && !call.is_closed;
-        if !can_ask || call.query == Query::Once || !self.following {
+        if !can_ask || call.query == Query::SingleFull || !self.is_watch_wanted {
             call.stream.close(&event_loop.reactor);
             return self.begin_watch(event_loop);
         }
         let id = call.stream.id;
         self.calls.insert(id, call);
-        self.ask(event_loop, id, Query::Changes)
+        self.send_request(event_loop, id, Query::Changes)
     }
 
     /// How the list is to be applied; none where it brings nothing or has been overtaken.
@@ -336,7 +341,7 @@
     /// # Errors
     ///
     /// Where it brings changes of a version before the one that is known.
-    pub(super) fn accept(
+    pub(super) fn accept_list(
         &mut self,
         event_loop: &mut EventLoop,
         list: &EndpointList,
@@ -380,7 +385,7 @@
 
     /// The answer is not complete yet. One that has begun and stalls is given up sooner than a quiet watch: what
     /// it was to tell counts as told.
-    fn await_rest_of_answer(&mut self, event_loop: &mut EventLoop, mut call: Call) {
+    fn await_rest_of_response(&mut self, event_loop: &mut EventLoop, mut call: Call) {
         let id = call.stream.id;
         let now = event_loop.now();
         let bytes = call.stream.input().len();
@@ -392,10 +397,10 @@
             if call.partial.is_none() {
                 event_loop.schedule(
                     now + event_loop.limits.message_stall_timeout,
-                    TimerEvent::DiscoveryAnswerTimeout(id, call.number),
+                    TimerEvent::DiscoveryAnswerTimeout(id, call.request_number),
                 );
             }
-            call.partial = Some(PartialAnswer {
+            call.partial = Some(PartialResponse {
                 bytes,
                 last_received: now,
             });
@@ -409,7 +414,7 @@
         id: SocketId,
         number: u64,
     ) {
-        let is_same = |call: &Call| call.number == number;
+        let is_same = |call: &Call| call.request_number == number;
         if self.calls.get(&id).is_some_and(is_same) {
             self.fail_call(event_loop, id, "no answer came");
         }
@@ -421,22 +426,25 @@
         id: SocketId,
         number: u64,
     ) {
-        let is_down = |call: &mut Call| {
-            call.number == number && !matches!(call.stream.is_connected(), Ok(true))
+        let is_unconnected = |call: &mut Call| {
+            call.request_number == number && !matches!(call.stream.is_connected(), Ok(true))
         };
-        if self.calls.get_mut(&id).is_some_and(is_down) {
+        if self.calls.get_mut(&id).is_some_and(is_unconnected) {
             self.was_unreachable = true;
             self.fail_call(event_loop, id, "the connection does not come up");
         }
     }
 
-    pub(super) fn on_answer_timeout(
+    pub(super) fn on_response_stall(
         &mut self,
         event_loop: &mut EventLoop,
         id: SocketId,
         number: u64,
     ) {
-        let call = self.calls.get(&id).filter(|call| call.number == number);
+        let call = self
+            .calls
+            .get(&id)
+            .filter(|call| call.request_number == number);
         let Some(partial) = call.and_then(|call| call.partial.as_ref()) else {
             return;
         };
@@ -455,11 +463,11 @@
 
     fn fail_call(&mut self, event_loop: &mut EventLoop, id: SocketId, why: &str) {
         if let Some(call) = self.calls.remove(&id) {
-            self.give_up(event_loop, call, why);
+            self.abandon_call(event_loop, call, why);
         }
     }
 
-    fn give_up(&mut self, event_loop: &mut EventLoop, call: Call, why: &str) {
+    fn abandon_call(&mut self, event_loop: &mut EventLoop, call: Call, why: &str) {
         let query = call.query;
         let connected_at = call.connected_at;
         call.stream.close(&event_loop.reactor);
@@ -477,7 +485,7 @@
     ) {
         warn!(event_loop.log, "discovery request failed"; "why" => why.to_owned());
         if self.on_demand {
-            self.following &= query == Query::Once;
+            self.is_watch_wanted &= query == Query::SingleFull;
             return event_loop.notify_decisions(Event::EndpointListFailed);
         }
         let now = event_loop.now();
@@ -533,10 +541,10 @@
     /// Reads what is there, up to the longest answer.
     fn read(&mut self, event_loop: &EventLoop) {
         let max_bytes = event_loop.limits.discovery.response.max_total();
-        let read_bytes = event_loop.limits.event_loop.read_bytes_per_turn;
+        let bytes_per_turn = event_loop.limits.event_loop.read_bytes_per_turn;
         let mut status = ReadStatus::More;
         while status == ReadStatus::More && self.stream.input().len() < max_bytes {
-            status = self.stream.read_available(max_bytes, read_bytes);
+            status = self.stream.read_available(max_bytes, bytes_per_turn);
         }
         self.is_closed = status == ReadStatus::Closed;
     }
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -8,19 +8,19 @@
 use crate::protocol::client;
 use crate::protocol::resp::write_error;
 
-const MILLIS: f64 = 1e3;
+const MILLIS_PER_SECOND: f64 = 1e3;
 
 impl Routing {
     pub(super) fn dispatch_event(&mut self, event: Event) {
         let mut effects = std::mem::take(&mut self.effects);
-        let left = if let Event::ClientDisconnected { request } = &event {
+        let disconnected = if let Event::ClientDisconnected { request } = &event {
             Some(request.clone())
         } else {
             None
         };
         self.decisions
             .handle(self.event_loop.now(), event, &mut effects);
-        left.map(|request| self.requests.release(&request));
+        disconnected.map(|request| self.requests.release(&request));
         self.carry_out_all(effects);
     }
 
@@ -51,12 +51,13 @@
                 retry_after,
             } => {
                 self.event_loop.metrics.increment(Counter::RequestsShed);
-                let millis = retry_after.map(|time| (time * MILLIS).ceil().max(0.0) as u64);
-                self.answer(&request, |out| client::write_busy(out, millis));
+                let millis =
+                    retry_after.map(|time| (time * MILLIS_PER_SECOND).ceil().max(0.0) as u64);
+                self.respond(&request, |out| client::write_busy(out, millis));
             }
             Effect::FailRequest { request } => {
                 self.event_loop.metrics.increment(Counter::RequestsFailed);
-                self.answer(&request, |out| write_error(out, "ERR failed"));
+                self.respond(&request, |out| write_error(out, "ERR failed"));
             }
             Effect::ScheduleTimer { at, key } => {
                 self.event_loop.schedule(at, TimerEvent::Decisions(key))
--- a/router/src/routing/endpoint_list.rs
+++ b/router/src/routing/endpoint_list.rs
@@ -17,7 +17,7 @@
     /// Applies what this router knew of the endpoints before it was started.
     pub fn restore_endpoint_list(&mut self, list: &EndpointList) {
         self.apply_endpoint_list(list, ListScope::Cached);
-        self.discovery.note_restored(list.rev);
+        self.discovery.record_restored(list.rev);
         self.process_pending();
     }
 
@@ -75,11 +75,11 @@
         let list = discovery::parse_list(&response.body)?;
         let scope = self
             .discovery
-            .accept(&mut self.event_loop, &list, accepted_before)?;
+            .accept_list(&mut self.event_loop, &list, accepted_before)?;
         if let Some(scope) = scope {
             self.apply_endpoint_list(&list, scope);
         }
-        self.mark_ready(ReadyReason::Observed);
+        self.mark_ready(ReadyReason::StateReceived);
         Ok(Some(ResponseEnd {
             bytes,
             stays_open: response.stays_open,
@@ -87,30 +87,30 @@
     }
 
     fn apply_endpoint_list(&mut self, list: &EndpointList, scope: ListScope) {
-        self.discovery.note_list_applied();
+        self.discovery.record_list_applied();
         self.finish_staging();
         let is_full = scope != ListScope::Delta;
         let mut targets: Vec<_> = list.targets.iter().collect();
         if is_full {
-            self.warn_of_duplicates(list);
+            self.warn_about_duplicates(list);
         }
         if self.endpoints.len() + targets.len() > self.event_loop.limits.discovery.hosts {
-            self.make_room(&mut targets, is_full);
+            self.free_capacity(&mut targets, is_full);
         }
         let mut entries = Vec::with_capacity(targets.len());
         let mut left_out = vec![];
         for target in targets {
-            let goes = target.state() == HostState::Gone;
-            let (entry, drop_idle) = match self.endpoints.stage_entry(target) {
-                Some(staged) => (staged.entry, staged.drop_idle),
+            let is_gone = target.state() == HostState::Gone;
+            let (entry, close_idle_connections) = match self.endpoints.apply_entry(target) {
+                Some(applied) => (applied.entry, applied.close_idle_connections),
                 // It takes no room, and whoever still sends to it has to hear of it.
-                None if goes => (target.to_host_record().entry(), true),
+                None if is_gone => (target.to_host_record().entry(), true),
                 None => {
                     left_out.push(target.uid.as_ref());
                     continue;
                 }
             };
-            if drop_idle {
+            if close_idle_connections {
                 self.upstreams.close_idle(&self.event_loop, entry.host);
             }
             entries.push(entry);
@@ -143,7 +143,7 @@
     }
 
     /// A whole list names each host once; changes may tell that one went and came again.
-    fn warn_of_duplicates(&self, list: &EndpointList) {
+    fn warn_about_duplicates(&self, list: &EndpointList) {
         let mut hosts: Vec<_> = list
             .targets
             .iter()
@@ -159,16 +159,17 @@
 
     /// Who has left makes room for who comes, and is taken after them: both would else be kept together until the
     /// next sweep, and at the limit who comes be left out.
-    fn make_room(&mut self, targets: &mut [&ListedEndpoint], is_full: bool) {
+    fn free_capacity(&mut self, targets: &mut [&ListedEndpoint], is_full: bool) {
         let host = |target: &&ListedEndpoint| HostId::named(&target.uid);
-        let last: BTreeMap<_, _> = targets
+        let last_states: BTreeMap<_, _> = targets
             .iter()
             .map(|target| (host(target), target.state()))
             .collect();
-        let goes = |target: &&ListedEndpoint| last.get(&host(target)) == Some(&HostState::Gone);
-        targets.sort_by_key(goes);
-        for target in targets.iter().filter(|target| goes(target)) {
-            self.endpoints.stage_entry(target);
+        let is_gone =
+            |target: &&ListedEndpoint| last_states.get(&host(target)) == Some(&HostState::Gone);
+        targets.sort_by_key(is_gone);
+        for target in targets.iter().filter(|target| is_gone(target)) {
+            self.endpoints.apply_entry(target);
         }
         if is_full {
             let listed: Vec<_> = targets
@@ -179,7 +180,7 @@
                 self.upstreams.close_idle(&self.event_loop, host);
             }
         }
-        let using = self.upstreams.hosts();
-        self.endpoints.forget_gone(&using);
+        let connected_hosts = self.upstreams.hosts();
+        self.endpoints.forget_gone(&connected_hosts);
     }
 }
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -20,10 +20,10 @@
 }
 
 /// What a list entry changed.
-pub(super) struct StagedEntry {
+pub(super) struct AppliedEntry {
     pub(super) entry: HostEntry,
     /// Connections without use lead nowhere now, or are not wanted.
-    pub(super) drop_idle: bool,
+    pub(super) close_idle_connections: bool,
 }
 
 impl EndpointTable {
@@ -36,12 +36,12 @@
     }
 
     pub(super) fn len(&self) -> usize {
-        let alone = self
+        let operator_only = self
             .revision
             .hosts
             .iter()
             .filter(|configured| !self.discovered.contains_key(&configured.host));
-        self.discovered.len() + alone.count()
+        self.discovered.len() + operator_only.count()
     }
 
     /// A host as it counts, whoever lists it.
@@ -73,13 +73,13 @@
     }
 
     /// Whether a connection to this host at this address may be used again.
-    pub(super) fn is_usable(&self, host: HostId, at: SocketAddr) -> bool {
+    pub(super) fn is_usable(&self, host: HostId, address: SocketAddr) -> bool {
         self.effective(host)
-            .is_some_and(|host| host.is_in_service() && host.endpoint == at)
+            .is_some_and(|host| host.is_in_service() && host.endpoint == address)
     }
 
     /// Notes one entry of discovery's list; None where there is no room for one more host.
-    pub(super) fn stage_entry(&mut self, target: &ListedEndpoint) -> Option<StagedEntry> {
+    pub(super) fn apply_entry(&mut self, target: &ListedEndpoint) -> Option<AppliedEntry> {
         let host = HostId::named(&target.uid);
         if !self.discovered.contains_key(&host) && self.discovered.len() >= self.capacity {
             return None;
@@ -87,10 +87,10 @@
         let old = self.effective(host).map(Cow::into_owned);
         self.discovered.insert(host, target.to_host_record());
         let new = self.effective(host)?;
-        let moved = old.is_some_and(|old| old.is_replaced_by(&new));
-        Some(StagedEntry {
+        let is_replaced = old.is_some_and(|old| old.is_replaced_by(&new));
+        Some(AppliedEntry {
             entry: new.entry(),
-            drop_idle: moved || !new.is_in_service(),
+            close_idle_connections: is_replaced || !new.is_in_service(),
         })
     }
 
@@ -101,21 +101,21 @@
             .discovered
             .iter_mut()
             .filter(|(host, _)| !listed.contains(host));
-        let gone = missing.map(|(host, discovered)| {
+        let newly_gone = missing.map(|(host, discovered)| {
             discovered.state = HostState::Gone;
             *host
         });
-        gone.collect()
+        newly_gone.collect()
     }
 
     /// The entries of operators alone, which discovery does not list.
     pub(super) fn operator_only_entries(&self) -> impl Iterator<Item = HostEntry> {
-        let alone = self
+        let operator_only = self
             .revision
             .hosts
             .iter()
             .filter(|configured| !self.discovered.contains_key(&configured.host));
-        alone.filter_map(|configured| configured.entry)
+        operator_only.filter_map(|configured| configured.entry)
     }
 
     /// Whether a revision's own entries are all that it changes: discovery lists nobody, so that they are worked
@@ -125,17 +125,21 @@
     }
 
     /// Takes a revision; the entries that it changes, where what was staged for it has been told or not.
-    pub(super) fn take(&mut self, new: &Arc<Snapshot>, staged: bool) -> Arc<[HostEntry]> {
+    pub(super) fn apply_revision(
+        &mut self,
+        new: &Arc<Snapshot>,
+        is_staged: bool,
+    ) -> Arc<[HostEntry]> {
         let old = std::mem::replace(&mut self.revision, new.clone());
-        let follows = new.changed_since == old.revision();
-        if staged {
+        let is_successor = new.changed_since == old.revision();
+        if is_staged {
             return Arc::default();
         }
-        if follows && self.discovered.is_empty() {
+        if is_successor && self.discovered.is_empty() {
             return new.entries.clone();
         }
         let mut hosts = new.changed.to_vec();
-        if !follows {
+        if !is_successor {
             hosts = old
                 .hosts
                 .iter()
@@ -163,11 +167,13 @@
         self.discovered.values()
     }
 
-    pub(super) fn forget_gone(&mut self, using: &BTreeSet<HostId>) {
+    pub(super) fn forget_gone(&mut self, connected_hosts: &BTreeSet<HostId>) {
         // Who is gone stays gone though operators still list it, until discovery says otherwise.
-        let configured = |host: &HostId| self.revision.configured(*host).is_some();
+        let is_configured = |host: &HostId| self.revision.configured(*host).is_some();
         self.discovered.retain(|host, discovered| {
-            discovered.state != HostState::Gone || using.contains(host) || configured(host)
+            discovered.state != HostState::Gone
+                || connected_hosts.contains(host)
+                || is_configured(host)
         });
     }
 }
--- a/router/src/routing/event_loop.rs
+++ b/router/src/routing/event_loop.rs
@@ -49,7 +49,7 @@
         Priority(self as u8)
     }
 
-    fn of(priority: Priority) -> Option<Self> {
+    fn from_priority(priority: Priority) -> Option<Self> {
         Self::BY_PRIORITY.get(usize::from(priority.0)).copied()
     }
 }
@@ -160,37 +160,37 @@
     ) -> io::Result<(Vec<ReadySocket>, ReceivedSignals)> {
         let now = self.now();
         let max_sleep = self.limits.event_loop.max_sleep;
-        let next = self
+        let time_to_deadline = self
             .timers
             .next_deadline()
             .map_or(max_sleep, |deadline| deadline - now);
         let sleep = if may_sleep {
-            next.clamp(0.0, max_sleep)
+            time_to_deadline.clamp(0.0, max_sleep)
         } else {
             0.0
         };
         let (sockets, signals) = self.reactor.poll(sleep)?;
-        self.note_wake(now, sleep, sockets.is_empty());
+        self.record_wake(now, sleep, sockets.is_empty());
         let sockets = sockets.into_iter().filter_map(|(priority, id)| {
-            let owner = SocketOwner::of(priority)?;
+            let owner = SocketOwner::from_priority(priority)?;
             Some(ReadySocket { owner, id })
         });
         Ok((sockets.collect(), signals))
     }
 
     /// Notes by how much the loop is late: the work of the last turn, and a sleep longer than asked for.
-    fn note_wake(&mut self, slept_at: f64, sleep: f64, without_events: bool) {
+    fn record_wake(&mut self, sleep_began_at: f64, sleep: f64, without_events: bool) {
         let woken_at = self.now();
-        let delay = (slept_at - self.woken_at) + (woken_at - slept_at - sleep).max(0.0);
+        let delay = (sleep_began_at - self.woken_at) + (woken_at - sleep_began_at - sleep).max(0.0);
         // A signal that ends a standstill can end the sleep with no events: what is there at once after that was
         // there before.
-        let immediate = woken_at - slept_at < self.limits.event_loop.immediate_wake;
-        let carried = if self.woke_without_events && immediate {
+        let woke_at_once = woken_at - sleep_began_at < self.limits.event_loop.immediate_wake;
+        let carried_over = if self.woke_without_events && woke_at_once {
             self.delay
         } else {
             0.0
         };
-        self.delay = delay.max(carried);
+        self.delay = delay.max(carried_over);
         self.woken_at = woken_at;
         self.woke_without_events = without_events;
         if self.delay > self.limits.event_loop.delay_warning {
--- a/router/src/routing/graceful_shutdown.rs
+++ b/router/src/routing/graceful_shutdown.rs
@@ -13,7 +13,7 @@
     /// Connections are closed as they fall idle; whoever still comes is served first.
     Draining,
     /// All connections are closed: a client that crossed the close of one comes again on a new one.
-    AwaitingLastClients,
+    AwaitingReconnects,
     /// The listener is closed, so that clients that are never quiet for long end too.
     Closing,
     /// Open requests have been given up and answered, and what still comes is rejected at once.
@@ -44,7 +44,7 @@
     None,
     Begin,
     CloseIdleClients,
-    AwaitLastClients,
+    AwaitReconnects,
     CloseListener,
     GiveUpOpenRequests,
 }
@@ -79,8 +79,8 @@
     Transition {
         from: State::Draining,
         input: ShutdownInput::NoClients,
-        to: State::AwaitingLastClients,
-        action: ShutdownAction::AwaitLastClients,
+        to: State::AwaitingReconnects,
+        action: ShutdownAction::AwaitReconnects,
     },
     Transition {
         from: State::Draining,
@@ -95,19 +95,19 @@
         action: ShutdownAction::CloseListener,
     },
     Transition {
-        from: State::AwaitingLastClients,
+        from: State::AwaitingReconnects,
         input: ShutdownInput::ClientsConnected,
         to: State::Draining,
         action: ShutdownAction::None,
     },
     Transition {
-        from: State::AwaitingLastClients,
+        from: State::AwaitingReconnects,
         input: ShutdownInput::DrainingOver,
         to: State::Closing,
         action: ShutdownAction::CloseListener,
     },
     Transition {
-        from: State::AwaitingLastClients,
+        from: State::AwaitingReconnects,
         input: ShutdownInput::LastClientsOver,
         to: State::Finished,
         action: ShutdownAction::None,
@@ -142,7 +142,7 @@
 pub(super) struct GracefulShutdown {
     state: State,
     /// How often all connections were closed: a timer of an earlier time is known by it.
-    last_clients_round: u64,
+    reconnect_wait_number: u64,
     /// The last time before SIGKILL, once the shutdown is requested.
     gives_up_at: Option<f64>,
 }
@@ -151,7 +151,7 @@
     pub(super) fn new() -> Self {
         GracefulShutdown {
             state: State::Running,
-            last_clients_round: 0,
+            reconnect_wait_number: 0,
             gives_up_at: None,
         }
     }
@@ -174,21 +174,21 @@
     }
 
     /// Begins to wait for clients that come again; returns the number of this wait.
-    pub(super) fn begin_last_clients_round(&mut self) -> u64 {
-        self.last_clients_round += 1;
-        self.last_clients_round
+    pub(super) fn begin_reconnect_wait(&mut self) -> u64 {
+        self.reconnect_wait_number += 1;
+        self.reconnect_wait_number
     }
 
     /// Whether this is the number of the current wait.
-    pub(super) fn is_current_round(&self, round: u64) -> bool {
-        round == self.last_clients_round
+    pub(super) fn is_current_reconnect_wait(&self, number: u64) -> bool {
+        number == self.reconnect_wait_number
     }
 
     /// Whether connections without use are closed, once nothing that came on them is left unread.
     pub(super) fn is_draining(&self) -> bool {
         matches!(
             self.state,
-            State::Draining | State::AwaitingLastClients | State::Closing | State::GivenUp
+            State::Draining | State::AwaitingReconnects | State::Closing | State::GivenUp
         )
     }
 
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -26,29 +26,29 @@
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
     pub name: &'static str,
-    at: Arc<AtomicU64>,
+    recorded_millis: Arc<AtomicU64>,
 }
 
 impl Heartbeat {
     pub fn new(name: &'static str) -> Self {
         Heartbeat {
             name,
-            at: Arc::default(),
+            recorded_millis: Arc::default(),
         }
     }
 
     pub fn record(&self, now: f64) {
-        self.at.store((now * 1e3) as u64, Relaxed);
+        self.recorded_millis.store((now * 1e3) as u64, Relaxed);
     }
 
-    fn last(&self) -> f64 {
-        self.at.load(Relaxed) as f64 / 1e3
+    fn last_recorded(&self) -> f64 {
+        self.recorded_millis.load(Relaxed) as f64 / 1e3
     }
 }
 
 /// The loop's end of it.
 pub struct ManagementInbox {
-    mail: Inbox<ManagementMessage>,
+    messages: Inbox<ManagementMessage>,
     view: Arc<ArcSwap<View>>,
     in_force: Arc<AtomicU64>,
 }
@@ -65,7 +65,7 @@
 impl ManagementInbox {
     /// The two ends: the loop's, and what fronts hold.
     pub fn open(reactor: &mut Reactor, capacity: usize) -> std::io::Result<(Self, LoopHandle)> {
-        let (mail, post) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
+        let (messages, post) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
         let in_force = Arc::new(AtomicU64::new(0));
         let loop_handle = LoopHandle {
@@ -75,7 +75,7 @@
         };
         Ok((
             ManagementInbox {
-                mail,
+                messages,
                 view,
                 in_force,
             },
@@ -91,11 +91,11 @@
     /// Being told ahead, and how much of it has been.
     staging: Option<(Arc<Snapshot>, usize)>,
     /// The longest pause for a part of it.
-    staging_pause: f64,
+    longest_staging_pause: f64,
     revisions_applied: u64,
     longest_pause: f64,
     /// The view that fronts have is not that of now, and an alarm is set to renew it.
-    stale: bool,
+    is_view_stale: bool,
 }
 
 impl Routing {
@@ -105,7 +105,7 @@
         &mut self,
         inbox: ManagementInbox,
         heartbeats: Vec<Heartbeat>,
-        discovery: bool,
+        uses_discovery: bool,
     ) {
         let heartbeats = heartbeats
             .into_iter()
@@ -116,13 +116,13 @@
             heartbeats,
             revision: Revision(0),
             staging: None,
-            staging_pause: 0.0,
+            longest_staging_pause: 0.0,
             revisions_applied: 0,
             longest_pause: 0.0,
-            stale: false,
+            is_view_stale: false,
         });
-        if !discovery {
-            self.discovery.turn_off();
+        if !uses_discovery {
+            self.discovery.disable();
         }
     }
 
@@ -133,7 +133,7 @@
             .as_mut()
             .filter(|management| management.staging.is_none())
         {
-            let Some(message) = management.inbox.mail.pop() else {
+            let Some(message) = management.inbox.messages.pop() else {
                 return;
             };
             match message {
@@ -156,11 +156,11 @@
     /// Takes a revision, at once where it is short; a long list of who comes and goes is told ahead in parts, one
     /// a turn, so that the loop never stands still for it.
     pub fn apply_revision(&mut self, snapshot: &Arc<Snapshot>) {
-        let ahead = snapshot.entries.len()
+        let needs_staging = snapshot.entries.len()
             > self.event_loop.limits.management.staged_hosts_per_turn
             && self.endpoints.can_stage(snapshot);
         match &mut self.management {
-            Some(management) if ahead => management.staging = Some((snapshot.clone(), 0)),
+            Some(management) if needs_staging => management.staging = Some((snapshot.clone(), 0)),
             _ => self.apply_snapshot(snapshot, false),
         }
     }
@@ -178,7 +178,7 @@
             self.apply_snapshot(&snapshot, true);
             return self.on_management_message();
         }
-        let begun = self.event_loop.now();
+        let began_at = self.event_loop.now();
         let to = (from + self.event_loop.limits.management.staged_hosts_per_turn)
             .min(snapshot.entries.len());
         self.dispatch_event(Event::EndpointsStaged {
@@ -186,9 +186,9 @@
             from,
             to,
         });
-        let paused = self.event_loop.now() - begun;
+        let pause = self.event_loop.now() - began_at;
         if let Some(management) = &mut self.management {
-            management.staging_pause = management.staging_pause.max(paused);
+            management.longest_staging_pause = management.longest_staging_pause.max(pause);
             management.staging = Some((snapshot, to));
         }
     }
@@ -201,10 +201,10 @@
     }
 
     /// From here on invocations come under this revision; what it drains or takes away binds at once.
-    fn apply_snapshot(&mut self, snapshot: &Arc<Snapshot>, staged: bool) {
-        let begun = self.event_loop.now();
-        let entries = self.endpoints.take(snapshot, staged);
-        let count = snapshot.changed.len();
+    fn apply_snapshot(&mut self, snapshot: &Arc<Snapshot>, is_staged: bool) {
+        let began_at = self.event_loop.now();
+        let entries = self.endpoints.apply_revision(snapshot, is_staged);
+        let changed_hosts = snapshot.changed.len();
         self.close_unusable_connections();
         self.dispatch_event(Event::OperatorOverridesApplied {
             overrides: snapshot.overrides.clone(),
@@ -217,9 +217,9 @@
         management.revision = revision;
         management.inbox.in_force.store(revision.0, Relaxed);
         management.revisions_applied += 1;
-        let pause = std::mem::take(&mut management.staging_pause).max(now - begun);
+        let pause = std::mem::take(&mut management.longest_staging_pause).max(now - began_at);
         management.longest_pause = management.longest_pause.max(pause);
-        info!(self.event_loop.log, "revision applied"; "revision" => revision.0, "changed" => count,
+        info!(self.event_loop.log, "revision applied"; "revision" => revision.0, "changed" => changed_hosts,
             "hosts" => self.endpoints.len(), "pause_ms" => format!("{:.3}", 1e3 * pause),
             "since_commit_ms" => format!("{:.1}", 1e3 * (now - snapshot.committed_at)));
         self.mark_view_stale();
@@ -231,11 +231,11 @@
         let Some(management) = self
             .management
             .as_mut()
-            .filter(|management| !management.stale)
+            .filter(|management| !management.is_view_stale)
         else {
             return;
         };
-        management.stale = true;
+        management.is_view_stale = true;
         self.event_loop.schedule(
             self.event_loop.now() + self.event_loop.limits.management.view_publish_delay,
             TimerEvent::PublishView,
@@ -247,7 +247,7 @@
         let is_stale = self
             .management
             .as_ref()
-            .is_some_and(|management| management.stale);
+            .is_some_and(|management| management.is_view_stale);
         if is_stale {
             self.publish_view();
         }
@@ -257,11 +257,11 @@
         let Some(management) = &mut self.management else {
             return;
         };
-        management.stale = false;
-        let is_watched = !self.discovery.is_off();
+        management.is_view_stale = false;
+        let uses_discovery = !self.discovery.is_disabled();
         let view = View {
             at: self.event_loop.now(),
-            discovery: is_watched.then(|| self.endpoints.discovered().cloned().collect()),
+            discovery: uses_discovery.then(|| self.endpoints.discovered().cloned().collect()),
             discovery_received: self.discovery.has_list(),
             rollout: self.rollout_status,
             revision: management.revision,
@@ -281,12 +281,13 @@
             return;
         };
         for (heartbeat, is_reported) in &mut management.heartbeats {
-            let last = heartbeat.last();
-            let still = last > 0.0 && now - last > self.event_loop.limits.management.stall_timeout;
-            if still && !*is_reported {
-                warn!(self.event_loop.log, "management thread not responding"; "thread" => heartbeat.name, "seconds" => now - last);
+            let last_recorded = heartbeat.last_recorded();
+            let is_stalled = last_recorded > 0.0
+                && now - last_recorded > self.event_loop.limits.management.stall_timeout;
+            if is_stalled && !*is_reported {
+                warn!(self.event_loop.log, "management thread not responding"; "thread" => heartbeat.name, "seconds" => now - last_recorded);
             }
-            *is_reported = still;
+            *is_reported = is_stalled;
         }
     }
 }
--- a/router/src/routing/metrics.rs
+++ b/router/src/routing/metrics.rs
@@ -71,7 +71,7 @@
     counts: [u64; COUNTERS.len()],
     outcomes: [u64; OUTCOMES.len()],
     /// Requests counted before the last line of the log.
-    requests_before: RequestCounts,
+    requests_before_line: RequestCounts,
     warning_window_start: f64,
     warnings_in_window: u64,
 }
@@ -82,14 +82,14 @@
     }
 
     pub(super) fn count_attempt(&mut self, outcome: AttemptOutcome) {
-        if let Some(index) = OUTCOMES.iter().position(|(of, _)| *of == outcome) {
+        if let Some(index) = OUTCOMES.iter().position(|(named, _)| *named == outcome) {
             self.outcomes[index] += 1;
         }
     }
 
     /// Requests and attempts since the program's start.
     pub(super) fn requests_since_start(&self) -> RequestCounts {
-        let before = &self.requests_before;
+        let before = &self.requests_before_line;
         RequestCounts {
             admitted: before.admitted + self.count(Counter::RequestsAdmitted),
             succeeded: before.succeeded + self.count(Counter::RequestsSucceeded),
@@ -118,10 +118,10 @@
         if now - self.logged_at < interval {
             return None;
         }
-        let line = self.line();
+        let line = self.format_line();
         *self = Metrics {
             logged_at: now,
-            requests_before: self.requests_since_start(),
+            requests_before_line: self.requests_since_start(),
             warning_window_start: self.warning_window_start,
             warnings_in_window: self.warnings_in_window,
             ..Metrics::default()
@@ -129,7 +129,7 @@
         Some(line)
     }
 
-    fn line(&self) -> String {
+    fn format_line(&self) -> String {
         let mut line = String::new();
         for (counter, name) in COUNTERS {
             let _ = write!(line, "{name} {} ", self.count(counter));
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -2,7 +2,7 @@
 //! crosses between them. Only `dispatch_decisions` speaks with the decisions.
 
 mod admission;
-mod arrivals;
+mod arrival_times;
 mod attempts;
 mod client_connection;
 mod discovery_watch;
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadyReason {
     /// Discovery and the platform have both answered.
-    Observed,
+    StateReceived,
     /// Operators alone list the endpoints: discovery is not asked.
     OperatorsOnly,
     /// The time to wait for discovery and the platform is over.
@@ -77,7 +77,7 @@
     /// The reason as the log names it.
     fn name(self) -> &'static str {
         match self {
-            ReadyReason::Observed => "news",
+            ReadyReason::StateReceived => "news",
             ReadyReason::OperatorsOnly => "operators",
             ReadyReason::Timeout => "time",
         }
@@ -94,7 +94,7 @@
     /// Clients whose further commands may be taken now.
     resumed_clients: Vec<SocketId>,
     /// Clients that have had their turn and have more to be read.
-    ready_again: Vec<SocketId>,
+    clients_with_more_input: Vec<SocketId>,
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
     requests: RequestTable,
@@ -107,11 +107,11 @@
     peers: Option<GossipPeers>,
     /// The link to the management threads, where there are any.
     management: Option<management_link::ManagementLink>,
-    ready: bool,
+    is_ready: bool,
     /// When the router began, in Unix seconds.
     started_at: f64,
     /// A timer is set for clients that could not be accepted.
-    accept_due: bool,
+    accept_scheduled: bool,
     shutdown: GracefulShutdown,
     /// A timer is set for clients that are silent, or were notified of the close.
     drain_scheduled: bool,
@@ -126,24 +126,24 @@
         addresses: Addresses,
         seed: u64,
     ) -> io::Result<Self> {
-        let (now, (terms, transport)) = (clock.now(), settings);
+        let (now, (service, transport)) = (clock.now(), settings);
         let listener = Listener::open(
             &mut reactor,
             addresses.listen,
             limits.clients.backlog,
             SocketOwner::Listener.priority(),
         )?;
-        let at = listener.address()?;
-        let idempotency = terms.operations.iter().map(|o| o.idempotency).collect();
+        let listen_address = listener.address()?;
+        let idempotency = service.operations.iter().map(|o| o.idempotency).collect();
         let discovery =
-            DiscoveryWatch::new(addresses.discovery, terms.polls_endpoint_list, &limits);
+            DiscoveryWatch::new(addresses.discovery, service.polls_endpoint_list, &limits);
         let platform = addresses
             .platform
-            .map(|at| PlatformClient::new(at, transport.operations.clone(), &limits));
-        let peers = match addresses.peer_listen.filter(|_| terms.may_gossip) {
-            Some(at) => Some(GossipPeers::open(
+            .map(|address| PlatformClient::new(address, transport.operations.clone(), &limits));
+        let peers = match addresses.peer_listen.filter(|_| service.may_gossip) {
+            Some(listen) => Some(GossipPeers::open(
                 &mut reactor,
-                at,
+                listen,
                 addresses.peers,
                 addresses.peers_all,
                 &limits,
@@ -153,18 +153,18 @@
         let endpoints = EndpointTable::new(limits.discovery.hosts);
         let mut routing = Routing {
             event_loop: EventLoop::new(log, limits, clock, reactor, seed),
-            decisions: Router::start(terms, seed, now),
+            decisions: Router::start(service, seed, now),
             effects: vec![],
             resumed_clients: vec![],
-            ready_again: vec![],
+            clients_with_more_input: vec![],
             listener: Some(listener),
             clients: BTreeMap::new(),
             requests: RequestTable::default(),
             upstreams: UpstreamPool::default(),
             endpoints,
-            ready: false,
+            is_ready: false,
             started_at: now,
-            accept_due: false,
+            accept_scheduled: false,
             shutdown: GracefulShutdown::new(),
             drain_scheduled: false,
             transport,
@@ -183,7 +183,7 @@
             now + routing.event_loop.limits.event_loop.ready_timeout,
             TimerEvent::Ready,
         );
-        info!(routing.event_loop.log, "listening"; "at" => %at, "clients" => routing.event_loop.limits.clients.connections,
+        info!(routing.event_loop.log, "listening"; "at" => %listen_address, "clients" => routing.event_loop.limits.clients.connections,
             "host_links" => routing.event_loop.limits.upstream.connections);
         Ok(routing)
     }
@@ -195,7 +195,7 @@
         }
         self.with_platform(PlatformClient::connect);
         self.publish_view();
-        if self.discovery.is_off() {
+        if self.discovery.is_disabled() {
             self.mark_ready(ReadyReason::OperatorsOnly);
         }
         self.begin_decisions();
@@ -205,27 +205,27 @@
     /// Discovery and the platform have moved, and nothing else has: what was learnt from them stays.
     pub fn change_addresses(&mut self, discovery: SocketAddr, platform: Option<SocketAddr>) {
         self.change_discovery_address(discovery);
-        if let Some(at) = platform {
-            self.change_platform_address(at);
+        if let Some(address) = platform {
+            self.change_platform_address(address);
         }
         self.process_pending();
     }
 
     /// Sleeps until something happens and serves it.
     pub fn turn(&mut self) -> io::Result<Turn> {
-        let may_sleep = self.ready_again.is_empty() && !self.is_staging();
+        let may_sleep = self.clients_with_more_input.is_empty() && !self.is_staging();
         let (sockets, signals) = self.event_loop.poll(may_sleep)?;
         if signals.stop {
             self.advance_shutdown(ShutdownInput::Requested);
         }
         // Those that come to it in this turn wait for the next one.
-        let ready_again = std::mem::take(&mut self.ready_again);
+        let clients_with_more_input = std::mem::take(&mut self.clients_with_more_input);
         for socket in sockets {
-            self.serve(socket);
+            self.handle_ready_socket(socket);
             self.process_pending();
         }
         // A client that is both ready and due again is served once more.
-        for id in ready_again {
+        for id in clients_with_more_input {
             self.read_client(id);
             self.process_pending();
         }
@@ -236,13 +236,13 @@
             self.process_pending();
         }
         Ok(match signals.reload {
-            _ if self.is_over() => Turn::Over,
+            _ if self.update_shutdown() => Turn::Over,
             true => Turn::Reread,
             false => Turn::Next,
         })
     }
 
-    fn serve(&mut self, socket: ReadySocket) {
+    fn handle_ready_socket(&mut self, socket: ReadySocket) {
         let id = socket.id;
         match socket.owner {
             SocketOwner::Discovery => self.on_discovery_readable(id),
@@ -274,10 +274,10 @@
             TimerEvent::UpstreamUseTimeout(id, number) => self.on_use_timeout(id, number),
             TimerEvent::UpstreamWriteTimeout(id, number) => self.on_write_timeout(id, number),
             TimerEvent::AcceptAgain => {
-                self.accept_due = false;
+                self.accept_scheduled = false;
                 let _ = self.accept();
             }
-            TimerEvent::ExpireIdle => self.expire_idle(),
+            TimerEvent::ExpireIdle => self.run_periodic_checks(),
             TimerEvent::DiscoveryCallTimeout(id, number) => {
                 self.discovery
                     .on_call_timeout(&mut self.event_loop, id, number)
@@ -288,7 +288,7 @@
             }
             TimerEvent::DiscoveryAnswerTimeout(id, number) => {
                 self.discovery
-                    .on_answer_timeout(&mut self.event_loop, id, number)
+                    .on_response_stall(&mut self.event_loop, id, number)
             }
             TimerEvent::DiscoveryRetry => self.begin_watch(),
             TimerEvent::PlatformReconnect => self.with_platform(PlatformClient::connect),
@@ -328,28 +328,28 @@
     fn on_ready_timeout(&mut self) {
         let now = self.event_loop.now();
         let limits = &self.event_loop.limits.event_loop;
-        let waits_for_turn = self.discovery.awaits_first_answer()
+        let awaits_first_poll = self.discovery.awaits_first_answer()
             && now < self.started_at + limits.first_poll_timeout;
-        if waits_for_turn {
-            let next = now + limits.ready_retry_interval;
-            return self.event_loop.schedule(next, TimerEvent::Ready);
+        if awaits_first_poll {
+            let retry_at = now + limits.ready_retry_interval;
+            return self.event_loop.schedule(retry_at, TimerEvent::Ready);
         }
         self.mark_ready(ReadyReason::Timeout);
     }
 
     fn mark_ready(&mut self, reason: ReadyReason) {
-        let has_observed = self.discovery.has_answered()
+        let has_received_all = self.discovery.has_answered()
             && self
                 .platform
                 .as_ref()
                 .is_none_or(PlatformClient::has_received_state);
-        if !self.ready && (has_observed || reason == ReadyReason::Timeout) {
-            self.ready = true;
+        if !self.is_ready && (has_received_all || reason == ReadyReason::Timeout) {
+            self.is_ready = true;
             info!(self.event_loop.log, "ready"; "by" => reason.name(), "hosts" => self.endpoints.len());
         }
     }
 
-    fn expire_idle(&mut self) {
+    fn run_periodic_checks(&mut self) {
         let now = self.event_loop.now();
         self.event_loop.schedule(
             now + self.event_loop.limits.event_loop.expiry_interval,
@@ -360,10 +360,10 @@
             .close_idle_since(&self.event_loop, idle_since);
         self.with_platform(|platform, event_loop| platform.check_silence(event_loop, now));
         self.close_clients_not_reading(now);
-        self.expire_clients_without_request(now);
+        self.expire_clients_without_command(now);
         self.check_heartbeats(now);
-        let using = self.upstreams.hosts();
-        self.endpoints.forget_gone(&using);
+        let connected_hosts = self.upstreams.hosts();
+        self.endpoints.forget_gone(&connected_hosts);
         if let Some(line) = self
             .event_loop
             .metrics
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -14,18 +14,18 @@
 
 /// A vote that has no answer yet.
 struct PendingVote {
-    written: bool,
+    is_written: bool,
     /// What the decisions are told where no answer comes.
-    unanswered: RolloutStatus,
+    status_without_answer: RolloutStatus,
 }
 
 impl PendingVote {
     /// The status of a vote that is given up: once it was written, it may count.
     fn abandon(self) -> RolloutStatus {
-        if self.written {
-            timed_out(self.unanswered)
+        if self.is_written {
+            timed_out(self.status_without_answer)
         } else {
-            self.unanswered
+            self.status_without_answer
         }
     }
 }
@@ -36,11 +36,11 @@
     operations: BTreeMap<String, OperationId>,
     stream: Option<Stream>,
     votes: BTreeMap<u64, PendingVote>,
-    last_call: u64,
+    last_call_number: u64,
     /// When the last byte came.
     last_received: f64,
     /// Of a line that has begun and not ended, when the last of it came.
-    line_begun: Option<f64>,
+    incomplete_line_received_at: Option<f64>,
     connected_at: f64,
     backoff: f64,
     has_received_state: bool,
@@ -59,9 +59,9 @@
             operations,
             stream: None,
             votes: BTreeMap::new(),
-            last_call: 0,
+            last_call_number: 0,
             last_received: 0.0,
-            line_begun: None,
+            incomplete_line_received_at: None,
             connected_at: 0.0,
             backoff: limits.reconnect_backoff.initial,
             has_received_state: false,
@@ -95,11 +95,11 @@
             SocketOwner::Platform.priority(),
         ) {
             Ok(mut stream) => {
-                let call = self.next_call();
+                let call = self.next_call_number();
                 platform::write_follow(stream.output(), call);
                 self.stream = Some(stream);
                 self.last_received = now;
-                self.line_begun = None;
+                self.incomplete_line_received_at = None;
                 self.connected_at = now;
                 self.on_readable(event_loop);
             }
@@ -128,18 +128,19 @@
         vote: Vote,
     ) {
         let now = event_loop.now();
-        let unanswered = unsent_vote(build, stage);
+        let status_without_answer = unsent_vote_status(build, stage);
         let has_capacity = self.votes.len() < event_loop.limits.platform.pending_votes;
         if self.stream.is_none() || !has_capacity {
-            return event_loop.notify_decisions(Event::RolloutStatusReceived(unanswered));
+            return event_loop
+                .notify_decisions(Event::RolloutStatusReceived(status_without_answer));
         }
-        let call = self.next_call();
+        let call = self.next_call_number();
         if let Some(stream) = &mut self.stream {
             platform::write_vote(stream.output(), call, build, stage, vote);
         }
         let pending = PendingVote {
-            written: false,
-            unanswered,
+            is_written: false,
+            status_without_answer,
         };
         self.votes.insert(call, pending);
         event_loop.metrics.increment(Counter::VotesCast);
@@ -158,8 +159,8 @@
     /// Writes what waits and reads what is there.
     pub(super) fn on_readable(&mut self, event_loop: &mut EventLoop) {
         let now = event_loop.now();
-        let read_bytes = event_loop.limits.event_loop.read_bytes_per_turn;
-        let buffer_bytes = event_loop.limits.platform.line_bytes + read_bytes;
+        let bytes_per_turn = event_loop.limits.event_loop.read_bytes_per_turn;
+        let buffer_bytes = event_loop.limits.platform.line_bytes + bytes_per_turn;
         loop {
             match self.flush() {
                 Ok(true) => {}
@@ -169,7 +170,7 @@
             let Some(stream) = &mut self.stream else {
                 return;
             };
-            let status = stream.read_available(buffer_bytes, read_bytes);
+            let status = stream.read_available(buffer_bytes, bytes_per_turn);
             if !stream.input().is_empty() {
                 self.last_received = now;
             }
@@ -192,7 +193,9 @@
         };
         let flushed = stream.is_connected()? && stream.flush()?;
         if flushed {
-            self.votes.values_mut().for_each(|vote| vote.written = true);
+            self.votes
+                .values_mut()
+                .for_each(|vote| vote.is_written = true);
         }
         Ok(flushed)
     }
@@ -223,23 +226,23 @@
 
     /// A line that stalls is given up sooner than a quiet connection.
     fn watch_incomplete_line(&mut self, event_loop: &mut EventLoop, now: f64) {
-        let incomplete = self
+        let is_incomplete = self
             .stream
             .as_ref()
             .is_some_and(|stream| !stream.input().is_empty());
-        let begins = incomplete && self.line_begun.is_none();
-        self.line_begun = incomplete.then_some(now);
-        if begins {
+        let is_new = is_incomplete && self.incomplete_line_received_at.is_none();
+        self.incomplete_line_received_at = is_incomplete.then_some(now);
+        if is_new {
             let deadline = now + event_loop.limits.message_stall_timeout;
             event_loop.schedule(deadline, TimerEvent::PlatformLineTimeout);
         }
     }
 
     pub(super) fn on_line_timeout(&mut self, event_loop: &mut EventLoop) {
-        let Some(last) = self.line_begun else {
+        let Some(received_at) = self.incomplete_line_received_at else {
             return;
         };
-        let deadline = last + event_loop.limits.message_stall_timeout;
+        let deadline = received_at + event_loop.limits.message_stall_timeout;
         if event_loop.now() < deadline {
             return event_loop.schedule(deadline, TimerEvent::PlatformLineTimeout);
         }
@@ -293,7 +296,7 @@
             Some(state) => self.on_state(event_loop, &state, true),
             // An answer that cannot be read leaves open whether the vote counts.
             None => {
-                let status = timed_out(vote.unanswered);
+                let status = timed_out(vote.status_without_answer);
                 event_loop.notify_decisions(Event::RolloutStatusReceived(status));
             }
         }
@@ -307,7 +310,7 @@
         debug!(event_loop.log, "vote not counted"; "verdict" => ?outcome);
         event_loop.notify_decisions(Event::RolloutStatusReceived(RolloutStatus {
             outcome,
-            ..vote.unanswered
+            ..vote.status_without_answer
         }));
     }
 
@@ -333,8 +336,12 @@
         let jitter = event_loop.backoff_jitter();
         let max_backoff = event_loop.limits.reconnect_backoff.maximum;
         // At once where the connection had stood for long; else later each time, never in step with others.
-        let stood = self.stream.is_some() && now - self.connected_at >= max_backoff;
-        let wait = if stood { 0.0 } else { jitter * self.backoff };
+        let was_stable = self.stream.is_some() && now - self.connected_at >= max_backoff;
+        let wait = if was_stable {
+            0.0
+        } else {
+            jitter * self.backoff
+        };
         self.backoff = (2.0 * self.backoff).min(max_backoff);
         self.close(event_loop);
         event_loop.schedule(now + wait, TimerEvent::PlatformReconnect);
@@ -342,7 +349,7 @@
 
     /// Gives up the connection and the votes that it carried.
     fn close(&mut self, event_loop: &mut EventLoop) {
-        self.line_begun = None;
+        self.incomplete_line_received_at = None;
         if let Some(stream) = self.stream.take() {
             stream.close(&event_loop.reactor);
         }
@@ -359,14 +366,14 @@
         }
     }
 
-    fn next_call(&mut self) -> u64 {
-        self.last_call += 1;
-        self.last_call
+    fn next_call_number(&mut self) -> u64 {
+        self.last_call_number += 1;
+        self.last_call_number
     }
 }
 
 /// What the decisions are told of a vote that could not be written.
-pub(super) fn unsent_vote(build: BuildId, stage: u32) -> RolloutStatus {
+pub(super) fn unsent_vote_status(build: BuildId, stage: u32) -> RolloutStatus {
     RolloutStatus {
         outcome: AttemptOutcome::NoConnection,
         build,
--- a/router/src/routing/response_relay.rs
+++ b/router/src/routing/response_relay.rs
@@ -8,7 +8,11 @@
 
 impl Routing {
     /// The response to a request, which is released. False where none was owed.
-    pub(super) fn answer(&mut self, request: &RequestId, write: impl FnOnce(&mut Vec<u8>)) -> bool {
+    pub(super) fn respond(
+        &mut self,
+        request: &RequestId,
+        write: impl FnOnce(&mut Vec<u8>),
+    ) -> bool {
         let Some(id) = self.requests.release(request) else {
             return false;
         };
@@ -17,19 +21,19 @@
             return false;
         };
         client.last_used = now;
-        let place = client
+        let position = client
             .queue
             .iter()
-            .position(|waiting| matches!(waiting, QueuedReply::Pending(of) if of == request));
-        match place {
+            .position(|reply| matches!(reply, QueuedReply::Pending(pending) if pending == request));
+        match position {
             Some(0) => {
                 write(client.stream.output());
                 client.queue.pop_front();
             }
-            Some(place) => {
+            Some(position) => {
                 let mut bytes = Vec::new();
                 write(&mut bytes);
-                client.queue[place] = QueuedReply::Ready(bytes);
+                client.queue[position] = QueuedReply::Ready(bytes);
             }
             None => return false,
         }
@@ -71,7 +75,7 @@
         let Client {
             stream,
             queue,
-            closing,
+            is_closing,
             unread_since,
             lingering,
             ..
@@ -84,15 +88,15 @@
                 return false;
             }
         }
-        let done = queue.is_empty() && stream.unwritten() == 0;
+        let is_all_written = queue.is_empty() && stream.unwritten() == 0;
         // Who was turned away is told that nothing more comes, and gets a while to read why.
-        if done && *closing && lingering.is_none() && stream.shutdown_write().is_ok() {
+        if is_all_written && *is_closing && lingering.is_none() && stream.shutdown_write().is_ok() {
             *lingering = Some(Lingering {
                 until: now + self.event_loop.limits.clients.lingering_close,
                 bytes_left: self.event_loop.limits.clients.discarded_bytes,
             });
         }
-        if done && *closing && lingering.is_none() {
+        if is_all_written && *is_closing && lingering.is_none() {
             self.close_client(id);
             return false;
         }
--- a/router/src/routing/rollout.rs
+++ b/router/src/routing/rollout.rs
@@ -5,7 +5,7 @@
 use kestreltide::interface::*;
 
 use super::event_loop::EventLoop;
-use super::platform_client::{PlatformClient, unsent_vote};
+use super::platform_client::{PlatformClient, unsent_vote_status};
 use super::{ReadyReason, Routing};
 
 impl Routing {
@@ -19,7 +19,7 @@
 
     pub(super) fn cast_vote(&mut self, build: BuildId, stage: u32, vote: Vote) {
         if self.platform.is_none() {
-            let status = unsent_vote(build, stage);
+            let status = unsent_vote_status(build, stage);
             return self
                 .event_loop
                 .notify_decisions(Event::RolloutStatusReceived(status));
@@ -34,14 +34,17 @@
     }
 
     /// Lets the platform client act, where there is one, and applies what it has received.
-    pub(super) fn with_platform(&mut self, act: impl FnOnce(&mut PlatformClient, &mut EventLoop)) {
+    pub(super) fn with_platform(
+        &mut self,
+        action: impl FnOnce(&mut PlatformClient, &mut EventLoop),
+    ) {
         let Some(platform) = &mut self.platform else {
             return;
         };
-        act(platform, &mut self.event_loop);
+        action(platform, &mut self.event_loop);
         for status in platform.take_received() {
             self.apply_rollout_status(status);
-            self.mark_ready(ReadyReason::Observed);
+            self.mark_ready(ReadyReason::StateReceived);
         }
     }
 
@@ -49,7 +52,7 @@
     fn apply_rollout_status(&mut self, status: RolloutStatus) {
         self.rollout_status = self
             .rollout_status
-            .filter(|newest| newest.build > status.build)
+            .filter(|known| known.build > status.build)
             .or(Some(status));
         self.mark_view_stale();
     }
--- a/router/src/routing/shutdown_actions.rs
+++ b/router/src/routing/shutdown_actions.rs
@@ -16,20 +16,20 @@
             ShutdownAction::None => {}
             ShutdownAction::Begin => self.begin_shutdown(),
             ShutdownAction::CloseIdleClients => self.drain_clients(),
-            ShutdownAction::AwaitLastClients => self.await_last_clients(),
+            ShutdownAction::AwaitReconnects => self.await_reconnecting_clients(),
             ShutdownAction::CloseListener => self.close_listener(),
             ShutdownAction::GiveUpOpenRequests => self.give_up_open_requests(),
         }
     }
 
-    pub(super) fn on_last_clients_over(&mut self, round: u64) {
-        if self.shutdown.is_current_round(round) {
+    pub(super) fn on_last_clients_over(&mut self, number: u64) {
+        if self.shutdown.is_current_reconnect_wait(number) {
             self.advance_shutdown(ShutdownInput::LastClientsOver);
         }
     }
 
     /// After each turn: whether the program is to end.
-    pub(super) fn is_over(&mut self) -> bool {
+    pub(super) fn update_shutdown(&mut self) -> bool {
         let input = if self.clients.is_empty() {
             ShutdownInput::NoClients
         } else {
@@ -39,11 +39,11 @@
         self.shutdown.is_finished()
     }
 
-    fn await_last_clients(&mut self) {
-        let round = self.shutdown.begin_last_clients_round();
+    fn await_reconnecting_clients(&mut self) {
+        let number = self.shutdown.begin_reconnect_wait();
         let deadline = self.event_loop.now() + self.event_loop.limits.shutdown.quiet_time;
         self.event_loop
-            .schedule(deadline, TimerEvent::LastClientsOver(round));
+            .schedule(deadline, TimerEvent::LastClientsOver(number));
     }
 
     fn begin_shutdown(&mut self) {
@@ -51,15 +51,18 @@
         // It may have been requested while this process stood still, and the platform counts from there.
         let requested_at = self.event_loop.arrived_since();
         let limits = &self.event_loop.limits.shutdown;
-        let serving_over = self.event_loop.woken_at() + limits.accept_time;
-        let give_up = requested_at + limits.give_up;
-        let exit = requested_at + limits.exit;
-        self.shutdown.set_gives_up_at(give_up);
+        let serving_over_at = self.event_loop.woken_at() + limits.accept_time;
+        let give_up_at = requested_at + limits.give_up;
+        let exit_at = requested_at + limits.exit;
+        self.shutdown.set_gives_up_at(give_up_at);
         let timers = [
-            (serving_over, TimerEvent::ServingOver),
-            (serving_over.midpoint(give_up), TimerEvent::DrainingOver),
-            (give_up, TimerEvent::KillNear),
-            (exit, TimerEvent::ShutdownDeadline),
+            (serving_over_at, TimerEvent::ServingOver),
+            (
+                serving_over_at.midpoint(give_up_at),
+                TimerEvent::DrainingOver,
+            ),
+            (give_up_at, TimerEvent::KillNear),
+            (exit_at, TimerEvent::ShutdownDeadline),
         ];
         for (at, event) in timers {
             self.event_loop.schedule(at, event);
@@ -92,13 +95,15 @@
     fn schedule_drain(&mut self) {
         if !self.drain_scheduled {
             self.drain_scheduled = true;
-            self.event_loop
-                .schedule(self.event_loop.now() + self.quiet(), TimerEvent::DrainAgain);
+            self.event_loop.schedule(
+                self.event_loop.now() + self.quiet_time(),
+                TimerEvent::DrainAgain,
+            );
         }
     }
 
     /// After so long without a command or an answer a connection is closed.
-    fn quiet(&self) -> f64 {
+    fn quiet_time(&self) -> f64 {
         if self.listener.is_some() {
             self.event_loop.limits.shutdown.quiet_time
         } else {
@@ -116,14 +121,19 @@
             .into_iter()
             .for_each(|id| self.read_client(id));
         let now = self.event_loop.now();
-        let told = |client: &Client| client.lingering.as_ref().map(|lingering| lingering.until);
-        let over = self
+        let lingers_until =
+            |client: &Client| client.lingering.as_ref().map(|lingering| lingering.until);
+        let expired = self
             .clients
             .iter()
-            .filter(|(_, client)| told(client).is_some_and(|until| until <= now));
-        let over: Vec<_> = over.map(|(id, _)| *id).collect();
-        over.into_iter().for_each(|id| self.close_client(id));
-        if self.clients.values().any(|client| told(client).is_some()) {
+            .filter(|(_, client)| lingers_until(client).is_some_and(|until| until <= now));
+        let expired: Vec<_> = expired.map(|(id, _)| *id).collect();
+        expired.into_iter().for_each(|id| self.close_client(id));
+        if self
+            .clients
+            .values()
+            .any(|client| lingers_until(client).is_some())
+        {
             self.schedule_drain();
         }
     }
@@ -133,22 +143,22 @@
     /// unanswered, so that its client may send it once more.
     pub(super) fn drain_client(&mut self, id: SocketId) {
         let now = self.event_loop.now();
-        let (quiet, last_call, most) = (
-            self.quiet(),
+        let (quiet_time, linger_time, max_discarded_bytes) = (
+            self.quiet_time(),
             self.event_loop.limits.shutdown.quiet_time,
             self.event_loop.limits.clients.discarded_bytes,
         );
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
-        if client.closing || !client.is_idle() || client.is_begun() {
+        if client.is_closing || !client.is_idle() || client.is_mid_command() {
             return;
         }
-        if now - client.last_used >= quiet {
-            client.closing = true;
+        if now - client.last_used >= quiet_time {
+            client.is_closing = true;
             client.lingering = Some(Lingering {
-                until: now + last_call,
-                bytes_left: most,
+                until: now + linger_time,
+                bytes_left: max_discarded_bytes,
             });
             if client.stream.shutdown_write().is_err() {
                 return self.close_client(id);
@@ -161,8 +171,8 @@
     /// until the end.
     fn give_up_open_requests(&mut self) {
         info!(self.event_loop.log, "failing open requests"; "open" => self.requests.len(), "clients" => self.clients.len());
-        for (request, attempts) in self.requests.attempts_of_all() {
-            self.answer(&request, |out| match attempts {
+        for (request, attempts) in self.requests.attempt_counts() {
+            self.respond(&request, |out| match attempts {
                 // There is no room any more, and it has run nowhere.
                 0 => write_busy(out, None),
                 _ => write_error(out, "ERR failed"),
--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -28,7 +28,7 @@
     /// Counts the uses, so that a timer of an earlier one is known.
     pub(super) use_number: u64,
     /// When the current use began.
-    pub(super) used_since: f64,
+    pub(super) use_began_at: f64,
     /// How long, in seconds, it had been idle before.
     pub(super) idle_time: f64,
     /// The last byte of the command is written: from then on it may have run.
@@ -43,7 +43,7 @@
             address,
             current_use: ConnectionUse::Idle,
             use_number: 0,
-            used_since: now,
+            use_began_at: now,
             idle_time: 0.0,
             is_written: false,
         }
@@ -53,7 +53,7 @@
     pub(super) fn begin_use(&mut self, current_use: ConnectionUse, now: f64) -> u64 {
         self.current_use = current_use;
         self.use_number += 1;
-        self.used_since = now;
+        self.use_began_at = now;
         self.is_written = false;
         self.use_number
     }
@@ -69,8 +69,8 @@
     /// Whether it carries this attempt.
     pub(super) fn carries(&self, request: &RequestId, attempt: AttemptNumber) -> bool {
         match &self.current_use {
-            ConnectionUse::Attempt(carried) => {
-                carried.request == *request && carried.attempt == attempt
+            ConnectionUse::Attempt(in_flight) => {
+                in_flight.request == *request && in_flight.attempt == attempt
             }
             _ => false,
         }
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -63,13 +63,13 @@
     }
 
     /// The connections of which this is true.
-    pub(super) fn ids_where(
+    pub(super) fn ids_matching(
         &self,
-        is_wanted: impl Fn(&UpstreamConnection) -> bool,
+        predicate: impl Fn(&UpstreamConnection) -> bool,
     ) -> Vec<SocketId> {
         self.connections
             .iter()
-            .filter(|(_, connection)| is_wanted(connection))
+            .filter(|(_, connection)| predicate(connection))
             .map(|(id, _)| *id)
             .collect()
     }
@@ -80,12 +80,12 @@
         ids.retain(|id| {
             self.connections
                 .get(id)
-                .is_some_and(|c| !endpoints.is_usable(c.host, c.address))
+                .is_some_and(|connection| !endpoints.is_usable(connection.host, connection.address))
         });
         ids
     }
 
-    pub(super) fn health_checks(&self) -> usize {
+    pub(super) fn health_check_count(&self) -> usize {
         self.connections
             .values()
             .filter(|connection| matches!(connection.current_use, ConnectionUse::HealthCheck))
@@ -99,9 +99,9 @@
         endpoints: &EndpointTable,
         host: HostId,
         now: f64,
-        on: ConnectionRequirements,
+        requirements: ConnectionRequirements,
     ) -> Option<SocketId> {
-        if let Some(id) = self.reuse(event_loop, host, now, on) {
+        if let Some(id) = self.reuse(event_loop, host, now, requirements) {
             return Some(id);
         }
         let address = endpoints.address(host)?;
@@ -122,11 +122,15 @@
         event_loop: &mut EventLoop,
         host: HostId,
         now: f64,
-        on: ConnectionRequirements,
+        requirements: ConnectionRequirements,
     ) -> Option<SocketId> {
-        let max_idle = on.max_idle.min(event_loop.limits.upstream.idle_timeout);
-        let rested_since = now - on.min_rest;
-        while let Some((id, idle_since)) = self.idle.take_rested(host, rested_since, on.max_resting)
+        let max_idle = requirements
+            .max_idle
+            .min(event_loop.limits.upstream.idle_timeout);
+        let rested_since = now - requirements.min_rest;
+        while let Some((id, idle_since)) =
+            self.idle
+                .take_rested(host, rested_since, requirements.max_resting)
         {
             // Its host may be closing it by now; what is written then is reset, and may not be repeated.
             if now - idle_since > max_idle {
