--- a/router/src/routing/admission.rs
+++ b/router/src/routing/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: a request is admitted while there is capacity for it, and gets its id.
+//! Admission of requests: the table of admitted requests, and their limits.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,34 +12,38 @@
 use crate::protocol::client::{self, StoredCommand};
 use crate::transport::SocketId;
 
-/// A request as its client sent it.
+/// A request that a client has sent and that is not admitted yet.
 pub(super) struct ParsedRequest {
     pub(super) operation: OperationId,
     pub(super) key: Option<KeyId>,
-    /// The hosts that are for it, by the routes in force when it came.
+    /// The hosts that the route in force at its arrival allows; `None` allows all.
     pub(super) pool: Option<Arc<Pool>>,
+    /// Seconds until its time limit.
     pub(super) time_left: f64,
+    /// Whether the client marked it as sent before.
     pub(super) is_retry: bool,
     pub(super) command: StoredCommand,
 }
 
-/// A request that owes its client a response.
+/// A request from its admission to its final outcome.
 struct AdmittedRequest {
     client: SocketId,
     command: StoredCommand,
+    /// Attempts started.
     attempts: u32,
-    /// The client is gone, which the decisions are still to hear.
+    /// The client has disconnected, and the decisions have not processed that event yet.
     is_abandoned: bool,
 }
 
-/// The admitted requests, and the clients' ids of those whose clients wait.
+/// The admitted requests.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, AdmittedRequest>,
-    /// As clients named them, and the connection that holds each.
+    /// The ids that clients gave to the requests they wait for, each with its client's connection.
     open_ids: BTreeMap<Box<[u8]>, SocketId>,
-    /// Of the commands that are kept.
+    /// Bytes of the commands of all requests.
     stored_bytes: usize,
+    /// The number that is the id of the request admitted last.
     last_number: u64,
 }
 
@@ -48,14 +52,15 @@
         self.requests.len()
     }
 
-    /// Whether a request with a command of so many bytes can be admitted.
+    /// Whether a request with a command of `command_bytes` bytes can be admitted.
     fn has_capacity(&self, limits: &RequestLimits, command_bytes: usize) -> bool {
         self.requests.len() < limits.in_flight
             && self.stored_bytes + command_bytes <= limits.stored_command_bytes
     }
 
+    /// Adds a request and returns the id by which the router knows it.
     fn admit(&mut self, client: SocketId, command: StoredCommand) -> RequestId {
-        // The client's own id goes to hosts unchanged; here a number stands for it, which nobody can repeat.
+        // Hosts get the client's id unchanged. The router uses a number, which no client can make ambiguous.
         self.last_number += 1;
         let id = RequestId(self.last_number.to_string().into());
         self.stored_bytes += command.size();
@@ -70,7 +75,7 @@
         id
     }
 
-    /// Forgets a request, which owes no response any more; returns its client.
+    /// Removes a request that needs no response any more; returns its client.
     pub(super) fn release(&mut self, request: &RequestId) -> Option<SocketId> {
         let request = self.requests.remove(request)?;
         self.stored_bytes -= request.command.size();
@@ -80,18 +85,18 @@
         Some(request.client)
     }
 
-    /// The client of a request is gone; false where the request is not known.
+    /// Marks a request whose client has disconnected; false where there is no such request.
     pub(super) fn abandon(&mut self, request: &RequestId) -> bool {
         let Some(request) = self.requests.get_mut(request) else {
             return false;
         };
         request.is_abandoned = true;
-        // Free at once: it may come again before the decisions have heard of this.
+        // The id is free at once: the client may send the request again before the decisions process the disconnect.
         self.open_ids.remove(request.command.id());
         true
     }
 
-    /// Counts one more attempt; returns its number.
+    /// Counts one more attempt and returns its number, from 0.
     pub(super) fn begin_attempt(&mut self, request: &RequestId) -> Option<AttemptNumber> {
         let request = self.requests.get_mut(request)?;
         let attempt = AttemptNumber(request.attempts);
@@ -99,35 +104,36 @@
         Some(attempt)
     }
 
-    /// Whether it is known that the request's client is gone.
+    /// Whether the request's client is known to have disconnected.
     pub(super) fn is_abandoned(&self, request: &RequestId) -> bool {
         self.requests
             .get(request)
             .is_some_and(|request| request.is_abandoned)
     }
 
-    /// Whether the request's client waits for a response.
+    /// Whether the request's client still waits for a response.
     pub(super) fn owes_response(&self, request: &RequestId) -> bool {
         self.requests
             .get(request)
             .is_some_and(|request| !request.is_abandoned)
     }
 
+    /// The connection of the request's client.
     pub(super) fn client(&self, request: &RequestId) -> Option<SocketId> {
         self.requests.get(request).map(|request| request.client)
     }
 
-    /// The command to forward.
+    /// The command to forward to hosts.
     pub(super) fn command(&self, request: &RequestId) -> Option<&StoredCommand> {
         self.requests.get(request).map(|request| &request.command)
     }
 
-    /// The connection that holds the open request with this id of a client.
+    /// The connection of the client that waits for the request to which clients gave this id.
     pub(super) fn open_request_connection(&self, client_id: &[u8]) -> Option<SocketId> {
         self.open_ids.get(client_id).copied()
     }
 
-    /// All requests with the number of their attempts.
+    /// All requests, each with the number of attempts started.
     pub(super) fn attempt_counts(&self) -> Vec<(RequestId, u32)> {
         self.requests
             .iter()
@@ -137,6 +143,8 @@
 }
 
 impl Routing {
+    /// Admits a request and passes it to the decisions; rejects it where there is no capacity or the shutdown has given
+    /// up open requests.
     pub(super) fn admit(&mut self, client: SocketId, request: ParsedRequest) {
         let ParsedRequest {
             operation,
@@ -146,7 +154,7 @@
             is_retry,
             command,
         } = request;
-        // Nothing has been dispatched: a client may be told that trying again is harmless.
+        // No attempt has been started, so the reply BUSY is correct: a retry is safe.
         let limits = &self.event_loop.limits.requests;
         if !self.requests.has_capacity(limits, command.size()) || self.shutdown.has_given_up() {
             self.event_loop.metrics.increment(Counter::RequestsRejected);
--- a/router/src/routing/arrival_times.rs
+++ b/router/src/routing/arrival_times.rs
@@ -1,28 +1,32 @@
-//! Arrival times of what a client has sent and the router has not taken yet. The time of a request counts from the
-//! arrival of its last byte, also where it waits unread because the client's pipeline is full.
+//! Arrival times of the input that a client has sent and the router has not consumed yet.
+//!
+//! The time limit of a request counts from the arrival of its last byte, even if the request then waits because the
+//! client's pipeline is full.
 
 use std::collections::VecDeque;
 
-/// Marks of one client. Where there are more, the last one also covers the bytes that come later, so that these
-/// count as older than they are and never as younger.
+/// Segments of one client. At this limit the last segment also takes the bytes that arrive later, so that they count
+/// as older than they are and never as newer.
 const MAX_SEGMENTS: usize = 128;
 
-/// So many bytes arrived at this time (seconds of the router's clock), or later.
+/// Consecutive bytes with one arrival time, in Unix seconds. They arrived then or later.
 struct Segment {
     bytes: usize,
     arrived_at: f64,
 }
 
-/// The arrival times of the bytes in a client's input buffer, in the order of the bytes.
+/// The arrival times of the bytes in a client's input buffer.
 #[derive(Default)]
 pub(super) struct ArrivalTimes {
+    /// In the order of the bytes.
     segments: VecDeque<Segment>,
-    /// Bytes were left in the socket by a read, which arrived at this time or later.
+    /// Where the last read left bytes in the socket: the earliest time at which they may have arrived.
     socket_unread_since: Option<f64>,
 }
 
 impl ArrivalTimes {
-    /// A read took so many bytes, which arrived at this time or later. It emptied the socket, or left bytes in it.
+    /// Records a read of `bytes` bytes, which arrived at `arrived_at` or later. `drained` says whether the read
+    /// emptied the socket.
     pub(super) fn record_read(&mut self, bytes: usize, arrived_at: f64, drained: bool) {
         let arrived_at = self.socket_unread_since.unwrap_or(arrived_at);
         self.socket_unread_since = (!drained).then_some(arrived_at);
@@ -36,7 +40,7 @@
         }
     }
 
-    /// When the last of the first so many bytes arrived, if as many are there.
+    /// When the last of the first `bytes` bytes arrived; `None` where the buffer holds fewer.
     pub(super) fn arrival_of(&self, mut bytes: usize) -> Option<f64> {
         for segment in &self.segments {
             if bytes <= segment.bytes {
@@ -47,7 +51,7 @@
         None
     }
 
-    /// The first so many bytes, or all where there are fewer, have been used.
+    /// Removes the first `bytes` bytes, or all where there are fewer.
     pub(super) fn consume(&mut self, mut bytes: usize) {
         while let Some(segment) = self.segments.front_mut() {
             if bytes < segment.bytes {
--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks: each is carried by an upstream connection, and its outcome goes to the decisions.
+//! Attempts and health checks. Each uses one upstream connection, and its outcome is passed to the decisions.
 
 use kestreltide::interface::*;
 use kestreltide_settings::{LoadReporting, TransportSettings};
@@ -15,6 +15,8 @@
 const MILLIS_PER_SECOND: f64 = 1e3;
 
 impl Routing {
+    /// Sends a request to a host on a connection that meets `requirements`. `timeout` is in seconds. Where there is no
+    /// such connection and none can be opened, the attempt ends at once.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -27,9 +29,10 @@
             return;
         };
         self.event_loop.metrics.increment(Counter::AttemptsStarted);
-        // A first attempt follows the read that brought its request, which found no close.
+        // A first attempt directly follows the read of its request, which found the client connected; before later
+        // attempts this is checked again.
         if self.requests.is_abandoned(&request) || attempt.0 > 0 && self.is_client_gone(&request) {
-            // Decided before the decisions could hear that the client has left: nothing goes out any more.
+            // The decisions had not processed the client's disconnect when they started this attempt: send nothing.
             return self.finish_attempt(
                 AttemptInFlight { request, attempt },
                 host,
@@ -53,7 +56,7 @@
                 LoadReport::default(),
             );
         };
-        // As long as the router will wait, and never told as nothing.
+        // The host gets as time limit what the router waits, rounded up to whole milliseconds and at least 1 ms.
         let millis = (timeout * MILLIS_PER_SECOND).ceil().max(1.0) as u64;
         if let (Some(upstream), Some(command)) =
             (self.upstreams.get_mut(id), self.requests.command(&request))
@@ -68,6 +71,7 @@
         );
     }
 
+    /// Sends a health check to a host; it fails at once where it gets no connection or too many are in flight.
     pub(super) fn start_health_check(&mut self, host: HostId) {
         let now = self.event_loop.now();
         let health_checks = self.upstreams.health_check_count();
@@ -118,6 +122,7 @@
         );
     }
 
+    /// Begins the use of a connection whose command is in its output buffer, and schedules its timeouts (seconds).
     fn begin_use(
         &mut self,
         id: SocketId,
@@ -132,7 +137,8 @@
         self.event_loop
             .schedule(now + timeout, TimerEvent::UpstreamUseTimeout(id, number));
         self.flush_upstream(id);
-        // Connecting has its time, and what is decided has to be written while what it was decided by holds.
+        // Connecting is limited by `connect_timeout`. The command has a limit of its own, after which the state that
+        // the decision was based on may have changed.
         if self
             .upstreams
             .get(id)
@@ -151,7 +157,7 @@
         }
     }
 
-    /// Writes what can be written now; false where the connection is gone.
+    /// Writes as much of the output as the socket takes; false where the connection was closed.
     fn flush_upstream(&mut self, id: SocketId) -> bool {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return false;
@@ -163,8 +169,10 @@
         self.upstreams.contains(id)
     }
 
+    /// Handles a ready upstream connection: writes the rest of the command, then reads and processes responses.
     pub(super) fn on_upstream_readable(&mut self, id: SocketId) {
-        // What concerns hosts goes before what clients have done: a close may lie unread.
+        // Upstream sockets are handled before client sockets, so the client of a command that is not fully written may
+        // have disconnected without this having been read.
         let unwritten = self
             .upstreams
             .get(id)
@@ -196,9 +204,10 @@
         }
     }
 
-    /// Takes the answer that a connection holds, if it is whole.
+    /// Handles the response in a connection's input buffer, if it is complete. `is_closed` says whether the host has
+    /// closed the connection.
     fn process_input(&mut self, id: SocketId, is_closed: bool) {
-        // Out of the map meanwhile: the value is passed on from the buffer it was read into.
+        // Taken out of the pool meanwhile, so that the response can be relayed from the connection's input buffer.
         let Some(upstream) = self.upstreams.take(id) else {
             return;
         };
@@ -214,24 +223,26 @@
                 self.event_loop
                     .metrics
                     .increment(Counter::MalformedMessages);
-                // It may have run, and what came of it came in time: an error of the host's, not a lost connection.
-                // As a reset it would count as late, and a few spoilt answers would narrow what is kept open.
+                // The request may have run, and the host responded in time: this is an error of the host. A reset would
+                // count as a lost connection, and a few losses on idle connections keep all of these from being used.
                 self.abandon_use(id, |_| AttemptOutcome::Error);
             }
         }
     }
 
-    /// Passes on and books what has come; the bytes it took, None where it is not whole.
+    /// Handles the input of a connection according to its use. Returns the length of the response in bytes, `None`
+    /// where it is incomplete.
     fn handle_input(&mut self, upstream: &UpstreamConnection) -> Result<Option<usize>, Malformed> {
         match &upstream.current_use {
             ConnectionUse::Idle if upstream.stream.input().is_empty() => Ok(None),
-            ConnectionUse::Idle => Err(Malformed::new("nothing was asked")),
+            ConnectionUse::Idle => Err(Malformed::new("a response without a request")),
             ConnectionUse::Attempt(in_flight) => self.handle_response(upstream, in_flight),
             ConnectionUse::HealthCheck => self.handle_health_check_response(upstream),
         }
     }
 
-    /// Relays the response of an attempt and reports its outcome; the bytes it took, `None` where it is incomplete.
+    /// Relays the response of an attempt and reports its outcome. Returns the length of the response in bytes, `None`
+    /// where it is incomplete.
     fn handle_response(
         &mut self,
         upstream: &UpstreamConnection,
@@ -244,10 +255,10 @@
             return self.check_incomplete_length(input);
         };
         let (outcome, load) = match response {
-            // No host has begun it.
+            // The host cannot have executed a command that it has not fully received.
             HostResponse::Value { .. } if !upstream.is_written => {
                 return Err(Malformed::new(
-                    "a value for a command that has not been written",
+                    "a response to a command that is not fully written",
                 ));
             }
             HostResponse::Value { value, load } => {
@@ -274,7 +285,8 @@
         Ok(Some(length))
     }
 
-    /// Reports the outcome of a health check; the bytes its response took, `None` where it is incomplete.
+    /// Reports the outcome of a health check. Returns the length of the response in bytes, `None` where it is
+    /// incomplete.
     fn handle_health_check_response(
         &mut self,
         upstream: &UpstreamConnection,
@@ -305,15 +317,16 @@
         Ok(Some(length))
     }
 
-    /// An incomplete response: the rest of it is waited for, unless it is longer than it may be.
+    /// Accepts an incomplete response whose rest may still come; an error where it is too long already.
     fn check_incomplete_length(&self, input: &[u8]) -> Result<Option<usize>, Malformed> {
         if input.len() < self.event_loop.limits.resp.message {
             Ok(None)
         } else {
-            Err(Malformed::new("an answer is too long"))
+            Err(Malformed::new("the response is too long"))
         }
     }
 
+    /// Sends the value of a successful response to the client.
     fn relay_value(&mut self, request: &RequestId, value: &[u8]) {
         if self.respond(request, |out| write_bulk(out, value)) {
             self.event_loop
@@ -322,7 +335,7 @@
         }
     }
 
-    /// The connection is without use again, and kept where the host may be used again.
+    /// Ends the use of a connection after a response of `length` bytes; keeps the connection if it can be reused.
     fn finish_use(&mut self, id: SocketId, length: usize, is_closed: bool) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
@@ -332,8 +345,8 @@
             .check_in(&mut self.event_loop, &self.endpoints, id, is_closed);
     }
 
-    /// The connection broke or was never up. An answer that had come before counts; else what it carried ends by
-    /// how far its command had come.
+    /// Handles a connection that broke or was never established. A response that was received before counts.
+    /// Otherwise the outcome depends on whether the command was fully written, so that it may have run.
     fn on_upstream_failed(&mut self, id: SocketId) {
         self.read_final_response(id);
         let outcome = |is_written| {
@@ -346,7 +359,7 @@
         self.abandon_use(id, outcome);
     }
 
-    /// Takes an answer that is here already, before what it answers is given up.
+    /// Reads a response that has already arrived, before its attempt or health check is given up.
     fn read_final_response(&mut self, id: SocketId) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
@@ -362,7 +375,8 @@
         }
     }
 
-    /// Gives up what a connection carries; giving up closes it.
+    /// Ends the current use of a connection without a response and closes it. `outcome` maps whether the command was
+    /// fully written to the outcome that is reported.
     fn abandon_use(&mut self, id: SocketId, outcome: impl Fn(bool) -> AttemptOutcome) {
         let Some(upstream) = self.upstreams.take(id) else {
             return;
@@ -391,8 +405,8 @@
         upstream.stream.close(&self.event_loop.reactor);
     }
 
-    /// Gives up the attempts whose clients are gone and whose command is not written whole, so that no host has begun
-    /// them: a connection may come up long after its client has gone.
+    /// Ends the attempts whose clients have disconnected and whose commands are not fully written, so that no host has
+    /// executed them. Otherwise a connection that is established late would still send the command.
     pub(super) fn abandon_unwritten_attempts(&mut self) {
         let is_abandoned = |request: &RequestId| self.requests.is_abandoned(request);
         let abandoned = self
@@ -403,21 +417,22 @@
         }
     }
 
-    /// Closes what is without use and leads to hosts that are gone, drained or elsewhere.
+    /// Closes the idle connections to hosts that are gone, draining or at another address now.
     pub(super) fn close_unusable_connections(&mut self) {
         for id in self.upstreams.unusable(&self.endpoints) {
             self.abandon_use(id, |_| AttemptOutcome::Irrelevant);
         }
     }
 
-    /// Timers come after all that the last wait told of; what has come since then is here all the same.
+    /// Ends the use with this number if it is still current. Timers run after the sockets that the poll reported, so a
+    /// response that has arrived since the poll is read first.
     pub(super) fn on_use_timeout(&mut self, id: SocketId, number: u64) {
         let is_same_use = |upstream: &UpstreamConnection| upstream.use_number == number;
         if self.upstreams.get(id).is_some_and(is_same_use) {
             self.read_final_response(id);
         }
         if self.upstreams.get(id).is_some_and(is_same_use) {
-            // A command whose last byte was never written has not been begun.
+            // A command whose last byte was not written has not been executed.
             self.abandon_use(id, |is_written| {
                 if is_written {
                     AttemptOutcome::TimedOut
@@ -428,6 +443,7 @@
         }
     }
 
+    /// Closes the connection if the command of the use with this number is not fully written.
     pub(super) fn on_write_timeout(&mut self, id: SocketId, number: u64) {
         if self
             .upstreams
@@ -438,6 +454,7 @@
         }
     }
 
+    /// Cancels an attempt by closing its connection.
     pub(super) fn cancel_attempt(&mut self, request: &RequestId, attempt: AttemptNumber) {
         let connections = self
             .upstreams
@@ -447,6 +464,8 @@
         }
     }
 
+    /// Reports the outcome of an attempt to the decisions. `took_and_idle_time` holds, in seconds, how long the attempt
+    /// took and how long its connection had been idle before.
     fn finish_attempt(
         &mut self,
         in_flight: AttemptInFlight,
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -1,4 +1,5 @@
-//! Client connections: clients are accepted, their commands are read, and what is no command is rejected.
+//! Client connections: accepts clients, reads their commands, rejects malformed input, and closes connections that are
+//! idle, slow or in excess.
 
 use std::collections::VecDeque;
 use std::net::TcpStream;
@@ -14,37 +15,41 @@
 use crate::protocol::{Malformed, resp};
 use crate::transport::{ReadStatus, SocketId, Stream, out_of_descriptors};
 
-/// A command that was taken: its answer is to come, or waits for those before it.
+/// The place of a command in its client's pipeline, whose replies are sent in the order of the commands.
 pub(super) enum QueuedReply {
+    /// The response to this request has not come yet.
     Pending(RequestId),
+    /// The bytes of a reply that waits for those before it.
     Ready(Vec<u8>),
 }
 
 /// A client's connection.
 pub(super) struct Client {
     pub(super) stream: Stream,
-    /// Arrival times of what has been read and not taken.
+    /// Of the input that has been read and not consumed.
     arrival_times: ArrivalTimes,
+    /// The replies that are not written yet, in the order of the commands.
     pub(super) queue: VecDeque<QueuedReply>,
-    /// No more commands are taken; the connection is closed once all that was taken is answered.
+    /// No more commands are taken, and the connection is closed once all replies are written.
     pub(super) is_closing: bool,
-    /// The client was notified of the close: what it still sends is discarded for a while.
+    /// Set once the sending direction is shut down: the client's further input is discarded until the close.
     pub(super) lingering: Option<Lingering>,
-    /// When it connected, or when its last command or response was.
+    /// When it connected, sent its last complete command or got its last response, in Unix seconds.
     pub(super) last_used: f64,
-    /// Complete commands that it has sent.
+    /// Complete commands.
     commands_received: usize,
-    /// Since when a command has begun and not ended.
+    /// Since when an incomplete command has been in the input, in Unix seconds.
     command_began_at: Option<f64>,
     unknown_commands: usize,
-    /// Since when what was written has not been read.
+    /// Since when the client has not read all replies, in Unix seconds.
     pub(super) unread_since: Option<f64>,
 }
 
-/// A lingering close: how long, and how much of what still comes is read and discarded.
+/// The limits of a lingering close, in which the client's input is read and discarded.
 pub(super) struct Lingering {
     /// Unix time in seconds.
     pub(super) until: f64,
+    /// Input that may still be discarded.
     pub(super) bytes_left: usize,
 }
 
@@ -64,8 +69,8 @@
         }
     }
 
-    /// Reads what is there, up to so many unused bytes and so many at a time. What is found arrived at this time or
-    /// later.
+    /// Reads input until `max_unconsumed` bytes wait to be consumed or about `max_read` bytes were read. Records that
+    /// they arrived at `arrived_since` (Unix seconds) or later.
     fn read_input(
         &mut self,
         max_unconsumed: usize,
@@ -85,17 +90,19 @@
         self.arrival_times.consume(bytes);
     }
 
+    /// Whether no reply is pending or unwritten.
     pub(super) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.stream.unwritten() == 0
     }
 
-    /// In the middle of a command.
+    /// Whether the client has sent part of a command.
     pub(super) fn is_mid_command(&self) -> bool {
         self.command_began_at.is_some()
     }
 
-    /// Who makes room first: the turned away, the silent and who has asked but once, then those that came back;
-    /// those that are in the middle of a command last, who have little time for it anyway.
+    /// The order in which connections are closed to make room for new ones, lowest first: those that are being closed,
+    /// those with at most one command, those with more. Those in the middle of a command are closed last; the
+    /// command timeout limits them anyway.
     fn eviction_rank(&self) -> u8 {
         match () {
             () if self.is_closing => 0,
@@ -106,24 +113,31 @@
     }
 }
 
+/// The error for a request whose id is that of a request in flight.
 const OPEN_ID_ERROR: &str = "ERR the id is that of an open invocation";
 
+/// What to do about a command.
 enum CommandAction {
+    /// Admit the request.
     Admit(ParsedRequest),
-    /// The client that holds its id is gone, and this comes after that.
+    /// Close this connection, whose client holds the request's id and has disconnected; then handle the command again.
+    /// Where it is the command's own connection, reply with an error instead.
     CloseHolder(SocketId),
+    /// Send a simple reply.
     Reply(&'static str),
+    /// Send an error reply.
     Error(&'static str),
+    /// Reply that the command is unknown.
     Unknown,
 }
 
 impl Routing {
-    /// True where more clients may wait to be taken at once.
+    /// Accepts waiting clients. Returns true where it stopped at `accepts_per_wake` and more may wait.
     pub(super) fn accept(&mut self) -> bool {
         let now = self.event_loop.now();
-        // Bounded: who connects by hundreds at once leaves others their turn.
+        // Bounded, so that hundreds of clients that connect at once do not delay other sockets.
         for _ in 0..self.event_loop.limits.clients.accepts_per_wake {
-            // Who waits to be accepted may have written a command already: room is made, nobody is kept out.
+            // A waiting client may have sent a command already, so an idle connection is closed to make room for it.
             if self.clients.len() >= self.event_loop.limits.clients.connections
                 && !self.close_idle_client()
             {
@@ -138,7 +152,7 @@
                 Ok(Some(socket)) => self.add_client(socket, now),
                 Ok(None) => return false,
                 Err(e) => {
-                    // Those without use make room; else it is tried again, not at once.
+                    // Without a free descriptor, an unused connection is closed. Otherwise accepting is retried later.
                     if !out_of_descriptors(&e) || !self.free_descriptor() {
                         warn!(self.event_loop.log, "client connection not accepted"; "error" => %e);
                         return self.schedule_accept(
@@ -152,6 +166,7 @@
         true
     }
 
+    /// Schedules the next accept, unless one is scheduled; always returns false.
     fn schedule_accept(&mut self, at: f64) -> bool {
         if !self.accept_scheduled {
             self.accept_scheduled = true;
@@ -160,6 +175,7 @@
         false
     }
 
+    /// Registers an accepted connection and reads its first commands.
     fn add_client(&mut self, socket: TcpStream, now: f64) {
         match Stream::accepted(
             &mut self.event_loop.reactor,
@@ -178,8 +194,8 @@
         }
     }
 
-    /// Closes a connection of no use, or one whose answers are stale: of the first rank the one that has been
-    /// so for longest.
+    /// Closes one connection to make room: an idle one, or one whose unread replies are too late to be of use. Of those
+    /// with the lowest eviction rank, it closes the one that was not used for longest. False where there is none.
     fn close_idle_client(&mut self) -> bool {
         let stale_before =
             self.event_loop.now() - self.event_loop.limits.clients.stale_response_age;
@@ -208,8 +224,9 @@
         }
     }
 
-    /// Some clients ask once and keep their connection for good: all of them together may hold as many as their
-    /// side can open, and none be left to ask on.
+    /// Closes the longest unused of the idle connections with exactly one command, where there are `clients.idle` or
+    /// more. Some clients send one command and never close the connection; together they could hold all the
+    /// connections that their side can open, and then send no more requests.
     fn close_idle_client_over_limit(&mut self, now: f64) {
         let idle_since = now - self.event_loop.limits.clients.idle_timeout;
         let is_idle_after_one_command = |client: &Client| {
@@ -228,8 +245,7 @@
         }
     }
 
-    /// Closes a connection for want of use, unless its next command is here by now and only not read yet. False
-    /// where it is in use.
+    /// Closes an unused connection, unless reading it first shows that it is in use again; then returns false.
     fn close_if_unused(&mut self, id: SocketId) -> bool {
         let usage = |c: &Client| {
             (
@@ -249,17 +265,18 @@
         after.is_none() || after == before
     }
 
+    /// Closes an idle connection to a host, or one of a client, to free a file descriptor; false where there is none.
     fn free_descriptor(&mut self) -> bool {
         self.upstreams.close_oldest_idle(&self.event_loop) || self.close_idle_client()
     }
 
-    /// Reads what the client has sent and takes its commands while there is room for their answers. Who sends
-    /// without end has its turn, and the next one at the next wake.
+    /// Reads a client's input and takes its commands while its pipeline has room. A client with more input than is read
+    /// at once is read again in the next iteration.
     pub(super) fn read_client(&mut self, id: SocketId) {
         if !self.write_client(id) {
             return;
         }
-        // What is read now may have come at any time since the last look.
+        // The input may have arrived at any time since the sockets were polled before.
         let arrived_since = self.event_loop.arrived_since();
         let Some(client) = self.clients.get_mut(&id) else {
             return;
@@ -272,7 +289,8 @@
             self.event_loop.limits.event_loop.read_bytes_per_turn,
             arrived_since,
         );
-        // Who has left more unread commands than are kept is gone all the same, with what waits for it.
+        // With a full buffer nothing more is read, not even the end of the stream; polling the socket then shows
+        // whether the client has disconnected.
         let is_buffer_full = client.stream.input().len() >= self.event_loop.limits.resp.message;
         if status == ReadStatus::Closed || is_buffer_full && client.stream.is_closed_by_peer() {
             return self.close_client(id);
@@ -280,14 +298,14 @@
         if self.take_commands(id) && status == ReadStatus::More {
             self.clients_with_more_input.push(id);
         }
-        // Only after a read that found nothing more: a command that is here already is not left unanswered.
+        // Only after a read that emptied the socket, so that a command that has arrived still gets its reply.
         if status == ReadStatus::Drained && self.shutdown.is_draining() {
             self.drain_client(id);
         }
     }
 
-    /// What a client that was turned away still sends would, unread, turn the close into a reset that may
-    /// overtake the error line.
+    /// Reads and discards the input of a client in a lingering close. Unread input would turn the close into a reset,
+    /// and the client could lose the error reply.
     fn discard_input(&mut self, id: SocketId) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
@@ -310,6 +328,8 @@
         }
     }
 
+    /// Takes the complete commands in a client's input, while its pipeline has room. Returns whether it took any; false
+    /// also where the connection is closed or being closed.
     fn take_commands(&mut self, id: SocketId) -> bool {
         let mut has_taken = false;
         loop {
@@ -319,7 +339,8 @@
                 .get_mut(&id)
                 .filter(|client| !client.is_closing);
             let Some(client) = client else { return false };
-            // Backpressure: who does not read answers gives no more commands.
+            // Backpressure: no more commands are taken from a client that does not read its replies. The rest of a
+            // command may then wait for the router, so the command timeout does not apply.
             if client.queue.len() >= limits.clients.pipelined_commands
                 || client.stream.unwritten() > limits.resp.value
             {
@@ -384,7 +405,7 @@
         }
     }
 
-    /// What is to be done about a command whose last byte arrived at this time.
+    /// What to do about a command whose last byte arrived at `arrived_at` (Unix seconds).
     fn command_action(
         &self,
         command: Command,
@@ -410,9 +431,9 @@
                 if !command_fields.idempotent => {}
             _ => return Err(Malformed::new("the command is not that of the operation")),
         }
-        // Hosts know a request by its id: with another's, one would be answered for the other.
+        // Hosts identify a request by its id: of two with one id, one would get the response to the other.
         if let Some(holder) = self.requests.open_request_connection(command_fields.id) {
-            // Unless that client is gone, which is only not read yet: then it is sent again.
+            // A client that has disconnected may not have been read yet; the request is then one that is sent again.
             let is_gone = self
                 .clients
                 .get(&holder)
@@ -432,7 +453,7 @@
             .endpoints
             .route(command_fields.operation, command_fields.key)
             .map(|route| route.pool.clone());
-        // A command that lay unread, while this process stood still or behind a full pipeline, has less time left.
+        // Time that the command waited unread, in a stall of this process or behind a full pipeline, is subtracted.
         let now = self.event_loop.now();
         let unread_time = now - arrived_at.unwrap_or(now);
         let time_left = (command_fields.time_millis as f64 / 1e3 - unread_time)
@@ -448,6 +469,7 @@
         }))
     }
 
+    /// Sends an error reply to malformed input and begins to close the connection; always returns false.
     fn reject(&mut self, id: SocketId, why: &Malformed) -> bool {
         if self.event_loop.may_warn() {
             info!(self.event_loop.log, "malformed command, client connection closed"; "why" => %why);
@@ -464,7 +486,8 @@
         false
     }
 
-    /// Turns away who has connected and said nothing for long, or has begun a command and not ended it.
+    /// Closes clients that have sent no command within `command_timeout` of connecting or have not completed one within
+    /// that time, and those whose lingering close is over.
     pub(super) fn expire_clients_without_command(&mut self, now: f64) {
         let began_before = now - self.event_loop.limits.clients.command_timeout;
         let expired = self
@@ -497,7 +520,8 @@
         }
     }
 
-    /// The client is gone, or its connection is closed for want of use.
+    /// Closes a client's connection and abandons its pending requests. Their attempts whose commands are not fully
+    /// written are ended.
     pub(super) fn close_client(&mut self, id: SocketId) {
         let Some(client) = self.clients.remove(&id) else {
             return;
@@ -520,7 +544,7 @@
         }
     }
 
-    /// Whether the client of this request is gone, be it that its close is not read yet.
+    /// Whether the client of this request has disconnected. Where that has not been read yet, closes the connection.
     pub(super) fn is_client_gone(&mut self, request: &RequestId) -> bool {
         let Some(client) = self.requests.client(request) else {
             return false;
@@ -538,7 +562,8 @@
         is_closed
     }
 
-    /// Closes connections whose clients have not read for long, and the fullest where too much is unread.
+    /// Closes clients that have not read their replies within `write_timeout`, and the one with the most unread bytes
+    /// where all clients together have more than `unread_response_bytes`.
     pub(super) fn close_clients_not_reading(&mut self, now: f64) {
         let (max_unread_bytes, write_timeout) = (
             self.event_loop.limits.clients.unread_response_bytes,
@@ -566,7 +591,7 @@
         for id in to_close {
             warn!(
                 self.event_loop.log,
-                "client does not read, connection closed"
+                "client not reading replies, connection closed"
             );
             self.close_client(id);
         }
--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The discovery watch: a watch of the endpoint list that is renewed at once, and lists on demand.
+//! The discovery client: watches the endpoint list by long polls, or fetches it when the decisions ask for it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,63 +16,72 @@
 const MILLIS_PER_SECOND: f64 = 1e3;
 const STATUS_OK: u16 = 200;
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Query {
-    /// The full list, to begin a watch with.
+    /// The full list, with which a watch begins.
     InitialFull,
+    /// The changes since the known version; discovery holds the request until there are some.
     Changes,
-    /// The full list once, for the decisions.
+    /// The full list once, outside the watch.
     SingleFull,
 }
 
-/// A connection to discovery with one question on it.
+/// A connection to discovery with one request at a time.
 pub(super) struct Call {
     stream: Stream,
     query: Query,
+    /// Identifies the request to its timers; 0 before the first request.
     request_number: u64,
-    /// How many lists had been accepted when it was asked.
+    /// How many lists had been accepted when the request was sent.
     accepted_before: u64,
+    /// When connecting began, in Unix seconds.
     connected_at: f64,
-    /// Of an answer that has begun and is not complete.
+    /// The progress of a response that is not complete.
     partial: Option<PartialResponse>,
-    /// The same, where it comes in chunks: what has been read of it.
+    /// What has been parsed of a chunked response.
     chunks: ChunkedBody,
-    /// Nothing more comes on the connection.
+    /// Discovery has closed the connection.
     is_closed: bool,
 }
 
-/// How much of an answer has come.
+/// How much of a response has been received.
 struct PartialResponse {
     bytes: usize,
-    /// When the last of it came.
+    /// When its last bytes were received, in Unix seconds.
     last_received: f64,
 }
 
-/// How a response ended that is complete.
+/// The end of a complete response.
 pub(super) struct ResponseEnd {
-    /// What it took of the input.
+    /// Length of the response in the input.
     pub(super) bytes: usize,
+    /// Whether discovery keeps the connection open.
     pub(super) stays_open: bool,
 }
 
-/// The calls to discovery, and how far the endpoint list is known.
+/// The calls to discovery, and the state of the endpoint list.
 pub(super) struct DiscoveryWatch {
     address: SocketAddr,
-    /// Lists come only when the decisions ask for them.
+    /// The list is watched or fetched only when the decisions ask for it.
     on_demand: bool,
-    /// Operators alone list the endpoints: discovery is not asked.
+    /// Operators alone list the endpoints; discovery is not used.
     is_disabled: bool,
+    /// Whether the list is to be watched.
     is_watch_wanted: bool,
     /// The version of the list that was accepted last.
     version: Option<u64>,
     lists_accepted: u64,
     calls: BTreeMap<SocketId, Call>,
     last_request_number: u64,
+    /// The next pause before a retry, in seconds, without jitter.
     backoff: f64,
+    /// Whether a list was accepted since the start.
     has_answered: bool,
-    /// A call found nobody there. One that is refused for want of room has found discovery at work.
+    /// Whether a call could not connect, or lost its connection while it sent its request. A call that discovery
+    /// rejects for lack of capacity does not count, as discovery is running.
     was_unreachable: bool,
+    /// Whether a list was applied, received or cached.
     has_list: bool,
 }
 
@@ -94,13 +103,13 @@
         }
     }
 
-    /// Discovery is not asked from now on.
+    /// Stops using discovery.
     pub(super) fn disable(&mut self) {
         self.is_disabled = true;
         self.is_watch_wanted = false;
     }
 
-    /// Whether a list is there to go by, be it a cached one.
+    /// Whether a list was applied, received or cached, or none is needed.
     pub(super) fn has_list(&self) -> bool {
         self.has_list || self.is_disabled
     }
@@ -109,16 +118,17 @@
         self.is_disabled
     }
 
+    /// Whether the list is watched or fetched only when the decisions ask for it.
     pub(super) fn is_on_demand(&self) -> bool {
         self.on_demand
     }
 
-    /// Whether nothing has to be waited for before the router is ready.
+    /// Whether discovery has sent a list since the start, or is not used.
     pub(super) fn has_answered(&self) -> bool {
         self.has_answered || self.is_disabled
     }
 
-    /// Whether the first answer is still to come from a discovery that is there.
+    /// Whether lists are requested on demand and the first one is still to come from a discovery that is reachable.
     pub(super) fn awaits_first_answer(&self) -> bool {
         self.on_demand && !self.has_answered() && !self.was_unreachable
     }
@@ -131,19 +141,19 @@
         self.calls.keys().copied().collect()
     }
 
-    /// A list has been applied.
+    /// Records that a list was applied.
     pub(super) fn record_list_applied(&mut self) {
         self.has_list = true;
     }
 
-    /// A cached list of this version was applied at the start.
+    /// Records that a cached list of this version was applied at the start.
     pub(super) fn record_restored(&mut self, version: u64) {
-        // What has changed since then is asked for in one call, where a full list and a watch are two: after a
-        // mass restart discovery has as many to serve.
+        // On demand, the changes since then are requested in one call. A full list and a watch would be two, and
+        // discovery would have twice as many calls to serve after a mass restart.
         self.version = Some(version).filter(|_| self.on_demand);
     }
 
-    /// Follows the list from now on, or no more.
+    /// Starts or ends the watch of the list.
     pub(super) fn subscribe(&mut self, event_loop: &mut EventLoop, on: bool) -> Option<Call> {
         self.is_watch_wanted = on && !self.is_disabled;
         match self.watch_connection() {
@@ -156,7 +166,7 @@
         }
     }
 
-    /// Asks for the full list once.
+    /// Fetches the full list once.
     pub(super) fn fetch_list(&mut self, event_loop: &mut EventLoop) -> Option<Call> {
         if self.is_disabled {
             return None;
@@ -164,8 +174,8 @@
         self.start_call(event_loop, Query::SingleFull)
     }
 
-    /// Drops the calls to the old address; the full list is asked for at the new one, as the count of versions
-    /// there need not be that of the old one.
+    /// Drops the calls to the old address and requests the full list from the new one, whose version numbers may be
+    /// unrelated.
     pub(super) fn change_address(
         &mut self,
         event_loop: &mut EventLoop,
@@ -186,7 +196,7 @@
         self.begin_watch(event_loop)
     }
 
-    /// Begins to watch the list, where it is followed and no watch is open.
+    /// Begins to watch the list, where it is to be watched and no watch is open.
     pub(super) fn begin_watch(&mut self, event_loop: &mut EventLoop) -> Option<Call> {
         if !self.is_watch_wanted || self.watch_connection().is_some() {
             return None;
@@ -199,6 +209,7 @@
         self.start_call(event_loop, query)
     }
 
+    /// The connection of the open watch.
     fn watch_connection(&self) -> Option<SocketId> {
         self.calls
             .iter()
@@ -206,6 +217,7 @@
             .map(|(id, _)| *id)
     }
 
+    /// Connects to discovery and sends a request. Returns the call where its input is to be processed.
     fn start_call(&mut self, event_loop: &mut EventLoop, query: Query) -> Option<Call> {
         match Stream::connect(
             &mut event_loop.reactor,
@@ -236,7 +248,8 @@
         }
     }
 
-    /// Writes the next question on a connection that has none out.
+    /// Sends a request on a connection without one, and schedules its timeouts. Returns the call where its input is to
+    /// be processed.
     fn send_request(
         &mut self,
         event_loop: &mut EventLoop,
@@ -245,7 +258,7 @@
     ) -> Option<Call> {
         let now = event_loop.now();
         let call = self.calls.get_mut(&id)?;
-        // What was missed comes at once where a watch begins on demand, even if it is nothing.
+        // The first request of a watch on demand is not held: discovery responds at once, even if nothing has changed.
         let responds_at_once = self.on_demand && call.request_number == 0;
         let hold = if responds_at_once {
             0.0
@@ -276,7 +289,8 @@
         };
         let timeout = if watch.is_some() { hold } else { 0.0 } + grace;
         event_loop.schedule(now + timeout, TimerEvent::DiscoveryCallTimeout(id, number));
-        // A connection that does not come up would cost a whole wait, in which all that is missed counts as told.
+        // A connection that is not established must not take the whole call timeout: changes that are missed meanwhile
+        // count as known to this router.
         event_loop.schedule(
             now + event_loop.limits.message_stall_timeout,
             TimerEvent::DiscoveryConnectTimeout(id, number),
@@ -284,7 +298,8 @@
         self.on_readable(event_loop, id)
     }
 
-    /// Writes what waits and reads what is there; an answer that is complete is to be applied, then completed.
+    /// Writes the rest of a request and reads the response. Returns the call where its input is to be applied and then
+    /// passed to [`DiscoveryWatch::complete`].
     pub(super) fn on_readable(&mut self, event_loop: &mut EventLoop, id: SocketId) -> Option<Call> {
         let call = self.calls.get_mut(&id)?;
         match call.flush() {
@@ -297,12 +312,13 @@
             }
         }
         call.read(event_loop);
-        // Out of the map meanwhile: the list is read from the buffer.
+        // Taken out of the map meanwhile, so that the list can borrow from its input buffer.
         self.calls.remove(&id)
     }
 
-    /// The input of a call was read up to here: a complete response has been applied. Its connection asks the next
-    /// question, waits for the rest of the answer, or is closed.
+    /// Continues a call whose input was processed, with the result `response`: after a complete response its connection
+    /// sends the next request or is closed; after an incomplete one it waits for the rest. Returns a call whose input
+    /// is to be processed next.
     pub(super) fn complete(
         &mut self,
         event_loop: &mut EventLoop,
@@ -336,11 +352,12 @@
         self.send_request(event_loop, id, Query::Changes)
     }
 
-    /// How the list is to be applied; none where it brings nothing or has been overtaken.
+    /// Accepts a received list. Returns how it is to be applied; `None` where it holds nothing, or a newer list was
+    /// accepted while it was under way.
     ///
     /// # Errors
     ///
-    /// Where it brings changes of a version before the one that is known.
+    /// Where it holds changes of a version older than the one it was requested with.
     pub(super) fn accept_list(
         &mut self,
         event_loop: &mut EventLoop,
@@ -349,8 +366,8 @@
     ) -> Result<Option<ListScope>, Malformed> {
         if self.version.is_some_and(|version| list.rev < version) {
             if self.lists_accepted != accepted_before {
-                // Another list came while this one was under way: it would bring back what has passed. On demand
-                // each call is answered, be it with nothing.
+                // A newer list was accepted since this one was requested; applying this one would restore old state. On
+                // demand the decisions expect an event for each call, so they get an empty list.
                 if self.on_demand {
                     event_loop.notify_decisions(Event::EndpointList {
                         scope: ListScope::Delta,
@@ -359,8 +376,8 @@
                 }
                 return Ok(None);
             }
-            // Discovery was asked with that list known, and knows less: it has begun to count anew. A full list
-            // says where it stands; changes do not, so the full list is asked for next.
+            // Discovery's version is older than the one in the request: it has restarted its count. A full list shows
+            // its state; changes do not, so the full list is requested next.
             if !list.all {
                 self.version = None;
                 return Err(Malformed::new(format!(
@@ -378,13 +395,13 @@
         } else {
             ListScope::Delta
         };
-        // On demand each call is answered, be it with nothing.
+        // On demand the decisions expect an event for each call, even for an empty list.
         let is_applied = list.all || !list.targets.is_empty() || self.on_demand;
         Ok(is_applied.then_some(scope))
     }
 
-    /// The answer is not complete yet. One that has begun and stalls is given up sooner than a quiet watch: what
-    /// it was to tell counts as told.
+    /// Waits for the rest of an incomplete response. One that has begun and then stalls is abandoned sooner than a
+    /// watch without changes, as the changes in it count as known to this router.
     fn await_rest_of_response(&mut self, event_loop: &mut EventLoop, mut call: Call) {
         let id = call.stream.id;
         let now = event_loop.now();
@@ -408,6 +425,7 @@
         self.calls.insert(id, call);
     }
 
+    /// Abandons the request with this number, if it has no complete response yet.
     pub(super) fn on_call_timeout(
         &mut self,
         event_loop: &mut EventLoop,
@@ -416,10 +434,11 @@
     ) {
         let is_same = |call: &Call| call.request_number == number;
         if self.calls.get(&id).is_some_and(is_same) {
-            self.fail_call(event_loop, id, "no answer came");
+            self.fail_call(event_loop, id, "no response in time");
         }
     }
 
+    /// Abandons the request with this number, if its connection is not established yet.
     pub(super) fn on_connect_timeout(
         &mut self,
         event_loop: &mut EventLoop,
@@ -435,6 +454,8 @@
         }
     }
 
+    /// Abandons the request with this number, if its response has begun and nothing more was received for the stall
+    /// timeout.
     pub(super) fn on_response_stall(
         &mut self,
         event_loop: &mut EventLoop,
@@ -452,21 +473,24 @@
         if event_loop.now() < deadline {
             return event_loop.schedule(deadline, TimerEvent::DiscoveryAnswerTimeout(id, number));
         }
-        self.fail_call(event_loop, id, "an answer does not end");
+        self.fail_call(event_loop, id, "the response stalled");
     }
 
+    /// Closes a call without reporting a failure; returns its query and when it connected.
     fn close_call(&mut self, event_loop: &mut EventLoop, id: SocketId) -> Option<(Query, f64)> {
         let call = self.calls.remove(&id)?;
         call.stream.close(&event_loop.reactor);
         Some((call.query, call.connected_at))
     }
 
+    /// Abandons the call on this connection.
     fn fail_call(&mut self, event_loop: &mut EventLoop, id: SocketId, why: &str) {
         if let Some(call) = self.calls.remove(&id) {
             self.abandon_call(event_loop, call, why);
         }
     }
 
+    /// Closes a call and reports its failure.
     fn abandon_call(&mut self, event_loop: &mut EventLoop, call: Call, why: &str) {
         let query = call.query;
         let connected_at = call.connected_at;
@@ -474,8 +498,8 @@
         self.on_call_failed(event_loop, query, connected_at, why);
     }
 
-    /// On demand the decisions hear of it and ask again; else the watch begins again after a while, later
-    /// each time and never in step with other routers, but at once where the connection had stood for long.
+    /// Handles a failed call. On demand the decisions are told, and request the list again. Otherwise the watch is
+    /// retried with exponential backoff and jitter, or at once where the call had been open for the maximum backoff.
     fn on_call_failed(
         &mut self,
         event_loop: &mut EventLoop,
@@ -501,16 +525,16 @@
 }
 
 impl Call {
-    /// How many lists had been accepted when it was asked.
+    /// How many lists had been accepted when the request was sent.
     pub(super) fn accepted_before(&self) -> u64 {
         self.accepted_before
     }
 
-    /// The response in the input, and how many bytes it takes; none where it is not complete.
+    /// The response in the input and its length in bytes; `None` where it is incomplete.
     ///
     /// # Errors
     ///
-    /// Where it is malformed, longer than it may be or reports a failure.
+    /// Where it is malformed, too long or has another status than 200.
     pub(super) fn response(
         &mut self,
         limits: &ResponseLimits,
@@ -518,27 +542,28 @@
         let input = self.stream.input();
         let Some((response, bytes)) = discovery::parse_response(input, limits, &mut self.chunks)?
         else {
-            // Nothing more of it would ever be read.
+            // The input buffer is full, so the rest would never be read.
             if input.len() >= limits.max_total() {
                 return Err(Malformed::new(format!(
-                    "the answer is too long (over {} bytes)",
+                    "the response is longer than {} bytes",
                     limits.max_total()
                 )));
             }
             return Ok(None);
         };
         if response.status != STATUS_OK {
-            return Err(Malformed::new(format!("status {}", response.status)));
+            return Err(Malformed::new(format!("HTTP status {}", response.status)));
         }
         Ok(Some((response, bytes)))
     }
 
-    /// True where all is written; false where the connection is not up, or takes no more now.
+    /// Writes the request. True once all is written; false where the connection is not established or the socket takes
+    /// no more.
     fn flush(&mut self) -> std::io::Result<bool> {
         Ok(self.stream.is_connected()? && self.stream.flush()?)
     }
 
-    /// Reads what is there, up to the longest answer.
+    /// Reads all available input, up to the size of the longest response.
     fn read(&mut self, event_loop: &EventLoop) {
         let max_bytes = event_loop.limits.discovery.response.max_total();
         let bytes_per_turn = event_loop.limits.event_loop.read_bytes_per_turn;
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -1,4 +1,5 @@
-//! Dispatch of decisions: an event goes to the decisions, and their effects are carried out. Nothing is decided here.
+//! The interface to the decisions: passes events to them and carries out the effects that they return. Nothing is
+//! decided here.
 
 use kestreltide::interface::*;
 use slog::info;
@@ -11,6 +12,8 @@
 const MILLIS_PER_SECOND: f64 = 1e3;
 
 impl Routing {
+    /// Passes an event to the decisions and carries out its effects. A request whose client has disconnected is
+    /// removed after the decisions have processed that.
     pub(super) fn dispatch_event(&mut self, event: Event) {
         let mut effects = std::mem::take(&mut self.effects);
         let disconnected = if let Event::ClientDisconnected { request } = &event {
@@ -24,14 +27,14 @@
         self.carry_out_all(effects);
     }
 
-    /// Lets the decisions begin what goes by time, though no event has come yet.
+    /// Lets the decisions start their timed work before the first event.
     pub(super) fn begin_decisions(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         self.decisions.begin(self.event_loop.now(), &mut effects);
         self.carry_out_all(effects);
     }
 
-    /// Carries out effects, and keeps their buffer for the next event.
+    /// Carries out effects, and keeps the emptied buffer for the next event.
     fn carry_out_all(&mut self, mut effects: Vec<Effect>) {
         effects.drain(..).for_each(|effect| self.carry_out(effect));
         self.effects = effects;
--- a/router/src/routing/endpoint_list.rs
+++ b/router/src/routing/endpoint_list.rs
@@ -1,5 +1,4 @@
-//! The endpoint list: what discovery tells is applied to the endpoint table, the upstream connections and the
-//! decisions.
+//! The endpoint list: applies discovery's responses to the endpoint table, the upstream connections and the decisions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,34 +13,38 @@
 use crate::transport::SocketId;
 
 impl Routing {
-    /// Applies what this router knew of the endpoints before it was started.
+    /// Applies the endpoint list that was cached before the router was started.
     pub fn restore_endpoint_list(&mut self, list: &EndpointList) {
         self.apply_endpoint_list(list, ListScope::Cached);
         self.discovery.record_restored(list.rev);
         self.process_pending();
     }
 
+    /// Starts or ends the watch of the endpoint list.
     pub(super) fn subscribe_endpoint_list(&mut self, on: bool) {
         let response = self.discovery.subscribe(&mut self.event_loop, on);
         self.apply_discovery_responses(response);
     }
 
+    /// Fetches the full endpoint list once.
     pub(super) fn fetch_endpoint_list(&mut self) {
         let response = self.discovery.fetch_list(&mut self.event_loop);
         self.apply_discovery_responses(response);
     }
 
+    /// Begins to watch the endpoint list, where it is to be watched and no watch is open.
     pub(super) fn begin_watch(&mut self) {
         let response = self.discovery.begin_watch(&mut self.event_loop);
         self.apply_discovery_responses(response);
     }
 
+    /// Handles a ready connection to discovery.
     pub(super) fn on_discovery_readable(&mut self, id: SocketId) {
         let response = self.discovery.on_readable(&mut self.event_loop, id);
         self.apply_discovery_responses(response);
     }
 
-    /// Applies what the old address has told by now and asks the new one.
+    /// Applies the responses that discovery's old address has sent already, then requests the list from the new one.
     pub(super) fn change_discovery_address(&mut self, address: SocketAddr) {
         if address == self.discovery.address() {
             return;
@@ -53,7 +56,7 @@
         self.apply_discovery_responses(response);
     }
 
-    /// Applies the response of a call, and those that come when its connection asks again.
+    /// Applies the response of a call. Its connection may send the next request, whose response is applied in turn.
     fn apply_discovery_responses(&mut self, mut next: Option<Call>) {
         while let Some(mut call) = next {
             let response = self.apply_discovery_response(&mut call);
@@ -63,6 +66,7 @@
         }
     }
 
+    /// Applies the response of one call; `None` where it is incomplete.
     fn apply_discovery_response(
         &mut self,
         call: &mut Call,
@@ -86,6 +90,8 @@
         }))
     }
 
+    /// Applies a list to the endpoint table, closes idle connections that it makes unusable, and passes it to the
+    /// decisions.
     fn apply_endpoint_list(&mut self, list: &EndpointList, scope: ListScope) {
         self.discovery.record_list_applied();
         self.finish_staging();
@@ -103,7 +109,7 @@
             let is_gone = target.state() == HostState::Gone;
             let (entry, close_idle_connections) = match self.endpoints.apply_entry(target) {
                 Some(applied) => (applied.entry, applied.close_idle_connections),
-                // It takes no room, and whoever still sends to it has to hear of it.
+                // The table is full. A gone host needs no place in it, and the decisions have to learn that it is gone.
                 None if is_gone => (target.to_host_record().entry(), true),
                 None => {
                     left_out.push(target.uid.as_ref());
@@ -142,7 +148,8 @@
         self.mark_view_stale();
     }
 
-    /// A whole list names each host once; changes may tell that one went and came again.
+    /// Logs a full list that names a host more than once. In a list of changes this is valid: a host may have left and
+    /// come back.
     fn warn_about_duplicates(&self, list: &EndpointList) {
         let mut hosts: Vec<_> = list
             .targets
@@ -157,8 +164,8 @@
         }
     }
 
-    /// Who has left makes room for who comes, and is taken after them: both would else be kept together until the
-    /// next sweep, and at the limit who comes be left out.
+    /// Removes gone hosts from the table to make room for new ones, and orders `targets` so that gone hosts come last.
+    /// Otherwise gone hosts would stay until the next periodic check, and at the limit new hosts would be left out.
     fn free_capacity(&mut self, targets: &mut [&ListedEndpoint], is_full: bool) {
         let host = |target: &&ListedEndpoint| HostId::named(&target.uid);
         let last_states: BTreeMap<_, _> = targets
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoint table: which endpoints discovery and the operators list, and where they are.
+//! The endpoint table: the hosts that discovery and operators list, merged.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,17 +12,19 @@
 
 use crate::protocol::discovery::ListedEndpoint;
 
-/// Where hosts are: what discovery told last, under what operators have set.
+/// All known hosts: discovery's last records, and the revision of the operators' settings that is in force.
 pub(super) struct EndpointTable {
+    /// Includes hosts that are gone and not forgotten yet.
     discovered: BTreeMap<HostId, HostRecord>,
     revision: Arc<Snapshot>,
+    /// The most hosts of discovery that are kept.
     capacity: usize,
 }
 
-/// What a list entry changed.
+/// The result of applying an entry of discovery's list.
 pub(super) struct AppliedEntry {
     pub(super) entry: HostEntry,
-    /// Connections without use lead nowhere now, or are not wanted.
+    /// Whether idle connections to the host are to be closed, as it was replaced or is not in service.
     pub(super) close_idle_connections: bool,
 }
 
@@ -35,6 +37,7 @@
         }
     }
 
+    /// The number of hosts that discovery or operators list.
     pub(super) fn len(&self) -> usize {
         let operator_only = self
             .revision
@@ -44,11 +47,12 @@
         self.discovered.len() + operator_only.count()
     }
 
-    /// A host as it counts, whoever lists it.
+    /// The record of a host by the revision in force; `None` where neither discovery nor operators list it completely.
     fn effective(&self, host: HostId) -> Option<Cow<'_, HostRecord>> {
         self.merged(&self.revision, host)
     }
 
+    /// The record of a host, merged from discovery's and that of `revision`.
     fn merged<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, HostRecord>> {
         match (self.discovered.get(&host), revision.configured(host)) {
             (Some(discovered), Some(configured)) => merge(
@@ -67,18 +71,18 @@
         self.effective(host).map(|host| host.endpoint)
     }
 
-    /// The route of an invocation; none: all hosts are for it.
+    /// The route of a request; without one, it may go to all hosts.
     pub(super) fn route(&self, operation: &str, key: &str) -> Option<&Route> {
         self.revision.routes.find(operation, key)
     }
 
-    /// Whether a connection to this host at this address may be used again.
+    /// Whether a connection to this host at this address may be reused.
     pub(super) fn is_usable(&self, host: HostId, address: SocketAddr) -> bool {
         self.effective(host)
             .is_some_and(|host| host.is_in_service() && host.endpoint == address)
     }
 
-    /// Notes one entry of discovery's list; None where there is no room for one more host.
+    /// Applies one entry of discovery's list; `None` where the table is full and the host is new.
     pub(super) fn apply_entry(&mut self, target: &ListedEndpoint) -> Option<AppliedEntry> {
         let host = HostId::named(&target.uid);
         if !self.discovered.contains_key(&host) && self.discovered.len() >= self.capacity {
@@ -94,7 +98,7 @@
         })
     }
 
-    /// A whole list has come: who is not in it is gone.
+    /// Marks the hosts that are not in a full list of discovery as gone, and returns them.
     pub(super) fn retain_listed(&mut self, listed: &[HostEntry]) -> Vec<HostId> {
         let listed: BTreeSet<_> = listed.iter().map(|entry| entry.host).collect();
         let missing = self
@@ -108,7 +112,7 @@
         newly_gone.collect()
     }
 
-    /// The entries of operators alone, which discovery does not list.
+    /// The entries of the hosts that operators list and discovery does not.
     pub(super) fn operator_only_entries(&self) -> impl Iterator<Item = HostEntry> {
         let operator_only = self
             .revision
@@ -118,13 +122,14 @@
         operator_only.filter_map(|configured| configured.entry)
     }
 
-    /// Whether a revision's own entries are all that it changes: discovery lists nobody, so that they are worked
-    /// out already and can be told ahead.
+    /// Whether the entries in a revision are all that it changes, so that they can be passed to the decisions in parts
+    /// before it is in force. That is so where it follows the current revision and discovery lists no hosts.
     pub(super) fn can_stage(&self, new: &Snapshot) -> bool {
         new.changed_since == self.revision.revision() && self.discovered.is_empty()
     }
 
-    /// Takes a revision; the entries that it changes, where what was staged for it has been told or not.
+    /// Puts a revision in force and returns the entries that it changes. `is_staged` says that the decisions have
+    /// already been given its entries; none are returned then.
     pub(super) fn apply_revision(
         &mut self,
         new: &Arc<Snapshot>,
@@ -162,13 +167,14 @@
         .into()
     }
 
-    /// All that discovery told and did not take back.
+    /// The hosts of discovery, including those that are gone and not forgotten yet.
     pub(super) fn discovered(&self) -> impl Iterator<Item = &HostRecord> {
         self.discovered.values()
     }
 
+    /// Removes the hosts that are gone, unless connections to them are open or operators list them.
     pub(super) fn forget_gone(&mut self, connected_hosts: &BTreeSet<HostId>) {
-        // Who is gone stays gone though operators still list it, until discovery says otherwise.
+        // A gone host that operators still list stays gone until discovery lists it again.
         let is_configured = |host: &HostId| self.revision.configured(*host).is_some();
         self.discovered.retain(|host, discovered| {
             discovered.state != HostState::Gone
--- a/router/src/routing/event_loop.rs
+++ b/router/src/routing/event_loop.rs
@@ -1,5 +1,5 @@
-//! What the owners of the event loop share: its clock, sockets and timers, the queue of events for the decisions,
-//! the log, the limits and the counters.
+//! The event loop's services that all parts of the routing share: clock, sockets, timers, the queue of events for the
+//! decisions, log, limits and counters.
 
 use std::collections::VecDeque;
 use std::io;
@@ -13,14 +13,14 @@
 use crate::limits::Limits;
 use crate::transport::{Clock, Priority, Reactor, ReceivedSignals, SocketId, Timers};
 
-/// The smallest factor of a backoff; the largest is one more.
+/// The smallest jitter factor of a backoff; the largest is greater by 1.
 const BACKOFF_JITTER_MIN: f64 = 0.5;
 
-/// Who a socket belongs to, in the order in which ready sockets are served.
+/// The part of the router that handles a socket, in the order in which ready sockets are handled.
 ///
-/// The endpoint list comes first: a stale one breaks drains and exposure after a stall. What operators drain and take
-/// out binds as the list does. Then answers that are already here, so that they do not lose to timeouts; then clients.
-/// Timers come after all that was read.
+/// Discovery, platform and management come first: after a stall of the process, deciding by an old endpoint list or
+/// rollout would send requests to draining hosts and exceed the canary's cap. Hosts come before clients, so that
+/// responses that have arrived are not lost to timeouts. Timers run after all sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SocketOwner {
     Discovery,
@@ -33,7 +33,7 @@
 }
 
 impl SocketOwner {
-    /// All owners, by their priorities.
+    /// All owners, in ascending order of [`SocketOwner::priority`].
     const BY_PRIORITY: [SocketOwner; 7] = [
         SocketOwner::Discovery,
         SocketOwner::Platform,
@@ -44,52 +44,67 @@
         SocketOwner::Listener,
     ];
 
-    /// The priority that the owner's sockets are registered with.
+    /// The priority with which the owner's sockets are registered; lower is handled first.
     pub(super) const fn priority(self) -> Priority {
         Priority(self as u8)
     }
 
+    /// The owner of the sockets with this priority.
     fn from_priority(priority: Priority) -> Option<Self> {
         Self::BY_PRIORITY.get(usize::from(priority.0)).copied()
     }
 }
 
-/// A socket that is ready, and who serves it.
+/// A socket that the poll reported as ready, and the part of the router that handles it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ReadySocket {
     pub(super) owner: SocketOwner,
     pub(super) id: SocketId,
 }
 
-/// What a timer was set for.
+/// What a timer was scheduled for. A number identifies what was current when the timer was scheduled; a timer with an
+/// old number does nothing. The variants' names are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TimerEvent {
+    /// A timer of the decisions.
     Decisions(TimerKey),
-    /// The use of an upstream connection that has this number must be over.
+    /// The attempt or health check with this use number of the upstream connection has timed out, if it is not over.
     UpstreamUseTimeout(SocketId, u64),
-    /// By now the upstream connection must be up and the command written.
+    /// The command of the use with this number must have been written, which includes connecting.
     UpstreamWriteTimeout(SocketId, u64),
+    /// Accept clients that were left waiting.
     AcceptAgain,
+    /// Run the periodic checks.
     ExpireIdle,
+    /// The response to the discovery request with this number must be complete.
     DiscoveryCallTimeout(SocketId, u64),
-    /// By now the connection to discovery must be up.
+    /// The connection of the discovery request with this number must be established.
     DiscoveryConnectTimeout(SocketId, u64),
-    /// By now the answer that has begun must be complete, or more of it have come.
+    /// The partly received response to the discovery request with this number must be complete or have grown.
     DiscoveryAnswerTimeout(SocketId, u64),
+    /// Begin the watch of the endpoint list again.
     DiscoveryRetry,
+    /// Connect to the platform again.
     PlatformReconnect,
-    /// By now the platform's line that has begun must be complete, or more of it have come.
+    /// The platform's partly received line must be complete or have grown.
     PlatformLineTimeout,
+    /// The vote with this call number must have been answered.
     VoteTimeout(u64),
+    /// The time to wait for discovery and the platform has passed.
     Ready,
+    /// Graceful shutdown: the platform sends no more new connections.
     ServingOver,
+    /// Graceful shutdown: half of the time for draining has passed.
     DrainingOver,
-    /// Of the graceful shutdown: silent clients, and those that were notified of the close, have had their time.
+    /// Graceful shutdown: look again at clients that were silent or in a lingering close.
     DrainAgain,
-    /// No client has connected since all connections were closed for the time of this number.
+    /// Graceful shutdown: no client has reconnected during the wait with this number.
     LastClientsOver(u64),
+    /// Graceful shutdown: SIGKILL is near, so open requests are given up.
     KillNear,
+    /// Graceful shutdown: the program ends.
     ShutdownDeadline,
+    /// Publish the view for the management threads.
     PublishView,
 }
 
@@ -102,12 +117,13 @@
     clock: Clock,
     timers: Timers<TimerEvent>,
     decision_events: VecDeque<Event>,
-    /// For backoffs only; the decisions have their own.
+    /// For the jitter of backoffs only; the decisions have a generator of their own.
     random: ChaCha8Rng,
-    /// When the last sleep ended.
+    /// When the last sleep ended, in Unix seconds.
     woken_at: f64,
-    /// How long, in seconds, what is read from a socket now may have waited there before the last sleep ended.
+    /// How long, in seconds, data that is read now may have waited in its socket before the last sleep ended.
     delay: f64,
+    /// Whether the last sleep ended without a ready socket.
     woke_without_events: bool,
 }
 
@@ -139,17 +155,17 @@
         self.clock.now()
     }
 
-    /// When the last sleep ended.
+    /// When the last sleep ended, in Unix seconds.
     pub(super) fn woken_at(&self) -> f64 {
         self.woken_at
     }
 
-    /// The earliest time at which what is read now may have arrived.
+    /// The earliest time, in Unix seconds, at which data that is read now may have arrived.
     pub(super) fn arrived_since(&self) -> f64 {
         self.woken_at - self.delay
     }
 
-    /// Sleeps until a socket is ready, a signal comes or a timer is due, where it may sleep at all.
+    /// Returns the ready sockets and received signals. With `may_sleep`, sleeps until there is one or a timer is due.
     ///
     /// # Errors
     ///
@@ -178,12 +194,13 @@
         Ok((sockets.collect(), signals))
     }
 
-    /// Notes by how much the loop is late: the work of the last turn, and a sleep longer than asked for.
+    /// Updates the delay of the event loop: the time that the last iteration worked, and by how much the sleep was
+    /// longer than asked for.
     fn record_wake(&mut self, sleep_began_at: f64, sleep: f64, without_events: bool) {
         let woken_at = self.now();
         let delay = (sleep_began_at - self.woken_at) + (woken_at - sleep_began_at - sleep).max(0.0);
-        // A signal that ends a standstill can end the sleep with no events: what is there at once after that was
-        // there before.
+        // When a stopped process continues, a signal can end the sleep before any socket is reported. Sockets that are
+        // then ready at once have waited through the stop, so the delay found at that wake still applies to them.
         let woke_at_once = woken_at - sleep_began_at < self.limits.event_loop.immediate_wake;
         let carried_over = if self.woke_without_events && woke_at_once {
             self.delay
@@ -198,18 +215,19 @@
         }
     }
 
+    /// Schedules an event at `at`, in Unix seconds; drops and logs it where too many timers are pending.
     pub(super) fn schedule(&mut self, at: f64, event: TimerEvent) {
         if !self.timers.schedule(at, event) {
             error!(self.log, "timer dropped, too many scheduled"; "due" => ?event);
         }
     }
 
-    /// A timer that was due when the last sleep ended.
+    /// Removes and returns the earliest timer that was due when the last sleep ended.
     pub(super) fn next_due_timer(&mut self) -> Option<TimerEvent> {
         self.timers.pop_due(self.woken_at)
     }
 
-    /// Queues an event for the decisions.
+    /// Queues an event for the decisions; `Routing::process_pending` passes it on.
     pub(super) fn notify_decisions(&mut self, event: Event) {
         self.decision_events.push_back(event);
     }
@@ -218,14 +236,14 @@
         self.decision_events.pop_front()
     }
 
-    /// Whether a warning about what others do wrong may be written: so many a second, the rest is counted.
+    /// Whether one more warning about malformed input may be logged in this second; a suppressed one is counted.
     pub(super) fn may_warn(&mut self) -> bool {
         let now = self.now();
         let warnings_per_second = self.limits.log.warnings_per_second;
         self.metrics.may_warn(now, warnings_per_second)
     }
 
-    /// A factor that keeps routers from retrying in step.
+    /// A random factor of a backoff, so that routers do not retry at the same time.
     pub(super) fn backoff_jitter(&mut self) -> f64 {
         BACKOFF_JITTER_MIN + self.random.random::<f64>()
     }
--- a/router/src/routing/gossip_peers.rs
+++ b/router/src/routing/gossip_peers.rs
@@ -1,4 +1,4 @@
-//! The gossip peers: datagrams between routers.
+//! Gossip: datagrams to and from the other routers of the service.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,13 +12,14 @@
 use crate::limits::Limits;
 use crate::transport::{DatagramSocket, Reactor};
 
-/// The socket that gossip goes through, and where the other routers are.
+/// The gossip socket and the addresses of the routers.
 pub(super) struct GossipPeers {
     socket: DatagramSocket,
-    /// By their numbers.
+    /// Of the routers, by [`RouterId`].
     addresses: Vec<SocketAddr>,
-    /// An address that reaches all of them.
+    /// An address that reaches all routers.
     broadcast: Option<SocketAddr>,
+    /// The routers by address, to identify senders.
     routers: BTreeMap<SocketAddr, RouterId>,
 }
 
@@ -27,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// Where the socket cannot be bound or watched.
+    /// Where the socket cannot be bound to `listen` or registered with the reactor.
     pub(super) fn open(
         reactor: &mut Reactor,
         listen: SocketAddr,
@@ -54,7 +55,8 @@
         })
     }
 
-    /// Sends a message to one router, or to all of them.
+    /// Sends a message to one router, or to all where `to` is `None`. A message that is too long or has no address is
+    /// dropped.
     pub(super) fn send(&self, event_loop: &mut EventLoop, to: Option<RouterId>, payload: &[u8]) {
         let address = match to {
             Some(router) => self.addresses.get(router.0 as usize).copied(),
@@ -70,9 +72,9 @@
         }
     }
 
-    /// Receives what has come and tells the decisions.
+    /// Receives datagrams and passes those of known routers to the decisions.
     pub(super) fn on_readable(&mut self, event_loop: &mut EventLoop) {
-        // Bounded: a flood leaves the rest to the next wake, which it brings by itself.
+        // Bounded, so that a flood does not block the event loop; the socket stays ready for the next iteration.
         for _ in 0..event_loop.limits.peers.datagrams_per_wake {
             let Some((from, payload)) = self.socket.receive() else {
                 return;
--- a/router/src/routing/graceful_shutdown.rs
+++ b/router/src/routing/graceful_shutdown.rs
@@ -1,47 +1,53 @@
 //! The state machine of the graceful shutdown.
 //!
-//! Clients still come for a while and are served; then connections are closed as they fall quiet, while whoever
-//! crosses that may come again; then nobody comes any more, and the program ends once every admitted request is
-//! answered, be it by giving it up.
+//! New clients are served until the platform sends no more. Then idle connections are closed, while a client whose
+//! command crossed the close may reconnect. Then the listener is closed, and the program ends once every admitted
+//! request has a response. Requests that are still open shortly before SIGKILL are failed.
 
-/// How far the shutdown is.
+/// The stage of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Running,
-    /// The shutdown was requested, but clients do not know yet.
+    /// The shutdown was requested; the platform still sends new clients, and all are served.
     Serving,
-    /// Connections are closed as they fall idle; whoever still comes is served first.
+    /// Connections are closed once they are idle; new clients are still served.
     Draining,
-    /// All connections are closed: a client that crossed the close of one comes again on a new one.
+    /// All connections are closed. A client whose command crossed the close may reconnect.
     AwaitingReconnects,
-    /// The listener is closed, so that clients that are never quiet for long end too.
+    /// The listener is closed, and connections are closed after a shorter idle time, so that clients that are never
+    /// idle for long finish too.
     Closing,
-    /// Open requests have been given up and answered, and what still comes is rejected at once.
+    /// Open requests were failed, and new ones are rejected at once.
     GivenUp,
     Finished,
 }
 
-/// What moves the shutdown on.
+/// What causes transitions of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShutdownInput {
+    /// SIGTERM or SIGINT was received.
     Requested,
-    /// The time is over in which the platform sends new connections.
+    /// The time in which the platform still sends new clients has passed.
     ServingOver,
+    /// No client is connected after an iteration of the event loop.
     NoClients,
+    /// Clients are connected after an iteration of the event loop.
     ClientsConnected,
-    /// No client has come again for a while.
+    /// No client has reconnected during the wait for that.
     LastClientsOver,
-    /// Half of the time left is over.
+    /// Half of the time between [`ShutdownInput::ServingOver`] and [`ShutdownInput::KillNear`] has passed.
     DrainingOver,
-    /// SIGKILL is near.
+    /// SIGKILL comes soon.
     KillNear,
+    /// The program must end before SIGKILL.
     Deadline,
 }
 
-/// What is to be done after a transition.
+/// What the caller does after a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShutdownAction {
     None,
+    /// Schedule the timers of the shutdown.
     Begin,
     CloseIdleClients,
     AwaitReconnects,
@@ -49,6 +55,7 @@
     GiveUpOpenRequests,
 }
 
+/// An entry of the transition table: `input` in the state `from` leads to the state `to` and requires `action`.
 struct Transition {
     from: State,
     input: ShutdownInput,
@@ -56,7 +63,8 @@
     action: ShutdownAction,
 }
 
-/// An input that is not in the table changes nothing: a second SIGTERM, a timer of a state that has passed.
+/// The transition table. An input that has no entry for the current state changes nothing, such as a second SIGTERM or
+/// a timer of an earlier state.
 const TRANSITIONS: [Transition; 13] = [
     Transition {
         from: State::Running,
@@ -141,9 +149,9 @@
 /// The shutdown of this process.
 pub(super) struct GracefulShutdown {
     state: State,
-    /// How often all connections were closed: a timer of an earlier time is known by it.
+    /// Counts the waits for reconnecting clients, so that a timer of an earlier wait is ignored.
     reconnect_wait_number: u64,
-    /// The last time before SIGKILL, once the shutdown is requested.
+    /// When open requests are given up, in Unix seconds; set once the shutdown is requested.
     gives_up_at: Option<f64>,
 }
 
@@ -156,7 +164,7 @@
         }
     }
 
-    /// Moves on by an input; returns what is to be done then.
+    /// Makes the transition for an input; returns what the caller has to do.
     pub(super) fn advance(&mut self, input: ShutdownInput) -> ShutdownAction {
         let transition = TRANSITIONS
             .iter()
@@ -168,23 +176,23 @@
         transition.action
     }
 
-    /// Sets the time (Unix, seconds) at which open requests are given up.
+    /// Sets the time at which open requests are given up, in Unix seconds.
     pub(super) fn set_gives_up_at(&mut self, time: f64) {
         self.gives_up_at = Some(time);
     }
 
-    /// Begins to wait for clients that come again; returns the number of this wait.
+    /// Begins a wait for reconnecting clients; returns its number.
     pub(super) fn begin_reconnect_wait(&mut self) -> u64 {
         self.reconnect_wait_number += 1;
         self.reconnect_wait_number
     }
 
-    /// Whether this is the number of the current wait.
+    /// Whether this is the number of the current wait for reconnecting clients.
     pub(super) fn is_current_reconnect_wait(&self, number: u64) -> bool {
         number == self.reconnect_wait_number
     }
 
-    /// Whether connections without use are closed, once nothing that came on them is left unread.
+    /// Whether idle connections are closed, once all their input is read.
     pub(super) fn is_draining(&self) -> bool {
         matches!(
             self.state,
@@ -192,7 +200,7 @@
         )
     }
 
-    /// Whether there is no time left to serve what comes.
+    /// Whether open requests were given up, so that new ones are rejected.
     pub(super) fn has_given_up(&self) -> bool {
         matches!(self.state, State::GivenUp | State::Finished)
     }
@@ -201,7 +209,7 @@
         self.state == State::Finished
     }
 
-    /// The seconds that are left before open requests are given up; infinite while the router runs.
+    /// Seconds until open requests are given up; infinite before the shutdown is requested.
     pub(super) fn time_left(&self, now: f64) -> f64 {
         self.gives_up_at
             .map_or(f64::INFINITY, |time| (time - now).max(0.0))
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -1,4 +1,5 @@
-//! The link to the management threads: their messages enter the event loop here, and a view of its state goes out.
+//! The link between the event loop and the management threads: receives their messages and publishes a view of the
+//! router's state to them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -16,20 +17,23 @@
 /// What a management thread sends to the event loop.
 #[derive(Clone, Debug)]
 pub enum ManagementMessage {
-    /// A revision was committed.
+    /// A committed revision, which the event loop puts in force.
     Revision(Arc<Snapshot>),
-    /// The view is to be that of now; the sender has room for the one message that says so.
+    /// Publish an up-to-date view, then confirm through the sender, which must have capacity for one message.
     RefreshView(SyncSender<()>),
 }
 
-/// The heartbeat of a management thread: when it last ran, in milliseconds of Unix time; 0 where it has ended.
+/// The heartbeat of a management thread, which the event loop checks for stalls.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
+    /// The thread's name.
     pub name: &'static str,
+    /// When the thread last ran, in milliseconds of Unix time; 0 before its first run and after its end.
     recorded_millis: Arc<AtomicU64>,
 }
 
 impl Heartbeat {
+    /// The heartbeat of a thread that has not run yet.
     pub fn new(name: &'static str) -> Self {
         Heartbeat {
             name,
@@ -37,33 +41,43 @@
         }
     }
 
+    /// Records that the thread ran at `now`, in Unix seconds; 0 says that it has ended.
     pub fn record(&self, now: f64) {
         self.recorded_millis.store((now * 1e3) as u64, Relaxed);
     }
 
+    /// When the thread last ran, in Unix seconds.
     fn last_recorded(&self) -> f64 {
         self.recorded_millis.load(Relaxed) as f64 / 1e3
     }
 }
 
-/// The loop's end of it.
+/// The event loop's end of the link.
 pub struct ManagementInbox {
     messages: Inbox<ManagementMessage>,
+    /// The published view.
     view: Arc<ArcSwap<View>>,
+    /// The number of the revision that the event loop has applied.
     in_force: Arc<AtomicU64>,
 }
 
-/// What fronts hold of the loop.
+/// The management threads' end of the link.
 #[derive(Clone)]
 pub struct LoopHandle {
+    /// Sends messages to the event loop.
     pub post: InboxSender<ManagementMessage>,
+    /// The view that the event loop published last.
     pub view: Arc<ArcSwap<View>>,
-    /// The revision in force there.
+    /// The number of the revision that the event loop has applied.
     pub in_force: Arc<AtomicU64>,
 }
 
 impl ManagementInbox {
-    /// The two ends: the loop's, and what fronts hold.
+    /// Opens a link whose inbox holds at most `capacity` messages; returns its two ends.
+    ///
+    /// # Errors
+    ///
+    /// Where the inbox cannot be registered with the reactor.
     pub fn open(reactor: &mut Reactor, capacity: usize) -> std::io::Result<(Self, LoopHandle)> {
         let (messages, post) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
@@ -84,23 +98,28 @@
     }
 }
 
+/// The event loop's state of the link. Times are in seconds.
 pub(super) struct ManagementLink {
     inbox: ManagementInbox,
+    /// Each with whether its stall has been logged.
     heartbeats: Vec<(Heartbeat, bool)>,
+    /// The revision in force.
     revision: Revision,
-    /// Being told ahead, and how much of it has been.
+    /// The revision whose entries are being passed to the decisions in parts, and how many have been.
     staging: Option<(Arc<Snapshot>, usize)>,
-    /// The longest pause for a part of it.
+    /// The longest time that a part of the revision being staged blocked the event loop.
     longest_staging_pause: f64,
+    /// Revisions applied since the start.
     revisions_applied: u64,
+    /// The longest time that applying a revision, or staging a part of one, blocked the event loop.
     longest_pause: f64,
-    /// The view that fronts have is not that of now, and an alarm is set to renew it.
+    /// The published view is out of date, and a timer is set to publish a new one.
     is_view_stale: bool,
 }
 
 impl Routing {
-    /// Joins the fronts to the loop; without it there are none. Where operators alone list hosts, discovery is
-    /// not asked.
+    /// Connects the management threads to the event loop. Without `uses_discovery`, operators alone list hosts and
+    /// discovery is not used.
     pub fn attach_management(
         &mut self,
         inbox: ManagementInbox,
@@ -126,8 +145,9 @@
         }
     }
 
+    /// Handles the messages in the inbox.
     pub(super) fn on_management_message(&mut self) {
-        // One revision after another: the next lies in its box while one is staged.
+        // Messages wait in the inbox while a revision is being staged.
         while let Some(management) = self
             .management
             .as_mut()
@@ -140,21 +160,22 @@
                 ManagementMessage::Revision(snapshot) => self.apply_revision(&snapshot),
                 ManagementMessage::RefreshView(refreshed) => {
                     self.refresh_view();
-                    // Who asked may have stopped waiting.
+                    // The thread that asked may have stopped waiting.
                     let _ = refreshed.try_send(());
                 }
             }
         }
     }
 
+    /// Whether a revision is being staged.
     pub(super) fn is_staging(&self) -> bool {
         self.management
             .as_ref()
             .is_some_and(|management| management.staging.is_some())
     }
 
-    /// Takes a revision, at once where it is short; a long list of who comes and goes is told ahead in parts, one
-    /// a turn, so that the loop never stands still for it.
+    /// Puts a revision in force, at once where it changes few hosts. Otherwise its entries are staged first: they are
+    /// passed to the decisions in parts, one in each iteration of the event loop, so that no iteration takes long.
     pub fn apply_revision(&mut self, snapshot: &Arc<Snapshot>) {
         let needs_staging = snapshot.entries.len()
             > self.event_loop.limits.management.staged_hosts_per_turn
@@ -165,7 +186,7 @@
         }
     }
 
-    /// The next part of what is staged; after the last one it is in force.
+    /// Passes the next part of the revision being staged to the decisions; after the last part, puts it in force.
     pub(super) fn stage_next_part(&mut self) {
         let Some((snapshot, from)) = self
             .management
@@ -193,14 +214,15 @@
         }
     }
 
-    /// What is staged is taken now: another list comes.
+    /// Completes the staging of a revision at once, before an endpoint list is applied.
     pub(super) fn finish_staging(&mut self) {
         while self.is_staging() {
             self.stage_next_part();
         }
     }
 
-    /// From here on invocations come under this revision; what it drains or takes away binds at once.
+    /// Puts a revision in force: it applies to requests from now on, and idle connections to hosts that it drains or
+    /// removes are closed. `is_staged` says that the decisions have been given its entries.
     fn apply_snapshot(&mut self, snapshot: &Arc<Snapshot>, is_staged: bool) {
         let began_at = self.event_loop.now();
         let entries = self.endpoints.apply_revision(snapshot, is_staged);
@@ -226,7 +248,7 @@
         self.process_pending();
     }
 
-    /// The management threads get the new view soon, not at each of many changes.
+    /// Schedules the publication of a new view. The delay combines many changes into one publication.
     pub(super) fn mark_view_stale(&mut self) {
         let Some(management) = self
             .management
@@ -242,7 +264,7 @@
         );
     }
 
-    /// Publishes the view at once where it is not that of now.
+    /// Publishes the view at once if it is out of date.
     fn refresh_view(&mut self) {
         let is_stale = self
             .management
@@ -253,6 +275,7 @@
         }
     }
 
+    /// Publishes the current state to the management threads.
     pub(super) fn publish_view(&mut self) {
         let Some(management) = &mut self.management else {
             return;
@@ -275,7 +298,7 @@
         management.inbox.view.store(Arc::new(view));
     }
 
-    /// A front that stands still costs invocations nothing, but somebody should know.
+    /// Logs management threads that have stalled, once for each stall. Requests are not affected by it.
     pub(super) fn check_heartbeats(&mut self, now: f64) {
         let Some(management) = &mut self.management else {
             return;
--- a/router/src/routing/metrics.rs
+++ b/router/src/routing/metrics.rs
@@ -1,24 +1,24 @@
-//! Counters of what the router did, and the limit on warnings about what others do wrong.
+//! Counters for the log and the management interfaces, and the rate limit on warnings about malformed input.
 
 use std::fmt::Write;
 
 use kestreltide::interface::AttemptOutcome;
 use kestreltide_datastore::view::RequestCounts;
 
-/// Seconds over which warnings are limited.
+/// Seconds over which warnings are counted for their rate limit.
 const WARNING_WINDOW: f64 = 1.0;
 
-/// What is counted, in the order in which the log names it.
+/// What is counted, in the order of the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Counter {
     ClientsAccepted,
     RequestsAdmitted,
-    /// Rejected before they were admitted: there was no capacity.
+    /// Rejected before their admission, for lack of capacity or at the end of a shutdown.
     RequestsRejected,
     RequestsSucceeded,
     RequestsShed,
     RequestsFailed,
-    /// Their clients disconnected before the response.
+    /// Their clients disconnected before they were sent a response.
     RequestsAbandoned,
     MalformedMessages,
     AttemptsStarted,
@@ -28,11 +28,11 @@
     VotesNotCounted,
     GossipSent,
     GossipReceived,
-    /// Warnings that were not written: there were too many in a second.
+    /// Warnings that exceeded the rate limit.
     WarningsSuppressed,
 }
 
-/// The counters with their names in the log.
+/// The counters with their names in the log line.
 const COUNTERS: [(Counter, &str); 16] = [
     (Counter::ClientsAccepted, "clients"),
     (Counter::RequestsAdmitted, "taken"),
@@ -52,7 +52,7 @@
     (Counter::WarningsSuppressed, "unlogged"),
 ];
 
-/// The outcomes of attempts with their names in the log.
+/// The outcomes of attempts with their names in the log line.
 const OUTCOMES: [(AttemptOutcome, &str); 8] = [
     (AttemptOutcome::Succeeded, "succeeded"),
     (AttemptOutcome::Error, "error"),
@@ -64,15 +64,18 @@
     (AttemptOutcome::Irrelevant, "moot"),
 ];
 
-/// Counts since they were last logged, and of requests since the program's start.
+/// Counts since the last log line, and of requests also since the program's start.
 #[derive(Default)]
 pub(super) struct Metrics {
+    /// When the last log line was taken, in Unix seconds.
     logged_at: f64,
     counts: [u64; COUNTERS.len()],
     outcomes: [u64; OUTCOMES.len()],
-    /// Requests counted before the last line of the log.
+    /// Requests counted until the last log line.
     requests_before_line: RequestCounts,
+    /// In Unix seconds.
     warning_window_start: f64,
+    /// Including suppressed ones.
     warnings_in_window: u64,
 }
 
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Whether one more warning may be written in this second; one that may not is counted.
+    /// Whether one more warning may be logged in this window; a suppressed one is counted.
     pub(super) fn may_warn(&mut self, now: f64, warnings_per_second: u64) -> bool {
         if now - self.warning_window_start >= WARNING_WINDOW {
             self.warning_window_start = now;
@@ -113,7 +116,7 @@
         may_warn
     }
 
-    /// The counts as one line of the log, once the interval (seconds) is over; the counts then start again.
+    /// Returns the counts as a log line and resets them, if `interval` seconds have passed since the last line.
     pub(super) fn take_line(&mut self, now: f64, interval: f64) -> Option<String> {
         if now - self.logged_at < interval {
             return None;
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -1,5 +1,7 @@
-//! The path of a request and its event loop: each owner of state is a type of its own, and [`Routing`] carries what
-//! crosses between them. Only `dispatch_decisions` speaks with the decisions.
+//! The request path of the router and its event loop.
+//!
+//! Each part of the state is owned by a type of its own. [`Routing`] holds these and carries out what involves several
+//! of them. Only `dispatch_decisions` calls the decisions, which choose hosts, retries and votes ([`Router`]).
 
 mod admission;
 mod arrival_times;
@@ -43,38 +45,43 @@
 use platform_client::PlatformClient;
 use upstream_pool::UpstreamPool;
 
-/// The addresses of this router and of those that it speaks with.
+/// The addresses of this router and of the services that it connects to.
 pub struct Addresses {
+    /// Where clients connect.
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
+    /// `None` for a service without a rollout platform.
     pub platform: Option<SocketAddr>,
+    /// Where this router receives gossip; `None` turns gossip off.
     pub peer_listen: Option<SocketAddr>,
+    /// The gossip addresses of all routers, by [`RouterId`].
     pub peers: Vec<SocketAddr>,
+    /// An address that reaches all routers, where there is one.
     pub peers_all: Option<SocketAddr>,
 }
 
-/// What is to be done after a turn of the event loop.
+/// What the caller does after an iteration of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
     Next,
-    /// The configuration is to be read again, then the next turn.
+    /// SIGHUP was received: read the configuration again, then run the next iteration.
     Reread,
     Over,
 }
 
-/// Why the router reports that it is ready to serve.
+/// Why the router becomes ready to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadyReason {
-    /// Discovery and the platform have both answered.
+    /// Discovery and the platform have both sent their state.
     StateReceived,
-    /// Operators alone list the endpoints: discovery is not asked.
+    /// Operators alone list the endpoints; discovery is not used.
     OperatorsOnly,
-    /// The time to wait for discovery and the platform is over.
+    /// The time to wait for discovery and the platform has passed.
     Timeout,
 }
 
 impl ReadyReason {
-    /// The reason as the log names it.
+    /// The value of `by` in the log line "ready".
     fn name(self) -> &'static str {
         match self {
             ReadyReason::StateReceived => "news",
@@ -84,17 +91,20 @@
     }
 }
 
-/// The router: all owners of state, and what crosses between them.
+/// The router: all of its state, and the operations that involve several parts of it.
 pub struct Routing {
     event_loop: EventLoop,
     transport: TransportSettings,
+    /// Of each operation, by [`OperationId`].
     idempotency: Vec<Idempotency>,
     decisions: Router,
+    /// A buffer for the effects of one event, kept to avoid allocations.
     effects: Vec<Effect>,
-    /// Clients whose further commands may be taken now.
+    /// Clients that have received a response, so that further commands of their pipeline may be taken.
     resumed_clients: Vec<SocketId>,
-    /// Clients that have had their turn and have more to be read.
+    /// Clients whose read was cut short by `read_bytes_per_turn`; they are read again in the next iteration.
     clients_with_more_input: Vec<SocketId>,
+    /// `None` once the graceful shutdown has closed it.
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
     requests: RequestTable,
@@ -102,22 +112,28 @@
     endpoints: EndpointTable,
     discovery: DiscoveryWatch,
     platform: Option<PlatformClient>,
-    /// The status of the newest build, as last received.
+    /// The last status received of the newest build.
     rollout_status: Option<RolloutStatus>,
     peers: Option<GossipPeers>,
-    /// The link to the management threads, where there are any.
+    /// The link to the management threads; `None` where there are none.
     management: Option<management_link::ManagementLink>,
     is_ready: bool,
-    /// When the router began, in Unix seconds.
+    /// When the router was started, in Unix seconds.
     started_at: f64,
-    /// A timer is set for clients that could not be accepted.
+    /// Whether an [`TimerEvent::AcceptAgain`] timer is pending.
     accept_scheduled: bool,
     shutdown: GracefulShutdown,
-    /// A timer is set for clients that are silent, or were notified of the close.
+    /// Whether a [`TimerEvent::DrainAgain`] timer is pending.
     drain_scheduled: bool,
 }
 
 impl Routing {
+    /// Opens the listener and the gossip socket; connects to nothing yet. `seed` seeds the decisions and the jitter
+    /// of backoffs.
+    ///
+    /// # Errors
+    ///
+    /// Where a socket cannot be opened or registered with the reactor.
     pub fn start(
         log: Logger,
         (limits, clock): (Limits, Clock),
@@ -188,7 +204,8 @@
         Ok(routing)
     }
 
-    /// Reaches out to discovery and the platform; what the router held before has been told by now.
+    /// Connects to discovery and the platform and starts the decisions. State from before the start is to be restored
+    /// before this call.
     pub fn begin(&mut self) {
         if !self.discovery.is_on_demand() {
             self.begin_watch();
@@ -202,7 +219,7 @@
         self.process_pending();
     }
 
-    /// Discovery and the platform have moved, and nothing else has: what was learnt from them stays.
+    /// Connects to discovery and the platform at new addresses. The state that the old ones have sent is kept.
     pub fn change_addresses(&mut self, discovery: SocketAddr, platform: Option<SocketAddr>) {
         self.change_discovery_address(discovery);
         if let Some(address) = platform {
@@ -211,26 +228,32 @@
         self.process_pending();
     }
 
-    /// Sleeps until something happens and serves it.
+    /// Runs one iteration of the event loop: sleeps until a socket, a signal or a timer is due, and handles all of
+    /// them.
+    ///
+    /// # Errors
+    ///
+    /// Where polling the sockets fails.
     pub fn turn(&mut self) -> io::Result<Turn> {
         let may_sleep = self.clients_with_more_input.is_empty() && !self.is_staging();
         let (sockets, signals) = self.event_loop.poll(may_sleep)?;
         if signals.stop {
             self.advance_shutdown(ShutdownInput::Requested);
         }
-        // Those that come to it in this turn wait for the next one.
+        // Clients that are added during this iteration are read in the next one.
         let clients_with_more_input = std::mem::take(&mut self.clients_with_more_input);
         for socket in sockets {
             self.handle_ready_socket(socket);
             self.process_pending();
         }
-        // A client that is both ready and due again is served once more.
+        // A client that was also reported as ready is read a second time.
         for id in clients_with_more_input {
             self.read_client(id);
             self.process_pending();
         }
         self.stage_next_part();
-        // Only what was due before anything was read: answers that are here go before time-outs.
+        // Timers run after the sockets, and only those that were due when the sleep ended, so that a response that has
+        // arrived takes precedence over its timeout.
         while let Some(event) = self.event_loop.next_due_timer() {
             self.on_timer(event);
             self.process_pending();
@@ -242,12 +265,13 @@
         })
     }
 
+    /// Handles a socket that the poll reported as ready.
     fn handle_ready_socket(&mut self, socket: ReadySocket) {
         let id = socket.id;
         match socket.owner {
             SocketOwner::Discovery => self.on_discovery_readable(id),
             SocketOwner::Platform => self.with_platform(|platform, event_loop| {
-                // The socket may be that of a connection that was closed meanwhile.
+                // The connection may have been replaced since the poll.
                 if platform.owns(id) {
                     platform.on_readable(event_loop);
                 }
@@ -309,7 +333,7 @@
         }
     }
 
-    /// Events until none is left, and the commands of clients that may go on.
+    /// Passes events to the decisions until none is left, and reads the clients that were resumed by their effects.
     fn process_pending(&mut self) {
         loop {
             if let Some(event) = self.event_loop.next_decision_event() {
@@ -322,9 +346,12 @@
         }
     }
 
-    /// Serves by what is remembered, as discovery or the platform has not answered; but where the endpoint list is
-    /// asked for in turn with hundreds of routers, the known one may be older than what counts as told, so that the
-    /// turn is waited for.
+    /// Makes the router ready with its restored state, as discovery or the platform has not answered within
+    /// `ready_timeout`.
+    ///
+    /// Where the endpoint list is polled, discovery serves hundreds of routers in turn, and the restored list may be
+    /// so old that hosts have drained for longer than a router may fail to notice. The router then waits for its
+    /// first poll, until `first_poll_timeout` at most.
     fn on_ready_timeout(&mut self) {
         let now = self.event_loop.now();
         let limits = &self.event_loop.limits.event_loop;
@@ -337,6 +364,8 @@
         self.mark_ready(ReadyReason::Timeout);
     }
 
+    /// Makes the router ready to serve, once discovery and the platform have sent their state or the time to wait for
+    /// them has passed.
     fn mark_ready(&mut self, reason: ReadyReason) {
         let has_received_all = self.discovery.has_answered()
             && self
@@ -349,6 +378,8 @@
         }
     }
 
+    /// Closes what has been idle, silent or unread for too long, and logs the counters; repeats every
+    /// `expiry_interval`.
     fn run_periodic_checks(&mut self) {
         let now = self.event_loop.now();
         self.event_loop.schedule(
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -1,4 +1,4 @@
-//! The platform client: one connection that follows the platform's rollout and carries this router's votes.
+//! The platform client: a connection on which the platform sends the rollout's state and this router casts its votes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,13 +14,15 @@
 
 /// A vote that has no answer yet.
 struct PendingVote {
+    /// Whether it is written to the socket, so that the platform may count it.
     is_written: bool,
-    /// What the decisions are told where no answer comes.
+    /// What the decisions get if the vote is given up before it is written.
     status_without_answer: RolloutStatus,
 }
 
 impl PendingVote {
-    /// The status of a vote that is given up: once it was written, it may count.
+    /// The status for the decisions of a vote that is given up. One that was written may count and is reported as
+    /// timed out.
     fn abandon(self) -> RolloutStatus {
         if self.is_written {
             timed_out(self.status_without_answer)
@@ -33,18 +35,22 @@
 /// The connection to the platform and the votes on it.
 pub(super) struct PlatformClient {
     address: SocketAddr,
+    /// The operations by their names in messages.
     operations: BTreeMap<String, OperationId>,
     stream: Option<Stream>,
+    /// The pending votes by call number.
     votes: BTreeMap<u64, PendingVote>,
     last_call_number: u64,
-    /// When the last byte came.
+    /// When bytes were received last, in Unix seconds.
     last_received: f64,
-    /// Of a line that has begun and not ended, when the last of it came.
+    /// When the last bytes of an incomplete line were received, in Unix seconds.
     incomplete_line_received_at: Option<f64>,
+    /// When connecting began, in Unix seconds.
     connected_at: f64,
+    /// The next pause before a reconnect, in seconds, without jitter.
     backoff: f64,
     has_received_state: bool,
-    /// Rollout statuses received and not yet taken.
+    /// Rollout statuses that were received and not taken by [`PlatformClient::take_received`] yet.
     received: Vec<RolloutStatus>,
 }
 
@@ -69,21 +75,22 @@
         }
     }
 
-    /// Whether the platform has told its state since the start.
+    /// Whether the platform has sent the rollout's state since the start.
     pub(super) fn has_received_state(&self) -> bool {
         self.has_received_state
     }
 
+    /// Whether this is the current connection.
     pub(super) fn owns(&self, id: SocketId) -> bool {
         self.stream.as_ref().is_some_and(|stream| stream.id == id)
     }
 
-    /// The rollout statuses received since the last call, in their order.
+    /// Removes and returns the rollout statuses received since the last call, in their order.
     pub(super) fn take_received(&mut self) -> Vec<RolloutStatus> {
         std::mem::take(&mut self.received)
     }
 
-    /// Connects and follows the platform, unless it is connected.
+    /// Connects and subscribes to the rollout, unless there is a connection.
     pub(super) fn connect(&mut self, event_loop: &mut EventLoop) {
         let now = event_loop.now();
         if self.stream.is_some() {
@@ -107,8 +114,8 @@
         }
     }
 
-    /// Reads what the old address has sent by now and connects to the new one; votes that were written to the old
-    /// one may have counted.
+    /// Reads what the old address has already sent and connects to the new one. Pending votes are given up; those that
+    /// were written may have counted.
     pub(super) fn change_address(&mut self, event_loop: &mut EventLoop, address: SocketAddr) {
         if self.address == address {
             return;
@@ -120,6 +127,8 @@
         self.connect(event_loop);
     }
 
+    /// Casts a vote on a build's stage. Where there is no connection or too many votes are pending, the decisions get
+    /// the status of a vote that was not sent.
     pub(super) fn cast_vote(
         &mut self,
         event_loop: &mut EventLoop,
@@ -150,13 +159,14 @@
         self.on_readable(event_loop);
     }
 
+    /// Gives up the vote with this call number, if it has no answer yet.
     pub(super) fn on_vote_timeout(&mut self, event_loop: &mut EventLoop, call: u64) {
         if let Some(vote) = self.votes.remove(&call) {
             event_loop.notify_decisions(Event::RolloutStatusReceived(vote.abandon()));
         }
     }
 
-    /// Writes what waits and reads what is there.
+    /// Writes pending output, then reads and handles all available input.
     pub(super) fn on_readable(&mut self, event_loop: &mut EventLoop) {
         let now = event_loop.now();
         let bytes_per_turn = event_loop.limits.event_loop.read_bytes_per_turn;
@@ -186,7 +196,8 @@
         }
     }
 
-    /// True where all is written; false where the connection is not up, or takes no more now.
+    /// Writes the output. True once all is written; false where there is no established connection or the socket takes
+    /// no more.
     fn flush(&mut self) -> std::io::Result<bool> {
         let Some(stream) = &mut self.stream else {
             return Ok(false);
@@ -200,9 +211,9 @@
         Ok(flushed)
     }
 
-    /// Takes the lines that are complete; false where the connection was given up.
+    /// Handles the complete lines in the input; false where one was malformed and the connection was closed.
     fn read_lines(&mut self, event_loop: &mut EventLoop) -> bool {
-        // Out of its place meanwhile: lines are read from the buffer.
+        // Taken out meanwhile, so that messages can borrow from its input buffer.
         let Some(mut stream) = self.stream.take() else {
             return false;
         };
@@ -224,7 +235,7 @@
         malformed.is_none()
     }
 
-    /// A line that stalls is given up sooner than a quiet connection.
+    /// Schedules the stall timeout of an incomplete line, which is shorter than that of a silent connection.
     fn watch_incomplete_line(&mut self, event_loop: &mut EventLoop, now: f64) {
         let is_incomplete = self
             .stream
@@ -238,6 +249,7 @@
         }
     }
 
+    /// Closes the connection if an incomplete line has not grown for the stall timeout.
     pub(super) fn on_line_timeout(&mut self, event_loop: &mut EventLoop) {
         let Some(received_at) = self.incomplete_line_received_at else {
             return;
@@ -294,7 +306,7 @@
         };
         match state {
             Some(state) => self.on_state(event_loop, &state, true),
-            // An answer that cannot be read leaves open whether the vote counts.
+            // A result without a rollout state does not show whether the vote counts.
             None => {
                 let status = timed_out(vote.status_without_answer);
                 event_loop.notify_decisions(Event::RolloutStatusReceived(status));
@@ -314,6 +326,7 @@
         }));
     }
 
+    /// Passes a rollout state to the decisions and keeps it for [`PlatformClient::take_received`].
     fn on_state(&mut self, event_loop: &mut EventLoop, state: &RolloutState, answers_vote: bool) {
         let RolloutState {
             build,
@@ -329,13 +342,13 @@
         self.received.push(status);
     }
 
-    /// The connection is lost: what was asked on it may have been done once it was written.
+    /// Handles the loss of the connection: gives up the pending votes and schedules a reconnect.
     fn on_lost(&mut self, event_loop: &mut EventLoop, why: &str) {
         warn!(event_loop.log, "platform connection lost"; "why" => why.to_owned());
         let now = event_loop.now();
         let jitter = event_loop.backoff_jitter();
         let max_backoff = event_loop.limits.reconnect_backoff.maximum;
-        // At once where the connection had stood for long; else later each time, never in step with others.
+        // At once where the connection had lasted for the maximum backoff; else with exponential backoff and jitter.
         let was_stable = self.stream.is_some() && now - self.connected_at >= max_backoff;
         let wait = if was_stable {
             0.0
@@ -347,7 +360,7 @@
         event_loop.schedule(now + wait, TimerEvent::PlatformReconnect);
     }
 
-    /// Gives up the connection and the votes that it carried.
+    /// Closes the connection and gives up the votes cast on it.
     fn close(&mut self, event_loop: &mut EventLoop) {
         self.incomplete_line_received_at = None;
         if let Some(stream) = self.stream.take() {
@@ -358,11 +371,11 @@
         }
     }
 
-    /// Reconnects where nothing has come for too long.
+    /// Closes the connection if nothing was received for the silence timeout.
     pub(super) fn check_silence(&mut self, event_loop: &mut EventLoop, now: f64) {
         let silence = now - self.last_received;
         if self.stream.is_some() && silence > event_loop.limits.platform.silence_timeout {
-            self.on_lost(event_loop, "no sign of life");
+            self.on_lost(event_loop, "nothing was received for too long");
         }
     }
 
@@ -372,7 +385,7 @@
     }
 }
 
-/// What the decisions are told of a vote that could not be written.
+/// The status for the decisions of a vote that was not sent.
 pub(super) fn unsent_vote_status(build: BuildId, stage: u32) -> RolloutStatus {
     RolloutStatus {
         outcome: AttemptOutcome::NoConnection,
@@ -385,6 +398,7 @@
     }
 }
 
+/// The status of a vote that was sent and may count.
 fn timed_out(status: RolloutStatus) -> RolloutStatus {
     RolloutStatus {
         outcome: AttemptOutcome::TimedOut,
--- a/router/src/routing/response_relay.rs
+++ b/router/src/routing/response_relay.rs
@@ -1,4 +1,4 @@
-//! The relay of responses: they go to clients, each client's in the order of its commands.
+//! Responses to clients: each client's replies are written in the order of its commands.
 
 use kestreltide::interface::RequestId;
 
@@ -7,7 +7,7 @@
 use crate::transport::SocketId;
 
 impl Routing {
-    /// The response to a request, which is released. False where none was owed.
+    /// Sends the response to a request and releases the request. False where its client is gone or has its response.
     pub(super) fn respond(
         &mut self,
         request: &RequestId,
@@ -41,7 +41,7 @@
         true
     }
 
-    /// A reply to a command that is no request, or that was not admitted.
+    /// Replies to a command that is not a request, or to a request that was not admitted.
     pub(super) fn reply(&mut self, id: SocketId, write: impl FnOnce(&mut Vec<u8>)) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
@@ -56,13 +56,14 @@
         self.write_client(id);
     }
 
+    /// Writes a client's replies and marks it to be read again, as its pipeline may have room.
     fn write_and_resume(&mut self, id: SocketId) {
         if self.write_client(id) && !self.resumed_clients.contains(&id) {
             self.resumed_clients.push(id);
         }
     }
 
-    /// Writes what may be written now; false where the connection is gone.
+    /// Writes the replies that are next in order as far as the socket takes them; false where the client is gone.
     pub(super) fn write_client(&mut self, id: SocketId) -> bool {
         let now = self.event_loop.now();
         let Some(client) = self.clients.get_mut(&id) else {
@@ -89,7 +90,7 @@
             }
         }
         let is_all_written = queue.is_empty() && stream.unwritten() == 0;
-        // Who was turned away is told that nothing more comes, and gets a while to read why.
+        // A client that is being closed gets the end of the stream, and time to read the error reply.
         if is_all_written && *is_closing && lingering.is_none() && stream.shutdown_write().is_ok() {
             *lingering = Some(Lingering {
                 until: now + self.event_loop.limits.clients.lingering_close,
--- a/router/src/routing/rollout.rs
+++ b/router/src/routing/rollout.rs
@@ -1,4 +1,4 @@
-//! The rollout: what the platform tells of it goes to the decisions' owner and the management threads.
+//! The rollout: keeps the platform's last status for the management threads and passes votes to the platform client.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use super::{ReadyReason, Routing};
 
 impl Routing {
-    /// Applies what this router knew of the rollout before it was started.
+    /// Applies the rollout status that was cached before the router was started.
     pub fn restore_rollout_status(&mut self, status: RolloutStatus) {
         self.event_loop
             .notify_decisions(Event::RolloutStatusReceived(status));
@@ -17,6 +17,7 @@
         self.process_pending();
     }
 
+    /// Casts a vote on a build's stage; without a platform, the decisions are told that it was not sent.
     pub(super) fn cast_vote(&mut self, build: BuildId, stage: u32, vote: Vote) {
         if self.platform.is_none() {
             let status = unsent_vote_status(build, stage);
@@ -29,11 +30,12 @@
         });
     }
 
+    /// Connects to the platform at a new address.
     pub(super) fn change_platform_address(&mut self, address: SocketAddr) {
         self.with_platform(|platform, event_loop| platform.change_address(event_loop, address));
     }
 
-    /// Lets the platform client act, where there is one, and applies what it has received.
+    /// Runs `action` on the platform client, where there is one, and applies the statuses that it has received.
     pub(super) fn with_platform(
         &mut self,
         action: impl FnOnce(&mut PlatformClient, &mut EventLoop),
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Keeps the status of the newest build.
+    /// Keeps the status unless the known one is of a newer build.
     fn apply_rollout_status(&mut self, status: RolloutStatus) {
         self.rollout_status = self
             .rollout_status
--- a/router/src/routing/shutdown_actions.rs
+++ b/router/src/routing/shutdown_actions.rs
@@ -1,4 +1,4 @@
-//! What the graceful shutdown does to clients, the listener and open requests.
+//! The actions of the graceful shutdown on clients, the listener and open requests.
 
 use slog::info;
 
@@ -10,7 +10,7 @@
 use crate::transport::SocketId;
 
 impl Routing {
-    /// Moves the shutdown on and does what follows from it.
+    /// Makes the transition for an input and carries out its action.
     pub(super) fn advance_shutdown(&mut self, input: ShutdownInput) {
         match self.shutdown.advance(input) {
             ShutdownAction::None => {}
@@ -22,13 +22,15 @@
         }
     }
 
+    /// Ends the wait with this number for reconnecting clients, if it is the current one.
     pub(super) fn on_last_clients_over(&mut self, number: u64) {
         if self.shutdown.is_current_reconnect_wait(number) {
             self.advance_shutdown(ShutdownInput::LastClientsOver);
         }
     }
 
-    /// After each turn: whether the program is to end.
+    /// Tells the shutdown after each iteration of the event loop whether clients are connected; returns whether the
+    /// program is to end.
     pub(super) fn update_shutdown(&mut self) -> bool {
         let input = if self.clients.is_empty() {
             ShutdownInput::NoClients
@@ -39,6 +41,7 @@
         self.shutdown.is_finished()
     }
 
+    /// Begins to wait for clients that reconnect.
     fn await_reconnecting_clients(&mut self) {
         let number = self.shutdown.begin_reconnect_wait();
         let deadline = self.event_loop.now() + self.event_loop.limits.shutdown.quiet_time;
@@ -46,9 +49,11 @@
             .schedule(deadline, TimerEvent::LastClientsOver(number));
     }
 
+    /// Schedules the timers of the shutdown.
     fn begin_shutdown(&mut self) {
         info!(self.event_loop.log, "stopping"; "open" => self.requests.len(), "clients" => self.clients.len());
-        // It may have been requested while this process stood still, and the platform counts from there.
+        // The signal may have arrived during a stall of this process, and the platform counts the time to SIGKILL from
+        // its arrival.
         let requested_at = self.event_loop.arrived_since();
         let limits = &self.event_loop.limits.shutdown;
         let serving_over_at = self.event_loop.woken_at() + limits.accept_time;
@@ -69,6 +74,7 @@
         }
     }
 
+    /// Reads all clients; a client whose socket is then empty is closed once it is idle.
     fn drain_clients(&mut self) {
         info!(self.event_loop.log, "draining"; "open" => self.requests.len(), "clients" => self.clients.len());
         self.clients
@@ -79,7 +85,7 @@
             .for_each(|id| self.read_client(id));
     }
 
-    /// Who waits to be accepted is still served; bounded, as a flood would never end.
+    /// Closes the listener, after accepting the waiting clients. Bounded, as a flood of clients would never end.
     fn close_listener(&mut self) {
         info!(self.event_loop.log, "closing"; "open" => self.requests.len(), "clients" => self.clients.len());
         (0..self.event_loop.limits.clients.backlog as usize
@@ -92,6 +98,7 @@
         self.on_drain_timer();
     }
 
+    /// Schedules the next look at silent clients, unless one is scheduled.
     fn schedule_drain(&mut self) {
         if !self.drain_scheduled {
             self.drain_scheduled = true;
@@ -102,7 +109,7 @@
         }
     }
 
-    /// After so long without a command or an answer a connection is closed.
+    /// Seconds without a command or a response after which a connection is closed in the shutdown.
     fn quiet_time(&self) -> f64 {
         if self.listener.is_some() {
             self.event_loop.limits.shutdown.quiet_time
@@ -111,7 +118,8 @@
         }
     }
 
-    /// Closes who came a while ago and is still silent, and who was told of the close and does not end.
+    /// Looks again at all clients: begins to close those that have been idle for long enough, and closes those whose
+    /// lingering close is over.
     pub(super) fn on_drain_timer(&mut self) {
         self.drain_scheduled = false;
         self.clients
@@ -138,9 +146,9 @@
         }
     }
 
-    /// Ends the sending on a connection that has been without use for a while: whoever has just got an answer
-    /// may be about to write the next command. What was read is answered by now; what crosses this is dropped
-    /// unanswered, so that its client may send it once more.
+    /// Begins the lingering close of a client that has been idle for the quiet time; before that it may be about to
+    /// send its next command. All commands that were read have their replies. A command that crosses the close is
+    /// discarded without a reply, so its client can send it again.
     pub(super) fn drain_client(&mut self, id: SocketId) {
         let now = self.event_loop.now();
         let (quiet_time, linger_time, max_discarded_bytes) = (
@@ -167,13 +175,12 @@
         self.schedule_drain();
     }
 
-    /// The platform is about to kill the process: what is given up is answered at once, and what still comes,
-    /// until the end.
+    /// Fails all open requests, as SIGKILL is near. Requests that still come are rejected until the program ends.
     fn give_up_open_requests(&mut self) {
         info!(self.event_loop.log, "failing open requests"; "open" => self.requests.len(), "clients" => self.clients.len());
         for (request, attempts) in self.requests.attempt_counts() {
             self.respond(&request, |out| match attempts {
-                // There is no room any more, and it has run nowhere.
+                // No attempt was started, so the client can safely send it again.
                 0 => write_busy(out, None),
                 _ => write_error(out, "ERR failed"),
             });
--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a host, and what it is used for.
+//! A connection to a host and its current use.
 
 use std::net::SocketAddr;
 
@@ -25,13 +25,13 @@
     pub(super) host: HostId,
     pub(super) address: SocketAddr,
     pub(super) current_use: ConnectionUse,
-    /// Counts the uses, so that a timer of an earlier one is known.
+    /// Counts the uses, so that a timer of an earlier use is ignored.
     pub(super) use_number: u64,
-    /// When the current use began.
+    /// When the current use began, in Unix seconds.
     pub(super) use_began_at: f64,
-    /// How long, in seconds, it had been idle before.
+    /// Seconds that it had been idle before the current use; 0 for a new connection.
     pub(super) idle_time: f64,
-    /// The last byte of the command is written: from then on it may have run.
+    /// The last byte of the command is written to the socket, so the host may execute it.
     pub(super) is_written: bool,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Begins a use; returns its number.
+    /// Begins a use and returns its number.
     pub(super) fn begin_use(&mut self, current_use: ConnectionUse, now: f64) -> u64 {
         self.current_use = current_use;
         self.use_number += 1;
@@ -58,7 +58,7 @@
         self.use_number
     }
 
-    /// The request whose command is not written completely, so that no host has begun it.
+    /// The request of the current attempt, if its command is not fully written, so that the host has not executed it.
     pub(super) fn unwritten_request(&self) -> Option<&RequestId> {
         match &self.current_use {
             ConnectionUse::Attempt(attempt) if !self.is_written => Some(&attempt.request),
@@ -76,16 +76,16 @@
         }
     }
 
-    /// Whether nothing lies on it, which would become the next answer; a late copy may have come since the last look.
+    /// Whether no input waits. A duplicate response that arrived late would be taken for the next one.
     pub(super) fn is_clean(&mut self) -> bool {
         self.stream.read_available(1, 1) == ReadStatus::Drained && self.stream.input().is_empty()
     }
 
-    /// Writes what can be written now; true where all of the command is written.
+    /// Writes as much of the command as the socket takes; true once all of it is written.
     ///
     /// # Errors
     ///
-    /// Where the connection broke, or does not come up.
+    /// Where the connection broke or could not be established.
     pub(super) fn flush(&mut self) -> std::io::Result<bool> {
         Ok(self.stream.is_connected()? && self.stream.flush()?)
     }
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to hosts: which there are, and which of them are idle.
+//! The pool of connections to hosts, in use and idle.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,6 +20,7 @@
 }
 
 impl UpstreamPool {
+    /// The number of connections, idle ones included.
     pub(super) fn len(&self) -> usize {
         self.connections.len()
     }
@@ -49,12 +50,12 @@
         self.connections.insert(connection.stream.id, connection);
     }
 
-    /// A connection that was taken out has been idle.
+    /// Removes a connection that was taken out from the idle ones.
     pub(super) fn forget_idle(&mut self, host: HostId, id: SocketId) {
         self.idle.remove(host, id);
     }
 
-    /// The hosts that a connection leads to.
+    /// The hosts to which there is a connection.
     pub(super) fn hosts(&self) -> BTreeSet<HostId> {
         self.connections
             .values()
@@ -62,7 +63,7 @@
             .collect()
     }
 
-    /// The connections of which this is true.
+    /// The connections for which `predicate` is true.
     pub(super) fn ids_matching(
         &self,
         predicate: impl Fn(&UpstreamConnection) -> bool,
@@ -74,7 +75,7 @@
             .collect()
     }
 
-    /// The idle connections that lead to hosts that are gone, drained or elsewhere.
+    /// The idle connections to hosts that are gone, draining or at another address now.
     pub(super) fn unusable(&self, endpoints: &EndpointTable) -> Vec<SocketId> {
         let mut ids = self.idle.ids();
         ids.retain(|id| {
@@ -85,6 +86,7 @@
         ids
     }
 
+    /// The number of health checks in flight.
     pub(super) fn health_check_count(&self) -> usize {
         self.connections
             .values()
@@ -92,7 +94,8 @@
             .count()
     }
 
-    /// The freshest connection that has rested for long enough and not been idle for too long, or a new one.
+    /// Returns a connection for a use: the most recently used idle one that meets the requirements, or a new one. At
+    /// the limit of connections, the one that has been idle longest is closed first.
     pub(super) fn checkout(
         &mut self,
         event_loop: &mut EventLoop,
@@ -117,6 +120,7 @@
         Some(id)
     }
 
+    /// Takes an idle connection that meets the requirements out of the idle ones.
     fn reuse(
         &mut self,
         event_loop: &mut EventLoop,
@@ -132,7 +136,8 @@
             self.idle
                 .take_rested(host, rested_since, requirements.max_resting)
         {
-            // Its host may be closing it by now; what is written then is reset, and may not be repeated.
+            // The host may be closing a connection that has been idle for so long. A command written to it is then
+            // reset, and may not be retried.
             if now - idle_since > max_idle {
                 self.close(event_loop, id);
                 self.close_idle(event_loop, host);
@@ -149,7 +154,7 @@
         None
     }
 
-    /// Opens a connection, also where an idle one has to make room for its descriptor.
+    /// Opens a connection; without a free file descriptor, closes the longest idle connection and tries again.
     fn connect(&mut self, event_loop: &mut EventLoop, address: SocketAddr) -> Option<Stream> {
         let priority = SocketOwner::Upstream.priority();
         let error = match Stream::connect(&mut event_loop.reactor, address, priority) {
@@ -165,7 +170,7 @@
         Stream::connect(&mut event_loop.reactor, address, priority).ok()
     }
 
-    /// Keeps a connection whose use is over, where it may be used again, or closes it.
+    /// Ends the use of a connection, and keeps the connection as idle if it can be reused; otherwise closes it.
     pub(super) fn check_in(
         &mut self,
         event_loop: &mut EventLoop,
@@ -181,7 +186,7 @@
         connection.use_number += 1;
         let stream = &mut connection.stream;
         let is_clean = stream.input().is_empty() && stream.unwritten() == 0 && !is_closed;
-        // The host may be gone, or another machine have its id by now.
+        // The host may be gone, or its id may belong to another machine now.
         let is_usable = endpoints.is_usable(connection.host, connection.address)
             && self.idle.count() < event_loop.limits.upstream.idle_connections;
         if is_clean && is_usable {
@@ -204,14 +209,14 @@
         }
     }
 
-    /// Closes the connections that have been idle since this time.
+    /// Closes the connections that have been idle since this time or longer.
     pub(super) fn close_idle_since(&mut self, event_loop: &EventLoop, time: f64) {
         for id in self.idle.take_unused_since(time) {
             self.close(event_loop, id);
         }
     }
 
-    /// Closes the connection that has been idle for longest; false where none is idle.
+    /// Closes the connection that has been idle longest; false where none is idle.
     pub(super) fn close_oldest_idle(&mut self, event_loop: &EventLoop) -> bool {
         let Some(oldest) = self.idle.take_oldest() else {
             return false;
