--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -207,7 +207,7 @@
     /// Handles the response in a connection's input buffer, if it is complete. `is_closed` says whether the host has
     /// closed the connection.
     fn process_input(&mut self, id: SocketId, is_closed: bool) {
-        // Taken out of the pool meanwhile, so that the response can be relayed from the connection's input buffer.
+        // Taken out of the pool while the response is relayed from the connection's input buffer.
         let Some(upstream) = self.upstreams.take(id) else {
             return;
         };
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -224,8 +224,8 @@
         }
     }
 
-    /// Closes the longest unused of the idle connections with exactly one command, where there are `clients.idle` or
-    /// more. Some clients send one command and never close the connection; together they could hold all the
+    /// Closes the longest unused of the idle connections with exactly one command, where there are `limits.clients.idle`
+    /// or more. Some clients send one command and never close the connection; together they could hold all the
     /// connections that their side can open, and then send no more requests.
     fn close_idle_client_over_limit(&mut self, now: f64) {
         let idle_since = now - self.event_loop.limits.clients.idle_timeout;
--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -63,7 +63,7 @@
 /// The calls to discovery, and the state of the endpoint list.
 pub(super) struct DiscoveryWatch {
     address: SocketAddr,
-    /// The list is watched or fetched only when the decisions ask for it.
+    /// The list is watched or fetched only when the decisions ask for it (`polls_endpoint_list`).
     on_demand: bool,
     /// Operators alone list the endpoints; discovery is not used.
     is_disabled: bool,
@@ -174,8 +174,8 @@
         self.start_call(event_loop, Query::SingleFull)
     }
 
-    /// Drops the calls to the old address and requests the full list from the new one, whose version numbers may be
-    /// unrelated.
+    /// Drops the calls to the old address. Where the list is watched, requests the full list from the new address,
+    /// whose version numbers may be unrelated.
     pub(super) fn change_address(
         &mut self,
         event_loop: &mut EventLoop,
@@ -289,8 +289,8 @@
         };
         let timeout = if watch.is_some() { hold } else { 0.0 } + grace;
         event_loop.schedule(now + timeout, TimerEvent::DiscoveryCallTimeout(id, number));
-        // A connection that is not established must not take the whole call timeout: changes that are missed meanwhile
-        // count as known to this router.
+        // Changes of the list count as known to a router after a fixed time, received or not. A connection that is not
+        // established must therefore be noticed sooner than at the call timeout.
         event_loop.schedule(
             now + event_loop.limits.message_stall_timeout,
             TimerEvent::DiscoveryConnectTimeout(id, number),
@@ -312,7 +312,7 @@
             }
         }
         call.read(event_loop);
-        // Taken out of the map meanwhile, so that the list can borrow from its input buffer.
+        // Removed from the map while the list borrows from its input buffer; `complete` puts it back.
         self.calls.remove(&id)
     }
 
@@ -401,7 +401,7 @@
     }
 
     /// Waits for the rest of an incomplete response. One that has begun and then stalls is abandoned sooner than a
-    /// watch without changes, as the changes in it count as known to this router.
+    /// watch without changes: the changes in it count as known to this router after a fixed time, received or not.
     fn await_rest_of_response(&mut self, event_loop: &mut EventLoop, mut call: Call) {
         let id = call.stream.id;
         let now = event_loop.now();
--- a/router/src/routing/event_loop.rs
+++ b/router/src/routing/event_loop.rs
@@ -25,8 +25,10 @@
 pub(super) enum SocketOwner {
     Discovery,
     Platform,
+    /// The inbox for messages of the management threads.
     Management,
     Gossip,
+    /// Connections to hosts.
     Upstream,
     Client,
     Listener,
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -54,7 +54,7 @@
 
 /// The event loop's end of the link.
 pub struct ManagementInbox {
-    messages: Inbox<ManagementMessage>,
+    received: Inbox<ManagementMessage>,
     /// The published view.
     view: Arc<ArcSwap<View>>,
     /// The number of the revision that the event loop has applied.
@@ -79,7 +79,7 @@
     ///
     /// Where the inbox cannot be registered with the reactor.
     pub fn open(reactor: &mut Reactor, capacity: usize) -> std::io::Result<(Self, LoopHandle)> {
-        let (messages, post) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
+        let (received, post) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
         let in_force = Arc::new(AtomicU64::new(0));
         let loop_handle = LoopHandle {
@@ -89,7 +89,7 @@
         };
         Ok((
             ManagementInbox {
-                messages,
+                received,
                 view,
                 in_force,
             },
@@ -153,7 +153,7 @@
             .as_mut()
             .filter(|management| management.staging.is_none())
         {
-            let Some(message) = management.inbox.messages.pop() else {
+            let Some(message) = management.inbox.received.pop() else {
                 return;
             };
             match message {
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -120,7 +120,7 @@
     is_ready: bool,
     /// When the router was started, in Unix seconds.
     started_at: f64,
-    /// Whether an [`TimerEvent::AcceptAgain`] timer is pending.
+    /// Whether a [`TimerEvent::AcceptAgain`] timer is pending.
     accept_scheduled: bool,
     shutdown: GracefulShutdown,
     /// Whether a [`TimerEvent::DrainAgain`] timer is pending.
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -213,7 +213,7 @@
 
     /// Handles the complete lines in the input; false where one was malformed and the connection was closed.
     fn read_lines(&mut self, event_loop: &mut EventLoop) -> bool {
-        // Taken out meanwhile, so that messages can borrow from its input buffer.
+        // Taken out while messages borrow from its input buffer.
         let Some(mut stream) = self.stream.take() else {
             return false;
         };
