--- a/datastore/src/host_record.rs
+++ b/datastore/src/host_record.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use kestreltide::interface::{BuildId, CellId, HostEntry, HostId, HostState, KindId, ZoneId};
+use kestreltide::interface::{
+    BuildId, CellId, HostEntry, HostId, HostState, MachineKindId, ZoneId,
+};
 
 /// A complete entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,7 +33,7 @@
 impl HostRecord {
     /// The id that the decisions know it by.
     pub fn id(&self) -> HostId {
-        HostId::named(&self.name)
+        HostId::from_name(&self.name)
     }
 
     /// The entry as the decisions take it.
@@ -39,9 +41,9 @@
         HostEntry {
             host: self.id(),
             build: self.build,
-            zone: ZoneId::named(&self.zone),
+            zone: ZoneId::from_name(&self.zone),
             cell: CellId(self.cell),
-            kind: KindId::named(&self.kind),
+            kind: MachineKindId::from_name(&self.kind),
             size: self.size,
             started: self.started,
             state: self.state,
--- a/datastore/src/route_table.rs
+++ b/datastore/src/route_table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use kestreltide::interface::{HostId, KindId, Pool, ZoneId};
+use kestreltide::interface::{HostId, MachineKindId, Pool, ZoneId};
 use kestreltide_routes::{Route, RouteMatch};
 
 use crate::tree::{RouteConfig, RouteName, Tree};
@@ -31,9 +31,11 @@
 
 fn build_pool(config: &RouteConfig) -> Pool {
     Pool {
-        zones: names_of(&config.zones).map(ZoneId::named).collect(),
-        kinds: names_of(&config.kinds).map(KindId::named).collect(),
-        hosts: names_of(&config.hosts).map(HostId::named).collect(),
+        zones: names_of(&config.zones).map(ZoneId::from_name).collect(),
+        kinds: names_of(&config.kinds)
+            .map(MachineKindId::from_name)
+            .collect(),
+        hosts: names_of(&config.hosts).map(HostId::from_name).collect(),
     }
 }
 
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -36,7 +36,7 @@
         let standalone = merge(name, None, Some(config), first_listed);
         let entry = standalone.as_ref().map(HostRecord::entry);
         ConfiguredHost {
-            host: HostId::named(name.as_str()),
+            host: HostId::from_name(name.as_str()),
             name: name.clone(),
             config: config.clone(),
             first_listed,
@@ -179,7 +179,7 @@
     let mut changed: Vec<HostId> = differences
         .iter()
         .filter_map(|difference| match &difference.path {
-            Path::Host(name, _) => Some(HostId::named(name.as_str())),
+            Path::Host(name, _) => Some(HostId::from_name(name.as_str())),
             Path::Guards(_) | Path::Route(..) | Path::Rollout(_) => None,
         })
         .collect();
--- a/measure/src/capacity/fleet_run/hollow/tests.rs
+++ b/measure/src/capacity/fleet_run/hollow/tests.rs
@@ -8,7 +8,7 @@
     let plan = Plan::small();
     let table = Arc::new(HostTable::new(plan.layout.hosts, plan.hollow_list, 41));
     let hosts = (0..plan.layout.hosts)
-        .map(|host| (HostId::named(&format!("h{host}")), host))
+        .map(|host| (HostId::from_name(&format!("h{host}")), host))
         .collect();
     Arc::new(Surroundings {
         layout: plan.layout,
@@ -20,11 +20,11 @@
 
 fn entries(surroundings: &Surroundings) -> Arc<[HostEntry]> {
     let entry = |number: u32| HostEntry {
-        host: HostId::named(&format!("h{number}")),
+        host: HostId::from_name(&format!("h{number}")),
         build: BuildId(surroundings.table.now(number).build),
         zone: ZoneId(1),
         cell: CellId(0),
-        kind: KindId(0),
+        kind: MachineKindId(0),
         size: 1.0,
         started: None,
         state: HostState::Running,
--- a/measure/src/capacity/fleet_run/net/shared.rs
+++ b/measure/src/capacity/fleet_run/net/shared.rs
@@ -90,7 +90,7 @@
         let layout = plan.layout;
         let table = Arc::new(HostTable::new(layout.hosts, plan.hollow_list, FIRST_BUILD));
         let hosts: HashMap<_, _> = (0..layout.hosts)
-            .map(|host| (HostId::named(&format!("h{host}")), host))
+            .map(|host| (HostId::from_name(&format!("h{host}")), host))
             .collect();
         let surroundings = Surroundings {
             layout,
--- a/measure/src/capacity/simulation/discovery/tests.rs
+++ b/measure/src/capacity/simulation/discovery/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn entry(host: u64, state: HostState) -> HostEntry {
-    let (build, zone, cell, kind) = (BuildId(7), ZoneId(0), CellId(0), KindId(0));
+    let (build, zone, cell, kind) = (BuildId(7), ZoneId(0), CellId(0), MachineKindId(0));
     HostEntry {
         host: HostId(host),
         build,
--- a/measure/src/capacity/simulation/fleet/mod.rs
+++ b/measure/src/capacity/simulation/fleet/mod.rs
@@ -174,7 +174,7 @@
     attempt: u32,
     host: HostId,
     sent: f64,
-    time_out: f64,
+    timeout: f64,
     error: bool,
 }
 
@@ -389,7 +389,7 @@
         let seed = self.random.random();
         let region = self.members[router].place.region;
         let terms = ServiceSettings {
-            me: RouterId(router as u32),
+            router_id: RouterId(router as u32),
             ..settings::service_terms(self.terms.routers, self.members[router].place.zone)
         };
         let (now, entries) = (self.now, self.discovery[region].complete());
--- a/measure/src/capacity/simulation/hosts.rs
+++ b/measure/src/capacity/simulation/hosts.rs
@@ -129,7 +129,7 @@
             build,
             zone: ZoneId(self.machines[machine].place.zone as u64),
             cell: CellId(0),
-            kind: KindId(0),
+            kind: MachineKindId(0),
             size: 1.0,
             started,
             state: HostState::Running,
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -52,36 +52,36 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RespLimits {
     /// One bulk string.
-    pub value: usize,
+    pub bulk_string_bytes: usize,
     /// Elements of a command or an array.
-    pub words: usize,
+    pub elements: usize,
     /// A status or an error.
-    pub line: usize,
+    pub line_bytes: usize,
     /// Digits of a length or number.
-    pub digits: usize,
+    pub number_digits: usize,
     /// A whole command or reply; nothing is read of one that announces more.
-    pub message: usize,
+    pub message_bytes: usize,
     /// The id of a request.
-    pub id: usize,
+    pub request_id_bytes: usize,
 }
 
 /// What an HTTP response of discovery may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseLimits {
     /// Bytes of the body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Bytes of the head.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Bytes of the chunk sizes and line ends beside the body.
-    pub frame: usize,
+    pub framing_bytes: usize,
     /// Headers.
-    pub headers: usize,
+    pub header_count: usize,
 }
 
 impl ResponseLimits {
     /// Bytes that a whole response may have on its way.
-    pub fn max_total(&self) -> usize {
-        self.body + self.frame
+    pub fn max_response_bytes(&self) -> usize {
+        self.body_bytes + self.framing_bytes
     }
 }
 
@@ -116,7 +116,7 @@
     /// Connections.
     pub connections: usize,
     /// Connections that have sent one command and stay open while idle.
-    pub idle: usize,
+    pub idle_connections: usize,
     /// Connections that the system holds until they are accepted.
     pub backlog: i32,
     /// Connections accepted at one wake.
@@ -249,9 +249,9 @@
     /// ready writes it at once.
     pub brief_quiet_time: f64,
     /// From SIGTERM on: open requests are given up and answered, and what still comes is rejected.
-    pub give_up: f64,
+    pub fail_requests_after: f64,
     /// From SIGTERM on: the program ends, whoever is left.
-    pub exit: f64,
+    pub exit_after: f64,
 }
 
 /// The pauses between attempts to connect, in seconds; each is twice the one before.
@@ -323,9 +323,9 @@
 
 impl Limits {
     /// Bytes of the configuration file, from which all other limits are derived.
-    pub const FILE: usize = 4 * MIB;
+    pub const CONFIG_FILE_BYTES: usize = 4 * MIB;
     /// Bytes of the name of a host, a zone or a kind in discovery's lists.
-    pub const NAME: usize = 256;
+    pub const NAME_BYTES: usize = 256;
 
     /// The limits of a router with so many sockets and so much memory; the budget is what the configuration leaves.
     pub fn new(
@@ -352,7 +352,7 @@
             platform: PlatformLimits {
                 line_bytes: 8 * KIB,
                 pending_votes: 16,
-                vote_timeout: service.vote_wait,
+                vote_timeout: service.vote_timeout,
                 silence_timeout: 3.0,
             },
             reconnect_backoff: BackoffLimits {
@@ -378,12 +378,12 @@
 impl RespLimits {
     fn new() -> Self {
         RespLimits {
-            value: BULK_STRING_BYTES,
-            words: 8,
-            line: KIB,
-            digits: 12,
-            message: MESSAGE_BYTES,
-            id: 256,
+            bulk_string_bytes: BULK_STRING_BYTES,
+            elements: 8,
+            line_bytes: KIB,
+            number_digits: 12,
+            message_bytes: MESSAGE_BYTES,
+            request_id_bytes: 256,
         }
     }
 }
@@ -410,7 +410,7 @@
     fn new(connections: usize, connection_bytes: usize, longest: f64) -> Self {
         ClientLimits {
             connections,
-            idle: (connections / 4).max(1),
+            idle_connections: (connections / 4).max(1),
             backlog: 1024,
             accepts_per_wake: 64,
             accept_retry_delay: 0.05,
@@ -445,10 +445,10 @@
     fn new(hosts: usize) -> Self {
         DiscoveryLimits {
             response: ResponseLimits {
-                body: 4 * MIB,
-                head: 16 * KIB,
-                frame: 256 * KIB,
-                headers: 32,
+                body_bytes: 4 * MIB,
+                head_bytes: 16 * KIB,
+                framing_bytes: 256 * KIB,
+                header_count: 32,
             },
             hosts,
             watch_hold: 5.0,
@@ -479,8 +479,8 @@
             accept_time: SHUTDOWN_ACCEPT_TIME,
             quiet_time: 0.1,
             brief_quiet_time: 0.005,
-            give_up: kill - GIVE_UP_BEFORE_KILL,
-            exit: kill - EXIT_BEFORE_KILL,
+            fail_requests_after: kill - GIVE_UP_BEFORE_KILL,
+            exit_after: kill - EXIT_BEFORE_KILL,
         }
     }
 }
--- a/router/src/management_threads/datastore_thread/mod.rs
+++ b/router/src/management_threads/datastore_thread/mod.rs
@@ -35,7 +35,7 @@
 use super::error::StartError;
 use super::persistence::{self, PersistedState};
 use super::settings::FileWatchSettings;
-use crate::routing::{Heartbeat, LoopHandle, ManagementMessage};
+use crate::routing::{EventLoopHandle, Heartbeat, ManagementMessage};
 use crate::transport::Clock;
 
 /// The longest wait for a request, in seconds: what is due by time is done at least this often.
@@ -149,7 +149,7 @@
     pub(super) fn run(
         &mut self,
         requests: &Receiver<DatastoreRequest>,
-        event_loop: &LoopHandle,
+        event_loop: &EventLoopHandle,
         heartbeat: &Heartbeat,
     ) {
         loop {
@@ -198,7 +198,7 @@
     fn serve(
         &mut self,
         request: Option<DatastoreRequest>,
-        event_loop: &LoopHandle,
+        event_loop: &EventLoopHandle,
     ) -> Result<(), EventLoopClosed> {
         let facts = self.facts_for(request.is_some(), event_loop);
         let rolled_back = self
@@ -211,7 +211,7 @@
             self.sent_snapshots.push_back(snapshot.clone());
             // A full inbox makes this thread wait, never the event loop.
             is_closed |= event_loop
-                .post
+                .messages
                 .send(ManagementMessage::Revision(snapshot))
                 .is_err();
         }
@@ -227,7 +227,7 @@
 
     /// What the checks go by. Where something may be committed, that is the event loop's view of now: the published
     /// one may lack a drain, and a commit that takes the last host away would pass.
-    fn facts_for(&self, has_request: bool, event_loop: &LoopHandle) -> Facts {
+    fn facts_for(&self, has_request: bool, event_loop: &EventLoopHandle) -> Facts {
         let now = self.clock.now();
         let mut deadlines = self
             .files
@@ -328,10 +328,10 @@
 }
 
 /// Waits until the event loop has published its view of now.
-fn refresh_view(event_loop: &LoopHandle) {
+fn refresh_view(event_loop: &EventLoopHandle) {
     let (refreshed, is_refreshed) = sync_channel(1);
     let message = ManagementMessage::RefreshView(refreshed);
-    if event_loop.post.send(message).is_ok() {
+    if event_loop.messages.send(message).is_ok() {
         // Without an answer in time the last view has to do.
         let _ = is_refreshed.recv_timeout(VIEW_REFRESH_TIMEOUT);
     }
--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -18,7 +18,7 @@
 use super::settings::{FileWatchSettings, OperatorSettings};
 use super::supervise::supervise;
 use crate::limits::Limits;
-use crate::routing::{Heartbeat, LoopHandle, ManagementInbox};
+use crate::routing::{EventLoopHandle, Heartbeat, ManagementInbox};
 use crate::transport::{Clock, Reactor};
 
 /// How long the program waits, when it ends, for the datastore thread to save.
@@ -169,7 +169,7 @@
         datastore: DatastoreThread,
         file_watch: Option<(FileWatchSettings, Option<u64>)>,
         interfaces: Option<ManagementInterfaces>,
-        event_loop: &LoopHandle,
+        event_loop: &EventLoopHandle,
     ) -> io::Result<ManagementThreads> {
         let (requests, received) = sync_channel(self.limits.management.datastore_requests);
         let published = datastore.published_status();
@@ -200,7 +200,7 @@
                 }),
                 published,
                 view: event_loop.view.clone(),
-                in_force: event_loop.in_force.clone(),
+                in_force: event_loop.applied_revision.clone(),
                 notifications,
                 keys: interfaces.keys(),
             };
@@ -219,7 +219,7 @@
         &self,
         mut datastore: DatastoreThread,
         requests: Receiver<DatastoreRequest>,
-        event_loop: LoopHandle,
+        event_loop: EventLoopHandle,
         heartbeat: Heartbeat,
     ) -> io::Result<JoinHandle<u32>> {
         supervise(self.log.clone(), "datastore", move || {
--- a/router/src/program/config.rs
+++ b/router/src/program/config.rs
@@ -82,15 +82,15 @@
     if !metadata.is_file() {
         return Err("it is no file".into());
     }
-    if metadata.len() > Limits::FILE as u64 {
+    if metadata.len() > Limits::CONFIG_FILE_BYTES as u64 {
         return Err(format!(
             "it is too long ({} bytes; {} at most)",
             metadata.len(),
-            Limits::FILE
+            Limits::CONFIG_FILE_BYTES
         ));
     }
     let mut text = String::new();
-    file.take(Limits::FILE as u64)
+    file.take(Limits::CONFIG_FILE_BYTES as u64)
         .read_to_string(&mut text)
         .map_err(|e| e.to_string())?;
     Ok(text)
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -411,8 +411,8 @@
 /// Reads the file, and says of everything that is wrong what and where.
 pub fn load(path: &Path) -> Result<OperatorSettings, String> {
     let unread = |why: &dyn std::fmt::Display| format!("{}: cannot be read: {why}", path.display());
-    let bytes =
-        kestreltide_file_watch::read_file::read(path, Limits::FILE).map_err(|why| unread(&why))?;
+    let bytes = kestreltide_file_watch::read_file::read(path, Limits::CONFIG_FILE_BYTES)
+        .map_err(|why| unread(&why))?;
     let text = String::from_utf8(bytes).map_err(|e| unread(&e))?;
     parse(path, &text).map_err(|errors| errors.to_string())
 }
--- a/router/src/program/serve.rs
+++ b/router/src/program/serve.rs
@@ -14,7 +14,7 @@
 use super::logs;
 use crate::limits::Limits;
 use crate::management_threads::{ManagementThreads, OperatorSettings, StartError, ThreadContext};
-use crate::routing::{Addresses, Routing, Turn};
+use crate::routing::{Addresses, NextStep, Routing};
 use crate::transport::{Clock, Reactor};
 
 /// run a router until it is told to stop (also what happens without a sub-command)
@@ -77,7 +77,7 @@
         let level = self.log.unwrap_or(slog::Level::Info);
         let (log, guard) = logs::start(&configuration.name, level, &limits);
         info!(log, "starting"; "version" => env!("CARGO_PKG_VERSION"),
-            "routers" => configuration.service.routers, "me" => configuration.service.me.0);
+            "routers" => configuration.service.routers, "me" => configuration.service.router_id.0);
         let startup_only = StartupOnly::of(&configuration);
         let start = Start {
             log: &log,
@@ -87,14 +87,14 @@
         };
         let (mut routing, threads) = start.routing(reactor, configuration)?;
         let result = loop {
-            match routing.turn() {
-                Ok(Turn::Next) => {}
-                Ok(Turn::Reread) => {
+            match routing.run_iteration() {
+                Ok(NextStep::Continue) => {}
+                Ok(NextStep::ReloadConfiguration) => {
                     self.reload(&log, &mut routing, &startup_only);
                     threads.iter().for_each(ManagementThreads::poll_files);
                     self.check_operator_file(&log, &operators);
                 }
-                Ok(Turn::Over) => break Ok(()),
+                Ok(NextStep::Stop) => break Ok(()),
                 Err(e) => break Err(ServeError::EventLoop(e)),
             }
         };
@@ -211,7 +211,7 @@
             }
             threads
         });
-        routing.begin();
+        routing.connect();
         Ok((routing, threads))
     }
 }
--- a/router/src/protocol/client.rs
+++ b/router/src/protocol/client.rs
@@ -40,7 +40,7 @@
     /// The operation's name.
     pub operation: &'a str,
     /// How long the client waits, in milliseconds.
-    pub time_millis: u64,
+    pub time_limit_millis: u64,
     /// The client has sent the request before.
     pub is_retry: bool,
     /// It carries a key by which hosts recognize a repeated request.
@@ -100,7 +100,7 @@
         Ok(parameters)
     }
 
-    fn time_millis(&self) -> Option<u64> {
+    fn time_limit_millis(&self) -> Option<u64> {
         // The parser would also take a sign.
         let digits = |time: &&str| time.bytes().all(|byte| byte.is_ascii_digit());
         self.time.filter(digits)?.parse().ok()
@@ -117,22 +117,22 @@
         [_, key, id, list] | [_, key, id, list, _] => (text(*key)?, *id, text(*list)?),
         _ => return Err(Malformed::new("wrong number of words")),
     };
-    if id.is_empty() || id.len() > limits.id {
+    if id.is_empty() || id.len() > limits.request_id_bytes {
         return Err(Malformed::new("no id, or too long a one"));
     }
     let parameters = Parameters::parse(list)?;
     let operation = parameters
         .operation
         .ok_or_else(|| Malformed::new("no operation (c)"))?;
-    let time_millis = parameters
-        .time_millis()
+    let time_limit_millis = parameters
+        .time_limit_millis()
         .ok_or_else(|| Malformed::new("no time (d), or no number"))?;
     Ok(RequestCommand {
         idempotent,
         key,
         id,
         operation,
-        time_millis,
+        time_limit_millis,
         is_retry: parameters.retry == Some("1"),
         has_idempotency_key: parameters
             .idempotency_key
@@ -178,8 +178,8 @@
             .map_or(&[], |end| &self.bytes[self.ends[ID - 1]..*end])
     }
 
-    /// Writes the command as the client sent it, but with `time_millis` as the time that is left (`d`).
-    pub fn write(&self, out: &mut Vec<u8>, time_millis: u64) {
+    /// Writes the command as the client sent it, but with `time_limit_millis` as the time that is left (`d`).
+    pub fn write(&self, out: &mut Vec<u8>, time_limit_millis: u64) {
         let starts = std::iter::once(0).chain(self.ends.iter().copied());
         let mut words: Vec<_> = starts
             .zip(&self.ends)
@@ -188,7 +188,7 @@
         let parameters = words
             .get(PARAMETERS)
             .and_then(|word| std::str::from_utf8(word).ok())
-            .map(|list| with_time(list, time_millis));
+            .map(|list| with_time(list, time_limit_millis));
         if let Some(parameters) = &parameters {
             words[PARAMETERS] = parameters.as_bytes();
         }
@@ -197,14 +197,14 @@
 }
 
 /// A list of names and values with another time.
-fn with_time(list: &str, time_millis: u64) -> String {
+fn with_time(list: &str, time_limit_millis: u64) -> String {
     let mut replaced = String::new();
     for part in list.split(',') {
         if !replaced.is_empty() {
             replaced.push(',');
         }
         let written = match part.split_once('=') {
-            Some(("d", _)) => write!(replaced, "d={time_millis}"),
+            Some(("d", _)) => write!(replaced, "d={time_limit_millis}"),
             _ => write!(replaced, "{part}"),
         };
         debug_assert!(written.is_ok());
--- a/router/src/protocol/discovery.rs
+++ b/router/src/protocol/discovery.rs
@@ -71,7 +71,10 @@
         ("az", &endpoint.az),
         ("model", &endpoint.model),
     ];
-    let Some((field, name)) = names.iter().find(|(_, name)| name.len() > Limits::NAME) else {
+    let Some((field, name)) = names
+        .iter()
+        .find(|(_, name)| name.len() > Limits::NAME_BYTES)
+    else {
         return Ok(());
     };
     Err(EndpointListError {
@@ -79,7 +82,7 @@
         reason: format!(
             "is too long ({} bytes; {} at most)",
             name.len(),
-            Limits::NAME
+            Limits::NAME_BYTES
         ),
     })
 }
--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -67,7 +67,7 @@
             id,
             ConnectionUse::Attempt(AttemptInFlight { request, attempt }),
             now,
-            (timeout, requirements.write_within),
+            (timeout, requirements.write_timeout),
         );
     }
 
@@ -76,15 +76,15 @@
         let now = self.event_loop.now();
         let health_checks = self.upstreams.health_check_count();
         let has_capacity = health_checks < self.event_loop.limits.upstream.probes_in_flight;
-        let (no_idle_limit, write_within) = (
+        let (no_idle_limit, write_timeout) = (
             f64::INFINITY,
             self.event_loop.limits.upstream.connect_timeout,
         );
         let requirements = ConnectionRequirements {
             max_idle: no_idle_limit,
-            min_rest: 0.0,
-            max_resting: 1,
-            write_within,
+            min_idle: 0.0,
+            max_below_min_idle: 1,
+            write_timeout,
         };
         let Some(id) = has_capacity
             .then(|| {
@@ -118,7 +118,7 @@
             id,
             ConnectionUse::HealthCheck,
             now,
-            (self.event_loop.limits.upstream.probe_timeout, write_within),
+            (self.event_loop.limits.upstream.probe_timeout, write_timeout),
         );
     }
 
@@ -191,7 +191,7 @@
                 return;
             }
             let status = upstream.stream.read_available(
-                self.event_loop.limits.resp.message,
+                self.event_loop.limits.resp.message_bytes,
                 self.event_loop.limits.event_loop.read_bytes_per_turn,
             );
             self.process_input(id, status == ReadStatus::Closed);
@@ -274,7 +274,7 @@
         };
         let load = load
             .filter(|_| self.transport.load_reporting == LoadReporting::Inline)
-            .map(TransportSettings::load_by_name)
+            .map(TransportSettings::load_from_pairs)
             .unwrap_or_default();
         let attempt = AttemptInFlight {
             request: in_flight.request.clone(),
@@ -305,7 +305,7 @@
         };
         let load = response
             .load
-            .map(TransportSettings::load_by_name)
+            .map(TransportSettings::load_from_pairs)
             .unwrap_or_default();
         self.event_loop
             .notify_decisions(Event::HealthCheckFinished {
@@ -319,7 +319,7 @@
 
     /// Accepts an incomplete response whose rest may still come; an error where it is too long already.
     fn check_incomplete_length(&self, input: &[u8]) -> Result<Option<usize>, Malformed> {
-        if input.len() < self.event_loop.limits.resp.message {
+        if input.len() < self.event_loop.limits.resp.message_bytes {
             Ok(None)
         } else {
             Err(Malformed::new("the response is too long"))
@@ -368,8 +368,8 @@
             && matches!(upstream.stream.is_connected(), Ok(true))
         {
             let status = upstream.stream.read_available(
-                self.event_loop.limits.resp.message,
-                self.event_loop.limits.resp.message,
+                self.event_loop.limits.resp.message_bytes,
+                self.event_loop.limits.resp.message_bytes,
             );
             self.process_input(id, status == ReadStatus::Closed);
         }
@@ -476,17 +476,17 @@
     ) {
         self.event_loop.metrics.count_attempt(outcome);
         let AttemptInFlight { request, attempt } = in_flight;
-        let over = !self.requests.owes_response(&request);
-        let (took, unused) = (took_and_idle_time.0, Some(took_and_idle_time.1));
+        let request_finished = !self.requests.owes_response(&request);
+        let (took, connection_idle) = (took_and_idle_time.0, Some(took_and_idle_time.1));
         self.event_loop.notify_decisions(Event::AttemptFinished {
             request,
             attempt,
             host,
             outcome,
-            over,
+            request_finished,
             took,
             load,
-            unused,
+            connection_idle,
         });
     }
 }
--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -543,10 +543,10 @@
         let Some((response, bytes)) = discovery::parse_response(input, limits, &mut self.chunks)?
         else {
             // The input buffer is full, so the rest would never be read.
-            if input.len() >= limits.max_total() {
+            if input.len() >= limits.max_response_bytes() {
                 return Err(Malformed::new(format!(
                     "the response is longer than {} bytes",
-                    limits.max_total()
+                    limits.max_response_bytes()
                 )));
             }
             return Ok(None);
@@ -565,7 +565,7 @@
 
     /// Reads all available input, up to the size of the longest response.
     fn read(&mut self, event_loop: &EventLoop) {
-        let max_bytes = event_loop.limits.discovery.response.max_total();
+        let max_bytes = event_loop.limits.discovery.response.max_response_bytes();
         let bytes_per_turn = event_loop.limits.event_loop.read_bytes_per_turn;
         let mut status = ReadStatus::More;
         while status == ReadStatus::More && self.stream.input().len() < max_bytes {
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -45,9 +45,9 @@
             Effect::StartAttempt {
                 request,
                 host,
-                time_out,
+                timeout,
                 connection,
-            } => self.start_attempt(request, host, time_out, connection),
+            } => self.start_attempt(request, host, timeout, connection),
             Effect::CancelAttempt { request, attempt } => self.cancel_attempt(&request, attempt),
             Effect::ShedRequest {
                 request,
--- a/router/src/routing/endpoint_list.rs
+++ b/router/src/routing/endpoint_list.rs
@@ -154,7 +154,7 @@
         let mut hosts: Vec<_> = list
             .targets
             .iter()
-            .map(|target| HostId::named(&target.uid))
+            .map(|target| HostId::from_name(&target.uid))
             .collect();
         hosts.sort_unstable();
         hosts.dedup();
@@ -167,7 +167,7 @@
     /// Removes gone hosts from the table to make room for new ones, and orders `targets` so that gone hosts come last.
     /// Otherwise gone hosts would stay until the next periodic check, and at the limit new hosts would be left out.
     fn free_capacity(&mut self, targets: &mut [&ListedEndpoint], is_full: bool) {
-        let host = |target: &&ListedEndpoint| HostId::named(&target.uid);
+        let host = |target: &&ListedEndpoint| HostId::from_name(&target.uid);
         let last_states: BTreeMap<_, _> = targets
             .iter()
             .map(|target| (host(target), target.state()))
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -84,7 +84,7 @@
 
     /// Applies one entry of discovery's list; `None` where the table is full and the host is new.
     pub(super) fn apply_entry(&mut self, target: &ListedEndpoint) -> Option<AppliedEntry> {
-        let host = HostId::named(&target.uid);
+        let host = HostId::from_name(&target.uid);
         if !self.discovered.contains_key(&host) && self.discovered.len() >= self.capacity {
             return None;
         }
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -63,9 +63,9 @@
 
 /// The management threads' end of the link.
 #[derive(Clone)]
-pub struct LoopHandle {
+pub struct EventLoopHandle {
     /// Sends messages to the event loop.
-    pub post: InboxSender<ManagementMessage>,
+    pub messages: InboxSender<ManagementMessage>,
     /// The view that the event loop published last.
     pub view: Arc<ArcSwap<View>>,
     /// The number of the revision that the event loop has applied.
@@ -78,11 +78,14 @@
     /// # Errors
     ///
     /// Where the inbox cannot be registered with the reactor.
-    pub fn open(reactor: &mut Reactor, capacity: usize) -> std::io::Result<(Self, LoopHandle)> {
+    pub fn open(
+        reactor: &mut Reactor,
+        capacity: usize,
+    ) -> std::io::Result<(Self, EventLoopHandle)> {
         let (received, post) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
         let in_force = Arc::new(AtomicU64::new(0));
-        let loop_handle = LoopHandle {
+        let loop_handle = EventLoopHandle {
             post,
             view: view.clone(),
             in_force: in_force.clone(),
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -41,7 +41,7 @@
 use event_loop::{EventLoop, ReadySocket, SocketOwner, TimerEvent};
 use gossip_peers::GossipPeers;
 use graceful_shutdown::{GracefulShutdown, ShutdownInput};
-pub use management_link::{Heartbeat, LoopHandle, ManagementInbox, ManagementMessage};
+pub use management_link::{EventLoopHandle, Heartbeat, ManagementInbox, ManagementMessage};
 use platform_client::PlatformClient;
 use upstream_pool::UpstreamPool;
 
@@ -62,7 +62,7 @@
 
 /// What the caller does after an iteration of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum NextStep {
     Next,
     /// SIGHUP was received: read the configuration again, then run the next iteration.
     Reread,
@@ -206,7 +206,7 @@
 
     /// Connects to discovery and the platform and starts the decisions. State from before the start is to be restored
     /// before this call.
-    pub fn begin(&mut self) {
+    pub fn connect(&mut self) {
         if !self.discovery.is_on_demand() {
             self.begin_watch();
         }
@@ -234,7 +234,7 @@
     /// # Errors
     ///
     /// Where polling the sockets fails.
-    pub fn turn(&mut self) -> io::Result<Turn> {
+    pub fn run_iteration(&mut self) -> io::Result<NextStep> {
         let may_sleep = self.clients_with_more_input.is_empty() && !self.is_staging();
         let (sockets, signals) = self.event_loop.poll(may_sleep)?;
         if signals.stop {
@@ -259,9 +259,9 @@
             self.process_pending();
         }
         Ok(match signals.reload {
-            _ if self.update_shutdown() => Turn::Over,
-            true => Turn::Reread,
-            false => Turn::Next,
+            _ if self.update_shutdown() => NextStep::Stop,
+            true => NextStep::ReloadConfiguration,
+            false => NextStep::Continue,
         })
     }
 
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -282,7 +282,7 @@
             } => {
                 if let Some(&operation) = self.operations.get(operation.as_ref()) {
                     event_loop.notify_decisions(Event::AnswerDisputed {
-                        host: HostId::named(&host),
+                        host: HostId::from_name(&host),
                         operation,
                         age,
                     });
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -131,10 +131,10 @@
         let max_idle = requirements
             .max_idle
             .min(event_loop.limits.upstream.idle_timeout);
-        let rested_since = now - requirements.min_rest;
+        let rested_since = now - requirements.min_idle;
         while let Some((id, idle_since)) =
             self.idle
-                .take_rested(host, rested_since, requirements.max_resting)
+                .take_reusable(host, rested_since, requirements.max_below_min_idle)
         {
             // The host may be closing a connection that has been idle for so long. A command written to it is then
             // reset, and may not be retried.
@@ -211,7 +211,7 @@
 
     /// Closes the connections that have been idle since this time or longer.
     pub(super) fn close_idle_since(&mut self, event_loop: &EventLoop, time: f64) {
-        for id in self.idle.take_unused_since(time) {
+        for id in self.idle.take_idle_since(time) {
             self.close(event_loop, id);
         }
     }
--- a/router/src/transport/idle_connections.rs
+++ b/router/src/transport/idle_connections.rs
@@ -41,17 +41,17 @@
 
     /// Removes the most recently used connection to `peer` that has been idle since `idle_since` or longer, and
     /// returns it with the time since when it has been idle. Where all have been idle for less and there are
-    /// `max_unrested` or more of them, removes the one that has been idle longest.
-    pub fn take_rested(
+    /// `max_below_min_idle` or more of them, removes the one that has been idle longest.
+    pub fn take_reusable(
         &mut self,
         peer: K,
         idle_since: f64,
-        max_unrested: usize,
+        max_below_min_idle: usize,
     ) -> Option<(SocketId, f64)> {
         let idle = self.by_peer.get_mut(&peer)?;
         let rested = idle.iter().rposition(|idle| idle.since <= idle_since);
-        let place =
-            rested.or_else(|| (!idle.is_empty() && idle.len() >= max_unrested).then_some(0))?;
+        let place = rested
+            .or_else(|| (!idle.is_empty() && idle.len() >= max_below_min_idle).then_some(0))?;
         self.count -= 1;
         let taken = idle.remove(place);
         Some((taken.id, taken.since))
@@ -83,7 +83,7 @@
     }
 
     /// Removes all connections that have been idle since `time` or longer.
-    pub fn take_unused_since(&mut self, time: f64) -> Vec<SocketId> {
+    pub fn take_idle_since(&mut self, time: f64) -> Vec<SocketId> {
         let mut taken = Vec::new();
         for idle in self.by_peer.values_mut() {
             let expired = idle.extract_if(.., |idle| idle.since <= time);
--- a/settings/src/decode.rs
+++ b/settings/src/decode.rs
@@ -28,17 +28,17 @@
 const MAX_TENANTS: usize = 64 * 1024;
 
 /// The words for what is known of the sizes of hosts.
-const SIZE_WORDS: [(&str, Sizes); 4] = [
-    ("off", Sizes::Unspecified),
-    ("nominal", Sizes::Registered),
-    ("rough", Sizes::Rough),
-    ("live", Sizes::Live),
+const SIZE_WORDS: [(&str, SizeSource); 4] = [
+    ("off", SizeSource::Unspecified),
+    ("nominal", SizeSource::Registered),
+    ("rough", SizeSource::Rough),
+    ("live", SizeSource::Live),
 ];
 /// The words for what lets a rollout move on.
-const GATE_WORDS: [(&str, Gate); 3] = [
-    ("any", Gate::Any),
-    ("share", Gate::Share),
-    ("timer", Gate::Clock),
+const GATE_WORDS: [(&str, PromotionGate); 3] = [
+    ("any", PromotionGate::VoteCount),
+    ("share", PromotionGate::VoteShare),
+    ("timer", PromotionGate::Timer),
 ];
 
 /// The settings of a deployment.
@@ -119,7 +119,7 @@
     let stretch = key("aim_stretch");
     Ok(OperationSettings {
         latency_objective: fields.time_in(&key("slo"), POSITIVE_TIME)?,
-        latency_objective_stretch: if fields.get(&stretch).is_some() {
+        latency_objective_work_factor: if fields.get(&stretch).is_some() {
             fields.number_in(&stretch, ANY_QUANTITY)?
         } else {
             0.0
@@ -202,21 +202,21 @@
     let stages = stages(fields)?;
     let vote_rate = fields.number_in("extra.api_rate", ANY_QUANTITY)?;
     Ok(ServiceSettings {
-        me: RouterId(fields.integer_in("me", 0..=routers - 1)?),
+        router_id: RouterId(fields.integer_in("me", 0..=routers - 1)?),
         routers,
         zone: Some(names.zone(fields.text("my_zone")?)),
         operations,
         weighted_by_work: fields.one_of("worth_by", &[("work", true), ("request", false)])?,
         polls_endpoint_list: fields.one_of("discovery", &[("ask", true), ("push", false)])?,
         endpoint_poll_interval: fields.time_in("guarantees.ask_every", POSITIVE_TIME)?,
-        sizes: fields.one_of("weight_kind", &SIZE_WORDS)?,
-        gate: fields.one_of("extra.gate_mode", &GATE_WORDS)?,
-        votes_on: fields.integer_in("extra.votes_to_go", 0..=MAX_ROUTERS)?,
-        votes_back: fields.integer_in("extra.back_votes", 0..=MAX_ROUTERS)?,
-        votes_hold: fields.integer_in("extra.stoppers", 0..=MAX_ROUTERS)?,
-        bake: fields.time_in("extra.bake", ANY_TIME)?,
+        size_source: fields.one_of("weight_kind", &SIZE_WORDS)?,
+        promotion_gate: fields.one_of("extra.gate_mode", &GATE_WORDS)?,
+        promote_votes: fields.integer_in("extra.votes_to_go", 0..=MAX_ROUTERS)?,
+        roll_back_votes: fields.integer_in("extra.back_votes", 0..=MAX_ROUTERS)?,
+        hold_votes: fields.integer_in("extra.stoppers", 0..=MAX_ROUTERS)?,
+        bake_time: fields.time_in("extra.bake", ANY_TIME)?,
         vote_lifetime: fields.time_in("extra.ballot_ttl", POSITIVE_TIME)?,
-        vote_wait: fields.time_in("extra.vote_wait", POSITIVE_TIME)?,
+        vote_timeout: fields.time_in("extra.vote_wait", POSITIVE_TIME)?,
         // 0: the platform limits nothing.
         vote_rate: if vote_rate > 0.0 {
             vote_rate
@@ -226,24 +226,24 @@
         stage_shares: stages.shares,
         stage_caps: stages.caps,
         exposure_window: fields.time_in("extra.counted_over", POSITIVE_TIME)?,
-        exposure_spare: fields.number_in("extra.spare_tries", ANY_QUANTITY)?,
+        exposure_allowance: fields.number_in("extra.spare_tries", ANY_QUANTITY)?,
         exposure_by_operation: fields.one_of("extra.counts", &[("class", true), ("all", false)])?,
         idempotent_only_stages: fields.integer("extra.guarded_stages")?,
         sticky_keys: fields.boolean("extra.no_return")?,
         // The one key of these that may be absent.
         key_affinity: fields.flag("extra.warm_keys")?,
-        in_place: fields.one_of(
+        replaces_in_place: fields.one_of(
             "extra.replace_mode",
             &[("in_place", true), ("beside", false)],
         )?,
-        dispute_share: fields.number_in("extra.flag_share", FRACTION)?,
+        disputed_fraction: fields.number_in("extra.flag_share", FRACTION)?,
         drain_grace: fields.time_in("guarantees.drain_grace", ANY_TIME)?,
         slow_start_initial_fraction: fields
             .number_in("guarantees.cold_share", POSITIVE_FRACTION)?,
         slow_start_duration: fields.time_in("guarantees.cold", ANY_TIME)?,
         overload_multiple: fields.number_in("guarantees.fall_multiple", POSITIVE_QUANTITY)?,
         overload_duration: fields.time_in("guarantees.fall", ANY_TIME)?,
-        may_probe: fields.boolean("permissions.may_probe")?,
+        may_health_check: fields.boolean("permissions.may_probe")?,
         may_gossip: fields.boolean("permissions.peers")?,
         may_cancel_attempts: fields.boolean("permissions.cancel")?,
         may_hedge: fields.boolean("permissions.second_copies")?,
--- a/settings/src/name_table.rs
+++ b/settings/src/name_table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use kestreltide::interface::{KindId, ZoneId};
+use kestreltide::interface::{MachineKindId, ZoneId};
 
 /// Gives zones and machine kinds their identifiers.
 pub enum NameTable {
@@ -18,15 +18,15 @@
     pub fn zone(&mut self, name: &str) -> ZoneId {
         match self {
             NameTable::Sequential(numbers) => ZoneId(Self::number(numbers, name)),
-            NameTable::Hashed => ZoneId::named(name),
+            NameTable::Hashed => ZoneId::from_name(name),
         }
     }
 
     /// The identifier of a machine kind.
-    pub fn kind(&mut self, name: &str) -> KindId {
+    pub fn kind(&mut self, name: &str) -> MachineKindId {
         match self {
-            NameTable::Sequential(numbers) => KindId(Self::number(numbers, name)),
-            NameTable::Hashed => KindId::named(name),
+            NameTable::Sequential(numbers) => MachineKindId(Self::number(numbers, name)),
+            NameTable::Hashed => MachineKindId::from_name(name),
         }
     }
 
--- a/settings/src/transport.rs
+++ b/settings/src/transport.rs
@@ -72,7 +72,7 @@
 
 impl TransportSettings {
     /// A report whose values come in the order that the settings name.
-    pub fn load_in_order(&self, values: &[f64]) -> LoadReport {
+    pub fn load_from_values(&self, values: &[f64]) -> LoadReport {
         let mut report = LoadReport::default();
         for (field, value) in self.load_fields.iter().zip(values) {
             field.set(&mut report, *value);
@@ -81,7 +81,7 @@
     }
 
     /// A report of `name=value` pairs, joined by commas; a pair that cannot be read is left out.
-    pub fn load_by_name(text: &str) -> LoadReport {
+    pub fn load_from_pairs(text: &str) -> LoadReport {
         let mut report = LoadReport::default();
         let pairs = text
             .split(',')
--- a/simulator-adapter/src/codec.rs
+++ b/simulator-adapter/src/codec.rs
@@ -141,7 +141,7 @@
             host: host_id(line)?,
             outcome: outcome(line)?,
             took: line.time("cost_time")?,
-            load: transport.load_in_order(&line.numbers("telemetry")?),
+            load: transport.load_from_values(&line.numbers("telemetry")?),
         },
         "PEER" => Event::GossipReceived {
             from: RouterId(line.integer("src_peer")?),
@@ -165,7 +165,7 @@
         key: line.get("affinity").map(|key| KeyId(key.into())),
         time_left: line.time("time_budget")?,
         work: line.optional_integer("cost")?.map(seconds),
-        again: line.flag("retry")?,
+        is_retry: line.flag("retry")?,
         pool: None,
     })
 }
@@ -176,10 +176,10 @@
         attempt: attempt_number(line)?,
         host: host_id(line)?,
         outcome: outcome(line)?,
-        over: line.flag("done_flag")?,
+        request_finished: line.flag("done_flag")?,
         took: line.time("cost_time")?,
-        load: transport.load_in_order(&line.numbers("telemetry")?),
-        unused: None,
+        load: transport.load_from_values(&line.numbers("telemetry")?),
+        connection_idle: None,
     })
 }
 
@@ -240,10 +240,10 @@
         Effect::StartAttempt {
             request,
             host,
-            time_out,
+            timeout,
             ..
         } => {
-            let patience = microseconds(*time_out).max(1);
+            let patience = microseconds(*timeout).max(1);
             format!(" req={} patience={patience} host={}", request.0, host.0)
         }
         Effect::CancelAttempt { request, attempt } => {
--- a/simulator-adapter/src/codec/tests.rs
+++ b/simulator-adapter/src/codec/tests.rs
@@ -44,10 +44,10 @@
         attempt: AttemptNumber(2),
         host: HostId(101),
         outcome,
-        over: true,
+        request_finished: true,
         took: 0.02,
         load: LOAD,
-        unused: None,
+        connection_idle: None,
     }
 }
 
@@ -63,14 +63,14 @@
     })
 }
 
-fn request_received(again: bool) -> Event {
+fn request_received(is_retry: bool) -> Event {
     Event::RequestReceived(Request {
         id: request(),
         operation: OperationId(1),
         key: Some(KeyId("acct/1".into())),
         time_left: 0.24,
         work: Some(0.012),
-        again,
+        is_retry,
         pool: None,
     })
 }
@@ -198,12 +198,12 @@
     Effect::StartAttempt {
         request: request(),
         host: HostId(101),
-        time_out: 0.08,
+        timeout: 0.08,
         connection: ConnectionRequirements {
             max_idle: 1.0,
-            min_rest: 0.02,
-            max_resting: 8,
-            write_within: 0.4,
+            min_idle: 0.02,
+            max_below_min_idle: 8,
+            write_timeout: 0.4,
         },
     },
     "FORWARD who=router_0 req=r-1 patience=80000 host=101\n"
--- a/src/candidates.rs
+++ b/src/candidates.rs
@@ -26,7 +26,7 @@
     /// By arm, those of the lowest tier that are only counted.
     pub(crate) counted: PerArm<HostSum>,
     /// Whether hosts that are warming up are among them.
-    pub(crate) with_warming_up: bool,
+    pub(crate) includes_warming_up: bool,
 }
 
 impl Candidates {
@@ -87,7 +87,7 @@
     /// Leaves out the hosts that are warming up.
     pub(crate) fn remove_warming_up(&mut self) {
         self.listed.retain(|candidate| !candidate.warming_up);
-        self.with_warming_up = false;
+        self.includes_warming_up = false;
     }
 
     /// The weight that a request counts for a host, where it is another than the one in force.
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -141,7 +141,7 @@
             operation: request.operation.0,
             key: request.key,
             work: request.work.unwrap_or(1.0).max(MIN_WORK),
-            is_client_retry: request.again,
+            is_client_retry: request.is_retry,
             objective_at,
             deadline: now + request.time_left,
             attempts: vec![],
--- a/src/decisions/connections.rs
+++ b/src/decisions/connections.rs
@@ -94,9 +94,9 @@
         };
         ConnectionRequirements {
             max_idle,
-            min_rest: MIN_REST,
-            max_resting: MAX_RESTING,
-            write_within: left.min(drain).max(MIN_WINDOW),
+            min_idle: MIN_REST,
+            max_below_min_idle: MAX_RESTING,
+            write_timeout: left.min(drain).max(MIN_WINDOW),
         }
     }
 }
--- a/src/decisions/endpoint_selection.rs
+++ b/src/decisions/endpoint_selection.rs
@@ -12,7 +12,7 @@
 use crate::arm::{Arm, PerArm};
 use crate::candidates::{Candidate, Candidates};
 use crate::hashing::hash_mix;
-use crate::host_group::{Group, HostSum, Requirements};
+use crate::host_group::{HostGroup, HostSum, Requirements};
 use crate::interface::{HostId, KeyId, RequestId};
 use crate::operator_weights::{EffectiveWeight, apply_weights};
 
@@ -92,7 +92,7 @@
         host: &Host,
         weight: f64,
     ) -> Option<Candidate> {
-        let group = Group::of(&host.entry, self.settings.idempotency_by_cell);
+        let group = HostGroup::of(&host.entry, self.settings.idempotency_by_cell);
         let arm = requirements.arm(&group)?;
         let is_in_pool = requirements
             .pool
@@ -143,7 +143,7 @@
         Candidates {
             listed,
             counted,
-            with_warming_up: true,
+            includes_warming_up: true,
         }
     }
 }
--- a/src/decisions/exposure.rs
+++ b/src/decisions/exposure.rs
@@ -110,7 +110,7 @@
         let keeps_room = binds_new_key && self.settings.sticky_keys && cap < 1.0;
         let part = if keeps_room { NEW_KEY_CAP_PART } else { 1.0 };
         let spare_part = if keeps_room { NEW_KEY_SPARE_PART } else { 1.0 };
-        let allowed = spare_part * self.settings.exposure_spare + part * cap * admitted as f64;
+        let allowed = spare_part * self.settings.exposure_allowance + part * cap * admitted as f64;
         sent as f64 + 1.0 <= allowed
     }
 }
--- a/src/decisions/host_table.rs
+++ b/src/decisions/host_table.rs
@@ -5,7 +5,7 @@
 use super::Router;
 use super::outlier_detection::{HostHealth, is_failing};
 use super::settings::DecisionSettings;
-use crate::host_group::Group;
+use crate::host_group::HostGroup;
 use crate::host_index::{HostIndex, IndexedHost};
 use crate::interface::{BuildId, HostEntry, HostId, HostState, OperatorOverrides, Revision};
 use crate::operator_weights::{EffectiveWeight, apply_weights};
@@ -121,7 +121,7 @@
         let is_well = self.health.ejected_until <= now && !is_failing(self.health.failure_rate);
         let is_warm = settings.warm_up_fraction(&self.entry, now) >= 1.0;
         self.usable.then_some(IndexedHost {
-            group: Group::of(&self.entry, settings.idempotency_by_cell),
+            group: HostGroup::of(&self.entry, settings.idempotency_by_cell),
             size: self.entry.size,
             weight: self.weight,
             settled: is_well && is_warm,
--- a/src/decisions/latency_baselines.rs
+++ b/src/decisions/latency_baselines.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use crate::arm::Arm;
-use crate::interface::KindId;
+use crate::interface::MachineKindId;
 
 /// Quantile of the times that divides quick answers from others.
 const QUICK_QUANTILE: f64 = 0.4;
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct BaselineKey {
     operation: usize,
-    kind: KindId,
+    kind: MachineKindId,
     arm: Arm,
 }
 
@@ -55,13 +55,13 @@
 
 impl LatencyBaselines {
     /// The time that divides quick answers of the baseline build from others, for a unit of work.
-    pub(super) fn quick_time(&self, operation: usize, kind: KindId) -> Option<f64> {
+    pub(super) fn quick_time(&self, operation: usize, kind: MachineKindId) -> Option<f64> {
         self.get(operation, kind, Arm::Baseline)
             .map(|baseline| baseline.quick)
     }
 
     /// The time that even quick answers of the baseline build take, for a unit of work.
-    pub(super) fn floor_time(&self, operation: usize, kind: KindId) -> Option<f64> {
+    pub(super) fn floor_time(&self, operation: usize, kind: MachineKindId) -> Option<f64> {
         self.get(operation, kind, Arm::Baseline)
             .map(|baseline| baseline.floor)
     }
@@ -70,7 +70,7 @@
     pub(super) fn record(
         &mut self,
         operation: usize,
-        kind: KindId,
+        kind: MachineKindId,
         arm: Arm,
         time: f64,
         succeeded: bool,
@@ -122,7 +122,7 @@
         (count > 0.0).then(|| (log_sum / count).exp())
     }
 
-    fn get(&self, operation: usize, kind: KindId, arm: Arm) -> Option<&LatencyBaseline> {
+    fn get(&self, operation: usize, kind: MachineKindId, arm: Arm) -> Option<&LatencyBaseline> {
         self.by_key.get(&BaselineKey {
             operation,
             kind,
--- a/src/decisions/least_loaded.rs
+++ b/src/decisions/least_loaded.rs
@@ -8,7 +8,7 @@
 use crate::arm::Arm;
 use crate::candidates::Candidates;
 use crate::hashing::hash_mix;
-use crate::host_group::{Group, Requirements};
+use crate::host_group::{HostGroup, Requirements};
 use crate::interface::HostId;
 use crate::rendezvous::{RankedHost, WeightedHost, highest_two};
 
@@ -119,13 +119,13 @@
         requirements: &Requirements,
     ) -> Vec<RankedHost> {
         let of_arm = requirements.arms.iter().filter(|of| of.1 == choice.arm);
-        let groups: Vec<Group> = of_arm.map(|of| of.0).collect();
+        let groups: Vec<HostGroup> = of_arm.map(|of| of.0).collect();
         let mut index = std::mem::take(&mut self.hosts.index);
         let two = index.highest_two(salt, &groups, |id| {
             let host = self.hosts.get(id);
             host.and_then(|host| self.candidate(now, requirements, host, host.weight))
                 .is_some_and(|of| {
-                    of.tier == choice.tier && (candidates.with_warming_up || !of.warming_up)
+                    of.tier == choice.tier && (candidates.includes_warming_up || !of.warming_up)
                 })
         });
         self.hosts.index = index;
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -145,15 +145,15 @@
                 attempt,
                 outcome,
                 took,
-                over,
-                unused,
+                request_finished,
+                connection_idle,
                 ..
             } => {
                 let report = AttemptReport {
                     outcome,
                     took,
-                    is_final: over,
-                    idle: unused,
+                    is_final: request_finished,
+                    idle: connection_idle,
                 };
                 self.on_attempt_finished(now, &request, attempt.0, &report, effects);
             }
--- a/src/decisions/requirements.rs
+++ b/src/decisions/requirements.rs
@@ -4,11 +4,11 @@
 use super::request_table::TrackedRequest;
 use super::retry::WAIT_PART_OF_OBJECTIVE;
 use crate::arm::Arm;
-use crate::host_group::{Group, Requirements};
+use crate::host_group::{HostGroup, Requirements};
 use crate::interface::{BuildId, HostEntry, IdempotencyScope};
 
 /// Whether an idempotency key is known to both the group and the host that may have run the request already.
-fn shares_keys(scope: IdempotencyScope, first: &HostEntry, group: &Group) -> bool {
+fn shares_keys(scope: IdempotencyScope, first: &HostEntry, group: &HostGroup) -> bool {
     match scope {
         IdempotencyScope::All => true,
         IdempotencyScope::Zone => first.zone == group.zone,
@@ -54,7 +54,7 @@
 
     /// Whether hosts of a group may serve a request. No work is begun where the time left is under what even quick
     /// answers take; the limit to part of the objective lets hosts be tried again that have long not answered.
-    fn group_may_serve(&self, now: f64, request: &TrackedRequest, group: &Group) -> bool {
+    fn group_may_serve(&self, now: f64, request: &TrackedRequest, group: &HostGroup) -> bool {
         let scope = self.settings.operations[request.operation].idempotency_scope;
         let knows_key = request
             .first_effect()
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -57,7 +57,7 @@
 
 /// How an attempt is given up or hedged; times are in seconds.
 struct AttemptTimes {
-    time_out: f64,
+    timeout: f64,
     /// When a hedged attempt follows.
     hedge_at: Option<f64>,
 }
@@ -106,7 +106,7 @@
         effects.push(Effect::StartAttempt {
             request: id.clone(),
             host,
-            time_out: times.time_out,
+            timeout: times.timeout,
             connection,
         });
         if let Some(at) = times.hedge_at {
@@ -140,7 +140,7 @@
         let is_planned = has_room && is_allowed && is_useful;
         let is_given_up = is_planned && !self.settings.may_hedge;
         AttemptTimes {
-            time_out: if is_given_up { wait } else { end - now },
+            timeout: if is_given_up { wait } else { end - now },
             hedge_at: (is_planned && self.settings.may_hedge).then_some(now + wait),
         }
     }
--- a/src/decisions/settings.rs
+++ b/src/decisions/settings.rs
@@ -8,7 +8,8 @@
 use super::slow_start::slow_start_allowance;
 use super::voting::VotePacing;
 use crate::interface::{
-    Gate, Idempotency, IdempotencyScope, OperationSettings, RouterId, ServiceSettings, ZoneId,
+    Idempotency, IdempotencyScope, OperationSettings, PromotionGate, RouterId, ServiceSettings,
+    ZoneId,
 };
 
 /// One operation; all times are in seconds.
@@ -54,13 +55,13 @@
     pub(super) poll_spread: f64,
     pub(super) stage_shares: Vec<f64>,
     /// A timer moves a canary on, unless votes stop it.
-    pub(super) clock_gated: bool,
+    pub(super) timer_gated: bool,
     pub(super) vote_pacing: VotePacing,
     /// How short the stages are, of those that the times of a slowdown are meant for.
     pub(super) bake_scale: f64,
     pub(super) first_cap: f64,
     pub(super) exposure_window: f64,
-    pub(super) exposure_spare: f64,
+    pub(super) exposure_allowance: f64,
     pub(super) exposure_by_operation: bool,
     pub(super) idempotent_only_stages: u32,
     pub(super) sticky_keys: bool,
@@ -90,9 +91,9 @@
         let operations = operations(settings);
         let routers = settings.routers.max(1);
         let tick = settings.tick.max(MIN_WINDOW);
-        let disputes = settings.dispute_share > 0.0;
+        let disputes = settings.disputed_fraction > 0.0;
         DecisionSettings {
-            router: settings.me,
+            router: settings.router_id,
             routers,
             is_large_fleet: is_large_fleet(routers),
             zone: settings.zone,
@@ -103,19 +104,19 @@
             polls_endpoint_list: settings.polls_endpoint_list,
             poll_spread: poll_spread(settings.endpoint_poll_interval, routers),
             stage_shares: settings.stage_shares.clone(),
-            clock_gated: settings.gate == Gate::Clock,
+            timer_gated: settings.promotion_gate == PromotionGate::Timer,
             vote_pacing: VotePacing::new(settings),
-            bake_scale: bake_scale(settings.bake),
+            bake_scale: bake_scale(settings.bake_time),
             first_cap: settings.stage_caps.first().copied().unwrap_or(0.0),
             exposure_window: settings.exposure_window + tick,
-            exposure_spare: settings.exposure_spare,
+            exposure_allowance: settings.exposure_allowance,
             exposure_by_operation: settings.exposure_by_operation,
             idempotent_only_stages: settings.idempotent_only_stages,
             sticky_keys: settings.sticky_keys,
             key_affinity: settings.key_affinity,
-            baseline_stays: !settings.in_place,
+            baseline_stays: !settings.replaces_in_place,
             dispute_weight: if disputes {
-                1.0 / settings.dispute_share
+                1.0 / settings.disputed_fraction
             } else {
                 0.0
             },
--- a/src/decisions/voting.rs
+++ b/src/decisions/voting.rs
@@ -60,9 +60,9 @@
     /// The pacing by a service's settings.
     pub(super) fn new(settings: &ServiceSettings) -> Self {
         let needed = settings
-            .votes_on
-            .max(settings.votes_back)
-            .max(settings.votes_hold);
+            .promote_votes
+            .max(settings.roll_back_votes)
+            .max(settings.hold_votes);
         let voters = VOTERS.max(needed);
         let turn = f64::from(voters) / settings.vote_rate;
         let renew_interval = RENEW_INTERVAL
@@ -199,7 +199,7 @@
             .override_of(status.build)
             .filter(|asked| asked.roll_back || asked.hold && assessment != Assessment::Worse);
         let assessment = with_override(assessment, asked.as_ref());
-        let vote = desired_vote(assessment, self.settings.clock_gated);
+        let vote = desired_vote(assessment, self.settings.timer_gated);
         let vote = vote.unwrap_or(self.voting.desired);
         let vote = if vote == Vote::Hold && asked.is_none() {
             self.limit_hold()
--- a/src/host_group.rs
+++ b/src/host_group.rs
@@ -3,22 +3,22 @@
 use std::sync::Arc;
 
 use crate::arm::Arm;
-use crate::interface::{BuildId, CellId, HostEntry, HostId, KindId, Pool, Revision, ZoneId};
+use crate::interface::{BuildId, CellId, HostEntry, HostId, MachineKindId, Pool, Revision, ZoneId};
 
 /// What a request's conditions go by; hosts of one group differ for it only in their own state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Group {
+pub(crate) struct HostGroup {
     pub(crate) build: BuildId,
-    pub(crate) kind: KindId,
+    pub(crate) kind: MachineKindId,
     pub(crate) zone: ZoneId,
     /// Given only where some operation's idempotency keys are known to one cell.
     pub(crate) cell: Option<CellId>,
 }
 
-impl Group {
+impl HostGroup {
     /// The group of a host; `by_cell` tells whether cells matter to any operation.
     pub(crate) fn of(entry: &HostEntry, by_cell: bool) -> Self {
-        Group {
+        HostGroup {
             build: entry.build,
             kind: entry.kind,
             zone: entry.zone,
@@ -38,7 +38,7 @@
 /// What a request requires of a host.
 pub(crate) struct Requirements {
     /// The groups that may serve it, in ascending order, and the arm of each.
-    pub(crate) arms: Vec<(Group, Arm)>,
+    pub(crate) arms: Vec<(HostGroup, Arm)>,
     /// Hosts that it has been sent to.
     pub(crate) tried: Vec<HostId>,
     pub(crate) pool: Option<Arc<Pool>>,
@@ -48,7 +48,7 @@
 
 impl Requirements {
     /// The arm of a group; none where the group may not serve the request.
-    pub(crate) fn arm(&self, group: &Group) -> Option<Arm> {
+    pub(crate) fn arm(&self, group: &HostGroup) -> Option<Arm> {
         let place = self.arms.binary_search_by(|(of, _)| of.cmp(group)).ok()?;
         Some(self.arms[place].1)
     }
--- a/src/host_index.rs
+++ b/src/host_index.rs
@@ -1,13 +1,13 @@
 //! An index of the hosts in use, so that a request need not look at all of them.
 //!
-//! It is kept up to date by what happens to each host. Hosts that a request cannot tell apart form a [`Group`]; those
+//! It is kept up to date by what happens to each host. Hosts that a request cannot tell apart form a [`HostGroup`]; those
 //! that stand out (warming up, ejected or failing) are listed one by one. What stands out is decided in
 //! [`crate::decisions`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::arm::PerArm;
-use crate::host_group::{Group, HostSum, Requirements};
+use crate::host_group::{HostGroup, HostSum, Requirements};
 use crate::interface::{BuildId, HostId};
 use crate::rendezvous::{RankedHost, RendezvousRankings, WeightedHost};
 
@@ -17,7 +17,7 @@
 /// What the index keeps of one host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct IndexedHost {
-    pub(crate) group: Group,
+    pub(crate) group: HostGroup,
     pub(crate) size: f64,
     /// Its weight among the hosts in use, 1 being an even share.
     pub(crate) weight: f64,
@@ -81,7 +81,7 @@
 #[derive(Default)]
 pub(crate) struct HostIndex {
     hosts: BTreeMap<HostId, IndexedHost>,
-    groups: BTreeMap<Group, Members>,
+    groups: BTreeMap<HostGroup, Members>,
     builds: BTreeMap<BuildId, BuildSums>,
     unsettled: BTreeSet<HostId>,
     rankings: RendezvousRankings,
@@ -99,7 +99,7 @@
     }
 
     /// The groups that have hosts, in ascending order.
-    pub(crate) fn groups(&self) -> impl Iterator<Item = &Group> {
+    pub(crate) fn groups(&self) -> impl Iterator<Item = &HostGroup> {
         self.groups.keys()
     }
 
@@ -187,7 +187,7 @@
     pub(crate) fn highest_two(
         &mut self,
         salt: u64,
-        groups: &[Group],
+        groups: &[HostGroup],
         accepts: impl Fn(HostId) -> bool,
     ) -> Vec<RankedHost> {
         let mut builds: Vec<_> = groups.iter().map(|group| group.build).collect();
@@ -199,8 +199,9 @@
             let ranked = rankings
                 .highest_two(salt, build, members, &accepts)
                 .unwrap_or_else(|| {
-                    let of_request =
-                        |group: &Group| group.build == build && groups.binary_search(group).is_ok();
+                    let of_request = |group: &HostGroup| {
+                        group.build == build && groups.binary_search(group).is_ok()
+                    };
                     let accepted = self.members(of_request).filter(|of| accepts(of.host));
                     crate::rendezvous::highest_two(salt, accepted)
                 });
@@ -212,7 +213,7 @@
         found
     }
 
-    fn members(&self, of: impl Fn(&Group) -> bool) -> impl Iterator<Item = WeightedHost> {
+    fn members(&self, of: impl Fn(&HostGroup) -> bool) -> impl Iterator<Item = WeightedHost> {
         let groups = self.groups.iter().filter(move |(group, _)| of(group));
         let hosts = groups.flat_map(|(_, members)| &members.hosts);
         hosts.map(|(host, weight)| WeightedHost {
--- a/src/host_index/tests.rs
+++ b/src/host_index/tests.rs
@@ -4,18 +4,18 @@
 use super::*;
 use crate::arm::Arm;
 use crate::hashing::hash_mix;
-use crate::interface::{KindId, Revision, ZoneId};
+use crate::interface::{MachineKindId, Revision, ZoneId};
 
-fn group(build: u16, zone: u64) -> Group {
-    Group {
+fn group(build: u16, zone: u64) -> HostGroup {
+    HostGroup {
         build: BuildId(build),
-        kind: KindId(1),
+        kind: MachineKindId(1),
         zone: ZoneId(zone),
         cell: None,
     }
 }
 
-fn indexed(group: Group, settled: bool) -> IndexedHost {
+fn indexed(group: HostGroup, settled: bool) -> IndexedHost {
     IndexedHost {
         group,
         size: 1.0,
--- a/src/interface/effects.rs
+++ b/src/interface/effects.rs
@@ -10,12 +10,12 @@
     pub max_idle: f64,
     /// On none whose last answer came less than this ago: answers carry no id, and a second one that comes late
     /// would be taken for this attempt's own.
-    pub min_rest: f64,
+    pub min_idle: f64,
     /// But where as many of a host's connections rest, the one that has rested for longest is used.
-    pub max_resting: usize,
+    pub max_below_min_idle: usize,
     /// What is not written to its last byte by then is given up, and has never run: it may be too late for a
     /// retry, or the host may be draining by now.
-    pub write_within: f64,
+    pub write_timeout: f64,
 }
 
 /// What a router wants done.
@@ -28,7 +28,7 @@
         /// The host.
         host: HostId,
         /// The time that the host has to answer, in seconds.
-        time_out: f64,
+        timeout: f64,
         /// The connection that it may use.
         connection: ConnectionRequirements,
     },
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: its entries, and pools of hosts.
 
-use super::ids::{BuildId, CellId, HostId, KindId, ZoneId};
+use super::ids::{BuildId, CellId, HostId, MachineKindId, ZoneId};
 
 /// The state of a host in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Its cell.
     pub cell: CellId,
     /// Its kind of machine.
-    pub kind: KindId,
+    pub kind: MachineKindId,
     /// Its capacity, 1 being a standard machine.
     pub size: f64,
     /// When it last started; `None` is long ago.
@@ -47,7 +47,7 @@
     /// The zones of its hosts.
     pub zones: Vec<ZoneId>,
     /// The kinds of its hosts.
-    pub kinds: Vec<KindId>,
+    pub kinds: Vec<MachineKindId>,
     /// Its hosts, where they are named one by one.
     pub hosts: Vec<HostId>,
 }
@@ -60,7 +60,7 @@
     }
 
     /// Whether hosts of this zone and kind may be in the pool.
-    pub fn may_contain(&self, zone: ZoneId, kind: KindId) -> bool {
+    pub fn may_contain(&self, zone: ZoneId, kind: MachineKindId) -> bool {
         let in_zone = self.zones.is_empty() || self.zones.contains(&zone);
         in_zone && (self.kinds.is_empty() || self.kinds.contains(&kind))
     }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -44,7 +44,7 @@
     /// Expected work, rough, in seconds of a standard core.
     pub work: Option<f64>,
     /// Whether the client sends it again after an earlier try.
-    pub again: bool,
+    pub is_retry: bool,
     /// The hosts that may serve it; none: all.
     pub pool: Option<Arc<Pool>>,
 }
@@ -100,13 +100,13 @@
         /// How it ended.
         outcome: AttemptOutcome,
         /// Whether the request has its final answer.
-        over: bool,
+        request_finished: bool,
         /// The time that it took, in seconds.
         took: f64,
         /// What the host reported with its answer.
         load: LoadReport,
         /// How long its connection had been idle, in seconds, where the carrier knows; 0 for a new one.
-        unused: Option<f64>,
+        connection_idle: Option<f64>,
     },
     /// The client has closed its connection.
     ClientDisconnected {
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -18,7 +18,7 @@
     /// Returns the id of the host with this name (FNV-1a, 64 bits).
     ///
     /// It is the same at every router, in every thread and after every start, and needs no registry.
-    pub fn named(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         HostId(fnv1a(name))
     }
 }
@@ -48,8 +48,8 @@
 pub struct ZoneId(pub u64);
 
 impl ZoneId {
-    /// Returns the id of the zone with this name, hashed as by [`HostId::named`].
-    pub fn named(name: &str) -> Self {
+    /// Returns the id of the zone with this name, hashed as by [`HostId::from_name`].
+    pub fn from_name(name: &str) -> Self {
         ZoneId(fnv1a(name))
     }
 }
@@ -60,12 +60,12 @@
 
 /// Identifies a kind of machine by a hash of its name or by a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KindId(pub u64);
+pub struct MachineKindId(pub u64);
 
-impl KindId {
-    /// Returns the id of the kind with this name, hashed as by [`HostId::named`].
-    pub fn named(name: &str) -> Self {
-        KindId(fnv1a(name))
+impl MachineKindId {
+    /// Returns the id of the kind with this name, hashed as by [`HostId::from_name`].
+    pub fn from_name(name: &str) -> Self {
+        MachineKindId(fnv1a(name))
     }
 }
 
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -16,11 +16,11 @@
 pub use endpoints::{HostEntry, HostState, ListScope, LoadReport, Pool};
 pub use events::{AttemptOutcome, Event, Request};
 pub use ids::{
-    AttemptNumber, BuildId, CellId, HostId, KeyId, KindId, OperationId, RequestId, Revision,
+    AttemptNumber, BuildId, CellId, HostId, KeyId, MachineKindId, OperationId, RequestId, Revision,
     RouterId, TimerKey, ZoneId,
 };
 pub use operators::{OperatorOverrides, RolloutOverride};
 pub use rollout::{Phase, RolloutStatus, SignalComparison, SignalEvidence, Vote, VoteEvidence};
 pub use settings::{
-    Gate, Idempotency, IdempotencyScope, OperationSettings, ServiceSettings, Sizes,
+    Idempotency, IdempotencyScope, OperationSettings, PromotionGate, ServiceSettings, SizeSource,
 };
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -35,7 +35,7 @@
     /// The time, in seconds, in which an answer earns its full value.
     pub latency_objective: f64,
     /// The objective grows by this many times the request's own work, never past the time limit.
-    pub latency_objective_stretch: f64,
+    pub latency_objective_work_factor: f64,
     /// The time, in seconds, after which the client stops waiting.
     pub time_limit: f64,
     /// Whether it may be retried.
@@ -50,7 +50,7 @@
 
 /// What moves a build from stage to stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gate {
+pub enum PromotionGate {
     /// A number of votes.
     Any,
     /// A share of the routers' votes.
@@ -61,7 +61,7 @@
 
 /// What the sizes in the endpoint list mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sizes {
+pub enum SizeSource {
     /// They are not given.
     Unspecified,
     /// They are the registered capacity.
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSettings {
     /// This router.
-    pub me: RouterId,
+    pub router_id: RouterId,
     /// How many routers the service has.
     pub routers: u32,
     /// The zone of this router.
@@ -90,21 +90,21 @@
     /// Without a subscription, a router counts as notified of a change after this time, in seconds.
     pub endpoint_poll_interval: f64,
     /// What the sizes in the endpoint list mean.
-    pub sizes: Sizes,
+    pub size_source: SizeSource,
     /// What moves a build from stage to stage.
-    pub gate: Gate,
+    pub promotion_gate: PromotionGate,
     /// The votes that promote a build.
-    pub votes_on: u32,
+    pub promote_votes: u32,
     /// The votes that roll a build back.
-    pub votes_back: u32,
+    pub roll_back_votes: u32,
     /// The votes that hold a build.
-    pub votes_hold: u32,
+    pub hold_votes: u32,
     /// The shortest time of a stage, in seconds.
     pub bake: f64,
     /// How long a vote counts, in seconds.
     pub vote_lifetime: f64,
     /// How long the platform may take to answer a vote, in seconds.
-    pub vote_wait: f64,
+    pub vote_timeout: f64,
     /// Votes a second that the platform accepts from all routers together, twice that in a burst.
     pub vote_rate: f64,
     /// The share of the machines that runs the canary, by stage.
@@ -114,7 +114,7 @@
     /// The window over which exposure is counted, in seconds.
     pub exposure_window: f64,
     /// The attempts that a canary may get beyond its cap in a window.
-    pub exposure_spare: f64,
+    pub exposure_allowance: f64,
     /// Exposure is counted for each operation by itself.
     pub exposure_by_operation: bool,
     /// The number of first stages in which a canary gets idempotent operations alone.
@@ -124,9 +124,9 @@
     /// Hosts work faster for keys they have met lately.
     pub key_affinity: bool,
     /// The baseline's machines drain as soon as their successor runs.
-    pub in_place: bool,
+    pub replaces_in_place: bool,
     /// The fraction of wrong answers that is disputed later.
-    pub dispute_share: f64,
+    pub disputed_fraction: f64,
     /// How long after a host began to drain it may still get requests, in seconds.
     pub drain_grace: f64,
     /// The fraction of its work that a host can do right after its start.
@@ -138,7 +138,7 @@
     /// How long such a load lasts before the host falls over, in seconds.
     pub overload_duration: f64,
     /// Health checks are allowed.
-    pub may_probe: bool,
+    pub may_health_check: bool,
     /// Gossip among routers is allowed.
     pub may_gossip: bool,
     /// Attempts may be cancelled.
