--- a/measure/src/capacity/simulation/settings.rs
+++ b/measure/src/capacity/simulation/settings.rs
@@ -63,7 +63,7 @@
         polls_endpoint_list: true,
         promote_votes: votes,
         roll_back_votes: votes,
-        bake: BAKE,
+        bake_time: BAKE,
         vote_lifetime: BALLOT_LIFE,
         vote_rate: VOTE_RATE * routers as f64,
         stage_shares: SHARES.to_vec(),
--- a/router/src/routing/admission.rs
+++ b/router/src/routing/admission.rs
@@ -172,7 +172,7 @@
                 key,
                 time_left,
                 work: None,
-                again: is_retry,
+                is_retry,
                 pool,
             }));
     }
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -58,7 +58,7 @@
     /// The published view.
     view: Arc<ArcSwap<View>>,
     /// The number of the revision that the event loop has applied.
-    in_force: Arc<AtomicU64>,
+    applied_revision: Arc<AtomicU64>,
 }
 
 /// The management threads' end of the link.
@@ -69,7 +69,7 @@
     /// The view that the event loop published last.
     pub view: Arc<ArcSwap<View>>,
     /// The number of the revision that the event loop has applied.
-    pub in_force: Arc<AtomicU64>,
+    pub applied_revision: Arc<AtomicU64>,
 }
 
 impl ManagementInbox {
@@ -82,21 +82,21 @@
         reactor: &mut Reactor,
         capacity: usize,
     ) -> std::io::Result<(Self, EventLoopHandle)> {
-        let (received, post) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
+        let (received, messages) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
         let view = Arc::new(ArcSwap::from_pointee(View::default()));
-        let in_force = Arc::new(AtomicU64::new(0));
-        let loop_handle = EventLoopHandle {
-            post,
+        let applied_revision = Arc::new(AtomicU64::new(0));
+        let event_loop = EventLoopHandle {
+            messages,
             view: view.clone(),
-            in_force: in_force.clone(),
+            applied_revision: applied_revision.clone(),
         };
         Ok((
             ManagementInbox {
                 received,
                 view,
-                in_force,
+                applied_revision,
             },
-            loop_handle,
+            event_loop,
         ))
     }
 }
@@ -240,7 +240,7 @@
             return;
         };
         management.revision = revision;
-        management.inbox.in_force.store(revision.0, Relaxed);
+        management.inbox.applied_revision.store(revision.0, Relaxed);
         management.revisions_applied += 1;
         let pause = std::mem::take(&mut management.longest_staging_pause).max(now - began_at);
         management.longest_pause = management.longest_pause.max(pause);
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -63,10 +63,12 @@
 /// What the caller does after an iteration of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    Next,
+    /// Run the next iteration.
+    Continue,
     /// SIGHUP was received: read the configuration again, then run the next iteration.
-    Reread,
-    Over,
+    ReloadConfiguration,
+    /// The graceful shutdown has finished: end the program.
+    Stop,
 }
 
 /// Why the router becomes ready to serve.
