--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -280,8 +280,14 @@
             request: in_flight.request.clone(),
             attempt: in_flight.attempt,
         };
-        let took_and_idle_time = (took, upstream.idle_time);
-        self.finish_attempt(attempt, upstream.host, outcome, took_and_idle_time, load);
+        let took_and_connection_idle = (took, upstream.idle_time);
+        self.finish_attempt(
+            attempt,
+            upstream.host,
+            outcome,
+            took_and_connection_idle,
+            load,
+        );
         Ok(Some(length))
     }
 
@@ -464,20 +470,20 @@
         }
     }
 
-    /// Reports the outcome of an attempt to the decisions. `took_and_idle_time` holds, in seconds, how long the attempt
-    /// took and how long its connection had been idle before.
+    /// Reports the outcome of an attempt to the decisions. `took_and_connection_idle` holds, in seconds, how long the
+    /// attempt took and how long its connection had been idle before.
     fn finish_attempt(
         &mut self,
         in_flight: AttemptInFlight,
         host: HostId,
         outcome: AttemptOutcome,
-        took_and_idle_time: (f64, f64),
+        took_and_connection_idle: (f64, f64),
         load: LoadReport,
     ) {
         self.event_loop.metrics.count_attempt(outcome);
         let AttemptInFlight { request, attempt } = in_flight;
         let request_finished = !self.requests.owes_response(&request);
-        let (took, connection_idle) = (took_and_idle_time.0, Some(took_and_idle_time.1));
+        let (took, connection_idle) = (took_and_connection_idle.0, Some(took_and_idle_time.1));
         self.event_loop.notify_decisions(Event::AttemptFinished {
             request,
             attempt,
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -224,9 +224,9 @@
         }
     }
 
-    /// Closes the longest unused of the idle connections with exactly one command, where there are `limits.clients.idle_connections`
-    /// or more. Some clients send one command and never close the connection; together they could hold all the
-    /// connections that their side can open, and then send no more requests.
+    /// Closes the longest unused of the idle connections with exactly one command, where there are
+    /// `limits.clients.idle_connections` of them or more. Some clients send one command and never close the connection;
+    /// together they could hold all the connections that their side can open, and then send no more requests.
     fn close_idle_client_over_limit(&mut self, now: f64) {
         let idle_since = now - self.event_loop.limits.clients.idle_timeout;
         let is_idle_after_one_command = |client: &Client| {
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -27,8 +27,9 @@
         self.carry_out_all(effects);
     }
 
-    /// Lets the decisions start their timed work before the first event.
-    pub(super) fn begin_decisions(&mut self) {
+    /// Starts the timers of the decisions without waiting for the first event: those of gossip rounds and, where the
+    /// endpoint list is polled, of polls.
+    pub(super) fn start_decision_timers(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         self.decisions.begin(self.event_loop.now(), &mut effects);
         self.carry_out_all(effects);
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -217,7 +217,7 @@
         if self.discovery.is_disabled() {
             self.mark_ready(ReadyReason::OperatorsOnly);
         }
-        self.begin_decisions();
+        self.start_decision_timers();
         self.process_pending();
     }
 
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -131,10 +131,10 @@
         let max_idle = requirements
             .max_idle
             .min(event_loop.limits.upstream.idle_timeout);
-        let rested_since = now - requirements.min_idle;
+        let idle_before = now - requirements.min_idle;
         while let Some((id, idle_since)) =
             self.idle
-                .take_reusable(host, rested_since, requirements.max_below_min_idle)
+                .take_reusable(host, idle_before, requirements.max_below_min_idle)
         {
             // The host may be closing a connection that has been idle for so long. A command written to it is then
             // reset, and may not be retried.
