--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -31,7 +31,8 @@
     /// endpoint list is polled, of polls.
     pub(super) fn start_decision_timers(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
-        self.decisions.begin(self.event_loop.now(), &mut effects);
+        self.decisions
+            .start_timers(self.event_loop.now(), &mut effects);
         self.carry_out_all(effects);
     }
 
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -117,7 +117,7 @@
 
     /// Begins what goes by time: gossip rounds and, where it has to be polled, the endpoint list. The first event begins
     /// them where this was not called; a router that knows nothing yet may wait for that event for long.
-    pub fn begin(&mut self, now: f64, effects: &mut Vec<Effect>) {
+    pub fn start_timers(&mut self, now: f64, effects: &mut Vec<Effect>) {
         if self.timers.is_unused() {
             self.schedule_first_gossip(now, effects);
             self.poll_first_list(now, effects);
@@ -126,7 +126,7 @@
 
     /// Takes in an event, and adds what it wants done to the effects; `now` is in seconds and never runs back.
     pub fn handle(&mut self, now: f64, event: Event, effects: &mut Vec<Effect>) {
-        self.begin(now, effects);
+        self.start_timers(now, effects);
         match event {
             Event::EndpointList { scope, entries } => {
                 self.apply_endpoint_list(now, scope, &entries);
