--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -483,7 +483,8 @@
         self.event_loop.metrics.count_attempt(outcome);
         let AttemptInFlight { request, attempt } = in_flight;
         let request_finished = !self.requests.owes_response(&request);
-        let (took, connection_idle) = (took_and_connection_idle.0, Some(took_and_idle_time.1));
+        let (took, connection_idle) =
+            (took_and_connection_idle.0, Some(took_and_connection_idle.1));
         self.event_loop.notify_decisions(Event::AttemptFinished {
             request,
             attempt,
