--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -247,13 +247,13 @@
 
     /// Closes an unused connection, unless reading it first shows that it is in use again; then returns false.
     fn close_if_unused(&mut self, id: SocketId) -> bool {
-        let usage = |c: &Client| {
+        let usage = |client: &Client| {
             (
-                c.eviction_rank(),
-                c.last_used,
-                c.commands_received,
-                c.unread_since,
-                c.is_idle(),
+                client.eviction_rank(),
+                client.last_used,
+                client.commands_received,
+                client.unread_since,
+                client.is_idle(),
             )
         };
         let before = self.clients.get(&id).map(usage);
@@ -572,8 +572,9 @@
             self.event_loop.limits.clients.unread_response_bytes,
             self.event_loop.limits.clients.write_timeout,
         );
-        let not_reading = self.clients.iter().filter(|(_, c)| {
-            c.unread_since
+        let not_reading = self.clients.iter().filter(|(_, client)| {
+            client
+                .unread_since
                 .is_some_and(|since| now - since > write_timeout)
         });
         let mut to_close: Vec<_> = not_reading.map(|(id, _)| *id).collect();
--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -14,7 +14,7 @@
 use crate::transport::{ReadStatus, SocketId, Stream};
 
 const MILLIS_PER_SECOND: f64 = 1e3;
-const STATUS_OK: u16 = 200;
+const HTTP_STATUS_OK: u16 = 200;
 
 /// What a call requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -137,6 +137,7 @@
         self.address
     }
 
+    /// The connections of all calls.
     pub(super) fn connections(&self) -> Vec<SocketId> {
         self.calls.keys().copied().collect()
     }
@@ -551,7 +552,7 @@
             }
             return Ok(None);
         };
-        if response.status != STATUS_OK {
+        if response.status != HTTP_STATUS_OK {
             return Err(Malformed::new(format!("HTTP status {}", response.status)));
         }
         Ok(Some((response, bytes)))
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -42,6 +42,7 @@
         self.effects = effects;
     }
 
+    /// Carries out one effect.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::StartAttempt {
--- a/router/src/routing/event_loop.rs
+++ b/router/src/routing/event_loop.rs
@@ -18,9 +18,9 @@
 
 /// The part of the router that handles a socket, in the order in which ready sockets are handled.
 ///
-/// Discovery, platform and management come first: after a stall of the process, deciding by an old endpoint list or
-/// rollout would send requests to draining hosts and exceed the canary's cap. Hosts come before clients, so that
-/// responses that have arrived are not lost to timeouts. Timers run after all sockets.
+/// Discovery, platform and management come first: after a stall of the process, decisions by an old endpoint list,
+/// rollout or revision would send requests to draining hosts or exceed the canary's cap. Hosts come before clients, so
+/// that responses that have arrived are not lost to timeouts. Timers run after all sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SocketOwner {
     Discovery,
@@ -234,6 +234,7 @@
         self.decision_events.push_back(event);
     }
 
+    /// Removes and returns the next event for the decisions.
     pub(super) fn next_decision_event(&mut self) -> Option<Event> {
         self.decision_events.pop_front()
     }
--- a/router/src/routing/metrics.rs
+++ b/router/src/routing/metrics.rs
@@ -6,7 +6,7 @@
 use kestreltide_datastore::view::RequestCounts;
 
 /// Seconds over which warnings are counted for their rate limit.
-const WARNING_WINDOW: f64 = 1.0;
+const WARNING_WINDOW_SECONDS: f64 = 1.0;
 
 /// What is counted, in the order of the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -104,7 +104,7 @@
 
     /// Whether one more warning may be logged in this window; a suppressed one is counted.
     pub(super) fn may_warn(&mut self, now: f64, warnings_per_second: u64) -> bool {
-        if now - self.warning_window_start >= WARNING_WINDOW {
+        if now - self.warning_window_start >= WARNING_WINDOW_SECONDS {
             self.warning_window_start = now;
             self.warnings_in_window = 0;
         }
@@ -132,6 +132,7 @@
         Some(line)
     }
 
+    /// The counters, then after `ends:` the outcomes of attempts that occurred.
     fn format_line(&self) -> String {
         let mut line = String::new();
         for (counter, name) in COUNTERS {
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -152,7 +152,11 @@
             SocketOwner::Listener.priority(),
         )?;
         let listen_address = listener.address()?;
-        let idempotency = service.operations.iter().map(|o| o.idempotency).collect();
+        let idempotency = service
+            .operations
+            .iter()
+            .map(|operation| operation.idempotency)
+            .collect();
         let discovery =
             DiscoveryWatch::new(addresses.discovery, service.polls_endpoint_list, &limits);
         let platform = addresses
@@ -292,6 +296,7 @@
         }
     }
 
+    /// Handles a timer that is due.
     fn on_timer(&mut self, event: TimerEvent) {
         match event {
             TimerEvent::Decisions(key) => self
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -261,6 +261,7 @@
         self.on_lost(event_loop, "a line does not end");
     }
 
+    /// Handles one message of the platform.
     fn on_message(&mut self, event_loop: &mut EventLoop, message: PlatformMessage) {
         match message {
             PlatformMessage::Rollout(state) => {
@@ -295,6 +296,7 @@
         }
     }
 
+    /// Handles the platform's result of the vote with this call number.
     fn on_vote_result(
         &mut self,
         event_loop: &mut EventLoop,
@@ -314,6 +316,7 @@
         }
     }
 
+    /// Handles an error of a call: a vote that does not count, or else the rejected subscription to the rollout.
     fn on_vote_error(&mut self, event_loop: &mut EventLoop, call: u64, outcome: AttemptOutcome) {
         let Some(vote) = self.votes.remove(&call) else {
             return warn!(event_loop.log, "platform subscription rejected"; "verdict" => ?outcome);
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -25,6 +25,7 @@
         self.connections.len()
     }
 
+    /// The number of idle connections.
     pub(super) fn idle_count(&self) -> usize {
         self.idle.count()
     }
