--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -343,8 +343,8 @@
             }
         };
         call.stream.consume(end.bytes);
-        let can_ask = end.stays_open && !call.is_closed;
-        if !can_ask || call.query == Query::SingleFull || !self.is_watch_wanted {
+        let can_send_next = end.stays_open && !call.is_closed;
+        if !can_send_next || call.query == Query::SingleFull || !self.is_watch_wanted {
             call.stream.close(&event_loop.reactor);
             return self.begin_watch(event_loop);
         }
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -333,7 +333,7 @@
             TimerEvent::ServingOver => self.advance_shutdown(ShutdownInput::ServingOver),
             TimerEvent::DrainingOver => self.advance_shutdown(ShutdownInput::DrainingOver),
             TimerEvent::DrainAgain => self.on_drain_timer(),
-            TimerEvent::LastClientsOver(round) => self.on_last_clients_over(round),
+            TimerEvent::LastClientsOver(number) => self.on_last_clients_over(number),
             TimerEvent::KillNear => self.advance_shutdown(ShutdownInput::KillNear),
             TimerEvent::ShutdownDeadline => self.advance_shutdown(ShutdownInput::Deadline),
             TimerEvent::PublishView => self.publish_view(),
