--- a/datastore/src/access.rs
+++ b/datastore/src/access.rs
@@ -119,7 +119,7 @@
 
 /// By what the holder of a key is recognized.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Proof {
+pub enum Credential {
     /// A public key as OpenSSH writes it: its type and its text, without a comment.
     Ssh(String),
     /// The SHA-256 of a client's certificate.
@@ -132,7 +132,7 @@
     /// The name of its holder.
     pub name: String,
     /// By what its holder is recognized.
-    pub proof: Proof,
+    pub credential: Credential,
     /// What its holder may do.
     pub rights: Rights,
 }
@@ -147,14 +147,14 @@
 }
 
 impl Keys {
-    /// The key with this proof.
-    pub fn find(&self, proof: &Proof) -> Option<&Key> {
-        self.keys.iter().find(|key| key.proof == *proof)
+    /// The key with this credential.
+    pub fn find(&self, credential: &Credential) -> Option<&Key> {
+        self.keys.iter().find(|key| key.credential == *credential)
     }
 
     /// What a session may do now that was opened with this key; `None` where the key is no longer there.
-    pub fn rights(&self, name: &str, proof: &Proof) -> Option<Rights> {
-        self.find(proof)
+    pub fn rights(&self, name: &str, credential: &Credential) -> Option<Rights> {
+        self.find(credential)
             .filter(|key| key.name == name)
             .map(|key| key.rights)
     }
--- a/datastore/src/check/context.rs
+++ b/datastore/src/check/context.rs
@@ -8,7 +8,7 @@
 use super::drains::DrainedHosts;
 use crate::facts::Facts;
 use crate::host_record::HostRecord;
-use crate::merge::{FirstListed, merge_all};
+use crate::merge::{FirstListed, merge_hosts};
 use crate::settings::RuleSettings;
 use crate::tree::{Difference, Tree};
 
@@ -27,7 +27,7 @@
     pub(crate) fn new(tree: &'a Tree, first_listed: &FirstListed, facts: &Facts) -> Self {
         HostsOfTree {
             tree,
-            hosts: merge_all(tree, first_listed, facts.discovery.as_deref()),
+            hosts: merge_hosts(tree, first_listed, facts.discovery.as_deref()),
         }
     }
 
--- a/datastore/src/commit_coordinator.rs
+++ b/datastore/src/commit_coordinator.rs
@@ -22,7 +22,7 @@
 const NOT_CONFIRMED: &str = "not confirmed";
 
 /// Who asks: a session, or none, as watched files have none.
-pub type CommitOwner = Option<SessionId>;
+pub type RequestingSession = Option<SessionId>;
 
 /// A commit that is rolled back unless it is confirmed in time.
 #[derive(Clone, Debug, PartialEq)]
@@ -109,7 +109,7 @@
     }
 
     /// The session that holds a lock.
-    pub fn lock_holder(&self, target: Target) -> CommitOwner {
+    pub fn lock_holder(&self, target: Target) -> Option<SessionId> {
         self.locks.holder(target)
     }
 
@@ -152,7 +152,7 @@
     /// valid.
     pub fn commit(
         &mut self,
-        asker: CommitOwner,
+        asker: RequestingSession,
         candidate: &Candidate,
         author: Author,
         confirm: Option<ConfirmedCommit>,
@@ -187,7 +187,7 @@
         Ok(outcome)
     }
 
-    fn may_confirm(&self, asker: CommitOwner, persist_id: Option<&str>) -> bool {
+    fn may_confirm(&self, asker: RequestingSession, persist_id: Option<&str>) -> bool {
         let Some(pending) = &self.pending else {
             return false;
         };
@@ -205,7 +205,7 @@
     /// None waits that may be confirmed by who asks.
     pub fn confirm(
         &mut self,
-        asker: CommitOwner,
+        asker: RequestingSession,
         persist_id: Option<&str>,
     ) -> Result<(), CommitError> {
         if !self.may_confirm(asker, persist_id) {
@@ -222,7 +222,7 @@
     /// None waits that may be cancelled by who asks, or the tree of before is not valid any more.
     pub fn cancel(
         &mut self,
-        asker: CommitOwner,
+        asker: RequestingSession,
         persist_id: Option<&str>,
         facts: &Facts,
     ) -> Result<CommitOutcome, CommitError> {
--- a/datastore/src/lib.rs
+++ b/datastore/src/lib.rs
@@ -36,7 +36,7 @@
 pub mod validation;
 pub mod view;
 
-pub use access::{Key, Keys, Proof, Rights, RightsError};
+pub use access::{Credential, Key, Keys, Rights, RightsError};
 pub use candidate::{Candidate, InForce};
 pub use check::{DrainedHosts, exceeded_maximums};
 pub use facts::Facts;
--- a/datastore/src/merge.rs
+++ b/datastore/src/merge.rs
@@ -55,7 +55,7 @@
     match state {
         HostState::Running => 0,
         HostState::Stopping => 1,
-        HostState::Gone => 2,
+        HostState::Removed => 2,
     }
 }
 
@@ -94,7 +94,7 @@
 ///
 /// `first_listed` is when operators listed it first (Unix seconds), where no start is known: that it has just started
 /// is the careful guess.
-pub fn merge(
+pub fn merge_host(
     name: &HostName,
     discovery: Option<&HostRecord>,
     config: Option<&HostConfig>,
@@ -152,7 +152,7 @@
 }
 
 /// All hosts as they count under a tree, by name.
-pub fn merge_all(
+pub fn merge_hosts(
     tree: &Tree,
     first_listed: &FirstListed,
     discovery: Option<&[HostRecord]>,
@@ -167,7 +167,7 @@
         if hosts.contains_key(name.as_str()) {
             continue;
         }
-        if let Some(host) = merge(name, None, Some(config), first_listed.get(name).copied()) {
+        if let Some(host) = merge_host(name, None, Some(config), first_listed.get(name).copied()) {
             hosts.insert(name.shared(), host);
         }
     }
@@ -182,7 +182,7 @@
         Some((name, config))
     });
     match configured {
-        Some((name, config)) => merge(&name, Some(listed), Some(config), None),
+        Some((name, config)) => merge_host(&name, Some(listed), Some(config), None),
         None => Some(listed.clone()),
     }
 }
--- a/datastore/src/route_table.rs
+++ b/datastore/src/route_table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use kestreltide::interface::{HostId, MachineKindId, Pool, ZoneId};
+use kestreltide::interface::{HostId, HostPool, MachineKindId, ZoneId};
 use kestreltide_routes::{Route, RouteMatch};
 
 use crate::tree::{RouteConfig, RouteName, Tree};
@@ -29,8 +29,8 @@
     }
 }
 
-fn build_pool(config: &RouteConfig) -> Pool {
-    Pool {
+fn build_pool(config: &RouteConfig) -> HostPool {
+    HostPool {
         zones: names_of(&config.zones).map(ZoneId::from_name).collect(),
         kinds: names_of(&config.kinds)
             .map(MachineKindId::from_name)
--- a/datastore/src/snapshot.rs
+++ b/datastore/src/snapshot.rs
@@ -10,7 +10,7 @@
 use kestreltide_routes::Routes;
 
 use crate::host_record::HostRecord;
-use crate::merge::{FirstListed, merge};
+use crate::merge::{FirstListed, merge_host};
 use crate::route_table::build_routes;
 use crate::tree::{Difference, HostConfig, HostName, Path, Tree};
 
@@ -33,7 +33,7 @@
 
 impl ConfiguredHost {
     fn new(name: &HostName, config: &HostConfig, first_listed: Option<f64>) -> Self {
-        let standalone = merge(name, None, Some(config), first_listed);
+        let standalone = merge_host(name, None, Some(config), first_listed);
         let entry = standalone.as_ref().map(HostRecord::entry);
         ConfiguredHost {
             host: HostId::from_name(name.as_str()),
@@ -54,11 +54,11 @@
     /// In ascending order of ids.
     pub hosts: Box<[ConfiguredHost]>,
     /// The hosts that are set otherwise than in the revision before, in ascending order of ids.
-    pub changed: Box<[HostId]>,
+    pub changed_hosts: Box<[HostId]>,
     /// Those hosts for the decisions, as they count where discovery does not list them.
-    pub entries: Arc<[HostEntry]>,
+    pub changed_entries: Arc<[HostEntry]>,
     /// The revision before.
-    pub changed_since: Revision,
+    pub previous_revision: Revision,
     /// The routes.
     pub routes: Arc<Routes>,
     /// When it was committed, in Unix seconds.
@@ -84,15 +84,15 @@
         let mut snapshot = Snapshot {
             overrides: Arc::new(overrides),
             hosts,
-            changed: changed_hosts(differences),
-            entries: Arc::default(),
-            changed_since: previous.revision(),
+            changed_hosts: changed_hosts(differences),
+            changed_entries: Arc::default(),
+            previous_revision: previous.revision(),
             routes: Arc::new(Routes::new(build_routes(tree))),
             committed_at,
         };
         let not_listed = |_: HostId| None;
-        snapshot.entries = snapshot
-            .host_changes(previous, &snapshot.changed, not_listed, not_listed)
+        snapshot.changed_entries = snapshot
+            .host_changes(previous, &snapshot.changed_hosts, not_listed, not_listed)
             .into();
         snapshot
     }
@@ -143,7 +143,7 @@
     // A replaced process is gone first: another machine under the same id begins anew.
     let replaced = before.filter(|before| after.is_none_or(|after| before.is_replaced_by(after)));
     let gone = replaced.map(|before| HostEntry {
-        state: HostState::Gone,
+        state: HostState::Removed,
         ..before.entry()
     });
     // A weight is no part of an entry, so that most revisions change none.
--- a/datastore/src/store.rs
+++ b/datastore/src/store.rs
@@ -14,7 +14,7 @@
 use crate::check::{Context, DrainedHosts, HostsOfTree, check};
 use crate::facts::Facts;
 use crate::history::{History, HistoryLimits};
-use crate::merge::{FirstListed, merge_all};
+use crate::merge::{FirstListed, merge_hosts};
 use crate::revision::{Author, RejectedCommit, RevisionRecord, Source};
 use crate::settings::RuleSettings;
 use crate::snapshot::Snapshot;
@@ -370,7 +370,7 @@
         if !tree.hosts.values().any(is_draining) {
             return;
         }
-        let hosts = merge_all(tree, first_listed, facts.discovery.as_deref());
+        let hosts = merge_hosts(tree, first_listed, facts.discovery.as_deref());
         for (name, _) in tree.hosts.iter().filter(|(_, config)| is_draining(config)) {
             let started = hosts.get(name.as_str()).and_then(|host| host.started);
             self.history.record_drained(name, started, facts.now);
--- a/datastore/src/view.rs
+++ b/datastore/src/view.rs
@@ -25,7 +25,7 @@
 
 /// The state of a router at one time.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct OperationalState {
     /// Unix seconds.
     pub at: f64,
     /// The endpoint list of discovery, with hosts that are gone; `None` where no discovery is configured.
@@ -50,7 +50,7 @@
     pub counts: RequestCounts,
 }
 
-impl View {
+impl OperationalState {
     /// The facts that a check at `now` (Unix seconds) goes by.
     pub fn facts(&self, now: f64) -> Facts {
         Facts {
--- a/file-watch/src/ini.rs
+++ b/file-watch/src/ini.rs
@@ -33,7 +33,7 @@
 /// # Errors
 ///
 /// The first line that is no INI.
-pub fn sections(place: &str, text: &str) -> Result<Vec<Section>, ValidationError> {
+pub fn parse_sections(place: &str, text: &str) -> Result<Vec<Section>, ValidationError> {
     if let Some(at) = text.find('\0') {
         let line = text[..at].matches('\n').count() + 1;
         return Err(ValidationError::new(
@@ -140,7 +140,7 @@
 }
 
 /// The error of a name that is not known, with the one that may have been meant; `kind` is what it names.
-pub fn unknown_name<'a>(
+pub fn unknown_name_error<'a>(
     path: &str,
     kind: &str,
     name: &str,
@@ -164,7 +164,12 @@
             printable(&key.name)
         );
         if !known.contains(&key.name.as_str()) {
-            errors.push(unknown_name(&path, "key", &key.name, known.iter().copied()));
+            errors.push(unknown_name_error(
+                &path,
+                "key",
+                &key.name,
+                known.iter().copied(),
+            ));
         } else if section.keys[..number]
             .iter()
             .any(|before| before.name == key.name)
--- a/file-watch/src/lib.rs
+++ b/file-watch/src/lib.rs
@@ -26,5 +26,6 @@
 pub use parse::{FileKind, Parsed, Version, parse_keys, parse_version};
 pub use read_file::{Content, ReadError};
 pub use watch::{
-    WakeChannel, WatchEvent, WatchSettings, parse_files, poll_files, run, wake_channel,
+    WakeChannel, WatchEvent, WatchSettings, parse_files, read_and_parse_files, wake_channel,
+    watch_files,
 };
--- a/file-watch/src/parse/configuration.rs
+++ b/file-watch/src/parse/configuration.rs
@@ -5,7 +5,7 @@
 
 use super::file::{END_SECTION, FileErrors, FileKind};
 use super::frame::{Generation, parse_framed};
-use crate::ini::{self, Section, unknown_name};
+use crate::ini::{self, Section, unknown_name_error};
 
 /// Reads one file into the tree.
 ///
@@ -42,7 +42,7 @@
                 tree.set_host(place, &host, leaf, &key.value);
             });
         } else {
-            errors.push(unknown_name(
+            errors.push(unknown_name_error(
                 &place,
                 "section",
                 &section.name,
@@ -66,7 +66,7 @@
             None => {
                 let known: Vec<_> = Leaf::all_of(container).map(Leaf::name).collect();
                 let path = format!("{place}: [{}] {}", section.name, printable(&key.name));
-                errors.push(unknown_name(&path, "key", &key.name, known));
+                errors.push(unknown_name_error(&path, "key", &key.name, known));
             }
         }
     }
@@ -80,7 +80,7 @@
             "weights" => Leaf::Weight,
             "states" => Leaf::State,
             other => {
-                errors.push(unknown_name(
+                errors.push(unknown_name_error(
                     &errors.line(section.line),
                     "section",
                     other,
--- a/file-watch/src/parse/frame.rs
+++ b/file-watch/src/parse/frame.rs
@@ -25,7 +25,7 @@
 ) -> Result<Generation, ValidationError> {
     check_last_line(errors.place, text)?;
     // What is cut may be no INI any more; what is complete has its end.
-    let sections = ini::sections(errors.place, text)?;
+    let sections = ini::parse_sections(errors.place, text)?;
     let (head, rest) = match sections.split_first() {
         Some((head, rest)) if head.name.is_empty() => (head, rest),
         _ => {
--- a/file-watch/src/parse/keys.rs
+++ b/file-watch/src/parse/keys.rs
@@ -1,11 +1,11 @@
 //! The file of keys.
 
 use kestreltide_datastore::tree_builder::printable;
-use kestreltide_datastore::{Key, Keys, Proof, Rights, ValidationError, ValidationErrors};
+use kestreltide_datastore::{Credential, Key, Keys, Rights, ValidationError, ValidationErrors};
 
 use super::file::{END_SECTION, FileErrors, FileKind, Parsed, TextError, text_of};
 use super::frame::{Generation, parse_framed};
-use crate::ini::{self, Section, unknown_name};
+use crate::ini::{self, Section, unknown_name_error};
 use crate::read_file::Content;
 
 /// Characters that the text of a public key has more of.
@@ -47,7 +47,7 @@
         let name = section.name.strip_prefix("key ").map(str::trim);
         match name.filter(|name| !name.is_empty()) {
             Some(name) => parse_key(section, name, keys, errors),
-            None => errors.push(unknown_name(
+            None => errors.push(unknown_name_error(
                 &errors.line(section.line),
                 "section",
                 &section.name,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads one section, which gives a key for each proof in it.
+/// Reads one section, which gives a key for each credential in it.
 fn parse_key(section: &Section, name: &str, keys: &mut Vec<Key>, errors: &mut FileErrors) {
     let place = errors.line(section.line);
     ini::check_keys(
@@ -69,8 +69,8 @@
     let Some(rights) = parse_rights(section, name, errors) else {
         return;
     };
-    let proofs = parse_proofs(section, name, errors);
-    if proofs.is_empty() && errors.errors.is_empty() {
+    let credentials = parse_credentials(section, name, errors);
+    if credentials.is_empty() && errors.errors.is_empty() {
         errors.push(ValidationError::new(
             format!("{place}: [key {name}]"),
             "has neither of both",
@@ -78,8 +78,8 @@
             "ssh or certificate",
         ));
     }
-    for proof in proofs {
-        if let Some(other) = keys.iter().find(|key| key.proof == proof) {
+    for credential in credentials {
+        if let Some(other) = keys.iter().find(|key| key.credential == credential) {
             errors.push(ValidationError::new(
                 &place,
                 format!("is the key of {} too", other.name),
@@ -89,7 +89,7 @@
         }
         keys.push(Key {
             name: name.into(),
-            proof,
+            credential,
             rights,
         });
     }
@@ -125,11 +125,11 @@
 }
 
 /// By what the holder of a key is recognized: a public key of SSH, the hash of a certificate, or both.
-fn parse_proofs(section: &Section, name: &str, errors: &mut FileErrors) -> Vec<Proof> {
-    let mut proofs = vec![];
+fn parse_credentials(section: &Section, name: &str, errors: &mut FileErrors) -> Vec<Credential> {
+    let mut credentials = vec![];
     if let Some(key) = key_named(section, "ssh") {
         match parse_public_key(&key.value) {
-            Some(public_key) => proofs.push(Proof::Ssh(public_key)),
+            Some(public_key) => credentials.push(Credential::Ssh(public_key)),
             None => errors.push(ValidationError::new(
                 format!("{}: [key {name}] ssh", errors.line(key.line)),
                 "is no public key",
@@ -140,7 +140,7 @@
     }
     if let Some(key) = key_named(section, "certificate") {
         match parse_hash(&key.value) {
-            Some(hash) => proofs.push(Proof::Certificate(hash)),
+            Some(hash) => credentials.push(Credential::Certificate(hash)),
             None => errors.push(ValidationError::new(
                 format!("{}: [key {name}] certificate", errors.line(key.line)),
                 "is no SHA-256",
@@ -149,7 +149,7 @@
             )),
         }
     }
-    proofs
+    credentials
 }
 
 /// The type and the text of a public key, without its comment.
--- a/file-watch/src/read_file.rs
+++ b/file-watch/src/read_file.rs
@@ -88,7 +88,7 @@
 /// # Errors
 ///
 /// There is no such file, it is too large, or it cannot be read.
-pub fn read(path: &Path, maximum: usize) -> Content {
+pub fn read_bounded(path: &Path, maximum: usize) -> Content {
     // Checked before it is opened, as opening a pipe can wait for ever or wake who writes to it.
     check_readable(&fs::metadata(path)?, maximum)?;
     let file: File = OpenOptions::new()
--- a/file-watch/src/watch.rs
+++ b/file-watch/src/watch.rs
@@ -9,7 +9,7 @@
 use crate::debounce::{DebounceAction, DebounceSettings, Debouncer};
 use crate::notifier::FileNotifier;
 use crate::parse::{FileKind, Parsed, Version, parse_version};
-use crate::read_file::{Content, FileStamp, digest, read};
+use crate::read_file::{Content, FileStamp, digest, read_bounded};
 
 /// Which files are watched, and how.
 #[derive(Clone, Debug, PartialEq)]
@@ -53,7 +53,7 @@
 }
 
 /// Reads everything now, as a start needs it; returns what it gives and its digest.
-pub fn poll_files<V>(
+pub fn read_and_parse_files<V>(
     settings: &WatchSettings,
     parse: impl Fn(&[Content]) -> Parsed<V>,
 ) -> (Parsed<V>, u64) {
@@ -65,7 +65,7 @@
     settings
         .files
         .iter()
-        .map(|path| read(path, settings.max_file_size))
+        .map(|path| read_bounded(path, settings.max_file_size))
         .collect()
 }
 
@@ -88,7 +88,7 @@
 ///
 /// `known_digest` is the digest of what is in force already; `heartbeat` is called at every look; `parse` is given the
 /// contents of all files.
-pub fn run<V>(
+pub fn watch_files<V>(
     settings: &WatchSettings,
     known_digest: Option<u64>,
     wake: &WakeChannel,
--- a/management/src/commit_service.rs
+++ b/management/src/commit_service.rs
@@ -6,9 +6,9 @@
 
 use arc_swap::ArcSwap;
 use kestreltide_datastore::commit_coordinator::{
-    CommitError, CommitOwner, ConfirmedCommit, CoordinatorStatus, SessionId, Target,
+    CommitError, ConfirmedCommit, CoordinatorStatus, RequestingSession, SessionId, Target,
 };
-use kestreltide_datastore::view::View;
+use kestreltide_datastore::operational_state::OperationalState;
 use kestreltide_datastore::{
     Author, Candidate, Keys, RevisionRecord, ValidationError, ValidationErrors,
 };
@@ -58,7 +58,7 @@
     /// Confirms the pending commit.
     Confirm {
         /// The session that confirms; none for a client without one.
-        requester: CommitOwner,
+        requester: RequestingSession,
         /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
         /// Receives an error if no commit is pending or another session owns it.
@@ -67,7 +67,7 @@
     /// Rolls back the pending commit.
     Cancel {
         /// The session that cancels; none for a client without one.
-        requester: CommitOwner,
+        requester: RequestingSession,
         /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
         /// Receives an error if no commit is pending or another session owns it.
@@ -86,7 +86,7 @@
 #[derive(Debug)]
 pub struct CommitRequest {
     /// The session that commits; none for a client without one.
-    pub requester: CommitOwner,
+    pub requester: RequestingSession,
     /// The candidate to commit.
     pub candidate: Candidate,
     /// The author of the revision.
@@ -116,7 +116,7 @@
     /// The revision in force, its history and the pending commit.
     pub published: Arc<ArcSwap<CoordinatorStatus>>,
     /// The latest view of the state of the router.
-    pub view: Arc<ArcSwap<View>>,
+    pub view: Arc<ArcSwap<OperationalState>>,
     /// The revision that the event loop has applied.
     pub in_force: Arc<AtomicU64>,
     /// Commits and rejections, for all subscribers.
@@ -213,7 +213,7 @@
     /// When no commit is pending, another session owns it, or the commit service does not reply.
     pub async fn confirm(
         &self,
-        requester: CommitOwner,
+        requester: RequestingSession,
         persist_id: Option<String>,
     ) -> Result<(), CommitError> {
         self.request(|reply| CommitServiceRequest::Confirm {
@@ -232,7 +232,7 @@
     /// As [`CommitServiceHandle::confirm`].
     pub async fn cancel(
         &self,
-        requester: CommitOwner,
+        requester: RequestingSession,
         persist_id: Option<String>,
     ) -> Result<(), CommitError> {
         self.request(|reply| CommitServiceRequest::Cancel {
@@ -251,7 +251,7 @@
     /// When the candidate is invalid or locked, another commit is pending, or the commit service does not reply.
     pub async fn commit(
         &self,
-        requester: CommitOwner,
+        requester: RequestingSession,
         candidate: Candidate,
         author: Author,
         confirm: Option<ConfirmedCommit>,
--- a/management/src/gnmi/access.rs
+++ b/management/src/gnmi/access.rs
@@ -1,6 +1,6 @@
 //! Authentication and authorization of requests, by the certificate of their connection.
 
-use kestreltide_datastore::{Key, Proof, Rights};
+use kestreltide_datastore::{Credential, Key, Rights};
 use tonic::{Request, Status};
 
 use super::Service;
@@ -21,7 +21,7 @@
             .commit_service
             .keys
             .load()
-            .find(&Proof::Certificate(hash))
+            .find(&Credential::Certificate(hash))
             .cloned()
             .ok_or_else(denied)?;
         let rights = key.rights;
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use kestreltide_datastore::commit_coordinator::CoordinatorStatus;
-use kestreltide_datastore::view::View;
+use kestreltide_datastore::operational_state::OperationalState;
 use kestreltide_yang::Schema;
 use kestreltide_yang::binding::Binding;
 use kestreltide_yang::data::{DataNode, InstancePath};
@@ -145,7 +145,9 @@
     binding: Arc<Binding>,
     commit_service: CommitServiceHandle,
 ) -> watch::Receiver<Arc<Snapshot>> {
-    let snapshot = move |number, view: &Arc<View>, published: &Arc<CoordinatorStatus>| {
+    let snapshot = move |number,
+                         view: &Arc<OperationalState>,
+                         published: &Arc<CoordinatorStatus>| {
         let binding = binding.clone();
         let view = view.clone();
         let published = published.clone();
--- a/management/src/gnmi/stream.rs
+++ b/management/src/gnmi/stream.rs
@@ -135,7 +135,7 @@
             .commit_service
             .keys
             .load()
-            .rights(&self.key.name, &self.key.proof)
+            .rights(&self.key.name, &self.key.credential)
             .is_some_and(|rights| rights.read)
     }
 
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -80,7 +80,7 @@
         self.commit_service
             .keys
             .load()
-            .rights(&key.name, &key.proof)
+            .rights(&key.name, &key.credential)
     }
 }
 
--- a/management/src/netconf/ssh_connection.rs
+++ b/management/src/netconf/ssh_connection.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 
-use kestreltide_datastore::{Key, Proof};
+use kestreltide_datastore::{Credential, Key};
 use russh::keys::PublicKey;
 use russh::server::{
     Auth, ChannelOpenHandle, Handler, Msg, Session as SshSession, VerifiedPublicKey,
@@ -20,10 +20,14 @@
 const SUBSYSTEM: &str = "netconf";
 
 /// The kind and text of a key, as the file of keys has them.
-fn proof(key: &PublicKey) -> Option<Proof> {
+fn credential(key: &PublicKey) -> Option<Credential> {
     let text = key.to_openssh().ok()?;
     let mut words = text.split_whitespace();
-    Some(Proof::Ssh(format!("{} {}", words.next()?, words.next()?)))
+    Some(Credential::Ssh(format!(
+        "{} {}",
+        words.next()?,
+        words.next()?
+    )))
 }
 
 /// The handler of one SSH connection.
@@ -57,8 +61,14 @@
         user: &str,
         key: VerifiedPublicKey<'_>,
     ) -> Result<Auth, Self::Error> {
-        let known = proof(key.public_key)
-            .and_then(|proof| self.shared.commit_service.keys.load().find(&proof).cloned());
+        let known = credential(key.public_key).and_then(|credential| {
+            self.shared
+                .commit_service
+                .keys
+                .load()
+                .find(&credential)
+                .cloned()
+        });
         Ok(match known.filter(|key| key.name == user) {
             Some(key) => {
                 self.authenticated.store(true, Relaxed);
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -2,7 +2,7 @@
 
 use kestreltide::interface::{HostState, Phase};
 use kestreltide_datastore::commit_coordinator::CoordinatorStatus;
-use kestreltide_datastore::view::View;
+use kestreltide_datastore::operational_state::OperationalState;
 use kestreltide_datastore::{Author, RejectedCommit, RevisionRecord, ValidationError, merge};
 use kestreltide_yang::binding::{Binding, format_decimal, format_time};
 use kestreltide_yang::data::DataBuilder;
@@ -45,7 +45,7 @@
 /// The state of the router, as the container `state` of the model; none if the model has no such container.
 pub fn router_state(
     schema: &Schema,
-    view: &View,
+    view: &OperationalState,
     published: &CoordinatorStatus,
 ) -> Option<DataNode> {
     let mut state = DataBuilder::new(schema, schema.find(&["router", "state"])?);
@@ -62,7 +62,7 @@
     Some(state.build())
 }
 
-fn put_load(state: &mut DataBuilder, view: &View, published: &CoordinatorStatus) {
+fn put_load(state: &mut DataBuilder, view: &OperationalState, published: &CoordinatorStatus) {
     state
         .put("revision", published.in_force.revision.0)
         .put("revisions-taken", view.revisions_applied)
@@ -80,7 +80,7 @@
     });
 }
 
-fn put_rollout(state: &mut DataBuilder, view: &View) {
+fn put_rollout(state: &mut DataBuilder, view: &OperationalState) {
     let Some(rollout) = view.rollout else {
         return;
     };
@@ -94,9 +94,9 @@
 }
 
 /// The hosts of the configuration and of discovery, together.
-fn put_hosts(state: &mut DataBuilder, view: &View, published: &CoordinatorStatus) {
+fn put_hosts(state: &mut DataBuilder, view: &OperationalState, published: &CoordinatorStatus) {
     let in_force = &published.in_force;
-    let hosts = merge::merge_all(
+    let hosts = merge::merge_hosts(
         &in_force.tree,
         in_force.first_listed(),
         view.discovery.as_deref(),
@@ -152,7 +152,7 @@
 pub fn operational_data(
     schema: &Schema,
     binding: &Binding,
-    view: &View,
+    view: &OperationalState,
     published: &CoordinatorStatus,
 ) -> DataNode {
     let mut router = binding.tree_data(schema, &published.in_force.tree);
--- a/measure/src/capacity/fleet_run/hollow.rs
+++ b/measure/src/capacity/fleet_run/hollow.rs
@@ -229,7 +229,7 @@
             | Effect::CancelAttempt { .. }
             | Effect::StartHealthCheck { .. }
             | Effect::FetchEndpointList
-            | Effect::ExplainVote(_) => {}
+            | Effect::LogVoteEvidence(_) => {}
         }
     }
 
--- a/measure/src/capacity/fleet_run/net/hollow_router.rs
+++ b/measure/src/capacity/fleet_run/net/hollow_router.rs
@@ -34,10 +34,10 @@
 const VOTE_TIME: f64 = 1.0;
 const RETRY: [f64; 2] = [0.05, 1.0];
 const ANSWER: ResponseLimits = ResponseLimits {
-    body_bytes: 4 * 1024 * 1024,
-    head_bytes: 16 * 1024,
-    framing_bytes: 256 * 1024,
-    header_count: 32,
+    body: 4 * 1024 * 1024,
+    head: 16 * 1024,
+    frame: 256 * 1024,
+    headers: 32,
 };
 const LINE: usize = 8 * 1024;
 const DATAGRAM: usize = 256;
--- a/measure/src/capacity/fleet_run/net/hosts.rs
+++ b/measure/src/capacity/fleet_run/net/hosts.rs
@@ -18,12 +18,12 @@
 use crate::capacity::fleet_run::layout::Party;
 
 pub const RESP: RespLimits = RespLimits {
-    bulk_string_bytes: 64 * 1024,
-    elements: 8,
-    line_bytes: 1024,
-    number_digits: 12,
-    message_bytes: 68 * 1024,
-    request_id_bytes: 256,
+    value: 64 * 1024,
+    words: 8,
+    line: 1024,
+    digits: 12,
+    message: 68 * 1024,
+    id: 256,
 };
 
 /// A request as a host reads it.
--- a/measure/src/capacity/fleet_run/registry/tests.rs
+++ b/measure/src/capacity/fleet_run/registry/tests.rs
@@ -53,7 +53,7 @@
     let list = discovery::parse_list(answer.body.as_bytes()).unwrap();
     assert_eq!(
         (list.targets.len(), list.targets[0].state()),
-        (1, HostState::Gone)
+        (1, HostState::Removed)
     );
     assert_eq!(
         registry.answer(Scope(9), Some(3)).body.as_ref(),
--- a/measure/src/capacity/simulation/discovery/tests.rs
+++ b/measure/src/capacity/simulation/discovery/tests.rs
@@ -20,7 +20,7 @@
     discovery.note(entry(1, HostState::Running));
     discovery.note(entry(2, HostState::Running));
     discovery.note(entry(1, HostState::Stopping));
-    discovery.note(entry(3, HostState::Gone));
+    discovery.note(entry(3, HostState::Removed));
     let push = discovery.push().expect("changes");
     assert_eq!(
         *push,
@@ -29,11 +29,11 @@
     assert_eq!(discovery.push(), None);
     discovery.note(entry(2, HostState::Running));
     assert_eq!(discovery.push(), None, "nothing new");
-    discovery.note(entry(1, HostState::Gone));
+    discovery.note(entry(1, HostState::Removed));
     assert_eq!(discovery.complete().len(), 1);
     assert_eq!(
         discovery.push().expect("a change")[0].state,
-        HostState::Gone
+        HostState::Removed
     );
 }
 
--- a/measure/src/capacity/simulation/hosts.rs
+++ b/measure/src/capacity/simulation/hosts.rs
@@ -208,7 +208,7 @@
         if process.life == Life::Running {
             process.life = Life::Ended;
         }
-        process.entry.state = HostState::Gone;
+        process.entry.state = HostState::Removed;
         process.entry
     }
 
@@ -219,7 +219,7 @@
             |process: &&mut Process| process.machine == machine && process.life == Life::Running;
         let lost = self.processes.iter_mut().filter(on_it).map(|process| {
             (process.life, process.lost_at) = (Life::Lost, now);
-            process.entry.state = HostState::Gone;
+            process.entry.state = HostState::Removed;
             process.entry
         });
         lost.collect()
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -52,36 +52,36 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RespLimits {
     /// One bulk string.
-    pub bulk_string_bytes: usize,
+    pub value: usize,
     /// Elements of a command or an array.
-    pub elements: usize,
+    pub words: usize,
     /// A status or an error.
-    pub line_bytes: usize,
+    pub line: usize,
     /// Digits of a length or number.
-    pub number_digits: usize,
+    pub digits: usize,
     /// A whole command or reply; nothing is read of one that announces more.
-    pub message_bytes: usize,
+    pub message: usize,
     /// The id of a request.
-    pub request_id_bytes: usize,
+    pub id: usize,
 }
 
 /// What an HTTP response of discovery may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseLimits {
     /// Bytes of the body.
-    pub body_bytes: usize,
+    pub body: usize,
     /// Bytes of the head.
-    pub head_bytes: usize,
+    pub head: usize,
     /// Bytes of the chunk sizes and line ends beside the body.
-    pub framing_bytes: usize,
+    pub frame: usize,
     /// Headers.
-    pub header_count: usize,
+    pub headers: usize,
 }
 
 impl ResponseLimits {
     /// Bytes that a whole response may have on its way.
     pub fn max_response_bytes(&self) -> usize {
-        self.body_bytes + self.framing_bytes
+        self.body + self.frame
     }
 }
 
@@ -116,7 +116,7 @@
     /// Connections.
     pub connections: usize,
     /// Connections that have sent one command and stay open while idle.
-    pub idle_connections: usize,
+    pub idle: usize,
     /// Connections that the system holds until they are accepted.
     pub backlog: i32,
     /// Connections accepted at one wake.
@@ -249,9 +249,9 @@
     /// ready writes it at once.
     pub brief_quiet_time: f64,
     /// From SIGTERM on: open requests are given up and answered, and what still comes is rejected.
-    pub fail_requests_after: f64,
+    pub give_up: f64,
     /// From SIGTERM on: the program ends, whoever is left.
-    pub exit_after: f64,
+    pub exit: f64,
 }
 
 /// The pauses between attempts to connect, in seconds; each is twice the one before.
@@ -378,12 +378,12 @@
 impl RespLimits {
     fn new() -> Self {
         RespLimits {
-            bulk_string_bytes: BULK_STRING_BYTES,
-            elements: 8,
-            line_bytes: KIB,
-            number_digits: 12,
-            message_bytes: MESSAGE_BYTES,
-            request_id_bytes: 256,
+            value: BULK_STRING_BYTES,
+            words: 8,
+            line: KIB,
+            digits: 12,
+            message: MESSAGE_BYTES,
+            id: 256,
         }
     }
 }
@@ -410,7 +410,7 @@
     fn new(connections: usize, connection_bytes: usize, longest: f64) -> Self {
         ClientLimits {
             connections,
-            idle_connections: (connections / 4).max(1),
+            idle: (connections / 4).max(1),
             backlog: 1024,
             accepts_per_wake: 64,
             accept_retry_delay: 0.05,
@@ -445,10 +445,10 @@
     fn new(hosts: usize) -> Self {
         DiscoveryLimits {
             response: ResponseLimits {
-                body_bytes: 4 * MIB,
-                head_bytes: 16 * KIB,
-                framing_bytes: 256 * KIB,
-                header_count: 32,
+                body: 4 * MIB,
+                head: 16 * KIB,
+                frame: 256 * KIB,
+                headers: 32,
             },
             hosts,
             watch_hold: 5.0,
@@ -479,8 +479,8 @@
             accept_time: SHUTDOWN_ACCEPT_TIME,
             quiet_time: 0.1,
             brief_quiet_time: 0.005,
-            fail_requests_after: kill - GIVE_UP_BEFORE_KILL,
-            exit_after: kill - EXIT_BEFORE_KILL,
+            give_up: kill - GIVE_UP_BEFORE_KILL,
+            exit: kill - EXIT_BEFORE_KILL,
         }
     }
 }
--- a/router/src/management_threads/datastore_thread/management_requests.rs
+++ b/router/src/management_threads/datastore_thread/management_requests.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use kestreltide_datastore::commit_coordinator::{CommitError, CommitOwner};
+use kestreltide_datastore::commit_coordinator::{CommitError, RequestingSession};
 use kestreltide_datastore::{
     Author, CommitOutcome, Facts, Snapshot, ValidationError, ValidationErrors,
 };
@@ -105,7 +105,7 @@
 
     fn cancel_commit(
         &mut self,
-        requester: CommitOwner,
+        requester: RequestingSession,
         persist_id: Option<&str>,
         reply: oneshot::Sender<Result<(), CommitError>>,
         facts: &Facts,
--- a/router/src/management_threads/datastore_thread/mod.rs
+++ b/router/src/management_threads/datastore_thread/mod.rs
@@ -17,7 +17,7 @@
 
 use arc_swap::ArcSwap;
 use kestreltide_datastore::commit_coordinator::{CommitCoordinator, CoordinatorStatus};
-use kestreltide_datastore::view::View;
+use kestreltide_datastore::operational_state::OperationalState;
 use kestreltide_datastore::{
     CommitOutcome, Datastore, Facts, HistoryLimits, RuleSettings, Snapshot, ValidationErrors,
 };
@@ -292,7 +292,7 @@
 
     /// Drops the snapshots that the event loop has replaced: it holds the one in force, and lets the one before go
     /// as it applies the next.
-    fn drop_replaced_snapshots(&mut self, view: &View) {
+    fn drop_replaced_snapshots(&mut self, view: &OperationalState) {
         while self
             .sent_snapshots
             .get(1)
@@ -302,7 +302,7 @@
         }
     }
 
-    fn save_if_due(&mut self, view: &View) {
+    fn save_if_due(&mut self, view: &OperationalState) {
         let now = self.clock.now();
         if !self.saver.is_due(now) {
             return;
--- a/router/src/management_threads/datastore_thread/watched_files.rs
+++ b/router/src/management_threads/datastore_thread/watched_files.rs
@@ -8,7 +8,7 @@
     ValidationErrors,
 };
 use kestreltide_file_watch::parse::{Parsed, Version};
-use kestreltide_file_watch::watch::{WatchEvent, parse_files, poll_files};
+use kestreltide_file_watch::watch::{WatchEvent, parse_files, read_and_parse_files};
 use slog::{info, warn};
 
 use super::DatastoreThread;
@@ -112,7 +112,7 @@
         settings: &FileWatchSettings,
         facts: &Facts,
     ) -> Result<u64, StartError> {
-        let (parsed, digest) = poll_files(&settings.watched, |contents| {
+        let (parsed, digest) = read_and_parse_files(&settings.watched, |contents| {
             parse_files(&settings.files, contents)
         });
         let applied = match parsed {
@@ -240,7 +240,7 @@
         let snapshot = super::applied_snapshot(&outcome);
         let changes = snapshot
             .as_ref()
-            .map_or(0, |snapshot| snapshot.changed.len());
+            .map_or(0, |snapshot| snapshot.changed_hosts.len());
         info!(self.log, "watched files applied"; "generation" => &version.generation,
             "revision" => self.revision(), "changes" => changes);
         self.files.applied_tree = version.tree;
--- a/router/src/management_threads/keys_file.rs
+++ b/router/src/management_threads/keys_file.rs
@@ -7,7 +7,9 @@
 use kestreltide_datastore::{Keys, ValidationErrors};
 use kestreltide_file_watch::Content;
 use kestreltide_file_watch::parse::{Parsed, parse_keys};
-use kestreltide_file_watch::watch::{WatchEvent, WatchSettings, poll_files, wake_channel};
+use kestreltide_file_watch::watch::{
+    WatchEvent, WatchSettings, read_and_parse_files, wake_channel,
+};
 use slog::{Logger, info, warn};
 
 use super::error::StartError;
@@ -29,7 +31,7 @@
     /// A file that cannot be read or is invalid.
     pub(super) fn load(settings: &WatchSettings) -> Result<Self, StartError> {
         let path = display_path(settings);
-        let (parsed, digest) = poll_files(settings, |contents| parse(&path, contents));
+        let (parsed, digest) = read_and_parse_files(settings, |contents| parse(&path, contents));
         match parsed {
             Parsed::Complete(keys) => Ok(KeysFile {
                 keys: Arc::new(ArcSwap::from_pointee(keys)),
@@ -69,7 +71,7 @@
         // A thread that is started again reads the file anew.
         let mut known_digest = Some(digest);
         supervise(log.clone(), "keys", move || {
-            kestreltide_file_watch::run(
+            kestreltide_file_watch::watch_files(
                 &settings,
                 known_digest.take(),
                 &wake_channel,
--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -242,7 +242,7 @@
         // A thread that is started again reports all files anew: what is in force already changes nothing.
         let mut known_digest = digest;
         supervise(self.log.clone(), "watch", move || {
-            kestreltide_file_watch::run(
+            kestreltide_file_watch::watch_files(
                 &settings.watched,
                 known_digest.take(),
                 &wake_channel,
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -10,7 +10,7 @@
     exceeded_maximums,
 };
 use kestreltide_file_watch::parse::Parsed;
-use kestreltide_file_watch::watch::{parse_files, poll_files};
+use kestreltide_file_watch::watch::{parse_files, read_and_parse_files};
 
 use super::config::{self, ReadTime};
 use super::operator;
@@ -92,7 +92,7 @@
     pub(super) fn run(&self) -> Result<(), String> {
         let terms = operator::load(&self.file)?;
         if let Some(watching) = &terms.file_watch {
-            let version = match poll_files(&watching.watched, |contents| {
+            let version = match read_and_parse_files(&watching.watched, |contents| {
                 parse_files(&watching.files, contents)
             })
             .0
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -219,7 +219,7 @@
         place.display().to_string(),
         place.parent().unwrap_or(Path::new("")),
     );
-    let read = ini::sections(&name, text)?;
+    let read = ini::parse_sections(&name, text)?;
     let mut errors = ValidationErrors::default();
     for (number, section) in read.iter().enumerate() {
         check_section(&name, section, &mut errors);
@@ -387,7 +387,12 @@
         ));
     }
     if keys.is_empty() {
-        return errors.push(ini::unknown_name(&at, "section", &section.name, sections()));
+        return errors.push(ini::unknown_name_error(
+            &at,
+            "section",
+            &section.name,
+            sections(),
+        ));
     }
     ini::check_keys(name, section, &keys, errors);
     for key in &section.keys {
@@ -411,7 +416,7 @@
 /// Reads the file, and says of everything that is wrong what and where.
 pub fn load(path: &Path) -> Result<OperatorSettings, String> {
     let unread = |why: &dyn std::fmt::Display| format!("{}: cannot be read: {why}", path.display());
-    let bytes = kestreltide_file_watch::read_file::read(path, Limits::CONFIG_FILE_BYTES)
+    let bytes = kestreltide_file_watch::read_file::read_bounded(path, Limits::CONFIG_FILE_BYTES)
         .map_err(|why| unread(&why))?;
     let text = String::from_utf8(bytes).map_err(|e| unread(&e))?;
     parse(path, &text).map_err(|errors| errors.to_string())
@@ -423,8 +428,8 @@
     if let Some(path) = path {
         load(path)?;
         let text = fs::read_to_string(path).map_err(|e| e.to_string())?;
-        said =
-            ini::sections(&path.display().to_string(), &text).map_err(|error| error.to_string())?;
+        said = ini::parse_sections(&path.display().to_string(), &text)
+            .map_err(|error| error.to_string())?;
     }
     let mut out = String::new();
     for section in sections() {
--- a/router/src/protocol/client.rs
+++ b/router/src/protocol/client.rs
@@ -117,7 +117,7 @@
         [_, key, id, list] | [_, key, id, list, _] => (text(*key)?, *id, text(*list)?),
         _ => return Err(Malformed::new("wrong number of words")),
     };
-    if id.is_empty() || id.len() > limits.request_id_bytes {
+    if id.is_empty() || id.len() > limits.id {
         return Err(Malformed::new("no id, or too long a one"));
     }
     let parameters = Parameters::parse(list)?;
--- a/router/src/protocol/discovery/http.rs
+++ b/router/src/protocol/discovery/http.rs
@@ -39,7 +39,7 @@
     limits: &ResponseLimits,
     received: &mut ChunkedBody,
 ) -> ParseResult<Response<'a>> {
-    let mut headers = vec![httparse::EMPTY_HEADER; limits.header_count];
+    let mut headers = vec![httparse::EMPTY_HEADER; limits.headers];
     let mut head = httparse::Response::new(&mut headers);
     let parsed = head
         .parse(bytes)
@@ -48,8 +48,8 @@
         httparse::Status::Complete(length) => length,
         httparse::Status::Partial => bytes.len(),
     };
-    if head_length > limits.head_bytes {
-        return Err(too_long("head", head_length, limits.head_bytes));
+    if head_length > limits.head {
+        return Err(too_long("head", head_length, limits.head));
     }
     if parsed.is_partial() {
         return Ok(None);
@@ -91,8 +91,8 @@
 fn content_length(head: &httparse::Response, limits: &ResponseLimits) -> Result<usize, Malformed> {
     let length = header(head, "content-length").and_then(|value| value.parse::<usize>().ok());
     let length = length.ok_or_else(|| Malformed::new("no length"))?;
-    if length > limits.body_bytes {
-        return Err(too_long("content-length", length, limits.body_bytes));
+    if length > limits.body {
+        return Err(too_long("content-length", length, limits.body));
     }
     Ok(length)
 }
@@ -120,8 +120,8 @@
                 return Ok(None);
             };
             let body_length = chunk.size.saturating_add(self.body.len());
-            if body_length > limits.body_bytes {
-                return Err(too_long("chunks", body_length, limits.body_bytes));
+            if body_length > limits.body {
+                return Err(too_long("chunks", body_length, limits.body));
             }
             let end = chunk.line + chunk.size + CHUNK_END.len();
             let Some(data) = unread.get(chunk.line..end) else {
@@ -152,8 +152,8 @@
             line,
             size: size as usize,
         })),
-        httparse::Status::Partial if unread.len() > limits.head_bytes => {
-            Err(too_long("a chunk's size", unread.len(), limits.head_bytes))
+        httparse::Status::Partial if unread.len() > limits.head => {
+            Err(too_long("a chunk's size", unread.len(), limits.head))
         }
         httparse::Status::Partial => Ok(None),
     }
--- a/router/src/protocol/discovery/wire.rs
+++ b/router/src/protocol/discovery/wire.rs
@@ -59,7 +59,7 @@
         match self.state {
             State::Ready => HostState::Running,
             State::Terminating => HostState::Stopping,
-            State::Gone => HostState::Gone,
+            State::Gone => HostState::Removed,
         }
     }
 
--- a/router/src/protocol/resp.rs
+++ b/router/src/protocol/resp.rs
@@ -81,8 +81,7 @@
     limits: &RespLimits,
 ) -> ParseResult<&'a [u8]> {
     let fits = |length: &usize| {
-        *length <= limits.bulk_string_bytes
-            && before + length + LINE_END.len() <= limits.message_bytes
+        *length <= limits.value && before + length + LINE_END.len() <= limits.message
     };
     let length = usize::try_from(length)
         .ok()
@@ -118,7 +117,7 @@
     };
     match marker {
         b'+' | b'-' => {
-            let line = parse_text_line(&bytes[1..], limits.line_bytes)?;
+            let line = parse_text_line(&bytes[1..], limits.line)?;
             let reply = |text| match marker {
                 b'+' => Reply::Simple(text),
                 _ => Reply::Error(text),
@@ -126,8 +125,7 @@
             Ok(line.map(|(text, length)| (reply(text), 1 + length)))
         }
         b':' | b'$' | b'*' => {
-            let Some((number, length)) = parse_number_line(&bytes[1..], limits.number_digits)?
-            else {
+            let Some((number, length)) = parse_number_line(&bytes[1..], limits.digits)? else {
                 return Ok(None);
             };
             let header = 1 + length;
@@ -173,7 +171,7 @@
     }
     let count = usize::try_from(length)
         .ok()
-        .filter(|count| *count <= limits.elements && depth > 1)
+        .filter(|count| *count <= limits.words && depth > 1)
         .ok_or_else(|| Malformed::new("an array is too long or too deep"))?;
     let mut used = header;
     let mut items = Vec::with_capacity(count);
@@ -199,13 +197,13 @@
     if *marker != b'*' {
         return Err(Malformed::new("a command is an array of bulk strings"));
     }
-    let Some((count, length)) = parse_number_line(&bytes[1..], limits.number_digits)? else {
+    let Some((count, length)) = parse_number_line(&bytes[1..], limits.digits)? else {
         return Ok(None);
     };
     let mut used = 1 + length;
     let count = usize::try_from(count)
         .ok()
-        .filter(|count| (1..=limits.elements).contains(count))
+        .filter(|count| (1..=limits.words).contains(count))
         .ok_or_else(|| Malformed::new("a command has no words or too many"))?;
     let mut words = Vec::with_capacity(count);
     for _ in 0..count {
@@ -225,8 +223,7 @@
         Some(_) => return Err(Malformed::new("a word of a command is no bulk string")),
         None => return Ok(None),
     }
-    let Some((length, line)) = parse_number_line(&bytes[before + 1..], limits.number_digits)?
-    else {
+    let Some((length, line)) = parse_number_line(&bytes[before + 1..], limits.digits)? else {
         return Ok(None);
     };
     let header = 1 + line;
--- a/router/src/routing/admission.rs
+++ b/router/src/routing/admission.rs
@@ -17,7 +17,7 @@
     pub(super) operation: OperationId,
     pub(super) key: Option<KeyId>,
     /// The hosts that the route in force at its arrival allows; `None` allows all.
-    pub(super) pool: Option<Arc<Pool>>,
+    pub(super) pool: Option<Arc<HostPool>>,
     /// Seconds until its time limit.
     pub(super) time_left: f64,
     /// Whether the client marked it as sent before.
--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -191,7 +191,7 @@
                 return;
             }
             let status = upstream.stream.read_available(
-                self.event_loop.limits.resp.message_bytes,
+                self.event_loop.limits.resp.message,
                 self.event_loop.limits.event_loop.read_bytes_per_turn,
             );
             self.process_input(id, status == ReadStatus::Closed);
@@ -325,7 +325,7 @@
 
     /// Accepts an incomplete response whose rest may still come; an error where it is too long already.
     fn check_incomplete_length(&self, input: &[u8]) -> Result<Option<usize>, Malformed> {
-        if input.len() < self.event_loop.limits.resp.message_bytes {
+        if input.len() < self.event_loop.limits.resp.message {
             Ok(None)
         } else {
             Err(Malformed::new("the response is too long"))
@@ -374,8 +374,8 @@
             && matches!(upstream.stream.is_connected(), Ok(true))
         {
             let status = upstream.stream.read_available(
-                self.event_loop.limits.resp.message_bytes,
-                self.event_loop.limits.resp.message_bytes,
+                self.event_loop.limits.resp.message,
+                self.event_loop.limits.resp.message,
             );
             self.process_input(id, status == ReadStatus::Closed);
         }
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -225,7 +225,7 @@
     }
 
     /// Closes the longest unused of the idle connections with exactly one command, where there are
-    /// `limits.clients.idle_connections` of them or more. Some clients send one command and never close the connection;
+    /// `limits.clients.idle` of them or more. Some clients send one command and never close the connection;
     /// together they could hold all the connections that their side can open, and then send no more requests.
     fn close_idle_client_over_limit(&mut self, now: f64) {
         let idle_since = now - self.event_loop.limits.clients.idle_timeout;
@@ -235,7 +235,7 @@
         let idle_clients = self.clients.iter().filter(|(_, client)| {
             is_idle_after_one_command(client) && client.command_began_at.is_none()
         });
-        if idle_clients.clone().count() >= self.event_loop.limits.clients.idle_connections {
+        if idle_clients.clone().count() >= self.event_loop.limits.clients.idle {
             let oldest = idle_clients
                 .min_by(|a, b| a.1.last_used.total_cmp(&b.1.last_used))
                 .map(|(id, _)| *id);
@@ -285,14 +285,13 @@
             return self.discard_input(id);
         }
         let status = client.read_input(
-            self.event_loop.limits.resp.message_bytes,
+            self.event_loop.limits.resp.message,
             self.event_loop.limits.event_loop.read_bytes_per_turn,
             arrived_since,
         );
         // With a full buffer nothing more is read, not even the end of the stream; polling the socket then shows
         // whether the client has disconnected.
-        let is_buffer_full =
-            client.stream.input().len() >= self.event_loop.limits.resp.message_bytes;
+        let is_buffer_full = client.stream.input().len() >= self.event_loop.limits.resp.message;
         if status == ReadStatus::Closed || is_buffer_full && client.stream.is_closed_by_peer() {
             return self.close_client(id);
         }
@@ -315,7 +314,7 @@
             return;
         };
         let status = client.stream.read_available(
-            self.event_loop.limits.resp.message_bytes,
+            self.event_loop.limits.resp.message,
             self.event_loop.limits.event_loop.read_bytes_per_turn,
         );
         let read = client.stream.input().len();
@@ -343,7 +342,7 @@
             // Backpressure: no more commands are taken from a client that does not read its replies. The rest of a
             // command may then wait for the router, so the command timeout does not apply.
             if client.queue.len() >= limits.clients.pipelined_commands
-                || client.stream.unwritten() > limits.resp.bulk_string_bytes
+                || client.stream.unwritten() > limits.resp.value
             {
                 client.command_began_at = None;
                 return has_taken;
@@ -352,7 +351,7 @@
                 return false;
             };
             let parsed = client::parse_command(client.stream.input(), &limits.resp);
-            let may_grow = client.stream.input().len() < limits.resp.message_bytes;
+            let may_grow = client.stream.input().len() < limits.resp.message;
             let (action, length) = match parsed {
                 Ok(Some((command, length))) => {
                     match self.command_action(command, client.arrival_times.arrival_of(length)) {
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -80,7 +80,7 @@
             Effect::CastVote { build, stage, vote } => self.cast_vote(build, stage, vote),
             Effect::SubscribeEndpointList { on } => self.subscribe_endpoint_list(on),
             Effect::FetchEndpointList => self.fetch_endpoint_list(),
-            Effect::ExplainVote(evidence) => info!(self.event_loop.log, "vote evidence";
+            Effect::LogVoteEvidence(evidence) => info!(self.event_loop.log, "vote evidence";
                 "build" => evidence.build.0,
                 "stage" => evidence.stage,
                 "vote" => ?evidence.vote,
--- a/router/src/routing/endpoint_list.rs
+++ b/router/src/routing/endpoint_list.rs
@@ -106,7 +106,7 @@
         let mut entries = Vec::with_capacity(targets.len());
         let mut left_out = vec![];
         for target in targets {
-            let is_gone = target.state() == HostState::Gone;
+            let is_gone = target.state() == HostState::Removed;
             let (entry, close_idle_connections) = match self.endpoints.apply_entry(target) {
                 Some(applied) => (applied.entry, applied.close_idle_connections),
                 // The table is full. A gone host needs no place in it, and the decisions have to learn that it is gone.
@@ -173,7 +173,7 @@
             .map(|target| (host(target), target.state()))
             .collect();
         let is_gone =
-            |target: &&ListedEndpoint| last_states.get(&host(target)) == Some(&HostState::Gone);
+            |target: &&ListedEndpoint| last_states.get(&host(target)) == Some(&HostState::Removed);
         targets.sort_by_key(is_gone);
         for target in targets.iter().filter(|target| is_gone(target)) {
             self.endpoints.apply_entry(target);
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use kestreltide::interface::*;
-use kestreltide_datastore::merge::merge;
+use kestreltide_datastore::merge::merge_host;
 use kestreltide_datastore::{HostRecord, Snapshot};
 use kestreltide_routes::Route;
 
@@ -55,7 +55,7 @@
     /// The record of a host, merged from discovery's and that of `revision`.
     fn merged<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, HostRecord>> {
         match (self.discovered.get(&host), revision.configured(host)) {
-            (Some(discovered), Some(configured)) => merge(
+            (Some(discovered), Some(configured)) => merge_host(
                 &configured.name,
                 Some(discovered),
                 Some(&configured.config),
@@ -106,7 +106,7 @@
             .iter_mut()
             .filter(|(host, _)| !listed.contains(host));
         let newly_gone = missing.map(|(host, discovered)| {
-            discovered.state = HostState::Gone;
+            discovered.state = HostState::Removed;
             *host
         });
         newly_gone.collect()
@@ -125,7 +125,7 @@
     /// Whether the entries in a revision are all that it changes, so that they can be passed to the decisions in parts
     /// before it is in force. That is so where it follows the current revision and discovery lists no hosts.
     pub(super) fn can_stage(&self, new: &Snapshot) -> bool {
-        new.changed_since == self.revision.revision() && self.discovered.is_empty()
+        new.previous_revision == self.revision.revision() && self.discovered.is_empty()
     }
 
     /// Puts a revision in force and returns the entries that it changes. `is_staged` says that the decisions have
@@ -136,14 +136,14 @@
         is_staged: bool,
     ) -> Arc<[HostEntry]> {
         let old = std::mem::replace(&mut self.revision, new.clone());
-        let is_successor = new.changed_since == old.revision();
+        let is_successor = new.previous_revision == old.revision();
         if is_staged {
             return Arc::default();
         }
         if is_successor && self.discovered.is_empty() {
-            return new.entries.clone();
+            return new.changed_entries.clone();
         }
-        let mut hosts = new.changed.to_vec();
+        let mut hosts = new.changed_hosts.to_vec();
         if !is_successor {
             hosts = old
                 .hosts
@@ -177,7 +177,7 @@
         // A gone host that operators still list stays gone until discovery lists it again.
         let is_configured = |host: &HostId| self.revision.configured(*host).is_some();
         self.discovered.retain(|host, discovered| {
-            discovered.state != HostState::Gone
+            discovered.state != HostState::Removed
                 || connected_hosts.contains(host)
                 || is_configured(host)
         });
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -8,7 +8,7 @@
 use arc_swap::ArcSwap;
 use kestreltide::interface::*;
 use kestreltide_datastore::Snapshot;
-use kestreltide_datastore::view::View;
+use kestreltide_datastore::operational_state::OperationalState;
 use slog::{info, warn};
 
 use super::{Routing, SocketOwner, TimerEvent};
@@ -56,7 +56,7 @@
 pub struct ManagementInbox {
     received: Inbox<ManagementMessage>,
     /// The published view.
-    view: Arc<ArcSwap<View>>,
+    view: Arc<ArcSwap<OperationalState>>,
     /// The number of the revision that the event loop has applied.
     applied_revision: Arc<AtomicU64>,
 }
@@ -67,7 +67,7 @@
     /// Sends messages to the event loop.
     pub messages: InboxSender<ManagementMessage>,
     /// The view that the event loop published last.
-    pub view: Arc<ArcSwap<View>>,
+    pub view: Arc<ArcSwap<OperationalState>>,
     /// The number of the revision that the event loop has applied.
     pub applied_revision: Arc<AtomicU64>,
 }
@@ -83,7 +83,7 @@
         capacity: usize,
     ) -> std::io::Result<(Self, EventLoopHandle)> {
         let (received, messages) = reactor.inbox(capacity, SocketOwner::Management.priority())?;
-        let view = Arc::new(ArcSwap::from_pointee(View::default()));
+        let view = Arc::new(ArcSwap::from_pointee(OperationalState::default()));
         let applied_revision = Arc::new(AtomicU64::new(0));
         let event_loop = EventLoopHandle {
             messages,
@@ -180,7 +180,7 @@
     /// Puts a revision in force, at once where it changes few hosts. Otherwise its entries are staged first: they are
     /// passed to the decisions in parts, one in each iteration of the event loop, so that no iteration takes long.
     pub fn apply_revision(&mut self, snapshot: &Arc<Snapshot>) {
-        let needs_staging = snapshot.entries.len()
+        let needs_staging = snapshot.changed_entries.len()
             > self.event_loop.limits.management.staged_hosts_per_turn
             && self.endpoints.can_stage(snapshot);
         match &mut self.management {
@@ -198,15 +198,15 @@
         else {
             return;
         };
-        if from >= snapshot.entries.len() {
+        if from >= snapshot.changed_entries.len() {
             self.apply_snapshot(&snapshot, true);
             return self.on_management_message();
         }
         let began_at = self.event_loop.now();
         let to = (from + self.event_loop.limits.management.staged_hosts_per_turn)
-            .min(snapshot.entries.len());
+            .min(snapshot.changed_entries.len());
         self.dispatch_event(Event::EndpointsStaged {
-            entries: snapshot.entries.clone(),
+            entries: snapshot.changed_entries.clone(),
             from,
             to,
         });
@@ -229,7 +229,7 @@
     fn apply_snapshot(&mut self, snapshot: &Arc<Snapshot>, is_staged: bool) {
         let began_at = self.event_loop.now();
         let entries = self.endpoints.apply_revision(snapshot, is_staged);
-        let changed_hosts = snapshot.changed.len();
+        let changed_hosts = snapshot.changed_hosts.len();
         self.close_unusable_connections();
         self.dispatch_event(Event::OperatorOverridesApplied {
             overrides: snapshot.overrides.clone(),
@@ -285,7 +285,7 @@
         };
         management.is_view_stale = false;
         let uses_discovery = !self.discovery.is_disabled();
-        let view = View {
+        let view = OperationalState {
             at: self.event_loop.now(),
             discovery: uses_discovery.then(|| self.endpoints.discovered().cloned().collect()),
             discovery_received: self.discovery.has_list(),
--- a/router/src/routing/metrics.rs
+++ b/router/src/routing/metrics.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use kestreltide::interface::AttemptOutcome;
-use kestreltide_datastore::view::RequestCounts;
+use kestreltide_datastore::operational_state::RequestCounts;
 
 /// Seconds over which warnings are counted for their rate limit.
 const WARNING_WINDOW_SECONDS: f64 = 1.0;
--- a/router/src/routing/shutdown_actions.rs
+++ b/router/src/routing/shutdown_actions.rs
@@ -57,8 +57,8 @@
         let requested_at = self.event_loop.arrived_since();
         let limits = &self.event_loop.limits.shutdown;
         let serving_over_at = self.event_loop.woken_at() + limits.accept_time;
-        let give_up_at = requested_at + limits.fail_requests_after;
-        let exit_at = requested_at + limits.exit_after;
+        let give_up_at = requested_at + limits.give_up;
+        let exit_at = requested_at + limits.exit;
         self.shutdown.set_gives_up_at(give_up_at);
         let timers = [
             (serving_over_at, TimerEvent::ServingOver),
--- a/routes/src/lib.rs
+++ b/routes/src/lib.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use kestreltide::interface::Pool;
+use kestreltide::interface::HostPool;
 
 /// Which requests a route is for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -54,7 +54,7 @@
     /// Which requests it is for.
     pub matcher: RouteMatch,
     /// Which hosts they may use.
-    pub pool: Arc<Pool>,
+    pub pool: Arc<HostPool>,
 }
 
 impl Route {
--- a/simulator-adapter/src/codec.rs
+++ b/simulator-adapter/src/codec.rs
@@ -45,7 +45,7 @@
     match line.text("lifecycle")? {
         "Running" => Ok(HostState::Running),
         "Stopping" => Ok(HostState::Stopping),
-        "Deleted" => Ok(HostState::Gone),
+        "Deleted" => Ok(HostState::Removed),
         other => Err(unknown_value("lifecycle", other)),
     }
 }
@@ -230,7 +230,7 @@
         Effect::CastVote { .. } => "SAY_SO",
         Effect::SubscribeEndpointList { .. } => "TAIL",
         Effect::FetchEndpointList => "LOOKUP",
-        Effect::ExplainVote(_) => "JOURNAL_LINE",
+        Effect::LogVoteEvidence(_) => "JOURNAL_LINE",
     }
 }
 
@@ -273,7 +273,7 @@
         }
         Effect::SubscribeEndpointList { on } => format!(" enable={}", u8::from(*on)),
         Effect::FetchEndpointList => String::new(),
-        Effect::ExplainVote(evidence) => format!(" reason_text={}", encode_evidence(evidence)),
+        Effect::LogVoteEvidence(evidence) => format!(" reason_text={}", encode_evidence(evidence)),
     }
 }
 
--- a/simulator-adapter/src/codec/tests.rs
+++ b/simulator-adapter/src/codec/tests.rs
@@ -125,7 +125,7 @@
 #[rstest]
 #[case("Running", HostState::Running)]
 #[case("Stopping", HostState::Stopping)]
-#[case("Deleted", HostState::Gone)]
+#[case("Deleted", HostState::Removed)]
 fn each_lifecycle(#[case] word: &str, #[case] state: HostState) {
     let line = format!(
         "ENTRY runs=42 block=5 locality=caxias since=6100000 host=747639282 lifecycle={word} \
@@ -279,7 +279,7 @@
             canary: of_arm(canary),
         }
     };
-    Effect::ExplainVote(VoteEvidence {
+    Effect::LogVoteEvidence(VoteEvidence {
         build: BuildId(8),
         stage: 3,
         vote,
--- a/src/decisions/request_table.rs
+++ b/src/decisions/request_table.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::interface::{
-    AttemptOutcome, BuildId, HostEntry, KeyId, OperatorOverrides, Pool, RequestId,
+    AttemptOutcome, BuildId, HostEntry, HostPool, KeyId, OperatorOverrides, RequestId,
 };
 
 /// One attempt of a request.
@@ -44,7 +44,7 @@
     pub(super) deadline: f64,
     pub(super) attempts: Vec<Attempt>,
     pub(super) has_final_answer: bool,
-    pub(super) pool: Option<Arc<Pool>>,
+    pub(super) pool: Option<Arc<HostPool>>,
     /// What operators had set when it came.
     pub(super) overrides: Arc<OperatorOverrides>,
 }
--- a/src/decisions/voting.rs
+++ b/src/decisions/voting.rs
@@ -253,7 +253,7 @@
             vote,
         });
         if !is_renewal && (vote == Vote::RollBack || self.voting.rank < VOTERS) {
-            effects.push(Effect::ExplainVote(self.vote_evidence(status)));
+            effects.push(Effect::LogVoteEvidence(self.vote_evidence(status)));
         }
     }
 
--- a/src/host_group.rs
+++ b/src/host_group.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use crate::arm::Arm;
-use crate::interface::{BuildId, CellId, HostEntry, HostId, MachineKindId, Pool, Revision, ZoneId};
+use crate::interface::{
+    BuildId, CellId, HostEntry, HostId, HostPool, MachineKindId, Revision, ZoneId,
+};
 
 /// What a request's conditions go by; hosts of one group differ for it only in their own state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,7 +43,7 @@
     pub(crate) arms: Vec<(HostGroup, Arm)>,
     /// Hosts that it has been sent to.
     pub(crate) tried: Vec<HostId>,
-    pub(crate) pool: Option<Arc<Pool>>,
+    pub(crate) pool: Option<Arc<HostPool>>,
     /// The operators' revision that it is finished under.
     pub(crate) revision: Revision,
 }
--- a/src/interface/effects.rs
+++ b/src/interface/effects.rs
@@ -92,5 +92,5 @@
     /// Fetch the endpoint list once.
     FetchEndpointList,
     /// Log why a vote is cast.
-    ExplainVote(VoteEvidence),
+    LogVoteEvidence(VoteEvidence),
 }
--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -43,7 +43,7 @@
 
 /// The hosts that a route's requests may use; an empty list is no condition. It narrows and never widens.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Pool {
+pub struct HostPool {
     /// The zones of its hosts.
     pub zones: Vec<ZoneId>,
     /// The kinds of its hosts.
@@ -52,7 +52,7 @@
     pub hosts: Vec<HostId>,
 }
 
-impl Pool {
+impl HostPool {
     /// Whether this host is in the pool.
     pub fn contains(&self, host: &HostEntry) -> bool {
         let named = self.hosts.is_empty() || self.hosts.contains(&host.host);
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::endpoints::{HostEntry, ListScope, LoadReport, Pool};
+use super::endpoints::{HostEntry, HostPool, ListScope, LoadReport};
 use super::ids::{
     AttemptNumber, BuildId, HostId, KeyId, OperationId, RequestId, RouterId, TimerKey,
 };
@@ -46,7 +46,7 @@
     /// Whether the client sends it again after an earlier try.
     pub is_retry: bool,
     /// The hosts that may serve it; none: all.
-    pub pool: Option<Arc<Pool>>,
+    pub pool: Option<Arc<HostPool>>,
 }
 
 /// What happens to a router.
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -13,7 +13,7 @@
 mod settings;
 
 pub use effects::{ConnectionRequirements, Effect};
-pub use endpoints::{HostEntry, HostState, ListScope, LoadReport, Pool};
+pub use endpoints::{HostEntry, HostPool, HostState, ListScope, LoadReport};
 pub use events::{AttemptOutcome, Event, Request};
 pub use ids::{
     AttemptNumber, BuildId, CellId, HostId, KeyId, MachineKindId, OperationId, RequestId, Revision,
