--- a/src/interface/endpoints.rs
+++ b/src/interface/endpoints.rs
@@ -10,7 +10,7 @@
     /// It is draining.
     Stopping,
     /// It has left.
-    Gone,
+    Removed,
 }
 
 /// One entry of the endpoint list.
