--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -423,7 +423,7 @@
         }
     }
 
-    /// Closes the idle connections to hosts that are gone, draining or at another address now.
+    /// Closes the idle connections to hosts that are removed, draining or at another address now.
     pub(super) fn close_unusable_connections(&mut self) {
         for id in self.upstreams.unusable(&self.endpoints) {
             self.abandon_use(id, |_| AttemptOutcome::Irrelevant);
--- a/router/src/routing/endpoint_list.rs
+++ b/router/src/routing/endpoint_list.rs
@@ -106,11 +106,11 @@
         let mut entries = Vec::with_capacity(targets.len());
         let mut left_out = vec![];
         for target in targets {
-            let is_gone = target.state() == HostState::Removed;
+            let is_removed = target.state() == HostState::Removed;
             let (entry, close_idle_connections) = match self.endpoints.apply_entry(target) {
                 Some(applied) => (applied.entry, applied.close_idle_connections),
-                // The table is full. A gone host needs no place in it, and the decisions have to learn that it is gone.
-                None if is_gone => (target.to_host_record().entry(), true),
+                // The table is full. A removed host needs no place in it, and the decisions must learn of its removal.
+                None if is_removed => (target.to_host_record().entry(), true),
                 None => {
                     left_out.push(target.uid.as_ref());
                     continue;
@@ -164,18 +164,18 @@
         }
     }
 
-    /// Removes gone hosts from the table to make room for new ones, and orders `targets` so that gone hosts come last.
-    /// Otherwise gone hosts would stay until the next periodic check, and at the limit new hosts would be left out.
+    /// Drops removed hosts from the table to make room for new ones, and orders `targets` so that removed hosts come
+    /// last. Otherwise they would stay until the next periodic check, and at the limit new hosts would be left out.
     fn free_capacity(&mut self, targets: &mut [&ListedEndpoint], is_full: bool) {
         let host = |target: &&ListedEndpoint| HostId::from_name(&target.uid);
         let last_states: BTreeMap<_, _> = targets
             .iter()
             .map(|target| (host(target), target.state()))
             .collect();
-        let is_gone =
+        let is_removed =
             |target: &&ListedEndpoint| last_states.get(&host(target)) == Some(&HostState::Removed);
-        targets.sort_by_key(is_gone);
-        for target in targets.iter().filter(|target| is_gone(target)) {
+        targets.sort_by_key(is_removed);
+        for target in targets.iter().filter(|target| is_removed(target)) {
             self.endpoints.apply_entry(target);
         }
         if is_full {
@@ -188,6 +188,6 @@
             }
         }
         let connected_hosts = self.upstreams.hosts();
-        self.endpoints.forget_gone(&connected_hosts);
+        self.endpoints.forget_removed(&connected_hosts);
     }
 }
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -14,7 +14,7 @@
 
 /// All known hosts: discovery's last records, and the revision of the operators' settings that is in force.
 pub(super) struct EndpointTable {
-    /// Includes hosts that are gone and not forgotten yet.
+    /// Includes hosts in the state `Removed`, until [`EndpointTable::forget_removed`] drops them.
     discovered: BTreeMap<HostId, HostRecord>,
     revision: Arc<Snapshot>,
     /// The most hosts of discovery that are kept.
@@ -98,18 +98,18 @@
         })
     }
 
-    /// Marks the hosts that are not in a full list of discovery as gone, and returns them.
+    /// Marks the hosts that are not in a full list of discovery as removed, and returns them.
     pub(super) fn retain_listed(&mut self, listed: &[HostEntry]) -> Vec<HostId> {
         let listed: BTreeSet<_> = listed.iter().map(|entry| entry.host).collect();
         let missing = self
             .discovered
             .iter_mut()
             .filter(|(host, _)| !listed.contains(host));
-        let newly_gone = missing.map(|(host, discovered)| {
+        let newly_removed = missing.map(|(host, discovered)| {
             discovered.state = HostState::Removed;
             *host
         });
-        newly_gone.collect()
+        newly_removed.collect()
     }
 
     /// The entries of the hosts that operators list and discovery does not.
@@ -167,14 +167,14 @@
         .into()
     }
 
-    /// The hosts of discovery, including those that are gone and not forgotten yet.
+    /// The hosts of discovery, including removed ones that were not dropped yet.
     pub(super) fn discovered(&self) -> impl Iterator<Item = &HostRecord> {
         self.discovered.values()
     }
 
-    /// Removes the hosts that are gone, unless connections to them are open or operators list them.
-    pub(super) fn forget_gone(&mut self, connected_hosts: &BTreeSet<HostId>) {
-        // A gone host that operators still list stays gone until discovery lists it again.
+    /// Drops removed hosts from the table, unless connections to them are open or operators list them.
+    pub(super) fn forget_removed(&mut self, connected_hosts: &BTreeSet<HostId>) {
+        // A removed host that operators still list stays removed until discovery lists it again.
         let is_configured = |host: &HostId| self.revision.configured(*host).is_some();
         self.discovered.retain(|host, discovered| {
             discovered.state != HostState::Removed
--- a/router/src/routing/event_loop.rs
+++ b/router/src/routing/event_loop.rs
@@ -106,7 +106,7 @@
     KillNear,
     /// Graceful shutdown: the program ends.
     ShutdownDeadline,
-    /// Publish the view for the management threads.
+    /// Publish the view of the operational state for the management threads.
     PublishView,
 }
 
--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -1,5 +1,5 @@
 //! The link between the event loop and the management threads: receives their messages and publishes a view of the
-//! router's state to them.
+//! router's operational state to them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -55,7 +55,7 @@
 /// The event loop's end of the link.
 pub struct ManagementInbox {
     received: Inbox<ManagementMessage>,
-    /// The published view.
+    /// The published view of the operational state.
     view: Arc<ArcSwap<OperationalState>>,
     /// The number of the revision that the event loop has applied.
     applied_revision: Arc<AtomicU64>,
@@ -66,7 +66,7 @@
 pub struct EventLoopHandle {
     /// Sends messages to the event loop.
     pub messages: InboxSender<ManagementMessage>,
-    /// The view that the event loop published last.
+    /// The view of the operational state that the event loop published last.
     pub view: Arc<ArcSwap<OperationalState>>,
     /// The number of the revision that the event loop has applied.
     pub applied_revision: Arc<AtomicU64>,
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -401,7 +401,7 @@
         self.expire_clients_without_command(now);
         self.check_heartbeats(now);
         let connected_hosts = self.upstreams.hosts();
-        self.endpoints.forget_gone(&connected_hosts);
+        self.endpoints.forget_removed(&connected_hosts);
         if let Some(line) = self
             .event_loop
             .metrics
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -76,7 +76,7 @@
             .collect()
     }
 
-    /// The idle connections to hosts that are gone, draining or at another address now.
+    /// The idle connections to hosts that are removed, draining or at another address now.
     pub(super) fn unusable(&self, endpoints: &EndpointTable) -> Vec<SocketId> {
         let mut ids = self.idle.ids();
         ids.retain(|id| {
@@ -187,7 +187,7 @@
         connection.use_number += 1;
         let stream = &mut connection.stream;
         let is_clean = stream.input().is_empty() && stream.unwritten() == 0 && !is_closed;
-        // The host may be gone, or its id may belong to another machine now.
+        // The host may have been removed, or its id may belong to another machine now.
         let is_usable = endpoints.is_usable(connection.host, connection.address)
             && self.idle.count() < event_loop.limits.upstream.idle_connections;
         if is_clean && is_usable {
