--- a/router/src/routing/management_link.rs
+++ b/router/src/routing/management_link.rs
@@ -177,8 +177,9 @@
             .is_some_and(|management| management.staging.is_some())
     }
 
-    /// Puts a revision in force, at once where it changes few hosts. Otherwise its entries are staged first: they are
-    /// passed to the decisions in parts, one in each iteration of the event loop, so that no iteration takes long.
+    /// Puts a revision in force. Where it changes many hosts and discovery lists none, its entries are
+    /// staged first: they are passed to the decisions in parts, one in each iteration of the event loop, so that no
+    /// iteration takes long.
     pub fn apply_revision(&mut self, snapshot: &Arc<Snapshot>) {
         let needs_staging = snapshot.changed_entries.len()
             > self.event_loop.limits.management.staged_hosts_per_turn
