--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -1,4 +1,5 @@
-//! Client connections: clients are accepted, their commands are read, and what is no command is rejected.
+//! Client connections: accepts clients, reads their commands, rejects malformed input, and closes connections that are
+//! idle, slow or in excess.
 
 use std::collections::VecDeque;
 use std::net::TcpStream;
@@ -7,44 +8,48 @@
 use slog::{info, warn};
 
 use super::admission::ParsedRequest;
-use super::arrivals::Arrivals;
+use super::arrival_times::ArrivalTimes;
 use super::metrics::Counter;
 use super::{Routing, SocketOwner, TimerEvent};
 use crate::protocol::client::{self, Command, StoredCommand};
 use crate::protocol::{Malformed, resp};
 use crate::transport::{ReadStatus, SocketId, Stream, out_of_descriptors};
 
-/// A command that was taken: its answer is to come, or waits for those before it.
+/// The place of a command in its client's pipeline, whose replies are sent in the order of the commands.
 pub(super) enum QueuedReply {
+    /// The response to this request has not come yet.
     Pending(RequestId),
+    /// The bytes of a reply that waits for those before it.
     Ready(Vec<u8>),
 }
 
 /// A client's connection.
 pub(super) struct Client {
     pub(super) stream: Stream,
-    /// Arrival times of what has been read and not taken.
-    arrivals: Arrivals,
+    /// Of the input that has been read and not consumed.
+    arrival_times: ArrivalTimes,
+    /// The replies that are not written yet, in the order of the commands.
     pub(super) queue: VecDeque<QueuedReply>,
-    /// No more commands are taken; the connection is closed once all that was taken is answered.
-    pub(super) closing: bool,
-    /// The client was notified of the close: what it still sends is discarded for a while.
+    /// No more commands are taken, and the connection is closed once all replies are written.
+    pub(super) is_closing: bool,
+    /// Set once the sending direction is shut down: the client's further input is discarded until the close.
     pub(super) lingering: Option<Lingering>,
-    /// When it connected, or when its last command or response was.
+    /// When it connected, sent its last complete command or got its last response, in Unix seconds.
     pub(super) last_used: f64,
-    /// Complete commands that it has sent.
-    commands: usize,
-    /// Since when a command has begun and not ended.
-    command_begun: Option<f64>,
+    /// Complete commands.
+    commands_received: usize,
+    /// Since when an incomplete command has been in the input, in Unix seconds.
+    command_began_at: Option<f64>,
     unknown_commands: usize,
-    /// Since when what was written has not been read.
+    /// Since when the client has not read all replies, in Unix seconds.
     pub(super) unread_since: Option<f64>,
 }
 
-/// A lingering close: how long, and how much of what still comes is read and discarded.
+/// The limits of a lingering close, in which the client's input is read and discarded.
 pub(super) struct Lingering {
     /// Unix time in seconds.
     pub(super) until: f64,
+    /// Input that may still be discarded.
     pub(super) bytes_left: usize,
 }
 
@@ -52,108 +57,126 @@
     fn new(stream: Stream, now: f64) -> Self {
         Client {
             stream,
-            arrivals: Arrivals::default(),
+            arrival_times: ArrivalTimes::default(),
             queue: VecDeque::new(),
-            closing: false,
+            is_closing: false,
             lingering: None,
             last_used: now,
-            commands: 0,
-            command_begun: None,
+            commands_received: 0,
+            command_began_at: None,
             unknown_commands: 0,
             unread_since: None,
         }
     }
 
-    /// Reads what is there, up to so many unused bytes and so many at a time. What is found arrived at this time or
-    /// later.
-    fn fill(&mut self, most: usize, step: usize, arrived_since: f64) -> ReadStatus {
+    /// Reads input until `max_unconsumed` bytes wait to be consumed or about `max_read` bytes were read. Records that
+    /// they arrived at `arrived_since` (Unix seconds) or later.
+    fn read_input(
+        &mut self,
+        max_unconsumed: usize,
+        max_read: usize,
+        arrived_since: f64,
+    ) -> ReadStatus {
         let before = self.stream.input().len();
-        let filled = self.stream.read_available(most, step);
+        let status = self.stream.read_available(max_unconsumed, max_read);
         let read = self.stream.input().len() - before;
-        self.arrivals
-            .read(read, arrived_since, filled != ReadStatus::More);
-        filled
+        self.arrival_times
+            .record_read(read, arrived_since, status != ReadStatus::More);
+        status
     }
 
     fn consume(&mut self, bytes: usize) {
         self.stream.consume(bytes);
-        self.arrivals.consume(bytes);
+        self.arrival_times.consume(bytes);
     }
 
+    /// Whether no reply is pending or unwritten.
     pub(super) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.stream.unwritten() == 0
     }
 
-    /// In the middle of a command.
-    pub(super) fn is_begun(&self) -> bool {
-        self.command_begun.is_some()
+    /// Whether the client has sent part of a command.
+    pub(super) fn is_mid_command(&self) -> bool {
+        self.command_began_at.is_some()
     }
 
-    /// Who makes room first: the turned away, the silent and who has asked but once, then those that came back;
-    /// those that are in the middle of a command last, who have little time for it anyway.
-    fn rank(&self) -> u8 {
+    /// The order in which connections are closed to make room for new ones, lowest first: those that are being closed,
+    /// those with at most one command, those with more. Those in the middle of a command are closed last; the
+    /// command timeout limits them anyway.
+    fn eviction_rank(&self) -> u8 {
         match () {
-            () if self.closing => 0,
-            () if self.command_begun.is_some() => 3,
-            () if self.commands > 1 => 2,
+            () if self.is_closing => 0,
+            () if self.command_began_at.is_some() => 3,
+            () if self.commands_received > 1 => 2,
             () => 1,
         }
     }
 }
 
-const OPEN_ID: &str = "ERR the id is that of an open invocation";
+/// The error for a request whose id is that of a request in flight.
+const OPEN_ID_ERROR: &str = "ERR the id is that of an open invocation";
 
-enum Step {
-    Take(ParsedRequest),
-    /// The client that holds its id is gone, and this comes after that.
-    Left(SocketId),
+/// What to do about a command.
+enum CommandAction {
+    /// Admit the request.
+    Admit(ParsedRequest),
+    /// Close this connection, whose client holds the request's id and has disconnected; then handle the command again.
+    /// Where it is the command's own connection, reply with an error instead.
+    CloseHolder(SocketId),
+    /// Send a simple reply.
     Reply(&'static str),
-    Fail(&'static str),
+    /// Send an error reply.
+    Error(&'static str),
+    /// Reply that the command is unknown.
     Unknown,
 }
 
 impl Routing {
-    /// True where more clients may wait to be taken at once.
+    /// Accepts waiting clients. Returns true where it stopped at `accepts_per_wake` and more may wait.
     pub(super) fn accept(&mut self) -> bool {
         let now = self.event_loop.now();
-        // Bounded: who connects by hundreds at once leaves others their turn.
+        // Bounded, so that hundreds of clients that connect at once do not delay other sockets.
         for _ in 0..self.event_loop.limits.clients.accepts_per_wake {
-            // Who waits to be accepted may have written a command already: room is made, nobody is kept out.
+            // A waiting client may have sent a command already, so an idle connection is closed to make room for it.
             if self.clients.len() >= self.event_loop.limits.clients.connections
                 && !self.close_idle_client()
             {
-                return self.accept_again(now + self.event_loop.limits.clients.accept_retry_delay);
+                return self
+                    .schedule_accept(now + self.event_loop.limits.clients.accept_retry_delay);
             }
             self.close_idle_client_over_limit(now);
             let Some(listener) = &self.listener else {
                 return false;
             };
             match listener.accept() {
-                Ok(Some(socket)) => self.accepted(socket, now),
+                Ok(Some(socket)) => self.add_client(socket, now),
                 Ok(None) => return false,
                 Err(e) => {
-                    // Those without use make room; else it is tried again, not at once.
+                    // Without a free descriptor, an unused connection is closed. Otherwise accepting is retried later.
                     if !out_of_descriptors(&e) || !self.free_descriptor() {
                         warn!(self.event_loop.log, "client connection not accepted"; "error" => %e);
-                        return self
-                            .accept_again(now + self.event_loop.limits.clients.accept_retry_delay);
+                        return self.schedule_accept(
+                            now + self.event_loop.limits.clients.accept_retry_delay,
+                        );
                     }
                 }
             }
         }
-        self.accept_again(now);
+        self.schedule_accept(now);
         true
     }
 
-    fn accept_again(&mut self, at: f64) -> bool {
-        if !self.accept_due {
-            self.accept_due = true;
+    /// Schedules the next accept, unless one is scheduled; always returns false.
+    fn schedule_accept(&mut self, at: f64) -> bool {
+        if !self.accept_scheduled {
+            self.accept_scheduled = true;
             self.event_loop.schedule(at, TimerEvent::AcceptAgain);
         }
         false
     }
 
-    fn accepted(&mut self, socket: TcpStream, now: f64) {
+    /// Registers an accepted connection and reads its first commands.
+    fn add_client(&mut self, socket: TcpStream, now: f64) {
         match Stream::accepted(
             &mut self.event_loop.reactor,
             socket,
@@ -171,109 +194,118 @@
         }
     }
 
-    /// Closes a connection of no use, or one whose answers are stale: of the first rank the one that has been
-    /// so for longest.
+    /// Closes one connection to make room: an idle one, or one whose unread replies are too late to be of use. Of those
+    /// with the lowest eviction rank, it closes the one that was not used for longest. False where there is none.
     fn close_idle_client(&mut self) -> bool {
-        let stale = self.event_loop.now() - self.event_loop.limits.clients.stale_response_age;
-        let of_no_use = |client: &Client| {
-            client.is_idle() || client.unread_since.is_some_and(|since| since < stale)
+        let stale_before =
+            self.event_loop.now() - self.event_loop.limits.clients.stale_response_age;
+        let is_evictable = |client: &Client| {
+            client.is_idle()
+                || client
+                    .unread_since
+                    .is_some_and(|since| since < stale_before)
         };
         loop {
-            let idle = self.clients.iter().filter(|(_, client)| of_no_use(client));
-            let order = |a: &Client, b: &Client| {
-                a.rank()
-                    .cmp(&b.rank())
+            let evictable = self
+                .clients
+                .iter()
+                .filter(|(_, client)| is_evictable(client));
+            let by_rank_and_age = |a: &Client, b: &Client| {
+                a.eviction_rank()
+                    .cmp(&b.eviction_rank())
                     .then(a.last_used.total_cmp(&b.last_used))
             };
-            let Some((&id, _)) = idle.min_by(|a, b| order(a.1, b.1)) else {
+            let Some((&id, _)) = evictable.min_by(|a, b| by_rank_and_age(a.1, b.1)) else {
                 return false;
             };
-            if self.close_unused(id) {
+            if self.close_if_unused(id) {
                 return true;
             }
         }
     }
 
-    /// Some clients ask once and keep their connection for good: all of them together may hold as many as their
-    /// side can open, and none be left to ask on.
+    /// Closes the longest unused of the idle connections with exactly one command, where there are
+    /// `limits.clients.idle` of them or more. Some clients send one command and never close the connection;
+    /// together they could hold all the connections that their side can open, and then send no more requests.
     fn close_idle_client_over_limit(&mut self, now: f64) {
-        let since = now - self.event_loop.limits.clients.idle_timeout;
-        let stays =
-            |client: &Client| client.commands == 1 && client.last_used < since && client.is_idle();
-        let idle_clients = self
-            .clients
-            .iter()
-            .filter(|(_, client)| stays(client) && client.command_begun.is_none());
+        let idle_since = now - self.event_loop.limits.clients.idle_timeout;
+        let is_idle_after_one_command = |client: &Client| {
+            client.commands_received == 1 && client.last_used < idle_since && client.is_idle()
+        };
+        let idle_clients = self.clients.iter().filter(|(_, client)| {
+            is_idle_after_one_command(client) && client.command_began_at.is_none()
+        });
         if idle_clients.clone().count() >= self.event_loop.limits.clients.idle {
             let oldest = idle_clients
                 .min_by(|a, b| a.1.last_used.total_cmp(&b.1.last_used))
                 .map(|(id, _)| *id);
             if let Some(id) = oldest {
-                self.close_unused(id);
+                self.close_if_unused(id);
             }
         }
     }
 
-    /// Closes a connection for want of use, unless its next command is here by now and only not read yet. False
-    /// where it is in use.
-    fn close_unused(&mut self, id: SocketId) -> bool {
-        let use_of = |c: &Client| {
+    /// Closes an unused connection, unless reading it first shows that it is in use again; then returns false.
+    fn close_if_unused(&mut self, id: SocketId) -> bool {
+        let usage = |client: &Client| {
             (
-                c.rank(),
-                c.last_used,
-                c.commands,
-                c.unread_since,
-                c.is_idle(),
+                client.eviction_rank(),
+                client.last_used,
+                client.commands_received,
+                client.unread_since,
+                client.is_idle(),
             )
         };
-        let before = self.clients.get(&id).map(use_of);
+        let before = self.clients.get(&id).map(usage);
         self.read_client(id);
-        let now = self.clients.get(&id).map(use_of);
-        if now.is_some() && now == before {
+        let after = self.clients.get(&id).map(usage);
+        if after.is_some() && after == before {
             self.close_client(id);
         }
-        now.is_none() || now == before
+        after.is_none() || after == before
     }
 
+    /// Closes an idle connection to a host, or one of a client, to free a file descriptor; false where there is none.
     fn free_descriptor(&mut self) -> bool {
         self.upstreams.close_oldest_idle(&self.event_loop) || self.close_idle_client()
     }
 
-    /// Reads what the client has sent and takes its commands while there is room for their answers. Who sends
-    /// without end has its turn, and the next one at the next wake.
+    /// Reads a client's input and takes its commands while its pipeline has room. A client with more input than is read
+    /// at once is read again in the next iteration.
     pub(super) fn read_client(&mut self, id: SocketId) {
         if !self.write_client(id) {
             return;
         }
-        // What is read now may have come at any time since the last look.
+        // The input may have arrived at any time since the sockets were polled before.
         let arrived_since = self.event_loop.arrived_since();
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
-        if client.closing {
+        if client.is_closing {
             return self.discard_input(id);
         }
-        let filled = client.fill(
+        let status = client.read_input(
             self.event_loop.limits.resp.message,
             self.event_loop.limits.event_loop.read_bytes_per_turn,
             arrived_since,
         );
-        // Who has left more unread commands than are kept is gone all the same, with what waits for it.
-        let full = client.stream.input().len() >= self.event_loop.limits.resp.message;
-        if filled == ReadStatus::Closed || full && client.stream.is_closed_by_peer() {
+        // With a full buffer nothing more is read, not even the end of the stream; polling the socket then shows
+        // whether the client has disconnected.
+        let is_buffer_full = client.stream.input().len() >= self.event_loop.limits.resp.message;
+        if status == ReadStatus::Closed || is_buffer_full && client.stream.is_closed_by_peer() {
             return self.close_client(id);
         }
-        if self.take_commands(id) && filled == ReadStatus::More {
-            self.ready_again.push(id);
+        if self.take_commands(id) && status == ReadStatus::More {
+            self.clients_with_more_input.push(id);
         }
-        // Only after a read that found nothing more: a command that is here already is not left unanswered.
-        if filled == ReadStatus::Drained && self.shutdown.is_draining() {
+        // Only after a read that emptied the socket, so that a command that has arrived still gets its reply.
+        if status == ReadStatus::Drained && self.shutdown.is_draining() {
             self.drain_client(id);
         }
     }
 
-    /// What a client that was turned away still sends would, unread, turn the close into a reset that may
-    /// overtake the error line.
+    /// Reads and discards the input of a client in a lingering close. Unread input would turn the close into a reset,
+    /// and the client could lose the error reply.
     fn discard_input(&mut self, id: SocketId) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
@@ -281,58 +313,66 @@
         let Some(lingering) = &mut client.lingering else {
             return;
         };
-        let filled = client.stream.read_available(
+        let status = client.stream.read_available(
             self.event_loop.limits.resp.message,
             self.event_loop.limits.event_loop.read_bytes_per_turn,
         );
         let read = client.stream.input().len();
         client.stream.consume(read);
         lingering.bytes_left = lingering.bytes_left.saturating_sub(read);
-        let is_over = lingering.bytes_left == 0;
-        if filled == ReadStatus::Closed || is_over {
+        let is_limit_reached = lingering.bytes_left == 0;
+        if status == ReadStatus::Closed || is_limit_reached {
             self.close_client(id);
-        } else if filled == ReadStatus::More {
-            self.ready_again.push(id);
+        } else if status == ReadStatus::More {
+            self.clients_with_more_input.push(id);
         }
     }
 
+    /// Takes the complete commands in a client's input, while its pipeline has room. Returns whether it took any; false
+    /// also where the connection is closed or being closed.
     fn take_commands(&mut self, id: SocketId) -> bool {
-        let mut progress = false;
+        let mut has_taken = false;
         loop {
             let limits = &self.event_loop.limits;
-            let client = self.clients.get_mut(&id).filter(|client| !client.closing);
+            let client = self
+                .clients
+                .get_mut(&id)
+                .filter(|client| !client.is_closing);
             let Some(client) = client else { return false };
-            // Backpressure: who does not read answers gives no more commands.
+            // Backpressure: no more commands are taken from a client that does not read its replies. The rest of a
+            // command may then wait for the router, so the command timeout does not apply.
             if client.queue.len() >= limits.clients.pipelined_commands
                 || client.stream.unwritten() > limits.resp.value
             {
-                client.command_begun = None;
-                return progress;
+                client.command_began_at = None;
+                return has_taken;
             }
             let Some(client) = self.clients.get(&id) else {
                 return false;
             };
-            let read = client::parse_command(client.stream.input(), &limits.resp);
+            let parsed = client::parse_command(client.stream.input(), &limits.resp);
             let may_grow = client.stream.input().len() < limits.resp.message;
-            let (step, used) = match read {
-                Ok(Some((command, used))) => match self.step(command, client.arrivals.of(used)) {
-                    Ok(Step::Left(holder)) if holder != id => {
-                        self.close_client(holder);
-                        continue;
+            let (action, length) = match parsed {
+                Ok(Some((command, length))) => {
+                    match self.command_action(command, client.arrival_times.arrival_of(length)) {
+                        Ok(CommandAction::CloseHolder(holder)) if holder != id => {
+                            self.close_client(holder);
+                            continue;
+                        }
+                        Ok(action) => (action, length),
+                        Err(why) => return self.reject(id, &why),
                     }
-                    Ok(step) => (step, used),
-                    Err(why) => return self.reject(id, &why),
-                },
+                }
                 Ok(None) if may_grow => {
                     let now = self.event_loop.now();
                     let Some(client) = self.clients.get_mut(&id) else {
                         return false;
                     };
-                    client.command_begun =
+                    client.command_began_at =
                         client
-                            .command_begun
+                            .command_began_at
                             .or((!client.stream.input().is_empty()).then_some(now));
-                    return progress;
+                    return has_taken;
                 }
                 Ok(None) => return self.reject(id, &Malformed::new("a command is too long")),
                 Err(why) => return self.reject(id, &why),
@@ -340,34 +380,43 @@
             let Some(client) = self.clients.get_mut(&id) else {
                 return false;
             };
-            client.consume(used);
-            (client.last_used, client.commands, client.command_begun) =
-                (self.event_loop.now(), client.commands + 1, None);
-            client.unknown_commands += usize::from(matches!(step, Step::Unknown));
+            client.consume(length);
+            (
+                client.last_used,
+                client.commands_received,
+                client.command_began_at,
+            ) = (self.event_loop.now(), client.commands_received + 1, None);
+            client.unknown_commands += usize::from(matches!(action, CommandAction::Unknown));
             if client.unknown_commands > self.event_loop.limits.clients.unknown_commands {
                 return self.reject(id, &Malformed::new("too many unknown commands"));
             }
-            progress = true;
-            match step {
-                Step::Take(request) => self.admit(id, request),
-                Step::Reply(text) => self.reply(id, |out| resp::write_simple(out, text)),
-                Step::Left(_) => self.reply(id, |out| resp::write_error(out, OPEN_ID)),
-                Step::Fail(text) => self.reply(id, |out| resp::write_error(out, text)),
-                Step::Unknown => {
+            has_taken = true;
+            match action {
+                CommandAction::Admit(request) => self.admit(id, request),
+                CommandAction::Reply(text) => self.reply(id, |out| resp::write_simple(out, text)),
+                CommandAction::CloseHolder(_) => {
+                    self.reply(id, |out| resp::write_error(out, OPEN_ID_ERROR))
+                }
+                CommandAction::Error(text) => self.reply(id, |out| resp::write_error(out, text)),
+                CommandAction::Unknown => {
                     self.reply(id, |out| resp::write_error(out, "ERR unknown command"))
                 }
             }
         }
     }
 
-    /// What is to be done about a command whose last byte arrived at this time.
-    fn step(&self, command: Command, arrived: Option<f64>) -> Result<Step, Malformed> {
+    /// What to do about a command whose last byte arrived at `arrived_at` (Unix seconds).
+    fn command_action(
+        &self,
+        command: Command,
+        arrived_at: Option<f64>,
+    ) -> Result<CommandAction, Malformed> {
         let command_fields = match command {
             Command::Request(command_fields) => command_fields,
-            Command::Ping if self.ready => return Ok(Step::Reply("PONG")),
-            Command::Ping => return Ok(Step::Fail("ERR starting")),
-            Command::SetUp => return Ok(Step::Reply("OK")),
-            Command::Unknown => return Ok(Step::Unknown),
+            Command::Ping if self.is_ready => return Ok(CommandAction::Reply("PONG")),
+            Command::Ping => return Ok(CommandAction::Error("ERR starting")),
+            Command::SetUp => return Ok(CommandAction::Reply("OK")),
+            Command::Unknown => return Ok(CommandAction::Unknown),
         };
         let operation = self.transport.operations.get(command_fields.operation);
         let operation = *operation.ok_or_else(|| Malformed::new("the operation is not known"))?;
@@ -382,17 +431,17 @@
                 if !command_fields.idempotent => {}
             _ => return Err(Malformed::new("the command is not that of the operation")),
         }
-        // Hosts know a request by its id: with another's, one would be answered for the other.
-        if let Some(holder) = self.requests.holder(command_fields.id) {
-            // Unless that client is gone, which is only not read yet: then it is sent again.
-            let left = self
+        // Hosts identify a request by its id: of two with one id, one would get the response to the other.
+        if let Some(holder) = self.requests.open_request_connection(command_fields.id) {
+            // A client that has disconnected may not have been read yet; the request is then one that is sent again.
+            let is_gone = self
                 .clients
                 .get(&holder)
                 .is_some_and(|client| client.stream.is_closed_by_peer());
-            return Ok(if left {
-                Step::Left(holder)
+            return Ok(if is_gone {
+                CommandAction::CloseHolder(holder)
             } else {
-                Step::Fail(OPEN_ID)
+                CommandAction::Error(OPEN_ID_ERROR)
             });
         }
         if command_fields.time_limit_millis as f64
@@ -406,13 +455,13 @@
             .endpoints
             .route(command_fields.operation, command_fields.key)
             .map(|route| route.pool.clone());
-        // A command that lay unread, while this process stood still or behind a full pipeline, has less time left.
+        // Time that the command waited unread, in a stall of this process or behind a full pipeline, is subtracted.
         let now = self.event_loop.now();
-        let unread = now - arrived.unwrap_or(now);
-        let time_left = (command_fields.time_limit_millis as f64 / 1e3 - unread)
+        let unread_time = now - arrived_at.unwrap_or(now);
+        let time_left = (command_fields.time_limit_millis as f64 / 1e3 - unread_time)
             .max(0.0)
             .min(self.shutdown.time_left(now));
-        Ok(Step::Take(ParsedRequest {
+        Ok(CommandAction::Admit(ParsedRequest {
             operation,
             key,
             pool,
@@ -422,6 +471,7 @@
         }))
     }
 
+    /// Sends an error reply to malformed input and begins to close the connection; always returns false.
     fn reject(&mut self, id: SocketId, why: &Malformed) -> bool {
         if self.event_loop.may_warn() {
             info!(self.event_loop.log, "malformed command, client connection closed"; "why" => %why);
@@ -430,7 +480,7 @@
             .metrics
             .increment(Counter::MalformedMessages);
         if let Some(client) = self.clients.get_mut(&id) {
-            client.closing = true;
+            client.is_closing = true;
             client.consume(usize::MAX);
         }
         self.reply(id, |out| resp::write_error(out, &format!("ERR {why}")));
@@ -438,44 +488,49 @@
         false
     }
 
-    /// Turns away who has connected and said nothing for long, or has begun a command and not ended it.
-    pub(super) fn expire_clients_without_request(&mut self, now: f64) {
-        let since = now - self.event_loop.limits.clients.command_timeout;
-        let late = self
+    /// Closes clients that have sent no command within `command_timeout` of connecting or have not completed one within
+    /// that time, and those whose lingering close is over.
+    pub(super) fn expire_clients_without_command(&mut self, now: f64) {
+        let began_before = now - self.event_loop.limits.clients.command_timeout;
+        let expired = self
             .clients
             .iter()
-            .filter(|(_, client)| match client.command_begun {
-                _ if client.closing => client
+            .filter(|(_, client)| match client.command_began_at {
+                _ if client.is_closing => client
                     .lingering
                     .as_ref()
                     .is_some_and(|lingering| lingering.until < now),
-                Some(begun) => begun < since || client.commands == 0 && client.last_used < since,
-                None => client.commands == 0 && client.last_used < since,
+                Some(began_at) => {
+                    began_at < began_before
+                        || client.commands_received == 0 && client.last_used < began_before
+                }
+                None => client.commands_received == 0 && client.last_used < began_before,
             });
-        for (id, begun) in late
-            .map(|(id, client)| (*id, client.command_begun.is_some()))
+        for (id, is_mid_command) in expired
+            .map(|(id, client)| (*id, client.command_began_at.is_some()))
             .collect::<Vec<_>>()
         {
             match self.clients.get(&id) {
-                Some(client) if begun && !client.closing => {
+                Some(client) if is_mid_command && !client.is_closing => {
                     self.reject(id, &Malformed::new("a command does not end"));
                 }
-                Some(client) if client.closing => self.close_client(id),
+                Some(client) if client.is_closing => self.close_client(id),
                 _ => {
-                    self.close_unused(id);
+                    self.close_if_unused(id);
                 }
             }
         }
     }
 
-    /// The client is gone, or its connection is closed for want of use.
+    /// Closes a client's connection and abandons its pending requests. Their attempts whose commands are not fully
+    /// written are ended.
     pub(super) fn close_client(&mut self, id: SocketId) {
         let Some(client) = self.clients.remove(&id) else {
             return;
         };
-        let waited = !client.queue.is_empty();
-        for waiting in client.queue {
-            if let QueuedReply::Pending(request) = waiting
+        let had_queued_replies = !client.queue.is_empty();
+        for reply in client.queue {
+            if let QueuedReply::Pending(request) = reply
                 && self.requests.abandon(&request)
             {
                 self.event_loop
@@ -486,12 +541,12 @@
             }
         }
         client.stream.close(&self.event_loop.reactor);
-        if waited {
+        if had_queued_replies {
             self.abandon_unwritten_attempts();
         }
     }
 
-    /// Whether the client of this request is gone, be it that its close is not read yet.
+    /// Whether the client of this request has disconnected. Where that has not been read yet, closes the connection.
     pub(super) fn is_client_gone(&mut self, request: &RequestId) -> bool {
         let Some(client) = self.requests.client(request) else {
             return false;
@@ -509,32 +564,37 @@
         is_closed
     }
 
-    /// Closes connections whose clients have not read for long, and the fullest where too much is unread.
+    /// Closes clients that have not read their replies within `write_timeout`, and the one with the most unread bytes
+    /// where all clients together have more than `unread_response_bytes`.
     pub(super) fn close_clients_not_reading(&mut self, now: f64) {
-        let (most, longest) = (
+        let (max_unread_bytes, write_timeout) = (
             self.event_loop.limits.clients.unread_response_bytes,
             self.event_loop.limits.clients.write_timeout,
         );
-        let not_reading = self
-            .clients
-            .iter()
-            .filter(|(_, c)| c.unread_since.is_some_and(|since| now - since > longest));
-        let mut closed: Vec<_> = not_reading.map(|(id, _)| *id).collect();
-        let unread = |client: &Client| {
-            let waiting = client.queue.iter().map(|waiting| match waiting {
+        let not_reading = self.clients.iter().filter(|(_, client)| {
+            client
+                .unread_since
+                .is_some_and(|since| now - since > write_timeout)
+        });
+        let mut to_close: Vec<_> = not_reading.map(|(id, _)| *id).collect();
+        let unread_bytes = |client: &Client| {
+            let queued = client.queue.iter().map(|reply| match reply {
                 QueuedReply::Pending(_) => 0,
                 QueuedReply::Ready(bytes) => bytes.len(),
             });
-            client.stream.unwritten() + waiting.sum::<usize>()
+            client.stream.unwritten() + queued.sum::<usize>()
         };
-        if self.clients.values().map(unread).sum::<usize>() > most {
-            let fullest = self.clients.iter().max_by_key(|(_, client)| unread(client));
-            closed.extend(fullest.map(|(id, _)| *id));
+        if self.clients.values().map(unread_bytes).sum::<usize>() > max_unread_bytes {
+            let fullest = self
+                .clients
+                .iter()
+                .max_by_key(|(_, client)| unread_bytes(client));
+            to_close.extend(fullest.map(|(id, _)| *id));
         }
-        for id in closed {
+        for id in to_close {
             warn!(
                 self.event_loop.log,
-                "client does not read, connection closed"
+                "client not reading replies, connection closed"
             );
             self.close_client(id);
         }
