--- a/management/src/commit_service.rs
+++ b/management/src/commit_service.rs
@@ -19,12 +19,12 @@
 #[derive(Debug)]
 pub enum CommitServiceRequest {
     /// Opens a session, which can hold locks and pending commits.
-    Open {
+    OpenSession {
         /// Receives the id of the session.
         reply: oneshot::Sender<SessionId>,
     },
     /// Ends a session: releases its locks, and rolls back a pending commit that only it could confirm.
-    Ended {
+    CloseSession {
         /// The session that ended.
         session: SessionId,
     },
@@ -74,7 +74,7 @@
         reply: oneshot::Sender<Result<(), CommitError>>,
     },
     /// Records an edit that was denied, as any other rejected commit.
-    Denied {
+    RecordDeniedEdit {
         /// The author of the edit.
         author: Author,
         /// The missing right, and the change that needs it.
@@ -92,7 +92,7 @@
     /// The author of the revision.
     pub author: Author,
     /// The time in which the commit has to be confirmed; none if it is final.
-    pub confirm: Option<ConfirmedCommit>,
+    pub confirmed_commit: Option<ConfirmedCommit>,
     /// The persist-id of the pending commit, if it has one.
     pub persist_id: Option<String>,
     /// Receives the outcome, or why nothing was committed.
@@ -114,11 +114,11 @@
     /// Queues a request; false if the queue is full or the commit service has stopped.
     pub submit: Arc<dyn Fn(CommitServiceRequest) -> bool + Send + Sync>,
     /// The revision in force, its history and the pending commit.
-    pub published: Arc<ArcSwap<CoordinatorStatus>>,
+    pub status: Arc<ArcSwap<CoordinatorStatus>>,
     /// The latest view of the state of the router.
-    pub view: Arc<ArcSwap<OperationalState>>,
+    pub operational_state: Arc<ArcSwap<OperationalState>>,
     /// The revision that the event loop has applied.
-    pub in_force: Arc<AtomicU64>,
+    pub applied_revision: Arc<AtomicU64>,
     /// Commits and rejections, for all subscribers.
     pub notifications: broadcast::Sender<Notification>,
     /// The keys of clients, with their rights.
@@ -158,7 +158,7 @@
 
     /// Opens a session; none if the commit service does not reply.
     pub async fn open(&self) -> Option<SessionId> {
-        self.request(|reply| CommitServiceRequest::Open { reply })
+        self.request(|reply| CommitServiceRequest::OpenSession { reply })
             .await
     }
 
@@ -254,7 +254,7 @@
         requester: RequestingSession,
         candidate: Candidate,
         author: Author,
-        confirm: Option<ConfirmedCommit>,
+        confirmed_commit: Option<ConfirmedCommit>,
         persist_id: Option<String>,
     ) -> Result<CommitOutcome, CommitError> {
         let make = |reply| {
@@ -262,7 +262,7 @@
                 requester,
                 candidate,
                 author,
-                confirm,
+                confirmed_commit,
                 persist_id,
                 reply,
             }))
@@ -270,7 +270,9 @@
         let commit = self.request(make).await.unwrap_or(Err(unavailable()))?;
         if let CommitOutcome::Applied(snapshot) = &commit {
             let deadline = Instant::now() + APPLY_TIMEOUT;
-            while self.in_force.load(Relaxed) < snapshot.revision().0 && Instant::now() < deadline {
+            while self.applied_revision.load(Relaxed) < snapshot.revision().0
+                && Instant::now() < deadline
+            {
                 tokio::time::sleep(APPLY_CHECK_INTERVAL).await;
             }
         }
--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -182,7 +182,7 @@
         step: &Step,
         list: Option<NodeId>,
     ) -> Vec<(NodeId, Step)> {
-        let tree = &self.commit_service.published.load().in_force.tree;
+        let tree = &self.commit_service.status.load().in_force.tree;
         match (node, list) {
             (Some(_), Some(list))
                 if matches!(self.schema.node_of(list).kind, NodeKind::List { .. }) =>
--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -26,8 +26,8 @@
         let data = state::operational_data(
             self.schema,
             &self.binding,
-            &self.commit_service.view.load(),
-            &self.commit_service.published.load(),
+            &self.commit_service.operational_state.load(),
+            &self.commit_service.status.load(),
         );
         let data = self.retain_type(data, request.r#type);
         let timestamp = nanos();
--- a/management/src/gnmi/mod.rs
+++ b/management/src/gnmi/mod.rs
@@ -29,7 +29,7 @@
 use tonic::{Request, Response, Status, Streaming};
 
 use self::arbitration::ElectionId;
-pub use self::serve::{Tls, serve};
+pub use self::serve::{TlsCredentials, serve};
 use self::snapshot::Snapshot;
 use self::subscribe::Responses;
 use crate::Limits;
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -16,13 +16,13 @@
 use crate::{Limits, ServeError};
 
 /// The certificates and the key of TLS, in PEM.
-pub struct Tls {
+pub struct TlsCredentials {
     /// The certificate chain of the server.
     pub certificate: Vec<u8>,
     /// The private key of the server.
     pub key: Vec<u8>,
     /// The certificate that signs the certificates of clients.
-    pub clients: Vec<u8>,
+    pub client_ca: Vec<u8>,
 }
 
 /// Serves until the listener fails for good.
@@ -35,7 +35,7 @@
     commit_service: CommitServiceHandle,
     limits: Limits,
     listener: TcpListener,
-    tls: Tls,
+    tls: TlsCredentials,
 ) -> Result<(), ServeError> {
     let schema = kestreltide_yang::published()?;
     let binding = Arc::new(Binding::new(schema)?);
@@ -78,8 +78,8 @@
 }
 
 /// TLS that requires client certificates and limits the time of a handshake.
-fn tls_config(tls: Tls, limits: &Limits) -> ServerTlsConfig {
-    let clients = Certificate::from_pem(tls.clients);
+fn tls_config(tls: TlsCredentials, limits: &Limits) -> ServerTlsConfig {
+    let clients = Certificate::from_pem(tls.client_ca);
     let identity = Identity::from_pem(tls.certificate, tls.key);
     ServerTlsConfig::new()
         .identity(identity)
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -39,12 +39,12 @@
             Some(commit) => Some(confirmed_commit(commit)?),
             None => None,
         };
-        let published = self.commit_service.published.load_full();
+        let published = self.commit_service.status.load_full();
         let mut candidate = Candidate::new(&published.in_force);
         let response = self.edit_candidate(&mut candidate, &request)?;
         let author = self.next_author(&key);
         if let Err(error) = rights.check(&published.in_force.tree.differences(&candidate.tree)) {
-            (self.commit_service.submit)(crate::CommitServiceRequest::Denied {
+            (self.commit_service.submit)(crate::CommitServiceRequest::RecordDeniedEdit {
                 author,
                 error: error.clone(),
             });
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -156,16 +156,16 @@
             Box::new(move || vec![state::operational_data(schema, &binding, &view, &published)]),
         ))
     };
-    let mut view = commit_service.view.load_full();
-    let mut published = commit_service.published.load_full();
+    let mut view = commit_service.operational_state.load_full();
+    let mut published = commit_service.status.load_full();
     let (sender, receiver) = watch::channel(snapshot(0, &view, &published));
     tokio::spawn(async move {
         let mut number = 0;
         while !sender.is_closed() {
             // Comparing two pointers is cheaper than a notification of each change.
             sleep(POLL_INTERVAL).await;
-            let new_view = commit_service.view.load_full();
-            let new_published = commit_service.published.load_full();
+            let new_view = commit_service.operational_state.load_full();
+            let new_published = commit_service.status.load_full();
             if Arc::ptr_eq(&new_view, &view) && Arc::ptr_eq(&new_published, &published) {
                 continue;
             }
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -27,7 +27,7 @@
             Some(_) => Some(confirmed_commit(operation)?),
             None => None,
         };
-        let published = commit_service.published.load();
+        let published = commit_service.status.load();
         let changed = self
             .candidate
             .as_ref()
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -68,7 +68,7 @@
 impl Session {
     pub(super) fn candidate(&mut self, commit_service: &CommitServiceHandle) -> &mut Candidate {
         self.candidate
-            .get_or_insert_with(|| Candidate::new(&commit_service.published.load().in_force))
+            .get_or_insert_with(|| Candidate::new(&commit_service.status.load().in_force))
     }
 
     /// Edits a tree by a `config` element, all or none.
@@ -110,7 +110,7 @@
             .child("config")
             .ok_or_else(|| vec![RpcError::missing("config")])?;
         let mut candidate = match target {
-            Target::Running => Candidate::new(&commit_service.published.load().in_force),
+            Target::Running => Candidate::new(&commit_service.status.load().in_force),
             Target::Candidate => self.candidate(commit_service).clone(),
         };
         let before = candidate.tree.clone();
@@ -148,7 +148,7 @@
     ) -> Result<(), Vec<RpcError>> {
         rights.check(&before.differences(after)).map_err(|error| {
             let path = error.path.parse().ok().map(|path| xpath(&path));
-            (commit_service.submit)(crate::CommitServiceRequest::Denied {
+            (commit_service.submit)(crate::CommitServiceRequest::RecordDeniedEdit {
                 author: self.author(),
                 error: error.clone(),
             });
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -82,12 +82,12 @@
             state::operational_data(
                 self.schema,
                 &self.binding,
-                &commit_service.view.load(),
-                &commit_service.published.load(),
+                &commit_service.operational_state.load(),
+                &commit_service.status.load(),
             )
         } else {
             let tree = match target(operation, "source")? {
-                Target::Running => commit_service.published.load().in_force.tree.clone(),
+                Target::Running => commit_service.status.load().in_force.tree.clone(),
                 Target::Candidate => {
                     std::sync::Arc::new(self.candidate(commit_service).tree.clone())
                 }
@@ -107,13 +107,13 @@
             .ok_or_else(|| vec![RpcError::missing("source")])?;
         let candidate = match source.child("config") {
             Some(config) => {
-                let mut candidate = Candidate::new(&commit_service.published.load().in_force);
+                let mut candidate = Candidate::new(&commit_service.status.load().in_force);
                 candidate.tree = Tree::default();
                 self.apply_config(&mut candidate.tree, config, Operation::Merge)?;
                 candidate
             }
             None => match target(operation, "source")? {
-                Target::Running => Candidate::new(&commit_service.published.load().in_force),
+                Target::Running => Candidate::new(&commit_service.status.load().in_force),
                 Target::Candidate => self.candidate(commit_service).clone(),
             },
         };
--- a/management/src/netconf/session/rollout_operations.rs
+++ b/management/src/netconf/session/rollout_operations.rs
@@ -19,7 +19,7 @@
         commit_service: &CommitServiceHandle,
     ) -> Result<Step, Vec<RpcError>> {
         let build = self.build_of(operation, name)?;
-        let mut candidate = Candidate::new(&commit_service.published.load().in_force);
+        let mut candidate = Candidate::new(&commit_service.status.load().in_force);
         let before = candidate.tree.clone();
         if operation.name == "let-trial-go" {
             candidate.tree.rollout = Default::default();
--- a/management/src/netconf/session_task.rs
+++ b/management/src/netconf/session_task.rs
@@ -49,7 +49,7 @@
     }
     shared.with_sessions(|sessions| sessions.remove(&id));
     // Releases its locks, and rolls back the commit that only it could confirm.
-    (shared.commit_service.submit)(crate::CommitServiceRequest::Ended { session: id });
+    (shared.commit_service.submit)(crate::CommitServiceRequest::CloseSession { session: id });
 }
 
 /// Exchanges messages over a channel until the session ends.
--- a/router/src/management_threads/datastore_thread/management_requests.rs
+++ b/router/src/management_threads/datastore_thread/management_requests.rs
@@ -61,8 +61,10 @@
         facts: &Facts,
     ) -> HandledRequest {
         match request {
-            CommitServiceRequest::Open { reply } => send(reply, self.coordinator.open_session()),
-            CommitServiceRequest::Ended { session } => {
+            CommitServiceRequest::OpenSession { reply } => {
+                send(reply, self.coordinator.open_session())
+            }
+            CommitServiceRequest::CloseSession { session } => {
                 let rolled_back = self
                     .coordinator
                     .close_session(session, facts)
@@ -95,7 +97,7 @@
                 persist_id,
                 reply,
             } => return self.cancel_commit(requester, persist_id.as_deref(), reply, facts),
-            CommitServiceRequest::Denied { author, error } => {
+            CommitServiceRequest::RecordDeniedEdit { author, error } => {
                 self.record_denied_edit(author, error, facts);
             }
             CommitServiceRequest::Commit(request) => return self.commit(*request, facts),
@@ -129,7 +131,7 @@
             request.requester,
             &request.candidate,
             request.author,
-            request.confirm,
+            request.confirmed_commit,
             request.persist_id.as_deref(),
             facts,
         );
--- a/router/src/management_threads/interfaces.rs
+++ b/router/src/management_threads/interfaces.rs
@@ -171,10 +171,10 @@
             Ok(listener) => listener,
             Err(error) => return error!(log, "gNMI server failed"; "error" => %error),
         };
-        let tls = gnmi::Tls {
+        let tls = gnmi::TlsCredentials {
             certificate: self.certificate.clone(),
             key: self.key.clone(),
-            clients: self.client_ca.clone(),
+            client_ca: self.client_ca.clone(),
         };
         let log = log.clone();
         let commit_service = commit_service.clone();
--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -198,9 +198,9 @@
                         .try_send(DatastoreRequest::Management(request))
                         .is_ok()
                 }),
-                published,
-                view: event_loop.view.clone(),
-                in_force: event_loop.applied_revision.clone(),
+                status: published,
+                operational_state: event_loop.view.clone(),
+                applied_revision: event_loop.applied_revision.clone(),
                 notifications,
                 keys: interfaces.keys(),
             };
