--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -29,7 +29,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What all sessions share.
-pub struct Shared {
+pub struct ServerContext {
     /// The log.
     pub log: Logger,
     /// The commit service.
@@ -44,7 +44,7 @@
     sessions: Mutex<BTreeMap<SessionId, Arc<Notify>>>,
 }
 
-impl Shared {
+impl ServerContext {
     /// What sessions share, with the published model.
     ///
     /// # Errors
@@ -57,7 +57,7 @@
     ) -> Result<Self, ServeError> {
         let schema = kestreltide_yang::published()?;
         let binding = Arc::new(Binding::new(schema)?);
-        Ok(Shared {
+        Ok(ServerContext {
             log,
             commit_service,
             limits,
@@ -100,15 +100,15 @@
 }
 
 /// Serves until the listener fails for good.
-pub async fn serve(shared: Arc<Shared>, listener: TcpListener, host_key: PrivateKey) {
-    let config = Arc::new(ssh_config(host_key, &shared.limits));
-    let permits = Arc::new(Semaphore::new(shared.limits.max_connections));
+pub async fn serve(context: Arc<ServerContext>, listener: TcpListener, host_key: PrivateKey) {
+    let config = Arc::new(ssh_config(host_key, &context.limits));
+    let permits = Arc::new(Semaphore::new(context.limits.max_connections));
     loop {
         let (stream, client) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(e) => {
                 // Most likely out of file descriptors: sessions go on, and accepting is retried.
-                warn!(shared.log, "NETCONF connection not accepted"; "error" => %e);
+                warn!(context.log, "NETCONF connection not accepted"; "error" => %e);
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -117,25 +117,25 @@
             drop(stream);
             continue;
         };
-        let shared = shared.clone();
+        let context = context.clone();
         let config = config.clone();
         tokio::spawn(async move {
-            serve_connection(shared.clone(), config, stream).await;
+            serve_connection(context.clone(), config, stream).await;
             drop(permit);
-            debug!(shared.log, "NETCONF connection closed"; "client" => %client);
+            debug!(context.log, "NETCONF connection closed"; "client" => %client);
         });
     }
 }
 
 /// Serves one connection to its end. The start of SSH has the login timeout, and the authentication after it has it again.
 async fn serve_connection(
-    shared: Arc<Shared>,
+    context: Arc<ServerContext>,
     config: Arc<russh::server::Config>,
     stream: TcpStream,
 ) {
     let authenticated = Arc::new(AtomicBool::new(false));
-    let login_timeout = shared.limits.login_timeout;
-    let handler = SshConnection::new(shared, authenticated.clone());
+    let login_timeout = context.limits.login_timeout;
+    let handler = SshConnection::new(context, authenticated.clone());
     let connection = timeout(
         login_timeout,
         russh::server::run_stream(config, stream, handler),
--- a/management/src/netconf/session_task.rs
+++ b/management/src/netconf/session_task.rs
@@ -16,7 +16,7 @@
 use tokio::time::interval;
 
 use super::framing::{FrameDecoder, Framing, encode};
-use super::server::Shared;
+use super::server::ServerContext;
 use super::session::{DatastoreOperation, Session, Step};
 use crate::commit_service::Notification;
 use crate::end_reason::EndReason;
@@ -28,43 +28,43 @@
 const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Serves one session from its hello to its end.
-pub(super) async fn serve_session(shared: Arc<Shared>, key: Key, channel: Channel<Msg>) {
-    let Some(id) = shared.commit_service.open().await else {
+pub(super) async fn serve_session(context: Arc<ServerContext>, key: Key, channel: Channel<Msg>) {
+    let Some(id) = context.commit_service.open().await else {
         return;
     };
     let kill_signal = Arc::new(Notify::new());
-    let is_admitted = shared.with_sessions(|sessions| {
-        let is_admitted = sessions.len() < shared.limits.max_sessions;
+    let is_admitted = context.with_sessions(|sessions| {
+        let is_admitted = sessions.len() < context.limits.max_sessions;
         if is_admitted {
             sessions.insert(id, kill_signal.clone());
         }
         is_admitted
     });
     if is_admitted {
-        info!(shared.log, "NETCONF session opened"; "session" => id.0, "key" => &key.name);
-        let reason = exchange_messages(&shared, id, &key, channel, &kill_signal).await;
-        info!(shared.log, "NETCONF session closed"; "session" => id.0, "key" => &key.name, "reason" => %reason);
+        info!(context.log, "NETCONF session opened"; "session" => id.0, "key" => &key.name);
+        let reason = exchange_messages(&context, id, &key, channel, &kill_signal).await;
+        info!(context.log, "NETCONF session closed"; "session" => id.0, "key" => &key.name, "reason" => %reason);
     } else {
-        warn!(shared.log, "NETCONF session rejected"; "key" => &key.name, "reason" => "too many sessions");
+        warn!(context.log, "NETCONF session rejected"; "key" => &key.name, "reason" => "too many sessions");
     }
-    shared.with_sessions(|sessions| sessions.remove(&id));
+    context.with_sessions(|sessions| sessions.remove(&id));
     // Releases its locks, and rolls back the commit that only it could confirm.
-    (shared.commit_service.submit)(crate::CommitServiceRequest::CloseSession { session: id });
+    (context.commit_service.submit)(crate::CommitServiceRequest::CloseSession { session: id });
 }
 
 /// Exchanges messages over a channel until the session ends.
 async fn exchange_messages(
-    shared: &Shared,
+    context: &ServerContext,
     id: SessionId,
     key: &Key,
     channel: Channel<Msg>,
     kill_signal: &Notify,
 ) -> EndReason {
     let (reader, writer) = tokio::io::split(channel.into_stream());
-    let session = Session::new(id, &key.name, shared.schema, shared.binding.clone());
-    let decoder = FrameDecoder::new(shared.limits.max_message_bytes);
+    let session = Session::new(id, &key.name, context.schema, context.binding.clone());
+    let decoder = FrameDecoder::new(context.limits.max_message_bytes);
     let mut exchange = Exchange {
-        shared,
+        context,
         id,
         key,
         session,
@@ -80,7 +80,7 @@
 
 /// The messages of one session over its channel.
 struct Exchange<'a, W> {
-    shared: &'a Shared,
+    context: &'a ServerContext,
     id: SessionId,
     key: &'a Key,
     session: Session,
@@ -129,13 +129,13 @@
 
     /// Ends a session whose key was revoked, or whose hello is late.
     fn check_key_and_hello(&self, elapsed: Duration) -> Result<(), EndReason> {
-        if self.shared.rights(self.key).is_none() {
+        if self.context.rights(self.key).is_none() {
             return Err(EndReason::KeyRevoked);
         }
         let is_waiting_for_hello = !self.session.chunked()
             && self.decoder.framing() == Framing::EndMark
             && !self.session.hello_received();
-        if is_waiting_for_hello && elapsed > self.shared.limits.login_timeout {
+        if is_waiting_for_hello && elapsed > self.context.limits.login_timeout {
             return Err(EndReason::HelloTimeout);
         }
         Ok(())
@@ -147,9 +147,11 @@
         notification: Result<Notification, RecvError>,
     ) -> Result<(), EndReason> {
         let data = match notification {
-            Ok(notification) => {
-                notification_data(self.shared, &notification, std::mem::take(&mut self.missed))
-            }
+            Ok(notification) => notification_data(
+                self.context,
+                &notification,
+                std::mem::take(&mut self.missed),
+            ),
             Err(RecvError::Lagged(count)) => {
                 self.missed += count;
                 return Ok(());
@@ -180,27 +182,27 @@
     }
 
     async fn handle_message(&mut self, message: &[u8]) -> Result<(), EndReason> {
-        let rights = self.shared.rights(self.key).ok_or(EndReason::KeyRevoked)?;
+        let rights = self.context.rights(self.key).ok_or(EndReason::KeyRevoked)?;
         let step = self
             .session
-            .message(message, rights, &self.shared.commit_service);
+            .message(message, rights, &self.context.commit_service);
         let (reply, end_reason) = match step {
             Step::Reply(reply) => (reply, None),
             Step::Close(reply) => (reply, Some(EndReason::Closed)),
             Step::Abort(reason) => return Err(EndReason::Aborted(reason)),
             Step::Subscribe(reply) => {
-                self.notifications = Some(self.shared.commit_service.notifications.subscribe());
+                self.notifications = Some(self.context.commit_service.notifications.subscribe());
                 (reply, None)
             }
             Step::Kill(other, reply) => {
                 let found = self
-                    .shared
+                    .context
                     .with_sessions(|sessions| sessions.get(&other).cloned());
                 found.inspect(|kill_signal| kill_signal.notify_one());
                 (reply, None)
             }
             Step::Perform(operation) => {
-                let result = perform(self.shared, self.id, &self.session, &operation).await;
+                let result = perform(self.context, self.id, &self.session, &operation).await;
                 (self.session.complete(&operation, result), None)
             }
         };
@@ -233,12 +235,12 @@
 }
 
 async fn perform(
-    shared: &Shared,
+    context: &ServerContext,
     id: SessionId,
     session: &Session,
     operation: &DatastoreOperation,
 ) -> Result<(), CommitError> {
-    let commit_service = &shared.commit_service;
+    let commit_service = &context.commit_service;
     match operation.clone() {
         DatastoreOperation::Lock(target) => commit_service.lock(id, target).await,
         DatastoreOperation::Unlock(target) => commit_service.unlock(id, target).await,
@@ -262,19 +264,19 @@
 
 /// A notification as data, with its time in Unix seconds; none if the model does not have it.
 fn notification_data(
-    shared: &Shared,
+    context: &ServerContext,
     notification: &Notification,
     missed: u64,
 ) -> Option<(f64, kestreltide_yang::DataNode)> {
-    let node = |name: &str| -> Option<NodeId> { shared.schema.notifications.get(name).copied() };
+    let node = |name: &str| -> Option<NodeId> { context.schema.notifications.get(name).copied() };
     Some(match notification {
         Notification::Committed(record) => (
             record.at,
-            state::revision_committed(shared.schema, node("revision-committed")?, record, missed),
+            state::revision_committed(context.schema, node("revision-committed")?, record, missed),
         ),
         Notification::Rejected(refusal) => (
             refusal.at,
-            state::candidate_refused(shared.schema, node("candidate-refused")?, refusal),
+            state::candidate_refused(context.schema, node("candidate-refused")?, refusal),
         ),
     })
 }
--- a/management/src/netconf/ssh_connection.rs
+++ b/management/src/netconf/ssh_connection.rs
@@ -11,7 +11,7 @@
 };
 use russh::{Channel, ChannelId, ChannelOpenFailure};
 
-use super::server::Shared;
+use super::server::ServerContext;
 use super::session_task::serve_session;
 
 /// Channels of one connection that no subsystem has been requested for, at most.
@@ -32,7 +32,7 @@
 
 /// The handler of one SSH connection.
 pub(super) struct SshConnection {
-    shared: Arc<Shared>,
+    context: Arc<ServerContext>,
     /// Set once the client has authenticated.
     authenticated: Arc<AtomicBool>,
     /// The key that the client has authenticated with.
@@ -43,9 +43,9 @@
 
 impl SshConnection {
     /// A connection whose client has not authenticated; `authenticated` is set once it has.
-    pub(super) fn new(shared: Arc<Shared>, authenticated: Arc<AtomicBool>) -> Self {
+    pub(super) fn new(context: Arc<ServerContext>, authenticated: Arc<AtomicBool>) -> Self {
         SshConnection {
-            shared,
+            context,
             authenticated,
             key: None,
             channels: BTreeMap::new(),
@@ -62,7 +62,7 @@
         key: VerifiedPublicKey<'_>,
     ) -> Result<Auth, Self::Error> {
         let known = credential(key.public_key).and_then(|credential| {
-            self.shared
+            self.context
                 .commit_service
                 .keys
                 .load()
@@ -109,10 +109,10 @@
         }
         session.channel_success(id)?;
         // A connection ends with its session.
-        let shared = self.shared.clone();
+        let context = self.context.clone();
         let ssh = session.handle();
         tokio::spawn(async move {
-            serve_session(shared, key, channel).await;
+            serve_session(context, key, channel).await;
             let _ = ssh
                 .disconnect(
                     russh::Disconnect::ByApplication,
--- a/router/src/management_threads/interfaces.rs
+++ b/router/src/management_threads/interfaces.rs
@@ -12,7 +12,7 @@
 use arc_swap::ArcSwap;
 use kestreltide_datastore::Keys;
 use kestreltide_management::keys::{PrivateKey, decode_secret_key};
-use kestreltide_management::netconf::server::{Shared, serve as serve_netconf};
+use kestreltide_management::netconf::server::{ServerContext, serve as serve_netconf};
 use kestreltide_management::{CommitServiceHandle, Limits, gnmi};
 use slog::{Logger, error, info};
 
@@ -140,10 +140,10 @@
             Ok(listener) => listener,
             Err(error) => return error!(log, "NETCONF server failed"; "error" => %error),
         };
-        match Shared::new(log.clone(), commit_service.clone(), limits.clone()) {
-            Ok(shared) => {
+        match ServerContext::new(log.clone(), commit_service.clone(), limits.clone()) {
+            Ok(context) => {
                 tokio::spawn(serve_netconf(
-                    Arc::new(shared),
+                    Arc::new(context),
                     listener,
                     self.host_key.clone(),
                 ));
