--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -191,7 +191,7 @@
     /// Plans a request's next attempt by the limits on retries and the budgets.
     fn plan_attempt(&self, now: f64, request: &TrackedRequest, is_hedge: bool) -> AttemptPlan {
         let operation = &self.settings.operations[request.operation];
-        let has_effect = request.first_effect().is_some();
+        let has_effect = request.first_attempt_with_possible_effect().is_some();
         let window_is_over = self.retry_window_is_over(now, request);
         let is_first = request.attempts.is_empty();
         let useful_until = if operation.late_is_worthless {
--- a/src/decisions/connections.rs
+++ b/src/decisions/connections.rs
@@ -90,9 +90,11 @@
         operation: &Operation,
     ) -> ConnectionRequirements {
         let window = operation.idempotency_window;
-        let window_left = request.first_effect().map_or(f64::INFINITY, |first| {
-            window - 2.0 * self.settings.tick - (now - first.sent_at)
-        });
+        let window_left = request
+            .first_attempt_with_possible_effect()
+            .map_or(f64::INFINITY, |first| {
+                window - 2.0 * self.settings.tick - (now - first.sent_at)
+            });
         let drain_limit = WRITE_DRAIN_FRACTION * self.settings.drain_grace;
         let max_idle = if self.connection_losses.idle_connections_are_dropped() {
             IDLE_BY_CONNECTION
--- a/src/decisions/exposure.rs
+++ b/src/decisions/exposure.rs
@@ -79,13 +79,14 @@
 
 impl Router {
     /// Whether a build may get one more attempt: always where it is released, and within its cap where it is the
-    /// canary.
+    /// canary. `is_unbound` states that the request's sticky key, if it has one, is not bound to this or a newer build;
+    /// such requests get only part of the cap.
     pub(super) fn has_exposure_room(
         &self,
         now: f64,
         build: BuildId,
         operation: usize,
-        binds_new_key: bool,
+        is_unbound: bool,
     ) -> bool {
         let phase = self.phase_of(build);
         let status = self.rollout.status.filter(|status| status.build == build);
@@ -115,7 +116,7 @@
             .iter()
             .filter(|entry| entry.build == build && is_counted(entry.operation))
             .count();
-        let reserves_headroom = binds_new_key && self.settings.sticky_keys && cap < 1.0;
+        let reserves_headroom = is_unbound && self.settings.sticky_keys && cap < 1.0;
         let cap_fraction = if reserves_headroom {
             NEW_KEY_CAP_FRACTION
         } else {
--- a/src/decisions/request_table.rs
+++ b/src/decisions/request_table.rs
@@ -64,7 +64,7 @@
 
     /// The first attempt that may have an effect. Idempotency keys limit the retries after it, in time and to hosts
     /// that know the key.
-    pub(super) fn first_effect(&self) -> Option<&Attempt> {
+    pub(super) fn first_attempt_with_possible_effect(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
             .find(|attempt| attempt.in_flight || attempt.may_have_run)
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -70,7 +70,7 @@
         let operation = &self.settings.operations[request.operation];
         let window = operation.idempotency_window - 2.0 * self.settings.tick;
         request
-            .first_effect()
+            .first_attempt_with_possible_effect()
             .is_some_and(|first| now - first.sent_at >= window)
     }
 
