--- a/src/decisions/evidence.rs
+++ b/src/decisions/evidence.rs
@@ -155,7 +155,7 @@
     /// The weight of a baseline outcome.
     pub(super) baseline_weight: f64,
     /// This router started during a rollout and has no evidence about the canary yet.
-    pub(super) is_fresh: bool,
+    pub(super) lacks_evidence: bool,
 }
 
 impl EvidenceStore {
@@ -164,7 +164,7 @@
             own: Evidence::new(slots),
             merged: Evidence::new(slots),
             baseline_weight: 1.0,
-            is_fresh: false,
+            lacks_evidence: false,
         }
     }
 
--- a/src/decisions/gossip.rs
+++ b/src/decisions/gossip.rs
@@ -193,16 +193,16 @@
     /// Moves this router's evidence to the mean of both routers'; `sent` is what the peer was sent.
     fn merge(&mut self, message: &GossipMessage, sent: Option<Evidence>) {
         let own = self.evidence.own.flat_counts_mut();
-        if self.evidence.is_fresh && !message.is_fresh {
+        if self.evidence.lacks_evidence && !message.lacks_evidence {
             // A restarted router copies its peer's counts: averaging them with its own, which are zero, would halve
             // them.
             for (own, theirs) in own.zip(&message.counts) {
                 *own = *theirs;
             }
-            self.evidence.is_fresh = false;
+            self.evidence.lacks_evidence = false;
             self.evidence.merged = self.evidence.own.clone();
         } else if let Some(sent) = sent
-            && self.evidence.is_fresh == message.is_fresh
+            && self.evidence.lacks_evidence == message.lacks_evidence
         {
             // Adds half the difference to the evidence as it was sent, which keeps the outcomes recorded since then.
             for ((own, theirs), sent) in own.zip(&message.counts).zip(sent.flat_counts()) {
@@ -214,7 +214,7 @@
     fn send_gossip(&self, to: RouterId, is_reply: bool, effects: &mut Vec<Effect>) {
         let message = GossipMessage {
             is_reply,
-            is_fresh: self.evidence.is_fresh,
+            lacks_evidence: self.evidence.lacks_evidence,
             build: self
                 .rollout
                 .status
--- a/src/decisions/gossip_message.rs
+++ b/src/decisions/gossip_message.rs
@@ -1,7 +1,7 @@
 //! The format of gossip messages between routers.
 //!
 //! All numbers are little-endian. A message holds one byte that tells whether it is a reply, one byte that tells
-//! whether its sender is fresh (see [`GossipMessage::is_fresh`]), two bytes for the build, and two bytes for each
+//! whether its sender lacks evidence (see [`GossipMessage::lacks_evidence`]), two bytes for the build, and two bytes for each
 //! further number: the upper half of a 32-bit float (bfloat16).
 
 use crate::interface::BuildId;
@@ -17,12 +17,13 @@
     /// Whether it replies to a message of its receiver.
     pub(super) is_reply: bool,
     /// The sender started during a rollout and has no evidence about the canary yet.
-    pub(super) is_fresh: bool,
+    pub(super) lacks_evidence: bool,
     /// The build that the counts are about.
     pub(super) build: BuildId,
-    /// The requests that the sender received in its exposure window.
+    /// The number of requests that the sender received within the last exposure window, see
+    /// [`super::exposure::ExposureWindow`].
     pub(super) received: f64,
-    /// The relative slowdown that the sender observes.
+    /// How many times slower the hosts are than before the canary, as the sender observes it.
     pub(super) slowdown: f64,
     /// The sender's evidence, in the order of [`super::evidence::Evidence::flat_counts`].
     pub(super) counts: Vec<f64>,
@@ -31,7 +32,7 @@
 impl GossipMessage {
     /// Encodes the message.
     pub(super) fn encode(&self) -> Vec<u8> {
-        let mut bytes = vec![u8::from(self.is_reply), u8::from(self.is_fresh)];
+        let mut bytes = vec![u8::from(self.is_reply), u8::from(self.lacks_evidence)];
         bytes.extend(self.build.0.to_le_bytes());
         let head = [self.received, self.slowdown];
         for number in head.iter().chain(&self.counts) {
@@ -40,9 +41,10 @@
         bytes
     }
 
-    /// Decodes a message; none where the length is wrong or a number is negative or not finite.
+    /// Decodes a message; none where it is too short, ends within a number, or has a number that is negative or not
+    /// finite. The receiver checks the number of counts, see [`Router::on_gossip`](super::Router::on_gossip).
     pub(super) fn decode(bytes: &[u8]) -> Option<Self> {
-        let ([is_reply, is_fresh, low, high], body) = bytes.split_first_chunk()?;
+        let ([is_reply, lacks_evidence, low, high], body) = bytes.split_first_chunk()?;
         let (body, rest) = body.as_chunks::<2>();
         let values: Vec<f64> = body.iter().map(|bytes| from_bfloat16(*bytes)).collect();
         let is_valid = values
@@ -54,7 +56,7 @@
         }
         Some(GossipMessage {
             is_reply: *is_reply == 1,
-            is_fresh: *is_fresh == 1,
+            lacks_evidence: *lacks_evidence == 1,
             build: BuildId(u16::from_le_bytes([*low, *high])),
             received: *received,
             slowdown: *slowdown,
--- a/src/decisions/rollout.rs
+++ b/src/decisions/rollout.rs
@@ -194,7 +194,7 @@
         self.service_slowdown.best_in_time = in_time.good_fraction();
         self.latency.begin_canary(old.is_some());
         let is_under_way = status.phase == Phase::Canary && status.age > GOSSIP_INTERVAL;
-        self.evidence.is_fresh = old.is_none() && is_under_way;
+        self.evidence.lacks_evidence = old.is_none() && is_under_way;
     }
 
     /// Resets the vote for a new stage or phase, where earlier votes no longer count.
