--- a/src/decisions/voting.rs
+++ b/src/decisions/voting.rs
@@ -15,14 +15,16 @@
     SignalComparison, SignalEvidence, Vote, VoteEvidence,
 };
 
-/// Minimum number of routers that vote: few enough to reach agreement soon, and more than one in case one is dead.
+/// Minimum number of routers that vote: more than one in case one is dead. It also sets the size of the groups of
+/// backup voters (see [`VotePacing::backup_delay`]) and the number of routers that log the evidence for a vote.
 const MIN_VOTERS: u32 = 3;
 
 /// Seconds for which the canary must look worse before the vote to roll it back, so that gossip can spread the
 /// evidence.
 const ROLL_BACK_CONFIRM_TIME: f64 = 1.0;
 
-/// Maximum time in a stage, in seconds, for which a canary that a timer promotes is held.
+/// Maximum time in a stage, in seconds, for which this router votes to hold the canary, where the platform promotes it
+/// after a time unless votes hold it.
 const MAX_HOLD_TIME: f64 = 2.0;
 
 /// Minimum time, in seconds, after which a vote is renewed.
@@ -37,7 +39,7 @@
 /// Minimum time, in seconds, before a vote that the platform rejected as overloaded is cast again.
 const MIN_RECAST_DELAY: f64 = 0.5;
 
-/// Minimum number of voting rounds before such a vote is cast again.
+/// Minimum number of voting rounds before a vote that the platform rejected as overloaded is cast again.
 const MIN_RECAST_ROUNDS: f64 = 0.5;
 
 /// Number of voting rounds for which `Abstain` must be the desired vote before a vote is withdrawn. A call without an
@@ -53,8 +55,7 @@
 /// How many routers vote and how fast they call the platform; times are in seconds.
 pub(super) struct VotePacing {
     voters: u32,
-    /// The duration of a voting round: the time in which the platform accepts one call from each voter, renewals and
-    /// changed votes included.
+    /// The duration of a voting round: the time in which the platform accepts one call from each voter.
     round_time: f64,
     renew_interval: f64,
 }
@@ -126,7 +127,7 @@
     }
 
     /// Records the answer to a vote, and sets the delay before a vote that was not counted is cast again, multiplied
-    /// by `jitter`.
+    /// by `jitter`. `may_be_counted` states that the platform has counted the vote, or has not answered in time.
     pub(super) fn on_answer(&mut self, may_be_counted: bool, pacing: &VotePacing, jitter: f64) {
         if may_be_counted {
             self.counted = self.last_cast;
@@ -159,8 +160,8 @@
     }
 
     /// Whether the desired vote should be cast now. There is nothing to withdraw where no vote is counted or pending,
-    /// and a vote is withdrawn only after a delay, because the assessment may change back: in a large fleet, needless
-    /// calls exhaust the platform's rate, and at any time some voters assess the canary as probably worse.
+    /// and a vote is withdrawn only after a delay, because the assessment may change back: in a large fleet, some
+    /// voters assess the canary as probably worse at any time, and needless calls exhaust the platform's rate.
     fn is_due(&self, now: f64, pacing: &VotePacing) -> bool {
         let abstains = self.desired == Vote::Abstain;
         let is_pending = self.state == VoteState::Pending;
@@ -171,8 +172,8 @@
         let call_is_open = is_pending && now - self.cast_at < withdraw_delay;
         let is_confirmed =
             !abstains || now - self.desired_since >= withdraw_delay.min(MAX_WITHDRAW_DELAY);
-        let may_interrupt = !call_is_open || self.desired == Vote::RollBack;
-        let is_changed = self.desired != self.last_cast && is_confirmed && may_interrupt;
+        let may_replace_open_call = !call_is_open || self.desired == Vote::RollBack;
+        let is_changed = self.desired != self.last_cast && is_confirmed && may_replace_open_call;
         let wait = if self.state == VoteState::NoVote {
             self.recast_delay
         } else {
@@ -182,7 +183,8 @@
     }
 }
 
-/// Combines the assessment with an operator's override; the more cautious of both counts.
+/// Replaces the assessment by what an operator's override demands, if there is one. The caller passes an override to
+/// hold only where the assessment is not `Worse`.
 fn apply_override(assessment: Assessment, requested: Option<&RolloutOverride>) -> Assessment {
     match requested {
         Some(requested) if requested.roll_back => Assessment::Worse,
@@ -206,6 +208,7 @@
         });
         let assessment = apply_override(assessment, requested.as_ref());
         let vote = desired_vote(assessment, self.settings.timer_gated);
+        // Some assessments keep the last desired vote.
         let vote = vote.unwrap_or(self.voting.desired);
         let vote = if vote == Vote::Hold && requested.is_none() {
             self.hold_or_abstain()
@@ -266,7 +269,8 @@
         }
     }
 
-    /// The evidence for the desired vote.
+    /// The evidence for the desired vote: answers within the latency objective, answers without an error, and answers
+    /// as quick as the baseline's quick ones (see [`Signal`]). The slowdown is the average over all routers.
     fn vote_evidence(&self, status: &RolloutStatus) -> VoteEvidence {
         VoteEvidence {
             build: status.build,
