--- a/src/decisions/request_table.rs
+++ b/src/decisions/request_table.rs
@@ -26,7 +26,7 @@
 pub(super) struct FinishedAttempt {
     pub(super) attempt: Attempt,
     pub(super) operation: usize,
-    /// Expected work of the request, in seconds of a standard core.
+    /// Expected work of the request, in CPU seconds on a core of a standard machine.
     pub(super) work: f64,
     pub(super) outcome: AttemptOutcome,
     /// How long it took, in seconds.
@@ -37,7 +37,7 @@
 pub(super) struct TrackedRequest {
     pub(super) operation: usize,
     pub(super) key: Option<KeyId>,
-    /// Expected work, in seconds of a standard core.
+    /// Expected work, in CPU seconds on a core of a standard machine.
     pub(super) work: f64,
     /// The client has sent it before.
     pub(super) is_client_retry: bool,
--- a/src/interface/effects.rs
+++ b/src/interface/effects.rs
@@ -1,9 +1,12 @@
 //! Effects: the actions that the decisions ask the adapter to carry out.
+//!
+//! The adapter is the program around the decisions, which does all input and output: the router, or the simulator's
+//! adapter.
 
 use super::ids::{AttemptNumber, BuildId, HostId, RequestId, RouterId, TimerKey};
 use super::rollout::{Vote, VoteEvidence};
 
-/// Which connection an attempt may use, and by when the request must be written. Times are in seconds.
+/// Which connection an attempt may use, and how long writing the request may take. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionRequirements {
     /// A connection that has been idle for longer than this is not used.
@@ -11,11 +14,13 @@
     /// A connection whose last response came less than this ago is not used. Responses carry no id, so a late second
     /// response to the previous request would be taken for the response to this attempt.
     pub min_idle: f64,
-    /// Once a host has this many idle connections and all of them have been idle for less than `min_idle`, the one
-    /// that has been idle longest is used all the same.
+    /// The largest number of idle connections to a host that are kept waiting for `min_idle`, because hosts accept few
+    /// connections. Where a host has this many idle connections or more, none of them idle for `min_idle`, the one that
+    /// has been idle longest is used all the same.
     pub max_below_min_idle: usize,
-    /// The time in which the last byte of the request must be written. After that the attempt is abandoned without
-    /// having run: it may be too late for a retry, or the host may be draining.
+    /// The time within which the last byte of the request must be written. After that the adapter closes the connection
+    /// and reports [`NoConnection`](super::AttemptOutcome::NoConnection), as the host cannot have run the request: the
+    /// time within which hosts recognise an idempotency key may be over, or the host may have finished draining.
     pub write_timeout: f64,
 }
 
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! Events: what the adapter reports to the decisions.
+//! Events: what the adapter, the program that does the input and output for the decisions, reports to them.
 
 use std::sync::Arc;
 
@@ -24,9 +24,10 @@
     NoConnection,
     /// The connection was reset; it may have taken effect.
     Reset,
-    /// This router cancelled it.
+    /// The decisions cancelled it; it may have taken effect.
     Cancelled,
-    /// Its result was no longer needed.
+    /// It was given up before it had an effect, as its result was no longer needed. For a vote see
+    /// [`RolloutStatus::outcome`].
     Irrelevant,
 }
 
@@ -41,7 +42,7 @@
     pub key: Option<KeyId>,
     /// How much longer the client waits for the response, in seconds.
     pub time_left: f64,
-    /// A rough estimate of the work, in seconds of a standard core; `None` if it is unknown.
+    /// A rough estimate of the work, in CPU seconds on a core of a standard machine; `None` if it is unknown.
     pub work: Option<f64>,
     /// Whether the client has sent the request before and is retrying it.
     pub is_retry: bool,
@@ -59,8 +60,8 @@
         /// The entries.
         entries: Arc<[HostEntry]>,
     },
-    /// Part of a long endpoint list, delivered ahead of time. Its entries take effect with the next
-    /// `OperatorOverridesApplied` or `EndpointList`.
+    /// Part of a long endpoint list, delivered ahead of time and not related to the stages of a rollout. Its entries
+    /// take effect with the next `OperatorOverridesApplied` or `EndpointList`.
     EndpointsStaged {
         /// The whole list.
         entries: Arc<[HostEntry]>,
@@ -69,7 +70,8 @@
         /// The index after the last entry of this part.
         to: usize,
     },
-    /// A revision of the operators' settings takes effect, together with all entries staged for it and these.
+    /// A revision of the operators' settings takes effect, together with the entries delivered before by
+    /// `EndpointsStaged` and those of this event.
     OperatorOverridesApplied {
         /// The operators' settings.
         overrides: Arc<OperatorOverrides>,
@@ -103,7 +105,7 @@
         request_finished: bool,
         /// How long the attempt took, in seconds.
         took: f64,
-        /// The load that the host reported with its response.
+        /// The load that the host reported with its response; without a value if there was no response.
         load: LoadReport,
         /// How long the connection had been idle before the attempt, in seconds; 0 for a new connection, `None` if the
         /// adapter does not know.
@@ -127,7 +129,7 @@
         outcome: AttemptOutcome,
         /// How long the check took, in seconds.
         took: f64,
-        /// The load that the host reported with its response.
+        /// The load that the host reported with its response; without a value if there was no response.
         load: LoadReport,
     },
     /// A gossip message from another router has arrived.
@@ -139,7 +141,7 @@
     },
     /// The platform has sent the state of the rollout, or has answered a vote.
     RolloutStatusReceived(RolloutStatus),
-    /// Metrics of a build, measured outside of this router.
+    /// Metrics of a build, measured outside of this router. The decisions do not use them.
     BuildMetrics {
         /// The build that was measured.
         build: BuildId,
@@ -154,7 +156,7 @@
         /// The age of the metrics, in seconds.
         age: f64,
     },
-    /// A response that was delivered has turned out to be wrong.
+    /// A response that was delivered has been disputed: it is reported to be wrong, which is not proven.
     AnswerDisputed {
         /// The host that gave the response.
         host: HostId,
