--- a/settings/src/transport.rs
+++ b/settings/src/transport.rs
@@ -1,4 +1,4 @@
-//! The settings that an adapter itself needs, and the decoding of hosts' load reports.
+//! The settings for the input and output, which the decisions do not use, and the decoding of hosts' load reports.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,13 @@
 /// One value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadField {
+    /// The number of requests in flight.
     InFlight,
+    /// The number of requests waiting in the host's queue.
     Queued,
+    /// The fraction of the host's capacity that is busy.
     Busy,
+    /// The time that the host takes to serve a request, in milliseconds.
     ServiceTimeMillis,
     /// A value that hosts send and that is ignored.
     Ignored,
@@ -22,6 +26,7 @@
         names.map(LoadField::from_name).collect()
     }
 
+    /// Hosts use either of two names for a value; `rif` stands for requests in flight.
     fn from_name(name: &str) -> Self {
         match name {
             "rif" | "inflight" => LoadField::InFlight,
@@ -54,7 +59,7 @@
     Inline,
 }
 
-/// The settings that an adapter itself needs. Times are in seconds.
+/// The settings for the input and output, which the decisions do not use. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransportSettings {
     /// The operations, by their names on the wire.
@@ -64,7 +69,7 @@
     pub load_reporting: LoadReporting,
     /// The time after which an attempt to connect counts as failed.
     pub connect_timeout: f64,
-    /// The time after which hosts have closed an idle connection.
+    /// Hosts close a connection that has been idle for this long.
     pub idle_timeout: f64,
     /// The largest number of connections to hosts that a router may use at once, which also limits its requests in
     /// flight.
