--- a/router/src/routing/admission.rs
+++ b/router/src/routing/admission.rs
@@ -16,12 +16,13 @@
 pub(super) struct ParsedRequest {
     pub(super) operation: OperationId,
     pub(super) key: Option<KeyId>,
-    /// The hosts that the route in force at its arrival allows; `None` allows all.
+    /// The hosts that the request's route allows, by the routes in force when the request arrived; `None` allows all.
     pub(super) pool: Option<Arc<HostPool>>,
-    /// Seconds until its time limit.
+    /// Seconds until the client stops waiting.
     pub(super) time_left: f64,
     /// Whether the client marked it as sent before.
     pub(super) is_retry: bool,
+    /// The bytes to forward to hosts, with the id that the client gave the request.
     pub(super) command: StoredCommand,
 }
 
@@ -32,7 +33,7 @@
     /// Attempts started.
     attempts: u32,
     /// The client has disconnected, and the decisions have not processed that event yet.
-    is_abandoned: bool,
+    client_has_disconnected: bool,
 }
 
 /// The admitted requests.
@@ -60,7 +61,8 @@
 
     /// Adds a request and returns the id by which the router knows it.
     fn admit(&mut self, client: SocketId, command: StoredCommand) -> RequestId {
-        // Hosts get the client's id unchanged. The router uses a number, which no client can make ambiguous.
+        // Hosts get the client's id unchanged. Inside the router a number takes its place, which stays unique whatever
+        // ids clients send.
         self.last_number += 1;
         let id = RequestId(self.last_number.to_string().into());
         self.stored_bytes += command.size();
@@ -69,7 +71,7 @@
             client,
             command,
             attempts: 0,
-            is_abandoned: false,
+            client_has_disconnected: false,
         };
         self.requests.insert(id.clone(), request);
         id
@@ -79,7 +81,7 @@
     pub(super) fn release(&mut self, request: &RequestId) -> Option<SocketId> {
         let request = self.requests.remove(request)?;
         self.stored_bytes -= request.command.size();
-        if !request.is_abandoned {
+        if !request.client_has_disconnected {
             self.open_ids.remove(request.command.id());
         }
         Some(request.client)
@@ -90,7 +92,7 @@
         let Some(request) = self.requests.get_mut(request) else {
             return false;
         };
-        request.is_abandoned = true;
+        request.client_has_disconnected = true;
         // The id is free at once: the client may send the request again before the decisions process the disconnect.
         self.open_ids.remove(request.command.id());
         true
@@ -105,17 +107,17 @@
     }
 
     /// Whether the request's client is known to have disconnected.
-    pub(super) fn is_abandoned(&self, request: &RequestId) -> bool {
+    pub(super) fn client_has_disconnected(&self, request: &RequestId) -> bool {
         self.requests
             .get(request)
-            .is_some_and(|request| request.is_abandoned)
+            .is_some_and(|request| request.client_has_disconnected)
     }
 
     /// Whether the request's client still waits for a response.
-    pub(super) fn owes_response(&self, request: &RequestId) -> bool {
+    pub(super) fn client_awaits_response(&self, request: &RequestId) -> bool {
         self.requests
             .get(request)
-            .is_some_and(|request| !request.is_abandoned)
+            .is_some_and(|request| !request.client_has_disconnected)
     }
 
     /// The connection of the request's client.
@@ -128,8 +130,8 @@
         self.requests.get(request).map(|request| &request.command)
     }
 
-    /// The connection of the client that waits for the request to which clients gave this id.
-    pub(super) fn open_request_connection(&self, client_id: &[u8]) -> Option<SocketId> {
+    /// The connection of the client that awaits the response to the request with this id; clients choose the ids.
+    pub(super) fn connection_awaiting(&self, client_id: &[u8]) -> Option<SocketId> {
         self.open_ids.get(client_id).copied()
     }
 
@@ -143,8 +145,8 @@
 }
 
 impl Routing {
-    /// Admits a request and passes it to the decisions; rejects it where there is no capacity or the shutdown has given
-    /// up open requests.
+    /// Admits a request and passes it to the decisions; rejects it where there is no capacity, or where the router
+    /// is shutting down and has already given up its open requests.
     pub(super) fn admit(&mut self, client: SocketId, request: ParsedRequest) {
         let ParsedRequest {
             operation,
--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -31,7 +31,9 @@
         self.event_loop.metrics.increment(Counter::AttemptsStarted);
         // A first attempt directly follows the read of its request, which found the client connected; before later
         // attempts this is checked again.
-        if self.requests.is_abandoned(&request) || attempt.0 > 0 && self.is_client_gone(&request) {
+        if self.requests.client_has_disconnected(&request)
+            || attempt.0 > 0 && self.is_client_gone(&request)
+        {
             // The decisions had not processed the client's disconnect when they started this attempt: send nothing.
             return self.finish_attempt(
                 AttemptInFlight { request, attempt },
@@ -414,11 +416,14 @@
     /// Ends the attempts whose clients have disconnected and whose commands are not fully written, so that no host has
     /// executed them. Otherwise a connection that is established late would still send the command.
     pub(super) fn abandon_unwritten_attempts(&mut self) {
-        let is_abandoned = |request: &RequestId| self.requests.is_abandoned(request);
-        let abandoned = self
-            .upstreams
-            .ids_matching(|upstream| upstream.unwritten_request().is_some_and(is_abandoned));
-        for id in abandoned {
+        let client_has_disconnected =
+            |request: &RequestId| self.requests.client_has_disconnected(request);
+        let unwritten = self.upstreams.ids_matching(|upstream| {
+            upstream
+                .unwritten_request()
+                .is_some_and(client_has_disconnected)
+        });
+        for id in unwritten {
             self.abandon_use(id, |_| AttemptOutcome::Irrelevant);
         }
     }
@@ -482,7 +487,7 @@
     ) {
         self.event_loop.metrics.count_attempt(outcome);
         let AttemptInFlight { request, attempt } = in_flight;
-        let request_finished = !self.requests.owes_response(&request);
+        let request_finished = !self.requests.client_awaits_response(&request);
         let (took, connection_idle) =
             (took_and_connection_idle.0, Some(took_and_connection_idle.1));
         self.event_loop.notify_decisions(Event::AttemptFinished {
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -432,7 +432,7 @@
             _ => return Err(Malformed::new("the command is not that of the operation")),
         }
         // Hosts identify a request by its id: of two with one id, one would get the response to the other.
-        if let Some(holder) = self.requests.open_request_connection(command_fields.id) {
+        if let Some(holder) = self.requests.connection_awaiting(command_fields.id) {
             // A client that has disconnected may not have been read yet; the request is then one that is sent again.
             let is_gone = self
                 .clients
@@ -551,7 +551,7 @@
         let Some(client) = self.requests.client(request) else {
             return false;
         };
-        if self.requests.is_abandoned(request) {
+        if self.requests.client_has_disconnected(request) {
             return true;
         }
         let is_closed = self
