--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -76,8 +76,9 @@
         }
     }
 
-    /// Whether no input waits. A duplicate response that arrived late would be taken for the next one.
-    pub(super) fn is_clean(&mut self) -> bool {
+    /// Whether the connection is open and no input waits. A second response to the previous request, which came late,
+    /// would be taken for the response to the next one.
+    pub(super) fn has_no_input(&mut self) -> bool {
         self.stream.read_available(1, 1) == ReadStatus::Drained && self.stream.input().is_empty()
     }
 
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -1,4 +1,8 @@
-//! The pool of connections to hosts, in use and idle.
+//! The pool of connections to hosts, in use and idle. Names with `upstream` refer to these connections.
+//!
+//! [`UpstreamPool::checkout`] and [`UpstreamPool::check_in`] begin and end a use, during which the pool keeps the
+//! connection. [`UpstreamPool::take`] and [`UpstreamPool::put_back`] move a connection out of the pool and back within
+//! one function, where it is borrowed together with other parts of the router.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -42,7 +46,8 @@
         self.connections.get_mut(&id)
     }
 
-    /// Takes a connection out, to close it or to put it back.
+    /// Takes a connection out of the pool, to close it or to put it back. If it is idle and gets closed,
+    /// [`UpstreamPool::forget_idle`] must follow.
     pub(super) fn take(&mut self, id: SocketId) -> Option<UpstreamConnection> {
         self.connections.remove(&id)
     }
@@ -51,7 +56,7 @@
         self.connections.insert(connection.stream.id, connection);
     }
 
-    /// Removes a connection that was taken out from the idle ones.
+    /// Removes a connection from the list of idle ones, after it was taken out of the pool.
     pub(super) fn forget_idle(&mut self, host: HostId, id: SocketId) {
         self.idle.remove(host, id);
     }
@@ -76,7 +81,7 @@
             .collect()
     }
 
-    /// The idle connections to hosts that are removed, draining or at another address now.
+    /// The idle connections whose host has been removed, is draining, or has another address now.
     pub(super) fn unusable(&self, endpoints: &EndpointTable) -> Vec<SocketId> {
         let mut ids = self.idle.ids();
         ids.retain(|id| {
@@ -138,14 +143,15 @@
                 .take_reusable(host, idle_before, requirements.max_below_min_idle)
         {
             // The host may be closing a connection that has been idle for so long. A command written to it is then
-            // reset, and may not be retried.
+            // reset, and may not be retried. The host's other idle connections are closed as well, and the caller opens
+            // a new one.
             if now - idle_since > max_idle {
                 self.close(event_loop, id);
                 self.close_idle(event_loop, host);
                 return None;
             }
             if let Some(connection) = self.connections.get_mut(&id)
-                && connection.is_clean()
+                && connection.has_no_input()
             {
                 connection.idle_time = now - idle_since;
                 return Some(id);
@@ -157,6 +163,7 @@
 
     /// Opens a connection; without a free file descriptor, closes the longest idle connection and tries again.
     fn connect(&mut self, event_loop: &mut EventLoop, address: SocketAddr) -> Option<Stream> {
+        // The order in which the event loop handles ready sockets.
         let priority = SocketOwner::Upstream.priority();
         let error = match Stream::connect(&mut event_loop.reactor, address, priority) {
             Ok(stream) => return Some(stream),
@@ -172,6 +179,7 @@
     }
 
     /// Ends the use of a connection, and keeps the connection as idle if it can be reused; otherwise closes it.
+    /// `is_closed` states that the host has closed it.
     pub(super) fn check_in(
         &mut self,
         event_loop: &mut EventLoop,
@@ -184,13 +192,15 @@
             return;
         };
         connection.current_use = ConnectionUse::Idle;
+        // Timers of the use that ends here are ignored from now on.
         connection.use_number += 1;
         let stream = &mut connection.stream;
-        let is_clean = stream.input().is_empty() && stream.unwritten() == 0 && !is_closed;
+        // Further input could be taken for the next response, and unwritten output for part of the next command.
+        let has_no_leftovers = stream.input().is_empty() && stream.unwritten() == 0 && !is_closed;
         // The host may have been removed, or its id may belong to another machine now.
-        let is_usable = endpoints.is_usable(connection.host, connection.address)
+        let may_be_kept = endpoints.is_usable(connection.host, connection.address)
             && self.idle.count() < event_loop.limits.upstream.idle_connections;
-        if is_clean && is_usable {
+        if has_no_leftovers && may_be_kept {
             self.idle.insert(connection.host, id, now);
         } else {
             self.close(event_loop, id);
