--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -278,8 +278,8 @@
             SocketOwner::Discovery => self.on_discovery_readable(id),
             SocketOwner::Platform => self.with_platform(|platform, event_loop| {
                 // The connection may have been replaced since the poll.
-                if platform.owns(id) {
-                    platform.on_readable(event_loop);
+                if platform.has_socket(id) {
+                    platform.write_and_read(event_loop);
                 }
             }),
             SocketOwner::Management => self.on_management_message(),
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -16,18 +16,18 @@
 struct PendingVote {
     /// Whether it is written to the socket, so that the platform may count it.
     is_written: bool,
-    /// What the decisions get if the vote is given up before it is written.
-    status_without_answer: RolloutStatus,
+    /// The status that the decisions get if the vote is given up before it is written.
+    status_if_unsent: RolloutStatus,
 }
 
 impl PendingVote {
-    /// The status for the decisions of a vote that is given up. One that was written may count and is reported as
-    /// timed out.
+    /// The status that the decisions get for a vote that is given up. A vote that was written may count and is reported
+    /// as timed out.
     fn abandon(self) -> RolloutStatus {
         if self.is_written {
-            timed_out(self.status_without_answer)
+            timed_out(self.status_if_unsent)
         } else {
-            self.status_without_answer
+            self.status_if_unsent
         }
     }
 }
@@ -80,8 +80,8 @@
         self.has_received_state
     }
 
-    /// Whether this is the current connection.
-    pub(super) fn owns(&self, id: SocketId) -> bool {
+    /// Whether this is the socket of the current connection.
+    pub(super) fn has_socket(&self, id: SocketId) -> bool {
         self.stream.as_ref().is_some_and(|stream| stream.id == id)
     }
 
@@ -103,24 +103,25 @@
         ) {
             Ok(mut stream) => {
                 let call = self.next_call_number();
+                // Subscribes to the rollout; `follow` is the method's name in the protocol.
                 platform::write_follow(stream.output(), call);
                 self.stream = Some(stream);
                 self.last_received = now;
                 self.incomplete_line_received_at = None;
                 self.connected_at = now;
-                self.on_readable(event_loop);
+                self.write_and_read(event_loop);
             }
             Err(e) => self.on_lost(event_loop, &e.to_string()),
         }
     }
 
-    /// Reads what the old address has already sent and connects to the new one. Pending votes are given up; those that
-    /// were written may have counted.
+    /// Reads what the platform has already sent from the old address and connects to the new one. Pending votes are
+    /// given up; those that were written may have counted.
     pub(super) fn change_address(&mut self, event_loop: &mut EventLoop, address: SocketAddr) {
         if self.address == address {
             return;
         }
-        self.on_readable(event_loop);
+        self.write_and_read(event_loop);
         self.close(event_loop);
         self.address = address;
         self.backoff = event_loop.limits.reconnect_backoff.initial;
@@ -137,11 +138,10 @@
         vote: Vote,
     ) {
         let now = event_loop.now();
-        let status_without_answer = unsent_vote_status(build, stage);
+        let status_if_unsent = unsent_vote_status(build, stage);
         let has_capacity = self.votes.len() < event_loop.limits.platform.pending_votes;
         if self.stream.is_none() || !has_capacity {
-            return event_loop
-                .notify_decisions(Event::RolloutStatusReceived(status_without_answer));
+            return event_loop.notify_decisions(Event::RolloutStatusReceived(status_if_unsent));
         }
         let call = self.next_call_number();
         if let Some(stream) = &mut self.stream {
@@ -149,14 +149,14 @@
         }
         let pending = PendingVote {
             is_written: false,
-            status_without_answer,
+            status_if_unsent,
         };
         self.votes.insert(call, pending);
         event_loop.metrics.increment(Counter::VotesCast);
         info!(event_loop.log, "vote cast"; "build" => build.0, "stage" => stage, "vote" => ?vote);
         let deadline = now + event_loop.limits.platform.vote_timeout;
         event_loop.schedule(deadline, TimerEvent::VoteTimeout(call));
-        self.on_readable(event_loop);
+        self.write_and_read(event_loop);
     }
 
     /// Gives up the vote with this call number, if it has no answer yet.
@@ -166,8 +166,9 @@
         }
     }
 
-    /// Writes pending output, then reads and handles all available input.
-    pub(super) fn on_readable(&mut self, event_loop: &mut EventLoop) {
+    /// Writes pending output, then reads and handles all available input. Called when the socket is ready, and after
+    /// new output.
+    pub(super) fn write_and_read(&mut self, event_loop: &mut EventLoop) {
         let now = event_loop.now();
         let bytes_per_turn = event_loop.limits.event_loop.read_bytes_per_turn;
         let buffer_bytes = event_loop.limits.platform.line_bytes + bytes_per_turn;
@@ -213,7 +214,7 @@
 
     /// Handles the complete lines in the input; false where one was malformed and the connection was closed.
     fn read_lines(&mut self, event_loop: &mut EventLoop) -> bool {
-        // Taken out while messages borrow from its input buffer.
+        // The stream is taken out of `self` because the messages borrow from its input buffer.
         let Some(mut stream) = self.stream.take() else {
             return false;
         };
@@ -235,7 +236,8 @@
         malformed.is_none()
     }
 
-    /// Schedules the stall timeout of an incomplete line, which is shorter than that of a silent connection.
+    /// Schedules the stall timeout of an incomplete line: the time for which the line may not grow. It is separate from
+    /// the silence timeout of the connection.
     fn watch_incomplete_line(&mut self, event_loop: &mut EventLoop, now: f64) {
         let is_incomplete = self
             .stream
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Closes the connection if an incomplete line has not grown for the stall timeout.
+    /// Closes the connection if an incomplete line has not grown for the stall timeout; otherwise waits again.
     pub(super) fn on_line_timeout(&mut self, event_loop: &mut EventLoop) {
         let Some(received_at) = self.incomplete_line_received_at else {
             return;
@@ -274,8 +276,9 @@
                 self.on_vote_result(event_loop, call, state);
             }
             PlatformMessage::Error { call, outcome } => {
-                self.on_vote_error(event_loop, call, outcome)
+                self.on_call_error(event_loop, call, outcome)
             }
+            // The platform's word for a disputed response.
             PlatformMessage::Complaint {
                 host,
                 operation,
@@ -310,14 +313,15 @@
             Some(state) => self.on_state(event_loop, &state, true),
             // A result without a rollout state does not show whether the vote counts.
             None => {
-                let status = timed_out(vote.status_without_answer);
+                let status = timed_out(vote.status_if_unsent);
                 event_loop.notify_decisions(Event::RolloutStatusReceived(status));
             }
         }
     }
 
-    /// Handles an error of a call: a vote that does not count, or else the rejected subscription to the rollout.
-    fn on_vote_error(&mut self, event_loop: &mut EventLoop, call: u64, outcome: AttemptOutcome) {
+    /// Handles an error of a call: a vote that does not count, or else the rejected subscription to the rollout. The
+    /// log key `verdict` holds the outcome.
+    fn on_call_error(&mut self, event_loop: &mut EventLoop, call: u64, outcome: AttemptOutcome) {
         let Some(vote) = self.votes.remove(&call) else {
             return warn!(event_loop.log, "platform subscription rejected"; "verdict" => ?outcome);
         };
@@ -325,7 +329,7 @@
         debug!(event_loop.log, "vote not counted"; "verdict" => ?outcome);
         event_loop.notify_decisions(Event::RolloutStatusReceived(RolloutStatus {
             outcome,
-            ..vote.status_without_answer
+            ..vote.status_if_unsent
         }));
     }
 
@@ -345,13 +349,15 @@
         self.received.push(status);
     }
 
-    /// Handles the loss of the connection: gives up the pending votes and schedules a reconnect.
+    /// Handles the loss of the connection, or that it could not be opened, which is logged by the same line: gives up the
+    /// pending votes and schedules a reconnect.
     fn on_lost(&mut self, event_loop: &mut EventLoop, why: &str) {
         warn!(event_loop.log, "platform connection lost"; "why" => why.to_owned());
         let now = event_loop.now();
         let jitter = event_loop.backoff_jitter();
         let max_backoff = event_loop.limits.reconnect_backoff.maximum;
-        // At once where the connection had lasted for the maximum backoff; else with exponential backoff and jitter.
+        // Reconnects at once where the connection had lasted for the maximum backoff; otherwise with exponential backoff
+        // and jitter.
         let was_stable = self.stream.is_some() && now - self.connected_at >= max_backoff;
         let wait = if was_stable {
             0.0
@@ -388,7 +394,8 @@
     }
 }
 
-/// The status for the decisions of a vote that was not sent.
+/// The status that the decisions get for a vote that was not sent. Its phase, cap and age are placeholders: the
+/// decisions ignore the status where the outcome is not `Succeeded`.
 pub(super) fn unsent_vote_status(build: BuildId, stage: u32) -> RolloutStatus {
     RolloutStatus {
         outcome: AttemptOutcome::NoConnection,
@@ -401,7 +408,7 @@
     }
 }
 
-/// The status of a vote that was sent and may count.
+/// The status that the decisions get for a vote that was sent and may count.
 fn timed_out(status: RolloutStatus) -> RolloutStatus {
     RolloutStatus {
         outcome: AttemptOutcome::TimedOut,
