--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -79,7 +79,7 @@
     /// Whether the connection is open and no input waits. A second response to the previous request, which came late,
     /// would be taken for the response to the next one.
     pub(super) fn has_no_input(&mut self) -> bool {
-        self.stream.read_available(1, 1) == ReadStatus::Drained && self.stream.input().is_empty()
+        self.stream.read_available(1, 1) == ReadStatus::Exhausted && self.stream.input().is_empty()
     }
 
     /// Writes as much of the command as the socket takes; true once all of it is written.
