--- a/src/host_group.rs
+++ b/src/host_group.rs
@@ -53,7 +53,10 @@
 impl Requirements {
     /// Returns the arm of a group, or `None` if the group may not serve the request.
     pub(crate) fn arm(&self, group: &HostGroup) -> Option<Arm> {
-        let index = self.arms.binary_search_by(|(of, _)| of.cmp(group)).ok()?;
+        let index = self
+            .arms
+            .binary_search_by(|(listed, _)| listed.cmp(group))
+            .ok()?;
         Some(self.arms[index].1)
     }
 }
--- a/src/host_index.rs
+++ b/src/host_index.rs
@@ -142,9 +142,9 @@
     /// Returns the number of hosts of the selected builds, and the sum of their sizes.
     pub(crate) fn sum(&self, selects: impl Fn(BuildId) -> bool) -> HostSum {
         let builds = self.builds.iter().filter(|(build, _)| selects(**build));
-        builds.fold(HostSum::default(), |sum, (_, of_build)| HostSum {
-            hosts: sum.hosts + of_build.hosts,
-            share: sum.share + of_build.size,
+        builds.fold(HostSum::default(), |sum, (_, build_sums)| HostSum {
+            hosts: sum.hosts + build_sums.hosts,
+            share: sum.share + build_sums.size,
         })
     }
 
@@ -161,25 +161,25 @@
     /// Updates the records of hosts. A host without a record is not in use.
     pub(crate) fn update(&mut self, hosts: impl Iterator<Item = (HostId, Option<IndexedHost>)>) {
         let changed: Vec<_> = hosts
-            .filter(|(host, now)| self.hosts.get(host) != now.as_ref())
+            .filter(|(host, after)| self.hosts.get(host) != after.as_ref())
             .collect();
         if changed.len() > MAX_INCREMENTAL_CHANGES {
             self.rankings.clear();
         }
-        for (host, now) in changed {
+        for (host, after) in changed {
             let before = self.hosts.get(&host).copied();
-            if let (Some(before), Some(now)) = (before, now)
-                && before.counts_as(&now)
+            if let (Some(before), Some(after)) = (before, after)
+                && before.counts_as(&after)
             {
-                self.replace(host, &before, now);
+                self.replace(host, &before, after);
                 continue;
             }
-            self.update_rankings(host, before, now);
+            self.update_rankings(host, before, after);
             if let Some(before) = before {
                 self.remove(host, &before);
             }
-            if let Some(now) = now {
-                self.insert(host, now);
+            if let Some(after) = after {
+                self.insert(host, after);
             }
         }
     }
@@ -228,12 +228,12 @@
 
     /// Replaces the record of a host of which only the failure rate and slowdown have changed, as after nearly every
     /// attempt.
-    fn replace(&mut self, host: HostId, before: &IndexedHost, now: IndexedHost) {
+    fn replace(&mut self, host: HostId, before: &IndexedHost, after: IndexedHost) {
         if let Some(sums) = self.builds.get_mut(&before.group.build) {
             sums.subtract(before);
-            sums.add(&now);
+            sums.add(&after);
         }
-        self.hosts.insert(host, now);
+        self.hosts.insert(host, after);
     }
 
     /// Updates the rankings, which only depend on the build and weight of each host.
@@ -241,32 +241,35 @@
         &mut self,
         host: HostId,
         before: Option<IndexedHost>,
-        now: Option<IndexedHost>,
+        after: Option<IndexedHost>,
     ) {
         let key = |indexed: Option<IndexedHost>| {
             indexed.map(|indexed| (indexed.group.build, indexed.weight))
         };
         let before = key(before);
-        let now = key(now);
-        if before == now {
+        let after = key(after);
+        if before == after {
             return;
         }
         if let Some((build, weight)) = before {
             self.rankings.remove(build, WeightedHost { host, weight });
         }
-        if let Some((build, weight)) = now {
+        if let Some((build, weight)) = after {
             self.rankings.insert(build, WeightedHost { host, weight });
         }
     }
 
-    fn insert(&mut self, host: HostId, now: IndexedHost) {
-        self.hosts.insert(host, now);
-        self.builds.entry(now.group.build).or_default().add(&now);
-        let members = self.groups.entry(now.group).or_default();
-        members.hosts.insert(host, now.weight);
-        if now.settled {
+    fn insert(&mut self, host: HostId, after: IndexedHost) {
+        self.hosts.insert(host, after);
+        self.builds
+            .entry(after.group.build)
+            .or_default()
+            .add(&after);
+        let members = self.groups.entry(after.group).or_default();
+        members.hosts.insert(host, after.weight);
+        if after.settled {
             members.settled.hosts += 1;
-            members.settled.share += now.size * now.weight;
+            members.settled.share += after.size * after.weight;
         } else {
             self.unsettled.insert(host);
         }
