--- a/src/decisions/settings.rs
+++ b/src/decisions/settings.rs
@@ -55,35 +55,50 @@
     pub(super) polls_endpoint_list: bool,
     /// The time over which all routers together spread their first polls for an endpoint list.
     pub(super) poll_spread: f64,
+    /// The share of the machines that run the canary, by stage.
     pub(super) stage_shares: Vec<f64>,
     /// A timer promotes a canary, unless votes stop it.
     pub(super) timer_gated: bool,
     pub(super) vote_pacing: VotePacing,
     /// Factor by which the delays of the slowdown assessment are shortened for short stages.
     pub(super) bake_scale: f64,
+    /// The cap of the first stage, which applies to a build for which no status has been received.
     pub(super) first_cap: f64,
+    /// The window over which the canary's share of the requests is limited, one tick longer than the service sets it.
     pub(super) exposure_window: f64,
+    /// The number of attempts that the canary may get beyond its cap in a window.
     pub(super) exposure_allowance: f64,
+    /// The canary's share is limited for each operation separately.
     pub(super) exposure_by_operation: bool,
+    /// The number of initial stages in which the canary only gets idempotent operations.
     pub(super) idempotent_only_stages: u32,
+    /// Requests with a key that the canary has answered must not go to an earlier build.
     pub(super) sticky_keys: bool,
+    /// Hosts work faster on keys that they have served recently.
     pub(super) key_affinity: bool,
     /// The baseline's hosts stay beside the canary's until the release.
     pub(super) baseline_stays: bool,
     /// The weight of a disputed answer, which also stands for the wrong answers that are not disputed.
     pub(super) dispute_weight: f64,
+    /// How long a host may still get requests after it has begun to drain.
     pub(super) drain_grace: f64,
+    /// The fraction of its full load that a host can carry right after its start.
     pub(super) slow_start_initial_fraction: f64,
+    /// How long a host takes to warm up.
     pub(super) slow_start_duration: f64,
+    /// The attempts that a host may get while it is warming up, as a multiple of its fair share.
     pub(super) slow_start_allowance: f64,
+    /// The load at which a host that is warming up breaks down, as a multiple of what it can carry at that time.
     pub(super) overload_multiple: f64,
     pub(super) may_gossip: bool,
+    /// Hedged attempts may be sent.
     pub(super) may_hedge: bool,
     /// None where responses to shed requests may not carry a time to retry after.
     pub(super) max_retry_after: Option<f64>,
     pub(super) max_attempts: usize,
     /// The number of slots by which the evidence separates operations.
     pub(super) signal_slots: usize,
+    /// The resolution of event times: two events at different times are at least this far apart.
     pub(super) tick: f64,
 }
 
