--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -41,7 +41,8 @@
 /// Minimum time, in seconds, that a shed client is asked to wait; the maximum is twice that.
 const MIN_RETRY_AFTER: f64 = 0.4;
 
-/// Lower bound of a request's expected work, in seconds of a standard core, as times are divided by it.
+/// Lower bound of a request's expected work, in CPU seconds on a core of a standard machine, as times are
+/// divided by it.
 const MIN_WORK: f64 = 1e-6;
 
 /// Whether an operation with this value per unit of time has low priority compared to the best one.
@@ -118,7 +119,7 @@
     useful_until: f64,
     /// A retry by the client would have no second effect.
     may_shed: bool,
-    /// Another attempt is in flight and may still be answered.
+    /// Another attempt of the request is in flight and may still be answered.
     is_in_flight: bool,
 }
 
@@ -191,7 +192,7 @@
     /// Plans a request's next attempt by the limits on retries and the budgets.
     fn plan_attempt(&self, now: f64, request: &TrackedRequest, is_hedge: bool) -> AttemptPlan {
         let operation = &self.settings.operations[request.operation];
-        let has_effect = request.first_attempt_with_possible_effect().is_some();
+        let may_have_effect = request.first_attempt_with_possible_effect().is_some();
         let window_is_over = self.retry_window_is_over(now, request);
         let is_first = request.attempts.is_empty();
         let useful_until = if operation.late_is_worthless {
@@ -214,13 +215,13 @@
         } else {
             1.0
         };
-        let all_hosts_know_key = operation.idempotency_scope == IdempotencyScope::All;
+        let all_hosts_know_idempotency_key = operation.idempotency_scope == IdempotencyScope::All;
         AttemptPlan {
             may_start: !window_is_over && has_time && has_budget && may_add && attempts_left,
             is_first,
             limit_fraction,
             useful_until,
-            may_shed: !window_is_over && (!has_effect || all_hosts_know_key),
+            may_shed: !window_is_over && (!may_have_effect || all_hosts_know_idempotency_key),
             is_in_flight: in_flight > 0,
         }
     }
--- a/src/decisions/attempt_outcome.rs
+++ b/src/decisions/attempt_outcome.rs
@@ -8,14 +8,14 @@
 use crate::arm::Arm;
 use crate::interface::{AttemptOutcome, Effect, Phase, RequestId};
 
-/// The end of an attempt, as reported by the caller; times are in seconds.
+/// The end of an attempt, as reported by the adapter; times are in seconds.
 pub(super) struct AttemptReport {
     pub(super) outcome: AttemptOutcome,
     /// How long the attempt took.
     pub(super) duration: f64,
-    /// Whether the request has its final answer.
+    /// Whether the request needs no more attempts: the client has its final answer or no longer waits for it.
     pub(super) is_final: bool,
-    /// How long its connection had been unused, where the caller knows.
+    /// How long its connection had been unused; none where the adapter does not know.
     pub(super) idle: Option<f64>,
 }
 
@@ -30,7 +30,8 @@
     unit_time: f64,
     /// The fraction of its work that the host could do when the attempt was sent; 1 once it was warm.
     warm_up_fraction: f64,
-    /// The time of quick answers of the baseline per unit of work, in seconds, before this attempt was recorded.
+    /// The time that separates quick answers of the baseline from others, in seconds per unit of work, before this attempt
+    /// was recorded.
     quick: Option<f64>,
 }
 
--- a/src/decisions/connections.rs
+++ b/src/decisions/connections.rs
@@ -7,7 +7,7 @@
 use super::{MIN_DURATION, settings::Operation};
 use crate::interface::{AttemptOutcome, ConnectionRequirements};
 
-/// Seconds without an attempt after which a host's connections count as idle, where the caller does not report it.
+/// Seconds without an attempt after which a host's connections count as idle, where the adapter does not report it.
 const IDLE_BY_HOST: f64 = 0.3;
 
 /// Seconds without use after which a connection counts as idle and may have been dropped.
--- a/src/decisions/endpoint_selection.rs
+++ b/src/decisions/endpoint_selection.rs
@@ -128,7 +128,9 @@
         let listed = if let Some(weights) = revision_weights {
             let hosts = self.hosts.usable().zip(weights);
             hosts
-                .filter_map(|(host, own)| self.candidate(now, requirements, host, own.weight))
+                .filter_map(|(host, effective)| {
+                    self.candidate(now, requirements, host, effective.weight)
+                })
                 .collect()
         } else if !pool_hosts.is_empty() {
             pool_hosts.into_iter().filter_map(from_id).collect()
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start: hosts that are warming up get no more attempts than they can carry.
+//! Slow start: hosts that are warming up get no more attempts than they can carry. Warming up is the state of a host
+//! after its start; slow start is how routers treat it.
 
 use rand::RngExt;
 
--- a/src/decisions/thompson_sampling.rs
+++ b/src/decisions/thompson_sampling.rs
@@ -37,11 +37,11 @@
         if !self.settings.sticky_keys || !self.in_flight.is_under_pressure() {
             return true;
         }
-        let canaries = self
+        let canary_hosts = self
             .hosts
             .usable()
             .filter(|host| self.is_canary(host.entry.build));
-        let canary_in_flight: usize = canaries.map(|host| host.in_flight.len()).sum();
+        let canary_in_flight: usize = canary_hosts.map(|host| host.in_flight.len()).sum();
         let limit = MAX_CANARY_SHARE_MULTIPLE * self.rollout.canary_share * self.in_flight.count();
         canary_in_flight as f64 <= 1.0 + limit
     }
--- a/src/decisions/vote_tables.rs
+++ b/src/decisions/vote_tables.rs
@@ -126,12 +126,12 @@
     },
 ];
 
-/// The vote for an assessment; none keeps the last vote.
-pub(super) fn desired_vote(assessment: Assessment, is_clock_gated: bool) -> Option<Vote> {
+/// The vote for an assessment, by whether the platform promotes by a timer; none keeps the last vote.
+pub(super) fn desired_vote(assessment: Assessment, is_timer_gated: bool) -> Option<Vote> {
     let row = DESIRED_VOTES
         .iter()
         .find(|row| row.assessment == assessment)?;
-    if is_clock_gated {
+    if is_timer_gated {
         row.timer_gated
     } else {
         row.vote_gated
