--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -236,8 +236,8 @@
         malformed.is_none()
     }
 
-    /// Schedules the stall timeout of an incomplete line: the time for which the line may not grow. It is separate from
-    /// the silence timeout of the connection.
+    /// Schedules the stall timeout of an incomplete line: the time after which a line that has not grown
+    /// closes the connection. It is shorter than the silence timeout of the connection.
     fn watch_incomplete_line(&mut self, event_loop: &mut EventLoop, now: f64) {
         let is_incomplete = self
             .stream
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -196,11 +196,11 @@
         connection.use_number += 1;
         let stream = &mut connection.stream;
         // Further input could be taken for the next response, and unwritten output for part of the next command.
-        let has_no_leftovers = stream.input().is_empty() && stream.unwritten() == 0 && !is_closed;
+        let is_open_and_empty = stream.input().is_empty() && stream.unwritten() == 0 && !is_closed;
         // The host may have been removed, or its id may belong to another machine now.
         let may_be_kept = endpoints.is_usable(connection.host, connection.address)
             && self.idle.count() < event_loop.limits.upstream.idle_connections;
-        if has_no_leftovers && may_be_kept {
+        if is_open_and_empty && may_be_kept {
             self.idle.insert(connection.host, id, now);
         } else {
             self.close(event_loop, id);
--- a/src/decisions/least_loaded.rs
+++ b/src/decisions/least_loaded.rs
@@ -17,7 +17,7 @@
 const ROUTERS_PER_HOST: f64 = 60.0;
 
 /// Divides [`ROUTERS_PER_HOST`] times the number of hosts into the pairs of one router: a pair has two hosts, and the
-/// factor 1 + relative traffic, by which it is multiplied, is 2 on average over all routers.
+/// factor 1 + relative traffic, by which the pairs are multiplied, is 2 on average over all routers.
 const PAIR_DIVISOR: f64 = 4.0;
 
 /// Attempts in flight that are added to the load of a host in another zone, so that of equally loaded hosts the one in
--- a/src/decisions/voting.rs
+++ b/src/decisions/voting.rs
@@ -15,8 +15,9 @@
     SignalComparison, SignalEvidence, Vote, VoteEvidence,
 };
 
-/// Minimum number of routers that vote: more than one in case one is dead. It also sets the size of the groups of
-/// backup voters (see [`VotePacing::backup_delay`]) and the number of routers that log the evidence for a vote.
+/// Minimum number of routers that vote: more than one in case one is dead, and few, so that they reach agreement soon.
+/// It also sets the size of the groups of backup voters (see [`VotePacing::backup_delay`]) and the number of routers
+/// that log the evidence for a vote.
 const MIN_VOTERS: u32 = 3;
 
 /// Seconds for which the canary must look worse before the vote to roll it back, so that gossip can spread the
