--- a/yang/src/binding.rs
+++ b/yang/src/binding.rs
@@ -1,5 +1,5 @@
-//! The binding of the schema to the datastore. Names are the same on both sides; that every configuration node has
-//! its leaf in the datastore, and every leaf its node, is checked when the binding is made.
+//! The binding of the schema to the datastore. Leaves have the same names in both. [`Binding::new`] checks that the
+//! datastore has a leaf for each configuration leaf of the schema, and the schema a node for each leaf of the datastore.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, UNIX_EPOCH};
@@ -13,7 +13,7 @@
 use crate::data::{DataBuilder, DataNode, Step};
 use crate::schema::{NodeId, NodeKind, Schema};
 
-/// The schema nodes that hold the leaves of each container of the datastore.
+/// The schema paths of the nodes that contain the leaves of each datastore container.
 const LEAF_PARENTS: [(Container, &[&str]); 4] = [
     (Container::Host, &["router", "hosts", "host"]),
     (Container::Guards, &["router", "guards"]),
@@ -21,18 +21,18 @@
     (Container::Rollout, &["router", "ring"]),
 ];
 
-/// Why model and datastore do not fit together.
+/// Why the schema cannot be bound to the datastore.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BindingError {
-    /// The schema has no node for a part of the datastore.
-    #[error("the model has no {0}")]
+    /// The schema has no node for a container or leaf of the datastore.
+    #[error("the schema has no node {0}")]
     MissingNode(String),
-    /// The datastore has no leaf for a configuration node.
-    #[error("the datastore has no {0}")]
+    /// The datastore has no leaf for a configuration node of the schema.
+    #[error("the datastore has no leaf for {0}")]
     MissingLeaf(String),
 }
 
-/// The key of an entry is no name.
+/// The key of a list entry is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("the name {0}")]
 pub struct InvalidName(String);
@@ -41,7 +41,7 @@
     InvalidName(error.to_string())
 }
 
-/// What a schema node stands for in the datastore.
+/// The part of the datastore that a schema node represents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NodeBinding {
     Router,
@@ -54,10 +54,10 @@
     Leaf(Leaf),
 }
 
-/// A node of the configuration in the datastore.
+/// A configuration node in the datastore.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigNode {
-    /// What holds `/router`.
+    /// The parent of `/router`.
     Root,
     /// `/router`.
     Router,
@@ -75,12 +75,12 @@
     Rollout,
     /// A leaf.
     Leaf(Path),
-    /// All values of a leaf-list.
-    Values(Path),
+    /// A leaf-list with all its values.
+    LeafList(Path),
 }
 
 impl ConfigNode {
-    /// Whether anything is configured there.
+    /// Whether anything is configured at or below this node.
     pub fn is_set(&self, tree: &Tree) -> bool {
         match self {
             ConfigNode::Root | ConfigNode::Router => *tree != Tree::default(),
@@ -90,11 +90,11 @@
             ConfigNode::Routes => !tree.routes.is_empty(),
             ConfigNode::Route(name) => tree.routes.contains_key(name),
             ConfigNode::Rollout => tree.rollout != Default::default(),
-            ConfigNode::Leaf(path) | ConfigNode::Values(path) => tree.get(path).is_some(),
+            ConfigNode::Leaf(path) | ConfigNode::LeafList(path) => tree.get(path).is_some(),
         }
     }
 
-    /// Removes what is configured there.
+    /// Removes the configuration at and below this node.
     pub fn clear(&self, tree: &mut Tree) {
         match self {
             ConfigNode::Root | ConfigNode::Router => *tree = Tree::default(),
@@ -104,8 +104,8 @@
             ConfigNode::Routes => tree.routes.clear(),
             ConfigNode::Route(name) => drop(tree.routes.remove(name)),
             ConfigNode::Rollout => tree.rollout = Default::default(),
-            // Removing a value cannot fail: it fits every type.
-            ConfigNode::Leaf(path) | ConfigNode::Values(path) => drop(tree.set(path, None)),
+            // Setting a leaf to `None` cannot fail: only values are checked against the type.
+            ConfigNode::Leaf(path) | ConfigNode::LeafList(path) => drop(tree.set(path, None)),
         }
     }
 }
@@ -118,11 +118,11 @@
 }
 
 impl Binding {
-    /// Binds a schema.
+    /// Binds a schema to the datastore.
     ///
     /// # Errors
     ///
-    /// When model and datastore do not have the same nodes, which is a defect.
+    /// When the schema and the datastore do not have the same configuration nodes, which is a defect of the program.
     pub fn new(schema: &Schema) -> Result<Self, BindingError> {
         let node_at = |names: &[&str]| {
             let node = schema.find(names);
@@ -147,37 +147,37 @@
                 );
             }
         }
-        let keys = |id: NodeId| {
+        let sibling_keys = |id: NodeId| {
             schema
                 .node_of(id)
                 .parent
-                .map_or(&[][..], |parent| schema.keys(parent))
+                .map_or(&[][..], |parent| schema.key_names(parent))
         };
-        let settable = |id: &NodeId| {
-            schema.node_of(*id).config && !keys(*id).contains(&schema.node_of(*id).name)
+        let is_settable = |id: &NodeId| {
+            schema.node_of(*id).config && !sibling_keys(*id).contains(&schema.node_of(*id).name)
         };
         match schema
-            .all()
-            .filter(settable)
+            .all_nodes()
+            .filter(is_settable)
             .find(|id| !nodes.contains_key(id))
         {
-            Some(other) => Err(BindingError::MissingLeaf(schema.schema_path(other))),
+            Some(unbound) => Err(BindingError::MissingLeaf(schema.schema_path(unbound))),
             None => Ok(Binding { nodes, router }),
         }
     }
 
-    /// The configuration node of a schema node below its parent; none if the node is state of the router.
+    /// Returns the configuration node of a schema node below `parent`; `None` for state data.
     ///
     /// # Errors
     ///
-    /// When the key of an entry is no name.
+    /// When the key of a list entry is not a valid name.
     pub fn resolve(
         &self,
         parent: &ConfigNode,
         node: NodeId,
         step: &Step,
     ) -> Result<Option<ConfigNode>, InvalidName> {
-        let key = || step.keys.first().map_or("", |(_, value)| value.as_str());
+        let first_key_value = || step.keys.first().map_or("", |(_, value)| value.as_str());
         let Some(binding) = self.nodes.get(&node).copied() else {
             return Ok(None);
         };
@@ -187,13 +187,17 @@
             (NodeBinding::Guards, _) => ConfigNode::Guards,
             (NodeBinding::Routes, _) => ConfigNode::Routes,
             (NodeBinding::Rollout, _) => ConfigNode::Rollout,
-            (NodeBinding::Host, _) => ConfigNode::Host(key().parse().map_err(invalid_name)?),
-            (NodeBinding::Route, _) => ConfigNode::Route(key().parse().map_err(invalid_name)?),
+            (NodeBinding::Host, _) => {
+                ConfigNode::Host(first_key_value().parse().map_err(invalid_name)?)
+            }
+            (NodeBinding::Route, _) => {
+                ConfigNode::Route(first_key_value().parse().map_err(invalid_name)?)
+            }
             (NodeBinding::Leaf(leaf), ConfigNode::Host(name)) => {
                 ConfigNode::Leaf(Path::Host(name.clone(), leaf))
             }
             (NodeBinding::Leaf(leaf), ConfigNode::Route(name)) if is_leaf_list(leaf) => {
-                ConfigNode::Values(Path::Route(name.clone(), leaf))
+                ConfigNode::LeafList(Path::Route(name.clone(), leaf))
             }
             (NodeBinding::Leaf(leaf), ConfigNode::Route(name)) => {
                 ConfigNode::Leaf(Path::Route(name.clone(), leaf))
@@ -203,11 +207,11 @@
         }))
     }
 
-    /// Sets a leaf to the value of a text.
+    /// Parses a text and sets a leaf to its value.
     ///
     /// # Errors
     ///
-    /// When the text is no value of the leaf.
+    /// When the text is not a valid value of the leaf.
     pub fn set_leaf(
         &self,
         tree: &mut Tree,
@@ -221,28 +225,28 @@
         tree.set(path, Some(value))
     }
 
-    fn values(&self, tree: &Tree, path: &Path) -> BTreeSet<std::sync::Arc<str>> {
+    fn leaf_list_values(&self, tree: &Tree, path: &Path) -> BTreeSet<std::sync::Arc<str>> {
         match tree.get(path) {
             Some(Value::Names(names)) => names,
             _ => BTreeSet::new(),
         }
     }
 
-    /// Whether a leaf-list has a value.
+    /// Whether a leaf-list contains a value.
     pub fn contains_value(&self, tree: &Tree, path: &Path, value: &str) -> bool {
-        self.values(tree, path).contains(value)
+        self.leaf_list_values(tree, path).contains(value)
     }
 
     /// Adds a value to a leaf-list.
     pub fn add_value(&self, tree: &mut Tree, path: &Path, value: &str) {
-        let mut values = self.values(tree, path);
+        let mut values = self.leaf_list_values(tree, path);
         values.insert(value.into());
         let _ = tree.set(path, Some(Value::Names(values)));
     }
 
-    /// Removes a value from a leaf-list, and the leaf-list with its last value.
+    /// Removes a value from a leaf-list; a leaf-list without values is removed.
     pub fn remove_value(&self, tree: &mut Tree, path: &Path, value: &str) {
-        let mut values = self.values(tree, path);
+        let mut values = self.leaf_list_values(tree, path);
         values.remove(value);
         let _ = tree.set(
             path,
@@ -250,15 +254,15 @@
         );
     }
 
-    /// The configuration as data of the schema.
+    /// Returns the configuration as the data node `/router`.
     pub fn tree_data(&self, schema: &Schema, tree: &Tree) -> DataNode {
         let mut router = DataBuilder::new(schema, self.router);
         if !tree.hosts.is_empty() {
             router.put_inner("hosts", |hosts| {
-                for (name, set) in &tree.hosts {
+                for (name, leaves) in &tree.hosts {
                     hosts.put_inner("host", |host| {
                         host.put("name", name);
-                        put_leaves(host, Container::Host, |leaf| set.get(leaf));
+                        put_leaves(host, Container::Host, |leaf| leaves.get(leaf));
                     });
                 }
             });
@@ -270,10 +274,10 @@
         }
         if !tree.routes.is_empty() {
             router.put_inner("routes", |routes| {
-                for (name, set) in &tree.routes {
+                for (name, leaves) in &tree.routes {
                     routes.put_inner("route", |route| {
                         route.put("name", name);
-                        put_leaves(route, Container::Route, |leaf| set.get(leaf));
+                        put_leaves(route, Container::Route, |leaf| leaves.get(leaf));
                     });
                 }
             });
@@ -312,22 +316,22 @@
     }
 }
 
-/// A value in the canonical form of the model.
+/// Formats a leaf value for the data of the schema: the leaf `started` as a date and time, other numbers as decimals.
 pub fn value_text(leaf: Leaf, value: &Value) -> String {
     match value {
-        Value::Number(at) if leaf == Leaf::Started => format_time(*at),
+        Value::Number(unix_seconds) if leaf == Leaf::Started => format_time(*unix_seconds),
         Value::Number(number) => format_decimal(*number),
         other => other.to_string(),
     }
 }
 
-/// A time in Unix seconds as an RFC 3339 date and time with microseconds.
-pub fn format_time(at: f64) -> String {
-    let since = Duration::try_from_secs_f64(at).unwrap_or_default();
-    humantime::format_rfc3339_micros(UNIX_EPOCH + since).to_string()
+/// Formats a time in Unix seconds as an RFC 3339 date and time with microseconds; a time before 1970 as 1970.
+pub fn format_time(unix_seconds: f64) -> String {
+    let since_epoch = Duration::try_from_secs_f64(unix_seconds).unwrap_or_default();
+    humantime::format_rfc3339_micros(UNIX_EPOCH + since_epoch).to_string()
 }
 
-/// A number with the six fraction digits of the model's decimals.
+/// Formats a number with six fraction digits, as the `decimal64` types of the modules have them.
 pub fn format_decimal(number: f64) -> String {
     format!("{number:.6}")
 }
--- a/yang/src/data.rs
+++ b/yang/src/data.rs
@@ -1,29 +1,29 @@
-//! Data that follows the schema, and paths of instances in it.
+//! Data nodes of the schema, and paths of instances in the data.
 
 use std::fmt;
 
 use crate::schema::{NodeId, NodeKind, Schema};
 
-/// A data node: a container, an entry of a list, a leaf, or one value of a leaf-list.
+/// A data node: a container, a list entry, a leaf, or one value of a leaf-list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DataNode {
-    /// Its schema node.
+    /// The schema node.
     pub node: NodeId,
-    /// What it holds.
+    /// The value or the children.
     pub content: Content,
 }
 
-/// What a data node holds.
+/// The content of a data node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
-    /// The value of a leaf in its canonical form.
+    /// The value of a leaf, or one value of a leaf-list, in its canonical form.
     Leaf(String),
-    /// The children of a container or an entry of a list.
+    /// The children of a container or list entry.
     Inner(Vec<DataNode>),
 }
 
 impl DataNode {
-    /// A leaf or a value of a leaf-list; the value is in its canonical form.
+    /// Creates a leaf or one value of a leaf-list; the value has to be in its canonical form.
     pub fn leaf(node: NodeId, value: impl Into<String>) -> Self {
         DataNode {
             node,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A container or an entry of a list.
+    /// Creates a container or list entry.
     pub fn inner(node: NodeId, children: Vec<DataNode>) -> Self {
         DataNode {
             node,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Its children; none for a leaf.
+    /// Returns the children; empty for a leaf.
     pub fn children(&self) -> &[DataNode] {
         match &self.content {
             Content::Inner(children) => children,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The value of a leaf.
+    /// Returns the value of a leaf; `None` for any other node.
     pub fn text(&self) -> Option<&str> {
         match &self.content {
             Content::Leaf(text) => Some(text),
@@ -55,17 +55,22 @@
         }
     }
 
-    /// The first child with a name.
+    /// Returns the first child with a name.
     pub fn child(&self, schema: &Schema, name: &str) -> Option<&DataNode> {
         self.children()
             .iter()
             .find(|child| schema.node_of(child.node).name == name)
     }
 
-    /// The step from its parent to it.
+    /// Returns the path step from the parent to this node.
     pub fn step(&self, schema: &Schema) -> Step {
-        let value = |key: &String| Some((key.clone(), self.child(schema, key)?.text()?.to_owned()));
-        let keys = schema.keys(self.node).iter().filter_map(value).collect();
+        let key_with_value =
+            |key: &String| Some((key.clone(), self.child(schema, key)?.text()?.to_owned()));
+        let keys = schema
+            .key_names(self.node)
+            .iter()
+            .filter_map(key_with_value)
+            .collect();
         Step {
             name: schema.node_of(self.node).name.clone(),
             keys,
@@ -73,18 +78,19 @@
     }
 }
 
-/// Builds the children of one schema node by their names. Names that the schema does not have are left out and noted.
+/// Builds a data node from the names and values of its children. Children whose names are not in the schema are omitted
+/// and listed in `unknown_names`.
 pub struct DataBuilder<'a> {
     schema: &'a Schema,
     node: NodeId,
-    /// The children so far.
+    /// The children that have been added.
     pub children: Vec<DataNode>,
-    /// Names that the schema does not have.
+    /// Names of omitted children, relative to this node.
     pub unknown_names: Vec<String>,
 }
 
 impl<'a> DataBuilder<'a> {
-    /// A builder of the children of a schema node.
+    /// Creates a builder without children for a schema node.
     pub fn new(schema: &'a Schema, node: NodeId) -> Self {
         DataBuilder {
             schema,
@@ -94,7 +100,7 @@
         }
     }
 
-    fn find_child(&mut self, name: &str) -> Option<NodeId> {
+    fn find_child_or_note(&mut self, name: &str) -> Option<NodeId> {
         let found = self.schema.child_named(self.node, name);
         if found.is_none() {
             self.unknown_names.push(name.into());
@@ -102,10 +108,10 @@
         found
     }
 
-    /// Adds a leaf or one value of a leaf-list, in the canonical form of its type.
+    /// Adds a leaf or one value of a leaf-list, in the canonical form of its type; an invalid value is added unchanged.
     pub fn put(&mut self, name: &str, value: impl fmt::Display) -> &mut Self {
         let text = value.to_string();
-        if let Some(node) = self.find_child(name) {
+        if let Some(node) = self.find_child_or_note(name) {
             let canonical = match &self.schema.node_of(node).kind {
                 NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type } => {
                     leaf_type.canonical(&text).unwrap_or(text)
@@ -117,7 +123,7 @@
         self
     }
 
-    /// Adds a leaf if there is a value.
+    /// Adds a leaf if `value` is present.
     pub fn put_optional(&mut self, name: &str, value: Option<impl fmt::Display>) -> &mut Self {
         if let Some(value) = value {
             self.put(name, value);
@@ -125,9 +131,9 @@
         self
     }
 
-    /// Adds a container or an entry of a list.
+    /// Adds a container or list entry whose children `fill` adds.
     pub fn put_inner(&mut self, name: &str, fill: impl FnOnce(&mut DataBuilder)) -> &mut Self {
-        if let Some(node) = self.find_child(name) {
+        if let Some(node) = self.find_child_or_note(name) {
             let mut child = DataBuilder::new(self.schema, node);
             fill(&mut child);
             self.unknown_names.extend(
@@ -141,27 +147,27 @@
         self
     }
 
-    /// The data node with its children.
+    /// Returns the data node with its children.
     pub fn build(self) -> DataNode {
         DataNode::inner(self.node, self.children)
     }
 }
 
-/// One step of the path of an instance.
+/// One step of an instance path.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Step {
     /// The name of the node.
     pub name: String,
-    /// Names and values of the keys of an entry, in the order of the schema.
+    /// Names and canonical values of the keys of a list entry, in the order of the schema.
     pub keys: Vec<(String, String)>,
 }
 
-/// The path of an instance from the top of the data.
+/// The path of one instance from the top level of the data.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstancePath(pub Vec<Step>);
 
 impl InstancePath {
-    /// The path one step further.
+    /// Returns this path extended by a step.
     pub fn child(&self, step: Step) -> InstancePath {
         InstancePath(self.0.iter().cloned().chain([step]).collect())
     }
--- a/yang/src/edit/apply.rs
+++ b/yang/src/edit/apply.rs
@@ -1,4 +1,4 @@
-//! Applies edits to the tree of the datastore.
+//! Applies edits to the datastore tree.
 
 use kestreltide_datastore::{Path, Tree};
 
@@ -11,13 +11,13 @@
 ///
 /// # Errors
 ///
-/// With all errors of the edits; the tree is unchanged then.
+/// All errors of the edits; the tree is then unchanged.
 pub fn apply(
     schema: &Schema,
     binding: &Binding,
     tree: &mut Tree,
     edits: &[Edit],
-    default: Operation,
+    default_operation: Operation,
 ) -> Result<(), Vec<EditError>> {
     let mut editor = TreeEditor {
         schema,
@@ -26,7 +26,12 @@
         errors: vec![],
     };
     for edit in edits {
-        editor.edit(edit, default, &InstancePath::default(), &ConfigNode::Root);
+        editor.apply_edit(
+            edit,
+            default_operation,
+            &InstancePath::default(),
+            &ConfigNode::Root,
+        );
     }
     if !editor.errors.is_empty() {
         return Err(editor.errors);
@@ -35,7 +40,7 @@
     Ok(())
 }
 
-/// A copy of the tree that edits are applied to.
+/// Applies edits to a copy of the tree and collects their errors.
 struct TreeEditor<'a> {
     schema: &'a Schema,
     binding: &'a Binding,
@@ -44,14 +49,14 @@
 }
 
 impl TreeEditor<'_> {
-    fn edit(
+    fn apply_edit(
         &mut self,
         edit: &Edit,
-        inherited: Operation,
+        inherited_operation: Operation,
         parent_path: &InstancePath,
         parent: &ConfigNode,
     ) {
-        let operation = edit.operation.unwrap_or(inherited);
+        let operation = edit.operation.unwrap_or(inherited_operation);
         let path = parent_path.child(edit.step.clone());
         if self.is_key(edit.node) {
             self.check_key(edit, &path);
@@ -64,16 +69,16 @@
             return;
         }
         match (&target, operation) {
-            (ConfigNode::Values(leaf), Operation::Delete | Operation::Remove) => {
+            (ConfigNode::LeafList(leaf), Operation::Delete | Operation::Remove) => {
                 match &edit.value {
                     Some(value) => self.binding.remove_value(&mut self.tree, leaf, value),
                     None => target.clear(&mut self.tree),
                 }
             }
             (_, Operation::Delete | Operation::Remove) => target.clear(&mut self.tree),
-            (ConfigNode::Leaf(_) | ConfigNode::Values(_), Operation::None) => {}
+            (ConfigNode::Leaf(_) | ConfigNode::LeafList(_), Operation::None) => {}
             (ConfigNode::Leaf(leaf), _) => self.set_leaf(edit, &path, leaf),
-            (ConfigNode::Values(leaf), _) => {
+            (ConfigNode::LeafList(leaf), _) => {
                 if let Some(value) = &edit.value {
                     self.binding.add_value(&mut self.tree, leaf, value);
                 }
@@ -85,13 +90,13 @@
     fn is_key(&self, node: NodeId) -> bool {
         let node = self.schema.node_of(node);
         node.parent
-            .is_some_and(|parent| self.schema.keys(parent).contains(&node.name))
+            .is_some_and(|parent| self.schema.key_names(parent).contains(&node.name))
     }
 
-    /// A key is set by the step to its entry and cannot be removed alone.
+    /// Checks the edit of a key leaf, which is set by the step to its list entry and cannot be removed without the entry.
     fn check_key(&mut self, edit: &Edit, path: &InstancePath) {
         if matches!(edit.operation, Some(Operation::Delete | Operation::Remove)) {
-            self.error(
+            self.add_error(
                 ErrorTag::OperationNotSupported,
                 edit,
                 path,
@@ -102,7 +107,7 @@
         }
     }
 
-    /// The node of the configuration that an edit is about.
+    /// Returns the configuration node that an edit targets; adds an error if there is none.
     fn resolve(
         &mut self,
         edit: &Edit,
@@ -111,7 +116,7 @@
     ) -> Option<ConfigNode> {
         match self.binding.resolve(parent, edit.node, &edit.step) {
             Ok(Some(target)) => return Some(target),
-            Ok(None) => self.error(
+            Ok(None) => self.add_error(
                 ErrorTag::InvalidValue,
                 edit,
                 path,
@@ -119,7 +124,7 @@
                 "an edit",
                 "only reading",
             ),
-            Err(invalid_name) => self.error(
+            Err(invalid_name) => self.add_error(
                 ErrorTag::InvalidValue,
                 edit,
                 path,
@@ -131,7 +136,8 @@
         None
     }
 
-    /// Whether the target exists or is missing as the operation needs it.
+    /// Checks that the target exists, or does not exist, as the operation requires (RFC 6241, section 7.2). Operation
+    /// `none` requires an existing target unless it is a container or the edit has neither value nor children.
     fn check_existence(
         &mut self,
         edit: &Edit,
@@ -140,7 +146,7 @@
         target: &ConfigNode,
     ) -> bool {
         let exists = match (target, &edit.value) {
-            (ConfigNode::Values(leaf), Some(value)) => {
+            (ConfigNode::LeafList(leaf), Some(value)) => {
                 self.binding.contains_value(&self.tree, leaf, value)
             }
             (target, _) => target.is_set(&self.tree),
@@ -148,7 +154,7 @@
         let has_content = !edit.children.is_empty() || edit.value.is_some();
         match operation {
             Operation::Create if exists => {
-                self.error(
+                self.add_error(
                     ErrorTag::DataExists,
                     edit,
                     path,
@@ -158,16 +164,17 @@
                 );
                 false
             }
-            Operation::Delete if !exists => self.data_missing(edit, path),
+            Operation::Delete if !exists => self.add_data_missing_error(edit, path),
             Operation::None if !exists && has_content && !is_container(target) => {
-                self.data_missing(edit, path)
+                self.add_data_missing_error(edit, path)
             }
             _ => true,
         }
     }
 
-    fn data_missing(&mut self, edit: &Edit, path: &InstancePath) -> bool {
-        self.error(
+    /// Adds the error that the target of an edit does not exist; returns `false`, the result of the failed check.
+    fn add_data_missing_error(&mut self, edit: &Edit, path: &InstancePath) -> bool {
+        self.add_error(
             ErrorTag::DataMissing,
             edit,
             path,
@@ -190,7 +197,7 @@
         }
     }
 
-    /// Edits what a container or an entry of a list holds.
+    /// Applies an edit to a container or list entry and its children. Children of a replaced or created node are merged.
     fn edit_children(
         &mut self,
         edit: &Edit,
@@ -201,31 +208,31 @@
         if operation == Operation::Replace {
             target.clear(&mut self.tree);
         }
-        let inherited = match operation {
+        let inherited_operation = match operation {
             Operation::Replace | Operation::Create => Operation::Merge,
             other => other,
         };
         for child in &edit.children {
-            self.edit(child, inherited, path, target);
+            self.apply_edit(child, inherited_operation, path, target);
         }
-        if inherited == Operation::Merge {
-            self.check_entry_is_set(edit, path, target);
+        if inherited_operation == Operation::Merge {
+            self.check_entry_has_leaves(edit, path, target);
         }
     }
 
-    /// The datastore has no entry of a list without a leaf beside its key.
-    fn check_entry_is_set(&mut self, edit: &Edit, path: &InstancePath, target: &ConfigNode) {
+    /// Checks that a merged list entry has a leaf other than its keys: the datastore cannot hold an entry without one.
+    fn check_entry_has_leaves(&mut self, edit: &Edit, path: &InstancePath, target: &ConfigNode) {
         let is_entry = matches!(target, ConfigNode::Host(_) | ConfigNode::Route(_));
         if !is_entry || !self.errors.is_empty() || target.is_set(&self.tree) {
             return;
         }
-        let keys = self.schema.keys(edit.node);
+        let keys = self.schema.key_names(edit.node);
         let has_only_keys = edit
             .children
             .iter()
             .all(|child| keys.contains(&child.step.name));
         if has_only_keys {
-            self.error(
+            self.add_error(
                 ErrorTag::MissingElement,
                 edit,
                 path,
@@ -236,7 +243,7 @@
         }
     }
 
-    fn error(
+    fn add_error(
         &mut self,
         tag: ErrorTag,
         edit: &Edit,
@@ -251,7 +258,7 @@
     }
 }
 
-/// Whether a node is a container, which exists always.
+/// Whether a node is a container, which counts as existing even if it is empty.
 fn is_container(node: &ConfigNode) -> bool {
     matches!(
         node,
--- a/yang/src/edit/error.rs
+++ b/yang/src/edit/error.rs
@@ -1,4 +1,4 @@
-//! Why an edit cannot be applied.
+//! Errors of reading and applying edits.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use crate::data::InstancePath;
 
-/// The kind of an error (RFC 6241, appendix A).
+/// The `error-tag` of an error (RFC 6241, appendix A).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorTag {
     /// `unknown-element`.
@@ -46,17 +46,17 @@
     }
 }
 
-/// Why an edit cannot be applied.
+/// Why an edit is invalid or cannot be applied.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{validation}")]
 pub struct EditError {
-    /// The kind of the error.
+    /// The error tag.
     pub tag: ErrorTag,
-    /// The element or attribute at fault, where the tag needs its name.
+    /// The name of the invalid element or attribute, for the `error-info` of the tags that require it.
     pub subject: String,
-    /// The path of the instance at fault.
+    /// The path of the instance that the error concerns.
     pub path: InstancePath,
-    /// What is wrong there.
+    /// The problem, with the value found and the values expected.
     pub validation: ValidationError,
 }
 
--- a/yang/src/edit/from_json.rs
+++ b/yang/src/edit/from_json.rs
@@ -1,4 +1,4 @@
-//! Edits from JSON (RFC 7951).
+//! Reads edits from JSON (RFC 7951).
 
 use kestreltide_datastore::tree_builder::printable;
 use serde_json::{Map, Value as Json};
@@ -9,7 +9,8 @@
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::types::Type;
 
-/// Reads the edits of an object below a node, at the top for none; adds an error for each member that is no edit.
+/// Reads edits from the members of an object, which are children of `parent` or, if it is `None`, top-level nodes. Adds an
+/// error for each invalid member.
 pub fn edits_from_json(
     schema: &Schema,
     parent: Option<NodeId>,
@@ -20,7 +21,7 @@
     EditReader { schema, errors }.edits_from_object(parent, path, object)
 }
 
-/// Reads the edits of a member's value: a list or leaf-list is an array of its entries or values.
+/// Reads edits from the value of a member: for a list or leaf-list, an array of its entries or values.
 pub fn edits_from_json_value(
     schema: &Schema,
     node: NodeId,
@@ -31,7 +32,7 @@
     EditReader { schema, errors }.edits_from_value(node, parent_path, value)
 }
 
-/// Reads the edit of one container, entry of a list, leaf or value of a leaf-list.
+/// Reads the edit of one container, list entry, leaf or leaf-list value.
 pub fn edit_from_json(
     schema: &Schema,
     node: NodeId,
@@ -50,12 +51,12 @@
         object: &Json,
     ) -> Vec<Edit> {
         let Json::Object(members) = object else {
-            self.error(
+            self.add_error(
                 ErrorTag::InvalidValue,
                 "",
                 path,
                 "is no object",
-                shortened(object),
+                printable_json(object),
                 "an object",
             );
             return vec![];
@@ -64,21 +65,21 @@
         for (member, value) in members {
             match self.node_of_member(parent, member) {
                 Some(node) => edits.extend(self.edits_from_value(node, path, value)),
-                None => self.unknown_child(parent, member, path),
+                None => self.add_unknown_child_error(parent, member, path),
             }
         }
         edits
     }
 
-    /// The schema node of a member, whose name may carry the module.
+    /// Returns the schema node of a member, whose name may be qualified with the module name.
     fn node_of_member(&self, parent: Option<NodeId>, member: &str) -> Option<NodeId> {
         let (module, name) = match member.split_once(':') {
             Some((module, name)) => (Some(module), name),
             None => (None, member),
         };
         let node = self.child_named(parent, name)?;
-        let is_of_module = module.is_none_or(|module| self.schema.module_of(node).name == module);
-        is_of_module.then_some(node)
+        let module_matches = module.is_none_or(|module| self.schema.module_of(node).name == module);
+        module_matches.then_some(node)
     }
 
     fn edits_from_value(
@@ -95,12 +96,12 @@
             return edit.into_iter().collect();
         }
         let Json::Array(items) = value else {
-            self.error(
+            self.add_error(
                 ErrorTag::InvalidValue,
                 name,
                 parent_path,
                 format!("{name} is no array"),
-                shortened(value),
+                printable_json(value),
                 "an array",
             );
             return vec![];
@@ -122,17 +123,17 @@
         }
         let name = &self.schema.node_of(node).name;
         let Json::Object(members) = value else {
-            self.error(
+            self.add_error(
                 ErrorTag::InvalidValue,
                 name,
                 parent_path,
                 format!("{name} is no object"),
-                shortened(value),
+                printable_json(value),
                 "an object",
             );
             return None;
         };
-        let step = self.read_step(node, parent_path, |key| key_text(members, key))?;
+        let step = self.parse_step(node, parent_path, |key| key_text(members, key))?;
         let path = parent_path.child(step.clone());
         let children = self.edits_from_object(Some(node), &path, value);
         Some(Edit {
@@ -158,18 +159,18 @@
         let path = parent_path.child(step.clone());
         let leaf_type = self.leaf_type(node)?;
         let Some(text) = leaf_text(leaf_type, value) else {
-            let form = if leaf_type.is_json_string() {
+            let json_form = if leaf_type.is_json_string() {
                 "as a JSON string"
             } else {
                 "as JSON's own"
             };
-            let expected = format!("{}, {form}", leaf_type.expected());
-            self.error(
+            let expected = format!("{}, {json_form}", leaf_type.describe_values());
+            self.add_error(
                 ErrorTag::InvalidValue,
                 &step.name,
                 &path,
                 "is of another form",
-                shortened(value),
+                printable_json(value),
                 expected,
             );
             return None;
@@ -185,21 +186,21 @@
     }
 }
 
-/// The text of a JSON value in the form of its type (RFC 7951, section 6): an integer of 64 bits is a string, since a
-/// JSON number would lose digits on its way.
+/// Returns the text of a JSON value if it has the JSON form of its type (RFC 7951, section 6). A 64-bit integer has to be
+/// a string, since a JSON number loses precision in parsers that read numbers as doubles.
 fn leaf_text(leaf_type: &Type, value: &Json) -> Option<String> {
     match value {
         Json::String(text) if leaf_type.is_json_string() => Some(text.clone()),
         Json::Number(number) if !leaf_type.is_json_string() => Some(number.to_string()),
         Json::Bool(flag) if !leaf_type.is_json_string() => Some(flag.to_string()),
-        Json::Array(items) if leaf_type.name() == "empty" && *items == [Json::Null] => {
+        Json::Array(items) if leaf_type.builtin_name() == "empty" && *items == [Json::Null] => {
             Some(String::new())
         }
         _ => None,
     }
 }
 
-/// The text of a key among the members of an entry.
+/// Returns the text of a key among the members of a list entry.
 fn key_text(members: &Map<String, Json>, key: &str) -> Option<String> {
     let (_, value) = members
         .iter()
@@ -211,6 +212,6 @@
     }
 }
 
-fn shortened(value: &Json) -> String {
+fn printable_json(value: &Json) -> String {
     printable(&value.to_string())
 }
--- a/yang/src/edit/from_xml.rs
+++ b/yang/src/edit/from_xml.rs
@@ -1,4 +1,4 @@
-//! Edits from the elements of an edit-config (RFC 6241, section 7.2).
+//! Reads edits from the `<config>` element of `<edit-config>` (RFC 6241, section 7.2).
 
 use super::reader::EditReader;
 use super::{Edit, EditError, ErrorTag, Operation};
@@ -8,7 +8,8 @@
 
 const NETCONF_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
 
-/// Reads the edits of elements below a node, at the top for none; adds an error for each element that is no edit.
+/// Reads edits from elements, which are children of `parent` or, if it is `None`, top-level nodes. Adds an error for each
+/// invalid element.
 pub fn edits_from_xml(
     schema: &Schema,
     parent: Option<NodeId>,
@@ -19,8 +20,8 @@
     EditReader { schema, errors }.edits_from_elements(parent, path, elements)
 }
 
-/// The element is no edit, and its error has been added to those of the reader.
-struct ErrorAdded;
+/// The element is invalid, and the reader already holds its error.
+struct ErrorReported;
 
 impl EditReader<'_> {
     fn edits_from_elements(
@@ -42,15 +43,15 @@
         element: &Element,
     ) -> Option<Edit> {
         let node = self.node_of_element(parent, parent_path, element)?;
-        let operation = self.read_operation(parent_path, element).ok()?;
+        let operation = self.parse_operation(parent_path, element).ok()?;
         let key_value = |name: &str| Some(element.child(name)?.text.trim().to_owned());
-        let step = self.read_step(node, parent_path, key_value)?;
+        let step = self.parse_step(node, parent_path, key_value)?;
         let path = parent_path.child(step.clone());
         if self.leaf_type(node).is_some() {
             return self.leaf_edit(node, operation, step, &path, element);
         }
         if !element.text.trim().is_empty() {
-            self.error(
+            self.add_error(
                 ErrorTag::InvalidValue,
                 &element.name,
                 &path,
@@ -69,7 +70,7 @@
         })
     }
 
-    /// The schema node that an element names.
+    /// Returns the schema node of an element; adds an error if there is none or the namespace differs.
     fn node_of_element(
         &mut self,
         parent: Option<NodeId>,
@@ -77,12 +78,12 @@
         element: &Element,
     ) -> Option<NodeId> {
         let Some(node) = self.child_named(parent, &element.name) else {
-            self.unknown_child(parent, &element.name, path);
+            self.add_unknown_child_error(parent, &element.name, path);
             return None;
         };
         let namespace = &self.schema.module_of(node).namespace;
         if element.namespace != *namespace {
-            self.error(
+            self.add_error(
                 ErrorTag::UnknownNamespace,
                 &element.name,
                 path,
@@ -95,12 +96,12 @@
         Some(node)
     }
 
-    /// The operation that the attributes of an element name, if any.
-    fn read_operation(
+    /// Parses the `operation` attribute of an element, if it has one. Any other attribute is an error.
+    fn parse_operation(
         &mut self,
         path: &InstancePath,
         element: &Element,
-    ) -> Result<Option<Operation>, ErrorAdded> {
+    ) -> Result<Option<Operation>, ErrorReported> {
         let mut operation = None;
         for Attribute {
             namespace,
@@ -109,7 +110,7 @@
         } in &element.attributes
         {
             if namespace != NETCONF_NAMESPACE || name != "operation" {
-                self.error(
+                self.add_error(
                     ErrorTag::UnknownAttribute,
                     name,
                     path,
@@ -117,11 +118,11 @@
                     name,
                     "operation of NETCONF",
                 );
-                return Err(ErrorAdded);
+                return Err(ErrorReported);
             }
             operation = Operation::from_attribute(value);
             if operation.is_none() {
-                self.error(
+                self.add_error(
                     ErrorTag::BadAttribute,
                     "operation",
                     path,
@@ -129,7 +130,7 @@
                     value,
                     Operation::attribute_values(),
                 );
-                return Err(ErrorAdded);
+                return Err(ErrorReported);
             }
         }
         Ok(operation)
@@ -144,7 +145,7 @@
         element: &Element,
     ) -> Option<Edit> {
         if let Some(child) = element.children.first() {
-            self.error(
+            self.add_error(
                 ErrorTag::UnknownElement,
                 &child.name,
                 path,
--- a/yang/src/edit/mod.rs
+++ b/yang/src/edit/mod.rs
@@ -1,5 +1,5 @@
-//! Edits of the configuration, as edit-config of NETCONF (RFC 6241, section 7.2) and Set of gNMI have them: schema
-//! nodes with operations, applied to the tree of the datastore all or none.
+//! Edits of the configuration by NETCONF `<edit-config>` (RFC 6241, section 7.2) and gNMI Set: schema nodes with
+//! operations, which are applied to the datastore tree all or none.
 
 mod apply;
 mod error;
@@ -19,21 +19,22 @@
 /// An edit of one data node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edit {
-    /// The schema node.
+    /// The schema node of the data node.
     pub node: NodeId,
-    /// What to do; none: the operation of the edit that holds this one.
+    /// The operation; `None` inherits the operation of the parent edit.
     pub operation: Option<Operation>,
-    /// The canonical value of a leaf or of one value of a leaf-list; none if it is only removed.
+    /// The canonical value of a leaf, or one value of a leaf-list; `None` for other nodes, and for the removal of a leaf or
+    /// of all values of a leaf-list.
     pub value: Option<String>,
     /// The step from the parent to the node.
     pub step: Step,
-    /// The edits of its children.
+    /// The edits of the children of the node.
     pub children: Vec<Edit>,
 }
 
-/// An edit of the instance at a path, from the top: `last` is the edit of the last node of the path. None if the path
-/// leads nowhere in the schema.
-pub fn edit_at_path(schema: &Schema, path: &InstancePath, last: Edit) -> Option<Edit> {
+/// Wraps an edit of a child of the instance at `path` in merge edits of all nodes of the path, so that it can be applied
+/// from the top level. `None` if the schema has no node for a step of the path.
+pub fn edit_at_path(schema: &Schema, path: &InstancePath, child_edit: Edit) -> Option<Edit> {
     let mut ancestors = Vec::new();
     let mut parent = None;
     for step in &path.0 {
@@ -48,7 +49,7 @@
     let edit = ancestors
         .into_iter()
         .rev()
-        .fold(last, |child, (node, step)| Edit {
+        .fold(child_edit, |child, (node, step)| Edit {
             node,
             operation: Some(Operation::Merge),
             value: None,
--- a/yang/src/edit/operation.rs
+++ b/yang/src/edit/operation.rs
@@ -1,23 +1,23 @@
-//! Operations of edits and their names on the wire (RFC 6241, section 7.2).
+//! Edit operations and their names in NETCONF (RFC 6241, section 7.2).
 
 /// What an edit does to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Merges the edit into what is there.
+    /// Merges the edit into the existing data.
     Merge,
-    /// Replaces what is there.
+    /// Replaces the existing data, if any.
     Replace,
-    /// Creates the node, which may not be there yet.
+    /// Creates the node; fails if it exists.
     Create,
-    /// Deletes the node, which has to be there.
+    /// Deletes the node; fails if it does not exist.
     Delete,
-    /// Deletes the node if it is there.
+    /// Deletes the node if it exists.
     Remove,
-    /// Does nothing to the node itself, only to those below it.
+    /// Leaves the node itself unchanged; only edits of its descendants that have an operation of their own take effect.
     None,
 }
 
-/// The values of the `operation` attribute of an element.
+/// The values of the `operation` attribute.
 const ATTRIBUTE_VALUES: [(&str, Operation); 5] = [
     ("merge", Operation::Merge),
     ("replace", Operation::Replace),
@@ -27,7 +27,7 @@
 ];
 
 impl Operation {
-    /// The operation that an `operation` attribute names.
+    /// Returns the operation with a name in the `operation` attribute.
     pub fn from_attribute(name: &str) -> Option<Operation> {
         ATTRIBUTE_VALUES
             .iter()
@@ -35,7 +35,7 @@
             .map(|(_, operation)| *operation)
     }
 
-    /// The operation that a `default-operation` parameter names.
+    /// Returns the operation with a name in the `default-operation` parameter.
     pub fn from_default_operation(name: &str) -> Option<Operation> {
         match name {
             "merge" => Some(Operation::Merge),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The values of an `operation` attribute, for error messages.
+    /// Lists the values of the `operation` attribute, for error messages.
     pub(super) fn attribute_values() -> String {
         ATTRIBUTE_VALUES.map(|(value, _)| value).join(", ")
     }
--- a/yang/src/edit/reader.rs
+++ b/yang/src/edit/reader.rs
@@ -1,4 +1,4 @@
-//! What reading edits from XML and from JSON has in common.
+//! The part of reading edits that XML and JSON share.
 
 use std::fmt;
 
@@ -9,14 +9,14 @@
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::types::Type;
 
-/// Reads edits by a schema and collects the errors.
+/// Reads edits according to a schema and collects the errors.
 pub(super) struct EditReader<'a> {
     pub(super) schema: &'a Schema,
     pub(super) errors: &'a mut Vec<EditError>,
 }
 
 impl EditReader<'_> {
-    pub(super) fn error(
+    pub(super) fn add_error(
         &mut self,
         tag: ErrorTag,
         subject: &str,
@@ -29,7 +29,7 @@
         self.errors.push(error);
     }
 
-    /// The child of a node with a name; none for the top.
+    /// Returns the child of a node by its name, or the top-level data node if `parent` is `None`.
     pub(super) fn child_named(&self, parent: Option<NodeId>, name: &str) -> Option<NodeId> {
         self.schema
             .children_of(parent)
@@ -38,30 +38,30 @@
             .find(|id| self.schema.node_of(*id).name == name)
     }
 
-    /// Notes that a node has no child of a name.
-    pub(super) fn unknown_child(
+    /// Adds the error that a node has no child with a name.
+    pub(super) fn add_unknown_child_error(
         &mut self,
         parent: Option<NodeId>,
         name: &str,
         path: &InstancePath,
     ) {
-        let known: Vec<_> = self
+        let known_names: Vec<_> = self
             .schema
             .children_of(parent)
             .iter()
             .map(|id| self.schema.node_of(*id).name.clone())
             .collect();
-        self.error(
+        self.add_error(
             ErrorTag::UnknownElement,
             name,
             path,
             "has no such node",
             name,
-            known.join(", "),
+            known_names.join(", "),
         );
     }
 
-    /// The type of a leaf or leaf-list; none for any other node.
+    /// Returns the type of a leaf or leaf-list; `None` for any other node.
     pub(super) fn leaf_type(&self, node: NodeId) -> Option<&Type> {
         match &self.schema.node_of(node).kind {
             NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type } => Some(leaf_type),
@@ -69,8 +69,9 @@
         }
     }
 
-    /// The step to a node from its parent at `path`; an entry of a list needs the values of all its keys.
-    pub(super) fn read_step(
+    /// Builds the path step to a node from its parent at `path`. `key_value` returns the text of a key by its name; adds an
+    /// error and returns `None` if a key of a list entry is missing or invalid.
+    pub(super) fn parse_step(
         &mut self,
         node: NodeId,
         path: &InstancePath,
@@ -79,13 +80,13 @@
         let schema = self.schema;
         let name = schema.node_of(node).name.clone();
         let mut keys = Vec::new();
-        for key in schema.keys(node) {
+        for key in schema.key_names(node) {
             let list_path = path.child(Step {
                 name: name.clone(),
                 keys: vec![],
             });
             let Some(text) = key_value(key) else {
-                self.error(
+                self.add_error(
                     ErrorTag::MissingElement,
                     key,
                     &list_path,
@@ -102,7 +103,7 @@
         Some(Step { name, keys })
     }
 
-    /// The canonical value of a text; none and an error if it is no value of the leaf.
+    /// Returns the canonical form of a leaf value; adds an error and returns `None` if the text is not valid.
     pub(super) fn canonical_value(
         &mut self,
         node: NodeId,
@@ -114,9 +115,9 @@
             Ok(value) => return Some(value),
             Err(error) => error,
         };
-        let expected = leaf_type.expected();
+        let expected = leaf_type.describe_values();
         let name = &self.schema.node_of(node).name;
-        self.error(
+        self.add_error(
             ErrorTag::InvalidValue,
             name,
             path,
--- a/yang/src/json.rs
+++ b/yang/src/json.rs
@@ -1,4 +1,4 @@
-//! Data as JSON (RFC 7951).
+//! Encodes data as JSON (RFC 7951).
 
 use serde_json::{Map, Value};
 
@@ -6,45 +6,49 @@
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::types::Type;
 
-/// The members of an object for some nodes, the entries of a list together; a name carries its module if that
-/// differs from its parent's.
+/// Encodes sibling nodes as the members of a JSON object; the entries of a list and the values of a leaf-list become an
+/// array. A member name is qualified with the module name if the module differs from that of the parent, and at the top
+/// level (RFC 7951, section 4).
 pub fn members(schema: &Schema, data: &[DataNode], parent: Option<NodeId>) -> Map<String, Value> {
-    let mut out = Map::new();
-    for one in data {
-        let node = schema.node_of(one.node);
-        let changes = parent.is_none_or(|parent| schema.node_of(parent).module != node.module);
-        let name = if changes {
-            format!("{}:{}", schema.module_of(one.node).name, node.name)
+    let mut object = Map::new();
+    for data_node in data {
+        let node = schema.node_of(data_node.node);
+        let module_differs =
+            parent.is_none_or(|parent| schema.node_of(parent).module != node.module);
+        let name = if module_differs {
+            format!("{}:{}", schema.module_of(data_node.node).name, node.name)
         } else {
             node.name.clone()
         };
-        let value = value(schema, one);
-        match (&node.kind, out.get_mut(&name)) {
+        let encoded = value(schema, data_node);
+        match (&node.kind, object.get_mut(&name)) {
             (NodeKind::List { .. } | NodeKind::LeafList { .. }, Some(Value::Array(items))) => {
-                items.push(value)
+                items.push(encoded)
             }
             (NodeKind::List { .. } | NodeKind::LeafList { .. }, _) => {
-                drop(out.insert(name, Value::Array(vec![value])))
+                drop(object.insert(name, Value::Array(vec![encoded])))
             }
-            _ => drop(out.insert(name, value)),
+            _ => drop(object.insert(name, encoded)),
         }
     }
-    out
+    object
 }
 
-/// The value of one node: an object, or the value of a leaf in the form of its type.
+/// Encodes one node: a container or list entry as an object, a leaf or leaf-list value in the JSON form of its type.
 pub fn value(schema: &Schema, data: &DataNode) -> Value {
     match (&data.content, &schema.node_of(data.node).kind) {
         (
             Content::Leaf(text),
             NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type },
-        ) => leaf(leaf_type, text),
+        ) => encode_leaf(leaf_type, text),
         (Content::Leaf(text), _) => Value::String(text.clone()),
         (Content::Inner(children), _) => Value::Object(members(schema, children, Some(data.node))),
     }
 }
 
-fn leaf(leaf_type: &Type, text: &str) -> Value {
+/// Encodes a canonical value in the JSON form of its type (RFC 7951, section 6). A number that does not fit into an `i64`
+/// becomes a string.
+fn encode_leaf(leaf_type: &Type, text: &str) -> Value {
     match leaf_type {
         Type::Boolean => Value::Bool(text == "true"),
         Type::Empty => Value::Array(vec![Value::Null]),
--- a/yang/src/lib.rs
+++ b/yang/src/lib.rs
@@ -1,6 +1,6 @@
-//! The published YANG models, and data that follows them. The modules in `models/` are parsed at start ([`statement`],
-//! [`schema`]) and drive the codecs of XML and JSON, so that models and code cannot drift apart: a statement that is
-//! not supported is rejected with its line.
+//! The published YANG modules and the data that they define. The modules in `models/` are parsed at start
+//! ([`statement`], [`schema`]) and drive the XML and JSON codecs, so that modules and code always agree: a statement that
+//! is not supported is rejected with its line number.
 //!
 //! This crate does no I/O.
 
@@ -23,7 +23,7 @@
 pub use path::Pattern;
 pub use schema::{NodeId, NodeKind, Schema, SchemaError};
 
-/// The published modules as they stand in `models/`.
+/// Names and texts of the published modules in `models/`, each after the modules that it imports.
 pub const MODULES: [(&str, &str); 2] = [
     (
         "kestreltide-types",
@@ -35,11 +35,11 @@
     ),
 ];
 
-/// The schema of the published modules, which are parsed once.
+/// The schema of the published modules, which are parsed at the first call.
 ///
 /// # Errors
 ///
-/// When the published modules are wrong, which is a defect.
+/// When a published module is invalid, which is a defect of this package.
 pub fn published() -> Result<&'static Schema, SchemaError> {
     static SCHEMA: OnceLock<Result<Schema, SchemaError>> = OnceLock::new();
     SCHEMA
--- a/yang/src/path.rs
+++ b/yang/src/path.rs
@@ -1,4 +1,5 @@
-//! Path patterns: the common part of gNMI paths and of XPath, that is names, `*`, `//` and keys.
+//! Path patterns, the subset that gNMI paths and XPath share: names, `*`, any depth (`//` in XPath, `...` in gNMI) and
+//! key values.
 
 use thiserror::Error;
 use winnow::combinator::{alt, cut_err, delimited, opt, preceded, repeat, separated, terminated};
@@ -12,42 +13,42 @@
 /// One step of a pattern.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PatternStep {
-    /// The name of the node; none for any.
+    /// The name of the node; `None` matches any name.
     pub name: Option<String>,
-    /// Names and values of the keys that an entry has to have.
+    /// Names and values of the keys that a list entry must have.
     pub keys: Vec<(String, String)>,
-    /// Whether the node may stand at any depth below the previous step.
+    /// Whether the node may be at any depth below the previous step.
     pub any_depth: bool,
 }
 
-/// A path that several instances may match; without steps it matches everything.
+/// A path pattern, which several instances may match; without steps it selects all data.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pattern(pub Vec<PatternStep>);
 
-/// Steps of one path, at most.
+/// Maximum number of steps in one path.
 const MAX_STEPS: usize = 32;
-/// Paths of one XPath, at most.
+/// Maximum number of paths in one XPath expression.
 const MAX_PATHS: usize = 64;
 
-/// Why a path is not accepted.
+/// Why a path is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PathError {
-    /// The text is not in the supported part of XPath.
+    /// The text is not in the supported subset of XPath; holds the byte offset of the error.
     #[error("is no path that is read here, from character {0}")]
     Syntax(usize),
-    /// There are too many paths, or a path has too many steps.
+    /// An XPath expression has too many paths, or one of its paths too many steps.
     #[error("has more than {MAX_PATHS} paths or {MAX_STEPS} steps")]
     TooLong,
-    /// A path has too many steps.
+    /// A gNMI path has too many steps.
     #[error("has more than {MAX_STEPS} steps")]
     TooManySteps,
     /// A step has no name.
     #[error("a step has no name")]
     UnnamedStep,
-    /// The path may match several instances.
+    /// A step matches any name or any depth where one instance is required.
     #[error("leaves open which instance is meant")]
     Ambiguous,
-    /// The schema has no such node.
+    /// The schema has no node with this name.
     #[error("{parent} has no {name}")]
     UnknownNode {
         /// The path up to the missing node.
@@ -55,7 +56,7 @@
         /// The name of the missing node.
         name: String,
     },
-    /// A list has no such key.
+    /// A list has no key with this name.
     #[error("{list} has no key {key}")]
     UnknownKey {
         /// The name of the list.
@@ -63,7 +64,7 @@
         /// The name of the key.
         key: String,
     },
-    /// A list needs keys that the path does not give.
+    /// The path does not give all keys of a list.
     #[error("{list} needs its keys, {keys}")]
     MissingKeys {
         /// The name of the list.
@@ -75,30 +76,33 @@
 
 type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
-fn name<'a>(input: &mut &'a str) -> ParseResult<&'a str> {
-    let word = |input: &mut &'a str| {
+fn node_name<'a>(input: &mut &'a str) -> ParseResult<&'a str> {
+    let identifier = |input: &mut &'a str| {
         take_while(1.., |c: char| {
             c.is_ascii_alphanumeric() || "-_.".contains(c)
         })
         .parse_next(input)
     };
-    // A prefix can be ignored: the names of the models are unique without it.
-    let (first, second): (&str, Option<&str>) =
-        (word, opt(preceded(':', word))).parse_next(input)?;
-    Ok(second.unwrap_or(first))
+    // The prefix is ignored: the node names of the modules are unique without it.
+    let (name_or_prefix, name_after_prefix): (&str, Option<&str>) =
+        (identifier, opt(preceded(':', identifier))).parse_next(input)?;
+    Ok(name_after_prefix.unwrap_or(name_or_prefix))
 }
 
-fn text(input: &mut &str) -> ParseResult<String> {
+fn string_literal(input: &mut &str) -> ParseResult<String> {
     let quoted = |quote: char| delimited(quote, take_till(0.., quote), cut_err(quote));
     alt((quoted('\''), quoted('"')))
         .map(str::to_owned)
         .parse_next(input)
 }
 
-fn key(input: &mut &str) -> ParseResult<(String, String)> {
+fn key_predicate(input: &mut &str) -> ParseResult<(String, String)> {
     let spaces = || take_while(0.., ' ');
     let equals = delimited(spaces(), '=', spaces());
-    let pair = (preceded(spaces(), name), preceded(equals, text));
+    let pair = (
+        preceded(spaces(), node_name),
+        preceded(equals, string_literal),
+    );
     delimited('[', pair, cut_err(preceded(spaces(), ']')))
         .map(|(key, value)| (key.to_owned(), value))
         .parse_next(input)
@@ -106,8 +110,9 @@
 
 fn pattern_step(input: &mut &str) -> ParseResult<PatternStep> {
     let any_depth = preceded('/', opt('/')).parse_next(input)?.is_some();
-    let name = alt(('*'.value(None), name.map(|name| Some(name.to_owned())))).parse_next(input)?;
-    let keys = repeat(0.., key).parse_next(input)?;
+    let name =
+        alt(('*'.value(None), node_name.map(|name| Some(name.to_owned())))).parse_next(input)?;
+    let keys = repeat(0.., key_predicate).parse_next(input)?;
     Ok(PatternStep {
         name,
         keys,
@@ -115,7 +120,7 @@
     })
 }
 
-fn paths(input: &mut &str) -> ParseResult<Vec<Vec<PatternStep>>> {
+fn path_union(input: &mut &str) -> ParseResult<Vec<Vec<PatternStep>>> {
     let spaces = || take_while(0.., [' ', '\n', '\t', '\r']);
     let path = delimited(
         spaces(),
@@ -129,13 +134,14 @@
     /// Whether a data node has the name and the keys of this step.
     pub(crate) fn matches(&self, schema: &Schema, data: &DataNode) -> bool {
         let name = &schema.node_of(data.node).name;
-        let has_key = |(key, value): &(String, String)| {
+        let has_key_value = |(key, value): &(String, String)| {
             data.child(schema, key).and_then(DataNode::text) == Some(value)
         };
-        self.name.as_ref().is_none_or(|wanted| wanted == name) && self.keys.iter().all(has_key)
+        self.name.as_ref().is_none_or(|expected| expected == name)
+            && self.keys.iter().all(has_key_value)
     }
 
-    /// The values of all keys of a list, in their order.
+    /// Returns the keys of this step in the order of the list; fails unless all keys of the list are given.
     fn complete_keys(
         &self,
         list: &str,
@@ -147,8 +153,8 @@
                 key: key.clone(),
             });
         }
-        let value = |key: &String| self.keys.iter().find(|(name, _)| name == key).cloned();
-        let keys: Vec<_> = list_keys.iter().filter_map(value).collect();
+        let key_with_value = |key: &String| self.keys.iter().find(|(name, _)| name == key).cloned();
+        let keys: Vec<_> = list_keys.iter().filter_map(key_with_value).collect();
         if keys.len() < list_keys.len() {
             return Err(PathError::MissingKeys {
                 list: list.into(),
@@ -160,24 +166,25 @@
 }
 
 impl Pattern {
-    /// Parses the supported part of XPath: absolute paths, several joined by `|`.
+    /// Parses the supported subset of XPath: absolute paths, several of them joined by `|`.
     ///
     /// # Errors
     ///
-    /// When the text is no such path, or has too many paths or steps.
+    /// When the text is not in this subset, or has too many paths or steps.
     pub fn parse_xpath(text: &str) -> Result<Vec<Pattern>, PathError> {
         if ["", "/"].contains(&text.trim()) {
             return Ok(vec![Pattern::default()]);
         }
-        let parsed = terminated(paths, winnow::combinator::eof).parse(text);
-        let parsed = parsed.map_err(|error| PathError::Syntax(error.offset()))?;
-        if parsed.len() > MAX_PATHS || parsed.iter().any(|steps| steps.len() > MAX_STEPS) {
+        let paths = terminated(path_union, winnow::combinator::eof).parse(text);
+        let paths = paths.map_err(|error| PathError::Syntax(error.offset()))?;
+        if paths.len() > MAX_PATHS || paths.iter().any(|steps| steps.len() > MAX_STEPS) {
             return Err(PathError::TooLong);
         }
-        Ok(parsed.into_iter().map(Pattern).collect())
+        Ok(paths.into_iter().map(Pattern).collect())
     }
 
-    /// A pattern of names with keys, in which `*` is any name or key, and `...` any depth.
+    /// Builds a pattern from names with keys, as in a gNMI path: `*` matches any name or key value, and `...` any depth. A
+    /// prefix of a name is ignored, and so is `...` at the end.
     ///
     /// # Errors
     ///
@@ -192,7 +199,9 @@
                 any_depth = true;
                 continue;
             }
-            let local_name = name.rsplit_once(':').map_or(name, |(_, local)| local);
+            let local_name = name
+                .rsplit_once(':')
+                .map_or(name, |(_, after_prefix)| after_prefix);
             if local_name.is_empty() {
                 return Err(PathError::UnnamedStep);
             }
@@ -210,16 +219,16 @@
         Ok(Pattern(pattern_steps))
     }
 
-    /// This path below a prefix.
+    /// Returns this path appended to a prefix.
     pub fn below(&self, prefix: &Pattern) -> Pattern {
         Pattern(prefix.0.iter().chain(&self.0).cloned().collect())
     }
 
-    /// The only instance that can match, and its node; none for the empty path.
+    /// Returns the path of the only instance that can match, and its schema node, which is `None` for the empty path.
     ///
     /// # Errors
     ///
-    /// When the path may match several instances or leads nowhere in the schema.
+    /// When several instances may match, or the schema has no node for a step.
     pub fn instance(&self, schema: &Schema) -> Result<(InstancePath, Option<NodeId>), PathError> {
         let mut instance = InstancePath::default();
         let mut node = None;
@@ -236,7 +245,7 @@
                 parent: instance.clone(),
                 name: name.clone(),
             })?;
-            let keys = step.complete_keys(name, schema.keys(child))?;
+            let keys = step.complete_keys(name, schema.key_names(child))?;
             instance = instance.child(Step {
                 name: name.clone(),
                 keys,
@@ -246,11 +255,11 @@
         Ok((instance, node))
     }
 
-    /// Whether a node of the schema can match; a path that cannot is a mistake of the client.
+    /// Whether any schema node can match. A path that matches none is an error of the client.
     pub fn matches_schema(&self, schema: &Schema) -> bool {
         let mut matched: Vec<Option<NodeId>> = vec![None];
         for step in &self.0 {
-            let mut next: Vec<NodeId> = vec![];
+            let mut next_matched: Vec<NodeId> = vec![];
             for parent in &matched {
                 let mut candidates = schema.children_of(*parent).to_vec();
                 let mut index = 0;
@@ -258,28 +267,34 @@
                     candidates.extend(schema.children_of(Some(candidates[index])));
                     index += 1;
                 }
-                next.extend(candidates.into_iter().filter(|id| {
+                next_matched.extend(candidates.into_iter().filter(|id| {
                     step.name
                         .as_ref()
                         .is_none_or(|name| *name == schema.node_of(*id).name)
                 }));
             }
-            next.sort();
-            next.dedup();
-            matched = next.into_iter().map(Some).collect();
+            next_matched.sort();
+            next_matched.dedup();
+            matched = next_matched.into_iter().map(Some).collect();
         }
         !matched.is_empty()
     }
 
-    /// The instances that match, with their paths.
+    /// Returns the matching instances with their paths.
     pub fn select<'a>(
         &self,
         schema: &Schema,
         data: &'a [DataNode],
     ) -> Vec<(InstancePath, &'a DataNode)> {
-        let mut found = Vec::new();
-        collect_matches(schema, data, &self.0, &InstancePath::default(), &mut found);
-        found
+        let mut matches = Vec::new();
+        collect_matches(
+            schema,
+            data,
+            &self.0,
+            &InstancePath::default(),
+            &mut matches,
+        );
+        matches
     }
 }
 
@@ -287,23 +302,23 @@
     schema: &Schema,
     data: &'a [DataNode],
     steps: &[PatternStep],
-    at: &InstancePath,
-    found: &mut Vec<(InstancePath, &'a DataNode)>,
+    parent_path: &InstancePath,
+    matches: &mut Vec<(InstancePath, &'a DataNode)>,
 ) {
-    let Some((first, rest)) = steps.split_first() else {
+    let Some((first_step, remaining_steps)) = steps.split_first() else {
         return;
     };
     for child in data {
-        let here = at.child(child.step(schema));
-        if first.matches(schema, child) {
-            if rest.is_empty() {
-                found.push((here.clone(), child));
+        let path = parent_path.child(child.step(schema));
+        if first_step.matches(schema, child) {
+            if remaining_steps.is_empty() {
+                matches.push((path.clone(), child));
             } else {
-                collect_matches(schema, child.children(), rest, &here, found);
+                collect_matches(schema, child.children(), remaining_steps, &path, matches);
             }
         }
-        if first.any_depth {
-            collect_matches(schema, child.children(), steps, &here, found);
+        if first_step.any_depth {
+            collect_matches(schema, child.children(), steps, &path, matches);
         }
     }
 }
--- a/yang/src/schema/mod.rs
+++ b/yang/src/schema/mod.rs
@@ -1,5 +1,5 @@
-//! The schema tree of the modules. Statements that are not supported are rejected, so that a module never promises
-//! more than the router enforces.
+//! The schema tree of the modules. Statements that are not supported are rejected, so that a module never defines more
+//! than the router enforces.
 
 mod error;
 mod parser;
@@ -9,28 +9,28 @@
 pub use self::error::{SchemaError, StatementProblem};
 use crate::types::Type;
 
-/// A node of a schema, by its index.
+/// The index of a node in its schema.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub usize);
 
-/// What a node of the schema holds.
+/// The kind of a schema node.
 #[derive(Clone, Debug)]
 pub enum NodeKind {
-    /// A container of other nodes; also the input of an RPC and the content of a notification.
+    /// A container; also the input of an RPC and the content of a notification.
     Container,
-    /// A list of entries.
+    /// A list.
     List {
-        /// The names of its key leaves, in order.
+        /// The names of the key leaves, in the order of the `key` statement.
         keys: Vec<String>,
     },
-    /// A single value.
+    /// A leaf.
     Leaf {
         /// The type of the value.
         leaf_type: Type,
-        /// Whether its parent needs it.
+        /// Whether the leaf has `mandatory true`.
         mandatory: bool,
     },
-    /// A set of values.
+    /// A leaf-list.
     LeafList {
         /// The type of each value.
         leaf_type: Type,
@@ -42,21 +42,21 @@
 pub struct Node {
     /// The name of the node, without a prefix.
     pub name: String,
-    /// The index of its module in [`Schema::modules`].
+    /// The index of the node's module in [`Schema::modules`].
     pub module: usize,
-    /// What it holds.
+    /// The kind of the node.
     pub kind: NodeKind,
-    /// Whether operators configure it; otherwise it is state of the router.
+    /// Whether the node is configuration (`config true`); otherwise it is state data, or part of an RPC or notification.
     pub config: bool,
-    /// Its `description`, empty if there is none.
+    /// The argument of `description`; empty if there is none.
     pub description: String,
-    /// Its `units`.
+    /// The argument of `units`.
     pub units: Option<String>,
-    /// The name of its type as the module writes it, for tree diagrams; empty if it has no type.
+    /// The type name as written in the module, for tree diagrams; empty for a container or list.
     pub type_name: String,
-    /// The node that holds it.
+    /// The parent node; `None` for a top-level node, an RPC and a notification.
     pub parent: Option<NodeId>,
-    /// The nodes that it holds, in the order of the module.
+    /// The child nodes, in the order of the module.
     pub children: Vec<NodeId>,
 }
 
@@ -65,44 +65,44 @@
 pub struct Module {
     /// The name of the module.
     pub name: String,
-    /// Its XML namespace.
+    /// The XML namespace.
     pub namespace: String,
-    /// Its own prefix.
+    /// The prefix that the module declares for itself.
     pub prefix: String,
-    /// Who publishes it.
+    /// The organization that publishes the module.
     pub organization: String,
-    /// The date of its newest revision.
+    /// The date of the first `revision` statement, which is the newest one.
     pub revision: String,
-    /// Its whole text.
+    /// The full text of the module.
     pub text: String,
 }
 
-/// The schema tree of some modules.
+/// The schema tree of a set of modules.
 #[derive(Clone, Debug, Default)]
 pub struct Schema {
-    /// The modules, each after those that it imports.
+    /// The modules, each after the modules that it imports.
     pub modules: Vec<Module>,
     nodes: Vec<Node>,
-    /// The data nodes at the top.
+    /// The top-level data nodes.
     pub top: Vec<NodeId>,
-    /// The inputs of RPCs by the names of the RPCs.
+    /// The input nodes of the RPCs, by RPC name.
     pub rpcs: BTreeMap<String, NodeId>,
-    /// The notifications by name.
+    /// The notification nodes, by name.
     pub notifications: BTreeMap<String, NodeId>,
 }
 
 impl Schema {
-    /// A node by its id.
+    /// Returns a node by its id.
     pub fn node_of(&self, id: NodeId) -> &Node {
         &self.nodes[id.0]
     }
 
-    /// The module of a node.
+    /// Returns the module of a node.
     pub fn module_of(&self, id: NodeId) -> &Module {
         &self.modules[self.nodes[id.0].module]
     }
 
-    /// The child of a node with a name.
+    /// Returns the child of a node by its name.
     pub fn child_named(&self, parent: NodeId, name: &str) -> Option<NodeId> {
         self.nodes[parent.0]
             .children
@@ -111,28 +111,28 @@
             .find(|child| self.nodes[child.0].name == name)
     }
 
-    /// The data node at the top with a name.
-    pub fn top_named(&self, name: &str) -> Option<NodeId> {
+    /// Returns a top-level data node by its name.
+    pub fn top_level_named(&self, name: &str) -> Option<NodeId> {
         self.top
             .iter()
             .copied()
             .find(|top| self.nodes[top.0].name == name)
     }
 
-    /// The children of a node; the data nodes at the top for none.
+    /// Returns the children of a node, or the top-level data nodes if `parent` is `None`.
     pub fn children_of(&self, parent: Option<NodeId>) -> &[NodeId] {
         parent.map_or(&self.top, |parent| &self.nodes[parent.0].children)
     }
 
-    /// The names of the keys of a list; empty for any other node.
-    pub fn keys(&self, list: NodeId) -> &[String] {
+    /// Returns the names of the key leaves of a list; empty for any other node.
+    pub fn key_names(&self, list: NodeId) -> &[String] {
         match &self.nodes[list.0].kind {
             NodeKind::List { keys } => keys,
             _ => &[],
         }
     }
 
-    /// The path of a node in the schema, for error messages.
+    /// Returns the path of a node in the schema, for error messages.
     pub fn schema_path(&self, id: NodeId) -> String {
         let node = &self.nodes[id.0];
         match node.parent {
@@ -141,16 +141,16 @@
         }
     }
 
-    /// All nodes of the schema.
-    pub fn all(&self) -> impl Iterator<Item = NodeId> {
+    /// Returns the ids of all nodes.
+    pub fn all_nodes(&self) -> impl Iterator<Item = NodeId> {
         (0..self.nodes.len()).map(NodeId)
     }
 
-    /// The data node at a path of names.
+    /// Returns the data node at a path of names from the top level.
     pub fn find(&self, names: &[&str]) -> Option<NodeId> {
         let (first, rest) = names.split_first()?;
         rest.iter()
-            .try_fold(self.top_named(first)?, |parent, name| {
+            .try_fold(self.top_level_named(first)?, |parent, name| {
                 self.child_named(parent, name)
             })
     }
--- a/yang/src/statement.rs
+++ b/yang/src/statement.rs
@@ -1,5 +1,5 @@
-//! The syntax of YANG statements (RFC 7950, section 6): keywords, arguments, blocks and their lines. What statements
-//! mean is read by [`crate::schema`].
+//! Parser of the YANG statement syntax (RFC 7950, section 6): keywords, arguments, blocks and line numbers.
+//! [`crate::schema`] interprets the statements.
 
 use thiserror::Error;
 use winnow::ascii::multispace1;
@@ -14,30 +14,30 @@
 pub struct Statement {
     /// The keyword, with its prefix if it has one.
     pub keyword: String,
-    /// The argument, unquoted; empty if there is none.
+    /// The argument without quotes; empty if there is none.
     pub argument: String,
-    /// The line of the keyword, from 1.
+    /// The line number of the keyword, from 1.
     pub line: usize,
-    /// The statements of its block.
+    /// The statements in the block of this statement.
     pub substatements: Vec<Statement>,
 }
 
 impl Statement {
-    /// The substatements of a keyword, in order.
+    /// The substatements with a keyword, in order.
     pub fn substatements_of<'a>(&'a self, keyword: &'a str) -> impl Iterator<Item = &'a Statement> {
         self.substatements
             .iter()
             .filter(move |statement| statement.keyword == keyword)
     }
 
-    /// The first substatement of a keyword.
+    /// The first substatement with a keyword.
     pub fn substatement(&self, keyword: &str) -> Option<&Statement> {
         self.substatements
             .iter()
             .find(|statement| statement.keyword == keyword)
     }
 
-    /// The argument of the first substatement of a keyword.
+    /// The argument of the first substatement with a keyword.
     pub fn argument_of(&self, keyword: &str) -> Option<&str> {
         self.substatement(keyword)
             .map(|statement| statement.argument.as_str())
@@ -47,8 +47,9 @@
 type Input<'a> = LocatingSlice<&'a str>;
 type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
-/// Nested statements at most, so that a text of braces cannot overflow the stack.
-const MAX_DEPTH: usize = 32;
+/// Maximum levels of substatements below the module statement, so that deeply nested blocks cannot overflow the stack of
+/// the recursive parser.
+const MAX_NESTING_DEPTH: usize = 32;
 
 fn comment(input: &mut Input) -> ParseResult<()> {
     alt((
@@ -58,12 +59,13 @@
     .parse_next(input)
 }
 
+/// Any number of spaces, line breaks and comments (`optsep` of RFC 7950, section 14).
 fn optional_separator(input: &mut Input) -> ParseResult<()> {
     repeat(0.., alt((multispace1.void(), comment))).parse_next(input)
 }
 
-fn expected(what: &'static str) -> StrContext {
-    StrContext::Expected(StrContextValue::Description(what))
+fn expected(description: &'static str) -> StrContext {
+    StrContext::Expected(StrContextValue::Description(description))
 }
 
 fn keyword<'a>(input: &mut Input<'a>) -> ParseResult<&'a str> {
@@ -74,7 +76,7 @@
     .parse_next(input)
 }
 
-fn escape(input: &mut Input) -> ParseResult<char> {
+fn escape_sequence(input: &mut Input) -> ParseResult<char> {
     preceded(
         '\\',
         cut_err(any.verify_map(|c| match c {
@@ -84,52 +86,52 @@
             '\\' => Some('\\'),
             _ => None,
         }))
-        .context(expected("n, t, \" or \\ behind a \\")),
+        .context(expected("n, t, \" or \\ after a \\")),
     )
     .parse_next(input)
 }
 
-fn double_quoted(input: &mut Input) -> ParseResult<String> {
-    let content = repeat(0.., alt((escape, none_of(['"', '\\']))));
+fn double_quoted_string(input: &mut Input) -> ParseResult<String> {
+    let characters = repeat(0.., alt((escape_sequence, none_of(['"', '\\']))));
     delimited(
         '"',
-        content,
-        cut_err('"').context(expected("the end of a text")),
+        characters,
+        cut_err('"').context(expected("the end of a quoted string")),
     )
     .parse_next(input)
 }
 
-fn single_quoted(input: &mut Input) -> ParseResult<String> {
+fn single_quoted_string(input: &mut Input) -> ParseResult<String> {
     delimited(
         '\'',
         take_till(0.., '\''),
-        cut_err('\'').context(expected("the end of a text")),
+        cut_err('\'').context(expected("the end of a quoted string")),
     )
     .map(str::to_owned)
     .parse_next(input)
 }
 
-/// A quoted string, or several joined by plus signs.
-fn quoted(input: &mut Input) -> ParseResult<String> {
+/// A quoted string, or several that are concatenated by plus signs.
+fn quoted_string(input: &mut Input) -> ParseResult<String> {
     let parts: Vec<String> = separated(
         1..,
-        alt((double_quoted, single_quoted)),
+        alt((double_quoted_string, single_quoted_string)),
         (optional_separator, '+', optional_separator),
     )
     .parse_next(input)?;
-    // Indentation of continued lines is not part of the text.
+    // Removes the indentation of continuation lines, and whitespace at the end of each line.
     let text = parts.concat();
-    let joined = text.split('\n').enumerate().map(|(number, line)| {
+    let lines = text.split('\n').enumerate().map(|(number, line)| {
         if number == 0 {
             line.trim_end()
         } else {
             line.trim()
         }
     });
-    Ok(joined.collect::<Vec<_>>().join("\n"))
+    Ok(lines.collect::<Vec<_>>().join("\n"))
 }
 
-fn unquoted(input: &mut Input) -> ParseResult<String> {
+fn unquoted_string(input: &mut Input) -> ParseResult<String> {
     take_while(1.., |c: char| !c.is_whitespace() && !";{}\"'".contains(c))
         .map(str::to_owned)
         .parse_next(input)
@@ -140,12 +142,12 @@
     let keyword = keyword(input)?.to_owned();
     let argument = winnow::combinator::opt(preceded(
         (separator, winnow::combinator::not(alt((';', '{')))),
-        alt((quoted, unquoted)),
+        alt((quoted_string, unquoted_string)),
     ))
     .parse_next(input)?;
     optional_separator(input)?;
     let substatements = if depth == 0 {
-        cut_err(';'.context(expected("fewer statements in statements")))
+        cut_err(';'.context(expected("fewer nested statements")))
             .map(|_| vec![])
             .parse_next(input)?
     } else {
@@ -163,6 +165,7 @@
     })
 }
 
+/// At least one space, line break or comment (`sep` of RFC 7950, section 14).
 fn separator(input: &mut Input) -> ParseResult<()> {
     (alt((multispace1.void(), comment)), optional_separator)
         .void()
@@ -173,32 +176,32 @@
     preceded(('{', optional_separator), |input: &mut Input| {
         let mut substatements = vec![];
         loop {
-            let start = input.checkpoint();
+            let block_position = input.checkpoint();
             if winnow::combinator::opt('}').parse_next(input)?.is_some() {
                 return Ok(substatements);
             }
-            input.reset(&start);
-            let next = cut_err(|input: &mut Input| statement(input, depth - 1))
+            input.reset(&block_position);
+            let substatement = cut_err(|input: &mut Input| statement(input, depth - 1))
                 .context(expected("a statement or }"))
                 .parse_next(input)?;
-            substatements.push(next);
+            substatements.push(substatement);
             optional_separator(input)?;
         }
     })
     .parse_next(input)
 }
 
-/// Why a text is no module.
+/// A syntax error in the text of a module.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("line {line}: {problem}")]
 pub struct SyntaxError {
-    /// The line of the error, from 1.
+    /// The line number of the error, from 1.
     pub line: usize,
-    /// What was expected there.
+    /// The syntax that was expected there.
     pub problem: String,
 }
 
-/// Parses the text of a module.
+/// Parses the text of a module into its `module` statement.
 ///
 /// # Errors
 ///
@@ -206,33 +209,33 @@
 pub fn parse(text: &str) -> Result<Statement, SyntaxError> {
     let mut module = delimited(
         optional_separator,
-        |input: &mut Input| statement(input, MAX_DEPTH),
+        |input: &mut Input| statement(input, MAX_NESTING_DEPTH),
         optional_separator,
     );
-    let line = |offset: usize| text[..offset.min(text.len())].matches('\n').count() + 1;
+    let line_at = |offset: usize| text[..offset.min(text.len())].matches('\n').count() + 1;
     let parsed =
         terminated(module.by_ref(), winnow::combinator::eof).parse(LocatingSlice::new(text));
     let mut root = parsed.map_err(|error| {
         let expected = error.inner().to_string().replace('\n', ", ");
-        let is_unknown = expected.is_empty();
+        let has_no_expectation = expected.is_empty();
         SyntaxError {
-            line: line(error.offset()),
-            problem: if is_unknown {
-                "no statement".into()
+            line: line_at(error.offset()),
+            problem: if has_no_expectation {
+                "unexpected text".into()
             } else {
                 expected
             },
         }
     })?;
-    offsets_to_lines(&mut root, &line);
+    replace_offsets_by_lines(&mut root, &line_at);
     Ok(root)
 }
 
-/// Replaces the offsets that parsing left in the `line` fields by lines.
-fn offsets_to_lines(statement: &mut Statement, line: &impl Fn(usize) -> usize) {
-    statement.line = line(statement.line);
+/// Replaces the byte offsets, which the parser stores in the `line` fields, by line numbers.
+fn replace_offsets_by_lines(statement: &mut Statement, line_at: &impl Fn(usize) -> usize) {
+    statement.line = line_at(statement.line);
     statement
         .substatements
         .iter_mut()
-        .for_each(|statement| offsets_to_lines(statement, line));
+        .for_each(|statement| replace_offsets_by_lines(statement, line_at));
 }
--- a/yang/src/tree_diagram.rs
+++ b/yang/src/tree_diagram.rs
@@ -1,89 +1,102 @@
-//! The schema as a YANG tree diagram (RFC 8340).
+//! Renders the schema as a YANG tree diagram (RFC 8340).
 
 use std::fmt::Write;
 
 use crate::schema::{NodeId, NodeKind, Schema};
 
-/// The tree diagram of a module, by its index: one line for each node.
+/// Renders the tree diagram of the module with an index in [`Schema::modules`], with one line for each node.
 pub fn print(schema: &Schema, module: usize) -> String {
     let mut out = format!("module: {}\n", schema.modules[module].name);
-    let own = |id: &&NodeId| schema.node_of(**id).module == module;
-    let tops: Vec<_> = schema.top.iter().filter(own).copied().collect();
-    nodes(schema, &tops, "  ", None, &mut out);
-    for (title, ids) in [
+    let is_in_module = |id: &&NodeId| schema.node_of(**id).module == module;
+    let top_level: Vec<_> = schema.top.iter().filter(is_in_module).copied().collect();
+    write_nodes(schema, &top_level, "  ", None, &mut out);
+    for (title, operations) in [
         ("rpcs", &schema.rpcs),
         ("notifications", &schema.notifications),
     ] {
-        let ids: Vec<_> = ids.values().filter(own).copied().collect();
+        let ids: Vec<_> = operations.values().filter(is_in_module).copied().collect();
         if ids.is_empty() {
             continue;
         }
         let _ = writeln!(out, "\n  {title}:");
-        for (place, id) in ids.iter().enumerate() {
+        for (index, id) in ids.iter().enumerate() {
             let node = schema.node_of(*id);
-            let rpc = title == "rpcs";
-            let _ = writeln!(out, "    +---{} {}", if rpc { 'x' } else { 'n' }, node.name);
-            let bar = if place + 1 == ids.len() {
+            let is_rpc = title == "rpcs";
+            let _ = writeln!(
+                out,
+                "    +---{} {}",
+                if is_rpc { 'x' } else { 'n' },
+                node.name
+            );
+            let child_indent = if index + 1 == ids.len() {
                 "       "
             } else {
                 "    |  "
             };
-            if rpc && !node.children.is_empty() {
-                let _ = writeln!(out, "{bar}+---w input");
-                nodes(
+            if is_rpc && !node.children.is_empty() {
+                let _ = writeln!(out, "{child_indent}+---w input");
+                write_nodes(
                     schema,
                     &node.children,
-                    &format!("{bar}   "),
+                    &format!("{child_indent}   "),
                     Some("-w"),
                     &mut out,
                 );
             } else {
-                nodes(schema, &node.children, bar, Some("ro"), &mut out);
+                write_nodes(schema, &node.children, child_indent, Some("ro"), &mut out);
             }
         }
     }
     out
 }
 
-fn nodes(schema: &Schema, ids: &[NodeId], before: &str, flags: Option<&str>, out: &mut String) {
-    for (place, id) in ids.iter().enumerate() {
+/// Appends the lines of nodes and their descendants. `fixed_flags` are the flags of all nodes; `None` derives them from
+/// whether a node is configuration.
+fn write_nodes(
+    schema: &Schema,
+    ids: &[NodeId],
+    indent: &str,
+    fixed_flags: Option<&str>,
+    out: &mut String,
+) {
+    for (index, id) in ids.iter().enumerate() {
         let node = schema.node_of(*id);
-        let flags_of = flags.unwrap_or(if node.config { "rw" } else { "ro" });
-        let key = node
+        let node_flags = fixed_flags.unwrap_or(if node.config { "rw" } else { "ro" });
+        let is_key = node
             .parent
-            .is_some_and(|parent| schema.keys(parent).contains(&node.name));
+            .is_some_and(|parent| schema.key_names(parent).contains(&node.name));
         let _ = match &node.kind {
-            NodeKind::Container => writeln!(out, "{before}+--{flags_of} {}", node.name),
+            NodeKind::Container => writeln!(out, "{indent}+--{node_flags} {}", node.name),
             NodeKind::List { keys } => {
                 writeln!(
                     out,
-                    "{before}+--{flags_of} {}* [{}]",
+                    "{indent}+--{node_flags} {}* [{}]",
                     node.name,
                     keys.join(" ")
                 )
             }
             NodeKind::Leaf { mandatory, .. } => {
-                let mark = if key || *mandatory { "" } else { "?" };
+                let optional_mark = if is_key || *mandatory { "" } else { "?" };
                 writeln!(
                     out,
-                    "{before}+--{flags_of} {}{mark}  {}",
+                    "{indent}+--{node_flags} {}{optional_mark}  {}",
                     node.name, node.type_name
                 )
             }
             NodeKind::LeafList { .. } => {
                 writeln!(
                     out,
-                    "{before}+--{flags_of} {}*  {}",
+                    "{indent}+--{node_flags} {}*  {}",
                     node.name, node.type_name
                 )
             }
         };
-        let bar = if place + 1 == ids.len() { "   " } else { "|  " };
-        nodes(
+        let child_indent = if index + 1 == ids.len() { "   " } else { "|  " };
+        write_nodes(
             schema,
             &node.children,
-            &format!("{before}{bar}"),
-            flags,
+            &format!("{indent}{child_indent}"),
+            fixed_flags,
             out,
         );
     }
--- a/yang/src/types/mod.rs
+++ b/yang/src/types/mod.rs
@@ -1,4 +1,4 @@
-//! Types of leaves: which texts are values, and which form a value has in XML and JSON (RFC 7950, section 9).
+//! Types of leaves (RFC 7950, section 9): which texts are valid values, their canonical form, and their form in JSON.
 
 mod decimal;
 mod range;
@@ -10,10 +10,10 @@
 pub use self::range::Range;
 use self::range::{any_contains, format_ranges, restricted_ranges};
 
-/// An integer wide enough for the values of all numeric types.
+/// An integer that holds every value of the numeric types; a `decimal64` is held in units of its last fraction digit.
 pub type Integer = i128;
 
-/// Bits of the integer types whose values are JSON strings (RFC 7951, section 6.1).
+/// Width in bits of the integer types that JSON encodes as strings (RFC 7951, section 6.1).
 const JSON_STRING_BITS: u8 = 64;
 
 /// The type of a leaf, with its restrictions.
@@ -23,39 +23,39 @@
     String {
         /// Allowed lengths in characters; empty for any length.
         lengths: Vec<Range<u64>>,
-        /// Patterns that a value has to match, all of them.
+        /// Regular expressions, each of which a value has to match.
         patterns: Vec<Regex>,
     },
     /// `int8` to `int64` and `uint8` to `uint64`.
     Integer {
         /// Allowed values.
         ranges: Vec<Range<Integer>>,
-        /// Bits of a value.
+        /// Width of a value in bits.
         bits: u8,
-        /// Whether negative values are possible.
+        /// Whether the type has negative values.
         signed: bool,
     },
     /// `decimal64`.
     Decimal {
-        /// Digits behind the decimal point.
+        /// Number of fraction digits.
         digits: u8,
         /// Allowed values, in units of the last fraction digit.
         ranges: Vec<Range<Integer>>,
     },
     /// `boolean`.
     Boolean,
-    /// `enumeration`, with its names.
+    /// `enumeration`, with the names of its values.
     Enumeration(Vec<String>),
     /// `empty`.
     Empty,
-    /// `union`, with its member types in order.
+    /// `union`, with its member types in the order in which they are tried.
     Union(Vec<Type>),
 }
 
-/// Why a text is no value of a type.
+/// Why a text is not a valid value of a type.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ValueError {
-    /// A string is too short or too long.
+    /// The length of a string is not allowed.
     #[error("is {length} characters long, not {allowed}")]
     Length {
         /// Length of the text in characters.
@@ -63,37 +63,37 @@
         /// Allowed lengths.
         allowed: String,
     },
-    /// A string holds control characters.
+    /// A string contains control characters.
     #[error("has characters that no text has")]
     ControlCharacter,
     /// A string does not match a pattern.
     #[error("does not match {0}")]
     PatternMismatch(String),
-    /// The text is no integer.
+    /// The text is not an integer.
     #[error("is no whole number")]
     NotAnInteger,
-    /// A number is outside of the allowed ranges.
+    /// A number is outside the allowed ranges.
     #[error("is not in {0}")]
     OutOfRange(String),
-    /// The text is no decimal number.
+    /// The text is not a decimal number.
     #[error("is no decimal number")]
     NotADecimal,
-    /// A decimal number has more fraction digits than its type.
+    /// A decimal number has more fraction digits than its type allows.
     #[error("has more than {0} digits behind the point")]
     TooManyFractionDigits(u8),
-    /// A decimal number does not fit into `decimal64`.
+    /// A decimal number is outside the range of `decimal64`.
     #[error("is beyond all decimal numbers")]
     DecimalOverflow,
-    /// The text is no boolean.
+    /// The text is neither `true` nor `false`.
     #[error("is neither true nor false")]
     NotABoolean,
-    /// The text is none of the names of an enumeration.
+    /// The text is not a name of the enumeration.
     #[error("is none of {0}")]
     NotInEnumeration(String),
-    /// A value of type `empty` has a text.
+    /// A leaf of type `empty` has a value.
     #[error("has a value, and takes none")]
     NotEmpty,
-    /// The text is a value of no member type of a union.
+    /// The text is not a valid value of any member type of a union.
     #[error("is a value of none of its types")]
     NoUnionMember,
 }
@@ -101,33 +101,33 @@
 /// Why a restriction cannot be applied to a type.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum RestrictionError {
-    /// A bound of an integer range is no number.
-    #[error("{0} is no number")]
+    /// A bound of an integer range is not an integer.
+    #[error("{0} is not an integer")]
     NotANumber(String),
-    /// A bound of a decimal range is no value of the type.
+    /// A bound of a decimal range is not a valid value of the type.
     #[error("{bound} {error}")]
     DecimalBound {
-        /// The bound as written.
+        /// The bound as written in the module.
         bound: String,
-        /// Why it is no value.
+        /// Why the bound is not a valid value.
         error: ValueError,
     },
-    /// A bound of a length is no number.
-    #[error("{0} is no length")]
+    /// A bound of a length restriction is not an unsigned integer.
+    #[error("{0} is not a length")]
     NotALength(String),
-    /// A part is not within the ranges of the restricted type, or not ascending.
+    /// A part of a range is not within the ranges of the restricted type, or the parts are not ascending and disjoint.
     #[error("{0} is no part of what the type has")]
     NotASubset(String),
-    /// A range restricts a type without ranges.
-    #[error("a range is for numbers")]
+    /// A `range` restricts a type that is not numeric.
+    #[error("a range restriction requires a numeric type")]
     RangeOfNonNumber,
-    /// A length restricts a type other than `string`.
-    #[error("a length is for texts")]
+    /// A `length` restricts a type other than `string`.
+    #[error("a length restriction requires the type string")]
     LengthOfNonString,
-    /// A pattern restricts a type other than `string`.
-    #[error("a pattern is for texts")]
+    /// A `pattern` restricts a type other than `string`.
+    #[error("a pattern restriction requires the type string")]
     PatternOfNonString,
-    /// A pattern is no regular expression.
+    /// A pattern is not a valid regular expression.
     #[error(transparent)]
     Pattern(#[from] regex::Error),
 }
@@ -141,7 +141,7 @@
         }
     }
 
-    /// An integer type with all values of its bits.
+    /// An integer type of a width in bits, without restrictions.
     pub fn integer(bits: u8, signed: bool) -> Self {
         let limit: Integer = 1 << (bits - u8::from(signed));
         let range = Range {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// `decimal64` with so many fraction digits.
+    /// `decimal64` with a number of fraction digits, without restrictions.
     pub fn decimal(digits: u8) -> Self {
         let range = Range {
             minimum: -DECIMAL_LIMIT,
@@ -167,11 +167,11 @@
         }
     }
 
-    /// The value of a text in its canonical form (RFC 7950, section 9).
+    /// Returns the canonical form of a value (RFC 7950, section 9).
     ///
     /// # Errors
     ///
-    /// When the text is no value of this type.
+    /// When the text is not a valid value of this type.
     pub fn canonical(&self, text: &str) -> Result<String, ValueError> {
         match self {
             Type::String { lengths, patterns } => {
@@ -201,7 +201,8 @@
         }
     }
 
-    /// Whether JSON has values of this type as strings (RFC 7951, section 6).
+    /// Whether JSON encodes values of this type as strings (RFC 7951, section 6). A union is encoded like its first member
+    /// type.
     pub fn is_json_string(&self) -> bool {
         match self {
             Type::String { .. } | Type::Decimal { .. } | Type::Enumeration(_) => true,
@@ -211,8 +212,8 @@
         }
     }
 
-    /// A description of the values, for error messages.
-    pub fn expected(&self) -> String {
+    /// Describes the valid values, for error messages.
+    pub fn describe_values(&self) -> String {
         match self {
             Type::String { lengths, .. } if lengths.is_empty() => "a text".into(),
             Type::String { lengths, .. } => {
@@ -232,14 +233,14 @@
             Type::Empty => "nothing".into(),
             Type::Union(members) => members
                 .iter()
-                .map(Type::expected)
+                .map(Type::describe_values)
                 .collect::<Vec<_>>()
                 .join(", or "),
         }
     }
 
-    /// The name of the built-in type.
-    pub fn name(&self) -> String {
+    /// Returns the name of the built-in type.
+    pub fn builtin_name(&self) -> String {
         match self {
             Type::String { .. } => "string".into(),
             Type::Integer { bits, signed, .. } => {
@@ -253,11 +254,11 @@
         }
     }
 
-    /// This type with a `range` restriction.
+    /// Applies a `range` restriction to this type.
     ///
     /// # Errors
     ///
-    /// When the type is not numeric, or the text is no range within that of the type.
+    /// When the type is not numeric, or the text is not a range within the ranges of the type.
     pub fn with_range(self, text: &str) -> Result<Self, RestrictionError> {
         match self {
             Type::Integer {
@@ -289,11 +290,11 @@
         }
     }
 
-    /// This type with a `length` restriction.
+    /// Applies a `length` restriction to this type; it replaces an earlier one.
     ///
     /// # Errors
     ///
-    /// When the type is not `string`, or the text is no range of lengths.
+    /// When the type is not `string`, or the text is not a range of lengths.
     pub fn with_length(self, text: &str) -> Result<Self, RestrictionError> {
         let Type::String { patterns, .. } = self else {
             return Err(RestrictionError::LengthOfNonString);
@@ -310,11 +311,11 @@
         Ok(Type::String { lengths, patterns })
     }
 
-    /// This type with one more `pattern` restriction.
+    /// Adds a `pattern` restriction to this type.
     ///
     /// # Errors
     ///
-    /// When the type is not `string`, or the pattern is no regular expression.
+    /// When the type is not `string`, or the pattern is not a valid regular expression.
     pub fn with_pattern(self, pattern: &str) -> Result<Self, RestrictionError> {
         let Type::String {
             lengths,
@@ -341,8 +342,8 @@
     match patterns.iter().find(|pattern| !pattern.is_match(text)) {
         Some(pattern) => {
             let source = pattern.as_str();
-            let written = source.trim_start_matches("^(?:").trim_end_matches(")$");
-            Err(ValueError::PatternMismatch(written.into()))
+            let pattern_as_written = source.trim_start_matches("^(?:").trim_end_matches(")$");
+            Err(ValueError::PatternMismatch(pattern_as_written.into()))
         }
         None => Ok(()),
     }
--- a/yang/src/types/range.rs
+++ b/yang/src/types/range.rs
@@ -27,7 +27,7 @@
     ranges.iter().any(|range| range.contains(value))
 }
 
-/// The ranges as error messages list them.
+/// Formats the ranges for error messages, as `1 to 5 or 7 to 7`.
 pub(super) fn format_ranges<T: Copy>(ranges: &[Range<T>], format: impl Fn(T) -> String) -> String {
     let formatted: Vec<_> = ranges
         .iter()
@@ -36,11 +36,12 @@
     formatted.join(" or ")
 }
 
-/// The ranges of a restriction such as `1 .. 5 | 7`, each within the `allowed` ranges of the restricted type.
+/// Parses the ranges of a restriction such as `1 .. 5 | 7`, each within the `allowed` ranges of the restricted type. The
+/// bounds `min` and `max` are those of the restricted type.
 ///
 /// # Errors
 ///
-/// When a bound cannot be parsed, and when the parts are not ascending, disjoint and within `allowed`.
+/// When a bound cannot be parsed, or the ranges are not ascending, disjoint and within `allowed`.
 pub(super) fn restricted_ranges<T: Copy + PartialOrd>(
     text: &str,
     allowed: &[Range<T>],
@@ -49,19 +50,21 @@
     let (Some(first), Some(last)) = (allowed.first(), allowed.last()) else {
         return Ok(vec![]);
     };
-    let bound = |text: &str| match text.trim() {
+    let parse_bound = |text: &str| match text.trim() {
         "min" => Ok(first.minimum),
         "max" => Ok(last.maximum),
-        other => parse(other),
+        number => parse(number),
     };
     let mut ranges: Vec<Range<T>> = Vec::new();
     for part in text.split('|') {
         let (minimum, maximum) = part.split_once("..").unwrap_or((part, part));
         let range = Range {
-            minimum: bound(minimum)?,
-            maximum: bound(maximum)?,
+            minimum: parse_bound(minimum)?,
+            maximum: parse_bound(maximum)?,
         };
-        let is_within = allowed.iter().any(|outer| outer.contains_range(&range));
+        let is_within = allowed
+            .iter()
+            .any(|allowed_range| allowed_range.contains_range(&range));
         let follows_previous = ranges
             .last()
             .is_none_or(|previous| previous.maximum < range.minimum);
