--- a/yang/src/binding.rs
+++ b/yang/src/binding.rs
@@ -125,7 +125,7 @@
     /// When the schema and the datastore do not have the same configuration nodes, which is a defect of the program.
     pub fn new(schema: &Schema) -> Result<Self, BindingError> {
         let node_at = |names: &[&str]| {
-            let node = schema.find(names);
+            let node = schema.find_node(names);
             node.ok_or_else(|| BindingError::MissingNode(names.join("/")))
         };
         let router = node_at(&["router"])?;
@@ -255,7 +255,7 @@
     }
 
     /// Returns the configuration as the data node `/router`.
-    pub fn tree_data(&self, schema: &Schema, tree: &Tree) -> DataNode {
+    pub fn configuration_data(&self, schema: &Schema, tree: &Tree) -> DataNode {
         let mut router = DataBuilder::new(schema, self.router);
         if !tree.hosts.is_empty() {
             router.put_inner("hosts", |hosts| {
--- a/yang/src/edit/mod.rs
+++ b/yang/src/edit/mod.rs
@@ -34,7 +34,7 @@
 
 /// Wraps an edit of a child of the instance at `path` in merge edits of all nodes of the path, so that it can be applied
 /// from the top level. `None` if the schema has no node for a step of the path.
-pub fn edit_at_path(schema: &Schema, path: &InstancePath, child_edit: Edit) -> Option<Edit> {
+pub fn edit_below_path(schema: &Schema, path: &InstancePath, child_edit: Edit) -> Option<Edit> {
     let mut ancestors = Vec::new();
     let mut parent = None;
     for step in &path.0 {
--- a/yang/src/json.rs
+++ b/yang/src/json.rs
@@ -9,7 +9,11 @@
 /// Encodes sibling nodes as the members of a JSON object; the entries of a list and the values of a leaf-list become an
 /// array. A member name is qualified with the module name if the module differs from that of the parent, and at the top
 /// level (RFC 7951, section 4).
-pub fn members(schema: &Schema, data: &[DataNode], parent: Option<NodeId>) -> Map<String, Value> {
+pub fn encode_members(
+    schema: &Schema,
+    data: &[DataNode],
+    parent: Option<NodeId>,
+) -> Map<String, Value> {
     let mut object = Map::new();
     for data_node in data {
         let node = schema.node_of(data_node.node);
@@ -20,7 +24,7 @@
         } else {
             node.name.clone()
         };
-        let encoded = value(schema, data_node);
+        let encoded = encode_value(schema, data_node);
         match (&node.kind, object.get_mut(&name)) {
             (NodeKind::List { .. } | NodeKind::LeafList { .. }, Some(Value::Array(items))) => {
                 items.push(encoded)
@@ -35,14 +39,16 @@
 }
 
 /// Encodes one node: a container or list entry as an object, a leaf or leaf-list value in the JSON form of its type.
-pub fn value(schema: &Schema, data: &DataNode) -> Value {
+pub fn encode_value(schema: &Schema, data: &DataNode) -> Value {
     match (&data.content, &schema.node_of(data.node).kind) {
         (
             Content::Leaf(text),
             NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type },
         ) => encode_leaf(leaf_type, text),
         (Content::Leaf(text), _) => Value::String(text.clone()),
-        (Content::Inner(children), _) => Value::Object(members(schema, children, Some(data.node))),
+        (Content::Inner(children), _) => {
+            Value::Object(encode_members(schema, children, Some(data.node)))
+        }
     }
 }
 
--- a/yang/src/path.rs
+++ b/yang/src/path.rs
@@ -220,7 +220,7 @@
     }
 
     /// Returns this path appended to a prefix.
-    pub fn below(&self, prefix: &Pattern) -> Pattern {
+    pub fn with_prefix(&self, prefix: &Pattern) -> Pattern {
         Pattern(prefix.0.iter().chain(&self.0).cloned().collect())
     }
 
@@ -229,7 +229,10 @@
     /// # Errors
     ///
     /// When several instances may match, or the schema has no node for a step.
-    pub fn instance(&self, schema: &Schema) -> Result<(InstancePath, Option<NodeId>), PathError> {
+    pub fn single_instance(
+        &self,
+        schema: &Schema,
+    ) -> Result<(InstancePath, Option<NodeId>), PathError> {
         let mut instance = InstancePath::default();
         let mut node = None;
         for step in &self.0 {
--- a/yang/src/schema/mod.rs
+++ b/yang/src/schema/mod.rs
@@ -84,7 +84,7 @@
     pub modules: Vec<Module>,
     nodes: Vec<Node>,
     /// The top-level data nodes.
-    pub top: Vec<NodeId>,
+    pub top_level: Vec<NodeId>,
     /// The input nodes of the RPCs, by RPC name.
     pub rpcs: BTreeMap<String, NodeId>,
     /// The notification nodes, by name.
@@ -113,7 +113,7 @@
 
     /// Returns a top-level data node by its name.
     pub fn top_level_named(&self, name: &str) -> Option<NodeId> {
-        self.top
+        self.top_level
             .iter()
             .copied()
             .find(|top| self.nodes[top.0].name == name)
@@ -121,7 +121,7 @@
 
     /// Returns the children of a node, or the top-level data nodes if `parent` is `None`.
     pub fn children_of(&self, parent: Option<NodeId>) -> &[NodeId] {
-        parent.map_or(&self.top, |parent| &self.nodes[parent.0].children)
+        parent.map_or(&self.top_level, |parent| &self.nodes[parent.0].children)
     }
 
     /// Returns the names of the key leaves of a list; empty for any other node.
@@ -147,7 +147,7 @@
     }
 
     /// Returns the data node at a path of names from the top level.
-    pub fn find(&self, names: &[&str]) -> Option<NodeId> {
+    pub fn find_node(&self, names: &[&str]) -> Option<NodeId> {
         let (first, rest) = names.split_first()?;
         rest.iter()
             .try_fold(self.top_level_named(first)?, |parent, name| {
--- a/yang/src/schema/parser.rs
+++ b/yang/src/schema/parser.rs
@@ -207,7 +207,7 @@
                 }
                 _ if is_data_node(statement) => {
                     let node = self.add_data_node(sources, module, statement, top, 0)?;
-                    self.top.push(node);
+                    self.top_level.push(node);
                 }
                 _ => {}
             }
--- a/yang/src/tree_diagram.rs
+++ b/yang/src/tree_diagram.rs
@@ -5,10 +5,15 @@
 use crate::schema::{NodeId, NodeKind, Schema};
 
 /// Renders the tree diagram of the module with an index in [`Schema::modules`], with one line for each node.
-pub fn print(schema: &Schema, module: usize) -> String {
+pub fn render(schema: &Schema, module: usize) -> String {
     let mut out = format!("module: {}\n", schema.modules[module].name);
     let is_in_module = |id: &&NodeId| schema.node_of(**id).module == module;
-    let top_level: Vec<_> = schema.top.iter().filter(is_in_module).copied().collect();
+    let top_level: Vec<_> = schema
+        .top_level
+        .iter()
+        .filter(is_in_module)
+        .copied()
+        .collect();
     write_nodes(schema, &top_level, "  ", None, &mut out);
     for (title, operations) in [
         ("rpcs", &schema.rpcs),
