--- a/yang/src/data.rs
+++ b/yang/src/data.rs
@@ -100,7 +100,8 @@
         }
     }
 
-    fn find_child_or_note(&mut self, name: &str) -> Option<NodeId> {
+    /// Returns the schema node of a child; records the name as unknown if there is none.
+    fn find_child_or_record(&mut self, name: &str) -> Option<NodeId> {
         let found = self.schema.child_named(self.node, name);
         if found.is_none() {
             self.unknown_names.push(name.into());
@@ -111,7 +112,7 @@
     /// Adds a leaf or one value of a leaf-list, in the canonical form of its type; an invalid value is added unchanged.
     pub fn put(&mut self, name: &str, value: impl fmt::Display) -> &mut Self {
         let text = value.to_string();
-        if let Some(node) = self.find_child_or_note(name) {
+        if let Some(node) = self.find_child_or_record(name) {
             let canonical = match &self.schema.node_of(node).kind {
                 NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type } => {
                     leaf_type.canonical(&text).unwrap_or(text)
@@ -133,7 +134,7 @@
 
     /// Adds a container or list entry whose children `fill` adds.
     pub fn put_inner(&mut self, name: &str, fill: impl FnOnce(&mut DataBuilder)) -> &mut Self {
-        if let Some(node) = self.find_child_or_note(name) {
+        if let Some(node) = self.find_child_or_record(name) {
             let mut child = DataBuilder::new(self.schema, node);
             fill(&mut child);
             self.unknown_names.extend(
--- a/yang/src/edit/from_xml.rs
+++ b/yang/src/edit/from_xml.rs
@@ -6,6 +6,7 @@
 use crate::schema::{NodeId, Schema};
 use crate::xml::{Attribute, Element};
 
+/// The namespace of the `operation` attribute.
 const NETCONF_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
 
 /// Reads edits from elements, which are children of `parent` or, if it is `None`, top-level nodes. Adds an error for each
--- a/yang/src/schema/error.rs
+++ b/yang/src/schema/error.rs
@@ -56,7 +56,7 @@
     /// A required substatement is missing.
     #[error("has no {0} statement")]
     Missing(&'static str),
-    /// Groupings or typedefs refer to each other in a cycle, or are nested too deep.
+    /// Groupings or typedefs refer to each other in a cycle, or definitions are nested too deep.
     #[error("leads to itself")]
     Circular,
     /// A list has no child node for one of its keys.
--- a/yang/src/schema/mod.rs
+++ b/yang/src/schema/mod.rs
@@ -148,9 +148,10 @@
 
     /// Returns the data node at a path of names from the top level.
     pub fn find_node(&self, names: &[&str]) -> Option<NodeId> {
-        let (first, rest) = names.split_first()?;
-        rest.iter()
-            .try_fold(self.top_level_named(first)?, |parent, name| {
+        let (top_level_name, names_below) = names.split_first()?;
+        names_below
+            .iter()
+            .try_fold(self.top_level_named(top_level_name)?, |parent, name| {
                 self.child_named(parent, name)
             })
     }
--- a/yang/src/types/mod.rs
+++ b/yang/src/types/mod.rs
@@ -8,7 +8,7 @@
 
 use self::decimal::{DECIMAL_LIMIT, format_decimal, parse_decimal};
 pub use self::range::Range;
-use self::range::{any_contains, format_ranges, restricted_ranges};
+use self::range::{any_contains, format_ranges, parse_restricted_ranges};
 
 /// An integer that holds every value of the numeric types; a `decimal64` is held in units of its last fraction digit.
 pub type Integer = i128;
@@ -266,7 +266,7 @@
                 bits,
                 signed,
             } => {
-                let ranges = restricted_ranges(text, &ranges, |bound| {
+                let ranges = parse_restricted_ranges(text, &ranges, |bound| {
                     bound
                         .parse()
                         .map_err(|_| RestrictionError::NotANumber(bound.into()))
@@ -278,7 +278,7 @@
                 })
             }
             Type::Decimal { digits, ranges } => {
-                let ranges = restricted_ranges(text, &ranges, |bound| {
+                let ranges = parse_restricted_ranges(text, &ranges, |bound| {
                     parse_decimal(bound, digits).map_err(|error| RestrictionError::DecimalBound {
                         bound: bound.into(),
                         error,
@@ -303,7 +303,7 @@
             minimum: 0,
             maximum: u64::MAX,
         };
-        let lengths = restricted_ranges(text, &[any_length], |bound| {
+        let lengths = parse_restricted_ranges(text, &[any_length], |bound| {
             bound
                 .parse()
                 .map_err(|_| RestrictionError::NotALength(bound.into()))
@@ -349,6 +349,8 @@
     }
 }
 
+/// Parses a decimal integer with an optional sign. `ranges` are only used for the error about a number that does not fit
+/// into [`Integer`].
 fn parse_integer(text: &str, ranges: &[Range<Integer>]) -> Result<Integer, ValueError> {
     let signed = text.strip_prefix('+').unwrap_or(text);
     let digits = text.strip_prefix(['+', '-']).unwrap_or(text);
--- a/yang/src/types/range.rs
+++ b/yang/src/types/range.rs
@@ -42,10 +42,10 @@
 /// # Errors
 ///
 /// When a bound cannot be parsed, or the ranges are not ascending, disjoint and within `allowed`.
-pub(super) fn restricted_ranges<T: Copy + PartialOrd>(
+pub(super) fn parse_restricted_ranges<T: Copy + PartialOrd>(
     text: &str,
     allowed: &[Range<T>],
-    parse: impl Fn(&str) -> Result<T, RestrictionError>,
+    parse_number: impl Fn(&str) -> Result<T, RestrictionError>,
 ) -> Result<Vec<Range<T>>, RestrictionError> {
     let (Some(first), Some(last)) = (allowed.first(), allowed.last()) else {
         return Ok(vec![]);
@@ -53,7 +53,7 @@
     let parse_bound = |text: &str| match text.trim() {
         "min" => Ok(first.minimum),
         "max" => Ok(last.maximum),
-        number => parse(number),
+        number => parse_number(number),
     };
     let mut ranges: Vec<Range<T>> = Vec::new();
     for part in text.split('|') {
--- a/yang/src/xml.rs
+++ b/yang/src/xml.rs
@@ -263,6 +263,7 @@
     }
 }
 
+/// Creates an element without text and children from its start tag.
 fn parse_element(
     reader: &NsReader<&[u8]>,
     namespace: String,
