--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks: each is carried by an upstream connection, and its outcome goes to the decisions.
+//! Attempts and health checks. Each uses one upstream connection, and its outcome is passed to the decisions.
 
 use kestreltide::interface::*;
 use kestreltide_settings::{LoadReporting, TransportSettings};
@@ -12,24 +12,27 @@
 use crate::protocol::resp::write_bulk;
 use crate::transport::{ReadStatus, SocketId};
 
-const MILLIS: f64 = 1e3;
+const MILLIS_PER_SECOND: f64 = 1e3;
 
 impl Routing {
+    /// Sends a request to a host on a connection that meets `requirements`. `timeout` is in seconds. Where there is no
+    /// such connection and none can be opened, the attempt ends at once.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
         host: HostId,
         timeout: f64,
-        on: ConnectionRequirements,
+        requirements: ConnectionRequirements,
     ) {
         let now = self.event_loop.now();
         let Some(attempt) = self.requests.begin_attempt(&request) else {
             return;
         };
         self.event_loop.metrics.increment(Counter::AttemptsStarted);
-        // A first attempt follows the read that brought its request, which found no close.
+        // A first attempt directly follows the read of its request, which found the client connected; before later
+        // attempts this is checked again.
         if self.requests.is_abandoned(&request) || attempt.0 > 0 && self.is_client_gone(&request) {
-            // Decided before the decisions could hear that the client has left: nothing goes out any more.
+            // The decisions had not processed the client's disconnect when they started this attempt: send nothing.
             return self.finish_attempt(
                 AttemptInFlight { request, attempt },
                 host,
@@ -38,10 +41,13 @@
                 LoadReport::default(),
             );
         }
-        let Some(id) =
-            self.upstreams
-                .checkout(&mut self.event_loop, &self.endpoints, host, now, on)
-        else {
+        let Some(id) = self.upstreams.checkout(
+            &mut self.event_loop,
+            &self.endpoints,
+            host,
+            now,
+            requirements,
+        ) else {
             return self.finish_attempt(
                 AttemptInFlight { request, attempt },
                 host,
@@ -50,8 +56,8 @@
                 LoadReport::default(),
             );
         };
-        // As long as the router will wait, and never told as nothing.
-        let millis = (timeout * MILLIS).ceil().max(1.0) as u64;
+        // The host gets as time limit what the router waits, rounded up to whole milliseconds and at least 1 ms.
+        let millis = (timeout * MILLIS_PER_SECOND).ceil().max(1.0) as u64;
         if let (Some(upstream), Some(command)) =
             (self.upstreams.get_mut(id), self.requests.command(&request))
         {
@@ -61,28 +67,34 @@
             id,
             ConnectionUse::Attempt(AttemptInFlight { request, attempt }),
             now,
-            (timeout, on.write_timeout),
+            (timeout, requirements.write_timeout),
         );
     }
 
+    /// Sends a health check to a host; it fails at once where it gets no connection or too many are in flight.
     pub(super) fn start_health_check(&mut self, host: HostId) {
         let now = self.event_loop.now();
-        let health_checks = self.upstreams.health_checks();
-        let room = health_checks < self.event_loop.limits.upstream.probes_in_flight;
-        let (longest, write_timeout) = (
+        let health_checks = self.upstreams.health_check_count();
+        let has_capacity = health_checks < self.event_loop.limits.upstream.probes_in_flight;
+        let (no_idle_limit, write_timeout) = (
             f64::INFINITY,
             self.event_loop.limits.upstream.connect_timeout,
         );
-        let any = ConnectionRequirements {
-            max_idle: longest,
+        let requirements = ConnectionRequirements {
+            max_idle: no_idle_limit,
             min_idle: 0.0,
             max_below_min_idle: 1,
             write_timeout,
         };
-        let Some(id) = room
+        let Some(id) = has_capacity
             .then(|| {
-                self.upstreams
-                    .checkout(&mut self.event_loop, &self.endpoints, host, now, any)
+                self.upstreams.checkout(
+                    &mut self.event_loop,
+                    &self.endpoints,
+                    host,
+                    now,
+                    requirements,
+                )
             })
             .flatten()
         else {
@@ -110,6 +122,7 @@
         );
     }
 
+    /// Begins the use of a connection whose command is in its output buffer, and schedules its timeouts (seconds).
     fn begin_use(
         &mut self,
         id: SocketId,
@@ -124,43 +137,50 @@
         self.event_loop
             .schedule(now + timeout, TimerEvent::UpstreamUseTimeout(id, number));
         self.flush_upstream(id);
-        // Connecting has its time, and what is decided has to be written while what it was decided by holds.
+        // Connecting is limited by `connect_timeout`. The command has a limit of its own, after which the state that
+        // the decision was based on may have changed.
         if self
             .upstreams
             .get(id)
             .is_some_and(|upstream| !upstream.is_written)
         {
-            let within = self
+            let write_timeout = self
                 .event_loop
                 .limits
                 .upstream
                 .connect_timeout
                 .min(write_timeout);
-            self.event_loop
-                .schedule(now + within, TimerEvent::UpstreamWriteTimeout(id, number));
+            self.event_loop.schedule(
+                now + write_timeout,
+                TimerEvent::UpstreamWriteTimeout(id, number),
+            );
         }
     }
 
-    /// Writes what can be written now; false where the connection is gone.
+    /// Writes as much of the output as the socket takes; false where the connection was closed.
     fn flush_upstream(&mut self, id: SocketId) -> bool {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return false;
         };
         match upstream.flush() {
-            Ok(all) => upstream.is_written |= all,
+            Ok(is_complete) => upstream.is_written |= is_complete,
             Err(_) => self.on_upstream_failed(id),
         }
         self.upstreams.contains(id)
     }
 
+    /// Handles a ready upstream connection: writes the rest of the command, then reads and processes responses.
     pub(super) fn on_upstream_readable(&mut self, id: SocketId) {
-        // What concerns hosts goes before what clients have done: a close may lie unread.
-        let waits = self
+        // Upstream sockets are handled before client sockets, so the client of a command that is not fully written may
+        // have disconnected without this having been read.
+        let unwritten = self
             .upstreams
             .get(id)
             .and_then(UpstreamConnection::unwritten_request)
             .cloned();
-        if waits.is_some_and(|request| self.is_client_gone(&request)) || !self.flush_upstream(id) {
+        if unwritten.is_some_and(|request| self.is_client_gone(&request))
+            || !self.flush_upstream(id)
+        {
             return;
         }
         loop {
@@ -170,30 +190,31 @@
             if !matches!(upstream.stream.is_connected(), Ok(true)) {
                 return;
             }
-            let filled = upstream.stream.read_available(
+            let status = upstream.stream.read_available(
                 self.event_loop.limits.resp.message,
                 self.event_loop.limits.event_loop.read_bytes_per_turn,
             );
-            self.read_upstream(id, filled == ReadStatus::Closed);
-            if filled == ReadStatus::Closed {
+            self.process_input(id, status == ReadStatus::Closed);
+            if status == ReadStatus::Closed {
                 return self.on_upstream_failed(id);
             }
-            if filled == ReadStatus::Drained {
+            if status == ReadStatus::Drained {
                 return;
             }
         }
     }
 
-    /// Takes the answer that a connection holds, if it is whole.
-    fn read_upstream(&mut self, id: SocketId, ended: bool) {
-        // Out of the map meanwhile: the value is passed on from the buffer it was read into.
+    /// Handles the response in a connection's input buffer, if it is complete. `is_closed` says whether the host has
+    /// closed the connection.
+    fn process_input(&mut self, id: SocketId, is_closed: bool) {
+        // Taken out of the pool while the response is relayed from the connection's input buffer.
         let Some(upstream) = self.upstreams.take(id) else {
             return;
         };
-        let read = self.take_answer(&upstream);
+        let handled = self.handle_input(&upstream);
         self.upstreams.put_back(upstream);
-        match read {
-            Ok(Some(used)) => self.finish_use(id, used, ended),
+        match handled {
+            Ok(Some(length)) => self.finish_use(id, length, is_closed),
             Ok(None) => {}
             Err(why) => {
                 if self.event_loop.may_warn() {
@@ -202,44 +223,46 @@
                 self.event_loop
                     .metrics
                     .increment(Counter::MalformedMessages);
-                // It may have run, and what came of it came in time: an error of the host's, not a lost connection.
-                // As a reset it would count as late, and a few spoilt answers would narrow what is kept open.
+                // The request may have run, and the host responded in time: this is an error of the host. A reset would
+                // count as a lost connection, and a few losses on idle connections keep all of these from being used.
                 self.abandon_use(id, |_| AttemptOutcome::Error);
             }
         }
     }
 
-    /// Passes on and books what has come; the bytes it took, None where it is not whole.
-    fn take_answer(&mut self, upstream: &UpstreamConnection) -> Result<Option<usize>, Malformed> {
+    /// Handles the input of a connection according to its use. Returns the length of the response in bytes, `None`
+    /// where it is incomplete.
+    fn handle_input(&mut self, upstream: &UpstreamConnection) -> Result<Option<usize>, Malformed> {
         match &upstream.current_use {
             ConnectionUse::Idle if upstream.stream.input().is_empty() => Ok(None),
-            ConnectionUse::Idle => Err(Malformed::new("nothing was asked")),
-            ConnectionUse::Attempt(carried) => self.take_response(upstream, carried),
-            ConnectionUse::HealthCheck => self.take_health_check_response(upstream),
+            ConnectionUse::Idle => Err(Malformed::new("a response without a request")),
+            ConnectionUse::Attempt(in_flight) => self.handle_response(upstream, in_flight),
+            ConnectionUse::HealthCheck => self.handle_health_check_response(upstream),
         }
     }
 
-    /// Relays the response of an attempt and reports its outcome; the bytes it took, `None` where it is incomplete.
-    fn take_response(
+    /// Relays the response of an attempt and reports its outcome. Returns the length of the response in bytes, `None`
+    /// where it is incomplete.
+    fn handle_response(
         &mut self,
         upstream: &UpstreamConnection,
-        carried: &AttemptInFlight,
+        in_flight: &AttemptInFlight,
     ) -> Result<Option<usize>, Malformed> {
         let input = upstream.stream.input();
-        let took = self.event_loop.now() - upstream.used_since;
-        let Some((response, used)) = host::parse_response(input, &self.event_loop.limits.resp)?
+        let took = self.event_loop.now() - upstream.use_began_at;
+        let Some((response, length)) = host::parse_response(input, &self.event_loop.limits.resp)?
         else {
-            return self.await_more(input);
+            return self.check_incomplete_length(input);
         };
         let (outcome, load) = match response {
-            // No host has begun it.
+            // The host cannot have executed a command that it has not fully received.
             HostResponse::Value { .. } if !upstream.is_written => {
                 return Err(Malformed::new(
-                    "a value for a command that has not been written",
+                    "a response to a command that is not fully written",
                 ));
             }
             HostResponse::Value { value, load } => {
-                self.relay_value(&carried.request, value);
+                self.relay_value(&in_flight.request, value);
                 (AttemptOutcome::Succeeded, load)
             }
             HostResponse::Error { load } => (AttemptOutcome::Error, load),
@@ -254,25 +277,32 @@
             .map(TransportSettings::load_from_pairs)
             .unwrap_or_default();
         let attempt = AttemptInFlight {
-            request: carried.request.clone(),
-            attempt: carried.attempt,
+            request: in_flight.request.clone(),
+            attempt: in_flight.attempt,
         };
-        let times = (took, upstream.idle_time);
-        self.finish_attempt(attempt, upstream.host, outcome, times, load);
-        Ok(Some(used))
+        let took_and_connection_idle = (took, upstream.idle_time);
+        self.finish_attempt(
+            attempt,
+            upstream.host,
+            outcome,
+            took_and_connection_idle,
+            load,
+        );
+        Ok(Some(length))
     }
 
-    /// Reports the outcome of a health check; the bytes its response took, `None` where it is incomplete.
-    fn take_health_check_response(
+    /// Reports the outcome of a health check. Returns the length of the response in bytes, `None` where it is
+    /// incomplete.
+    fn handle_health_check_response(
         &mut self,
         upstream: &UpstreamConnection,
     ) -> Result<Option<usize>, Malformed> {
         let input = upstream.stream.input();
-        let took = self.event_loop.now() - upstream.used_since;
-        let Some((response, used)) =
+        let took = self.event_loop.now() - upstream.use_began_at;
+        let Some((response, length)) =
             host::parse_probe_response(input, &self.event_loop.limits.resp)?
         else {
-            return self.await_more(input);
+            return self.check_incomplete_length(input);
         };
         let outcome = if response.is_healthy {
             AttemptOutcome::Succeeded
@@ -290,42 +320,43 @@
                 took,
                 load,
             });
-        Ok(Some(used))
+        Ok(Some(length))
     }
 
-    /// An incomplete response: the rest of it is waited for, unless it is longer than it may be.
-    fn await_more(&self, input: &[u8]) -> Result<Option<usize>, Malformed> {
+    /// Accepts an incomplete response whose rest may still come; an error where it is too long already.
+    fn check_incomplete_length(&self, input: &[u8]) -> Result<Option<usize>, Malformed> {
         if input.len() < self.event_loop.limits.resp.message {
             Ok(None)
         } else {
-            Err(Malformed::new("an answer is too long"))
+            Err(Malformed::new("the response is too long"))
         }
     }
 
+    /// Sends the value of a successful response to the client.
     fn relay_value(&mut self, request: &RequestId, value: &[u8]) {
-        if self.answer(request, |out| write_bulk(out, value)) {
+        if self.respond(request, |out| write_bulk(out, value)) {
             self.event_loop
                 .metrics
                 .increment(Counter::RequestsSucceeded);
         }
     }
 
-    /// The connection is without use again, and kept where the host may be used again.
-    fn finish_use(&mut self, id: SocketId, used: usize, ended: bool) {
+    /// Ends the use of a connection after a response of `length` bytes; keeps the connection if it can be reused.
+    fn finish_use(&mut self, id: SocketId, length: usize, is_closed: bool) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.stream.consume(used);
+        upstream.stream.consume(length);
         self.upstreams
-            .check_in(&mut self.event_loop, &self.endpoints, id, ended);
+            .check_in(&mut self.event_loop, &self.endpoints, id, is_closed);
     }
 
-    /// The connection broke or was never up. An answer that had come before counts; else what it carried ends by
-    /// how far its command had come.
+    /// Handles a connection that broke or was never established. A response that was received before counts.
+    /// Otherwise the outcome depends on whether the command was fully written, so that it may have run.
     fn on_upstream_failed(&mut self, id: SocketId) {
-        self.read_final_answer(id);
-        let outcome = |written| {
-            if written {
+        self.read_final_response(id);
+        let outcome = |is_written| {
+            if is_written {
                 AttemptOutcome::Reset
             } else {
                 AttemptOutcome::NoConnection
@@ -334,33 +365,34 @@
         self.abandon_use(id, outcome);
     }
 
-    /// Takes an answer that is here already, before what it answers is given up.
-    fn read_final_answer(&mut self, id: SocketId) {
+    /// Reads a response that has already arrived, before its attempt or health check is given up.
+    fn read_final_response(&mut self, id: SocketId) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
         if !matches!(upstream.current_use, ConnectionUse::Idle)
             && matches!(upstream.stream.is_connected(), Ok(true))
         {
-            let filled = upstream.stream.read_available(
+            let status = upstream.stream.read_available(
                 self.event_loop.limits.resp.message,
                 self.event_loop.limits.resp.message,
             );
-            self.read_upstream(id, filled == ReadStatus::Closed);
+            self.process_input(id, status == ReadStatus::Closed);
         }
     }
 
-    /// Gives up what a connection carries; giving up closes it.
+    /// Ends the current use of a connection without a response and closes it. `outcome` maps whether the command was
+    /// fully written to the outcome that is reported.
     fn abandon_use(&mut self, id: SocketId, outcome: impl Fn(bool) -> AttemptOutcome) {
         let Some(upstream) = self.upstreams.take(id) else {
             return;
         };
         let (outcome, host) = (outcome(upstream.is_written), upstream.host);
-        let took = self.event_loop.now() - upstream.used_since;
+        let took = self.event_loop.now() - upstream.use_began_at;
         match upstream.current_use {
             ConnectionUse::Idle => self.upstreams.forget_idle(host, id),
-            ConnectionUse::Attempt(out) => self.finish_attempt(
-                out,
+            ConnectionUse::Attempt(in_flight) => self.finish_attempt(
+                in_flight,
                 host,
                 outcome,
                 (took, upstream.idle_time),
@@ -379,35 +411,36 @@
         upstream.stream.close(&self.event_loop.reactor);
     }
 
-    /// Gives up the attempts whose clients are gone and whose command is not written whole, so that no host has begun
-    /// them: a connection may come up long after its client has gone.
+    /// Ends the attempts whose clients have disconnected and whose commands are not fully written, so that no host has
+    /// executed them. Otherwise a connection that is established late would still send the command.
     pub(super) fn abandon_unwritten_attempts(&mut self) {
-        let gone = |request: &RequestId| self.requests.is_abandoned(request);
+        let is_abandoned = |request: &RequestId| self.requests.is_abandoned(request);
         let abandoned = self
             .upstreams
-            .ids_where(|upstream| upstream.unwritten_request().is_some_and(gone));
+            .ids_matching(|upstream| upstream.unwritten_request().is_some_and(is_abandoned));
         for id in abandoned {
             self.abandon_use(id, |_| AttemptOutcome::Irrelevant);
         }
     }
 
-    /// Closes what is without use and leads to hosts that are gone, drained or elsewhere.
+    /// Closes the idle connections to hosts that are removed, draining or at another address now.
     pub(super) fn close_unusable_connections(&mut self) {
         for id in self.upstreams.unusable(&self.endpoints) {
             self.abandon_use(id, |_| AttemptOutcome::Irrelevant);
         }
     }
 
-    /// Timers come after all that the last wait told of; what has come since then is here all the same.
+    /// Ends the use with this number if it is still current. Timers run after the sockets that the poll reported, so a
+    /// response that has arrived since the poll is read first.
     pub(super) fn on_use_timeout(&mut self, id: SocketId, number: u64) {
-        let same = |upstream: &UpstreamConnection| upstream.use_number == number;
-        if self.upstreams.get(id).is_some_and(same) {
-            self.read_final_answer(id);
+        let is_same_use = |upstream: &UpstreamConnection| upstream.use_number == number;
+        if self.upstreams.get(id).is_some_and(is_same_use) {
+            self.read_final_response(id);
         }
-        if self.upstreams.get(id).is_some_and(same) {
-            // A command whose last byte was never written has not been begun.
-            self.abandon_use(id, |written| {
-                if written {
+        if self.upstreams.get(id).is_some_and(is_same_use) {
+            // A command whose last byte was not written has not been executed.
+            self.abandon_use(id, |is_written| {
+                if is_written {
                     AttemptOutcome::TimedOut
                 } else {
                     AttemptOutcome::NoConnection
@@ -416,6 +449,7 @@
         }
     }
 
+    /// Closes the connection if the command of the use with this number is not fully written.
     pub(super) fn on_write_timeout(&mut self, id: SocketId, number: u64) {
         if self
             .upstreams
@@ -426,27 +460,31 @@
         }
     }
 
+    /// Cancels an attempt by closing its connection.
     pub(super) fn cancel_attempt(&mut self, request: &RequestId, attempt: AttemptNumber) {
-        let carrying = self
+        let connections = self
             .upstreams
-            .ids_where(|upstream| upstream.carries(request, attempt));
-        if let Some(&id) = carrying.first() {
+            .ids_matching(|upstream| upstream.carries(request, attempt));
+        if let Some(&id) = connections.first() {
             self.abandon_use(id, |_| AttemptOutcome::Cancelled);
         }
     }
 
+    /// Reports the outcome of an attempt to the decisions. `took_and_connection_idle` holds, in seconds, how long the
+    /// attempt took and how long its connection had been idle before.
     fn finish_attempt(
         &mut self,
-        out: AttemptInFlight,
+        in_flight: AttemptInFlight,
         host: HostId,
         outcome: AttemptOutcome,
-        times: (f64, f64),
+        took_and_connection_idle: (f64, f64),
         load: LoadReport,
     ) {
         self.event_loop.metrics.count_attempt(outcome);
-        let AttemptInFlight { request, attempt } = out;
+        let AttemptInFlight { request, attempt } = in_flight;
         let request_finished = !self.requests.owes_response(&request);
-        let (took, connection_idle) = (times.0, Some(times.1));
+        let (took, connection_idle) =
+            (took_and_connection_idle.0, Some(took_and_connection_idle.1));
         self.event_loop.notify_decisions(Event::AttemptFinished {
             request,
             attempt,
--- a/router/src/routing/upstream_pool.rs
+++ b/router/src/routing/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to hosts: which there are, and which of them are idle.
+//! The pool of connections to hosts, in use and idle.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,10 +20,12 @@
 }
 
 impl UpstreamPool {
+    /// The number of connections, idle ones included.
     pub(super) fn len(&self) -> usize {
         self.connections.len()
     }
 
+    /// The number of idle connections.
     pub(super) fn idle_count(&self) -> usize {
         self.idle.count()
     }
@@ -49,12 +51,12 @@
         self.connections.insert(connection.stream.id, connection);
     }
 
-    /// A connection that was taken out has been idle.
+    /// Removes a connection that was taken out from the idle ones.
     pub(super) fn forget_idle(&mut self, host: HostId, id: SocketId) {
         self.idle.remove(host, id);
     }
 
-    /// The hosts that a connection leads to.
+    /// The hosts to which there is a connection.
     pub(super) fn hosts(&self) -> BTreeSet<HostId> {
         self.connections
             .values()
@@ -62,46 +64,48 @@
             .collect()
     }
 
-    /// The connections of which this is true.
-    pub(super) fn ids_where(
+    /// The connections for which `predicate` is true.
+    pub(super) fn ids_matching(
         &self,
-        is_wanted: impl Fn(&UpstreamConnection) -> bool,
+        predicate: impl Fn(&UpstreamConnection) -> bool,
     ) -> Vec<SocketId> {
         self.connections
             .iter()
-            .filter(|(_, connection)| is_wanted(connection))
+            .filter(|(_, connection)| predicate(connection))
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// The idle connections that lead to hosts that are gone, drained or elsewhere.
+    /// The idle connections to hosts that are removed, draining or at another address now.
     pub(super) fn unusable(&self, endpoints: &EndpointTable) -> Vec<SocketId> {
         let mut ids = self.idle.ids();
         ids.retain(|id| {
             self.connections
                 .get(id)
-                .is_some_and(|c| !endpoints.is_usable(c.host, c.address))
+                .is_some_and(|connection| !endpoints.is_usable(connection.host, connection.address))
         });
         ids
     }
 
-    pub(super) fn health_checks(&self) -> usize {
+    /// The number of health checks in flight.
+    pub(super) fn health_check_count(&self) -> usize {
         self.connections
             .values()
             .filter(|connection| matches!(connection.current_use, ConnectionUse::HealthCheck))
             .count()
     }
 
-    /// The freshest connection that has rested for long enough and not been idle for too long, or a new one.
+    /// Returns a connection for a use: the most recently used idle one that meets the requirements, or a new one. At
+    /// the limit of connections, the one that has been idle longest is closed first.
     pub(super) fn checkout(
         &mut self,
         event_loop: &mut EventLoop,
         endpoints: &EndpointTable,
         host: HostId,
         now: f64,
-        on: ConnectionRequirements,
+        requirements: ConnectionRequirements,
     ) -> Option<SocketId> {
-        if let Some(id) = self.reuse(event_loop, host, now, on) {
+        if let Some(id) = self.reuse(event_loop, host, now, requirements) {
             return Some(id);
         }
         let address = endpoints.address(host)?;
@@ -117,20 +121,24 @@
         Some(id)
     }
 
+    /// Takes an idle connection that meets the requirements out of the idle ones.
     fn reuse(
         &mut self,
         event_loop: &mut EventLoop,
         host: HostId,
         now: f64,
-        on: ConnectionRequirements,
+        requirements: ConnectionRequirements,
     ) -> Option<SocketId> {
-        let max_idle = on.max_idle.min(event_loop.limits.upstream.idle_timeout);
-        let rested_since = now - on.min_idle;
+        let max_idle = requirements
+            .max_idle
+            .min(event_loop.limits.upstream.idle_timeout);
+        let idle_before = now - requirements.min_idle;
         while let Some((id, idle_since)) =
             self.idle
-                .take_reusable(host, rested_since, on.max_below_min_idle)
+                .take_reusable(host, idle_before, requirements.max_below_min_idle)
         {
-            // Its host may be closing it by now; what is written then is reset, and may not be repeated.
+            // The host may be closing a connection that has been idle for so long. A command written to it is then
+            // reset, and may not be retried.
             if now - idle_since > max_idle {
                 self.close(event_loop, id);
                 self.close_idle(event_loop, host);
@@ -147,7 +155,7 @@
         None
     }
 
-    /// Opens a connection, also where an idle one has to make room for its descriptor.
+    /// Opens a connection; without a free file descriptor, closes the longest idle connection and tries again.
     fn connect(&mut self, event_loop: &mut EventLoop, address: SocketAddr) -> Option<Stream> {
         let priority = SocketOwner::Upstream.priority();
         let error = match Stream::connect(&mut event_loop.reactor, address, priority) {
@@ -163,7 +171,7 @@
         Stream::connect(&mut event_loop.reactor, address, priority).ok()
     }
 
-    /// Keeps a connection whose use is over, where it may be used again, or closes it.
+    /// Ends the use of a connection, and keeps the connection as idle if it can be reused; otherwise closes it.
     pub(super) fn check_in(
         &mut self,
         event_loop: &mut EventLoop,
@@ -179,7 +187,7 @@
         connection.use_number += 1;
         let stream = &mut connection.stream;
         let is_clean = stream.input().is_empty() && stream.unwritten() == 0 && !is_closed;
-        // The host may be gone, or another machine have its id by now.
+        // The host may have been removed, or its id may belong to another machine now.
         let is_usable = endpoints.is_usable(connection.host, connection.address)
             && self.idle.count() < event_loop.limits.upstream.idle_connections;
         if is_clean && is_usable {
@@ -202,14 +210,14 @@
         }
     }
 
-    /// Closes the connections that have been idle since this time.
+    /// Closes the connections that have been idle since this time or longer.
     pub(super) fn close_idle_since(&mut self, event_loop: &EventLoop, time: f64) {
         for id in self.idle.take_idle_since(time) {
             self.close(event_loop, id);
         }
     }
 
-    /// Closes the connection that has been idle for longest; false where none is idle.
+    /// Closes the connection that has been idle longest; false where none is idle.
     pub(super) fn close_oldest_idle(&mut self, event_loop: &EventLoop) -> bool {
         let Some(oldest) = self.idle.take_oldest() else {
             return false;
--- a/src/decisions/requirements.rs
+++ b/src/decisions/requirements.rs
@@ -1,13 +1,13 @@
-//! Which groups of hosts may serve a request: exposure, sticky keys, idempotency and the time left.
+//! The groups of hosts that may serve a request, by exposure, sticky keys, idempotency and the time left.
 
 use super::Router;
 use super::request_table::TrackedRequest;
-use super::retry::WAIT_PART_OF_OBJECTIVE;
+use super::retry::WAIT_OBJECTIVE_FRACTION;
 use crate::arm::Arm;
 use crate::host_group::{HostGroup, Requirements};
 use crate::interface::{BuildId, HostEntry, IdempotencyScope};
 
-/// Whether an idempotency key is known to both the group and the host that may have run the request already.
+/// Whether the hosts of a group know the idempotency keys of the host that may already have run the request.
 fn shares_keys(scope: IdempotencyScope, first: &HostEntry, group: &HostGroup) -> bool {
     match scope {
         IdempotencyScope::All => true,
@@ -17,17 +17,18 @@
 }
 
 impl Router {
-    /// The requirements of a request, worked out once for each group of hosts, however many are of it.
+    /// The requirements of a request. They are computed once for each group of hosts, so that the cost does not
+    /// depend on the number of hosts.
     pub(super) fn requirements(&self, now: f64, request: &TrackedRequest) -> Requirements {
         let mut arms = vec![];
         let mut last_build: Option<(BuildId, bool)> = None;
         for group in self.hosts.index.groups() {
-            let is_open = match last_build {
-                Some((build, is_open)) if build == group.build => is_open,
-                _ => self.may_go_to(now, request, group.build),
+            let build_is_open = match last_build {
+                Some((build, build_is_open)) if build == group.build => build_is_open,
+                _ => self.may_use_build(now, request, group.build),
             };
-            last_build = Some((group.build, is_open));
-            if is_open && self.group_may_serve(now, request, group) {
+            last_build = Some((group.build, build_is_open));
+            if build_is_open && self.group_may_serve(now, request, group) {
                 let arm = Arm::canary_if(self.is_canary(group.build));
                 arms.push((*group, arm));
             }
@@ -44,32 +45,34 @@
         }
     }
 
-    /// Whether a build has room for a request, whose key does not return to an older one.
-    fn may_go_to(&self, now: f64, request: &TrackedRequest, build: BuildId) -> bool {
-        let bound = self.sticky_builds.get(request.key.as_ref());
-        let binds_new_key = bound.is_none_or(|bound| bound < build);
-        let may_return = bound.is_none_or(|bound| build >= bound);
+    /// Whether a build has exposure left for a request and is not older than the build that the request's key is
+    /// bound to.
+    fn may_use_build(&self, now: f64, request: &TrackedRequest, build: BuildId) -> bool {
+        let bound_build = self.sticky_builds.get(request.key.as_ref());
+        let binds_new_key = bound_build.is_none_or(|bound_build| bound_build < build);
+        let may_return = bound_build.is_none_or(|bound_build| build >= bound_build);
         may_return && self.has_exposure_room(now, build, request.operation, binds_new_key)
     }
 
-    /// Whether hosts of a group may serve a request. No work is begun where the time left is under what even quick
-    /// answers take; the limit to part of the objective lets hosts be tried again that have long not answered.
+    /// Whether hosts of a group may serve a request. An attempt is not started where the time left is shorter than
+    /// even the group's quickest answers take. That minimum is limited to a fraction of the time to the objective, so
+    /// that hosts which have not answered for long are still tried.
     fn group_may_serve(&self, now: f64, request: &TrackedRequest, group: &HostGroup) -> bool {
         let scope = self.settings.operations[request.operation].idempotency_scope;
         let knows_key = request
             .first_effect()
             .is_none_or(|first| shares_keys(scope, &first.host, group));
-        let least = self
+        let min_time = self
             .latency
             .floor_time(request.operation, group.kind)
             .map_or(0.0, |floor| {
-                let of_objective = WAIT_PART_OF_OBJECTIVE * (request.objective_at - now);
-                (floor * request.work).min(of_objective)
+                let objective_wait = WAIT_OBJECTIVE_FRACTION * (request.objective_at - now);
+                (floor * request.work).min(objective_wait)
             });
         let is_in_pool = request
             .pool
             .as_ref()
             .is_none_or(|pool| pool.may_contain(group.zone, group.kind));
-        knows_key && is_in_pool && now + least < request.deadline
+        knows_key && is_in_pool && now + min_time < request.deadline
     }
 }
