--- a/management/src/netconf/session/capabilities.rs
+++ b/management/src/netconf/session/capabilities.rs
@@ -7,19 +7,19 @@
 use super::Session;
 
 /// The namespace of NETCONF messages.
-pub const BASE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
+pub const BASE_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
 /// The capability of version 1.0 of the base protocol.
-pub(super) const BASE_1_0: &str = "urn:ietf:params:netconf:base:1.0";
+pub(super) const BASE_1_0_CAPABILITY: &str = "urn:ietf:params:netconf:base:1.0";
 /// The capability of version 1.1 of the base protocol, which brings chunked framing.
-pub(super) const BASE_1_1: &str = "urn:ietf:params:netconf:base:1.1";
+pub(super) const BASE_1_1_CAPABILITY: &str = "urn:ietf:params:netconf:base:1.1";
 /// The namespace of notifications (RFC 5277).
-pub(super) const NOTIFICATIONS: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
+pub(super) const NOTIFICATION_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
 /// The namespace of `get-schema` (RFC 6022).
-pub(super) const MONITORING: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
+pub(super) const MONITORING_NAMESPACE: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
 /// The capabilities of the server beside its modules.
 const CAPABILITIES: [&str; 11] = [
-    BASE_1_0,
-    BASE_1_1,
+    BASE_1_0_CAPABILITY,
+    BASE_1_1_CAPABILITY,
     "urn:ietf:params:netconf:capability:writable-running:1.0",
     "urn:ietf:params:netconf:capability:candidate:1.0",
     "urn:ietf:params:netconf:capability:confirmed-commit:1.1",
@@ -35,7 +35,7 @@
     /// The first message of the server.
     pub fn hello(&self) -> String {
         let mut out = format!(
-            "<?xml version=\"1.0\" encoding=\"UTF-8\"?><hello xmlns=\"{BASE}\"><capabilities>"
+            "<?xml version=\"1.0\" encoding=\"UTF-8\"?><hello xmlns=\"{BASE_NAMESPACE}\"><capabilities>"
         );
         for capability in CAPABILITIES {
             let _ = write!(out, "<capability>{}</capability>", escaped(capability));
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -5,9 +5,9 @@
 use kestreltide_datastore::commit_coordinator::ConfirmedCommit;
 use kestreltide_yang::xml::Element;
 
-use super::operations::text;
+use super::operations::child_text;
 use super::rpc_error::RpcError;
-use super::{DatastoreOperation, Session, Step};
+use super::{DatastoreOperation, Session, SessionAction};
 use crate::commit_service::CommitServiceHandle;
 
 /// The time to confirm a commit if the request has none, in seconds (RFC 6241, section 8.4.5.1).
@@ -21,10 +21,10 @@
         operation: &Element,
         rights: Rights,
         commit_service: &CommitServiceHandle,
-    ) -> Result<Step, Vec<RpcError>> {
-        let persist_id = text(operation, "persist-id");
+    ) -> Result<SessionAction, Vec<RpcError>> {
+        let persist_id = child_text(operation, "persist-id");
         let confirm = match operation.child("confirmed") {
-            Some(_) => Some(confirmed_commit(operation)?),
+            Some(_) => Some(parse_confirmed_commit(operation)?),
             None => None,
         };
         let published = commit_service.status.load();
@@ -34,16 +34,18 @@
             .is_some_and(|candidate| !candidate.is_unchanged());
         // Without a change it confirms the pending commit, if there is one.
         if !changed && confirm.is_none() && (published.pending.is_some() || persist_id.is_some()) {
-            return Ok(Step::Perform(DatastoreOperation::Confirm { persist_id }));
+            return Ok(SessionAction::Perform(DatastoreOperation::ConfirmCommit {
+                persist_id,
+            }));
         }
-        let candidate = self.candidate(commit_service).clone();
+        let candidate = self.candidate_mut(commit_service).clone();
         self.check_rights(
             candidate.base_tree(),
             &candidate.tree,
             rights,
             commit_service,
         )?;
-        Ok(Step::Perform(DatastoreOperation::Commit {
+        Ok(SessionAction::Perform(DatastoreOperation::Commit {
             candidate,
             confirm,
             persist_id,
@@ -52,8 +54,8 @@
 }
 
 /// The time and the id of a confirmed commit (RFC 6241, section 8.4).
-fn confirmed_commit(operation: &Element) -> Result<ConfirmedCommit, Vec<RpcError>> {
-    let value = text(operation, "confirm-timeout");
+fn parse_confirmed_commit(operation: &Element) -> Result<ConfirmedCommit, Vec<RpcError>> {
+    let value = child_text(operation, "confirm-timeout");
     let timeout = match &value {
         None => Some(DEFAULT_CONFIRM_SECONDS),
         Some(value) => value
@@ -64,7 +66,7 @@
     };
     let invalid = || {
         let expected = format!("1 to {MAX_CONFIRM_SECONDS} seconds");
-        vec![RpcError::invalid(
+        vec![RpcError::invalid_value(
             "confirm-timeout",
             "is out of range",
             value.as_deref().unwrap_or_default(),
@@ -73,6 +75,6 @@
     };
     Ok(ConfirmedCommit {
         timeout: timeout.ok_or_else(invalid)?,
-        persist_id: text(operation, "persist"),
+        persist_id: child_text(operation, "persist"),
     })
 }
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -6,9 +6,9 @@
 use kestreltide_yang::edit::{Operation, apply, edits_from_xml};
 use kestreltide_yang::xml::Element;
 
-use super::operations::{target, text};
-use super::rpc_error::{RpcError, edit_error, xpath};
-use super::{DatastoreOperation, Session, Step};
+use super::operations::{child_text, parse_target};
+use super::rpc_error::{RpcError, edit_error, leaf_xpath};
+use super::{DatastoreOperation, Session, SessionAction};
 use crate::commit_service::CommitServiceHandle;
 
 /// The parameters of an edit-config.
@@ -21,9 +21,9 @@
 
 impl EditOptions {
     fn parse(operation: &Element) -> Result<Self, Vec<RpcError>> {
-        let default = text(operation, "default-operation").unwrap_or_else(|| "merge".into());
+        let default = child_text(operation, "default-operation").unwrap_or_else(|| "merge".into());
         let invalid = || {
-            vec![RpcError::invalid(
+            vec![RpcError::invalid_value(
                 "default-operation",
                 "no such operation",
                 &default,
@@ -32,12 +32,12 @@
         };
         let default = Operation::from_default_operation(&default).ok_or_else(invalid)?;
         // Edits are applied all or none, whatever the option.
-        option(
+        parse_option(
             operation,
             "error-option",
             ["stop-on-error", "continue-on-error", "rollback-on-error"],
         )?;
-        let test = option(
+        let test = parse_option(
             operation,
             "test-option",
             ["test-then-set", "set", "test-only"],
@@ -50,14 +50,18 @@
 }
 
 /// The value of a parameter that has three values, of which the first is the default.
-fn option(operation: &Element, name: &str, expected: [&str; 3]) -> Result<String, Vec<RpcError>> {
+fn parse_option(
+    operation: &Element,
+    name: &str,
+    expected: [&str; 3],
+) -> Result<String, Vec<RpcError>> {
     let [first, second, third] = expected;
-    let found = text(operation, name).unwrap_or_else(|| first.into());
+    let found = child_text(operation, name).unwrap_or_else(|| first.into());
     if expected.contains(&found.as_str()) {
         return Ok(found);
     }
     let expected = format!("{first}, {second} or {third}");
-    Err(vec![RpcError::invalid(
+    Err(vec![RpcError::invalid_value(
         name,
         "no such option",
         &found,
@@ -66,7 +70,7 @@
 }
 
 impl Session {
-    pub(super) fn candidate(&mut self, commit_service: &CommitServiceHandle) -> &mut Candidate {
+    pub(super) fn candidate_mut(&mut self, commit_service: &CommitServiceHandle) -> &mut Candidate {
         self.candidate
             .get_or_insert_with(|| Candidate::new(&commit_service.status.load().in_force))
     }
@@ -103,15 +107,15 @@
         operation: &Element,
         rights: Rights,
         commit_service: &CommitServiceHandle,
-    ) -> Result<Step, Vec<RpcError>> {
-        let target = target(operation, "target")?;
+    ) -> Result<SessionAction, Vec<RpcError>> {
+        let target = parse_target(operation, "target")?;
         let options = EditOptions::parse(operation)?;
         let config = operation
             .child("config")
-            .ok_or_else(|| vec![RpcError::missing("config")])?;
+            .ok_or_else(|| vec![RpcError::missing_element("config")])?;
         let mut candidate = match target {
             Target::Running => Candidate::new(&commit_service.status.load().in_force),
-            Target::Candidate => self.candidate(commit_service).clone(),
+            Target::Candidate => self.candidate_mut(commit_service).clone(),
         };
         let before = candidate.tree.clone();
         let by_default = if options.default == Operation::Replace {
@@ -123,17 +127,19 @@
         self.apply_config(&mut candidate.tree, config, by_default)?;
         self.check_rights(&before, &candidate.tree, rights, commit_service)?;
         if options.test_only {
-            return Ok(Step::Perform(DatastoreOperation::Validate(candidate)));
+            return Ok(SessionAction::Perform(DatastoreOperation::Validate(
+                candidate,
+            )));
         }
         match target {
-            Target::Running => Ok(Step::Perform(DatastoreOperation::Commit {
+            Target::Running => Ok(SessionAction::Perform(DatastoreOperation::Commit {
                 candidate,
                 confirm: None,
                 persist_id: None,
             })),
             Target::Candidate => {
                 self.candidate = Some(candidate);
-                Ok(Step::Reply(self.ok()))
+                Ok(SessionAction::Reply(self.ok_reply()))
             }
         }
     }
@@ -147,7 +153,7 @@
         commit_service: &CommitServiceHandle,
     ) -> Result<(), Vec<RpcError>> {
         rights.check(&before.differences(after)).map_err(|error| {
-            let path = error.path.parse().ok().map(|path| xpath(&path));
+            let path = error.path.parse().ok().map(|path| leaf_xpath(&path));
             (commit_service.submit)(crate::CommitServiceRequest::RecordDeniedEdit {
                 author: self.author(),
                 error: error.clone(),
--- a/management/src/netconf/session/filter.rs
+++ b/management/src/netconf/session/filter.rs
@@ -5,18 +5,18 @@
 use kestreltide_yang::xml::Element;
 
 use super::Session;
-use super::capabilities::BASE;
+use super::capabilities::BASE_NAMESPACE;
 use super::rpc_error::RpcError;
 
 impl Session {
-    pub(super) fn filter(&self, filter: Option<&Element>) -> Result<Filter, Vec<RpcError>> {
+    pub(super) fn parse_filter(&self, filter: Option<&Element>) -> Result<Filter, Vec<RpcError>> {
         let Some(filter) = filter else {
             return Ok(Filter::All);
         };
         let of = |name: &str| {
             filter
                 .attribute("", name)
-                .or_else(|| filter.attribute(BASE, name))
+                .or_else(|| filter.attribute(BASE_NAMESPACE, name))
         };
         match of("type").unwrap_or("subtree") {
             "subtree" => Ok(Filter::Subtree(filter.children.clone())),
@@ -31,7 +31,7 @@
                 };
                 let select = of("select").ok_or_else(missing)?;
                 let invalid = |why: &str| {
-                    vec![RpcError::invalid(
+                    vec![RpcError::invalid_value(
                         "filter/select",
                         why,
                         select,
@@ -49,10 +49,14 @@
                 }
             }
             other => {
-                let error =
-                    RpcError::invalid("filter/type", "no such type", other, "subtree or xpath");
+                let error = RpcError::invalid_value(
+                    "filter/type",
+                    "no such type",
+                    other,
+                    "subtree or xpath",
+                );
                 let error = RpcError {
-                    tag: "bad-attribute".into(),
+                    error_tag: "bad-attribute".into(),
                     ..error
                 };
                 Err(vec![error.with_bad_attribute("type", "filter")])
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -23,8 +23,8 @@
 use kestreltide_yang::xml::{self, Attribute, Element, XmlLimits, escaped};
 use thiserror::Error;
 
-pub use self::capabilities::BASE;
-use self::capabilities::{BASE_1_0, BASE_1_1};
+pub use self::capabilities::BASE_NAMESPACE;
+use self::capabilities::{BASE_1_0_CAPABILITY, BASE_1_1_CAPABILITY};
 use self::rpc_error::{RpcError, commit_errors};
 use crate::commit_service::CommitServiceHandle;
 
@@ -47,12 +47,12 @@
         persist_id: Option<String>,
     },
     /// Confirm the pending commit.
-    Confirm {
+    ConfirmCommit {
         /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
     /// Roll back the pending commit.
-    Cancel {
+    CancelCommit {
         /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
@@ -71,10 +71,10 @@
 
 /// What to do after a message.
 #[derive(Debug)]
-pub enum Step {
+pub enum SessionAction {
     /// Send the reply; an empty one is not sent.
     Reply(String),
-    /// Perform the operation, and pass its result to [`Session::complete`].
+    /// Perform the operation, and pass its result to [`Session::complete_operation`].
     Perform(DatastoreOperation),
     /// Send the reply and end the session.
     Close(String),
@@ -90,35 +90,35 @@
 pub struct Session {
     /// The id that hello gave the session.
     pub id: SessionId,
-    name: String,
+    key_name: String,
     schema: &'static Schema,
     binding: std::sync::Arc<Binding>,
     hello_received: bool,
-    peer_chunks: bool,
+    client_supports_chunked_framing: bool,
     candidate: Option<Candidate>,
     subscribed: bool,
     /// The attributes of the current rpc, which its reply repeats.
-    attributes: String,
+    rpc_attributes: String,
 }
 
 impl Session {
     /// A session that has not received a hello; `name` is that of the key of the client.
     pub fn new(
         id: SessionId,
-        name: &str,
+        key_name: &str,
         schema: &'static Schema,
         binding: std::sync::Arc<Binding>,
     ) -> Self {
         Session {
             id,
-            name: name.into(),
+            key_name: key_name.into(),
             schema,
             binding,
             hello_received: false,
-            peer_chunks: false,
+            client_supports_chunked_framing: false,
             candidate: None,
             subscribed: false,
-            attributes: String::new(),
+            rpc_attributes: String::new(),
         }
     }
 
@@ -128,37 +128,37 @@
     }
 
     /// Whether messages are chunked from now on, since both sides support version 1.1.
-    pub fn chunked(&self) -> bool {
-        self.hello_received && self.peer_chunks
+    pub fn uses_chunked_framing(&self) -> bool {
+        self.hello_received && self.client_supports_chunked_framing
     }
 
     /// Handles a message of the client.
-    pub fn message(
+    pub fn handle_message(
         &mut self,
         bytes: &[u8],
         rights: Rights,
         commit_service: &CommitServiceHandle,
-    ) -> Step {
+    ) -> SessionAction {
         let Ok(text) = std::str::from_utf8(bytes) else {
-            return self.malformed("is not UTF-8");
+            return self.reject_malformed("is not UTF-8");
         };
         let element = match xml::parse(text, &XmlLimits::default()) {
             Ok(element) => element,
-            Err(why) => return self.malformed(&why.to_string()),
+            Err(why) => return self.reject_malformed(&why.to_string()),
         };
         if !self.hello_received {
             return self.client_hello(&element);
         }
-        if element.name != "rpc" || element.namespace != BASE {
-            return self.malformed("is no rpc");
+        if element.name != "rpc" || element.namespace != BASE_NAMESPACE {
+            return self.reject_malformed("is no rpc");
         }
-        self.attributes.clear();
+        self.rpc_attributes.clear();
         let unqualified = element
             .attributes
             .iter()
             .filter(|attribute| attribute.namespace.is_empty());
         for Attribute { name, value, .. } in unqualified {
-            let _ = write!(self.attributes, " {name}=\"{}\"", escaped(value));
+            let _ = write!(self.rpc_attributes, " {name}=\"{}\"", escaped(value));
         }
         if element.attribute("", "message-id").is_none() {
             let error = RpcError::new(
@@ -166,22 +166,26 @@
                 "missing-attribute",
                 "rpc: has no message-id (given: nothing; taken: message-id)",
             );
-            return Step::Reply(self.errors(&[error.with_bad_attribute("message-id", "rpc")]));
+            return SessionAction::Reply(
+                self.error_reply(&[error.with_bad_attribute("message-id", "rpc")]),
+            );
         }
         let [operation] = element.children.as_slice() else {
-            return Step::Reply(self.errors(&[RpcError::missing("operation")]));
+            return SessionAction::Reply(
+                self.error_reply(&[RpcError::missing_element("operation")]),
+            );
         };
-        self.operation(operation, rights, commit_service)
-            .unwrap_or_else(|errors| Step::Reply(self.errors(&errors)))
+        self.handle_operation(operation, rights, commit_service)
+            .unwrap_or_else(|errors| SessionAction::Reply(self.error_reply(&errors)))
     }
 
     /// The first message of the client.
-    fn client_hello(&mut self, element: &Element) -> Step {
+    fn client_hello(&mut self, element: &Element) -> SessionAction {
         let capabilities = element
             .child("capabilities")
-            .filter(|_| element.name == "hello" && element.namespace == BASE);
+            .filter(|_| element.name == "hello" && element.namespace == BASE_NAMESPACE);
         let Some(capabilities) = capabilities else {
-            return Step::Abort(AbortReason::NoHello);
+            return SessionAction::Abort(AbortReason::NoHello);
         };
         let supports = |base: &str| {
             capabilities
@@ -189,31 +193,31 @@
                 .iter()
                 .any(|child| child.text.trim() == base)
         };
-        if !supports(BASE_1_0) && !supports(BASE_1_1) {
-            return Step::Abort(AbortReason::NoCommonVersion);
+        if !supports(BASE_1_0_CAPABILITY) && !supports(BASE_1_1_CAPABILITY) {
+            return SessionAction::Abort(AbortReason::NoCommonVersion);
         }
         self.hello_received = true;
-        self.peer_chunks = supports(BASE_1_1);
-        Step::Reply(String::new())
+        self.client_supports_chunked_framing = supports(BASE_1_1_CAPABILITY);
+        SessionAction::Reply(String::new())
     }
 
-    fn malformed(&self, why: &str) -> Step {
+    fn reject_malformed(&self, why: &str) -> SessionAction {
         // There is no message-id to answer with (RFC 6241, section 4.1); the session goes on.
         if !self.hello_received {
-            return Step::Abort(AbortReason::NoHello);
+            return SessionAction::Abort(AbortReason::NoHello);
         }
         let error = RpcError::new(
             "rpc",
             "malformed-message",
             format!("message: {why} (given: bytes; taken: an rpc)"),
         );
-        let mut out = format!("<rpc-reply xmlns=\"{BASE}\">");
+        let mut out = format!("<rpc-reply xmlns=\"{BASE_NAMESPACE}\">");
         error.write(&mut out);
-        Step::Reply(out + "</rpc-reply>")
+        SessionAction::Reply(out + "</rpc-reply>")
     }
 
     /// The reply to a message whose operation the commit service has performed.
-    pub fn complete(
+    pub fn complete_operation(
         &mut self,
         operation: &DatastoreOperation,
         result: Result<(), CommitError>,
@@ -222,13 +226,13 @@
             Ok(()) => {
                 if matches!(
                     operation,
-                    DatastoreOperation::Commit { .. } | DatastoreOperation::Cancel { .. }
+                    DatastoreOperation::Commit { .. } | DatastoreOperation::CancelCommit { .. }
                 ) {
                     self.candidate = None;
                 }
-                self.ok()
+                self.ok_reply()
             }
-            Err(error) => self.errors(&commit_errors(&error)),
+            Err(error) => self.error_reply(&commit_errors(&error)),
         }
     }
 
@@ -236,7 +240,7 @@
     pub fn author(&self) -> Author {
         Author {
             source: Source::Management,
-            name: self.name.clone(),
+            name: self.key_name.clone(),
             version: format!("netconf session {}", self.id),
         }
     }
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -5,20 +5,20 @@
 use kestreltide_yang::edit::Operation;
 use kestreltide_yang::xml::{Element, escaped};
 
-use super::capabilities::{BASE, MONITORING, NOTIFICATIONS};
-use super::rpc_error::{RpcError, denied, unsupported};
-use super::{DatastoreOperation, Session, Step};
+use super::capabilities::{BASE_NAMESPACE, MONITORING_NAMESPACE, NOTIFICATION_NAMESPACE};
+use super::rpc_error::{RpcError, access_denied, operation_not_supported};
+use super::{DatastoreOperation, Session, SessionAction};
 use crate::commit_service::CommitServiceHandle;
 use crate::state;
 
 impl Session {
     /// Handles the operation of an rpc.
-    pub(super) fn operation(
+    pub(super) fn handle_operation(
         &mut self,
         operation: &Element,
         rights: Rights,
         commit_service: &CommitServiceHandle,
-    ) -> Result<Step, Vec<RpcError>> {
+    ) -> Result<SessionAction, Vec<RpcError>> {
         let own = self
             .schema
             .modules
@@ -29,38 +29,43 @@
             return self.rollout_operation(operation, &name, rights, commit_service);
         }
         match (operation.namespace.as_str(), operation.name.as_str()) {
-            (BASE, "get" | "get-config") => self.get(operation, rights, commit_service),
-            (BASE, "edit-config") => self.edit_config(operation, rights, commit_service),
-            (BASE, "copy-config") => {
-                Err(vec![unsupported("copy-config", "edit-config with replace")])
-            }
-            (BASE, "delete-config") => Err(vec![unsupported(
+            (BASE_NAMESPACE, "get" | "get-config") => self.get(operation, rights, commit_service),
+            (BASE_NAMESPACE, "edit-config") => self.edit_config(operation, rights, commit_service),
+            (BASE_NAMESPACE, "copy-config") => Err(vec![operation_not_supported(
+                "copy-config",
+                "edit-config with replace",
+            )]),
+            (BASE_NAMESPACE, "delete-config") => Err(vec![operation_not_supported(
                 "delete-config",
                 "edit-config with delete",
             )]),
-            (BASE, "lock") => Ok(Step::Perform(DatastoreOperation::Lock(target(
-                operation, "target",
-            )?))),
-            (BASE, "unlock") => Ok(Step::Perform(DatastoreOperation::Unlock(target(
-                operation, "target",
-            )?))),
-            (BASE, "validate") => self.validate(operation, commit_service),
-            (BASE, "commit") => self.commit(operation, rights, commit_service),
-            (BASE, "cancel-commit") => Ok(Step::Perform(DatastoreOperation::Cancel {
-                persist_id: text(operation, "persist-id"),
-            })),
-            (BASE, "discard-changes") => {
+            (BASE_NAMESPACE, "lock") => Ok(SessionAction::Perform(DatastoreOperation::Lock(
+                parse_target(operation, "target")?,
+            ))),
+            (BASE_NAMESPACE, "unlock") => Ok(SessionAction::Perform(DatastoreOperation::Unlock(
+                parse_target(operation, "target")?,
+            ))),
+            (BASE_NAMESPACE, "validate") => self.validate(operation, commit_service),
+            (BASE_NAMESPACE, "commit") => self.commit(operation, rights, commit_service),
+            (BASE_NAMESPACE, "cancel-commit") => {
+                Ok(SessionAction::Perform(DatastoreOperation::CancelCommit {
+                    persist_id: child_text(operation, "persist-id"),
+                }))
+            }
+            (BASE_NAMESPACE, "discard-changes") => {
                 self.candidate = None;
-                Ok(Step::Reply(self.ok()))
+                Ok(SessionAction::Reply(self.ok_reply()))
             }
-            (BASE, "close-session") => Ok(Step::Close(self.ok())),
-            (BASE, "kill-session") => self.kill_session(operation),
-            (NOTIFICATIONS, "create-subscription") => self.create_subscription(operation, rights),
-            (MONITORING, "get-schema") => self.get_schema(operation),
+            (BASE_NAMESPACE, "close-session") => Ok(SessionAction::Close(self.ok_reply())),
+            (BASE_NAMESPACE, "kill-session") => self.kill_session(operation),
+            (NOTIFICATION_NAMESPACE, "create-subscription") => {
+                self.create_subscription(operation, rights)
+            }
+            (MONITORING_NAMESPACE, "get-schema") => self.get_schema(operation),
             (_, other) => {
-                let error = RpcError::unknown(other);
+                let error = RpcError::unknown_element(other);
                 Err(vec![RpcError {
-                    tag: "operation-not-supported".into(),
+                    error_tag: "operation-not-supported".into(),
                     ..error
                 }])
             }
@@ -73,11 +78,11 @@
         operation: &Element,
         rights: Rights,
         commit_service: &CommitServiceHandle,
-    ) -> Result<Step, Vec<RpcError>> {
+    ) -> Result<SessionAction, Vec<RpcError>> {
         if !rights.read {
-            return Err(vec![denied("reading", rights)]);
+            return Err(vec![access_denied("reading", rights)]);
         }
-        let filter = self.filter(operation.child("filter"))?;
+        let filter = self.parse_filter(operation.child("filter"))?;
         let data = if operation.name == "get" {
             state::operational_data(
                 self.schema,
@@ -86,25 +91,27 @@
                 &commit_service.status.load(),
             )
         } else {
-            let tree = match target(operation, "source")? {
+            let tree = match parse_target(operation, "source")? {
                 Target::Running => commit_service.status.load().in_force.tree.clone(),
                 Target::Candidate => {
-                    std::sync::Arc::new(self.candidate(commit_service).tree.clone())
+                    std::sync::Arc::new(self.candidate_mut(commit_service).tree.clone())
                 }
             };
             self.binding.tree_data(self.schema, &tree)
         };
-        Ok(Step::Reply(self.data(&filter.prune(self.schema, &[data]))))
+        Ok(SessionAction::Reply(
+            self.data_reply(&filter.prune(self.schema, &[data])),
+        ))
     }
 
     fn validate(
         &mut self,
         operation: &Element,
         commit_service: &CommitServiceHandle,
-    ) -> Result<Step, Vec<RpcError>> {
+    ) -> Result<SessionAction, Vec<RpcError>> {
         let source = operation
             .child("source")
-            .ok_or_else(|| vec![RpcError::missing("source")])?;
+            .ok_or_else(|| vec![RpcError::missing_element("source")])?;
         let candidate = match source.child("config") {
             Some(config) => {
                 let mut candidate = Candidate::new(&commit_service.status.load().in_force);
@@ -112,32 +119,34 @@
                 self.apply_config(&mut candidate.tree, config, Operation::Merge)?;
                 candidate
             }
-            None => match target(operation, "source")? {
+            None => match parse_target(operation, "source")? {
                 Target::Running => Candidate::new(&commit_service.status.load().in_force),
-                Target::Candidate => self.candidate(commit_service).clone(),
+                Target::Candidate => self.candidate_mut(commit_service).clone(),
             },
         };
-        Ok(Step::Perform(DatastoreOperation::Validate(candidate)))
+        Ok(SessionAction::Perform(DatastoreOperation::Validate(
+            candidate,
+        )))
     }
 
-    fn kill_session(&self, operation: &Element) -> Result<Step, Vec<RpcError>> {
-        let value =
-            text(operation, "session-id").ok_or_else(|| vec![RpcError::missing("session-id")])?;
+    fn kill_session(&self, operation: &Element) -> Result<SessionAction, Vec<RpcError>> {
+        let value = child_text(operation, "session-id")
+            .ok_or_else(|| vec![RpcError::missing_element("session-id")])?;
         let session = value
             .parse()
             .ok()
             .filter(|number| *number != self.id.0 && *number > 0);
         let invalid = || {
-            vec![RpcError::invalid(
+            vec![RpcError::invalid_value(
                 "session-id",
                 "is no other session",
                 &value,
                 "another session's id",
             )]
         };
-        Ok(Step::Kill(
+        Ok(SessionAction::Kill(
             SessionId(session.ok_or_else(invalid)?),
-            self.ok(),
+            self.ok_reply(),
         ))
     }
 
@@ -146,9 +155,9 @@
         &mut self,
         operation: &Element,
         rights: Rights,
-    ) -> Result<Step, Vec<RpcError>> {
+    ) -> Result<SessionAction, Vec<RpcError>> {
         if !rights.read {
-            return Err(vec![denied("reading", rights)]);
+            return Err(vec![access_denied("reading", rights)]);
         }
         if self.subscribed {
             return Err(vec![RpcError::new(
@@ -157,9 +166,9 @@
                 "this session is subscribed already",
             )]);
         }
-        let stream = text(operation, "stream").unwrap_or_else(|| "NETCONF".into());
+        let stream = child_text(operation, "stream").unwrap_or_else(|| "NETCONF".into());
         if stream != "NETCONF" {
-            return Err(vec![RpcError::invalid(
+            return Err(vec![RpcError::invalid_value(
                 "stream",
                 "no such stream",
                 &stream,
@@ -170,19 +179,19 @@
             .into_iter()
             .find(|name| operation.child(name).is_some())
         {
-            return Err(vec![unsupported(
+            return Err(vec![operation_not_supported(
                 other,
                 "a subscription from now on, to everything",
             )]);
         }
         self.subscribed = true;
-        Ok(Step::Subscribe(self.ok()))
+        Ok(SessionAction::Subscribe(self.ok_reply()))
     }
 
     /// Replies with the text of a module (RFC 6022, section 3.1).
-    fn get_schema(&self, operation: &Element) -> Result<Step, Vec<RpcError>> {
-        let name =
-            text(operation, "identifier").ok_or_else(|| vec![RpcError::missing("identifier")])?;
+    fn get_schema(&self, operation: &Element) -> Result<SessionAction, Vec<RpcError>> {
+        let name = child_text(operation, "identifier")
+            .ok_or_else(|| vec![RpcError::missing_element("identifier")])?;
         let module = self
             .schema
             .modules
@@ -195,7 +204,7 @@
             .map(|module| module.name.as_str())
             .collect();
         let module = module.ok_or_else(|| {
-            vec![RpcError::invalid(
+            vec![RpcError::invalid_value(
                 "identifier",
                 "no such module",
                 &name,
@@ -203,36 +212,36 @@
             )]
         })?;
         let out = format!(
-            "<rpc-reply xmlns=\"{BASE}\"{}><data xmlns=\"{MONITORING}\">",
-            self.attributes
+            "<rpc-reply xmlns=\"{BASE_NAMESPACE}\"{}><data xmlns=\"{MONITORING_NAMESPACE}\">",
+            self.rpc_attributes
         );
-        Ok(Step::Reply(format!(
+        Ok(SessionAction::Reply(format!(
             "{out}{}</data></rpc-reply>",
             escaped(&module.text)
         )))
     }
 }
 
-pub(super) fn text(operation: &Element, name: &str) -> Option<String> {
+pub(super) fn child_text(operation: &Element, name: &str) -> Option<String> {
     operation
         .child(name)
         .map(|child| child.text.trim().to_owned())
 }
 
 /// The datastore that a parameter of an operation names.
-pub(super) fn target(operation: &Element, name: &str) -> Result<Target, Vec<RpcError>> {
+pub(super) fn parse_target(operation: &Element, name: &str) -> Result<Target, Vec<RpcError>> {
     let named = operation
         .child(name)
-        .ok_or_else(|| vec![RpcError::missing(name)])?;
+        .ok_or_else(|| vec![RpcError::missing_element(name)])?;
     match named.children.first().map(|child| child.name.as_str()) {
         Some("running") => Ok(Target::Running),
         Some("candidate") => Ok(Target::Candidate),
-        Some(other) => Err(vec![RpcError::invalid(
+        Some(other) => Err(vec![RpcError::invalid_value(
             name,
             "no such datastore",
             other,
             "running or candidate",
         )]),
-        None => Err(vec![RpcError::missing(name)]),
+        None => Err(vec![RpcError::missing_element(name)]),
     }
 }
--- a/management/src/netconf/session/reply.rs
+++ b/management/src/netconf/session/reply.rs
@@ -4,34 +4,40 @@
 use kestreltide_yang::xml;
 
 use super::Session;
-use super::capabilities::{BASE, NOTIFICATIONS};
+use super::capabilities::{BASE_NAMESPACE, NOTIFICATION_NAMESPACE};
 use super::rpc_error::RpcError;
 
 impl Session {
-    pub(super) fn ok(&self) -> String {
+    pub(super) fn ok_reply(&self) -> String {
         format!(
-            "<rpc-reply xmlns=\"{BASE}\"{}><ok/></rpc-reply>",
-            self.attributes
+            "<rpc-reply xmlns=\"{BASE_NAMESPACE}\"{}><ok/></rpc-reply>",
+            self.rpc_attributes
         )
     }
 
-    pub(super) fn errors(&self, errors: &[RpcError]) -> String {
-        let mut out = format!("<rpc-reply xmlns=\"{BASE}\"{}>", self.attributes);
+    pub(super) fn error_reply(&self, errors: &[RpcError]) -> String {
+        let mut out = format!(
+            "<rpc-reply xmlns=\"{BASE_NAMESPACE}\"{}>",
+            self.rpc_attributes
+        );
         errors.iter().for_each(|error| error.write(&mut out));
         out + "</rpc-reply>"
     }
 
-    pub(super) fn data(&self, data: &[DataNode]) -> String {
-        let mut out = format!("<rpc-reply xmlns=\"{BASE}\"{}><data>", self.attributes);
+    pub(super) fn data_reply(&self, data: &[DataNode]) -> String {
+        let mut out = format!(
+            "<rpc-reply xmlns=\"{BASE_NAMESPACE}\"{}><data>",
+            self.rpc_attributes
+        );
         xml::write(self.schema, data, &mut out);
         out + "</data></rpc-reply>"
     }
 
     /// A notification at a time in Unix seconds, as XML (RFC 5277, section 4).
-    pub fn notification(&self, at: f64, data: &DataNode) -> String {
+    pub fn encode_notification(&self, at: f64, data: &DataNode) -> String {
         let at = kestreltide_yang::binding::format_time(at);
         let mut out =
-            format!("<notification xmlns=\"{NOTIFICATIONS}\"><eventTime>{at}</eventTime>");
+            format!("<notification xmlns=\"{NOTIFICATION_NAMESPACE}\"><eventTime>{at}</eventTime>");
         xml::write(self.schema, std::slice::from_ref(data), &mut out);
         out + "</notification>"
     }
--- a/management/src/netconf/session/rollout_operations.rs
+++ b/management/src/netconf/session/rollout_operations.rs
@@ -6,7 +6,7 @@
 use kestreltide_yang::xml::Element;
 
 use super::rpc_error::{RpcError, edit_error, validation_error};
-use super::{DatastoreOperation, Session, Step};
+use super::{DatastoreOperation, Session, SessionAction};
 use crate::commit_service::CommitServiceHandle;
 
 impl Session {
@@ -17,14 +17,14 @@
         name: &str,
         rights: Rights,
         commit_service: &CommitServiceHandle,
-    ) -> Result<Step, Vec<RpcError>> {
-        let build = self.build_of(operation, name)?;
+    ) -> Result<SessionAction, Vec<RpcError>> {
+        let build = self.parse_build(operation, name)?;
         let mut candidate = Candidate::new(&commit_service.status.load().in_force);
         let before = candidate.tree.clone();
         if operation.name == "let-trial-go" {
             candidate.tree.rollout = Default::default();
         } else {
-            let build = build.ok_or_else(|| vec![RpcError::missing("build")])?;
+            let build = build.ok_or_else(|| vec![RpcError::missing_element("build")])?;
             let leaf = if operation.name == "hold-trial" {
                 "ring/hold"
             } else {
@@ -34,7 +34,7 @@
             self.set_leaf(&mut candidate.tree, leaf, "true")?;
         }
         self.check_rights(&before, &candidate.tree, rights, commit_service)?;
-        Ok(Step::Perform(DatastoreOperation::Commit {
+        Ok(SessionAction::Perform(DatastoreOperation::Commit {
             candidate,
             confirm: None,
             persist_id: None,
@@ -42,7 +42,11 @@
     }
 
     /// The build that the input of an RPC names, if any.
-    fn build_of(&self, operation: &Element, name: &str) -> Result<Option<String>, Vec<RpcError>> {
+    fn parse_build(
+        &self,
+        operation: &Element,
+        name: &str,
+    ) -> Result<Option<String>, Vec<RpcError>> {
         let Some(input) = self.schema.rpcs.get(&operation.name).copied() else {
             return Err(vec![self.unknown_rpc(operation, name)]);
         };
@@ -64,9 +68,9 @@
     fn unknown_rpc(&self, operation: &Element, name: &str) -> RpcError {
         let known: Vec<_> = self.schema.rpcs.keys().map(String::as_str).collect();
         let known = known.join(", ");
-        let error = RpcError::invalid(name, "no such operation", &operation.name, &known);
+        let error = RpcError::invalid_value(name, "no such operation", &operation.name, &known);
         RpcError {
-            tag: "operation-not-supported".into(),
+            error_tag: "operation-not-supported".into(),
             ..error
         }
     }
--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -11,8 +11,8 @@
 /// An `rpc-error` element.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct RpcError {
-    pub(super) kind: &'static str,
-    pub(super) tag: String,
+    pub(super) error_type: &'static str,
+    pub(super) error_tag: String,
     pub(super) path: Option<String>,
     pub(super) message: String,
     /// Names and contents of the elements of `error-info`.
@@ -20,22 +20,26 @@
 }
 
 impl RpcError {
-    pub(super) fn new(kind: &'static str, tag: &str, message: impl Into<String>) -> Self {
+    pub(super) fn new(
+        error_type: &'static str,
+        error_tag: &str,
+        message: impl Into<String>,
+    ) -> Self {
         RpcError {
-            kind,
-            tag: tag.into(),
+            error_type,
+            error_tag: error_tag.into(),
             path: None,
             message: message.into(),
             info: vec![],
         }
     }
 
-    pub(super) fn missing(element: &str) -> Self {
+    pub(super) fn missing_element(element: &str) -> Self {
         let message = format!("{element}: is missing (given: nothing; taken: {element})");
         Self::bad_element("missing-element", element, message)
     }
 
-    pub(super) fn unknown(element: &str) -> Self {
+    pub(super) fn unknown_element(element: &str) -> Self {
         let message =
             format!("{element}: is not known here (given: {element}; taken: what RFC 6241 has)");
         Self::bad_element("unknown-element", element, message)
@@ -58,7 +62,7 @@
         RpcError { info, ..self }
     }
 
-    pub(super) fn invalid(path: &str, problem: &str, found: &str, expected: &str) -> Self {
+    pub(super) fn invalid_value(path: &str, problem: &str, found: &str, expected: &str) -> Self {
         let found = kestreltide_datastore::tree_builder::printable(found);
         Self::new(
             "protocol",
@@ -71,7 +75,7 @@
         let _ = write!(
             out,
             "<rpc-error><error-type>{}</error-type><error-tag>{}</error-tag>",
-            self.kind, self.tag
+            self.error_type, self.error_tag
         );
         out.push_str("<error-severity>error</error-severity>");
         if let Some(path) = &self.path {
@@ -98,7 +102,7 @@
 }
 
 /// The path of a leaf of the datastore as an XPath of the model.
-pub(super) fn xpath(path: &Path) -> String {
+pub(super) fn leaf_xpath(path: &Path) -> String {
     let leaf = path.leaf().name();
     match path {
         Path::Host(name, _) => format!("/kr:router/kr:hosts/kr:host[kr:name='{name}']/kr:{leaf}"),
@@ -110,7 +114,7 @@
     }
 }
 
-fn instance(at: &InstancePath) -> String {
+fn instance_xpath(at: &InstancePath) -> String {
     let mut out = String::new();
     for step in &at.0 {
         let _ = write!(out, "/kr:{}", step.name);
@@ -127,7 +131,7 @@
     } else {
         "operation-failed"
     };
-    let path = error.path.parse().ok().map(|path| xpath(&path));
+    let path = error.path.parse().ok().map(|path| leaf_xpath(&path));
     RpcError {
         path,
         ..RpcError::new("application", tag, error.to_string())
@@ -153,7 +157,7 @@
         }
         _ => vec![],
     };
-    let path = Some(instance(&error.path)).filter(|path| !path.is_empty());
+    let path = Some(instance_xpath(&error.path)).filter(|path| !path.is_empty());
     RpcError {
         path,
         info,
@@ -208,7 +212,7 @@
     }
 }
 
-pub(super) fn denied(problem: &str, rights: Rights) -> RpcError {
+pub(super) fn access_denied(problem: &str, rights: Rights) -> RpcError {
     RpcError::new(
         "protocol",
         "access-denied",
@@ -218,7 +222,7 @@
     )
 }
 
-pub(super) fn unsupported(problem: &str, expected: &str) -> RpcError {
+pub(super) fn operation_not_supported(problem: &str, expected: &str) -> RpcError {
     RpcError::new(
         "protocol",
         "operation-not-supported",
--- a/management/src/netconf/session_task.rs
+++ b/management/src/netconf/session_task.rs
@@ -15,9 +15,9 @@
 use tokio::sync::{Notify, broadcast};
 use tokio::time::interval;
 
-use super::framing::{FrameDecoder, Framing, encode};
+use super::framing::{FrameDecoder, Framing, encode_message};
 use super::server::ServerContext;
-use super::session::{DatastoreOperation, Session, Step};
+use super::session::{DatastoreOperation, Session, SessionAction};
 use crate::commit_service::Notification;
 use crate::end_reason::EndReason;
 use crate::state;
@@ -98,8 +98,11 @@
         mut reader: impl AsyncRead + Unpin,
         kill_signal: &Notify,
     ) -> Result<Infallible, EndReason> {
-        self.send(&encode(Framing::EndMark, &self.session.hello()))
-            .await?;
+        self.send(&encode_message(
+            Framing::EndOfMessage,
+            &self.session.hello(),
+        ))
+        .await?;
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut key_check = interval(KEY_CHECK_INTERVAL);
         let begun = tokio::time::Instant::now();
@@ -132,8 +135,8 @@
         if self.context.rights(self.key).is_none() {
             return Err(EndReason::KeyRevoked);
         }
-        let is_waiting_for_hello = !self.session.chunked()
-            && self.decoder.framing() == Framing::EndMark
+        let is_waiting_for_hello = !self.session.uses_chunked_framing()
+            && self.decoder.framing() == Framing::EndOfMessage
             && !self.session.hello_received();
         if is_waiting_for_hello && elapsed > self.context.limits.login_timeout {
             return Err(EndReason::HelloTimeout);
@@ -161,9 +164,9 @@
         let Some((at, data)) = data else {
             return Ok(());
         };
-        let text = encode(
+        let text = encode_message(
             self.decoder.framing(),
-            &self.session.notification(at, &data),
+            &self.session.encode_notification(at, &data),
         );
         self.send(&text).await
     }
@@ -173,7 +176,7 @@
         self.decoder.push(bytes);
         while let Some(message) = self
             .decoder
-            .message()
+            .next_message()
             .map_err(|_| EndReason::InvalidFraming)?
         {
             self.handle_message(&message).await?;
@@ -183,37 +186,37 @@
 
     async fn handle_message(&mut self, message: &[u8]) -> Result<(), EndReason> {
         let rights = self.context.rights(self.key).ok_or(EndReason::KeyRevoked)?;
-        let step = self
+        let action = self
             .session
-            .message(message, rights, &self.context.commit_service);
-        let (reply, end_reason) = match step {
-            Step::Reply(reply) => (reply, None),
-            Step::Close(reply) => (reply, Some(EndReason::Closed)),
-            Step::Abort(reason) => return Err(EndReason::Aborted(reason)),
-            Step::Subscribe(reply) => {
+            .handle_message(message, rights, &self.context.commit_service);
+        let (reply, end_reason) = match action {
+            SessionAction::Reply(reply) => (reply, None),
+            SessionAction::Close(reply) => (reply, Some(EndReason::Closed)),
+            SessionAction::Abort(reason) => return Err(EndReason::Aborted(reason)),
+            SessionAction::Subscribe(reply) => {
                 self.notifications = Some(self.context.commit_service.notifications.subscribe());
                 (reply, None)
             }
-            Step::Kill(other, reply) => {
+            SessionAction::Kill(other, reply) => {
                 let found = self
                     .context
                     .with_sessions(|sessions| sessions.get(&other).cloned());
                 found.inspect(|kill_signal| kill_signal.notify_one());
                 (reply, None)
             }
-            Step::Perform(operation) => {
+            SessionAction::Perform(operation) => {
                 let result = perform(self.context, self.id, &self.session, &operation).await;
-                (self.session.complete(&operation, result), None)
+                (self.session.complete_operation(&operation, result), None)
             }
         };
         let text = if reply.is_empty() {
             vec![]
         } else {
-            encode(self.decoder.framing(), &reply)
+            encode_message(self.decoder.framing(), &reply)
         };
         // After the hellos both sides use chunks if both support them (RFC 6242, section 4.1).
-        if self.session.chunked() {
-            self.decoder.use_chunks();
+        if self.session.uses_chunked_framing() {
+            self.decoder.use_chunked_framing();
         }
         self.send(&text).await?;
         let Some(reason) = end_reason else {
@@ -253,10 +256,10 @@
             .commit(Some(id), candidate, session.author(), confirm, persist_id)
             .await
             .map(|_| ()),
-        DatastoreOperation::Confirm { persist_id } => {
+        DatastoreOperation::ConfirmCommit { persist_id } => {
             commit_service.confirm(Some(id), persist_id).await
         }
-        DatastoreOperation::Cancel { persist_id } => {
+        DatastoreOperation::CancelCommit { persist_id } => {
             commit_service.cancel(Some(id), persist_id).await
         }
     }
