--- a/management/src/commit_service.rs
+++ b/management/src/commit_service.rs
@@ -132,7 +132,7 @@
 const APPLY_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The error if the commit service does not reply.
-fn unavailable() -> CommitError {
+fn unavailable_error() -> CommitError {
     CommitError::Invalid(
         ValidationError::new(
             "running",
@@ -147,17 +147,17 @@
 impl CommitServiceHandle {
     async fn request<T>(
         &self,
-        make: impl FnOnce(oneshot::Sender<T>) -> CommitServiceRequest,
+        make_request: impl FnOnce(oneshot::Sender<T>) -> CommitServiceRequest,
     ) -> Option<T> {
         let (reply, response) = oneshot::channel();
-        if !(self.submit)(make(reply)) {
+        if !(self.submit)(make_request(reply)) {
             return None;
         }
         response.await.ok()
     }
 
     /// Opens a session; none if the commit service does not reply.
-    pub async fn open(&self) -> Option<SessionId> {
+    pub async fn open_session(&self) -> Option<SessionId> {
         self.request(|reply| CommitServiceRequest::OpenSession { reply })
             .await
     }
@@ -174,7 +174,7 @@
             reply,
         })
         .await
-        .unwrap_or(Err(unavailable()))
+        .unwrap_or(Err(unavailable_error()))
     }
 
     /// Releases a lock.
@@ -189,7 +189,7 @@
             reply,
         })
         .await
-        .unwrap_or(Err(unavailable()))
+        .unwrap_or(Err(unavailable_error()))
     }
 
     /// Checks a candidate.
@@ -198,11 +198,11 @@
     ///
     /// With the validation errors, or when the commit service does not reply.
     pub async fn validate(&self, candidate: Candidate) -> Result<(), CommitError> {
-        let answer = self
+        let response = self
             .request(|reply| CommitServiceRequest::Validate { candidate, reply })
             .await;
-        answer.map_or(Err(unavailable()), |answer| {
-            answer.map_err(CommitError::Invalid)
+        response.map_or(Err(unavailable_error()), |response| {
+            response.map_err(CommitError::Invalid)
         })
     }
 
@@ -211,7 +211,7 @@
     /// # Errors
     ///
     /// When no commit is pending, another session owns it, or the commit service does not reply.
-    pub async fn confirm(
+    pub async fn confirm_commit(
         &self,
         requester: RequestingSession,
         persist_id: Option<String>,
@@ -222,15 +222,15 @@
             reply,
         })
         .await
-        .unwrap_or(Err(unavailable()))
+        .unwrap_or(Err(unavailable_error()))
     }
 
     /// Rolls back the pending commit.
     ///
     /// # Errors
     ///
-    /// As [`CommitServiceHandle::confirm`].
-    pub async fn cancel(
+    /// As [`CommitServiceHandle::confirm_commit`].
+    pub async fn cancel_commit(
         &self,
         requester: RequestingSession,
         persist_id: Option<String>,
@@ -241,7 +241,7 @@
             reply,
         })
         .await
-        .unwrap_or(Err(unavailable()))
+        .unwrap_or(Err(unavailable_error()))
     }
 
     /// Commits a candidate, and returns once the event loop has applied the revision, or after 50 ms.
@@ -257,7 +257,7 @@
         confirmed_commit: Option<ConfirmedCommit>,
         persist_id: Option<String>,
     ) -> Result<CommitOutcome, CommitError> {
-        let make = |reply| {
+        let make_request = |reply| {
             CommitServiceRequest::Commit(Box::new(CommitRequest {
                 requester,
                 candidate,
@@ -267,7 +267,10 @@
                 reply,
             }))
         };
-        let commit = self.request(make).await.unwrap_or(Err(unavailable()))?;
+        let commit = self
+            .request(make_request)
+            .await
+            .unwrap_or(Err(unavailable_error()))?;
         if let CommitOutcome::Applied(snapshot) = &commit {
             let deadline = Instant::now() + APPLY_TIMEOUT;
             while self.applied_revision.load(Relaxed) < snapshot.revision().0
--- a/management/src/gnmi/confirmed_commit.rs
+++ b/management/src/gnmi/confirmed_commit.rs
@@ -22,7 +22,7 @@
         {
             return Some(*session);
         }
-        let session = self.commit_service.open().await?;
+        let session = self.commit_service.open_session().await?;
         let mut sessions = self.sessions.lock().unwrap_or_else(PoisonError::into_inner);
         Some(*sessions.entry(key.name.clone()).or_insert(session))
     }
@@ -38,7 +38,7 @@
             Some(Action::Confirm(_)) => {
                 let session = self.confirming_session(key).await;
                 self.commit_service
-                    .confirm(session, persist_id)
+                    .confirm_commit(session, persist_id)
                     .await
                     .map_err(|error| commit_error_status(&error))?;
                 Ok(true)
@@ -46,7 +46,7 @@
             Some(Action::Cancel(_)) => {
                 let session = self.confirming_session(key).await;
                 self.commit_service
-                    .cancel(session, persist_id)
+                    .cancel_commit(session, persist_id)
                     .await
                     .map_err(|error| commit_error_status(&error))?;
                 Ok(true)
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -23,7 +23,7 @@
         commit_service: &CommitServiceHandle,
     ) -> Result<SessionAction, Vec<RpcError>> {
         let persist_id = child_text(operation, "persist-id");
-        let confirm = match operation.child("confirmed") {
+        let confirmed_commit = match operation.child("confirmed") {
             Some(_) => Some(parse_confirmed_commit(operation)?),
             None => None,
         };
@@ -33,7 +33,10 @@
             .as_ref()
             .is_some_and(|candidate| !candidate.is_unchanged());
         // Without a change it confirms the pending commit, if there is one.
-        if !changed && confirm.is_none() && (published.pending.is_some() || persist_id.is_some()) {
+        if !changed
+            && confirmed_commit.is_none()
+            && (published.pending.is_some() || persist_id.is_some())
+        {
             return Ok(SessionAction::Perform(DatastoreOperation::ConfirmCommit {
                 persist_id,
             }));
@@ -47,7 +50,7 @@
         )?;
         Ok(SessionAction::Perform(DatastoreOperation::Commit {
             candidate,
-            confirm,
+            confirmed_commit,
             persist_id,
         }))
     }
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -14,37 +14,39 @@
 /// The parameters of an edit-config.
 struct EditOptions {
     /// The operation of elements without one.
-    default: Operation,
+    default_operation: Operation,
     /// Whether the result is only checked.
     test_only: bool,
 }
 
 impl EditOptions {
     fn parse(operation: &Element) -> Result<Self, Vec<RpcError>> {
-        let default = child_text(operation, "default-operation").unwrap_or_else(|| "merge".into());
+        let default_operation =
+            child_text(operation, "default-operation").unwrap_or_else(|| "merge".into());
         let invalid = || {
             vec![RpcError::invalid_value(
                 "default-operation",
                 "no such operation",
-                &default,
+                &default_operation,
                 "merge, replace or none",
             )]
         };
-        let default = Operation::from_default_operation(&default).ok_or_else(invalid)?;
+        let default_operation =
+            Operation::from_default_operation(&default_operation).ok_or_else(invalid)?;
         // Edits are applied all or none, whatever the option.
         parse_option(
             operation,
             "error-option",
             ["stop-on-error", "continue-on-error", "rollback-on-error"],
         )?;
-        let test = parse_option(
+        let test_option = parse_option(
             operation,
             "test-option",
             ["test-then-set", "set", "test-only"],
         )?;
         Ok(EditOptions {
-            default,
-            test_only: test == "test-only",
+            default_operation,
+            test_only: test_option == "test-only",
         })
     }
 }
@@ -80,7 +82,7 @@
         &self,
         tree: &mut Tree,
         config: &Element,
-        default: Operation,
+        default_operation: Operation,
     ) -> Result<(), Vec<RpcError>> {
         let mut errors = vec![];
         let edits = edits_from_xml(
@@ -91,7 +93,7 @@
             &mut errors,
         );
         if errors.is_empty() {
-            errors = apply(self.schema, &self.binding, tree, &edits, default)
+            errors = apply(self.schema, &self.binding, tree, &edits, default_operation)
                 .err()
                 .unwrap_or_default();
         }
@@ -117,15 +119,15 @@
             Target::Running => Candidate::new(&commit_service.status.load().in_force),
             Target::Candidate => self.candidate_mut(commit_service).clone(),
         };
-        let before = candidate.tree.clone();
-        let by_default = if options.default == Operation::Replace {
+        let tree_before = candidate.tree.clone();
+        let default_operation = if options.default_operation == Operation::Replace {
             candidate.tree = Tree::default();
             Operation::Merge
         } else {
-            options.default
+            options.default_operation
         };
-        self.apply_config(&mut candidate.tree, config, by_default)?;
-        self.check_rights(&before, &candidate.tree, rights, commit_service)?;
+        self.apply_config(&mut candidate.tree, config, default_operation)?;
+        self.check_rights(&tree_before, &candidate.tree, rights, commit_service)?;
         if options.test_only {
             return Ok(SessionAction::Perform(DatastoreOperation::Validate(
                 candidate,
@@ -134,7 +136,7 @@
         match target {
             Target::Running => Ok(SessionAction::Perform(DatastoreOperation::Commit {
                 candidate,
-                confirm: None,
+                confirmed_commit: None,
                 persist_id: None,
             })),
             Target::Candidate => {
@@ -147,21 +149,23 @@
     /// Rejects changes that the rights do not cover; the commit service records them.
     pub(super) fn check_rights(
         &self,
-        before: &Tree,
-        after: &Tree,
+        tree_before: &Tree,
+        tree_after: &Tree,
         rights: Rights,
         commit_service: &CommitServiceHandle,
     ) -> Result<(), Vec<RpcError>> {
-        rights.check(&before.differences(after)).map_err(|error| {
-            let path = error.path.parse().ok().map(|path| leaf_xpath(&path));
-            (commit_service.submit)(crate::CommitServiceRequest::RecordDeniedEdit {
-                author: self.author(),
-                error: error.clone(),
-            });
-            vec![RpcError {
-                path,
-                ..RpcError::new("application", "access-denied", error.to_string())
-            }]
-        })
+        rights
+            .check(&tree_before.differences(tree_after))
+            .map_err(|error| {
+                let path = error.path.parse().ok().map(|path| leaf_xpath(&path));
+                (commit_service.submit)(crate::CommitServiceRequest::RecordDeniedEdit {
+                    author: self.author(),
+                    error: error.clone(),
+                });
+                vec![RpcError {
+                    path,
+                    ..RpcError::new("application", "access-denied", error.to_string())
+                }]
+            })
     }
 }
--- a/management/src/netconf/session/filter.rs
+++ b/management/src/netconf/session/filter.rs
@@ -13,12 +13,12 @@
         let Some(filter) = filter else {
             return Ok(Filter::All);
         };
-        let of = |name: &str| {
+        let attribute = |name: &str| {
             filter
                 .attribute("", name)
                 .or_else(|| filter.attribute(BASE_NAMESPACE, name))
         };
-        match of("type").unwrap_or("subtree") {
+        match attribute("type").unwrap_or("subtree") {
             "subtree" => Ok(Filter::Subtree(filter.children.clone())),
             "xpath" => {
                 let missing = || {
@@ -29,7 +29,7 @@
                     );
                     vec![error.with_bad_attribute("select", "filter")]
                 };
-                let select = of("select").ok_or_else(missing)?;
+                let select = attribute("select").ok_or_else(missing)?;
                 let invalid = |why: &str| {
                     vec![RpcError::invalid_value(
                         "filter/select",
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -42,7 +42,7 @@
         /// The candidate to commit.
         candidate: Candidate,
         /// The time in which it has to be confirmed; none if it is final.
-        confirm: Option<ConfirmedCommit>,
+        confirmed_commit: Option<ConfirmedCommit>,
         /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -19,12 +19,12 @@
         rights: Rights,
         commit_service: &CommitServiceHandle,
     ) -> Result<SessionAction, Vec<RpcError>> {
-        let own = self
+        let model_module = self
             .schema
             .modules
             .iter()
             .find(|module| module.namespace == operation.namespace);
-        if let Some(module) = own {
+        if let Some(module) = model_module {
             let name = format!("{}:{}", module.name, operation.name);
             return self.rollout_operation(operation, &name, rights, commit_service);
         }
@@ -230,10 +230,10 @@
 
 /// The datastore that a parameter of an operation names.
 pub(super) fn parse_target(operation: &Element, name: &str) -> Result<Target, Vec<RpcError>> {
-    let named = operation
+    let parameter = operation
         .child(name)
         .ok_or_else(|| vec![RpcError::missing_element(name)])?;
-    match named.children.first().map(|child| child.name.as_str()) {
+    match parameter.children.first().map(|child| child.name.as_str()) {
         Some("running") => Ok(Target::Running),
         Some("candidate") => Ok(Target::Candidate),
         Some(other) => Err(vec![RpcError::invalid_value(
--- a/management/src/netconf/session/rollout_operations.rs
+++ b/management/src/netconf/session/rollout_operations.rs
@@ -20,7 +20,7 @@
     ) -> Result<SessionAction, Vec<RpcError>> {
         let build = self.parse_build(operation, name)?;
         let mut candidate = Candidate::new(&commit_service.status.load().in_force);
-        let before = candidate.tree.clone();
+        let tree_before = candidate.tree.clone();
         if operation.name == "let-trial-go" {
             candidate.tree.rollout = Default::default();
         } else {
@@ -33,10 +33,10 @@
             self.set_leaf(&mut candidate.tree, "ring/build", &build)?;
             self.set_leaf(&mut candidate.tree, leaf, "true")?;
         }
-        self.check_rights(&before, &candidate.tree, rights, commit_service)?;
+        self.check_rights(&tree_before, &candidate.tree, rights, commit_service)?;
         Ok(SessionAction::Perform(DatastoreOperation::Commit {
             candidate,
-            confirm: None,
+            confirmed_commit: None,
             persist_id: None,
         }))
     }
--- a/management/src/netconf/session_task.rs
+++ b/management/src/netconf/session_task.rs
@@ -29,7 +29,7 @@
 
 /// Serves one session from its hello to its end.
 pub(super) async fn serve_session(context: Arc<ServerContext>, key: Key, channel: Channel<Msg>) {
-    let Some(id) = context.commit_service.open().await else {
+    let Some(id) = context.commit_service.open_session().await else {
         return;
     };
     let kill_signal = Arc::new(Notify::new());
@@ -71,7 +71,7 @@
         decoder,
         writer,
         notifications: None,
-        missed: 0,
+        missed_notifications: 0,
     };
     match exchange.run(reader, kill_signal).await {
         Err(reason) => reason,
@@ -89,7 +89,7 @@
     /// Notifications, once the client has subscribed to them.
     notifications: Option<broadcast::Receiver<Notification>>,
     /// Notifications that were lost since the last one that was sent.
-    missed: u64,
+    missed_notifications: u64,
 }
 
 impl<W: AsyncWrite + Unpin> Exchange<'_, W> {
@@ -105,12 +105,12 @@
         .await?;
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut key_check = interval(KEY_CHECK_INTERVAL);
-        let begun = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         loop {
             tokio::select! {
                 _ = kill_signal.notified() => return Err(EndReason::Killed),
-                _ = key_check.tick() => self.check_key_and_hello(begun.elapsed())?,
-                notification = next_notification(&mut self.notifications) => self.send_notification(notification).await?,
+                _ = key_check.tick() => self.check_key_and_hello(started.elapsed())?,
+                notification = receive_notification(&mut self.notifications) => self.send_notification(notification).await?,
                 read = reader.read(&mut buffer) => match read {
                     Ok(0) | Err(_) => return Err(EndReason::Disconnected),
                     Ok(count) => self.handle_bytes(&buffer[..count]).await?,
@@ -153,10 +153,10 @@
             Ok(notification) => notification_data(
                 self.context,
                 &notification,
-                std::mem::take(&mut self.missed),
+                std::mem::take(&mut self.missed_notifications),
             ),
             Err(RecvError::Lagged(count)) => {
-                self.missed += count;
+                self.missed_notifications += count;
                 return Ok(());
             }
             Err(RecvError::Closed) => return Err(EndReason::RouterStopping),
@@ -205,7 +205,8 @@
                 (reply, None)
             }
             SessionAction::Perform(operation) => {
-                let result = perform(self.context, self.id, &self.session, &operation).await;
+                let result =
+                    perform_operation(self.context, self.id, &self.session, &operation).await;
                 (self.session.complete_operation(&operation, result), None)
             }
         };
@@ -228,7 +229,7 @@
 }
 
 /// The next notification; pending for ever without a subscription.
-async fn next_notification(
+async fn receive_notification(
     notifications: &mut Option<broadcast::Receiver<Notification>>,
 ) -> Result<Notification, RecvError> {
     match notifications {
@@ -237,7 +238,7 @@
     }
 }
 
-async fn perform(
+async fn perform_operation(
     context: &ServerContext,
     id: SessionId,
     session: &Session,
@@ -250,17 +251,23 @@
         DatastoreOperation::Validate(candidate) => commit_service.validate(candidate).await,
         DatastoreOperation::Commit {
             candidate,
-            confirm,
+            confirmed_commit,
             persist_id,
         } => commit_service
-            .commit(Some(id), candidate, session.author(), confirm, persist_id)
+            .commit(
+                Some(id),
+                candidate,
+                session.author(),
+                confirmed_commit,
+                persist_id,
+            )
             .await
             .map(|_| ()),
         DatastoreOperation::ConfirmCommit { persist_id } => {
-            commit_service.confirm(Some(id), persist_id).await
+            commit_service.confirm_commit(Some(id), persist_id).await
         }
         DatastoreOperation::CancelCommit { persist_id } => {
-            commit_service.cancel(Some(id), persist_id).await
+            commit_service.cancel_commit(Some(id), persist_id).await
         }
     }
 }
@@ -269,17 +276,27 @@
 fn notification_data(
     context: &ServerContext,
     notification: &Notification,
-    missed: u64,
+    missed_notifications: u64,
 ) -> Option<(f64, kestreltide_yang::DataNode)> {
-    let node = |name: &str| -> Option<NodeId> { context.schema.notifications.get(name).copied() };
+    let notification_node =
+        |name: &str| -> Option<NodeId> { context.schema.notifications.get(name).copied() };
     Some(match notification {
         Notification::Committed(record) => (
             record.at,
-            state::revision_committed(context.schema, node("revision-committed")?, record, missed),
+            state::revision_committed_notification(
+                context.schema,
+                notification_node("revision-committed")?,
+                record,
+                missed_notifications,
+            ),
         ),
-        Notification::Rejected(refusal) => (
-            refusal.at,
-            state::candidate_refused(context.schema, node("candidate-refused")?, refusal),
+        Notification::Rejected(rejection) => (
+            rejection.at,
+            state::candidate_rejected_notification(
+                context.schema,
+                notification_node("candidate-refused")?,
+                rejection,
+            ),
         ),
     })
 }
--- a/management/src/netconf/ssh_connection.rs
+++ b/management/src/netconf/ssh_connection.rs
@@ -20,7 +20,7 @@
 const SUBSYSTEM: &str = "netconf";
 
 /// The kind and text of a key, as the file of keys has them.
-fn credential(key: &PublicKey) -> Option<Credential> {
+fn ssh_credential(key: &PublicKey) -> Option<Credential> {
     let text = key.to_openssh().ok()?;
     let mut words = text.split_whitespace();
     Some(Credential::Ssh(format!(
@@ -61,7 +61,7 @@
         user: &str,
         key: VerifiedPublicKey<'_>,
     ) -> Result<Auth, Self::Error> {
-        let known = credential(key.public_key).and_then(|credential| {
+        let registered_key = ssh_credential(key.public_key).and_then(|credential| {
             self.context
                 .commit_service
                 .keys
@@ -69,7 +69,7 @@
                 .find(&credential)
                 .cloned()
         });
-        Ok(match known.filter(|key| key.name == user) {
+        Ok(match registered_key.filter(|key| key.name == user) {
             Some(key) => {
                 self.authenticated.store(true, Relaxed);
                 self.key = Some(key);
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -9,7 +9,7 @@
 use kestreltide_yang::{Content, DataNode, NodeId, Schema};
 
 /// Changes of one revision that are shown, at most.
-const MAX_CHANGES: usize = 100;
+const MAX_LISTED_CHANGES: usize = 100;
 
 fn phase_name(phase: Phase) -> &'static str {
     match phase {
@@ -37,7 +37,7 @@
 }
 
 fn put_changes(builder: &mut DataBuilder, record: &RevisionRecord) {
-    for change in record.changes.iter().take(MAX_CHANGES) {
+    for change in record.changes.iter().take(MAX_LISTED_CHANGES) {
         builder.put("change", change);
     }
 }
@@ -45,15 +45,15 @@
 /// The state of the router, as the container `state` of the model; none if the model has no such container.
 pub fn router_state(
     schema: &Schema,
-    view: &OperationalState,
-    published: &CoordinatorStatus,
+    operational_state: &OperationalState,
+    status: &CoordinatorStatus,
 ) -> Option<DataNode> {
     let mut state = DataBuilder::new(schema, schema.find(&["router", "state"])?);
-    put_load(&mut state, view, published);
-    put_rollout(&mut state, view);
-    put_hosts(&mut state, view, published);
-    put_history(&mut state, published);
-    put_last_rejection(&mut state, published);
+    put_router_status(&mut state, operational_state, status);
+    put_rollout(&mut state, operational_state);
+    put_hosts(&mut state, operational_state, status);
+    put_history(&mut state, status);
+    put_last_rejection(&mut state, status);
     debug_assert!(
         state.unknown_names.is_empty(),
         "the model has all that is shown: {:?}",
@@ -62,26 +62,33 @@
     Some(state.build())
 }
 
-fn put_load(state: &mut DataBuilder, view: &OperationalState, published: &CoordinatorStatus) {
+fn put_router_status(
+    state: &mut DataBuilder,
+    operational_state: &OperationalState,
+    status: &CoordinatorStatus,
+) {
     state
-        .put("revision", published.in_force.revision.0)
-        .put("revisions-taken", view.revisions_applied)
-        .put("longest-pause", format_decimal(view.longest_apply_time))
-        .put("open-invocations", view.requests_in_flight)
-        .put("clients", view.clients)
-        .put("links", view.upstream_connections);
+        .put("revision", status.in_force.revision.0)
+        .put("revisions-taken", operational_state.revisions_applied)
+        .put(
+            "longest-pause",
+            format_decimal(operational_state.longest_apply_time),
+        )
+        .put("open-invocations", operational_state.requests_in_flight)
+        .put("clients", operational_state.clients)
+        .put("links", operational_state.upstream_connections);
     state.put_inner("counts", |counts| {
         counts
-            .put("taken", view.counts.admitted)
-            .put("succeeded", view.counts.succeeded)
-            .put("throttled", view.counts.shed)
-            .put("terminated", view.counts.failed)
-            .put("dispatches", view.counts.attempts);
+            .put("taken", operational_state.counts.admitted)
+            .put("succeeded", operational_state.counts.succeeded)
+            .put("throttled", operational_state.counts.shed)
+            .put("terminated", operational_state.counts.failed)
+            .put("dispatches", operational_state.counts.attempts);
     });
 }
 
-fn put_rollout(state: &mut DataBuilder, view: &OperationalState) {
-    let Some(rollout) = view.rollout else {
+fn put_rollout(state: &mut DataBuilder, operational_state: &OperationalState) {
+    let Some(rollout) = operational_state.rollout else {
         return;
     };
     state.put_inner("trial", |trial| {
@@ -94,14 +101,18 @@
 }
 
 /// The hosts of the configuration and of discovery, together.
-fn put_hosts(state: &mut DataBuilder, view: &OperationalState, published: &CoordinatorStatus) {
-    let in_force = &published.in_force;
+fn put_hosts(
+    state: &mut DataBuilder,
+    operational_state: &OperationalState,
+    status: &CoordinatorStatus,
+) {
+    let in_force = &status.in_force;
     let hosts = merge::merge_hosts(
         &in_force.tree,
         in_force.first_listed(),
-        view.discovery.as_deref(),
+        operational_state.discovery.as_deref(),
     );
-    let discovered = view.discovery.as_deref().unwrap_or_default();
+    let discovered = operational_state.discovery.as_deref().unwrap_or_default();
     for host in hosts.values() {
         let from_discovery = discovered.iter().any(|listed| listed.name == host.name);
         state.put_inner("host", |entry| {
@@ -117,8 +128,8 @@
     }
 }
 
-fn put_history(state: &mut DataBuilder, published: &CoordinatorStatus) {
-    for record in published.history.iter() {
+fn put_history(state: &mut DataBuilder, status: &CoordinatorStatus) {
+    for record in status.history.iter() {
         state.put_inner("revision-record", |entry| {
             entry
                 .put("number", record.number)
@@ -130,17 +141,17 @@
     }
 }
 
-fn put_last_rejection(state: &mut DataBuilder, published: &CoordinatorStatus) {
-    let Some(rejection) = &published.last_rejection else {
+fn put_last_rejection(state: &mut DataBuilder, status: &CoordinatorStatus) {
+    let Some(rejection) = &status.last_rejection else {
         return;
     };
-    state.put_inner("last-refusal", |refusal| {
-        refusal
+    state.put_inner("last-refusal", |last_rejection| {
+        last_rejection
             .put("at", format_time(rejection.at))
             .put("stays", rejection.revision);
-        put_author(refusal, &rejection.author);
+        put_author(last_rejection, &rejection.author);
         for (number, error) in rejection.errors.first.iter().enumerate() {
-            refusal.put_inner("fault", |fault| {
+            last_rejection.put_inner("fault", |fault| {
                 fault.put("number", number);
                 put_validation_error(fault, error);
             });
@@ -152,20 +163,21 @@
 pub fn operational_data(
     schema: &Schema,
     binding: &Binding,
-    view: &OperationalState,
-    published: &CoordinatorStatus,
+    operational_state: &OperationalState,
+    status: &CoordinatorStatus,
 ) -> DataNode {
-    let mut router = binding.tree_data(schema, &published.in_force.tree);
-    if let (Content::Inner(children), Some(state)) =
-        (&mut router.content, router_state(schema, view, published))
-    {
+    let mut router = binding.tree_data(schema, &status.in_force.tree);
+    if let (Content::Inner(children), Some(state)) = (
+        &mut router.content,
+        router_state(schema, operational_state, status),
+    ) {
         children.push(state);
     }
     router
 }
 
 /// The notification that a revision was committed; `missed` notifications before it were not sent.
-pub fn revision_committed(
+pub fn revision_committed_notification(
     schema: &Schema,
     node: NodeId,
     record: &RevisionRecord,
@@ -182,7 +194,11 @@
 }
 
 /// The notification that a candidate was rejected.
-pub fn candidate_refused(schema: &Schema, node: NodeId, rejection: &RejectedCommit) -> DataNode {
+pub fn candidate_rejected_notification(
+    schema: &Schema,
+    node: NodeId,
+    rejection: &RejectedCommit,
+) -> DataNode {
     let mut notification = DataBuilder::new(schema, node);
     put_author(&mut notification, &rejection.author);
     notification.put("stays", rejection.revision);
