--- a/management/src/gnmi/access.rs
+++ b/management/src/gnmi/access.rs
@@ -3,11 +3,11 @@
 use kestreltide_datastore::{Credential, Key, Rights};
 use tonic::{Request, Status};
 
-use super::Service;
+use super::GnmiService;
 
-impl Service {
+impl GnmiService {
     /// The key of the client of a request, and its rights.
-    pub(super) fn key<T>(&self, request: &Request<T>) -> Result<(Key, Rights), Status> {
+    pub(super) fn authenticate<T>(&self, request: &Request<T>) -> Result<(Key, Rights), Status> {
         let denied = || {
             Status::unauthenticated(
                 "certificate: is not in the file of keys (given: another; taken: one of it)",
@@ -29,8 +29,8 @@
     }
 
     /// The key of the client of a request, which may read.
-    pub(super) fn may_read<T>(&self, request: &Request<T>) -> Result<Key, Status> {
-        let (key, rights) = self.key(request)?;
+    pub(super) fn authorize_read<T>(&self, request: &Request<T>) -> Result<Key, Status> {
+        let (key, rights) = self.authenticate(request)?;
         let denied = format!(
             "reading: is beyond the rights of this key (given: {rights}; taken: the right read)"
         );
--- a/management/src/gnmi/arbitration.rs
+++ b/management/src/gnmi/arbitration.rs
@@ -5,7 +5,7 @@
 
 use tonic::Status;
 
-use super::Service;
+use super::GnmiService;
 use super::errors::invalid_argument;
 use crate::proto::gnmi_ext::{MasterArbitration, Uint128};
 
@@ -36,7 +36,7 @@
     }
 }
 
-impl Service {
+impl GnmiService {
     /// Rejects a client whose election id is lower than the highest one of its role.
     pub(super) fn check_master(&self, arbitration: &MasterArbitration) -> Result<(), Status> {
         let role = arbitration
@@ -52,14 +52,17 @@
                 "an election id",
             )
         })?;
-        let mut masters = self.masters.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut highest_election_ids = self
+            .highest_election_ids
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         // Roles are never forgotten, so their number is limited.
-        if masters.len() >= MAX_ROLES && !masters.contains_key(role) {
+        if highest_election_ids.len() >= MAX_ROLES && !highest_election_ids.contains_key(role) {
             return Err(Status::resource_exhausted(
                 "master_arbitration/role: too many roles (given: one more; taken: 64)",
             ));
         }
-        let highest = masters.entry(role.into()).or_insert(id);
+        let highest = highest_election_ids.entry(role.into()).or_insert(id);
         if id < *highest {
             let problem = format!(
                 "master_arbitration: another client is master (given: {id}; taken: {highest})"
--- a/management/src/gnmi/confirmed_commit.rs
+++ b/management/src/gnmi/confirmed_commit.rs
@@ -6,16 +6,16 @@
 use kestreltide_datastore::commit_coordinator::SessionId;
 use tonic::Status;
 
-use super::Service;
+use super::GnmiService;
 use super::errors::{commit_error_status, invalid_argument};
 use crate::proto::gnmi_ext::Commit as CommitExt;
 use crate::proto::gnmi_ext::commit::Action;
 
-impl Service {
+impl GnmiService {
     /// The session at the commit service that owns the pending commits of a key; none if the service does not reply.
     pub(super) async fn confirming_session(&self, key: &Key) -> Option<SessionId> {
         if let Some(session) = self
-            .sessions
+            .commit_sessions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .get(&key.name)
@@ -23,7 +23,10 @@
             return Some(*session);
         }
         let session = self.commit_service.open_session().await?;
-        let mut sessions = self.sessions.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut sessions = self
+            .commit_sessions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         Some(*sessions.entry(key.name.clone()).or_insert(session))
     }
 
--- a/management/src/gnmi/connections.rs
+++ b/management/src/gnmi/connections.rs
@@ -2,7 +2,7 @@
 
 use std::pin::Pin;
 use std::sync::Arc;
-use std::task::{Context, Poll as Ready};
+use std::task::{Context, Poll};
 use std::time::Duration;
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
@@ -34,7 +34,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
-    ) -> Ready<std::io::Result<()>> {
+    ) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
@@ -44,15 +44,15 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
-    ) -> Ready<std::io::Result<usize>> {
+    ) -> Poll<std::io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Ready<std::io::Result<()>> {
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Ready<std::io::Result<()>> {
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.stream).poll_shutdown(cx)
     }
 }
--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -10,9 +10,9 @@
 use serde_json::Value as Json;
 use tonic::Status;
 
-use super::Service;
+use super::GnmiService;
 use super::errors::{edit_errors_status, invalid_argument};
-use super::paths::{path_text, pattern};
+use super::paths::{format_path, parse_pattern};
 use crate::proto::gnmi::typed_value::Value;
 use crate::proto::gnmi::{Path, TypedValue};
 
@@ -27,34 +27,34 @@
     list: Option<NodeId>,
 }
 
-impl Service {
+impl GnmiService {
     /// The edits of one update, replacement or deletion.
-    pub(super) fn edit(
+    pub(super) fn edits_of_operation(
         &self,
         prefix: Option<&Path>,
         path: &Path,
         value: Option<&TypedValue>,
         operation: Operation,
     ) -> Result<Vec<Edit>, Status> {
-        let shown = path_text(path);
-        let pattern = pattern(prefix, path)?;
-        let target = self.edit_target(&pattern, &shown)?;
+        let path_string = format_path(path);
+        let pattern = parse_pattern(prefix, path)?;
+        let target = self.edit_target(&pattern, &path_string)?;
         let mut edits = vec![];
         if operation == Operation::Remove || operation == Operation::Replace {
-            edits.extend(self.removal_edits(&target, &shown)?);
+            edits.extend(self.removal_edits(&target, &path_string)?);
         }
         if operation == Operation::Remove {
             return Ok(edits);
         }
         let value = value
             .and_then(|value| value.value.as_ref())
-            .ok_or_else(|| invalid_argument(&shown, "has no value", "nothing", "a value"))?;
-        edits.extend(self.edits_of_value(&target, &shown, value)?);
+            .ok_or_else(|| invalid_argument(&path_string, "has no value", "nothing", "a value"))?;
+        edits.extend(self.merge_edits(&target, &path_string, value)?);
         Ok(edits)
     }
 
     /// The target of a path: one instance, or all entries of a list or leaf-list without keys.
-    fn edit_target(&self, pattern: &Pattern, shown: &str) -> Result<EditTarget, Status> {
+    fn edit_target(&self, pattern: &Pattern, path_string: &str) -> Result<EditTarget, Status> {
         if let Some((parent, node)) = self.list_without_keys(pattern) {
             let name = self.schema.node_of(node).name.clone();
             return Ok(EditTarget {
@@ -66,7 +66,7 @@
         }
         let (mut parent, node) = pattern
             .instance(self.schema)
-            .map_err(|error| no_instance(shown, &error.to_string()))?;
+            .map_err(|error| no_instance_status(path_string, &error.to_string()))?;
         let step = parent.0.pop().unwrap_or(Step {
             name: String::new(),
             keys: vec![],
@@ -105,8 +105,8 @@
     }
 
     /// Edits that remove the target, or all its entries.
-    fn removal_edits(&self, target: &EditTarget, shown: &str) -> Result<Vec<Edit>, Status> {
-        let removal_edits = self.entries_to_remove(target.node, &target.step, target.list);
+    fn removal_edits(&self, target: &EditTarget, path_string: &str) -> Result<Vec<Edit>, Status> {
+        let removed_entries = self.entries_to_remove(target.node, &target.step, target.list);
         let removal = |(node, step)| Edit {
             node,
             operation: Some(Operation::Remove),
@@ -114,17 +114,17 @@
             step,
             children: vec![],
         };
-        removal_edits
+        removed_entries
             .into_iter()
-            .map(|found| self.place(&target.parent, removal(found), shown))
+            .map(|found| self.edit_from_root(&target.parent, removal(found), path_string))
             .collect()
     }
 
     /// Edits that merge a value into the target.
-    fn edits_of_value(
+    fn merge_edits(
         &self,
         target: &EditTarget,
-        shown: &str,
+        path_string: &str,
         value: &Value,
     ) -> Result<Vec<Edit>, Status> {
         let EditTarget {
@@ -133,14 +133,14 @@
             step,
             list,
         } = target;
-        let json = self.json_value_of(shown, *node, value)?;
+        let json = self.typed_value_to_json(path_string, *node, value)?;
         let mut errors = vec![];
         let edits = match (*node, *list) {
             (Some(node), Some(_)) => {
                 edits_from_json_value(self.schema, node, parent, &json, &mut errors)
             }
             (Some(node), None) => {
-                let json = with_keys(json, step);
+                let json = with_path_keys(json, step);
                 edit_from_json(self.schema, node, parent, &json, &mut errors)
                     .into_iter()
                     .collect()
@@ -166,13 +166,19 @@
         };
         edits
             .into_iter()
-            .map(|edit| self.place(parent, merge(edit), shown))
+            .map(|edit| self.edit_from_root(parent, merge(edit), path_string))
             .collect()
     }
 
     /// An edit below its parent, from the top of the model.
-    fn place(&self, parent: &InstancePath, edit: Edit, shown: &str) -> Result<Edit, Status> {
-        edit_at_path(self.schema, parent, edit).ok_or_else(|| no_instance(shown, "leads nowhere"))
+    fn edit_from_root(
+        &self,
+        parent: &InstancePath,
+        edit: Edit,
+        path_string: &str,
+    ) -> Result<Edit, Status> {
+        edit_at_path(self.schema, parent, edit)
+            .ok_or_else(|| no_instance_status(path_string, "leads nowhere"))
     }
 
     /// The instances that a removal of the target has to remove.
@@ -216,12 +222,12 @@
     }
 }
 
-fn no_instance(shown: &str, why: &str) -> Status {
-    invalid_argument(shown, why, shown, "one instance, with its keys")
+fn no_instance_status(path_string: &str, why: &str) -> Status {
+    invalid_argument(path_string, why, path_string, "one instance, with its keys")
 }
 
 /// Adds the keys of the path to a value that does not repeat them.
-fn with_keys(json: Json, step: &Step) -> Json {
+fn with_path_keys(json: Json, step: &Step) -> Json {
     match json {
         Json::Object(mut members) => {
             for (key, value) in &step.keys {
--- a/management/src/gnmi/encoding.rs
+++ b/management/src/gnmi/encoding.rs
@@ -8,9 +8,9 @@
 use serde_json::Value as Json;
 use tonic::Status;
 
-use super::Service;
+use super::GnmiService;
 use super::errors::invalid_argument;
-use super::paths::path_of;
+use super::paths::to_gnmi_path;
 use crate::proto::gnmi::typed_value::Value;
 use crate::proto::gnmi::{Encoding, ScalarArray, TypedValue, Update};
 
@@ -24,8 +24,8 @@
     }
 }
 
-impl Service {
-    pub(super) fn json_value(&self, data: &DataNode, encoding: Encoding) -> TypedValue {
+impl GnmiService {
+    pub(super) fn encode_json(&self, data: &DataNode, encoding: Encoding) -> TypedValue {
         let bytes = json::value(self.schema, data).to_string().into_bytes();
         let value = if encoding == Encoding::Json {
             Value::JsonVal(bytes)
@@ -36,13 +36,13 @@
     }
 
     /// A received value as JSON, whatever its encoding.
-    pub(super) fn json_value_of(
+    pub(super) fn typed_value_to_json(
         &self,
         at: &str,
         node: Option<NodeId>,
         value: &Value,
     ) -> Result<Json, Status> {
-        let typed = |text: String| {
+        let scalar_to_json = |text: String| {
             let kind = node.map(|node| &self.schema.node_of(node).kind);
             match kind {
                 Some(NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type })
@@ -65,16 +65,16 @@
                     )
                 })?
             }
-            Value::StringVal(text) | Value::AsciiVal(text) => typed(text.clone()),
-            Value::IntVal(number) => typed(number.to_string()),
-            Value::UintVal(number) => typed(number.to_string()),
-            Value::DoubleVal(number) => typed(format!("{number:.6}")),
+            Value::StringVal(text) | Value::AsciiVal(text) => scalar_to_json(text.clone()),
+            Value::IntVal(number) => scalar_to_json(number.to_string()),
+            Value::UintVal(number) => scalar_to_json(number.to_string()),
+            Value::DoubleVal(number) => scalar_to_json(format!("{number:.6}")),
             Value::BoolVal(flag) => Json::Bool(*flag),
             Value::LeaflistVal(all) => {
                 let items = all.element.iter().filter_map(|item| item.value.as_ref());
                 Json::Array(
                     items
-                        .map(|item| self.json_value_of(at, node, item))
+                        .map(|item| self.typed_value_to_json(at, node, item))
                         .collect::<Result<_, _>>()?,
                 )
             }
@@ -91,16 +91,16 @@
 }
 
 /// The update of one leaf.
-pub(super) fn update(at: &InstancePath, value: &TypedValue, duplicates: u32) -> Update {
+pub(super) fn leaf_update(at: &InstancePath, value: &TypedValue, duplicates: u32) -> Update {
     Update {
-        path: Some(path_of(at)),
+        path: Some(to_gnmi_path(at)),
         val: Some(value.clone()),
         duplicates,
     }
 }
 
 /// Collects the leaves of a data node with their values; the values of a leaf-list are one array.
-pub(super) fn collect_leaves(
+pub(super) fn collect_leaf_values(
     schema: &Schema,
     encoding: Encoding,
     at: &InstancePath,
@@ -110,11 +110,11 @@
     match &data.content {
         Content::Inner(children) => {
             children.iter().for_each(|child| {
-                collect_leaves(schema, encoding, &at.child(child.step(schema)), child, out)
+                collect_leaf_values(schema, encoding, &at.child(child.step(schema)), child, out)
             });
         }
         Content::Leaf(text) => {
-            let list = matches!(schema.node_of(data.node).kind, NodeKind::LeafList { .. });
+            let is_leaf_list = matches!(schema.node_of(data.node).kind, NodeKind::LeafList { .. });
             let value = json::value(schema, data);
             let value = match (encoding, value) {
                 (Encoding::Proto, Json::Bool(flag)) => Value::BoolVal(flag),
@@ -122,11 +122,11 @@
                     Some(number) => Value::UintVal(number),
                     None => Value::IntVal(number.as_i64().unwrap_or_default()),
                 },
-                (Encoding::Proto, _) => proto_text(schema, data.node, text),
+                (Encoding::Proto, _) => proto_value(schema, data.node, text),
                 (Encoding::Json, value) => Value::JsonVal(value.to_string().into_bytes()),
                 (_, value) => Value::JsonIetfVal(value.to_string().into_bytes()),
             };
-            match (list, out.get_mut(at)) {
+            match (is_leaf_list, out.get_mut(at)) {
                 (
                     true,
                     Some(TypedValue {
@@ -151,7 +151,7 @@
 }
 
 /// The PROTO value of a leaf that is a string in JSON: integers of 64 bits and decimals are numbers in PROTO.
-fn proto_text(schema: &Schema, node: NodeId, text: &str) -> Value {
+fn proto_value(schema: &Schema, node: NodeId, text: &str) -> Value {
     use kestreltide_yang::types::Type;
     match &schema.node_of(node).kind {
         NodeKind::Leaf {
--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -7,20 +7,22 @@
 use kestreltide_yang::path::Pattern;
 use tonic::{Request, Response, Status};
 
-use super::encoding::{collect_leaves, supported_encoding};
-use super::paths::{leads_nowhere, path_of, path_text, pattern, select};
-use super::{Service, nanos};
+use super::encoding::{collect_leaf_values, supported_encoding};
+use super::paths::{
+    format_path, parse_pattern, select_instances, to_gnmi_path, unknown_path_status,
+};
+use super::{GnmiService, unix_nanoseconds};
 use crate::proto::gnmi::{
     Encoding, GetRequest, GetResponse, Notification, Path, Update, get_request,
 };
 use crate::state;
 
-impl Service {
-    pub(super) async fn answer_get(
+impl GnmiService {
+    pub(super) async fn handle_get(
         &self,
         request: Request<GetRequest>,
     ) -> Result<Response<GetResponse>, Status> {
-        self.may_read(&request)?;
+        self.authorize_read(&request)?;
         let request = request.into_inner();
         let encoding = supported_encoding(request.encoding)?;
         let data = state::operational_data(
@@ -29,24 +31,24 @@
             &self.commit_service.operational_state.load(),
             &self.commit_service.status.load(),
         );
-        let data = self.retain_type(data, request.r#type);
-        let timestamp = nanos();
+        let data = self.retain_data_type(data, request.r#type);
+        let timestamp = unix_nanoseconds();
         let mut notification = Vec::new();
-        let everything = [Path::default()];
+        let root_path = [Path::default()];
         for path in if request.path.is_empty() {
-            &everything[..]
+            &root_path[..]
         } else {
             &request.path
         } {
-            let pattern = pattern(request.prefix.as_ref(), path)?;
+            let pattern = parse_pattern(request.prefix.as_ref(), path)?;
             if !pattern.matches_schema(self.schema) {
-                return Err(leads_nowhere(path));
+                return Err(unknown_path_status(path));
             }
-            let update = self.updates_of(&pattern, &data, encoding);
+            let update = self.select_updates(&pattern, &data, encoding);
             if update.is_empty() && pattern.instance(self.schema).is_ok() && !pattern.0.is_empty() {
                 return Err(Status::not_found(format!(
                     "{}: is not there (given: {0}; taken: what is there)",
-                    path_text(path)
+                    format_path(path)
                 )));
             }
             notification.push(Notification {
@@ -64,7 +66,7 @@
     }
 
     /// The part of the data that a type names: configuration, state or both.
-    fn retain_type(&self, mut data: DataNode, data_type: i32) -> Vec<DataNode> {
+    fn retain_data_type(&self, mut data: DataNode, data_type: i32) -> Vec<DataNode> {
         use get_request::DataType;
         if let Content::Inner(children) = &mut data.content {
             let config = |child: &DataNode| self.schema.node_of(child.node).config;
@@ -79,25 +81,30 @@
         vec![data]
     }
 
-    fn updates_of(&self, pattern: &Pattern, data: &[DataNode], encoding: Encoding) -> Vec<Update> {
-        let found = select(self.schema, pattern, data);
+    fn select_updates(
+        &self,
+        pattern: &Pattern,
+        data: &[DataNode],
+        encoding: Encoding,
+    ) -> Vec<Update> {
+        let found = select_instances(self.schema, pattern, data);
         if encoding == Encoding::Proto {
             let mut leaves = BTreeMap::new();
             found.iter().for_each(|(at, data)| {
-                collect_leaves(self.schema, encoding, at, data, &mut leaves)
+                collect_leaf_values(self.schema, encoding, at, data, &mut leaves)
             });
             return leaves
                 .into_iter()
                 .map(|(at, val)| Update {
-                    path: Some(path_of(&at)),
+                    path: Some(to_gnmi_path(&at)),
                     val: Some(val),
                     duplicates: 0,
                 })
                 .collect();
         }
         let update = |(at, data): (InstancePath, &DataNode)| Update {
-            path: Some(path_of(&at)),
-            val: Some(self.json_value(data, encoding)),
+            path: Some(to_gnmi_path(&at)),
+            val: Some(self.encode_json(data, encoding)),
             duplicates: 0,
         };
         found.into_iter().map(update).collect()
--- a/management/src/gnmi/mod.rs
+++ b/management/src/gnmi/mod.rs
@@ -31,7 +31,7 @@
 use self::arbitration::ElectionId;
 pub use self::serve::{TlsCredentials, serve};
 use self::snapshot::Snapshot;
-use self::subscribe::Responses;
+use self::subscribe::SubscribeResponses;
 use crate::Limits;
 use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::g_nmi_server::GNmi;
@@ -41,10 +41,10 @@
 };
 
 /// The version of the gNMI specification.
-const VERSION: &str = "0.10.0";
+const GNMI_VERSION: &str = "0.10.0";
 
 /// The gNMI service, shared by all connections.
-pub struct Service {
+pub struct GnmiService {
     log: Logger,
     commit_service: CommitServiceHandle,
     limits: Limits,
@@ -52,22 +52,22 @@
     binding: Arc<Binding>,
     snapshot: watch::Receiver<Arc<Snapshot>>,
     /// The highest election id of each role; the client that has it is the master.
-    masters: Mutex<BTreeMap<String, ElectionId>>,
+    highest_election_ids: Mutex<BTreeMap<String, ElectionId>>,
     /// Sessions at the commit service that own pending commits, by the names of the keys.
-    sessions: Mutex<BTreeMap<String, SessionId>>,
+    commit_sessions: Mutex<BTreeMap<String, SessionId>>,
     /// Open Subscribe streams.
-    streams: Arc<AtomicUsize>,
+    open_streams: Arc<AtomicUsize>,
     /// The number of the next Set request.
-    next_set: AtomicU32,
+    next_set_number: AtomicU32,
 }
 
 /// The time in Unix nanoseconds, as gNMI has it.
-fn nanos() -> i64 {
+fn unix_nanoseconds() -> i64 {
     (crate::clock::unix_seconds() * 1e9) as i64
 }
 
-impl Service {
-    fn models(&self) -> Vec<ModelData> {
+impl GnmiService {
+    fn supported_models(&self) -> Vec<ModelData> {
         let model = |module: &kestreltide_yang::schema::Module| ModelData {
             name: module.name.clone(),
             organization: module.organization.clone(),
@@ -78,38 +78,38 @@
 }
 
 #[tonic::async_trait]
-impl GNmi for Service {
-    type SubscribeStream = Responses;
+impl GNmi for GnmiService {
+    type SubscribeStream = SubscribeResponses;
 
     async fn capabilities(
         &self,
         request: Request<CapabilityRequest>,
     ) -> Result<Response<CapabilityResponse>, Status> {
-        self.key(&request)?;
+        self.authenticate(&request)?;
         Ok(Response::new(CapabilityResponse {
-            supported_models: self.models(),
+            supported_models: self.supported_models(),
             supported_encodings: vec![
                 Encoding::JsonIetf.into(),
                 Encoding::Json.into(),
                 Encoding::Proto.into(),
             ],
-            g_nmi_version: VERSION.into(),
+            g_nmi_version: GNMI_VERSION.into(),
             extension: vec![],
         }))
     }
 
     async fn get(&self, request: Request<GetRequest>) -> Result<Response<GetResponse>, Status> {
-        self.answer_get(request).await
+        self.handle_get(request).await
     }
 
     async fn set(&self, request: Request<SetRequest>) -> Result<Response<SetResponse>, Status> {
-        self.apply_set(request).await
+        self.handle_set(request).await
     }
 
     async fn subscribe(
         &self,
         request: Request<Streaming<SubscribeRequest>>,
-    ) -> Result<Response<Responses>, Status> {
-        self.start_subscription(request).await
+    ) -> Result<Response<SubscribeResponses>, Status> {
+        self.handle_subscribe(request).await
     }
 }
--- a/management/src/gnmi/path_subscription.rs
+++ b/management/src/gnmi/path_subscription.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use tonic::Status;
 
-use super::encoding::update;
+use super::encoding::leaf_update;
 use super::errors::invalid_argument;
 use super::snapshot::{Leaves, Selection, Snapshot};
 use crate::Limits;
@@ -72,7 +72,7 @@
     }
 
     /// When its next timer expires.
-    pub(super) fn next_timer(&self) -> Option<Instant> {
+    pub(super) fn next_timer_at(&self) -> Option<Instant> {
         [self.next_sample, self.next_heartbeat]
             .into_iter()
             .flatten()
@@ -80,7 +80,7 @@
     }
 
     /// What is due to be sent, if anything; expired timers start again.
-    pub(super) fn due_at(&mut self, now: Instant, changed: bool) -> Option<Due> {
+    pub(super) fn take_due_updates(&mut self, now: Instant, changed: bool) -> Option<DueUpdates> {
         let sample_due = self.next_sample.is_some_and(|at| at <= now);
         let heartbeat_due = self.next_heartbeat.is_some_and(|at| at <= now);
         if sample_due {
@@ -93,9 +93,9 @@
             return None;
         }
         Some(if heartbeat_due || sample_due && !self.suppress_redundant {
-            Due::Everything
+            DueUpdates::AllLeaves
         } else {
-            Due::Changes
+            DueUpdates::ChangedLeaves
         })
     }
 
@@ -105,16 +105,16 @@
         &mut self,
         schema: &Schema,
         snapshot: &Snapshot,
-        due: Due,
+        due: DueUpdates,
         coalesced: u32,
     ) -> (Vec<Update>, Vec<Path>) {
-        let (now, changes) = snapshot.changes(schema, &self.selection, &self.sent);
+        let (current_leaves, changes) = snapshot.changes_since(schema, &self.selection, &self.sent);
         let mut updates: Vec<_> = changes
             .updates
             .iter()
-            .map(|(at, value)| update(at, value, coalesced))
+            .map(|(at, value)| leaf_update(at, value, coalesced))
             .collect();
-        if due == Due::Everything {
+        if due == DueUpdates::AllLeaves {
             let is_changed = |at: &InstancePath| {
                 changes
                     .updates
@@ -122,21 +122,22 @@
                     .is_ok()
             };
             updates.extend(
-                now.iter()
+                current_leaves
+                    .iter()
                     .filter(|(at, _)| !is_changed(at))
-                    .map(|(at, value)| update(at, value, 0)),
+                    .map(|(at, value)| leaf_update(at, value, 0)),
             );
         }
-        self.sent = now;
+        self.sent = current_leaves;
         (updates, changes.deleted.clone())
     }
 }
 
 /// What is due to be sent for a subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Due {
+pub(super) enum DueUpdates {
     /// The changes since the last time.
-    Changes,
+    ChangedLeaves,
     /// All selected leaves.
-    Everything,
+    AllLeaves,
 }
--- a/management/src/gnmi/paths.rs
+++ b/management/src/gnmi/paths.rs
@@ -9,13 +9,13 @@
 use crate::proto::gnmi::{Path, PathElem};
 
 /// The pattern of a path below a prefix; rejects unknown origins.
-pub(super) fn pattern(prefix: Option<&Path>, path: &Path) -> Result<Pattern, Status> {
-    let shown = path_text(path);
+pub(super) fn parse_pattern(prefix: Option<&Path>, path: &Path) -> Result<Pattern, Status> {
+    let path_string = format_path(path);
     let mut all = Pattern::default();
     for path in prefix.into_iter().chain([path]) {
         if !["", "kestreltide", "openconfig", "rfc7951"].contains(&path.origin.as_str()) {
             return Err(invalid_argument(
-                &shown,
+                &path_string,
                 "no such origin",
                 &path.origin,
                 "none, or kestreltide",
@@ -30,14 +30,19 @@
             (elem.name.as_str(), keys)
         });
         let steps = Pattern::from_steps(steps).map_err(|why| {
-            invalid_argument(&shown, &why.to_string(), &shown, "names with their keys")
+            invalid_argument(
+                &path_string,
+                &why.to_string(),
+                &path_string,
+                "names with their keys",
+            )
         })?;
         all = steps.below(&all);
     }
     Ok(all)
 }
 
-pub(super) fn path_text(path: &Path) -> String {
+pub(super) fn format_path(path: &Path) -> String {
     let mut out = String::new();
     for elem in &path.elem {
         out += &format!("/{}", elem.name);
@@ -50,15 +55,15 @@
 }
 
 /// The error for a path that matches no node of the model.
-pub(super) fn leads_nowhere(path: &Path) -> Status {
+pub(super) fn unknown_path_status(path: &Path) -> Status {
     Status::not_found(format!(
         "{}: leads nowhere in the model (given: {0}; taken: a path of it)",
-        path_text(path)
+        format_path(path)
     ))
 }
 
 /// The instances that a pattern selects from data; those at the top for the empty pattern.
-pub(super) fn select<'a>(
+pub(super) fn select_instances<'a>(
     schema: &Schema,
     pattern: &Pattern,
     data: &'a [DataNode],
@@ -72,7 +77,7 @@
     }
 }
 
-pub(super) fn path_of(at: &InstancePath) -> Path {
+pub(super) fn to_gnmi_path(at: &InstancePath) -> Path {
     let elem = |step: &Step| PathElem {
         name: step.name.clone(),
         key: step.keys.iter().cloned().collect(),
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -8,9 +8,9 @@
 use tokio::net::TcpListener;
 use tonic::transport::{Certificate, Identity, Server, ServerTlsConfig};
 
-use super::Service;
+use super::GnmiService;
 use super::connections::accept_connections;
-use super::snapshot::follow_published;
+use super::snapshot::watch_snapshots;
 use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::g_nmi_server::GNmiServer;
 use crate::{Limits, ServeError};
@@ -35,25 +35,25 @@
     commit_service: CommitServiceHandle,
     limits: Limits,
     listener: TcpListener,
-    tls: TlsCredentials,
+    credentials: TlsCredentials,
 ) -> Result<(), ServeError> {
     let schema = kestreltide_yang::published()?;
     let binding = Arc::new(Binding::new(schema)?);
-    let snapshot = follow_published(schema, binding.clone(), commit_service.clone());
-    let service = Service {
+    let snapshot = watch_snapshots(schema, binding.clone(), commit_service.clone());
+    let service = GnmiService {
         log: log.clone(),
         commit_service,
         limits: limits.clone(),
         schema,
         binding,
         snapshot,
-        masters: Mutex::default(),
-        sessions: Mutex::default(),
-        streams: Arc::default(),
-        next_set: AtomicU32::new(1),
+        highest_election_ids: Mutex::default(),
+        commit_sessions: Mutex::default(),
+        open_streams: Arc::default(),
+        next_set_number: AtomicU32::new(1),
     };
     let service = GNmiServer::new(service).max_decoding_message_size(limits.max_message_bytes);
-    let config = tls_config(tls, &limits);
+    let config = server_tls_config(credentials, &limits);
     let server = Server::builder()
         .tls_config(config)
         .map_err(ServeError::Certificate)?;
@@ -78,9 +78,9 @@
 }
 
 /// TLS that requires client certificates and limits the time of a handshake.
-fn tls_config(tls: TlsCredentials, limits: &Limits) -> ServerTlsConfig {
-    let clients = Certificate::from_pem(tls.client_ca);
-    let identity = Identity::from_pem(tls.certificate, tls.key);
+fn server_tls_config(credentials: TlsCredentials, limits: &Limits) -> ServerTlsConfig {
+    let clients = Certificate::from_pem(credentials.client_ca);
+    let identity = Identity::from_pem(credentials.certificate, credentials.key);
     ServerTlsConfig::new()
         .identity(identity)
         .client_ca_root(clients)
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -9,7 +9,7 @@
 use tonic::{Request, Response, Status};
 
 use super::errors::{commit_error_status, edit_errors_status, invalid_argument};
-use super::{Service, nanos};
+use super::{GnmiService, unix_nanoseconds};
 use crate::proto::gnmi::{SetRequest, SetResponse, Update, UpdateResult, update_result};
 use crate::proto::gnmi_ext::commit::Action;
 use crate::proto::gnmi_ext::extension::Ext;
@@ -22,12 +22,12 @@
 /// The longest time to confirm a commit, in seconds; an error text names it.
 const MAX_CONFIRM_SECONDS: f64 = 86_400.0;
 
-impl Service {
-    pub(super) async fn apply_set(
+impl GnmiService {
+    pub(super) async fn handle_set(
         &self,
         request: Request<SetRequest>,
     ) -> Result<Response<SetResponse>, Status> {
-        let (key, rights) = self.key(&request)?;
+        let (key, rights) = self.authenticate(&request)?;
         let request = request.into_inner();
         if let Some(arbitration) = find_extension(&request.extension, as_arbitration) {
             self.check_master(arbitration)?;
@@ -41,8 +41,8 @@
         };
         let published = self.commit_service.status.load_full();
         let mut candidate = Candidate::new(&published.in_force);
-        let response = self.edit_candidate(&mut candidate, &request)?;
-        let author = self.next_author(&key);
+        let response = self.apply_edits(&mut candidate, &request)?;
+        let author = self.new_author(&key);
         if let Err(error) = rights.check(&published.in_force.tree.differences(&candidate.tree)) {
             (self.commit_service.submit)(crate::CommitServiceRequest::RecordDeniedEdit {
                 author,
@@ -65,7 +65,7 @@
                 Ok(Response::new(SetResponse {
                     prefix,
                     response,
-                    timestamp: nanos(),
+                    timestamp: unix_nanoseconds(),
                     extension: vec![],
                 }))
             }
@@ -74,7 +74,7 @@
     }
 
     /// Deletions, then replacements, then updates, as one transaction (gNMI, section 3.4.3).
-    fn edit_candidate(
+    fn apply_edits(
         &self,
         candidate: &mut Candidate,
         request: &SetRequest,
@@ -106,7 +106,7 @@
         });
         for ((path, value), operation, response_operation) in deletes.chain(replaces).chain(updates)
         {
-            let edits = self.edit(prefix, &path, value.as_ref(), operation)?;
+            let edits = self.edits_of_operation(prefix, &path, value.as_ref(), operation)?;
             apply(
                 self.schema,
                 &self.binding,
@@ -124,8 +124,8 @@
     }
 
     /// The author of the next revision, with the number of the request.
-    fn next_author(&self, key: &Key) -> Author {
-        let number = self.next_set.fetch_add(1, Relaxed);
+    fn new_author(&self, key: &Key) -> Author {
+        let number = self.next_set_number.fetch_add(1, Relaxed);
         Author {
             source: Source::Management,
             name: key.name.clone(),
@@ -148,7 +148,7 @@
     }
     Ok(Response::new(SetResponse {
         prefix: request.prefix.clone(),
-        timestamp: nanos(),
+        timestamp: unix_nanoseconds(),
         ..SetResponse::default()
     }))
 }
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -14,8 +14,8 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use super::encoding::collect_leaves;
-use super::paths::{path_of, select};
+use super::encoding::collect_leaf_values;
+use super::paths::{select_instances, to_gnmi_path};
 use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::{Encoding, Path, TypedValue};
 use crate::state;
@@ -23,11 +23,11 @@
 /// The published data at one time, computed when the first stream needs it.
 pub(super) struct Snapshot {
     /// The number of changes so far, each revision counted.
-    pub(super) number: u64,
-    make_data: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>,
+    pub(super) change_number: u64,
+    build_data: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>,
     data: OnceLock<Vec<DataNode>>,
     leaves_by_selection: Mutex<BTreeMap<Selection, Arc<Leaves>>>,
-    differences: Mutex<BTreeMap<DifferenceKey, Difference>>,
+    differences: Mutex<BTreeMap<CachedDifferenceKey, CachedDifference>>,
 }
 
 /// What a subscription selects.
@@ -43,10 +43,10 @@
 pub(super) type Leaves = BTreeMap<InstancePath, TypedValue>;
 
 /// Identifies a difference: the selection, and the address of the leaves that were sent.
-type DifferenceKey = (Selection, usize);
+type CachedDifferenceKey = (Selection, usize);
 
 /// The difference from leaves that were sent.
-struct Difference {
+struct CachedDifference {
     /// Kept so that no other leaves can have their address.
     _sent: Arc<Leaves>,
     changes: Arc<Changes>,
@@ -62,10 +62,10 @@
 }
 
 impl Snapshot {
-    fn new(number: u64, make_data: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>) -> Self {
+    fn new(change_number: u64, build_data: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>) -> Self {
         Snapshot {
-            number,
-            make_data,
+            change_number,
+            build_data,
             data: OnceLock::new(),
             leaves_by_selection: Mutex::default(),
             differences: Mutex::default(),
@@ -73,7 +73,7 @@
     }
 
     fn data(&self) -> &[DataNode] {
-        self.data.get_or_init(&self.make_data)
+        self.data.get_or_init(&self.build_data)
     }
 
     /// The selected leaves.
@@ -85,10 +85,10 @@
         if let Some(leaves) = leaves_by_selection.get(selection) {
             return leaves.clone();
         }
-        let instances = select(schema, &selection.pattern, self.data());
+        let instances = select_instances(schema, &selection.pattern, self.data());
         let mut leaves = Leaves::new();
         instances.iter().for_each(|(at, data)| {
-            collect_leaves(schema, selection.encoding, at, data, &mut leaves)
+            collect_leaf_values(schema, selection.encoding, at, data, &mut leaves)
         });
         let leaves = Arc::new(leaves);
         // Bounded by the number of streams; the next change begins with an empty cache.
@@ -97,15 +97,15 @@
     }
 
     /// The selected leaves, and their difference from those that a stream has sent.
-    pub(super) fn changes(
+    pub(super) fn changes_since(
         &self,
         schema: &Schema,
         selection: &Selection,
         sent: &Arc<Leaves>,
     ) -> (Arc<Leaves>, Arc<Changes>) {
-        let now = self.leaves(schema, selection);
-        if Arc::ptr_eq(&now, sent) {
-            return (now, Arc::default());
+        let current_leaves = self.leaves(schema, selection);
+        if Arc::ptr_eq(&current_leaves, sent) {
+            return (current_leaves, Arc::default());
         }
         let key = (selection.clone(), Arc::as_ptr(sent) as usize);
         let mut differences = self
@@ -113,26 +113,26 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         if let Some(difference) = differences.get(&key) {
-            return (now, difference.changes.clone());
+            return (current_leaves, difference.changes.clone());
         }
         let differs = |(at, value): &(&InstancePath, &TypedValue)| sent.get(*at) != Some(*value);
-        let updates = now
+        let updates = current_leaves
             .iter()
             .filter(differs)
             .map(|(at, value)| (at.clone(), value.clone()))
             .collect();
         let deleted = sent
             .keys()
-            .filter(|at| !now.contains_key(*at))
-            .map(path_of)
+            .filter(|at| !current_leaves.contains_key(*at))
+            .map(to_gnmi_path)
             .collect();
         let changes = Arc::new(Changes { updates, deleted });
-        let difference = Difference {
+        let difference = CachedDifference {
             _sent: sent.clone(),
             changes: changes.clone(),
         };
         differences.insert(key, difference);
-        (now, changes)
+        (current_leaves, changes)
     }
 }
 
@@ -140,45 +140,54 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Follows the published data in a task of its own; gives a snapshot after each change.
-pub(super) fn follow_published(
+pub(super) fn watch_snapshots(
     schema: &'static Schema,
     binding: Arc<Binding>,
     commit_service: CommitServiceHandle,
 ) -> watch::Receiver<Arc<Snapshot>> {
-    let snapshot = move |number,
-                         view: &Arc<OperationalState>,
-                         published: &Arc<CoordinatorStatus>| {
+    let new_snapshot = move |change_number,
+                             operational_state: &Arc<OperationalState>,
+                             status: &Arc<CoordinatorStatus>| {
         let binding = binding.clone();
-        let view = view.clone();
-        let published = published.clone();
+        let operational_state = operational_state.clone();
+        let status = status.clone();
         Arc::new(Snapshot::new(
-            number,
-            Box::new(move || vec![state::operational_data(schema, &binding, &view, &published)]),
+            change_number,
+            Box::new(move || {
+                vec![state::operational_data(
+                    schema,
+                    &binding,
+                    &operational_state,
+                    &status,
+                )]
+            }),
         ))
     };
-    let mut view = commit_service.operational_state.load_full();
-    let mut published = commit_service.status.load_full();
-    let (sender, receiver) = watch::channel(snapshot(0, &view, &published));
+    let mut operational_state = commit_service.operational_state.load_full();
+    let mut status = commit_service.status.load_full();
+    let (sender, receiver) = watch::channel(new_snapshot(0, &operational_state, &status));
     tokio::spawn(async move {
-        let mut number = 0;
+        let mut change_number = 0;
         while !sender.is_closed() {
             // Comparing two pointers is cheaper than a notification of each change.
             sleep(POLL_INTERVAL).await;
-            let new_view = commit_service.operational_state.load_full();
-            let new_published = commit_service.status.load_full();
-            if Arc::ptr_eq(&new_view, &view) && Arc::ptr_eq(&new_published, &published) {
+            let new_operational_state = commit_service.operational_state.load_full();
+            let new_status = commit_service.status.load_full();
+            if Arc::ptr_eq(&new_operational_state, &operational_state)
+                && Arc::ptr_eq(&new_status, &status)
+            {
                 continue;
             }
             // Revisions between two checks count one by one, so that streams can report how many they coalesce.
-            let revisions = new_published
+            let revisions = new_status
                 .in_force
                 .revision
                 .0
-                .saturating_sub(published.in_force.revision.0);
-            view = new_view;
-            published = new_published;
-            number += revisions.max(1);
-            let _ = sender.send(snapshot(number, &view, &published));
+                .saturating_sub(status.in_force.revision.0);
+            operational_state = new_operational_state;
+            status = new_status;
+            change_number += revisions.max(1);
+            let _ = sender.send(new_snapshot(change_number, &operational_state, &status));
         }
     });
     receiver
--- a/management/src/gnmi/stream.rs
+++ b/management/src/gnmi/stream.rs
@@ -11,11 +11,11 @@
 use tokio_stream::StreamExt;
 use tonic::{Status, Streaming};
 
-use super::encoding::update;
+use super::encoding::leaf_update;
 use super::errors::invalid_argument;
-use super::nanos;
 use super::path_subscription::PathSubscription;
 use super::snapshot::Snapshot;
+use super::unix_nanoseconds;
 use crate::commit_service::CommitServiceHandle;
 use crate::end_reason::EndReason;
 use crate::proto::gnmi::subscribe_request::Request as RequestKind;
@@ -65,12 +65,15 @@
     }
 
     /// Sends all leaves of all subscriptions unless `updates_only`, and the sync response.
-    async fn send_all(&mut self, updates_only: bool) -> bool {
+    async fn send_all_leaves(&mut self, updates_only: bool) -> bool {
         let snapshot = self.context.snapshot.borrow().clone();
         for index in 0..self.subscriptions.len() {
-            let now = snapshot.leaves(self.context.schema, &self.subscriptions[index].selection);
-            let update: Vec<_> = now.iter().map(|(at, value)| update(at, value, 0)).collect();
-            self.subscriptions[index].sent = now;
+            let leaves = snapshot.leaves(self.context.schema, &self.subscriptions[index].selection);
+            let update: Vec<_> = leaves
+                .iter()
+                .map(|(at, value)| leaf_update(at, value, 0))
+                .collect();
+            self.subscriptions[index].sent = leaves;
             if !updates_only && !update.is_empty() && !self.send_notification(update, vec![]).await
             {
                 return false;
@@ -82,7 +85,7 @@
     async fn send_notification(&self, update: Vec<Update>, delete: Vec<Path>) -> bool {
         let prefix = self.prefix.clone();
         self.send(ResponseKind::Update(Notification {
-            timestamp: nanos(),
+            timestamp: unix_nanoseconds(),
             prefix,
             update,
             delete,
@@ -92,7 +95,7 @@
     }
 
     async fn run_once(&mut self) -> EndReason {
-        if self.send_all(self.updates_only).await {
+        if self.send_all_leaves(self.updates_only).await {
             EndReason::Completed
         } else {
             EndReason::Disconnected
@@ -100,16 +103,16 @@
     }
 
     async fn run_poll(&mut self, mut requests: Streaming<SubscribeRequest>) -> EndReason {
-        if !self.send_all(self.updates_only).await {
+        if !self.send_all_leaves(self.updates_only).await {
             return EndReason::Disconnected;
         }
         while let Some(Ok(request)) = requests.next().await {
             match request.request {
-                Some(RequestKind::Poll(_)) if !self.may_still_read() => {
+                Some(RequestKind::Poll(_)) if !self.key_may_read() => {
                     return EndReason::KeyRevoked;
                 }
                 Some(RequestKind::Poll(_)) => {
-                    if !self.send_all(false).await {
+                    if !self.send_all_leaves(false).await {
                         return EndReason::Disconnected;
                     }
                 }
@@ -130,7 +133,7 @@
         EndReason::NoMoreRequests
     }
 
-    fn may_still_read(&self) -> bool {
+    fn key_may_read(&self) -> bool {
         self.context
             .commit_service
             .keys
@@ -141,15 +144,15 @@
 
     async fn run_stream(&mut self, mut requests: Streaming<SubscribeRequest>) -> EndReason {
         let mut changes = self.context.snapshot.clone();
-        let mut seen = changes.borrow_and_update().number;
-        if !self.send_all(self.updates_only).await {
+        let mut last_change_number = changes.borrow_and_update().change_number;
+        if !self.send_all_leaves(self.updates_only).await {
             return EndReason::Disconnected;
         }
         loop {
             if let Err(reason) = self.wait_for_event(&mut changes, &mut requests).await {
                 return reason;
             }
-            if !self.may_still_read() {
+            if !self.key_may_read() {
                 let _ = self
                     .sender
                     .send(Err(Status::unauthenticated(
@@ -159,9 +162,10 @@
                 return EndReason::KeyRevoked;
             }
             let snapshot = changes.borrow_and_update().clone();
-            let progress = Progress::between(seen, snapshot.number);
-            seen = snapshot.number;
-            if !self.send_due(&snapshot, progress).await {
+            let snapshot_changes =
+                SnapshotChanges::from_change_numbers(last_change_number, snapshot.change_number);
+            last_change_number = snapshot.change_number;
+            if !self.send_due_updates(&snapshot, snapshot_changes).await {
                 return EndReason::Disconnected;
             }
         }
@@ -180,7 +184,7 @@
         let next = self
             .subscriptions
             .iter()
-            .filter_map(PathSubscription::next_timer)
+            .filter_map(PathSubscription::next_timer_at)
             .min();
         // A key may be revoked while nothing changes.
         let key_check = Instant::now() + KEY_CHECK_INTERVAL;
@@ -191,8 +195,8 @@
                 None => Err(EndReason::NoMoreRequests),
                 Some(Err(_)) => Err(EndReason::Disconnected),
                 Some(Ok(_)) => {
-                    let what = "a stream takes no more requests";
-                    let error = invalid_argument("subscribe", what, "another", "none");
+                    let problem = "a stream takes no more requests";
+                    let error = invalid_argument("subscribe", problem, "another", "none");
                     let _ = self.sender.send(Err(error)).await;
                     Err(EndReason::UnexpectedRequest)
                 }
@@ -202,18 +206,22 @@
     }
 
     /// Sends what is due for each subscription; false if the client has gone.
-    async fn send_due(&mut self, snapshot: &Snapshot, progress: Progress) -> bool {
+    async fn send_due_updates(
+        &mut self,
+        snapshot: &Snapshot,
+        snapshot_changes: SnapshotChanges,
+    ) -> bool {
         let now = Instant::now();
         for index in 0..self.subscriptions.len() {
             let subscription = &mut self.subscriptions[index];
-            let Some(due) = subscription.due_at(now, progress.changed) else {
+            let Some(due) = subscription.take_due_updates(now, snapshot_changes.changed) else {
                 continue;
             };
             let (updates, deleted) = subscription.updates_since_last(
                 self.context.schema,
                 snapshot,
                 due,
-                progress.coalesced,
+                snapshot_changes.coalesced,
             );
             if (!updates.is_empty() || !deleted.is_empty())
                 && !self.send_notification(updates, deleted).await
@@ -225,19 +233,19 @@
     }
 }
 
-/// The progress of the published data since a stream read it last.
+/// The snapshot_changes of the published data since a stream read it last.
 #[derive(Clone, Copy)]
-struct Progress {
+struct SnapshotChanges {
     changed: bool,
     /// Changes before the newest one that are not sent one by one, since the client reads slowly.
     coalesced: u32,
 }
 
-impl Progress {
-    fn between(seen: u64, number: u64) -> Self {
-        Progress {
-            changed: number != seen,
-            coalesced: number.saturating_sub(seen + 1) as u32,
+impl SnapshotChanges {
+    fn from_change_numbers(last_change_number: u64, change_number: u64) -> Self {
+        SnapshotChanges {
+            changed: change_number != last_change_number,
+            coalesced: change_number.saturating_sub(last_change_number + 1) as u32,
         }
     }
 }
--- a/management/src/gnmi/subscribe.rs
+++ b/management/src/gnmi/subscribe.rs
@@ -9,28 +9,29 @@
 use tokio_stream::{Stream, StreamExt};
 use tonic::{Request, Response, Status, Streaming};
 
-use super::Service;
+use super::GnmiService;
 use super::encoding::supported_encoding;
 use super::errors::invalid_argument;
 use super::path_subscription::PathSubscription;
-use super::paths::{leads_nowhere, pattern};
+use super::paths::{parse_pattern, unknown_path_status};
 use super::snapshot::Selection;
 use super::stream::{StreamContext, SubscribeStream};
 use crate::proto::gnmi::subscribe_request::Request as RequestKind;
 use crate::proto::gnmi::subscription_list::Mode;
 use crate::proto::gnmi::{Encoding, Path, SubscribeRequest, SubscribeResponse, SubscriptionList};
 
-pub(super) type Responses = Pin<Box<dyn Stream<Item = Result<SubscribeResponse, Status>> + Send>>;
+pub(super) type SubscribeResponses =
+    Pin<Box<dyn Stream<Item = Result<SubscribeResponse, Status>> + Send>>;
 
 /// Subscriptions of one stream, at most.
 const MAX_SUBSCRIPTIONS: usize = 64;
 
-impl Service {
-    pub(super) async fn start_subscription(
+impl GnmiService {
+    pub(super) async fn handle_subscribe(
         &self,
         request: Request<Streaming<SubscribeRequest>>,
-    ) -> Result<Response<Responses>, Status> {
-        let key = self.may_read(&request)?;
+    ) -> Result<Response<SubscribeResponses>, Status> {
+        let key = self.authorize_read(&request)?;
         let mut requests = request.into_inner();
         let Some(Ok(SubscribeRequest {
             request: Some(RequestKind::Subscribe(list)),
@@ -44,7 +45,7 @@
                 "a list of subscriptions",
             ));
         };
-        if self.streams.load(Relaxed) >= self.limits.max_sessions {
+        if self.open_streams.load(Relaxed) >= self.limits.max_sessions {
             return Err(Status::resource_exhausted(
                 "subscribe: no room for one more stream",
             ));
@@ -61,18 +62,18 @@
         let subscriptions = self.path_subscriptions(&list, encoding)?;
         let (sender, receiver) = mpsc::channel(4);
         let stream = SubscribeStream {
-            context: self.stream_context(),
+            context: self.new_stream_context(),
             key,
             subscriptions,
             updates_only: list.updates_only,
             sender,
             prefix: list.prefix.as_ref().and_then(target_only),
         };
-        self.streams.fetch_add(1, Relaxed);
-        let streams = self.streams.clone();
+        self.open_streams.fetch_add(1, Relaxed);
+        let open_streams = self.open_streams.clone();
         tokio::spawn(async move {
             stream.run(mode, requests).await;
-            streams.fetch_sub(1, Relaxed);
+            open_streams.fetch_sub(1, Relaxed);
         });
         Ok(Response::new(Box::pin(ReceiverStream::new(receiver))))
     }
@@ -86,9 +87,9 @@
         let mut subscriptions = Vec::new();
         for subscription in &list.subscription {
             let path = subscription.path.clone().unwrap_or_default();
-            let pattern = pattern(list.prefix.as_ref(), &path)?;
+            let pattern = parse_pattern(list.prefix.as_ref(), &path)?;
             if !pattern.matches_schema(self.schema) {
-                return Err(leads_nowhere(&path));
+                return Err(unknown_path_status(&path));
             }
             subscriptions.push(PathSubscription::new(
                 Selection { pattern, encoding },
@@ -107,7 +108,7 @@
         Ok(subscriptions)
     }
 
-    fn stream_context(&self) -> Arc<StreamContext> {
+    fn new_stream_context(&self) -> Arc<StreamContext> {
         Arc::new(StreamContext {
             schema: self.schema,
             snapshot: self.snapshot.clone(),
