--- a/management/src/clock.rs
+++ b/management/src/clock.rs
@@ -1,10 +1,10 @@
-//! The time of day.
+//! Wall-clock time.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The time in Unix seconds.
+/// The current time in seconds since the Unix epoch; 0 if the system clock is before the epoch.
 pub(crate) fn unix_seconds() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0.0, |since| since.as_secs_f64())
+        .map_or(0.0, |elapsed| elapsed.as_secs_f64())
 }
--- a/management/src/commit_service.rs
+++ b/management/src/commit_service.rs
@@ -1,4 +1,4 @@
-//! The way from the management interfaces to the commit service: requests, published data and notifications.
+//! The interface of the commit service to NETCONF and gNMI: requests, published data and notifications.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -15,29 +15,29 @@
 use kestreltide_datastore::{CommitOutcome, RejectedCommit};
 use tokio::sync::{broadcast, oneshot};
 
-/// A request to the commit service. The requester waits for the reply; the commit service never waits.
+/// A request to the commit service. The requester awaits the reply; the commit service never blocks on a requester.
 #[derive(Debug)]
 pub enum CommitServiceRequest {
-    /// Opens a session, which can hold locks and pending commits.
+    /// Opens a session, which can hold locks and own a pending commit.
     OpenSession {
         /// Receives the id of the session.
         reply: oneshot::Sender<SessionId>,
     },
-    /// Ends a session: releases its locks, and rolls back a pending commit that only it could confirm.
+    /// Closes a session: releases its locks, and rolls back a pending commit that only this session could confirm.
     CloseSession {
-        /// The session that ended.
+        /// The session to close.
         session: SessionId,
     },
     /// Locks a datastore for a session.
     Lock {
-        /// The session that wants the lock.
+        /// The session that requests the lock.
         session: SessionId,
         /// The datastore to lock.
         target: Target,
         /// Receives an error if another session holds the lock.
         reply: oneshot::Sender<Result<(), CommitError>>,
     },
-    /// Releases a lock.
+    /// Releases the lock of a datastore.
     Unlock {
         /// The session that holds the lock.
         session: SessionId,
@@ -46,18 +46,18 @@
         /// Receives an error if the session does not hold the lock.
         reply: oneshot::Sender<Result<(), CommitError>>,
     },
-    /// Checks a candidate without committing it.
+    /// Validates a candidate without committing it.
     Validate {
-        /// The candidate to check.
+        /// The candidate to validate.
         candidate: Candidate,
         /// Receives the validation errors, if any.
         reply: oneshot::Sender<Result<(), ValidationErrors>>,
     },
-    /// Checks a candidate and puts it in force.
+    /// Validates a candidate and applies it as the next revision.
     Commit(Box<CommitRequest>),
     /// Confirms the pending commit.
     Confirm {
-        /// The session that confirms; none for a client without one.
+        /// The session that confirms; none for a client without a session.
         requester: RequestingSession,
         /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
@@ -66,72 +66,72 @@
     },
     /// Rolls back the pending commit.
     Cancel {
-        /// The session that cancels; none for a client without one.
+        /// The session that cancels; none for a client without a session.
         requester: RequestingSession,
         /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
         /// Receives an error if no commit is pending or another session owns it.
         reply: oneshot::Sender<Result<(), CommitError>>,
     },
-    /// Records an edit that was denied, as any other rejected commit.
+    /// Records an edit that the rights of the client do not cover, as a rejected commit.
     RecordDeniedEdit {
         /// The author of the edit.
         author: Author,
-        /// The missing right, and the change that needs it.
+        /// Names the missing right and the change that needs it.
         error: ValidationError,
     },
 }
 
-/// A candidate to commit.
+/// The parameters of [`CommitServiceRequest::Commit`].
 #[derive(Debug)]
 pub struct CommitRequest {
-    /// The session that commits; none for a client without one.
+    /// The session that commits; none for a client without a session.
     pub requester: RequestingSession,
     /// The candidate to commit.
     pub candidate: Candidate,
     /// The author of the revision.
     pub author: Author,
-    /// The time in which the commit has to be confirmed; none if it is final.
+    /// The parameters of a confirmed commit; none if the commit is final at once.
     pub confirmed_commit: Option<ConfirmedCommit>,
     /// The persist-id of the pending commit, if it has one.
     pub persist_id: Option<String>,
-    /// Receives the outcome, or why nothing was committed.
+    /// Receives the outcome, or the reason why nothing was committed.
     pub reply: oneshot::Sender<Result<CommitOutcome, CommitError>>,
 }
 
-/// An event at the commit service.
+/// An event of the commit service that management clients can subscribe to.
 #[derive(Clone, Debug)]
 pub enum Notification {
-    /// A revision is in force.
+    /// A revision was committed and is in force.
     Committed(Arc<RevisionRecord>),
     /// A candidate was rejected.
     Rejected(Arc<RejectedCommit>),
 }
 
-/// What the management interfaces hold of the commit service.
+/// The access of the management interfaces to the commit service.
 #[derive(Clone)]
 pub struct CommitServiceHandle {
     /// Queues a request; false if the queue is full or the commit service has stopped.
     pub submit: Arc<dyn Fn(CommitServiceRequest) -> bool + Send + Sync>,
     /// The revision in force, its history and the pending commit.
     pub status: Arc<ArcSwap<CoordinatorStatus>>,
-    /// The latest view of the state of the router.
+    /// The latest operational state of the router.
     pub operational_state: Arc<ArcSwap<OperationalState>>,
-    /// The revision that the event loop has applied.
+    /// The number of the newest revision that the event loop has applied.
     pub applied_revision: Arc<AtomicU64>,
-    /// Commits and rejections, for all subscribers.
+    /// Broadcasts commits and rejections to all subscribers.
     pub notifications: broadcast::Sender<Notification>,
-    /// The keys of clients, with their rights.
+    /// The keys of the clients with their rights, from the file of keys.
     pub keys: Arc<ArcSwap<Keys>>,
 }
 
-/// Longest time that the reply to a commit waits for the event loop to apply it.
+/// Longest time that the reply to a commit waits for the event loop to apply the revision.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Time between checks whether the event loop has applied a commit.
+/// Time between checks whether the event loop has applied the revision.
 const APPLY_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The error if the commit service does not reply.
+/// The error if the request queue is full or the commit service does not reply.
 fn unavailable_error() -> CommitError {
     CommitError::Invalid(
         ValidationError::new(
@@ -145,6 +145,7 @@
 }
 
 impl CommitServiceHandle {
+    /// Submits a request and awaits its reply; none if the queue is full or the commit service has stopped.
     async fn request<T>(
         &self,
         make_request: impl FnOnce(oneshot::Sender<T>) -> CommitServiceRequest,
@@ -192,7 +193,7 @@
         .unwrap_or(Err(unavailable_error()))
     }
 
-    /// Checks a candidate.
+    /// Validates a candidate without committing it.
     ///
     /// # Errors
     ///
@@ -248,7 +249,8 @@
     ///
     /// # Errors
     ///
-    /// When the candidate is invalid or locked, another commit is pending, or the commit service does not reply.
+    /// When the candidate is invalid, the datastore is locked, another commit is pending, or the commit service does
+    /// not reply.
     pub async fn commit(
         &self,
         requester: RequestingSession,
--- a/management/src/end_reason.rs
+++ b/management/src/end_reason.rs
@@ -1,10 +1,10 @@
-//! Why sessions and streams end, for log lines.
+//! The reasons why NETCONF sessions and gNMI streams end, as log lines show them.
 
 use thiserror::Error;
 
 use crate::netconf::session::AbortReason;
 
-/// Why a NETCONF session or a gNMI stream ended.
+/// The reason why a NETCONF session or a gNMI stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum EndReason {
     #[error("all data sent")]
--- a/management/src/error.rs
+++ b/management/src/error.rs
@@ -1,22 +1,22 @@
-//! Why a management interface is not served.
+//! The errors that stop a management interface.
 
 use kestreltide_yang::SchemaError;
 use kestreltide_yang::binding::BindingError;
 use thiserror::Error;
 
-/// Why a management interface is not served.
+/// The reason why a management interface cannot start or stops.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The published modules are wrong, which is a defect.
+    /// The published YANG modules are invalid, which is a defect of the software.
     #[error(transparent)]
     Schema(#[from] SchemaError),
-    /// Model and datastore do not fit together, which is a defect.
+    /// The YANG model does not match the datastore, which is a defect of the software.
     #[error(transparent)]
     Binding(#[from] BindingError),
-    /// The certificate or the key of the server cannot be used.
+    /// The certificate or the private key of the server is invalid.
     #[error("certificate: cannot be used: {0}")]
     Certificate(#[source] tonic::transport::Error),
-    /// The listener failed for good.
+    /// The gRPC server failed.
     #[error(transparent)]
     Transport(tonic::transport::Error),
 }
--- a/management/src/gnmi/access.rs
+++ b/management/src/gnmi/access.rs
@@ -1,4 +1,4 @@
-//! Authentication and authorization of requests, by the certificate of their connection.
+//! Authentication and authorization of requests by the client certificate of the TLS connection.
 
 use kestreltide_datastore::{Credential, Key, Rights};
 use tonic::{Request, Status};
@@ -6,7 +6,7 @@
 use super::GnmiService;
 
 impl GnmiService {
-    /// The key of the client of a request, and its rights.
+    /// Looks up the client certificate of a request in the file of keys, and returns its key and rights.
     pub(super) fn authenticate<T>(&self, request: &Request<T>) -> Result<(Key, Rights), Status> {
         let denied = || {
             Status::unauthenticated(
@@ -28,7 +28,7 @@
         Ok((key, rights))
     }
 
-    /// The key of the client of a request, which may read.
+    /// Authenticates the client of a request and checks its right to read.
     pub(super) fn authorize_read<T>(&self, request: &Request<T>) -> Result<Key, Status> {
         let (key, rights) = self.authenticate(request)?;
         let denied = format!(
--- a/management/src/gnmi/arbitration.rs
+++ b/management/src/gnmi/arbitration.rs
@@ -1,4 +1,5 @@
-//! Master arbitration: which client of a role may set (gNMI extension `MasterArbitration`).
+//! Master arbitration (gNMI extension `MasterArbitration`): only the client with the highest election id of a role may
+//! send Set requests for it.
 
 use std::fmt;
 use std::sync::PoisonError;
@@ -9,10 +10,10 @@
 use super::errors::invalid_argument;
 use crate::proto::gnmi_ext::{MasterArbitration, Uint128};
 
-/// Roles with a master, at most; an error text names it.
+/// Maximum number of roles with a master. An error text contains this number.
 const MAX_ROLES: usize = 64;
 
-/// The id of an election: the client with the highest one of a role is its master.
+/// The election id of a client, of 128 bits. The client with the highest election id of a role is its master.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ElectionId {
     /// The upper 64 bits.
@@ -37,7 +38,7 @@
 }
 
 impl GnmiService {
-    /// Rejects a client whose election id is lower than the highest one of its role.
+    /// Rejects a client whose election id is lower than the highest one that its role has had.
     pub(super) fn check_master(&self, arbitration: &MasterArbitration) -> Result<(), Status> {
         let role = arbitration
             .role
@@ -56,7 +57,7 @@
             .highest_election_ids
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        // Roles are never forgotten, so their number is limited.
+        // Roles are never removed, so their number is limited to bound the memory.
         if highest_election_ids.len() >= MAX_ROLES && !highest_election_ids.contains_key(role) {
             return Err(Status::resource_exhausted(
                 "master_arbitration/role: too many roles (given: one more; taken: 64)",
--- a/management/src/gnmi/confirmed_commit.rs
+++ b/management/src/gnmi/confirmed_commit.rs
@@ -1,4 +1,5 @@
-//! Confirmed commits (gNMI extension `Commit`): the sessions that own them, and how they are confirmed or cancelled.
+//! Confirmed commits (gNMI extension `Commit`): the sessions that own pending commits, and their confirmation and
+//! cancellation.
 
 use std::sync::PoisonError;
 
@@ -12,7 +13,8 @@
 use crate::proto::gnmi_ext::commit::Action;
 
 impl GnmiService {
-    /// The session at the commit service that owns the pending commits of a key; none if the service does not reply.
+    /// The session at the commit service that owns the pending commits of a key, opened on first use; none if the
+    /// commit service does not reply.
     pub(super) async fn confirming_session(&self, key: &Key) -> Option<SessionId> {
         if let Some(session) = self
             .commit_sessions
@@ -30,7 +32,7 @@
         Some(*sessions.entry(key.name.clone()).or_insert(session))
     }
 
-    /// Confirms or cancels the pending commit if the extension asks for that; false if it starts a commit.
+    /// Confirms or cancels the pending commit if the extension requests that; false if it starts a confirmed commit.
     pub(super) async fn confirm_or_cancel(
         &self,
         key: &Key,
--- a/management/src/gnmi/connections.rs
+++ b/management/src/gnmi/connections.rs
@@ -1,4 +1,4 @@
-//! Accepts connections up to a limit; those beyond it are closed at once.
+//! Accepts connections up to a limit; connections beyond the limit are closed at once.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::server::{Connected, TcpConnectInfo};
 
-/// Pause after a connection could not be accepted.
+/// Delay before the next `accept` after one has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A connection within the limit of open connections.
+/// An accepted connection; it counts against the limit until it is dropped.
 pub(super) struct AdmittedConnection {
     stream: TcpStream,
     _permit: OwnedSemaphorePermit,
@@ -57,8 +57,8 @@
     }
 }
 
-/// The connections of a listener; those beyond the limit are closed at once. A connection counts from its first byte,
-/// before the TLS handshake.
+/// Accepts the connections of a listener; connections beyond the limit are closed at once. A connection counts against
+/// the limit from its acceptance, before the TLS handshake.
 pub(super) fn accept_connections(
     listener: TcpListener,
     limit: usize,
--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -1,4 +1,4 @@
-//! One update, replacement or deletion of a Set request as edits of the datastore.
+//! Converts one delete, replace or update of a Set request to edits of the datastore.
 
 use kestreltide_yang::NodeId;
 use kestreltide_yang::data::{InstancePath, Step};
@@ -19,16 +19,16 @@
 /// The target of a path of a Set request.
 struct EditTarget {
     parent: InstancePath,
-    /// The schema node; none at the top of the model.
+    /// The schema node; none for the root of the model.
     node: Option<NodeId>,
-    /// The last step of the path, whose name is empty at the top.
+    /// The last step of the path; its name is empty for the root.
     step: Step,
-    /// The node again if it is a list or leaf-list without keys, that is with all its entries.
+    /// The same node if the path names a list or leaf-list without keys, which means all its entries.
     list: Option<NodeId>,
 }
 
 impl GnmiService {
-    /// The edits of one update, replacement or deletion.
+    /// The edits of one delete, replace or update.
     pub(super) fn edits_of_operation(
         &self,
         prefix: Option<&Path>,
@@ -53,7 +53,7 @@
         Ok(edits)
     }
 
-    /// The target of a path: one instance, or all entries of a list or leaf-list without keys.
+    /// Resolves the target of a path: one instance, or all entries of a list or leaf-list without keys.
     fn edit_target(&self, pattern: &Pattern, path_string: &str) -> Result<EditTarget, Status> {
         if let Some((parent, node)) = self.list_without_keys(pattern) {
             let name = self.schema.node_of(node).name.clone();
@@ -104,7 +104,7 @@
         )
     }
 
-    /// Edits that remove the target, or all its entries.
+    /// The edits that remove the target, or all its entries.
     fn removal_edits(&self, target: &EditTarget, path_string: &str) -> Result<Vec<Edit>, Status> {
         let removed_entries = self.entries_to_remove(target.node, &target.step, target.list);
         let removal = |(node, step)| Edit {
@@ -120,7 +120,7 @@
             .collect()
     }
 
-    /// Edits that merge a value into the target.
+    /// The edits that merge a value into the target.
     fn merge_edits(
         &self,
         target: &EditTarget,
@@ -170,7 +170,7 @@
             .collect()
     }
 
-    /// An edit below its parent, from the top of the model.
+    /// Wraps an edit of a child of `parent` in edits that lead from the root of the model to it.
     fn edit_from_root(
         &self,
         parent: &InstancePath,
@@ -181,7 +181,8 @@
             .ok_or_else(|| no_instance_status(path_string, "leads nowhere"))
     }
 
-    /// The instances that a removal of the target has to remove.
+    /// The nodes that have to be removed to remove the target: each entry of a list, or each top-level configuration
+    /// node for the root.
     fn entries_to_remove(
         &self,
         node: Option<NodeId>,
@@ -226,7 +227,7 @@
     invalid_argument(path_string, why, path_string, "one instance, with its keys")
 }
 
-/// Adds the keys of the path to a value that does not repeat them.
+/// Adds the keys of the path to a JSON object that does not contain them.
 fn with_path_keys(json: Json, step: &Step) -> Json {
     match json {
         Json::Object(mut members) => {
--- a/management/src/gnmi/encoding.rs
+++ b/management/src/gnmi/encoding.rs
@@ -1,4 +1,4 @@
-//! Values in the supported encodings: JSON_IETF, JSON and PROTO.
+//! Encoding and decoding of values: JSON_IETF, JSON and PROTO.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use crate::proto::gnmi::typed_value::Value;
 use crate::proto::gnmi::{Encoding, ScalarArray, TypedValue, Update};
 
-/// The encoding of a request, if it is supported.
+/// Checks that the encoding of a request is supported.
 pub(super) fn supported_encoding(encoding: i32) -> Result<Encoding, Status> {
     match Encoding::try_from(encoding) {
         Ok(encoding @ (Encoding::Json | Encoding::JsonIetf | Encoding::Proto)) => Ok(encoding),
@@ -25,6 +25,7 @@
 }
 
 impl GnmiService {
+    /// Encodes a data node as JSON or JSON_IETF.
     pub(super) fn encode_json(&self, data: &DataNode, encoding: Encoding) -> TypedValue {
         let bytes = json::value(self.schema, data).to_string().into_bytes();
         let value = if encoding == Encoding::Json {
@@ -35,7 +36,7 @@
         TypedValue { value: Some(value) }
     }
 
-    /// A received value as JSON, whatever its encoding.
+    /// Converts a received value of any supported encoding to JSON; `node` is its schema node.
     pub(super) fn typed_value_to_json(
         &self,
         at: &str,
@@ -90,7 +91,7 @@
     }
 }
 
-/// The update of one leaf.
+/// The update message of one leaf; `duplicates` is the number of coalesced changes.
 pub(super) fn leaf_update(at: &InstancePath, value: &TypedValue, duplicates: u32) -> Update {
     Update {
         path: Some(to_gnmi_path(at)),
@@ -99,7 +100,7 @@
     }
 }
 
-/// Collects the leaves of a data node with their values; the values of a leaf-list are one array.
+/// Collects the values of all leaves of a data node by their paths; the values of a leaf-list form one array.
 pub(super) fn collect_leaf_values(
     schema: &Schema,
     encoding: Encoding,
@@ -150,7 +151,8 @@
     }
 }
 
-/// The PROTO value of a leaf that is a string in JSON: integers of 64 bits and decimals are numbers in PROTO.
+/// The PROTO value of a leaf that is a string in JSON. 64-bit integers and decimals are strings in JSON (RFC 7951) but
+/// numbers in PROTO.
 fn proto_value(schema: &Schema, node: NodeId, text: &str) -> Value {
     use kestreltide_yang::types::Type;
     match &schema.node_of(node).kind {
--- a/management/src/gnmi/errors.rs
+++ b/management/src/gnmi/errors.rs
@@ -1,4 +1,4 @@
-//! Errors of the datastore and of requests as gRPC statuses.
+//! Converts errors of the datastore and of requests to gRPC statuses.
 
 use kestreltide_datastore::commit_coordinator::CommitError;
 use kestreltide_yang::edit::EditError;
@@ -21,7 +21,7 @@
 
 pub(super) fn commit_error_status(error: &CommitError) -> Status {
     match error {
-        // A concurrent change of the same leaf: the client can read again and retry.
+        // Another client changed the same leaf since this request read it: the client can read again and retry.
         CommitError::Invalid(errors)
             if errors
                 .first
--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -1,4 +1,4 @@
-//! Get: the published data below the requested paths, in the requested encoding.
+//! The Get RPC: returns the published data at the requested paths in the requested encoding.
 
 use std::collections::BTreeMap;
 
@@ -65,7 +65,7 @@
         }))
     }
 
-    /// The part of the data that a type names: configuration, state or both.
+    /// Keeps the part of the data that a data type names: configuration, state or both.
     fn retain_data_type(&self, mut data: DataNode, data_type: i32) -> Vec<DataNode> {
         use get_request::DataType;
         if let Content::Inner(children) = &mut data.content {
@@ -81,6 +81,7 @@
         vec![data]
     }
 
+    /// The updates for the data that a pattern selects: one per leaf in PROTO, one per instance in JSON.
     fn select_updates(
         &self,
         pattern: &Pattern,
--- a/management/src/gnmi/mod.rs
+++ b/management/src/gnmi/mod.rs
@@ -1,5 +1,5 @@
-//! gNMI (specification 0.10.0) over TLS: Capabilities, Get, Set as one transaction, and Subscribe in all its modes. A
-//! client is identified by the certificate of its TLS connection.
+//! The gNMI service (specification 0.10.0) over TLS: Capabilities, Get, Set as one transaction, and Subscribe in the
+//! modes ONCE, POLL and STREAM. A client is identified by the certificate of its TLS connection.
 
 mod access;
 mod arbitration;
@@ -51,17 +51,17 @@
     schema: &'static Schema,
     binding: Arc<Binding>,
     snapshot: watch::Receiver<Arc<Snapshot>>,
-    /// The highest election id of each role; the client that has it is the master.
+    /// The highest election id of each role; the client that sent it is the master.
     highest_election_ids: Mutex<BTreeMap<String, ElectionId>>,
-    /// Sessions at the commit service that own pending commits, by the names of the keys.
+    /// The sessions at the commit service that own pending commits, by the name of the client's key.
     commit_sessions: Mutex<BTreeMap<String, SessionId>>,
-    /// Open Subscribe streams.
+    /// The number of open Subscribe streams.
     open_streams: Arc<AtomicUsize>,
     /// The number of the next Set request.
     next_set_number: AtomicU32,
 }
 
-/// The time in Unix nanoseconds, as gNMI has it.
+/// The current time in nanoseconds since the Unix epoch, the unit of gNMI timestamps.
 fn unix_nanoseconds() -> i64 {
     (crate::clock::unix_seconds() * 1e9) as i64
 }
--- a/management/src/gnmi/path_subscription.rs
+++ b/management/src/gnmi/path_subscription.rs
@@ -1,4 +1,4 @@
-//! One subscription of a stream: what it selects, when it is due, and what was sent last.
+//! One subscription of a Subscribe stream: its selection, its timers and the values that were sent last.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use crate::Limits;
 use crate::proto::gnmi::{Path, SubscriptionMode, Update};
 
-/// One subscription of a stream.
+/// One subscription of a Subscribe stream.
 pub(super) struct PathSubscription {
     pub(super) selection: Selection,
     on_change: bool,
-    /// Time between samples; none without sampling.
+    /// Time between samples; none for an ON_CHANGE subscription.
     sample_interval: Option<Duration>,
-    /// Time between heartbeats, at which all leaves are sent; none without heartbeats.
+    /// Time between heartbeats, at which all leaves are sent even if unchanged; none without heartbeats.
     heartbeat_interval: Option<Duration>,
     suppress_redundant: bool,
     next_sample: Option<Instant>,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// When its next timer expires.
+    /// The time at which the next timer of the subscription expires.
     pub(super) fn next_timer_at(&self) -> Option<Instant> {
         [self.next_sample, self.next_heartbeat]
             .into_iter()
@@ -79,7 +79,7 @@
             .min()
     }
 
-    /// What is due to be sent, if anything; expired timers start again.
+    /// The updates that are due at `now`, if any; restarts expired timers. `changed` is whether the data has changed.
     pub(super) fn take_due_updates(&mut self, now: Instant, changed: bool) -> Option<DueUpdates> {
         let sample_due = self.next_sample.is_some_and(|at| at <= now);
         let heartbeat_due = self.next_heartbeat.is_some_and(|at| at <= now);
@@ -99,8 +99,8 @@
         })
     }
 
-    /// The updates and deletions that lead to a snapshot, which counts as sent from now on. Updates of changed leaves
-    /// carry the number of coalesced changes.
+    /// The updates and deletions from the leaves that were sent last to those of a snapshot, which then count as sent.
+    /// Updates of changed leaves carry the number of coalesced changes.
     pub(super) fn updates_since_last(
         &mut self,
         schema: &Schema,
@@ -133,10 +133,10 @@
     }
 }
 
-/// What is due to be sent for a subscription.
+/// The updates that are due for a subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DueUpdates {
-    /// The changes since the last time.
+    /// The leaves that changed since the last updates.
     ChangedLeaves,
     /// All selected leaves.
     AllLeaves,
--- a/management/src/gnmi/paths.rs
+++ b/management/src/gnmi/paths.rs
@@ -1,4 +1,4 @@
-//! Conversion of gNMI paths to patterns, and of instance paths to gNMI paths.
+//! Converts gNMI paths to patterns, and instance paths to gNMI paths.
 
 use kestreltide_yang::Schema;
 use kestreltide_yang::data::{DataNode, InstancePath, Step};
@@ -8,7 +8,7 @@
 use super::errors::invalid_argument;
 use crate::proto::gnmi::{Path, PathElem};
 
-/// The pattern of a path below a prefix; rejects unknown origins.
+/// Parses a path below a prefix as a pattern; rejects unknown origins.
 pub(super) fn parse_pattern(prefix: Option<&Path>, path: &Path) -> Result<Pattern, Status> {
     let path_string = format_path(path);
     let mut all = Pattern::default();
@@ -42,6 +42,7 @@
     Ok(all)
 }
 
+/// Formats a gNMI path for error messages, with its keys in order.
 pub(super) fn format_path(path: &Path) -> String {
     let mut out = String::new();
     for elem in &path.elem {
@@ -54,7 +55,7 @@
     if out.is_empty() { "/".into() } else { out }
 }
 
-/// The error for a path that matches no node of the model.
+/// The status for a path that matches no node of the model.
 pub(super) fn unknown_path_status(path: &Path) -> Status {
     Status::not_found(format!(
         "{}: leads nowhere in the model (given: {0}; taken: a path of it)",
@@ -62,7 +63,7 @@
     ))
 }
 
-/// The instances that a pattern selects from data; those at the top for the empty pattern.
+/// The instances that a pattern selects from data; the empty pattern selects the top-level nodes.
 pub(super) fn select_instances<'a>(
     schema: &Schema,
     pattern: &Pattern,
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -1,4 +1,4 @@
-//! Serves gNMI on a listener, with TLS, client certificates and limits.
+//! The gNMI server: serves a listener with TLS, client certificates and limits.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::{Arc, Mutex};
@@ -15,21 +15,22 @@
 use crate::proto::gnmi::g_nmi_server::GNmiServer;
 use crate::{Limits, ServeError};
 
-/// The certificates and the key of TLS, in PEM.
+/// The certificates and the private key of the TLS server, in PEM.
 pub struct TlsCredentials {
     /// The certificate chain of the server.
     pub certificate: Vec<u8>,
     /// The private key of the server.
     pub key: Vec<u8>,
-    /// The certificate that signs the certificates of clients.
+    /// The CA certificate that signs the client certificates.
     pub client_ca: Vec<u8>,
 }
 
-/// Serves until the listener fails for good.
+/// Serves the listener until the server fails; a failed `accept` is retried.
 ///
 /// # Errors
 ///
-/// When the certificate cannot be used, and when the listener fails.
+/// When the published YANG modules are invalid, when the certificate or the key cannot be used, and when the server
+/// fails.
 pub async fn serve(
     log: Logger,
     commit_service: CommitServiceHandle,
@@ -77,7 +78,7 @@
         })
 }
 
-/// TLS that requires client certificates and limits the time of a handshake.
+/// The TLS configuration, which requires client certificates and limits the time of a handshake.
 fn server_tls_config(credentials: TlsCredentials, limits: &Limits) -> ServerTlsConfig {
     let clients = Certificate::from_pem(credentials.client_ca);
     let identity = Identity::from_pem(credentials.certificate, credentials.key);
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -1,4 +1,4 @@
-//! Set: all edits of a request as one transaction, committed at once or until it is confirmed.
+//! The Set RPC: applies all edits of a request as one transaction, final at once or as a confirmed commit.
 
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -15,11 +15,11 @@
 use crate::proto::gnmi_ext::extension::Ext;
 use crate::proto::gnmi_ext::{Commit as CommitExt, Extension, MasterArbitration};
 
-/// The time to confirm a commit if the request has none, in seconds.
+/// The default rollback duration of a confirmed commit, in seconds.
 const DEFAULT_CONFIRM_SECONDS: f64 = 600.0;
-/// The shortest time to confirm a commit, in seconds; an error text names it.
+/// The shortest rollback duration of a confirmed commit, in seconds. An error text contains this number.
 const MIN_CONFIRM_SECONDS: f64 = 0.1;
-/// The longest time to confirm a commit, in seconds; an error text names it.
+/// The longest rollback duration of a confirmed commit, in seconds. An error text contains this number.
 const MAX_CONFIRM_SECONDS: f64 = 86_400.0;
 
 impl GnmiService {
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Deletions, then replacements, then updates, as one transaction (gNMI, section 3.4.3).
+    /// Applies the deletes, then the replaces, then the updates of a request to the candidate (gNMI specification,
+    /// section 3.4.3).
     fn apply_edits(
         &self,
         candidate: &mut Candidate,
@@ -123,7 +124,7 @@
         Ok(response)
     }
 
-    /// The author of the next revision, with the number of the request.
+    /// The author of the revision that a request commits; its version contains the number of the Set request.
     fn new_author(&self, key: &Key) -> Author {
         let number = self.next_set_number.fetch_add(1, Relaxed);
         Author {
@@ -134,7 +135,7 @@
     }
 }
 
-/// The response to a request that confirmed or cancelled a commit; it may not have edits.
+/// The response to a request that confirms or cancels a commit; rejects a request that also has edits.
 fn empty_edit_response(request: &SetRequest) -> Result<Response<SetResponse>, Status> {
     let empty =
         request.delete.is_empty() && request.replace.is_empty() && request.update.is_empty();
@@ -153,7 +154,7 @@
     }))
 }
 
-/// The time and the id of a confirmed commit.
+/// Reads the rollback duration and the id of a confirmed commit.
 fn confirmed_commit(commit: &CommitExt) -> Result<ConfirmedCommit, Status> {
     let rollback_duration = match &commit.action {
         Some(Action::Commit(request)) => request.rollback_duration.as_ref(),
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -1,5 +1,5 @@
-//! Snapshots of the published data, one for each change. The leaves of a path and the differences between snapshots are
-//! computed once for all streams that need them.
+//! Snapshots of the published data, one for each detected change. The leaves of a selection and their differences from
+//! earlier snapshots are computed once and cached for all streams.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
@@ -20,9 +20,9 @@
 use crate::proto::gnmi::{Encoding, Path, TypedValue};
 use crate::state;
 
-/// The published data at one time, computed when the first stream needs it.
+/// The published data at one point in time; its data tree is built when the first stream needs it.
 pub(super) struct Snapshot {
-    /// The number of changes so far, each revision counted.
+    /// The number of changes since the server started; each revision counts, also if no stream saw it.
     pub(super) change_number: u64,
     build_data: Box<dyn Fn() -> Vec<DataNode> + Send + Sync>,
     data: OnceLock<Vec<DataNode>>,
@@ -30,7 +30,7 @@
     differences: Mutex<BTreeMap<CachedDifferenceKey, CachedDifference>>,
 }
 
-/// What a subscription selects.
+/// The data that a subscription selects.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Selection {
     /// The path of the subscription.
@@ -42,22 +42,22 @@
 /// The values of leaves by their paths.
 pub(super) type Leaves = BTreeMap<InstancePath, TypedValue>;
 
-/// Identifies a difference: the selection, and the address of the leaves that were sent.
+/// The key of a cached difference: the selection, and the address of the leaves that were sent before.
 type CachedDifferenceKey = (Selection, usize);
 
-/// The difference from leaves that were sent.
+/// The cached difference from leaves that were sent before.
 struct CachedDifference {
-    /// Kept so that no other leaves can have their address.
+    /// Keeps the sent leaves alive, so that no other leaves can get their address, which is part of the key.
     _sent: Arc<Leaves>,
     changes: Arc<Changes>,
 }
 
-/// What differs between two snapshots.
+/// The difference between the leaves of two snapshots.
 #[derive(Default)]
 pub(super) struct Changes {
-    /// Leaves that are new or have another value.
+    /// Leaves that are new or have a new value.
     pub(super) updates: Vec<(InstancePath, TypedValue)>,
-    /// Paths of leaves that are gone.
+    /// Paths of leaves that no longer exist.
     pub(super) deleted: Vec<Path>,
 }
 
@@ -76,7 +76,7 @@
         self.data.get_or_init(&self.build_data)
     }
 
-    /// The selected leaves.
+    /// The leaves that a selection selects, from the cache if it has them.
     pub(super) fn leaves(&self, schema: &Schema, selection: &Selection) -> Arc<Leaves> {
         let mut leaves_by_selection = self
             .leaves_by_selection
@@ -91,12 +91,12 @@
             collect_leaf_values(schema, selection.encoding, at, data, &mut leaves)
         });
         let leaves = Arc::new(leaves);
-        // Bounded by the number of streams; the next change begins with an empty cache.
+        // The subscriptions of the open streams bound the cache, and each change starts a snapshot with an empty one.
         leaves_by_selection.insert(selection.clone(), leaves.clone());
         leaves
     }
 
-    /// The selected leaves, and their difference from those that a stream has sent.
+    /// The selected leaves, and their difference from the leaves that a stream has sent before.
     pub(super) fn changes_since(
         &self,
         schema: &Schema,
@@ -136,10 +136,10 @@
     }
 }
 
-/// Time between checks for changes of the published data.
+/// Time between checks whether the published data has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Follows the published data in a task of its own; gives a snapshot after each change.
+/// Spawns a task that checks the published data for changes; the receiver gets a snapshot after each change.
 pub(super) fn watch_snapshots(
     schema: &'static Schema,
     binding: Arc<Binding>,
@@ -169,7 +169,7 @@
     tokio::spawn(async move {
         let mut change_number = 0;
         while !sender.is_closed() {
-            // Comparing two pointers is cheaper than a notification of each change.
+            // Polling compares two pointers, which costs less than a notification for each change.
             sleep(POLL_INTERVAL).await;
             let new_operational_state = commit_service.operational_state.load_full();
             let new_status = commit_service.status.load_full();
@@ -178,7 +178,7 @@
             {
                 continue;
             }
-            // Revisions between two checks count one by one, so that streams can report how many they coalesce.
+            // Each revision between two checks counts, so that streams can report the number of coalesced changes.
             let revisions = new_status
                 .in_force
                 .revision
--- a/management/src/gnmi/stream.rs
+++ b/management/src/gnmi/stream.rs
@@ -23,10 +23,10 @@
 use crate::proto::gnmi::subscription_list::Mode;
 use crate::proto::gnmi::{Notification, Path, SubscribeRequest, SubscribeResponse, Update};
 
-/// Time between checks whether the key of a stream may still read.
+/// Time between checks whether the key of a stream still has the right to read.
 const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a stream needs of the service.
+/// The parts of the gNMI service that a stream uses.
 pub(super) struct StreamContext {
     pub(super) schema: &'static Schema,
     pub(super) snapshot: watch::Receiver<Arc<Snapshot>>,
@@ -34,6 +34,7 @@
     pub(super) log: Logger,
 }
 
+/// One Subscribe stream with its subscriptions.
 pub(super) struct SubscribeStream {
     pub(super) context: Arc<StreamContext>,
     pub(super) key: Key,
@@ -64,7 +65,8 @@
             .is_ok()
     }
 
-    /// Sends all leaves of all subscriptions unless `updates_only`, and the sync response.
+    /// Sends all leaves of all subscriptions, unless `updates_only`, and then the sync response; false if the client
+    /// has disconnected.
     async fn send_all_leaves(&mut self, updates_only: bool) -> bool {
         let snapshot = self.context.snapshot.borrow().clone();
         for index in 0..self.subscriptions.len() {
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Waits for a change, for a timer of a subscription or for the next check of the key.
+    /// Waits for a change of the data, for a timer of a subscription or for the next check of the key.
     ///
     /// # Errors
     ///
@@ -186,7 +188,7 @@
             .iter()
             .filter_map(PathSubscription::next_timer_at)
             .min();
-        // A key may be revoked while nothing changes.
+        // A key can be revoked while no data changes, so the wait ends at least at each key check.
         let key_check = Instant::now() + KEY_CHECK_INTERVAL;
         tokio::select! {
             changed = changes.changed() => changed.map_err(|_| EndReason::RouterStopping),
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Sends what is due for each subscription; false if the client has gone.
+    /// Sends the updates that are due for each subscription; false if the client has disconnected.
     async fn send_due_updates(
         &mut self,
         snapshot: &Snapshot,
@@ -233,11 +235,11 @@
     }
 }
 
-/// The snapshot_changes of the published data since a stream read it last.
+/// The changes between the snapshot that a stream read last and the current one.
 #[derive(Clone, Copy)]
 struct SnapshotChanges {
     changed: bool,
-    /// Changes before the newest one that are not sent one by one, since the client reads slowly.
+    /// Number of changes before the newest one that are not sent separately, since the client reads slowly.
     coalesced: u32,
 }
 
--- a/management/src/gnmi/subscribe.rs
+++ b/management/src/gnmi/subscribe.rs
@@ -1,4 +1,4 @@
-//! Subscribe: checks a list of subscriptions and starts the task that serves its stream.
+//! The Subscribe RPC: validates a list of subscriptions and starts the task that serves its stream.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 pub(super) type SubscribeResponses =
     Pin<Box<dyn Stream<Item = Result<SubscribeResponse, Status>> + Send>>;
 
-/// Subscriptions of one stream, at most.
+/// Maximum number of subscriptions of one stream.
 const MAX_SUBSCRIPTIONS: usize = 64;
 
 impl GnmiService {
@@ -78,7 +78,7 @@
         Ok(Response::new(Box::pin(ReceiverStream::new(receiver))))
     }
 
-    /// The subscriptions of a list, whose paths have to match the model.
+    /// Creates the subscriptions of a list; rejects paths that match no node of the model.
     fn path_subscriptions(
         &self,
         list: &SubscriptionList,
@@ -118,7 +118,7 @@
     }
 }
 
-/// The prefix of notifications: only the target of the requested prefix, if it has one.
+/// The prefix of notifications: the target of the requested prefix, without its path; none without a target.
 fn target_only(prefix: &Path) -> Option<Path> {
     let target = prefix.target.clone();
     (!target.is_empty()).then(|| Path {
--- a/management/src/lib.rs
+++ b/management/src/lib.rs
@@ -1,6 +1,6 @@
-//! The management interfaces: NETCONF over SSH and gNMI over TLS, by the published models. They never change the router
-//! themselves: an edit is a candidate that the commit service checks and commits, and what clients read is what the
-//! commit service has published.
+//! The management interfaces of the router: NETCONF over SSH and gNMI over TLS, with the published YANG modules as the
+//! data model. They never change the router directly: an edit becomes a candidate that the commit service validates and
+//! commits, and reads return the data that the commit service and the event loop have published.
 
 mod clock;
 pub mod commit_service;
@@ -10,7 +10,7 @@
 pub mod netconf;
 pub mod state;
 
-/// The generated code of the gNMI service.
+/// The code that `build.rs` generates from the gNMI `.proto` files.
 pub mod proto {
     #![allow(missing_docs, clippy::all, clippy::pedantic)]
     pub mod gnmi {
@@ -27,26 +27,27 @@
 pub use error::ServeError;
 pub use russh::keys;
 
-/// The limits of connections, sessions and subscriptions.
+/// Limits of connections, sessions and subscriptions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Size of a NETCONF message and of a gNMI request, in bytes.
+    /// Maximum size of a NETCONF message or a gNMI request, in bytes.
     pub max_message_bytes: usize,
-    /// Open connections of each protocol.
+    /// Maximum number of open connections of each protocol.
     pub max_connections: usize,
-    /// NETCONF sessions, and gNMI streams.
+    /// Maximum number of NETCONF sessions, and of gNMI Subscribe streams.
     pub max_sessions: usize,
-    /// Time of a client to authenticate, and to send its hello.
+    /// Time limit of each login step: for NETCONF the SSH key exchange, the authentication and the client's hello, for
+    /// gNMI the TLS handshake.
     pub login_timeout: Duration,
     /// Time between keepalive messages on an idle connection.
     pub keepalive_interval: Duration,
-    /// Keepalive messages in a row without a reply before a connection is closed.
+    /// Consecutive unanswered keepalive messages after which a connection is closed.
     pub max_missed_keepalives: usize,
-    /// Notifications that are queued for one session.
+    /// Maximum number of notifications that are queued for one session.
     pub max_queued_notifications: usize,
-    /// Concurrent requests and streams of one gNMI connection.
+    /// Maximum number of concurrent requests and streams on one gNMI connection.
     pub max_streams: u32,
-    /// Shortest time between samples and between heartbeats of a subscription.
+    /// Shortest sample interval and heartbeat interval of a subscription.
     pub min_sample_interval: Duration,
 }
 
--- a/management/src/netconf/framing.rs
+++ b/management/src/netconf/framing.rs
@@ -1,38 +1,39 @@
-//! Framing of NETCONF messages over SSH (RFC 6242, section 4): an end-of-message mark until both sides have sent their
-//! hello, chunks afterwards. Memory is bounded by the limit of a message, whatever length a chunk announces.
+//! Framing of NETCONF messages over SSH (RFC 6242, section 4): end-of-message framing for the hello messages, chunked
+//! framing afterwards if both sides support it. The announced size of a chunk is checked against the message limit
+//! before its data is stored, so that a client cannot make the decoder allocate more than that limit.
 
 use thiserror::Error;
 
-/// How messages are framed.
+/// The framing mechanism of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// Each message ends with `]]>]]>`.
+    /// End-of-message framing: each message ends with `]]>]]>`.
     EndOfMessage,
-    /// Each message is sent in chunks with their lengths.
+    /// Chunked framing: each message is a sequence of chunks, each with its size in bytes.
     Chunked,
 }
 
-/// The end-of-message mark.
+/// The end-of-message delimiter.
 const END_OF_MESSAGE: &[u8] = b"]]>]]>";
-/// Digits of the length of a chunk, at most.
+/// Maximum number of digits of a chunk size.
 const MAX_CHUNK_SIZE_DIGITS: usize = 10;
-/// `LF # # LF`, which ends a message in chunks, in bytes.
+/// Length of `LF # # LF`, which ends a chunked message, in bytes.
 const END_OF_CHUNKS_BYTES: usize = 4;
 
-/// Why bytes are not messages; nothing behind them can be decoded.
+/// A framing error. The bytes after it cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FramingError {
-    /// A message exceeds the limit.
-    #[error("a message is too long")]
+    /// A message exceeds the size limit.
+    #[error("message exceeds the size limit")]
     MessageTooLong,
-    /// A message in chunks has none.
-    #[error("a message has no chunk")]
+    /// A chunked message ends before its first chunk.
+    #[error("chunked message has no chunk")]
     EmptyChunkedMessage,
     /// A chunk does not begin with a valid header.
-    #[error("a chunk begins wrongly")]
+    #[error("invalid chunk header")]
     InvalidChunkHeader,
-    /// A chunk is longer than any may be (RFC 6242, section 4.2).
-    #[error("a chunk is longer than any may be")]
+    /// A chunk size exceeds 4,294,967,295 bytes, the maximum of RFC 6242, section 4.2.
+    #[error("chunk size exceeds 4294967295 bytes")]
     ChunkTooLong,
 }
 
@@ -41,20 +42,20 @@
 pub struct FrameDecoder {
     framing: Framing,
     max_message_bytes: usize,
-    /// Bytes that have been received and not decoded.
+    /// Received bytes that are not decoded yet.
     buffer: Vec<u8>,
-    /// Bytes of the buffer in which no end mark begins.
+    /// Number of bytes at the start of the buffer in which no end-of-message delimiter begins.
     scanned_bytes: usize,
-    /// The chunks of the current message so far.
+    /// The decoded chunks of the current message.
     partial_message: Vec<u8>,
-    /// Bytes of the current chunk that are to come.
+    /// Bytes of the current chunk that are not received yet.
     chunk_remaining: usize,
-    /// Chunks of the current message so far.
+    /// Number of chunks of the current message so far.
     chunk_count: usize,
 }
 
 impl FrameDecoder {
-    /// A decoder of messages up to a size, framed by end marks at first.
+    /// Creates a decoder that rejects messages above `max_message_bytes` and begins with end-of-message framing.
     pub fn new(max_message_bytes: usize) -> Self {
         FrameDecoder {
             framing: Framing::EndOfMessage,
@@ -72,21 +73,21 @@
         self.framing
     }
 
-    /// Expects chunks from the next message on.
+    /// Switches to chunked framing from the next message on.
     pub fn use_chunked_framing(&mut self) {
         self.framing = Framing::Chunked;
     }
 
-    /// Adds received bytes.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next message; none if its end has not been received.
+    /// Decodes the next message; none if its end is not received yet.
     ///
     /// # Errors
     ///
-    /// When the bytes are no message or it is too long; the session has to end then.
+    /// When the framing is invalid or the message is too long. The session has to end then.
     pub fn next_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         match self.framing {
             Framing::EndOfMessage => self.decode_end_of_message(),
@@ -122,7 +123,7 @@
         result
     }
 
-    /// Decodes chunks from `used` on, which is moved behind each byte that is done with.
+    /// Decodes chunks from the buffer position `consumed` on, and advances it behind each decoded byte.
     fn decode_chunks_from(
         &mut self,
         consumed: &mut usize,
@@ -170,25 +171,26 @@
     }
 }
 
-/// The header of a chunk, or the end of all chunks.
+/// A chunk header, or the end-of-chunks marker.
 struct ChunkHeader {
     kind: ChunkHeaderKind,
-    /// Bytes of the header itself.
+    /// Length of the header itself, in bytes.
     header_bytes: usize,
 }
 
 enum ChunkHeaderKind {
-    /// A chunk of so many bytes follows.
+    /// A chunk of this size in bytes follows.
     Chunk(usize),
-    /// The message is complete.
+    /// The message has no more chunks.
     EndOfChunks,
 }
 
-/// Parses `LF # length LF` or `LF # # LF`; none if more bytes are needed. Anything else fails at its first wrong byte.
+/// Parses `LF # chunk-size LF` or `LF # # LF`; none if more bytes are needed. Anything else is rejected at its first
+/// invalid byte.
 fn parse_chunk_header(bytes: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
     const INVALID_HEADER: FramingError = FramingError::InvalidChunkHeader;
-    let expected_start = &b"\n#"[..bytes.len().min(2)];
-    if !bytes.starts_with(expected_start) {
+    let expected_prefix = &b"\n#"[..bytes.len().min(2)];
+    if !bytes.starts_with(expected_prefix) {
         return Err(INVALID_HEADER);
     }
     let Some(first) = bytes.get(2) else {
@@ -229,7 +231,7 @@
     Ok(size as usize)
 }
 
-/// A message with its framing.
+/// Encodes a message with the given framing.
 pub fn encode_message(framing: Framing, message: &str) -> Vec<u8> {
     match framing {
         Framing::EndOfMessage => [message.as_bytes(), END_OF_MESSAGE].concat(),
--- a/management/src/netconf/mod.rs
+++ b/management/src/netconf/mod.rs
@@ -1,5 +1,5 @@
-//! NETCONF (RFC 6241) over SSH (RFC 6242). `framing` and `session` do no I/O: they decode messages and decide what each
-//! leads to. `server`, `ssh_connection` and `session_task` carry them.
+//! NETCONF (RFC 6241) over SSH (RFC 6242). `framing` and `session` do no I/O: they decode messages and turn each into a
+//! reply or an operation. `server`, `ssh_connection` and `session_task` do the I/O.
 
 pub mod framing;
 pub mod server;
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -1,5 +1,5 @@
-//! Serves NETCONF over SSH: accepts connections, and holds what the sessions share. Whatever one client sends can only
-//! cost that client its own session.
+//! The NETCONF server over SSH: accepts connections and holds the data that all sessions use. Invalid input of a client
+//! ends at most the connection of that client.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -21,35 +21,35 @@
 use crate::commit_service::CommitServiceHandle;
 use crate::{Limits, ServeError};
 
-/// Failed attempts to authenticate on one connection, at most.
+/// Maximum number of failed authentication attempts on one connection.
 const MAX_AUTH_ATTEMPTS: usize = 4;
-/// Delay of the reply to a failed attempt to authenticate.
+/// Delay of the reply to a failed authentication attempt; the initial `none` request is rejected without delay.
 const AUTH_REJECTION_DELAY: Duration = Duration::from_millis(300);
-/// Pause after a connection could not be accepted.
+/// Delay before the next `accept` after one has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What all sessions share.
+/// The data that all connections and sessions use.
 pub struct ServerContext {
-    /// The log.
+    /// The logger of the server.
     pub log: Logger,
-    /// The commit service.
+    /// The access to the commit service.
     pub commit_service: CommitServiceHandle,
     /// The limits of connections and sessions.
     pub limits: Limits,
-    /// The published model.
+    /// The schema of the published YANG modules.
     pub schema: &'static Schema,
-    /// The binding of the model to the datastore.
+    /// The binding of the YANG model to the datastore.
     pub binding: Arc<Binding>,
-    /// The sessions that are served, with the signal that ends each.
+    /// The open sessions, each with the signal that kills it.
     sessions: Mutex<BTreeMap<SessionId, Arc<Notify>>>,
 }
 
 impl ServerContext {
-    /// What sessions share, with the published model.
+    /// Creates the context of a server with the published YANG modules.
     ///
     /// # Errors
     ///
-    /// When the published model is wrong, which is a defect.
+    /// When the published YANG modules are invalid or do not match the datastore, which is a defect of the software.
     pub fn new(
         log: Logger,
         commit_service: CommitServiceHandle,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Gives access to the sessions that are served.
+    /// Runs `access` on the map of open sessions while it is locked.
     pub(super) fn with_sessions<T>(
         &self,
         access: impl FnOnce(&mut BTreeMap<SessionId, Arc<Notify>>) -> T,
@@ -75,7 +75,7 @@
         access(&mut self.sessions.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The current rights of a key; none if the file of keys does not have it any more.
+    /// The current rights of a key; none if the key was removed from the file of keys.
     pub fn rights(&self, key: &Key) -> Option<Rights> {
         self.commit_service
             .keys
@@ -99,7 +99,7 @@
     }
 }
 
-/// Serves until the listener fails for good.
+/// Accepts and serves connections until the runtime stops; a failed `accept` is retried.
 pub async fn serve(context: Arc<ServerContext>, listener: TcpListener, host_key: PrivateKey) {
     let config = Arc::new(ssh_config(host_key, &context.limits));
     let permits = Arc::new(Semaphore::new(context.limits.max_connections));
@@ -107,7 +107,8 @@
         let (stream, client) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(e) => {
-                // Most likely out of file descriptors: sessions go on, and accepting is retried.
+                // Most likely the process has no file descriptors left. Open sessions continue, and `accept` is
+                // retried.
                 warn!(context.log, "NETCONF connection not accepted"; "error" => %e);
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
@@ -127,7 +128,8 @@
     }
 }
 
-/// Serves one connection to its end. The start of SSH has the login timeout, and the authentication after it has it again.
+/// Serves one connection until it closes. The SSH key exchange may take the login timeout, and the authentication after
+/// it the same time again; a connection that misses either limit is closed.
 async fn serve_connection(
     context: Arc<ServerContext>,
     config: Arc<russh::server::Config>,
--- a/management/src/netconf/session/capabilities.rs
+++ b/management/src/netconf/session/capabilities.rs
@@ -1,4 +1,4 @@
-//! Namespaces, and the hello of the server with its capabilities (RFC 6241, section 8).
+//! XML namespaces, and the server's hello message with its capabilities (RFC 6241, section 8).
 
 use std::fmt::Write;
 
@@ -6,17 +6,17 @@
 
 use super::Session;
 
-/// The namespace of NETCONF messages.
+/// The XML namespace of NETCONF messages.
 pub const BASE_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
 /// The capability of version 1.0 of the base protocol.
 pub(super) const BASE_1_0_CAPABILITY: &str = "urn:ietf:params:netconf:base:1.0";
-/// The capability of version 1.1 of the base protocol, which brings chunked framing.
+/// The capability of version 1.1 of the base protocol, which includes chunked framing.
 pub(super) const BASE_1_1_CAPABILITY: &str = "urn:ietf:params:netconf:base:1.1";
-/// The namespace of notifications (RFC 5277).
+/// The XML namespace of notifications (RFC 5277).
 pub(super) const NOTIFICATION_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
-/// The namespace of `get-schema` (RFC 6022).
+/// The XML namespace of `get-schema` (RFC 6022).
 pub(super) const MONITORING_NAMESPACE: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
-/// The capabilities of the server beside its modules.
+/// The capabilities of the server other than its YANG modules.
 const CAPABILITIES: [&str; 11] = [
     BASE_1_0_CAPABILITY,
     BASE_1_1_CAPABILITY,
@@ -32,7 +32,7 @@
 ];
 
 impl Session {
-    /// The first message of the server.
+    /// The hello message of the server.
     pub fn hello(&self) -> String {
         let mut out = format!(
             "<?xml version=\"1.0\" encoding=\"UTF-8\"?><hello xmlns=\"{BASE_NAMESPACE}\"><capabilities>"
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -1,5 +1,5 @@
-//! `commit` (RFC 6241, section 8.3.4): commits the candidate of the session, for good or until it is confirmed, or
-//! confirms the pending commit.
+//! The operation `commit` (RFC 6241, sections 8.3.4 and 8.4): commits the candidate of the session, at once or as a
+//! confirmed commit, or confirms the pending commit.
 
 use kestreltide_datastore::Rights;
 use kestreltide_datastore::commit_coordinator::ConfirmedCommit;
@@ -10,9 +10,9 @@
 use super::{DatastoreOperation, Session, SessionAction};
 use crate::commit_service::CommitServiceHandle;
 
-/// The time to confirm a commit if the request has none, in seconds (RFC 6241, section 8.4.5.1).
+/// The default of `confirm-timeout`, in seconds (RFC 6241, section 8.4.5.1).
 const DEFAULT_CONFIRM_SECONDS: f64 = 600.0;
-/// The longest time to confirm a commit, in seconds.
+/// The maximum of `confirm-timeout`, in seconds.
 const MAX_CONFIRM_SECONDS: f64 = 86_400.0;
 
 impl Session {
@@ -32,7 +32,7 @@
             .candidate
             .as_ref()
             .is_some_and(|candidate| !candidate.is_unchanged());
-        // Without a change it confirms the pending commit, if there is one.
+        // A final commit of an unchanged candidate confirms the pending commit.
         if !changed
             && confirmed_commit.is_none()
             && (published.pending.is_some() || persist_id.is_some())
@@ -56,7 +56,7 @@
     }
 }
 
-/// The time and the id of a confirmed commit (RFC 6241, section 8.4).
+/// Parses `confirm-timeout` and `persist` of a confirmed commit (RFC 6241, section 8.4).
 fn parse_confirmed_commit(operation: &Element) -> Result<ConfirmedCommit, Vec<RpcError>> {
     let value = child_text(operation, "confirm-timeout");
     let timeout = match &value {
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -1,4 +1,4 @@
-//! `edit-config` (RFC 6241, section 7.2): edits of the candidate of the session or of the running datastore.
+//! The operation `edit-config` (RFC 6241, section 7.2) on the candidate of the session or on the running datastore.
 
 use kestreltide_datastore::commit_coordinator::Target;
 use kestreltide_datastore::{Candidate, Rights, Tree};
@@ -11,11 +11,11 @@
 use super::{DatastoreOperation, Session, SessionAction};
 use crate::commit_service::CommitServiceHandle;
 
-/// The parameters of an edit-config.
+/// The optional parameters of `edit-config`.
 struct EditOptions {
-    /// The operation of elements without one.
+    /// The operation for elements without an `operation` attribute.
     default_operation: Operation,
-    /// Whether the result is only checked.
+    /// Whether the result is only validated and not applied (`test-only`).
     test_only: bool,
 }
 
@@ -33,7 +33,7 @@
         };
         let default_operation =
             Operation::from_default_operation(&default_operation).ok_or_else(invalid)?;
-        // Edits are applied all or none, whatever the option.
+        // The value is checked but has no effect: the edits of a request are always applied all or none.
         parse_option(
             operation,
             "error-option",
@@ -51,7 +51,7 @@
     }
 }
 
-/// The value of a parameter that has three values, of which the first is the default.
+/// Parses a parameter that allows three values, of which the first is the default.
 fn parse_option(
     operation: &Element,
     name: &str,
@@ -72,12 +72,13 @@
 }
 
 impl Session {
+    /// The candidate of the session; a new one is based on the revision in force.
     pub(super) fn candidate_mut(&mut self, commit_service: &CommitServiceHandle) -> &mut Candidate {
         self.candidate
             .get_or_insert_with(|| Candidate::new(&commit_service.status.load().in_force))
     }
 
-    /// Edits a tree by a `config` element, all or none.
+    /// Applies the edits of a `config` element to a tree, all or none.
     pub(super) fn apply_config(
         &self,
         tree: &mut Tree,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Rejects changes that the rights do not cover; the commit service records them.
+    /// Rejects changes that the rights do not cover, and reports them to the commit service, which records them.
     pub(super) fn check_rights(
         &self,
         tree_before: &Tree,
--- a/management/src/netconf/session/filter.rs
+++ b/management/src/netconf/session/filter.rs
@@ -1,4 +1,4 @@
-//! Filters of `get` and `get-config`: subtree (RFC 6241, section 6) and XPath.
+//! The filters of `get` and `get-config`: subtree filters (RFC 6241, section 6) and XPath filters (section 8.9).
 
 use kestreltide_yang::filter::Filter;
 use kestreltide_yang::path::Pattern;
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -1,9 +1,9 @@
-//! One NETCONF session, without I/O: a message leads to a step, and some steps come back with the result of the commit
-//! service.
+//! One NETCONF session, without I/O: each message leads to an action. The result of an action that performs an
+//! operation of the commit service is passed back to the session, which turns it into the reply.
 //!
-//! Each session has a candidate of its own, based on the revision that was in force when the candidate began. If two
-//! sessions change the same leaf, the second commit fails and names the leaf (as draft-ietf-netconf-privcand has it).
-//! Edits are applied all or none, whatever their error-option.
+//! Each session has a private candidate, based on the revision that was in force when the candidate was created. If two
+//! sessions change the same leaf, the second commit fails and its error names the leaf (as in
+//! draft-ietf-netconf-privcand). The edits of a request are applied all or none, whatever its error-option.
 
 mod capabilities;
 mod commit;
@@ -28,20 +28,20 @@
 use self::rpc_error::{RpcError, commit_errors};
 use crate::commit_service::CommitServiceHandle;
 
-/// An operation of the commit service that a message leads to.
+/// An operation that the commit service performs for a message.
 #[derive(Clone, Debug)]
 pub enum DatastoreOperation {
     /// Lock a datastore.
     Lock(Target),
     /// Release the lock of a datastore.
     Unlock(Target),
-    /// Check a candidate without committing it.
+    /// Validate a candidate without committing it.
     Validate(Candidate),
-    /// Commit the candidate of the session, or one edit of the running datastore.
+    /// Commit the candidate of the session, or an edit of the running datastore.
     Commit {
         /// The candidate to commit.
         candidate: Candidate,
-        /// The time in which it has to be confirmed; none if it is final.
+        /// The parameters of a confirmed commit; none if the commit is final at once.
         confirmed_commit: Option<ConfirmedCommit>,
         /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
@@ -58,29 +58,29 @@
     },
 }
 
-/// Why a session ends without a reply.
+/// The reason why a session ends without a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AbortReason {
     /// The first message is not a hello.
     #[error("first message is not a hello")]
     NoHello,
-    /// Client and server have no version of the base protocol in common.
+    /// The client supports no version of the base protocol that the server supports.
     #[error("no common base version")]
     NoCommonVersion,
 }
 
-/// What to do after a message.
+/// What the task of the session has to do after a message.
 #[derive(Debug)]
 pub enum SessionAction {
-    /// Send the reply; an empty one is not sent.
+    /// Send the reply, unless it is empty.
     Reply(String),
     /// Perform the operation, and pass its result to [`Session::complete_operation`].
     Perform(DatastoreOperation),
     /// Send the reply and end the session.
     Close(String),
-    /// End another session and send the reply.
+    /// Kill another session and send the reply.
     Kill(SessionId, String),
-    /// Send the reply, and notifications from then on.
+    /// Start to receive notifications and send the reply.
     Subscribe(String),
     /// End the session without a reply.
     Abort(AbortReason),
@@ -88,7 +88,7 @@
 
 /// The state of one session.
 pub struct Session {
-    /// The id that hello gave the session.
+    /// The session-id that the server's hello contains.
     pub id: SessionId,
     key_name: String,
     schema: &'static Schema,
@@ -97,12 +97,12 @@
     client_supports_chunked_framing: bool,
     candidate: Option<Candidate>,
     subscribed: bool,
-    /// The attributes of the current rpc, which its reply repeats.
+    /// The attributes of the current rpc as XML, which its reply repeats (RFC 6241, section 4.1).
     rpc_attributes: String,
 }
 
 impl Session {
-    /// A session that has not received a hello; `name` is that of the key of the client.
+    /// Creates a session that has not received a hello; `key_name` is the name of the client's key.
     pub fn new(
         id: SessionId,
         key_name: &str,
@@ -127,7 +127,7 @@
         self.hello_received
     }
 
-    /// Whether messages are chunked from now on, since both sides support version 1.1.
+    /// Whether the session uses chunked framing from now on: the client's hello contains base version 1.1.
     pub fn uses_chunked_framing(&self) -> bool {
         self.hello_received && self.client_supports_chunked_framing
     }
@@ -179,7 +179,7 @@
             .unwrap_or_else(|errors| SessionAction::Reply(self.error_reply(&errors)))
     }
 
-    /// The first message of the client.
+    /// Handles the first message of the client, which has to be a hello.
     fn client_hello(&mut self, element: &Element) -> SessionAction {
         let capabilities = element
             .child("capabilities")
@@ -201,8 +201,9 @@
         SessionAction::Reply(String::new())
     }
 
+    /// Replies with `malformed-message`, or ends a session that has not received a hello.
     fn reject_malformed(&self, why: &str) -> SessionAction {
-        // There is no message-id to answer with (RFC 6241, section 4.1); the session goes on.
+        // The message has no known message-id, so the reply has none either. The session continues.
         if !self.hello_received {
             return SessionAction::Abort(AbortReason::NoHello);
         }
@@ -216,7 +217,8 @@
         SessionAction::Reply(out + "</rpc-reply>")
     }
 
-    /// The reply to a message whose operation the commit service has performed.
+    /// Creates the reply for an operation that the commit service has performed. A commit or a cancelled commit
+    /// discards the candidate of the session.
     pub fn complete_operation(
         &mut self,
         operation: &DatastoreOperation,
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -1,4 +1,4 @@
-//! The operations of rpcs, and those that need no module of their own.
+//! Dispatches the operations of RPCs, and handles those that have no module of their own.
 
 use kestreltide_datastore::commit_coordinator::{SessionId, Target};
 use kestreltide_datastore::{Candidate, Rights, Tree};
@@ -12,7 +12,7 @@
 use crate::state;
 
 impl Session {
-    /// Handles the operation of an rpc.
+    /// Handles the operation of an RPC.
     pub(super) fn handle_operation(
         &mut self,
         operation: &Element,
@@ -72,7 +72,8 @@
         }
     }
 
-    /// `get`: the configuration in force and the state of the router. `get-config`: the configuration of one datastore.
+    /// Handles `get`, which returns the configuration in force and the state of the router, and `get-config`, which
+    /// returns the configuration of one datastore.
     fn get(
         &mut self,
         operation: &Element,
@@ -150,7 +151,7 @@
         ))
     }
 
-    /// Subscribes to all notifications from now on (RFC 5277, section 2.1.1).
+    /// Handles `create-subscription` (RFC 5277, section 2.1.1), without replay and without filters.
     fn create_subscription(
         &mut self,
         operation: &Element,
@@ -188,7 +189,7 @@
         Ok(SessionAction::Subscribe(self.ok_reply()))
     }
 
-    /// Replies with the text of a module (RFC 6022, section 3.1).
+    /// Handles `get-schema` (RFC 6022, section 3.1): returns the text of a YANG module.
     fn get_schema(&self, operation: &Element) -> Result<SessionAction, Vec<RpcError>> {
         let name = child_text(operation, "identifier")
             .ok_or_else(|| vec![RpcError::missing_element("identifier")])?;
@@ -222,13 +223,14 @@
     }
 }
 
+/// The trimmed text of a child element; none if there is no such child.
 pub(super) fn child_text(operation: &Element, name: &str) -> Option<String> {
     operation
         .child(name)
         .map(|child| child.text.trim().to_owned())
 }
 
-/// The datastore that a parameter of an operation names.
+/// Parses the datastore that a parameter of an operation names.
 pub(super) fn parse_target(operation: &Element, name: &str) -> Result<Target, Vec<RpcError>> {
     let parameter = operation
         .child(name)
--- a/management/src/netconf/session/reply.rs
+++ b/management/src/netconf/session/reply.rs
@@ -1,4 +1,4 @@
-//! Replies and notifications as XML.
+//! XML encoding of replies and notifications.
 
 use kestreltide_yang::DataNode;
 use kestreltide_yang::xml;
@@ -33,7 +33,7 @@
         out + "</data></rpc-reply>"
     }
 
-    /// A notification at a time in Unix seconds, as XML (RFC 5277, section 4).
+    /// Encodes a notification as XML (RFC 5277, section 4); `at` is its event time in Unix seconds.
     pub fn encode_notification(&self, at: f64, data: &DataNode) -> String {
         let at = kestreltide_yang::binding::format_time(at);
         let mut out =
--- a/management/src/netconf/session/rollout_operations.rs
+++ b/management/src/netconf/session/rollout_operations.rs
@@ -1,4 +1,5 @@
-//! The RPCs of the published model: they hold, roll back and release the canary build, each by a commit.
+//! The RPCs of the published model. `hold-trial` and `take-trial-back` commit the request to hold or roll back the
+//! canary build, and `let-trial-go` commits its removal.
 
 use kestreltide_datastore::{Candidate, Path, Rights, Tree};
 use kestreltide_yang::data::InstancePath;
@@ -10,7 +11,7 @@
 use crate::commit_service::CommitServiceHandle;
 
 impl Session {
-    /// An RPC of the published model; `name` carries its module.
+    /// Handles an RPC of the published model; `name` is `module:operation`, for error messages.
     pub(super) fn rollout_operation(
         &mut self,
         operation: &Element,
@@ -41,7 +42,7 @@
         }))
     }
 
-    /// The build that the input of an RPC names, if any.
+    /// Parses the input of an RPC and returns its build, if it has one.
     fn parse_build(
         &self,
         operation: &Element,
--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -1,4 +1,4 @@
-//! Errors of the datastore, of edits and of the protocol as `rpc-error` elements (RFC 6241, section 4.3).
+//! Converts errors of the datastore, of edits and of the protocol to `rpc-error` elements (RFC 6241, section 4.3).
 
 use std::fmt::Write;
 
@@ -15,7 +15,7 @@
     pub(super) error_tag: String,
     pub(super) path: Option<String>,
     pub(super) message: String,
-    /// Names and contents of the elements of `error-info`.
+    /// Names and contents of the elements in `error-info`.
     pub(super) info: Vec<(&'static str, String)>,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// This error, about an attribute of an element.
+    /// Sets the `error-info` that names an attribute and its element.
     pub(super) fn with_bad_attribute(self, attribute: &str, element: &str) -> Self {
         let info = vec![
             ("bad-attribute", attribute.into()),
@@ -101,7 +101,7 @@
     }
 }
 
-/// The path of a leaf of the datastore as an XPath of the model.
+/// Converts the path of a datastore leaf to an XPath of the model.
 pub(super) fn leaf_xpath(path: &Path) -> String {
     let leaf = path.leaf().name();
     match path {
@@ -114,6 +114,7 @@
     }
 }
 
+/// Converts an instance path to an XPath of the model.
 fn instance_xpath(at: &InstancePath) -> String {
     let mut out = String::new();
     for step in &at.0 {
--- a/management/src/netconf/session_task.rs
+++ b/management/src/netconf/session_task.rs
@@ -1,4 +1,4 @@
-//! The task of one NETCONF session: exchanges its messages, and ends it.
+//! The task of one NETCONF session: reads and answers its messages, and closes the session at the commit service.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -22,12 +22,12 @@
 use crate::end_reason::EndReason;
 use crate::state;
 
-/// Bytes that are read from a channel at once.
+/// Size of the buffer for one read from a channel, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Time between checks whether the key of a session is still valid.
 const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves one session from its hello to its end.
+/// Serves one session from its hello until it closes.
 pub(super) async fn serve_session(context: Arc<ServerContext>, key: Key, channel: Channel<Msg>) {
     let Some(id) = context.commit_service.open_session().await else {
         return;
@@ -48,11 +48,12 @@
         warn!(context.log, "NETCONF session rejected"; "key" => &key.name, "reason" => "too many sessions");
     }
     context.with_sessions(|sessions| sessions.remove(&id));
-    // Releases its locks, and rolls back the commit that only it could confirm.
+    // The commit service releases the locks of the session and rolls back a commit that only this session could
+    // confirm.
     (context.commit_service.submit)(crate::CommitServiceRequest::CloseSession { session: id });
 }
 
-/// Exchanges messages over a channel until the session ends.
+/// Exchanges messages over a channel until the session ends, and returns the reason.
 async fn exchange_messages(
     context: &ServerContext,
     id: SessionId,
@@ -78,7 +79,7 @@
     }
 }
 
-/// The messages of one session over its channel.
+/// The message exchange of one session over its channel.
 struct Exchange<'a, W> {
     context: &'a ServerContext,
     id: SessionId,
@@ -86,9 +87,9 @@
     session: Session,
     decoder: FrameDecoder,
     writer: W,
-    /// Notifications, once the client has subscribed to them.
+    /// The receiver of notifications; none until the client creates a subscription.
     notifications: Option<broadcast::Receiver<Notification>>,
-    /// Notifications that were lost since the last one that was sent.
+    /// Number of notifications that were lost since the last one that was sent, since the client reads slowly.
     missed_notifications: u64,
 }
 
@@ -130,7 +131,7 @@
             .map_err(|_| EndReason::Disconnected)
     }
 
-    /// Ends a session whose key was revoked, or whose hello is late.
+    /// Ends a session whose key was revoked or whose hello was not received within the login timeout.
     fn check_key_and_hello(&self, elapsed: Duration) -> Result<(), EndReason> {
         if self.context.rights(self.key).is_none() {
             return Err(EndReason::KeyRevoked);
@@ -144,7 +145,7 @@
         Ok(())
     }
 
-    /// Sends a notification; those that were lost are counted and reported with the next one.
+    /// Sends a notification. Lost notifications are counted, and the count is sent with the next notification.
     async fn send_notification(
         &mut self,
         notification: Result<Notification, RecvError>,
@@ -171,7 +172,7 @@
         self.send(&text).await
     }
 
-    /// Replies to all messages that are complete with these bytes.
+    /// Decodes received bytes and replies to each complete message.
     async fn handle_bytes(&mut self, bytes: &[u8]) -> Result<(), EndReason> {
         self.decoder.push(bytes);
         while let Some(message) = self
@@ -215,7 +216,7 @@
         } else {
             encode_message(self.decoder.framing(), &reply)
         };
-        // After the hellos both sides use chunks if both support them (RFC 6242, section 4.1).
+        // After the hello messages both sides use chunked framing if both support it (RFC 6242, section 4.1).
         if self.session.uses_chunked_framing() {
             self.decoder.use_chunked_framing();
         }
@@ -228,7 +229,7 @@
     }
 }
 
-/// The next notification; pending for ever without a subscription.
+/// Receives the next notification; never completes without a subscription.
 async fn receive_notification(
     notifications: &mut Option<broadcast::Receiver<Notification>>,
 ) -> Result<Notification, RecvError> {
@@ -272,7 +273,7 @@
     }
 }
 
-/// A notification as data, with its time in Unix seconds; none if the model does not have it.
+/// A notification as data of the model, with its event time in Unix seconds; none if the model does not define it.
 fn notification_data(
     context: &ServerContext,
     notification: &Notification,
--- a/management/src/netconf/ssh_connection.rs
+++ b/management/src/netconf/ssh_connection.rs
@@ -1,4 +1,5 @@
-//! The SSH side of a NETCONF connection: authentication by the file of keys, and the subsystem `netconf`.
+//! The SSH connection of a NETCONF client: public-key authentication against the file of keys, and the subsystem
+//! `netconf`.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,12 +15,12 @@
 use super::server::ServerContext;
 use super::session_task::serve_session;
 
-/// Channels of one connection that no subsystem has been requested for, at most.
+/// Maximum number of channels of one connection for which no subsystem has been requested.
 const MAX_IDLE_CHANNELS: usize = 4;
 /// The name of the SSH subsystem (RFC 6242, section 3).
 const SUBSYSTEM: &str = "netconf";
 
-/// The kind and text of a key, as the file of keys has them.
+/// The algorithm and the base64 text of a public key, as the file of keys lists them.
 fn ssh_credential(key: &PublicKey) -> Option<Credential> {
     let text = key.to_openssh().ok()?;
     let mut words = text.split_whitespace();
@@ -37,12 +38,12 @@
     authenticated: Arc<AtomicBool>,
     /// The key that the client has authenticated with.
     key: Option<Key>,
-    /// Open channels that no subsystem has been requested for.
+    /// Open channels for which no subsystem has been requested.
     channels: BTreeMap<ChannelId, Channel<Msg>>,
 }
 
 impl SshConnection {
-    /// A connection whose client has not authenticated; `authenticated` is set once it has.
+    /// Creates the handler of a new connection, which sets `authenticated` once the client has authenticated.
     pub(super) fn new(context: Arc<ServerContext>, authenticated: Arc<AtomicBool>) -> Self {
         SshConnection {
             context,
@@ -85,7 +86,7 @@
         reply: ChannelOpenHandle,
         _: &mut SshSession,
     ) -> Result<(), Self::Error> {
-        // A client needs one channel; it may open and close a few.
+        // A client needs one channel. It may open a few more, and close them, without a subsystem.
         if self.channels.len() < MAX_IDLE_CHANNELS {
             self.channels.insert(channel.id(), channel);
             reply.accept().await;
@@ -108,7 +109,7 @@
             return session.channel_failure(id);
         }
         session.channel_success(id)?;
-        // A connection ends with its session.
+        // The connection is closed when its session ends.
         let context = self.context.clone();
         let ssh = session.handle();
         tokio::spawn(async move {
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of the router as data of the model.
+//! The operational state and the notifications of the router as data of the YANG model.
 
 use kestreltide::interface::{HostState, Phase};
 use kestreltide_datastore::commit_coordinator::CoordinatorStatus;
@@ -8,7 +8,7 @@
 use kestreltide_yang::data::DataBuilder;
 use kestreltide_yang::{Content, DataNode, NodeId, Schema};
 
-/// Changes of one revision that are shown, at most.
+/// Maximum number of changes that are listed for one revision.
 const MAX_LISTED_CHANGES: usize = 100;
 
 fn phase_name(phase: Phase) -> &'static str {
@@ -42,7 +42,7 @@
     }
 }
 
-/// The state of the router, as the container `state` of the model; none if the model has no such container.
+/// The container `state` of the model with the state of the router; none if the model has no such container.
 pub fn router_state(
     schema: &Schema,
     operational_state: &OperationalState,
@@ -100,7 +100,7 @@
     });
 }
 
-/// The hosts of the configuration and of discovery, together.
+/// Adds the hosts of the configuration merged with those of discovery.
 fn put_hosts(
     state: &mut DataBuilder,
     operational_state: &OperationalState,
@@ -159,7 +159,7 @@
     });
 }
 
-/// The configuration with the state of the router.
+/// The configuration in force together with the state of the router, as the reply to `get` has it.
 pub fn operational_data(
     schema: &Schema,
     binding: &Binding,
@@ -176,7 +176,7 @@
     router
 }
 
-/// The notification that a revision was committed; `missed` notifications before it were not sent.
+/// The notification `revision-committed`. `missed` is the number of notifications before it that the subscriber lost.
 pub fn revision_committed_notification(
     schema: &Schema,
     node: NodeId,
@@ -193,7 +193,7 @@
     notification.build()
 }
 
-/// The notification that a candidate was rejected.
+/// The notification `candidate-refused`: a candidate was rejected.
 pub fn candidate_rejected_notification(
     schema: &Schema,
     node: NodeId,
