--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -82,18 +82,18 @@
 
     /// The parent and the node of a list or leaf-list that a pattern names without keys.
     fn list_without_keys(&self, pattern: &Pattern) -> Option<(InstancePath, NodeId)> {
-        let (last, above) = pattern.0.split_last()?;
+        let (last, ancestors) = pattern.0.split_last()?;
         if !last.keys.is_empty() || last.any_depth {
             return None;
         }
-        let (parent, parent_node) = Pattern(above.to_vec()).instance(self.schema).ok()?;
-        let named = |id: &NodeId| Some(&self.schema.node_of(*id).name) == last.name.as_ref();
+        let (parent, parent_node) = Pattern(ancestors.to_vec()).instance(self.schema).ok()?;
+        let has_name = |id: &NodeId| Some(&self.schema.node_of(*id).name) == last.name.as_ref();
         let node = self
             .schema
             .children_of(parent_node)
             .iter()
             .copied()
-            .find(named)?;
+            .find(has_name)?;
         self.is_list(node).then_some((parent, node))
     }
 
@@ -116,7 +116,7 @@
         };
         removed_entries
             .into_iter()
-            .map(|found| self.edit_from_root(&target.parent, removal(found), path_string))
+            .map(|entry| self.edit_from_root(&target.parent, removal(entry), path_string))
             .collect()
     }
 
@@ -207,7 +207,7 @@
             }
             (Some(node), _) => vec![(node, step.clone())],
             (None, _) => {
-                let config = |id: &&NodeId| self.schema.node_of(**id).config;
+                let is_config = |id: &&NodeId| self.schema.node_of(**id).config;
                 let step = |id: NodeId| Step {
                     name: self.schema.node_of(id).name.clone(),
                     keys: vec![],
@@ -215,7 +215,7 @@
                 self.schema
                     .top
                     .iter()
-                    .filter(config)
+                    .filter(is_config)
                     .map(|id| (*id, step(*id)))
                     .collect()
             }
@@ -223,8 +223,13 @@
     }
 }
 
-fn no_instance_status(path_string: &str, why: &str) -> Status {
-    invalid_argument(path_string, why, path_string, "one instance, with its keys")
+fn no_instance_status(path_string: &str, problem: &str) -> Status {
+    invalid_argument(
+        path_string,
+        problem,
+        path_string,
+        "one instance, with its keys",
+    )
 }
 
 /// Adds the keys of the path to a JSON object that does not contain them.
--- a/management/src/gnmi/encoding.rs
+++ b/management/src/gnmi/encoding.rs
@@ -39,7 +39,7 @@
     /// Converts a received value of any supported encoding to JSON; `node` is its schema node.
     pub(super) fn typed_value_to_json(
         &self,
-        at: &str,
+        path_string: &str,
         node: Option<NodeId>,
         value: &Value,
     ) -> Result<Json, Status> {
@@ -56,10 +56,10 @@
         };
         Ok(match value {
             Value::JsonIetfVal(bytes) | Value::JsonVal(bytes) => {
-                let read = serde_json::from_slice(bytes);
-                read.map_err(|e| {
+                let parsed = serde_json::from_slice(bytes);
+                parsed.map_err(|e| {
                     invalid_argument(
-                        at,
+                        path_string,
                         &format!("is no JSON: {e}"),
                         &String::from_utf8_lossy(bytes),
                         "JSON (RFC 7951)",
@@ -71,17 +71,17 @@
             Value::UintVal(number) => scalar_to_json(number.to_string()),
             Value::DoubleVal(number) => scalar_to_json(format!("{number:.6}")),
             Value::BoolVal(flag) => Json::Bool(*flag),
-            Value::LeaflistVal(all) => {
-                let items = all.element.iter().filter_map(|item| item.value.as_ref());
+            Value::LeaflistVal(array) => {
+                let items = array.element.iter().filter_map(|item| item.value.as_ref());
                 Json::Array(
                     items
-                        .map(|item| self.typed_value_to_json(at, node, item))
+                        .map(|item| self.typed_value_to_json(path_string, node, item))
                         .collect::<Result<_, _>>()?,
                 )
             }
             Value::BytesVal(_) | Value::AnyVal(_) | Value::ProtoBytes(_) => {
                 return Err(invalid_argument(
-                    at,
+                    path_string,
                     "is of a form that is not read",
                     "bytes",
                     "JSON_IETF, JSON or PROTO",
@@ -92,9 +92,9 @@
 }
 
 /// The update message of one leaf; `duplicates` is the number of coalesced changes.
-pub(super) fn leaf_update(at: &InstancePath, value: &TypedValue, duplicates: u32) -> Update {
+pub(super) fn leaf_update(path: &InstancePath, value: &TypedValue, duplicates: u32) -> Update {
     Update {
-        path: Some(to_gnmi_path(at)),
+        path: Some(to_gnmi_path(path)),
         val: Some(value.clone()),
         duplicates,
     }
@@ -104,14 +104,20 @@
 pub(super) fn collect_leaf_values(
     schema: &Schema,
     encoding: Encoding,
-    at: &InstancePath,
+    path: &InstancePath,
     data: &DataNode,
     out: &mut BTreeMap<InstancePath, TypedValue>,
 ) {
     match &data.content {
         Content::Inner(children) => {
             children.iter().for_each(|child| {
-                collect_leaf_values(schema, encoding, &at.child(child.step(schema)), child, out)
+                collect_leaf_values(
+                    schema,
+                    encoding,
+                    &path.child(child.step(schema)),
+                    child,
+                    out,
+                )
             });
         }
         Content::Leaf(text) => {
@@ -127,25 +133,25 @@
                 (Encoding::Json, value) => Value::JsonVal(value.to_string().into_bytes()),
                 (_, value) => Value::JsonIetfVal(value.to_string().into_bytes()),
             };
-            match (is_leaf_list, out.get_mut(at)) {
+            match (is_leaf_list, out.get_mut(path)) {
                 (
                     true,
                     Some(TypedValue {
-                        value: Some(Value::LeaflistVal(all)),
+                        value: Some(Value::LeaflistVal(array)),
                     }),
-                ) => all.element.push(TypedValue { value: Some(value) }),
+                ) => array.element.push(TypedValue { value: Some(value) }),
                 (true, _) => {
-                    let all = ScalarArray {
+                    let array = ScalarArray {
                         element: vec![TypedValue { value: Some(value) }],
                     };
                     out.insert(
-                        at.clone(),
+                        path.clone(),
                         TypedValue {
-                            value: Some(Value::LeaflistVal(all)),
+                            value: Some(Value::LeaflistVal(array)),
                         },
                     );
                 }
-                _ => drop(out.insert(at.clone(), TypedValue { value: Some(value) })),
+                _ => drop(out.insert(path.clone(), TypedValue { value: Some(value) })),
             }
         }
     }
--- a/management/src/gnmi/errors.rs
+++ b/management/src/gnmi/errors.rs
@@ -12,11 +12,11 @@
 }
 
 pub(super) fn edit_errors_status(errors: &[EditError]) -> Status {
-    let all: Vec<_> = errors
+    let messages: Vec<_> = errors
         .iter()
         .map(|error| error.validation.to_string())
         .collect();
-    Status::invalid_argument(all.join("\n"))
+    Status::invalid_argument(messages.join("\n"))
 }
 
 pub(super) fn commit_error_status(error: &CommitError) -> Status {
--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -33,7 +33,7 @@
         );
         let data = self.retain_data_type(data, request.r#type);
         let timestamp = unix_nanoseconds();
-        let mut notification = Vec::new();
+        let mut notifications = Vec::new();
         let root_path = [Path::default()];
         for path in if request.path.is_empty() {
             &root_path[..]
@@ -51,7 +51,7 @@
                     format_path(path)
                 )));
             }
-            notification.push(Notification {
+            notifications.push(Notification {
                 timestamp,
                 prefix: None,
                 update,
@@ -60,7 +60,7 @@
             });
         }
         Ok(Response::new(GetResponse {
-            notification,
+            notification: notifications,
             extension: vec![],
         }))
     }
@@ -69,11 +69,11 @@
     fn retain_data_type(&self, mut data: DataNode, data_type: i32) -> Vec<DataNode> {
         use get_request::DataType;
         if let Content::Inner(children) = &mut data.content {
-            let config = |child: &DataNode| self.schema.node_of(child.node).config;
+            let is_config = |child: &DataNode| self.schema.node_of(child.node).config;
             match DataType::try_from(data_type) {
-                Ok(DataType::Config) => children.retain(config),
+                Ok(DataType::Config) => children.retain(is_config),
                 Ok(DataType::State | DataType::Operational) => {
-                    children.retain(|child| !config(child))
+                    children.retain(|child| !is_config(child))
                 }
                 _ => {}
             }
@@ -88,26 +88,26 @@
         data: &[DataNode],
         encoding: Encoding,
     ) -> Vec<Update> {
-        let found = select_instances(self.schema, pattern, data);
+        let instances = select_instances(self.schema, pattern, data);
         if encoding == Encoding::Proto {
             let mut leaves = BTreeMap::new();
-            found.iter().for_each(|(at, data)| {
-                collect_leaf_values(self.schema, encoding, at, data, &mut leaves)
+            instances.iter().for_each(|(path, data)| {
+                collect_leaf_values(self.schema, encoding, path, data, &mut leaves)
             });
             return leaves
                 .into_iter()
-                .map(|(at, val)| Update {
-                    path: Some(to_gnmi_path(&at)),
+                .map(|(path, val)| Update {
+                    path: Some(to_gnmi_path(&path)),
                     val: Some(val),
                     duplicates: 0,
                 })
                 .collect();
         }
-        let update = |(at, data): (InstancePath, &DataNode)| Update {
-            path: Some(to_gnmi_path(&at)),
+        let update = |(path, data): (InstancePath, &DataNode)| Update {
+            path: Some(to_gnmi_path(&path)),
             val: Some(self.encode_json(data, encoding)),
             duplicates: 0,
         };
-        found.into_iter().map(update).collect()
+        instances.into_iter().map(update).collect()
     }
 }
--- a/management/src/gnmi/path_subscription.rs
+++ b/management/src/gnmi/path_subscription.rs
@@ -112,20 +112,20 @@
         let mut updates: Vec<_> = changes
             .updates
             .iter()
-            .map(|(at, value)| leaf_update(at, value, coalesced))
+            .map(|(path, value)| leaf_update(path, value, coalesced))
             .collect();
         if due == DueUpdates::AllLeaves {
-            let is_changed = |at: &InstancePath| {
+            let is_changed = |path: &InstancePath| {
                 changes
                     .updates
-                    .binary_search_by(|(changed, _)| changed.cmp(at))
+                    .binary_search_by(|(changed, _)| changed.cmp(path))
                     .is_ok()
             };
             updates.extend(
                 current_leaves
                     .iter()
-                    .filter(|(at, _)| !is_changed(at))
-                    .map(|(at, value)| leaf_update(at, value, 0)),
+                    .filter(|(path, _)| !is_changed(path))
+                    .map(|(path, value)| leaf_update(path, value, 0)),
             );
         }
         self.sent = current_leaves;
--- a/management/src/gnmi/paths.rs
+++ b/management/src/gnmi/paths.rs
@@ -11,7 +11,7 @@
 /// Parses a path below a prefix as a pattern; rejects unknown origins.
 pub(super) fn parse_pattern(prefix: Option<&Path>, path: &Path) -> Result<Pattern, Status> {
     let path_string = format_path(path);
-    let mut all = Pattern::default();
+    let mut full_pattern = Pattern::default();
     for path in prefix.into_iter().chain([path]) {
         if !["", "kestreltide", "openconfig", "rfc7951"].contains(&path.origin.as_str()) {
             return Err(invalid_argument(
@@ -29,17 +29,17 @@
                 .collect();
             (elem.name.as_str(), keys)
         });
-        let steps = Pattern::from_steps(steps).map_err(|why| {
+        let pattern = Pattern::from_steps(steps).map_err(|error| {
             invalid_argument(
                 &path_string,
-                &why.to_string(),
+                &error.to_string(),
                 &path_string,
                 "names with their keys",
             )
         })?;
-        all = steps.below(&all);
+        full_pattern = pattern.below(&full_pattern);
     }
-    Ok(all)
+    Ok(full_pattern)
 }
 
 /// Formats a gNMI path for error messages, with its keys in order.
@@ -78,13 +78,13 @@
     }
 }
 
-pub(super) fn to_gnmi_path(at: &InstancePath) -> Path {
+pub(super) fn to_gnmi_path(path: &InstancePath) -> Path {
     let elem = |step: &Step| PathElem {
         name: step.name.clone(),
         key: step.keys.iter().cloned().collect(),
     };
     Path {
-        elem: at.0.iter().map(elem).collect(),
+        elem: path.0.iter().map(elem).collect(),
         ..Path::default()
     }
 }
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -137,9 +137,9 @@
 
 /// The response to a request that confirms or cancels a commit; rejects a request that also has edits.
 fn empty_edit_response(request: &SetRequest) -> Result<Response<SetResponse>, Status> {
-    let empty =
+    let has_no_edits =
         request.delete.is_empty() && request.replace.is_empty() && request.update.is_empty();
-    if !empty {
+    if !has_no_edits {
         return Err(invalid_argument(
             "commit",
             "confirms or cancels, and edits too",
@@ -193,8 +193,12 @@
     }
 }
 
-fn find_extension<'a, T>(all: &'a [Extension], select: impl Fn(&'a Ext) -> Option<T>) -> Option<T> {
-    all.iter()
+fn find_extension<'a, T>(
+    extensions: &'a [Extension],
+    select: impl Fn(&'a Ext) -> Option<T>,
+) -> Option<T> {
+    extensions
+        .iter()
         .filter_map(|extension| extension.ext.as_ref())
         .find_map(select)
 }
--- a/management/src/gnmi/snapshot.rs
+++ b/management/src/gnmi/snapshot.rs
@@ -87,8 +87,8 @@
         }
         let instances = select_instances(schema, &selection.pattern, self.data());
         let mut leaves = Leaves::new();
-        instances.iter().for_each(|(at, data)| {
-            collect_leaf_values(schema, selection.encoding, at, data, &mut leaves)
+        instances.iter().for_each(|(path, data)| {
+            collect_leaf_values(schema, selection.encoding, path, data, &mut leaves)
         });
         let leaves = Arc::new(leaves);
         // The subscriptions of the open streams bound the cache, and each change starts a snapshot with an empty one.
@@ -115,15 +115,16 @@
         if let Some(difference) = differences.get(&key) {
             return (current_leaves, difference.changes.clone());
         }
-        let differs = |(at, value): &(&InstancePath, &TypedValue)| sent.get(*at) != Some(*value);
+        let differs =
+            |(path, value): &(&InstancePath, &TypedValue)| sent.get(*path) != Some(*value);
         let updates = current_leaves
             .iter()
             .filter(differs)
-            .map(|(at, value)| (at.clone(), value.clone()))
+            .map(|(path, value)| (path.clone(), value.clone()))
             .collect();
         let deleted = sent
             .keys()
-            .filter(|at| !current_leaves.contains_key(*at))
+            .filter(|path| !current_leaves.contains_key(*path))
             .map(to_gnmi_path)
             .collect();
         let changes = Arc::new(Changes { updates, deleted });
--- a/management/src/gnmi/stream.rs
+++ b/management/src/gnmi/stream.rs
@@ -73,7 +73,7 @@
             let leaves = snapshot.leaves(self.context.schema, &self.subscriptions[index].selection);
             let update: Vec<_> = leaves
                 .iter()
-                .map(|(at, value)| leaf_update(at, value, 0))
+                .map(|(path, value)| leaf_update(path, value, 0))
                 .collect();
             self.subscriptions[index].sent = leaves;
             if !updates_only && !update.is_empty() && !self.send_notification(update, vec![]).await
@@ -239,7 +239,7 @@
 #[derive(Clone, Copy)]
 struct SnapshotChanges {
     changed: bool,
-    /// Number of changes before the newest one that are not sent separately, since the client reads slowly.
+    /// Number of changes before the newest one that are not sent separately, because the client reads slowly.
     coalesced: u32,
 }
 
--- a/management/src/netconf/session/filter.rs
+++ b/management/src/netconf/session/filter.rs
@@ -30,10 +30,10 @@
                     vec![error.with_bad_attribute("select", "filter")]
                 };
                 let select = attribute("select").ok_or_else(missing)?;
-                let invalid = |why: &str| {
+                let invalid = |problem: &str| {
                     vec![RpcError::invalid_value(
                         "filter/select",
-                        why,
+                        problem,
                         select,
                         "absolute paths of names, *, // and keys",
                     )]
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -144,7 +144,7 @@
         };
         let element = match xml::parse(text, &XmlLimits::default()) {
             Ok(element) => element,
-            Err(why) => return self.reject_malformed(&why.to_string()),
+            Err(error) => return self.reject_malformed(&error.to_string()),
         };
         if !self.hello_received {
             return self.client_hello(&element);
@@ -202,7 +202,7 @@
     }
 
     /// Replies with `malformed-message`, or ends a session that has not received a hello.
-    fn reject_malformed(&self, why: &str) -> SessionAction {
+    fn reject_malformed(&self, problem: &str) -> SessionAction {
         // The message has no known message-id, so the reply has none either. The session continues.
         if !self.hello_received {
             return SessionAction::Abort(AbortReason::NoHello);
@@ -210,7 +210,7 @@
         let error = RpcError::new(
             "rpc",
             "malformed-message",
-            format!("message: {why} (given: bytes; taken: an rpc)"),
+            format!("message: {problem} (given: bytes; taken: an rpc)"),
         );
         let mut out = format!("<rpc-reply xmlns=\"{BASE_NAMESPACE}\">");
         error.write(&mut out);
--- a/management/src/netconf/session/reply.rs
+++ b/management/src/netconf/session/reply.rs
@@ -33,11 +33,12 @@
         out + "</data></rpc-reply>"
     }
 
-    /// Encodes a notification as XML (RFC 5277, section 4); `at` is its event time in Unix seconds.
-    pub fn encode_notification(&self, at: f64, data: &DataNode) -> String {
-        let at = kestreltide_yang::binding::format_time(at);
-        let mut out =
-            format!("<notification xmlns=\"{NOTIFICATION_NAMESPACE}\"><eventTime>{at}</eventTime>");
+    /// Encodes a notification as XML (RFC 5277, section 4); `time` is its event time in Unix seconds.
+    pub fn encode_notification(&self, time: f64, data: &DataNode) -> String {
+        let event_time = kestreltide_yang::binding::format_time(time);
+        let mut out = format!(
+            "<notification xmlns=\"{NOTIFICATION_NAMESPACE}\"><eventTime>{event_time}</eventTime>"
+        );
         xml::write(self.schema, std::slice::from_ref(data), &mut out);
         out + "</notification>"
     }
--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -115,9 +115,9 @@
 }
 
 /// Converts an instance path to an XPath of the model.
-fn instance_xpath(at: &InstancePath) -> String {
+fn instance_xpath(path: &InstancePath) -> String {
     let mut out = String::new();
-    for step in &at.0 {
+    for step in &path.0 {
         let _ = write!(out, "/kr:{}", step.name);
         for (key, value) in &step.keys {
             let _ = write!(out, "[kr:{key}='{value}']");
--- a/management/src/netconf/session_task.rs
+++ b/management/src/netconf/session_task.rs
@@ -89,7 +89,7 @@
     writer: W,
     /// The receiver of notifications; none until the client creates a subscription.
     notifications: Option<broadcast::Receiver<Notification>>,
-    /// Number of notifications that were lost since the last one that was sent, since the client reads slowly.
+    /// Number of notifications that were lost since the last one that was sent, because the client reads slowly.
     missed_notifications: u64,
 }
 
@@ -150,7 +150,7 @@
         &mut self,
         notification: Result<Notification, RecvError>,
     ) -> Result<(), EndReason> {
-        let data = match notification {
+        let timed_data = match notification {
             Ok(notification) => notification_data(
                 self.context,
                 &notification,
@@ -162,12 +162,12 @@
             }
             Err(RecvError::Closed) => return Err(EndReason::RouterStopping),
         };
-        let Some((at, data)) = data else {
+        let Some((time, data)) = timed_data else {
             return Ok(());
         };
         let text = encode_message(
             self.decoder.framing(),
-            &self.session.encode_notification(at, &data),
+            &self.session.encode_notification(time, &data),
         );
         self.send(&text).await
     }
@@ -198,11 +198,11 @@
                 self.notifications = Some(self.context.commit_service.notifications.subscribe());
                 (reply, None)
             }
-            SessionAction::Kill(other, reply) => {
-                let found = self
+            SessionAction::Kill(killed_session, reply) => {
+                let kill_signal = self
                     .context
-                    .with_sessions(|sessions| sessions.get(&other).cloned());
-                found.inspect(|kill_signal| kill_signal.notify_one());
+                    .with_sessions(|sessions| sessions.get(&killed_session).cloned());
+                kill_signal.inspect(|kill_signal| kill_signal.notify_one());
                 (reply, None)
             }
             SessionAction::Perform(operation) => {
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -56,7 +56,7 @@
     put_last_rejection(&mut state, status);
     debug_assert!(
         state.unknown_names.is_empty(),
-        "the model has all that is shown: {:?}",
+        "the model does not define: {:?}",
         state.unknown_names
     );
     Some(state.build())
