--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -3,7 +3,7 @@
 use kestreltide_yang::NodeId;
 use kestreltide_yang::data::{InstancePath, Step};
 use kestreltide_yang::edit::{
-    Edit, Operation, edit_at_path, edit_from_json, edits_from_json, edits_from_json_value,
+    Edit, Operation, edit_below_path, edit_from_json, edits_from_json, edits_from_json_value,
 };
 use kestreltide_yang::path::Pattern;
 use kestreltide_yang::schema::NodeKind;
@@ -65,7 +65,7 @@
             });
         }
         let (mut parent, node) = pattern
-            .instance(self.schema)
+            .single_instance(self.schema)
             .map_err(|error| no_instance_status(path_string, &error.to_string()))?;
         let step = parent.0.pop().unwrap_or(Step {
             name: String::new(),
@@ -86,7 +86,9 @@
         if !last.keys.is_empty() || last.any_depth {
             return None;
         }
-        let (parent, parent_node) = Pattern(ancestors.to_vec()).instance(self.schema).ok()?;
+        let (parent, parent_node) = Pattern(ancestors.to_vec())
+            .single_instance(self.schema)
+            .ok()?;
         let has_name = |id: &NodeId| Some(&self.schema.node_of(*id).name) == last.name.as_ref();
         let node = self
             .schema
@@ -177,7 +179,7 @@
         edit: Edit,
         path_string: &str,
     ) -> Result<Edit, Status> {
-        edit_at_path(self.schema, parent, edit)
+        edit_below_path(self.schema, parent, edit)
             .ok_or_else(|| no_instance_status(path_string, "leads nowhere"))
     }
 
@@ -213,7 +215,7 @@
                     keys: vec![],
                 };
                 self.schema
-                    .top
+                    .top_level
                     .iter()
                     .filter(is_config)
                     .map(|id| (*id, step(*id)))
--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -45,7 +45,10 @@
                 return Err(unknown_path_status(path));
             }
             let update = self.select_updates(&pattern, &data, encoding);
-            if update.is_empty() && pattern.instance(self.schema).is_ok() && !pattern.0.is_empty() {
+            if update.is_empty()
+                && pattern.single_instance(self.schema).is_ok()
+                && !pattern.0.is_empty()
+            {
                 return Err(Status::not_found(format!(
                     "{}: is not there (given: {0}; taken: what is there)",
                     format_path(path)
--- a/management/src/gnmi/paths.rs
+++ b/management/src/gnmi/paths.rs
@@ -37,7 +37,7 @@
                 "names with their keys",
             )
         })?;
-        full_pattern = pattern.below(&full_pattern);
+        full_pattern = pattern.with_prefix(&full_pattern);
     }
     Ok(full_pattern)
 }
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -38,7 +38,7 @@
     listener: TcpListener,
     credentials: TlsCredentials,
 ) -> Result<(), ServeError> {
-    let schema = kestreltide_yang::published()?;
+    let schema = kestreltide_yang::published_schema()?;
     let binding = Arc::new(Binding::new(schema)?);
     let snapshot = watch_snapshots(schema, binding.clone(), commit_service.clone());
     let service = GnmiService {
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -98,7 +98,7 @@
                     std::sync::Arc::new(self.candidate_mut(commit_service).tree.clone())
                 }
             };
-            self.binding.tree_data(self.schema, &tree)
+            self.binding.configuration_data(self.schema, &tree)
         };
         Ok(SessionAction::Reply(
             self.data_reply(&filter.prune(self.schema, &[data])),
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -48,7 +48,7 @@
     operational_state: &OperationalState,
     status: &CoordinatorStatus,
 ) -> Option<DataNode> {
-    let mut state = DataBuilder::new(schema, schema.find(&["router", "state"])?);
+    let mut state = DataBuilder::new(schema, schema.find_node(&["router", "state"])?);
     put_router_status(&mut state, operational_state, status);
     put_rollout(&mut state, operational_state);
     put_hosts(&mut state, operational_state, status);
@@ -166,7 +166,7 @@
     operational_state: &OperationalState,
     status: &CoordinatorStatus,
 ) -> DataNode {
-    let mut router = binding.tree_data(schema, &status.in_force.tree);
+    let mut router = binding.configuration_data(schema, &status.in_force.tree);
     if let (Content::Inner(children), Some(state)) = (
         &mut router.content,
         router_state(schema, operational_state, status),
