--- a/datastore/src/check/builds.rs
+++ b/datastore/src/check/builds.rs
@@ -1,4 +1,4 @@
-//! Rule 5: no host is put in service with a build that the platform has rolled back.
+//! Rule 5: no host enters service with a build that the platform has rolled back or is rolling back.
 
 use kestreltide::interface::{Phase, RolloutStatus};
 
@@ -6,7 +6,8 @@
 use crate::host_record::HostRecord;
 use crate::validation::{Rule, ValidationError, ValidationErrors};
 
-/// No host joins a build that is rolled back or being rolled back.
+/// Reports hosts that enter service with a build that is rolled back or being rolled back. Hosts that already served
+/// with this build are not reported.
 pub(super) fn check_no_host_joins_rolled_back_build(
     context: &Context,
     errors: &mut ValidationErrors,
@@ -23,7 +24,7 @@
         }
         let error = ValidationError::new(
             format!("hosts/{name}/build"),
-            "the platform has taken this build back",
+            "the platform has rolled back this build or is rolling it back",
             host.build.0,
             "an earlier build",
         );
--- a/file-watch/src/parse/configuration.rs
+++ b/file-watch/src/parse/configuration.rs
@@ -1,4 +1,4 @@
-//! Files of hosts, and files of weights and states.
+//! Parses files of hosts, and files of weights and states.
 
 use kestreltide_datastore::tree_builder::printable;
 use kestreltide_datastore::{Container, HostName, Leaf, Path, TreeBuilder, ValidationError};
@@ -7,11 +7,11 @@
 use super::frame::{Generation, parse_framed};
 use crate::ini::{self, Section, unknown_name_error};
 
-/// Reads one file into the tree.
+/// Parses one file into the tree. Invalid entries are added to `errors`.
 ///
 /// # Errors
 ///
-/// The file is not complete, whatever else is wrong with it.
+/// Returns an error if the file is not complete, whatever else is wrong with it.
 pub(super) fn parse_file(
     kind: FileKind,
     text: &str,
@@ -24,26 +24,26 @@
     })
 }
 
-/// Reads the sections of hosts and guards, and counts the hosts.
+/// Parses the sections of hosts and guards, and returns the number of hosts.
 fn parse_hosts(body: &[Section], tree: &mut TreeBuilder, errors: &mut FileErrors) -> usize {
     let mut count = 0;
     for section in body {
-        let place = errors.line(section.line);
+        let location = errors.line(section.line);
         if section.name == "guards" {
-            parse_leaves(section, Container::Guards, errors, |key, leaf, place| {
-                tree.set(place, Path::Guards(leaf), &key.value);
+            parse_leaves(section, Container::Guards, errors, |key, leaf, location| {
+                tree.set(location, Path::Guards(leaf), &key.value);
             });
         } else if let Some(name) = section.name.strip_prefix("host ") {
             count += 1;
-            let Some(host) = tree.begin_host(&place, name.trim()) else {
+            let Some(host) = tree.begin_host(&location, name.trim()) else {
                 continue;
             };
-            parse_leaves(section, Container::Host, errors, |key, leaf, place| {
-                tree.set_host(place, &host, leaf, &key.value);
+            parse_leaves(section, Container::Host, errors, |key, leaf, location| {
+                tree.set_host(location, &host, leaf, &key.value);
             });
         } else {
             errors.push(unknown_name_error(
-                &place,
+                &location,
                 "section",
                 &section.name,
                 ["host NAME", "guards", END_SECTION],
@@ -53,6 +53,7 @@
     count
 }
 
+/// Parses the keys of a section as leaves of a container, and passes each to `set` with its file and line.
 fn parse_leaves(
     section: &Section,
     container: Container,
@@ -60,19 +61,19 @@
     mut set: impl FnMut(&ini::Key, Leaf, &str),
 ) {
     for key in &section.keys {
-        let place = errors.line(key.line);
+        let location = errors.line(key.line);
         match Leaf::by_name(container, &key.name) {
-            Some(leaf) => set(key, leaf, &place),
+            Some(leaf) => set(key, leaf, &location),
             None => {
                 let known: Vec<_> = Leaf::all_of(container).map(Leaf::name).collect();
-                let path = format!("{place}: [{}] {}", section.name, printable(&key.name));
+                let path = format!("{location}: [{}] {}", section.name, printable(&key.name));
                 errors.push(unknown_name_error(&path, "key", &key.name, known));
             }
         }
     }
 }
 
-/// Reads the sections of weights and states, and counts their entries.
+/// Parses the sections of weights and states, and returns the number of entries.
 fn parse_weights(body: &[Section], tree: &mut TreeBuilder, errors: &mut FileErrors) -> usize {
     let mut count = 0;
     for section in body {
@@ -91,12 +92,12 @@
         };
         for key in &section.keys {
             count += 1;
-            let place = errors.line(key.line);
+            let location = errors.line(key.line);
             match key.name.parse::<HostName>() {
-                Ok(host) => tree.set_host(&place, &host, leaf, &key.value),
-                Err(why) => errors.push(ValidationError::new(
-                    place,
-                    format!("the host's name {why}"),
+                Ok(host) => tree.set_host(&location, &host, leaf, &key.value),
+                Err(reason) => errors.push(ValidationError::new(
+                    location,
+                    format!("the host's name {reason}"),
                     printable(&key.name),
                     "letters, digits and . _ : -",
                 )),
--- a/file-watch/src/parse/mod.rs
+++ b/file-watch/src/parse/mod.rs
@@ -1,8 +1,8 @@
-//! What operators' files give.
+//! Parses the files of operators.
 //!
-//! Every file names its generation at its head and again at its end, with the count of what it holds: a file that was
-//! cut, or is being overwritten, is recognized by its ends. Files that belong together are one version where they name
-//! the same generation.
+//! Every file names its generation in its header and again in its end section, which also holds the number of entries.
+//! A file that is cut or being overwritten is recognized by these. Several files make up one version if they name the
+//! same generation.
 
 mod configuration;
 mod file;
@@ -19,23 +19,23 @@
 use self::frame::Generation;
 use crate::read_file::Content;
 
-/// What all files together give.
+/// The version that all files make up together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Version {
     /// The generation that all files name.
     pub generation: String,
-    /// The hosts and guards that they set.
+    /// The hosts and guards that the files set.
     pub tree: Tree,
 }
 
-/// What these files give together; each with the place by which it is shown.
+/// Parses files that make up a version together. Each has a kind, a name for errors, and its content.
 pub fn parse_version(files: &[(FileKind, &str, &Content)]) -> Parsed<Version> {
     let mut tree = TreeBuilder::default();
     let mut incomplete = ValidationErrors::default();
     let mut invalid = ValidationErrors::default();
     let mut generations: Vec<(&str, String)> = vec![];
-    for (kind, place, content) in files {
-        let text = match text_of(place, content) {
+    for (kind, location, content) in files {
+        let text = match text_of(location, content) {
             Ok(text) => text,
             Err(TextError::Incomplete(error)) => {
                 incomplete.push(error);
@@ -47,12 +47,12 @@
             }
         };
         let mut errors = FileErrors {
-            place,
+            location,
             errors: &mut invalid,
         };
         match configuration::parse_file(*kind, text, &mut tree, &mut errors) {
             Ok(Generation(generation)) => {
-                generations.extend(generation.map(|generation| (*place, generation)));
+                generations.extend(generation.map(|generation| (*location, generation)));
             }
             Err(error) => incomplete.push(error),
         }
@@ -68,7 +68,7 @@
     let Some((_, generation)) = generations.first().cloned() else {
         return Parsed::Invalid(invalid);
     };
-    if let Some(error) = other_generation(&generations) {
+    if let Some(error) = generation_mismatch_error(&generations) {
         return Parsed::Mismatched(error.into());
     }
     match tree {
@@ -77,14 +77,14 @@
     }
 }
 
-/// The error of the first file that is of another generation than the first one.
-fn other_generation(generations: &[(&str, String)]) -> Option<ValidationError> {
-    let (first_place, first) = generations.first()?;
-    let (place, other) = generations.iter().find(|(_, other)| other != first)?;
+/// Returns an error for the first file whose generation differs from that of the first one.
+fn generation_mismatch_error(generations: &[(&str, String)]) -> Option<ValidationError> {
+    let (first_location, first) = generations.first()?;
+    let (location, other) = generations.iter().find(|(_, other)| other != first)?;
     Some(ValidationError::new(
-        format!("{place}: generation"),
+        format!("{location}: generation"),
         format!(
-            "is of another generation than {first_place}, which names {}",
+            "is of another generation than {first_location}, which names {}",
             printable(first)
         ),
         printable(other),
