--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -16,11 +16,11 @@
 use crate::proto::gnmi_ext::{Commit as CommitExt, Extension, MasterArbitration};
 
 /// The default rollback duration of a confirmed commit, in seconds.
-const DEFAULT_CONFIRM_SECONDS: f64 = 600.0;
+const DEFAULT_ROLLBACK_SECONDS: f64 = 600.0;
 /// The shortest rollback duration of a confirmed commit, in seconds. An error text contains this number.
-const MIN_CONFIRM_SECONDS: f64 = 0.1;
+const MIN_ROLLBACK_SECONDS: f64 = 0.1;
 /// The longest rollback duration of a confirmed commit, in seconds. An error text contains this number.
-const MAX_CONFIRM_SECONDS: f64 = 86_400.0;
+const MAX_ROLLBACK_SECONDS: f64 = 86_400.0;
 
 impl GnmiService {
     pub(super) async fn handle_set(
@@ -32,32 +32,32 @@
         if let Some(arbitration) = find_extension(&request.extension, as_arbitration) {
             self.check_master(arbitration)?;
         }
-        let confirm = match find_extension(&request.extension, as_commit) {
+        let confirmed_commit = match find_extension(&request.extension, as_commit) {
             Some(commit) if self.confirm_or_cancel(&key, commit).await? => {
-                return empty_edit_response(&request);
+                return confirmation_response(&request);
             }
-            Some(commit) => Some(confirmed_commit(commit)?),
+            Some(commit) => Some(parse_confirmed_commit(commit)?),
             None => None,
         };
-        let published = self.commit_service.status.load_full();
-        let mut candidate = Candidate::new(&published.in_force);
+        let status = self.commit_service.status.load_full();
+        let mut candidate = Candidate::new(&status.in_force);
         let response = self.apply_edits(&mut candidate, &request)?;
         let author = self.new_author(&key);
-        if let Err(error) = rights.check(&published.in_force.tree.differences(&candidate.tree)) {
+        if let Err(error) = rights.check(&status.in_force.tree.differences(&candidate.tree)) {
             (self.commit_service.submit)(crate::CommitServiceRequest::RecordDeniedEdit {
                 author,
                 error: error.clone(),
             });
             return Err(Status::permission_denied(error.to_string()));
         }
-        let session = if confirm.is_some() {
+        let session = if confirmed_commit.is_some() {
             self.confirming_session(&key).await
         } else {
             None
         };
         match self
             .commit_service
-            .commit(session, candidate, author, confirm, None)
+            .commit(session, candidate, author, confirmed_commit, None)
             .await
         {
             Ok(CommitOutcome::Applied(_) | CommitOutcome::Unchanged) => {
@@ -136,7 +136,7 @@
 }
 
 /// The response to a request that confirms or cancels a commit; rejects a request that also has edits.
-fn empty_edit_response(request: &SetRequest) -> Result<Response<SetResponse>, Status> {
+fn confirmation_response(request: &SetRequest) -> Result<Response<SetResponse>, Status> {
     let has_no_edits =
         request.delete.is_empty() && request.replace.is_empty() && request.update.is_empty();
     if !has_no_edits {
@@ -154,16 +154,16 @@
     }))
 }
 
-/// Reads the rollback duration and the id of a confirmed commit.
-fn confirmed_commit(commit: &CommitExt) -> Result<ConfirmedCommit, Status> {
+/// Parses the rollback duration and the id of a confirmed commit.
+fn parse_confirmed_commit(commit: &CommitExt) -> Result<ConfirmedCommit, Status> {
     let rollback_duration = match &commit.action {
         Some(Action::Commit(request)) => request.rollback_duration.as_ref(),
         _ => None,
     };
-    let timeout = rollback_duration.map_or(DEFAULT_CONFIRM_SECONDS, |time| {
+    let timeout = rollback_duration.map_or(DEFAULT_ROLLBACK_SECONDS, |time| {
         time.seconds as f64 + f64::from(time.nanos) / 1e9
     });
-    if !(MIN_CONFIRM_SECONDS..=MAX_CONFIRM_SECONDS).contains(&timeout) || commit.id.is_empty() {
+    if !(MIN_ROLLBACK_SECONDS..=MAX_ROLLBACK_SECONDS).contains(&timeout) || commit.id.is_empty() {
         return Err(invalid_argument(
             "commit",
             "has no id, or a time out of range",
--- a/management/src/netconf/session/commit.rs
+++ b/management/src/netconf/session/commit.rs
@@ -11,9 +11,9 @@
 use crate::commit_service::CommitServiceHandle;
 
 /// The default of `confirm-timeout`, in seconds (RFC 6241, section 8.4.5.1).
-const DEFAULT_CONFIRM_SECONDS: f64 = 600.0;
+const DEFAULT_CONFIRM_TIMEOUT_SECONDS: f64 = 600.0;
 /// The maximum of `confirm-timeout`, in seconds.
-const MAX_CONFIRM_SECONDS: f64 = 86_400.0;
+const MAX_CONFIRM_TIMEOUT_SECONDS: f64 = 86_400.0;
 
 impl Session {
     pub(super) fn commit(
@@ -27,7 +27,7 @@
             Some(_) => Some(parse_confirmed_commit(operation)?),
             None => None,
         };
-        let published = commit_service.status.load();
+        let status = commit_service.status.load();
         let changed = self
             .candidate
             .as_ref()
@@ -35,7 +35,7 @@
         // A final commit of an unchanged candidate confirms the pending commit.
         if !changed
             && confirmed_commit.is_none()
-            && (published.pending.is_some() || persist_id.is_some())
+            && (status.pending.is_some() || persist_id.is_some())
         {
             return Ok(SessionAction::Perform(DatastoreOperation::ConfirmCommit {
                 persist_id,
@@ -60,15 +60,15 @@
 fn parse_confirmed_commit(operation: &Element) -> Result<ConfirmedCommit, Vec<RpcError>> {
     let value = child_text(operation, "confirm-timeout");
     let timeout = match &value {
-        None => Some(DEFAULT_CONFIRM_SECONDS),
+        None => Some(DEFAULT_CONFIRM_TIMEOUT_SECONDS),
         Some(value) => value
             .parse::<u32>()
             .ok()
             .map(f64::from)
-            .filter(|seconds| (1.0..=MAX_CONFIRM_SECONDS).contains(seconds)),
+            .filter(|seconds| (1.0..=MAX_CONFIRM_TIMEOUT_SECONDS).contains(seconds)),
     };
     let invalid = || {
-        let expected = format!("1 to {MAX_CONFIRM_SECONDS} seconds");
+        let expected = format!("1 to {MAX_CONFIRM_TIMEOUT_SECONDS} seconds");
         vec![RpcError::invalid_value(
             "confirm-timeout",
             "is out of range",
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -147,7 +147,7 @@
             Err(error) => return self.reject_malformed(&error.to_string()),
         };
         if !self.hello_received {
-            return self.client_hello(&element);
+            return self.handle_client_hello(&element);
         }
         if element.name != "rpc" || element.namespace != BASE_NAMESPACE {
             return self.reject_malformed("is no rpc");
@@ -180,7 +180,7 @@
     }
 
     /// Handles the first message of the client, which has to be a hello.
-    fn client_hello(&mut self, element: &Element) -> SessionAction {
+    fn handle_client_hello(&mut self, element: &Element) -> SessionAction {
         let capabilities = element
             .child("capabilities")
             .filter(|_| element.name == "hello" && element.namespace == BASE_NAMESPACE);
@@ -203,10 +203,10 @@
 
     /// Replies with `malformed-message`, or ends a session that has not received a hello.
     fn reject_malformed(&self, problem: &str) -> SessionAction {
-        // The message has no known message-id, so the reply has none either. The session continues.
         if !self.hello_received {
             return SessionAction::Abort(AbortReason::NoHello);
         }
+        // The message has no known message-id, so the reply has none either. The session continues.
         let error = RpcError::new(
             "rpc",
             "malformed-message",
--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -213,20 +213,22 @@
     }
 }
 
-pub(super) fn access_denied(problem: &str, rights: Rights) -> RpcError {
+/// The error for an action that needs the right `read`, which the key does not have.
+pub(super) fn access_denied(action: &str, rights: Rights) -> RpcError {
     RpcError::new(
         "protocol",
         "access-denied",
         format!(
-            "{problem}: is beyond the rights of this key (given: {rights}; taken: the right read)"
+            "{action}: is beyond the rights of this key (given: {rights}; taken: the right read)"
         ),
     )
 }
 
-pub(super) fn operation_not_supported(problem: &str, expected: &str) -> RpcError {
+/// The error for an operation or parameter that is not supported; `expected` is what the client can use instead.
+pub(super) fn operation_not_supported(operation: &str, expected: &str) -> RpcError {
     RpcError::new(
         "protocol",
         "operation-not-supported",
-        format!("{problem}: is not served here (given: {problem}; taken: {expected})"),
+        format!("{operation}: is not served here (given: {operation}; taken: {expected})"),
     )
 }
--- a/management/src/netconf/session_task.rs
+++ b/management/src/netconf/session_task.rs
@@ -64,7 +64,7 @@
     let (reader, writer) = tokio::io::split(channel.into_stream());
     let session = Session::new(id, &key.name, context.schema, context.binding.clone());
     let decoder = FrameDecoder::new(context.limits.max_message_bytes);
-    let mut exchange = Exchange {
+    let mut exchange = MessageExchange {
         context,
         id,
         key,
@@ -80,7 +80,7 @@
 }
 
 /// The message exchange of one session over its channel.
-struct Exchange<'a, W> {
+struct MessageExchange<'a, W> {
     context: &'a ServerContext,
     id: SessionId,
     key: &'a Key,
@@ -93,7 +93,7 @@
     missed_notifications: u64,
 }
 
-impl<W: AsyncWrite + Unpin> Exchange<'_, W> {
+impl<W: AsyncWrite + Unpin> MessageExchange<'_, W> {
     async fn run(
         &mut self,
         mut reader: impl AsyncRead + Unpin,
