--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -128,8 +128,8 @@
     }
 }
 
-/// Serves one connection until it closes. The SSH key exchange may take the login timeout, and the authentication after
-/// it the same time again; a connection that misses either limit is closed.
+/// Serves one connection until it closes. The SSH version exchange may take the login timeout, and the key exchange and
+/// authentication after it the same time again; a connection that misses either limit is closed.
 async fn serve_connection(
     context: Arc<ServerContext>,
     config: Arc<russh::server::Config>,
