--- a/management/src/lib.rs
+++ b/management/src/lib.rs
@@ -36,8 +36,8 @@
     pub max_connections: usize,
     /// Maximum number of NETCONF sessions, and of gNMI Subscribe streams.
     pub max_sessions: usize,
-    /// Time limit of each login step: for NETCONF the SSH version exchange, the SSH authentication and the client's hello,
-    /// for gNMI the TLS handshake.
+    /// Time limit of each login step: for NETCONF the SSH version exchange, the SSH authentication and the client's
+    /// hello, for gNMI the TLS handshake.
     pub login_timeout: Duration,
     /// Time between keepalive messages on an idle connection.
     pub keepalive_interval: Duration,
