--- a/management/src/gnmi/connections.rs
+++ b/management/src/gnmi/connections.rs
@@ -1,8 +1,8 @@
-//! Accepts connections up to a limit; those beyond it are closed at once.
+//! Accepts connections up to a limit; connections beyond the limit are closed at once.
 
 use std::pin::Pin;
 use std::sync::Arc;
-use std::task::{Context, Poll as Ready};
+use std::task::{Context, Poll};
 use std::time::Duration;
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
@@ -12,10 +12,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::server::{Connected, TcpConnectInfo};
 
-/// Pause after a connection could not be accepted.
+/// Delay before the next `accept` after one has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A connection within the limit of open connections.
+/// An accepted connection; it counts against the limit until it is dropped.
 pub(super) struct AdmittedConnection {
     stream: TcpStream,
     _permit: OwnedSemaphorePermit,
@@ -34,7 +34,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
-    ) -> Ready<std::io::Result<()>> {
+    ) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
@@ -44,21 +44,21 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
-    ) -> Ready<std::io::Result<usize>> {
+    ) -> Poll<std::io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Ready<std::io::Result<()>> {
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Ready<std::io::Result<()>> {
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.stream).poll_shutdown(cx)
     }
 }
 
-/// The connections of a listener; those beyond the limit are closed at once. A connection counts from its first byte,
-/// before the TLS handshake.
+/// Accepts the connections of a listener; connections beyond the limit are closed at once. A connection counts against
+/// the limit from its acceptance, before the TLS handshake.
 pub(super) fn accept_connections(
     listener: TcpListener,
     limit: usize,
--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -1,4 +1,4 @@
-//! One update, replacement or deletion of a Set request as edits of the datastore.
+//! Converts one delete, replace or update of a Set request to edits of the datastore.
 
 use kestreltide_yang::NodeId;
 use kestreltide_yang::data::{InstancePath, Step};
@@ -10,51 +10,51 @@
 use serde_json::Value as Json;
 use tonic::Status;
 
-use super::Service;
+use super::GnmiService;
 use super::errors::{edit_errors_status, invalid_argument};
-use super::paths::{path_text, pattern};
+use super::paths::{format_path, parse_pattern};
 use crate::proto::gnmi::typed_value::Value;
 use crate::proto::gnmi::{Path, TypedValue};
 
 /// The target of a path of a Set request.
 struct EditTarget {
     parent: InstancePath,
-    /// The schema node; none at the top of the model.
+    /// The schema node; none for the root of the model.
     node: Option<NodeId>,
-    /// The last step of the path, whose name is empty at the top.
+    /// The last step of the path; its name is empty for the root.
     step: Step,
-    /// The node again if it is a list or leaf-list without keys, that is with all its entries.
+    /// The same node if the path names a list or leaf-list without keys, which means all its entries.
     list: Option<NodeId>,
 }
 
-impl Service {
-    /// The edits of one update, replacement or deletion.
-    pub(super) fn edit(
+impl GnmiService {
+    /// The edits of one delete, replace or update.
+    pub(super) fn edits_of_operation(
         &self,
         prefix: Option<&Path>,
         path: &Path,
         value: Option<&TypedValue>,
         operation: Operation,
     ) -> Result<Vec<Edit>, Status> {
-        let shown = path_text(path);
-        let pattern = pattern(prefix, path)?;
-        let target = self.edit_target(&pattern, &shown)?;
+        let path_string = format_path(path);
+        let pattern = parse_pattern(prefix, path)?;
+        let target = self.edit_target(&pattern, &path_string)?;
         let mut edits = vec![];
         if operation == Operation::Remove || operation == Operation::Replace {
-            edits.extend(self.removal_edits(&target, &shown)?);
+            edits.extend(self.removal_edits(&target, &path_string)?);
         }
         if operation == Operation::Remove {
             return Ok(edits);
         }
         let value = value
             .and_then(|value| value.value.as_ref())
-            .ok_or_else(|| invalid_argument(&shown, "has no value", "nothing", "a value"))?;
-        edits.extend(self.edits_of_value(&target, &shown, value)?);
+            .ok_or_else(|| invalid_argument(&path_string, "has no value", "nothing", "a value"))?;
+        edits.extend(self.merge_edits(&target, &path_string, value)?);
         Ok(edits)
     }
 
-    /// The target of a path: one instance, or all entries of a list or leaf-list without keys.
-    fn edit_target(&self, pattern: &Pattern, shown: &str) -> Result<EditTarget, Status> {
+    /// Resolves the target of a path: one instance, or all entries of a list or leaf-list without keys.
+    fn edit_target(&self, pattern: &Pattern, path_string: &str) -> Result<EditTarget, Status> {
         if let Some((parent, node)) = self.list_without_keys(pattern) {
             let name = self.schema.node_of(node).name.clone();
             return Ok(EditTarget {
@@ -66,7 +66,7 @@
         }
         let (mut parent, node) = pattern
             .single_instance(self.schema)
-            .map_err(|error| no_instance(shown, &error.to_string()))?;
+            .map_err(|error| no_instance_status(path_string, &error.to_string()))?;
         let step = parent.0.pop().unwrap_or(Step {
             name: String::new(),
             keys: vec![],
@@ -82,18 +82,20 @@
 
     /// The parent and the node of a list or leaf-list that a pattern names without keys.
     fn list_without_keys(&self, pattern: &Pattern) -> Option<(InstancePath, NodeId)> {
-        let (last, above) = pattern.0.split_last()?;
+        let (last, ancestors) = pattern.0.split_last()?;
         if !last.keys.is_empty() || last.any_depth {
             return None;
         }
-        let (parent, parent_node) = Pattern(above.to_vec()).single_instance(self.schema).ok()?;
-        let named = |id: &NodeId| Some(&self.schema.node_of(*id).name) == last.name.as_ref();
+        let (parent, parent_node) = Pattern(ancestors.to_vec())
+            .single_instance(self.schema)
+            .ok()?;
+        let has_name = |id: &NodeId| Some(&self.schema.node_of(*id).name) == last.name.as_ref();
         let node = self
             .schema
             .children_of(parent_node)
             .iter()
             .copied()
-            .find(named)?;
+            .find(has_name)?;
         self.is_list(node).then_some((parent, node))
     }
 
@@ -104,9 +106,9 @@
         )
     }
 
-    /// Edits that remove the target, or all its entries.
-    fn removal_edits(&self, target: &EditTarget, shown: &str) -> Result<Vec<Edit>, Status> {
-        let removal_edits = self.entries_to_remove(target.node, &target.step, target.list);
+    /// The edits that remove the target, or all its entries.
+    fn removal_edits(&self, target: &EditTarget, path_string: &str) -> Result<Vec<Edit>, Status> {
+        let removed_entries = self.entries_to_remove(target.node, &target.step, target.list);
         let removal = |(node, step)| Edit {
             node,
             operation: Some(Operation::Remove),
@@ -114,17 +116,17 @@
             step,
             children: vec![],
         };
-        removal_edits
+        removed_entries
             .into_iter()
-            .map(|found| self.place(&target.parent, removal(found), shown))
+            .map(|entry| self.edit_from_root(&target.parent, removal(entry), path_string))
             .collect()
     }
 
-    /// Edits that merge a value into the target.
-    fn edits_of_value(
+    /// The edits that merge a value into the target.
+    fn merge_edits(
         &self,
         target: &EditTarget,
-        shown: &str,
+        path_string: &str,
         value: &Value,
     ) -> Result<Vec<Edit>, Status> {
         let EditTarget {
@@ -133,14 +135,14 @@
             step,
             list,
         } = target;
-        let json = self.json_value_of(shown, *node, value)?;
+        let json = self.typed_value_to_json(path_string, *node, value)?;
         let mut errors = vec![];
         let edits = match (*node, *list) {
             (Some(node), Some(_)) => {
                 edits_from_json_value(self.schema, node, parent, &json, &mut errors)
             }
             (Some(node), None) => {
-                let json = with_keys(json, step);
+                let json = with_path_keys(json, step);
                 edit_from_json(self.schema, node, parent, &json, &mut errors)
                     .into_iter()
                     .collect()
@@ -166,17 +168,23 @@
         };
         edits
             .into_iter()
-            .map(|edit| self.place(parent, merge(edit), shown))
+            .map(|edit| self.edit_from_root(parent, merge(edit), path_string))
             .collect()
     }
 
-    /// An edit below its parent, from the top of the model.
-    fn place(&self, parent: &InstancePath, edit: Edit, shown: &str) -> Result<Edit, Status> {
+    /// Wraps an edit of a child of `parent` in edits that lead from the root of the model to it.
+    fn edit_from_root(
+        &self,
+        parent: &InstancePath,
+        edit: Edit,
+        path_string: &str,
+    ) -> Result<Edit, Status> {
         edit_below_path(self.schema, parent, edit)
-            .ok_or_else(|| no_instance(shown, "leads nowhere"))
+            .ok_or_else(|| no_instance_status(path_string, "leads nowhere"))
     }
 
-    /// The instances that a removal of the target has to remove.
+    /// The nodes that have to be removed to remove the target: each entry of a list, or each top-level configuration
+    /// node for the root.
     fn entries_to_remove(
         &self,
         node: Option<NodeId>,
@@ -201,7 +209,7 @@
             }
             (Some(node), _) => vec![(node, step.clone())],
             (None, _) => {
-                let config = |id: &&NodeId| self.schema.node_of(**id).config;
+                let is_config = |id: &&NodeId| self.schema.node_of(**id).config;
                 let step = |id: NodeId| Step {
                     name: self.schema.node_of(id).name.clone(),
                     keys: vec![],
@@ -209,7 +217,7 @@
                 self.schema
                     .top_level
                     .iter()
-                    .filter(config)
+                    .filter(is_config)
                     .map(|id| (*id, step(*id)))
                     .collect()
             }
@@ -217,12 +225,17 @@
     }
 }
 
-fn no_instance(shown: &str, why: &str) -> Status {
-    invalid_argument(shown, why, shown, "one instance, with its keys")
+fn no_instance_status(path_string: &str, problem: &str) -> Status {
+    invalid_argument(
+        path_string,
+        problem,
+        path_string,
+        "one instance, with its keys",
+    )
 }
 
-/// Adds the keys of the path to a value that does not repeat them.
-fn with_keys(json: Json, step: &Step) -> Json {
+/// Adds the keys of the path to a JSON object that does not contain them.
+fn with_path_keys(json: Json, step: &Step) -> Json {
     match json {
         Json::Object(mut members) => {
             for (key, value) in &step.keys {
--- a/management/src/gnmi/path_subscription.rs
+++ b/management/src/gnmi/path_subscription.rs
@@ -1,4 +1,4 @@
-//! One subscription of a stream: what it selects, when it is due, and what was sent last.
+//! One subscription of a Subscribe stream: its selection, its timers and the values that were sent last.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 use tokio::time::Instant;
 use tonic::Status;
 
-use super::encoding::update;
+use super::encoding::leaf_update;
 use super::errors::invalid_argument;
 use super::snapshot::{Leaves, Selection, Snapshot};
 use crate::Limits;
 use crate::proto::gnmi::{Path, SubscriptionMode, Update};
 
-/// One subscription of a stream.
+/// One subscription of a Subscribe stream.
 pub(super) struct PathSubscription {
     pub(super) selection: Selection,
     on_change: bool,
-    /// Time between samples; none without sampling.
+    /// Time between samples; none for an ON_CHANGE subscription.
     sample_interval: Option<Duration>,
-    /// Time between heartbeats, at which all leaves are sent; none without heartbeats.
+    /// Time between heartbeats, at which all leaves are sent even if unchanged; none without heartbeats.
     heartbeat_interval: Option<Duration>,
     suppress_redundant: bool,
     next_sample: Option<Instant>,
@@ -71,16 +71,16 @@
         })
     }
 
-    /// When its next timer expires.
-    pub(super) fn next_timer(&self) -> Option<Instant> {
+    /// The time at which the next timer of the subscription expires.
+    pub(super) fn next_timer_at(&self) -> Option<Instant> {
         [self.next_sample, self.next_heartbeat]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// What is due to be sent, if anything; expired timers start again.
-    pub(super) fn due_at(&mut self, now: Instant, changed: bool) -> Option<Due> {
+    /// The updates that are due at `now`, if any; restarts expired timers. `changed` is whether the data has changed.
+    pub(super) fn take_due_updates(&mut self, now: Instant, changed: bool) -> Option<DueUpdates> {
         let sample_due = self.next_sample.is_some_and(|at| at <= now);
         let heartbeat_due = self.next_heartbeat.is_some_and(|at| at <= now);
         if sample_due {
@@ -93,50 +93,51 @@
             return None;
         }
         Some(if heartbeat_due || sample_due && !self.suppress_redundant {
-            Due::Everything
+            DueUpdates::AllLeaves
         } else {
-            Due::Changes
+            DueUpdates::ChangedLeaves
         })
     }
 
-    /// The updates and deletions that lead to a snapshot, which counts as sent from now on. Updates of changed leaves
-    /// carry the number of coalesced changes.
+    /// The updates and deletions from the leaves that were sent last to those of a snapshot, which then count as sent.
+    /// Updates of changed leaves carry the number of coalesced changes.
     pub(super) fn updates_since_last(
         &mut self,
         schema: &Schema,
         snapshot: &Snapshot,
-        due: Due,
+        due: DueUpdates,
         coalesced: u32,
     ) -> (Vec<Update>, Vec<Path>) {
-        let (now, changes) = snapshot.changes(schema, &self.selection, &self.sent);
+        let (current_leaves, changes) = snapshot.changes_since(schema, &self.selection, &self.sent);
         let mut updates: Vec<_> = changes
             .updates
             .iter()
-            .map(|(at, value)| update(at, value, coalesced))
+            .map(|(path, value)| leaf_update(path, value, coalesced))
             .collect();
-        if due == Due::Everything {
-            let is_changed = |at: &InstancePath| {
+        if due == DueUpdates::AllLeaves {
+            let is_changed = |path: &InstancePath| {
                 changes
                     .updates
-                    .binary_search_by(|(changed, _)| changed.cmp(at))
+                    .binary_search_by(|(changed, _)| changed.cmp(path))
                     .is_ok()
             };
             updates.extend(
-                now.iter()
-                    .filter(|(at, _)| !is_changed(at))
-                    .map(|(at, value)| update(at, value, 0)),
+                current_leaves
+                    .iter()
+                    .filter(|(path, _)| !is_changed(path))
+                    .map(|(path, value)| leaf_update(path, value, 0)),
             );
         }
-        self.sent = now;
+        self.sent = current_leaves;
         (updates, changes.deleted.clone())
     }
 }
 
-/// What is due to be sent for a subscription.
+/// The updates that are due for a subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Due {
-    /// The changes since the last time.
-    Changes,
+pub(super) enum DueUpdates {
+    /// The leaves that changed since the last updates.
+    ChangedLeaves,
     /// All selected leaves.
-    Everything,
+    AllLeaves,
 }
--- a/management/src/gnmi/paths.rs
+++ b/management/src/gnmi/paths.rs
@@ -1,4 +1,4 @@
-//! Conversion of gNMI paths to patterns, and of instance paths to gNMI paths.
+//! Converts gNMI paths to patterns, and instance paths to gNMI paths.
 
 use kestreltide_yang::Schema;
 use kestreltide_yang::data::{DataNode, InstancePath, Step};
@@ -8,14 +8,14 @@
 use super::errors::invalid_argument;
 use crate::proto::gnmi::{Path, PathElem};
 
-/// The pattern of a path below a prefix; rejects unknown origins.
-pub(super) fn pattern(prefix: Option<&Path>, path: &Path) -> Result<Pattern, Status> {
-    let shown = path_text(path);
-    let mut all = Pattern::default();
+/// Parses a path below a prefix as a pattern; rejects unknown origins.
+pub(super) fn parse_pattern(prefix: Option<&Path>, path: &Path) -> Result<Pattern, Status> {
+    let path_string = format_path(path);
+    let mut full_pattern = Pattern::default();
     for path in prefix.into_iter().chain([path]) {
         if !["", "kestreltide", "openconfig", "rfc7951"].contains(&path.origin.as_str()) {
             return Err(invalid_argument(
-                &shown,
+                &path_string,
                 "no such origin",
                 &path.origin,
                 "none, or kestreltide",
@@ -29,15 +29,21 @@
                 .collect();
             (elem.name.as_str(), keys)
         });
-        let steps = Pattern::from_steps(steps).map_err(|why| {
-            invalid_argument(&shown, &why.to_string(), &shown, "names with their keys")
+        let pattern = Pattern::from_steps(steps).map_err(|error| {
+            invalid_argument(
+                &path_string,
+                &error.to_string(),
+                &path_string,
+                "names with their keys",
+            )
         })?;
-        all = steps.with_prefix(&all);
+        full_pattern = pattern.with_prefix(&full_pattern);
     }
-    Ok(all)
+    Ok(full_pattern)
 }
 
-pub(super) fn path_text(path: &Path) -> String {
+/// Formats a gNMI path for error messages, with its keys in order.
+pub(super) fn format_path(path: &Path) -> String {
     let mut out = String::new();
     for elem in &path.elem {
         out += &format!("/{}", elem.name);
@@ -49,16 +55,16 @@
     if out.is_empty() { "/".into() } else { out }
 }
 
-/// The error for a path that matches no node of the model.
-pub(super) fn leads_nowhere(path: &Path) -> Status {
+/// The status for a path that matches no node of the model.
+pub(super) fn unknown_path_status(path: &Path) -> Status {
     Status::not_found(format!(
         "{}: leads nowhere in the model (given: {0}; taken: a path of it)",
-        path_text(path)
+        format_path(path)
     ))
 }
 
-/// The instances that a pattern selects from data; those at the top for the empty pattern.
-pub(super) fn select<'a>(
+/// The instances that a pattern selects from data; the empty pattern selects the top-level nodes.
+pub(super) fn select_instances<'a>(
     schema: &Schema,
     pattern: &Pattern,
     data: &'a [DataNode],
@@ -72,13 +78,13 @@
     }
 }
 
-pub(super) fn path_of(at: &InstancePath) -> Path {
+pub(super) fn to_gnmi_path(path: &InstancePath) -> Path {
     let elem = |step: &Step| PathElem {
         name: step.name.clone(),
         key: step.keys.iter().cloned().collect(),
     };
     Path {
-        elem: at.0.iter().map(elem).collect(),
+        elem: path.0.iter().map(elem).collect(),
         ..Path::default()
     }
 }
--- a/management/src/gnmi/set.rs
+++ b/management/src/gnmi/set.rs
@@ -1,4 +1,4 @@
-//! Set: all edits of a request as one transaction, committed at once or until it is confirmed.
+//! The Set RPC: applies all edits of a request as one transaction, final at once or as a confirmed commit.
 
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -9,55 +9,55 @@
 use tonic::{Request, Response, Status};
 
 use super::errors::{commit_error_status, edit_errors_status, invalid_argument};
-use super::{Service, nanos};
+use super::{GnmiService, unix_nanoseconds};
 use crate::proto::gnmi::{SetRequest, SetResponse, Update, UpdateResult, update_result};
 use crate::proto::gnmi_ext::commit::Action;
 use crate::proto::gnmi_ext::extension::Ext;
 use crate::proto::gnmi_ext::{Commit as CommitExt, Extension, MasterArbitration};
 
-/// The time to confirm a commit if the request has none, in seconds.
-const DEFAULT_CONFIRM_SECONDS: f64 = 600.0;
-/// The shortest time to confirm a commit, in seconds; an error text names it.
-const MIN_CONFIRM_SECONDS: f64 = 0.1;
-/// The longest time to confirm a commit, in seconds; an error text names it.
-const MAX_CONFIRM_SECONDS: f64 = 86_400.0;
+/// The default rollback duration of a confirmed commit, in seconds.
+const DEFAULT_ROLLBACK_SECONDS: f64 = 600.0;
+/// The shortest rollback duration of a confirmed commit, in seconds. An error text contains this number.
+const MIN_ROLLBACK_SECONDS: f64 = 0.1;
+/// The longest rollback duration of a confirmed commit, in seconds. An error text contains this number.
+const MAX_ROLLBACK_SECONDS: f64 = 86_400.0;
 
-impl Service {
-    pub(super) async fn apply_set(
+impl GnmiService {
+    pub(super) async fn handle_set(
         &self,
         request: Request<SetRequest>,
     ) -> Result<Response<SetResponse>, Status> {
-        let (key, rights) = self.key(&request)?;
+        let (key, rights) = self.authenticate(&request)?;
         let request = request.into_inner();
         if let Some(arbitration) = find_extension(&request.extension, as_arbitration) {
             self.check_master(arbitration)?;
         }
-        let confirm = match find_extension(&request.extension, as_commit) {
+        let confirmed_commit = match find_extension(&request.extension, as_commit) {
             Some(commit) if self.confirm_or_cancel(&key, commit).await? => {
-                return empty_edit_response(&request);
+                return confirmation_response(&request);
             }
-            Some(commit) => Some(confirmed_commit(commit)?),
+            Some(commit) => Some(parse_confirmed_commit(commit)?),
             None => None,
         };
-        let published = self.commit_service.status.load_full();
-        let mut candidate = Candidate::new(&published.in_force);
-        let response = self.edit_candidate(&mut candidate, &request)?;
-        let author = self.next_author(&key);
-        if let Err(error) = rights.check(&published.in_force.tree.differences(&candidate.tree)) {
+        let status = self.commit_service.status.load_full();
+        let mut candidate = Candidate::new(&status.in_force);
+        let response = self.apply_edits(&mut candidate, &request)?;
+        let author = self.new_author(&key);
+        if let Err(error) = rights.check(&status.in_force.tree.differences(&candidate.tree)) {
             (self.commit_service.submit)(crate::CommitServiceRequest::RecordDeniedEdit {
                 author,
                 error: error.clone(),
             });
             return Err(Status::permission_denied(error.to_string()));
         }
-        let session = if confirm.is_some() {
+        let session = if confirmed_commit.is_some() {
             self.confirming_session(&key).await
         } else {
             None
         };
         match self
             .commit_service
-            .commit(session, candidate, author, confirm, None)
+            .commit(session, candidate, author, confirmed_commit, None)
             .await
         {
             Ok(CommitOutcome::Applied(_) | CommitOutcome::Unchanged) => {
@@ -65,7 +65,7 @@
                 Ok(Response::new(SetResponse {
                     prefix,
                     response,
-                    timestamp: nanos(),
+                    timestamp: unix_nanoseconds(),
                     extension: vec![],
                 }))
             }
@@ -73,8 +73,9 @@
         }
     }
 
-    /// Deletions, then replacements, then updates, as one transaction (gNMI, section 3.4.3).
-    fn edit_candidate(
+    /// Applies the deletes, then the replaces, then the updates of a request to the candidate (gNMI specification,
+    /// section 3.4.3).
+    fn apply_edits(
         &self,
         candidate: &mut Candidate,
         request: &SetRequest,
@@ -106,7 +107,7 @@
         });
         for ((path, value), operation, response_operation) in deletes.chain(replaces).chain(updates)
         {
-            let edits = self.edit(prefix, &path, value.as_ref(), operation)?;
+            let edits = self.edits_of_operation(prefix, &path, value.as_ref(), operation)?;
             apply(
                 self.schema,
                 &self.binding,
@@ -123,9 +124,9 @@
         Ok(response)
     }
 
-    /// The author of the next revision, with the number of the request.
-    fn next_author(&self, key: &Key) -> Author {
-        let number = self.next_set.fetch_add(1, Relaxed);
+    /// The author of the revision that a request commits; its version contains the number of the Set request.
+    fn new_author(&self, key: &Key) -> Author {
+        let number = self.next_set_number.fetch_add(1, Relaxed);
         Author {
             source: Source::Management,
             name: key.name.clone(),
@@ -134,11 +135,11 @@
     }
 }
 
-/// The response to a request that confirmed or cancelled a commit; it may not have edits.
-fn empty_edit_response(request: &SetRequest) -> Result<Response<SetResponse>, Status> {
-    let empty =
+/// The response to a request that confirms or cancels a commit; rejects a request that also has edits.
+fn confirmation_response(request: &SetRequest) -> Result<Response<SetResponse>, Status> {
+    let has_no_edits =
         request.delete.is_empty() && request.replace.is_empty() && request.update.is_empty();
-    if !empty {
+    if !has_no_edits {
         return Err(invalid_argument(
             "commit",
             "confirms or cancels, and edits too",
@@ -148,21 +149,21 @@
     }
     Ok(Response::new(SetResponse {
         prefix: request.prefix.clone(),
-        timestamp: nanos(),
+        timestamp: unix_nanoseconds(),
         ..SetResponse::default()
     }))
 }
 
-/// The time and the id of a confirmed commit.
-fn confirmed_commit(commit: &CommitExt) -> Result<ConfirmedCommit, Status> {
+/// Parses the rollback duration and the id of a confirmed commit.
+fn parse_confirmed_commit(commit: &CommitExt) -> Result<ConfirmedCommit, Status> {
     let rollback_duration = match &commit.action {
         Some(Action::Commit(request)) => request.rollback_duration.as_ref(),
         _ => None,
     };
-    let timeout = rollback_duration.map_or(DEFAULT_CONFIRM_SECONDS, |time| {
+    let timeout = rollback_duration.map_or(DEFAULT_ROLLBACK_SECONDS, |time| {
         time.seconds as f64 + f64::from(time.nanos) / 1e9
     });
-    if !(MIN_CONFIRM_SECONDS..=MAX_CONFIRM_SECONDS).contains(&timeout) || commit.id.is_empty() {
+    if !(MIN_ROLLBACK_SECONDS..=MAX_ROLLBACK_SECONDS).contains(&timeout) || commit.id.is_empty() {
         return Err(invalid_argument(
             "commit",
             "has no id, or a time out of range",
@@ -192,8 +193,12 @@
     }
 }
 
-fn find_extension<'a, T>(all: &'a [Extension], select: impl Fn(&'a Ext) -> Option<T>) -> Option<T> {
-    all.iter()
+fn find_extension<'a, T>(
+    extensions: &'a [Extension],
+    select: impl Fn(&'a Ext) -> Option<T>,
+) -> Option<T> {
+    extensions
+        .iter()
         .filter_map(|extension| extension.ext.as_ref())
         .find_map(select)
 }
--- a/management/src/netconf/session/mod.rs
+++ b/management/src/netconf/session/mod.rs
@@ -1,9 +1,9 @@
-//! One NETCONF session, without I/O: a message leads to a step, and some steps come back with the result of the commit
-//! service.
+//! One NETCONF session, without I/O: each message leads to an action. The result of an action that performs an
+//! operation of the commit service is passed back to the session, which turns it into the reply.
 //!
-//! Each session has a candidate of its own, based on the revision that was in force when the candidate began. If two
-//! sessions change the same leaf, the second commit fails and names the leaf (as draft-ietf-netconf-privcand has it).
-//! Edits are applied all or none, whatever their error-option.
+//! Each session has a private candidate, based on the revision that was in force when the candidate was created. If two
+//! sessions change the same leaf, the second commit fails and its error names the leaf (as in
+//! draft-ietf-netconf-privcand). The edits of a request are applied all or none, whatever its error-option.
 
 mod capabilities;
 mod commit;
@@ -23,64 +23,64 @@
 use kestreltide_yang::xml::{self, Attribute, Element, XmlLimits, escaped};
 use thiserror::Error;
 
-pub use self::capabilities::BASE;
-use self::capabilities::{BASE_1_0, BASE_1_1};
+pub use self::capabilities::BASE_NAMESPACE;
+use self::capabilities::{BASE_1_0_CAPABILITY, BASE_1_1_CAPABILITY};
 use self::rpc_error::{RpcError, commit_errors};
 use crate::commit_service::CommitServiceHandle;
 
-/// An operation of the commit service that a message leads to.
+/// An operation that the commit service performs for a message.
 #[derive(Clone, Debug)]
 pub enum DatastoreOperation {
     /// Lock a datastore.
     Lock(Target),
     /// Release the lock of a datastore.
     Unlock(Target),
-    /// Check a candidate without committing it.
+    /// Validate a candidate without committing it.
     Validate(Candidate),
-    /// Commit the candidate of the session, or one edit of the running datastore.
+    /// Commit the candidate of the session, or an edit of the running datastore.
     Commit {
         /// The candidate to commit.
         candidate: Candidate,
-        /// The time in which it has to be confirmed; none if it is final.
-        confirm: Option<ConfirmedCommit>,
+        /// The parameters of a confirmed commit; none if the commit is final at once.
+        confirmed_commit: Option<ConfirmedCommit>,
         /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
     /// Confirm the pending commit.
-    Confirm {
+    ConfirmCommit {
         /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
     /// Roll back the pending commit.
-    Cancel {
+    CancelCommit {
         /// The persist-id of the pending commit, if it has one.
         persist_id: Option<String>,
     },
 }
 
-/// Why a session ends without a reply.
+/// The reason why a session ends without a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AbortReason {
     /// The first message is not a hello.
     #[error("first message is not a hello")]
     NoHello,
-    /// Client and server have no version of the base protocol in common.
+    /// The client supports no version of the base protocol that the server supports.
     #[error("no common base version")]
     NoCommonVersion,
 }
 
-/// What to do after a message.
+/// What the task of the session has to do after a message.
 #[derive(Debug)]
-pub enum Step {
-    /// Send the reply; an empty one is not sent.
+pub enum SessionAction {
+    /// Send the reply, unless it is empty.
     Reply(String),
-    /// Perform the operation, and pass its result to [`Session::complete`].
+    /// Perform the operation, and pass its result to [`Session::complete_operation`].
     Perform(DatastoreOperation),
     /// Send the reply and end the session.
     Close(String),
-    /// End another session and send the reply.
+    /// Kill another session and send the reply.
     Kill(SessionId, String),
-    /// Send the reply, and notifications from then on.
+    /// Start to receive notifications and send the reply.
     Subscribe(String),
     /// End the session without a reply.
     Abort(AbortReason),
@@ -88,37 +88,37 @@
 
 /// The state of one session.
 pub struct Session {
-    /// The id that hello gave the session.
+    /// The session-id that the server's hello contains.
     pub id: SessionId,
-    name: String,
+    key_name: String,
     schema: &'static Schema,
     binding: std::sync::Arc<Binding>,
     hello_received: bool,
-    peer_chunks: bool,
+    client_supports_chunked_framing: bool,
     candidate: Option<Candidate>,
     subscribed: bool,
-    /// The attributes of the current rpc, which its reply repeats.
-    attributes: String,
+    /// The attributes of the current rpc as XML, which its reply repeats (RFC 6241, section 4.1).
+    rpc_attributes: String,
 }
 
 impl Session {
-    /// A session that has not received a hello; `name` is that of the key of the client.
+    /// Creates a session that has not received a hello; `key_name` is the name of the client's key.
     pub fn new(
         id: SessionId,
-        name: &str,
+        key_name: &str,
         schema: &'static Schema,
         binding: std::sync::Arc<Binding>,
     ) -> Self {
         Session {
             id,
-            name: name.into(),
+            key_name: key_name.into(),
             schema,
             binding,
             hello_received: false,
-            peer_chunks: false,
+            client_supports_chunked_framing: false,
             candidate: None,
             subscribed: false,
-            attributes: String::new(),
+            rpc_attributes: String::new(),
         }
     }
 
@@ -127,38 +127,38 @@
         self.hello_received
     }
 
-    /// Whether messages are chunked from now on, since both sides support version 1.1.
-    pub fn chunked(&self) -> bool {
-        self.hello_received && self.peer_chunks
+    /// Whether the session uses chunked framing from now on: the client's hello contains base version 1.1.
+    pub fn uses_chunked_framing(&self) -> bool {
+        self.hello_received && self.client_supports_chunked_framing
     }
 
     /// Handles a message of the client.
-    pub fn message(
+    pub fn handle_message(
         &mut self,
         bytes: &[u8],
         rights: Rights,
         commit_service: &CommitServiceHandle,
-    ) -> Step {
+    ) -> SessionAction {
         let Ok(text) = std::str::from_utf8(bytes) else {
-            return self.malformed("is not UTF-8");
+            return self.reject_malformed("is not UTF-8");
         };
         let element = match xml::parse(text, &XmlLimits::default()) {
             Ok(element) => element,
-            Err(why) => return self.malformed(&why.to_string()),
+            Err(error) => return self.reject_malformed(&error.to_string()),
         };
         if !self.hello_received {
-            return self.client_hello(&element);
+            return self.handle_client_hello(&element);
         }
-        if element.name != "rpc" || element.namespace != BASE {
-            return self.malformed("is no rpc");
+        if element.name != "rpc" || element.namespace != BASE_NAMESPACE {
+            return self.reject_malformed("is no rpc");
         }
-        self.attributes.clear();
+        self.rpc_attributes.clear();
         let unqualified = element
             .attributes
             .iter()
             .filter(|attribute| attribute.namespace.is_empty());
         for Attribute { name, value, .. } in unqualified {
-            let _ = write!(self.attributes, " {name}=\"{}\"", escaped(value));
+            let _ = write!(self.rpc_attributes, " {name}=\"{}\"", escaped(value));
         }
         if element.attribute("", "message-id").is_none() {
             let error = RpcError::new(
@@ -166,22 +166,26 @@
                 "missing-attribute",
                 "rpc: has no message-id (given: nothing; taken: message-id)",
             );
-            return Step::Reply(self.errors(&[error.with_bad_attribute("message-id", "rpc")]));
+            return SessionAction::Reply(
+                self.error_reply(&[error.with_bad_attribute("message-id", "rpc")]),
+            );
         }
         let [operation] = element.children.as_slice() else {
-            return Step::Reply(self.errors(&[RpcError::missing("operation")]));
+            return SessionAction::Reply(
+                self.error_reply(&[RpcError::missing_element("operation")]),
+            );
         };
-        self.operation(operation, rights, commit_service)
-            .unwrap_or_else(|errors| Step::Reply(self.errors(&errors)))
+        self.handle_operation(operation, rights, commit_service)
+            .unwrap_or_else(|errors| SessionAction::Reply(self.error_reply(&errors)))
     }
 
-    /// The first message of the client.
-    fn client_hello(&mut self, element: &Element) -> Step {
+    /// Handles the first message of the client, which has to be a hello.
+    fn handle_client_hello(&mut self, element: &Element) -> SessionAction {
         let capabilities = element
             .child("capabilities")
-            .filter(|_| element.name == "hello" && element.namespace == BASE);
+            .filter(|_| element.name == "hello" && element.namespace == BASE_NAMESPACE);
         let Some(capabilities) = capabilities else {
-            return Step::Abort(AbortReason::NoHello);
+            return SessionAction::Abort(AbortReason::NoHello);
         };
         let supports = |base: &str| {
             capabilities
@@ -189,31 +193,33 @@
                 .iter()
                 .any(|child| child.text.trim() == base)
         };
-        if !supports(BASE_1_0) && !supports(BASE_1_1) {
-            return Step::Abort(AbortReason::NoCommonVersion);
+        if !supports(BASE_1_0_CAPABILITY) && !supports(BASE_1_1_CAPABILITY) {
+            return SessionAction::Abort(AbortReason::NoCommonVersion);
         }
         self.hello_received = true;
-        self.peer_chunks = supports(BASE_1_1);
-        Step::Reply(String::new())
+        self.client_supports_chunked_framing = supports(BASE_1_1_CAPABILITY);
+        SessionAction::Reply(String::new())
     }
 
-    fn malformed(&self, why: &str) -> Step {
-        // There is no message-id to answer with (RFC 6241, section 4.1); the session goes on.
+    /// Replies with `malformed-message`, or ends a session that has not received a hello.
+    fn reject_malformed(&self, problem: &str) -> SessionAction {
         if !self.hello_received {
-            return Step::Abort(AbortReason::NoHello);
+            return SessionAction::Abort(AbortReason::NoHello);
         }
+        // The message has no known message-id, so the reply has none either. The session continues.
         let error = RpcError::new(
             "rpc",
             "malformed-message",
-            format!("message: {why} (given: bytes; taken: an rpc)"),
+            format!("message: {problem} (given: bytes; taken: an rpc)"),
         );
-        let mut out = format!("<rpc-reply xmlns=\"{BASE}\">");
+        let mut out = format!("<rpc-reply xmlns=\"{BASE_NAMESPACE}\">");
         error.write(&mut out);
-        Step::Reply(out + "</rpc-reply>")
+        SessionAction::Reply(out + "</rpc-reply>")
     }
 
-    /// The reply to a message whose operation the commit service has performed.
-    pub fn complete(
+    /// Creates the reply for an operation that the commit service has performed. A commit or a cancelled commit
+    /// discards the candidate of the session.
+    pub fn complete_operation(
         &mut self,
         operation: &DatastoreOperation,
         result: Result<(), CommitError>,
@@ -222,13 +228,13 @@
             Ok(()) => {
                 if matches!(
                     operation,
-                    DatastoreOperation::Commit { .. } | DatastoreOperation::Cancel { .. }
+                    DatastoreOperation::Commit { .. } | DatastoreOperation::CancelCommit { .. }
                 ) {
                     self.candidate = None;
                 }
-                self.ok()
+                self.ok_reply()
             }
-            Err(error) => self.errors(&commit_errors(&error)),
+            Err(error) => self.error_reply(&commit_errors(&error)),
         }
     }
 
@@ -236,7 +242,7 @@
     pub fn author(&self) -> Author {
         Author {
             source: Source::Management,
-            name: self.name.clone(),
+            name: self.key_name.clone(),
             version: format!("netconf session {}", self.id),
         }
     }
--- a/management/src/netconf/session/rollout_operations.rs
+++ b/management/src/netconf/session/rollout_operations.rs
@@ -1,4 +1,5 @@
-//! The RPCs of the published model: they hold, roll back and release the canary build, each by a commit.
+//! The RPCs of the published model. `hold-trial` and `take-trial-back` commit the request to hold or roll back the
+//! canary build, and `let-trial-go` commits its removal.
 
 use kestreltide_datastore::{Candidate, Path, Rights, Tree};
 use kestreltide_yang::data::InstancePath;
@@ -6,25 +7,25 @@
 use kestreltide_yang::xml::Element;
 
 use super::rpc_error::{RpcError, edit_error, validation_error};
-use super::{DatastoreOperation, Session, Step};
+use super::{DatastoreOperation, Session, SessionAction};
 use crate::commit_service::CommitServiceHandle;
 
 impl Session {
-    /// An RPC of the published model; `name` carries its module.
+    /// Handles an RPC of the published model; `name` is `module:operation`, for error messages.
     pub(super) fn rollout_operation(
         &mut self,
         operation: &Element,
         name: &str,
         rights: Rights,
         commit_service: &CommitServiceHandle,
-    ) -> Result<Step, Vec<RpcError>> {
-        let build = self.build_of(operation, name)?;
+    ) -> Result<SessionAction, Vec<RpcError>> {
+        let build = self.parse_build(operation, name)?;
         let mut candidate = Candidate::new(&commit_service.status.load().in_force);
-        let before = candidate.tree.clone();
+        let tree_before = candidate.tree.clone();
         if operation.name == "let-trial-go" {
             candidate.tree.rollout = Default::default();
         } else {
-            let build = build.ok_or_else(|| vec![RpcError::missing("build")])?;
+            let build = build.ok_or_else(|| vec![RpcError::missing_element("build")])?;
             let leaf = if operation.name == "hold-trial" {
                 "ring/hold"
             } else {
@@ -33,16 +34,20 @@
             self.set_leaf(&mut candidate.tree, "ring/build", &build)?;
             self.set_leaf(&mut candidate.tree, leaf, "true")?;
         }
-        self.check_rights(&before, &candidate.tree, rights, commit_service)?;
-        Ok(Step::Perform(DatastoreOperation::Commit {
+        self.check_rights(&tree_before, &candidate.tree, rights, commit_service)?;
+        Ok(SessionAction::Perform(DatastoreOperation::Commit {
             candidate,
-            confirm: None,
+            confirmed_commit: None,
             persist_id: None,
         }))
     }
 
-    /// The build that the input of an RPC names, if any.
-    fn build_of(&self, operation: &Element, name: &str) -> Result<Option<String>, Vec<RpcError>> {
+    /// Parses the input of an RPC and returns its build, if it has one.
+    fn parse_build(
+        &self,
+        operation: &Element,
+        name: &str,
+    ) -> Result<Option<String>, Vec<RpcError>> {
         let Some(input) = self.schema.rpcs.get(&operation.name).copied() else {
             return Err(vec![self.unknown_rpc(operation, name)]);
         };
@@ -64,9 +69,9 @@
     fn unknown_rpc(&self, operation: &Element, name: &str) -> RpcError {
         let known: Vec<_> = self.schema.rpcs.keys().map(String::as_str).collect();
         let known = known.join(", ");
-        let error = RpcError::invalid(name, "no such operation", &operation.name, &known);
+        let error = RpcError::invalid_value(name, "no such operation", &operation.name, &known);
         RpcError {
-            tag: "operation-not-supported".into(),
+            error_tag: "operation-not-supported".into(),
             ..error
         }
     }
--- a/management/src/netconf/session/rpc_error.rs
+++ b/management/src/netconf/session/rpc_error.rs
@@ -1,4 +1,4 @@
-//! Errors of the datastore, of edits and of the protocol as `rpc-error` elements (RFC 6241, section 4.3).
+//! Converts errors of the datastore, of edits and of the protocol to `rpc-error` elements (RFC 6241, section 4.3).
 
 use std::fmt::Write;
 
@@ -11,31 +11,35 @@
 /// An `rpc-error` element.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct RpcError {
-    pub(super) kind: &'static str,
-    pub(super) tag: String,
+    pub(super) error_type: &'static str,
+    pub(super) error_tag: String,
     pub(super) path: Option<String>,
     pub(super) message: String,
-    /// Names and contents of the elements of `error-info`.
+    /// Names and contents of the elements in `error-info`.
     pub(super) info: Vec<(&'static str, String)>,
 }
 
 impl RpcError {
-    pub(super) fn new(kind: &'static str, tag: &str, message: impl Into<String>) -> Self {
+    pub(super) fn new(
+        error_type: &'static str,
+        error_tag: &str,
+        message: impl Into<String>,
+    ) -> Self {
         RpcError {
-            kind,
-            tag: tag.into(),
+            error_type,
+            error_tag: error_tag.into(),
             path: None,
             message: message.into(),
             info: vec![],
         }
     }
 
-    pub(super) fn missing(element: &str) -> Self {
+    pub(super) fn missing_element(element: &str) -> Self {
         let message = format!("{element}: is missing (given: nothing; taken: {element})");
         Self::bad_element("missing-element", element, message)
     }
 
-    pub(super) fn unknown(element: &str) -> Self {
+    pub(super) fn unknown_element(element: &str) -> Self {
         let message =
             format!("{element}: is not known here (given: {element}; taken: what RFC 6241 has)");
         Self::bad_element("unknown-element", element, message)
@@ -49,7 +53,7 @@
         }
     }
 
-    /// This error, about an attribute of an element.
+    /// Sets the `error-info` that names an attribute and its element.
     pub(super) fn with_bad_attribute(self, attribute: &str, element: &str) -> Self {
         let info = vec![
             ("bad-attribute", attribute.into()),
@@ -58,7 +62,7 @@
         RpcError { info, ..self }
     }
 
-    pub(super) fn invalid(path: &str, problem: &str, found: &str, expected: &str) -> Self {
+    pub(super) fn invalid_value(path: &str, problem: &str, found: &str, expected: &str) -> Self {
         let found = kestreltide_datastore::tree_builder::printable(found);
         Self::new(
             "protocol",
@@ -71,7 +75,7 @@
         let _ = write!(
             out,
             "<rpc-error><error-type>{}</error-type><error-tag>{}</error-tag>",
-            self.kind, self.tag
+            self.error_type, self.error_tag
         );
         out.push_str("<error-severity>error</error-severity>");
         if let Some(path) = &self.path {
@@ -97,8 +101,8 @@
     }
 }
 
-/// The path of a leaf of the datastore as an XPath of the model.
-pub(super) fn xpath(path: &Path) -> String {
+/// Converts the path of a datastore leaf to an XPath of the model.
+pub(super) fn leaf_xpath(path: &Path) -> String {
     let leaf = path.leaf().name();
     match path {
         Path::Host(name, _) => format!("/kr:router/kr:hosts/kr:host[kr:name='{name}']/kr:{leaf}"),
@@ -110,9 +114,10 @@
     }
 }
 
-fn instance(at: &InstancePath) -> String {
+/// Converts an instance path to an XPath of the model.
+fn instance_xpath(path: &InstancePath) -> String {
     let mut out = String::new();
-    for step in &at.0 {
+    for step in &path.0 {
         let _ = write!(out, "/kr:{}", step.name);
         for (key, value) in &step.keys {
             let _ = write!(out, "[kr:{key}='{value}']");
@@ -127,7 +132,7 @@
     } else {
         "operation-failed"
     };
-    let path = error.path.parse().ok().map(|path| xpath(&path));
+    let path = error.path.parse().ok().map(|path| leaf_xpath(&path));
     RpcError {
         path,
         ..RpcError::new("application", tag, error.to_string())
@@ -153,7 +158,7 @@
         }
         _ => vec![],
     };
-    let path = Some(instance(&error.path)).filter(|path| !path.is_empty());
+    let path = Some(instance_xpath(&error.path)).filter(|path| !path.is_empty());
     RpcError {
         path,
         info,
@@ -208,20 +213,22 @@
     }
 }
 
-pub(super) fn denied(problem: &str, rights: Rights) -> RpcError {
+/// The error for an action that needs the right `read`, which the key does not have.
+pub(super) fn access_denied(action: &str, rights: Rights) -> RpcError {
     RpcError::new(
         "protocol",
         "access-denied",
         format!(
-            "{problem}: is beyond the rights of this key (given: {rights}; taken: the right read)"
+            "{action}: is beyond the rights of this key (given: {rights}; taken: the right read)"
         ),
     )
 }
 
-pub(super) fn unsupported(problem: &str, expected: &str) -> RpcError {
+/// The error for an operation or parameter that is not supported; `expected` is what the client can use instead.
+pub(super) fn operation_not_supported(operation: &str, expected: &str) -> RpcError {
     RpcError::new(
         "protocol",
         "operation-not-supported",
-        format!("{problem}: is not served here (given: {problem}; taken: {expected})"),
+        format!("{operation}: is not served here (given: {operation}; taken: {expected})"),
     )
 }
