--- a/measure/src/rollouts/mod.rs
+++ b/measure/src/rollouts/mod.rs
@@ -1,5 +1,6 @@
-//! What became of each build on days that a bench has played, from the printed days and the routers' logs. It decides
-//! nothing; no line says which builds were bad, so a build that was rolled back by votes counts as such.
+//! Reports how each build ended in recorded bench runs, from the bench's output and the routers' logs. A bench run plays
+//! one day of traffic and rollouts, in short. The report has no requirement that can fail. The records don't say which
+//! builds were bad, so every build that votes rolled back is counted as rolled back, whether it was bad or not.
 
 mod day;
 mod table;
@@ -11,24 +12,24 @@
 use self::day::{Day, DayError};
 use self::table::Table;
 
-/// Count what became of each build on played days: one folder a day, with the printed day and the routers' logs.
+/// Count how each build ended in recorded bench runs: one folder per run, with the bench's output and the routers' logs.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollouts")]
 pub struct CountRollouts {
-    /// the folders, each with `day.txt` and a file NAME.log a router
+    /// the folders, each with `day.txt` and one file NAME.log per router
     #[argh(positional)]
     days: Vec<PathBuf>,
-    /// print each build, not only the sums
+    /// print each build too, not only the totals
     #[argh(switch)]
     builds: bool,
 }
 
 impl CountRollouts {
-    /// Reads the days and prints the table.
+    /// Reads the recorded days and prints the table.
     ///
     /// # Errors
     ///
-    /// A day that cannot be read, or none at all.
+    /// No folder was given, or one of them cannot be read or is incomplete.
     pub fn run(&self) -> Result<(), DayError> {
         if self.days.is_empty() {
             return Err(DayError::NoDays);
@@ -42,7 +43,7 @@
         if self.builds {
             table.print_builds();
         }
-        table.print_sums();
+        table.print_totals();
         Ok(())
     }
 }
