--- a/measure/src/main.rs
+++ b/measure/src/main.rs
@@ -1,5 +1,6 @@
-//! `kestreltide-measure NAME`: one sub-command a measurement. Each runs bounded on loopback, prints a table, then
-//! one last line `NAME: key=value ... ok` or `... short: WHICH`, and ends non-zero when it fell short.
+//! `kestreltide-measure NAME` runs one measurement per sub-command. Each runs on loopback for a limited time, prints a
+//! table and then one last line, `NAME: key=value ... ok` or `NAME: key=value ... short: KEYS`. The exit code is not 0
+//! where a requirement is missed.
 
 mod capacity;
 mod demo;
@@ -15,8 +16,8 @@
 
 use argh::FromArgs;
 
-/// The exit code where a measurement cannot use what it was given.
-const BAD_INPUT: u8 = 2;
+/// The exit code for arguments or input files that cannot be used.
+const INVALID_INPUT_EXIT_CODE: u8 = 2;
 
 /// Measurements of kestreltide on loopback.
 #[derive(FromArgs)]
@@ -37,33 +38,35 @@
 }
 
 fn main() -> ExitCode {
-    // Routers under measurement are this very program, so that one build has both.
+    // The routers under measurement are processes of this same binary, so that measurement and router come from one
+    // build.
     if std::env::var_os(router_process::AS_ROUTER).is_some() {
         return kestreltide_router::program::main();
     }
-    let line: CommandLine = argh::from_env();
-    let is_as_required = match line.measurement {
+    let command_line: CommandLine = argh::from_env();
+    let passed = match command_line.measurement {
         Measurement::WatchedFiles(measurement) => measurement.run(),
         Measurement::Demo(demo) => demo.run(),
         Measurement::Fleet(count) => count.run(),
         Measurement::Capacity(capacity) => capacity.run(),
         Measurement::Rollouts(count) => match count.run() {
             Ok(()) => true,
-            Err(error) => return bad_input(&error),
+            Err(error) => return report_invalid_input(&error),
         },
         Measurement::Soak(soak) => match soak.run() {
-            Ok(is_clean) => is_clean,
-            Err(error) => return bad_input(&error),
+            Ok(passed) => passed,
+            Err(error) => return report_invalid_input(&error),
         },
     };
-    if is_as_required {
+    if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-fn bad_input(error: &dyn std::error::Error) -> ExitCode {
+/// Prints the error to standard error.
+fn report_invalid_input(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("kestreltide-measure: {error}");
-    ExitCode::from(BAD_INPUT)
+    ExitCode::from(INVALID_INPUT_EXIT_CODE)
 }
