--- a/measure/src/soak/connection.rs
+++ b/measure/src/soak/connection.rs
@@ -1,18 +1,19 @@
-//! A client's connection that may end at any time.
+//! A client's connection to a router, which the router may close at any time.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// What came as the answer to a command.
+/// The reply to a command, or its absence.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Reply {
+    /// A value; of an array, its first element.
     Value(String),
-    /// An error line, without its `-`.
+    /// An error line, without the leading `-`.
     Error(String),
-    /// The connection ended.
+    /// The connection was closed or failed.
     Closed,
-    /// Nothing came in time.
+    /// No complete reply came in time.
     Nothing,
 }
 
@@ -34,43 +35,43 @@
         self.stream.write_all(bytes)
     }
 
-    /// Waits so long for the next answer.
-    pub fn answer(&mut self, wait: Duration) -> Answer {
+    /// Waits for the next reply, for `wait` at most between two pieces of it and for 1 ms at least.
+    pub fn reply(&mut self, wait: Duration) -> Reply {
         let wait = wait.max(Duration::from_millis(1));
-        let answer = self
+        let reply = self
             .stream
             .set_read_timeout(Some(wait))
-            .and_then(|()| self.read_answer());
-        answer.unwrap_or_else(|error| match error.kind() {
-            io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => Answer::Nothing,
-            _ => Answer::Closed,
+            .and_then(|()| self.read_reply());
+        reply.unwrap_or_else(|error| match error.kind() {
+            io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => Reply::Nothing,
+            _ => Reply::Closed,
         })
     }
 
-    fn read_answer(&mut self) -> io::Result<Answer> {
+    fn read_reply(&mut self) -> io::Result<Reply> {
         let mut line = String::new();
         if self.reader.read_line(&mut line)? == 0 {
-            return Ok(Answer::Closed);
+            return Ok(Reply::Closed);
         }
         let line = line.trim_end();
         if let Some(error) = line.strip_prefix('-') {
-            return Ok(Answer::Error(error.into()));
+            return Ok(Reply::Error(error.into()));
         }
         if let Some(length) = line.strip_prefix('$') {
-            return Ok(Answer::Value(self.read_value(length)?));
+            return Ok(Reply::Value(self.read_value(length)?));
         }
         let Some(parts) = line.strip_prefix('*').and_then(|parts| parts.parse().ok()) else {
-            return Ok(Answer::Value(line.into()));
+            return Ok(Reply::Value(line.into()));
         };
-        let first = self.read_answer()?;
+        let first = self.read_reply()?;
         for _ in 1..parts {
-            self.read_answer()?;
+            self.read_reply()?;
         }
         Ok(first)
     }
 
     fn read_value(&mut self, length: &str) -> io::Result<String> {
-        // A length below zero stands for null, which has no bytes.
+        // A negative length denotes null, which has no bytes.
         let Ok(length) = length.parse::<usize>() else {
             return Ok(String::new());
         };
