--- a/measure/src/demo.rs
+++ b/measure/src/demo.rs
@@ -1,5 +1,5 @@
-//! A demonstration on loopback: a router with simulated hosts, discovery and clients, and a simulated platform that rolls
-//! out a canary by the router's votes.
+//! A demonstration on loopback: a router with simulated hosts, discovery and clients, and a simulated platform that
+//! rolls out a canary by the router's votes.
 
 use std::sync::atomic::Ordering::Relaxed;
 use std::thread;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Does what the router's votes ask for; returns the decision once there is one.
+    /// Promotes or rolls back the canary by the router's votes; returns the decision once there is one.
     fn apply_votes(&mut self) -> Option<Decision> {
         let votes = self.platform.votes();
         for (stage, opinion) in &votes {
@@ -204,8 +204,8 @@
 
 /// Starts the hosts of both builds with their response times.
 fn start_hosts(canary_response: Duration) -> Fleet {
-    let baseline = (0..HOSTS).map(|n| (format!("old-{n}"), BASELINE_TAG));
-    let canary = (0..HOSTS).map(|n| (format!("new-{n}"), CANARY_TAG));
+    let baseline = (0..HOSTS).map(|host| (format!("old-{host}"), BASELINE_TAG));
+    let canary = (0..HOSTS).map(|host| (format!("new-{host}"), CANARY_TAG));
     let names: Vec<_> = baseline.chain(canary).collect();
     let fleet = Fleet::start(names.iter().map(|(name, tag)| (name.as_str(), *tag)));
     for host in fleet.of_tag(BASELINE_TAG) {
@@ -231,7 +231,8 @@
 }
 
 impl Demo {
-    /// Runs the demonstration; returns whether no request was lost and the good canary was released, or the bad one was not.
+    /// Runs the demonstration; returns whether no request was lost and the good canary was released, or the bad one
+    /// was not.
     pub fn run(&self) -> bool {
         let fleet = start_hosts(if self.bad {
             BAD_CANARY_RESPONSE
--- a/measure/src/rollouts/day.rs
+++ b/measure/src/rollouts/day.rs
@@ -118,9 +118,9 @@
                 let stage = stage.parse().ok()?;
                 self.build(build)?.stages.insert(stage, at);
             }
-            ["build", build, "is", "out"] => self.build(build)?.released = Some(at),
+            ["build", build, "is", "out"] => self.build(build)?.released = Some(time),
             ["build", build, "is", "being", "taken", "off"] => {
-                self.build(build)?.removal_began = Some(at);
+                self.build(build)?.removal_began = Some(time);
             }
             _ => {}
         }
--- a/measure/src/rollouts/mod.rs
+++ b/measure/src/rollouts/mod.rs
@@ -1,6 +1,7 @@
-//! Reports how each build ended in recorded bench runs, from the bench's output and the routers' logs. A bench run plays
-//! one day of traffic and rollouts, in short. The report has no requirement that can fail. The records don't say which
-//! builds were bad, so every build that votes rolled back is counted as rolled back, whether it was bad or not.
+//! Reports how each build ended in recorded bench runs, from the bench's output and the routers' logs. A bench run
+//! plays one day of traffic and rollouts, in short. The report has no requirement that can fail. The records don't
+//! say which builds were bad, so every build that votes rolled back is counted as rolled back, whether it was bad or
+//! not.
 
 mod day;
 mod table;
@@ -12,7 +13,8 @@
 use self::day::{Day, DayError};
 use self::table::Table;
 
-/// Count how each build ended in recorded bench runs: one folder per run, with the bench's output and the routers' logs.
+/// Count how each build ended in recorded bench runs: one folder per run, with the bench's output and the routers'
+/// logs.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollouts")]
 pub struct CountRollouts {
--- a/measure/src/rollouts/table.rs
+++ b/measure/src/rollouts/table.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Makes the row of a build; none where no stage of it began. `stages` is the number of stages of a whole rollout.
+/// Makes the row of a build; none where no stage of it began. `stages` is the number of stages of a complete rollout.
 fn row<'a>(day: &'a Day, number: u64, build: &Build, stages: u32) -> Option<Row<'a>> {
     let first_stage_began = build.stages.values().copied().reduce(f64::min)?;
     let (last_stage, last_stage_began) = build.stages.last_key_value()?;
@@ -52,11 +52,11 @@
         build: number,
         outcome: outcome(build),
         last_stage: *last_stage,
-        seconds_until_release: build.released.map(|at| at - first_stage_began),
+        seconds_until_release: build.released.map(|released| released - first_stage_began),
         seconds_at_all_machines: build
             .removal_began
             .filter(|_| is_final_stage)
-            .map(|at| at - last_stage_began),
+            .map(|removal_began| removal_began - last_stage_began),
     })
 }
 
--- a/measure/src/router_process.rs
+++ b/measure/src/router_process.rs
@@ -102,8 +102,8 @@
 }
 
 impl Clients {
-    /// Starts `count` clients; each waits for `pause` between a reply and its next request. With `checks`, each request is
-    /// also checked against the host sets that are allowed while it is open.
+    /// Starts `count` clients; each waits for `pause` between a reply and its next request. With `checks`, each
+    /// request is also checked against the host sets that are allowed while it is open.
     pub fn start(
         at: SocketAddr,
         count: usize,
--- a/measure/src/soak/clients.rs
+++ b/measure/src/soak/clients.rs
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Writes requests on one connection and waits for each reply in order. Requests without a reply when the connection
-    /// closes are sent once more on new connections.
+    /// Writes requests on one connection and waits for each reply in order. Requests without a reply when the
+    /// connection closes are sent once more on new connections.
     fn send_and_wait(&mut self, requests: &[Request], pattern: SendPattern) {
         let Some(mut connection) = self.take_connection() else {
             self.record(&requests[0], self.clock.now(), Outcome::NotAccepted);
@@ -230,8 +230,8 @@
         })
     }
 
-    /// Sends each request once more on a new connection: the router may close a connection while a request is on its way,
-    /// so one close without a reply is no error.
+    /// Sends each request once more on a new connection: the router may close a connection while a request is on its
+    /// way, so one close without a reply is no error.
     fn resend(&mut self, requests: &[Request]) {
         for request in requests {
             let sent_at = self.clock.now();
--- a/measure/src/soak/hosts.rs
+++ b/measure/src/soak/hosts.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Draws how to handle a request. The result depends only on the seed, the host and the request's id, so it is the same
-    /// in every run of a seed in which the router chooses the same host for the request.
+    /// Draws how to handle a request. The result depends only on the seed, the host and the request's id, so it is
+    /// the same in every run of a seed in which the router chooses the same host for the request.
     fn draw_handling(&self, id: &str) -> Handling {
         let hangs_now = self.faults.hangs_after_sigterm == Some(self.number);
         if hangs_now && self.is_terminating.load(Relaxed) {
--- a/measure/src/soak/mod.rs
+++ b/measure/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A soak test of real router processes. Each run combines clients, host faults, signals and endpoint list changes as drawn
-//! from a seed, and a test oracle checks every request and attempt against the rules.
+//! A soak test of real router processes. Each run combines clients, host faults, signals and endpoint list changes as
+//! drawn from a seed, and a test oracle checks every request and attempt against the rules.
 
 mod clients;
 mod connection;
--- a/measure/src/soak/oracle.rs
+++ b/measure/src/soak/oracle.rs
@@ -41,8 +41,8 @@
     AfterDrain { attempt: Attempt, late_by: f64 },
     /// An attempt was sent for a client that had disconnected, this many seconds after the grace period.
     ForDisconnectedClient { request: String, late_by: f64 },
-    /// A client that sent part of a command got neither an error nor a close in time. Holds the seconds until it did, if it
-    /// did.
+    /// A client that sent part of a command got neither an error nor a close in time. Holds the seconds until it did,
+    /// if it did.
     PartialCommand(Option<f64>),
     /// The router did not end by itself after SIGTERM, or its exit code was not 0.
     BadExit(Option<i32>),
--- a/measure/src/soak/oracle/tests.rs
+++ b/measure/src/soak/oracle/tests.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// A run without a violation: a read, a write whose first attempt got `-BUSY`, a client that disconnects early, and host 1
-/// draining from 2 to 4 s.
+/// A run without a violation: a read, a write whose first attempt got `-BUSY`, a client that disconnects early, and
+/// host 1 draining from 2 to 4 s.
 fn valid_run() -> RunRecord {
     RunRecord {
         attempts: vec![
--- a/measure/src/soak/run.rs
+++ b/measure/src/soak/run.rs
@@ -229,7 +229,8 @@
         }
     }
 
-    /// Waits until the router has ended, and kills it at `kill_due`, the earliest time at which the platform may kill it.
+    /// Waits until the router has ended, and kills it at `kill_due`, the earliest time at which the platform may kill
+    /// it.
     fn wait_for_end(&mut self) {
         loop {
             if let Ok(Some(status)) = self.program.child.try_wait() {
@@ -244,8 +245,8 @@
         }
     }
 
-    /// Starts a second router process with the current endpoint list and lets clients use it; returns the seconds until it
-    /// was ready.
+    /// Starts a second router process with the current endpoint list and lets clients use it; returns the seconds
+    /// until it was ready.
     fn restart(&mut self, seed: u64) -> f64 {
         self.hosts.is_terminating.store(false, Relaxed);
         let config = self.configuration();
--- a/measure/src/soak/schedule.rs
+++ b/measure/src/soak/schedule.rs
@@ -1,4 +1,5 @@
-//! The schedule of a run: its actions and their times, drawn from the seed, so that the same seed gives the same schedule.
+//! The schedule of a run: its actions and their times, drawn from the seed, so that the same seed gives the same
+//! schedule.
 
 use std::fmt;
 
--- a/measure/src/watched_files.rs
+++ b/measure/src/watched_files.rs
@@ -275,8 +275,8 @@
         Instant::now()
     }
 
-    /// Waits until a client is served by the new set, after which the hosts of the old set must receive no more attempts.
-    /// Returns false where that does not happen within the test timeout.
+    /// Waits until a client is served by the new set, after which the hosts of the old set must receive no more
+    /// attempts. Returns false where that does not happen within the test timeout.
     fn wait_until_applied(&mut self, clients: &Clients, before: &str) -> bool {
         let (tag, deadline) = (self.tag(), Instant::now() + TEST_TIMEOUT);
         while clients
@@ -346,7 +346,8 @@
                     }
                     2 => entries[1].name = entries[0].name.clone(),
                     _ => {
-                        // The start lies 1,000 s in the future, which is not reached before the next version is written.
+                        // The start lies 1,000 s in the future, which is not reached before the next version is
+                        // written.
                         (entries[0].started, weight[0].1) = (unix_seconds() + 1000.0, "100".into());
                     }
                 }
@@ -372,8 +373,8 @@
         }
     }
 
-    /// Rewrites the files as described. One in ten invalid versions stays for 15 ms, so that the router reads and rejects
-    /// it in any case; the others stay for `invalid_lifetime` on average.
+    /// Rewrites the files as described. One in ten invalid versions stays for 15 ms, so that the router reads and
+    /// rejects it in any case; the others stay for `invalid_lifetime` on average.
     fn rewrite(
         &mut self,
         pid: u32,
@@ -570,8 +571,9 @@
         .map(|times| [0.5, 0.99].map(|quantile| times.value_at_quantile(quantile) as f64))
 }
 
-/// Returns the event loop's longest pauses in milliseconds while it applies 16,384 hosts with weights, one per version:
-/// all hosts are new, all weights change, all hosts are replaced, all hosts have restarted, all hosts are replaced again.
+/// Returns the event loop's longest pauses in milliseconds while it applies 16,384 hosts with weights, one per
+/// version: all hosts are new, all weights change, all hosts are replaced, all hosts have restarted, all hosts are
+/// replaced again.
 fn measure_large_file_pauses() -> Vec<f64> {
     let folder = tempfile::tempdir().expect("a folder");
     let path = |name: &str| folder.path().join(name);
@@ -723,7 +725,8 @@
                 rewriting(4, 10_000, 30, slow),
             ];
         }
-        // One router gets ten thousand versions in quick succession; the others get fewer, which last long enough to be read.
+        // One router gets ten thousand versions in quick succession; the others get fewer, which last long enough to
+        // be read.
         vec![
             rewriting(1, 10_000, 10, fast),
             rewriting(2, 1_200, 25, slow),
@@ -817,8 +820,8 @@
     );
 }
 
-/// Reports medians and 99th percentiles in microseconds: sent directly to a host, through a router without rewrites, and
-/// through a router with rewrites.
+/// Reports medians and 99th percentiles in microseconds: sent directly to a host, through a router without rewrites,
+/// and through a router with rewrites.
 fn report_latencies(report: &mut Report, [direct, without, with]: [[f64; 2]; 3]) {
     report.record(
         "direct_us",
