--- a/measure/src/soak/run.rs
+++ b/measure/src/soak/run.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use kestreltide_testkit::{Discovery, Program, router_config};
+use kestreltide_testkit::{Discovery, RouterProcess, router_config};
 
 use super::clients::{ExtraConnections, SoakClients};
 use super::connection::{Connection, Reply};
@@ -68,7 +68,7 @@
     discovery: [Discovery; 2],
     /// The index of the discovery server that the router's configuration names.
     active_discovery: usize,
-    program: Program,
+    program: RouterProcess,
     drains: Vec<Drain>,
     process: ProcessRecord,
 }
--- a/measure/src/watched_files.rs
+++ b/measure/src/watched_files.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use argh::FromArgs;
-use kestreltide_testkit::{Fleet, Program, TEST_TIMEOUT};
+use kestreltide_testkit::{Fleet, RouterProcess, TEST_TIMEOUT};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tempfile::TempDir;
@@ -131,7 +131,7 @@
 /// A router that watches the files.
 struct WatchingRouter {
     files: Files,
-    program: Program,
+    program: RouterProcess,
 }
 
 /// The watched files of one router, and the hosts that they name.
@@ -217,7 +217,7 @@
 
     fn entries(&self, tag: &str) -> Vec<Entry> {
         self.fleet
-            .of_tag(tag)
+            .hosts_with_tag(tag)
             .map(|host| Entry::new(&host.name, host.at))
             .collect()
     }
@@ -258,7 +258,7 @@
         let tag = self.tag();
         self.sets.allow(&[&before, &tag]);
         self.fleet
-            .of_tag(&tag)
+            .hosts_with_tag(&tag)
             .for_each(|host| host.set_last_attempt_time(None));
         // The two files are written in random order, each by renaming or in place.
         let mut files = [("hosts.ini", hosts), ("weights.ini", weights)];
@@ -295,7 +295,7 @@
         self.sets.allow(&[&tag]);
         let grace_end = SystemTime::now() + REPLACED_SET_GRACE;
         self.fleet
-            .of_tag(before)
+            .hosts_with_tag(before)
             .for_each(|host| host.set_last_attempt_time(Some(grace_end)));
         true
     }
@@ -427,7 +427,7 @@
 
     fn attempts_at(&self, tag: &str) -> u64 {
         self.fleet
-            .of_tag(tag)
+            .hosts_with_tag(tag)
             .map(|host| host.received.load(Relaxed))
             .sum()
     }
