--- a/datastore/src/route_table.rs
+++ b/datastore/src/route_table.rs
@@ -1,4 +1,4 @@
-//! The routes of a tree in the form in which requests are matched.
+//! Builds from a tree the routes that requests are matched against.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::tree::{RouteConfig, RouteName, Tree};
 
-/// The routes of a tree, each with its pool, in the order of their names.
+/// Returns the routes of a tree, each with its pool, in the order of their names.
 pub(crate) fn build_routes(tree: &Tree) -> Vec<Route> {
     tree.routes
         .iter()
@@ -17,14 +17,14 @@
 }
 
 fn build_route(name: &RouteName, config: &RouteConfig) -> Route {
-    let matches = RouteMatch {
+    let matcher = RouteMatch {
         operations: config.operations.clone().unwrap_or_default(),
         key_prefix: config.key_prefix.clone().unwrap_or_default(),
     };
     Route {
         name: name.shared(),
         precedence: config.precedence,
-        matcher: matches,
+        matcher,
         pool: Arc::new(build_pool(config)),
     }
 }
