--- a/measure/src/capacity/slopes/files.rs
+++ b/measure/src/capacity/slopes/files.rs
@@ -234,7 +234,7 @@
     let begun = Instant::now();
     let mut command = Command::new(binary);
     command
-        .env(router_process::AS_ROUTER, "1")
+        .env(router_process::RUN_AS_ROUTER_VARIABLE, "1")
         .arg("check-operator")
         .arg(files.at("operator.ini"));
     let done = command
