--- a/router/src/routing/discovery_watch.rs
+++ b/router/src/routing/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The discovery watch: a watch of the endpoint list that is renewed at once, and lists on demand.
+//! The discovery client: watches the endpoint list by long polls, or fetches it when the decisions ask for it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,66 +13,75 @@
 use crate::protocol::discovery::{self, ChunkedBody, EndpointList, ListWatch, Response};
 use crate::transport::{ReadStatus, SocketId, Stream};
 
-const MILLIS: f64 = 1e3;
-const STATUS_OK: u16 = 200;
+const MILLIS_PER_SECOND: f64 = 1e3;
+const HTTP_STATUS_OK: u16 = 200;
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Query {
-    /// The full list, to begin a watch with.
-    First,
+    /// The full list, with which a watch begins.
+    InitialFull,
+    /// The changes since the known version; discovery holds the request until there are some.
     Changes,
-    /// The full list once, for the decisions.
-    Once,
+    /// The full list once, outside the watch.
+    SingleFull,
 }
 
-/// A connection to discovery with one question on it.
+/// A connection to discovery with one request at a time.
 pub(super) struct Call {
     stream: Stream,
     query: Query,
-    number: u64,
-    /// How many lists had been accepted when it was asked.
+    /// Identifies the request to its timers; 0 before the first request.
+    request_number: u64,
+    /// How many lists had been accepted when the request was sent.
     accepted_before: u64,
+    /// When connecting began, in Unix seconds.
     connected_at: f64,
-    /// Of an answer that has begun and is not complete.
-    partial: Option<PartialAnswer>,
-    /// The same, where it comes in chunks: what has been read of it.
+    /// The progress of a response that is not complete.
+    partial: Option<PartialResponse>,
+    /// What has been parsed of a chunked response.
     chunks: ChunkedBody,
-    /// Nothing more comes on the connection.
+    /// Discovery has closed the connection.
     is_closed: bool,
 }
 
-/// How much of an answer has come.
-struct PartialAnswer {
+/// How much of a response has been received.
+struct PartialResponse {
     bytes: usize,
-    /// When the last of it came.
+    /// When its last bytes were received, in Unix seconds.
     last_received: f64,
 }
 
-/// How a response ended that is complete.
+/// The end of a complete response.
 pub(super) struct ResponseEnd {
-    /// What it took of the input.
+    /// Length of the response in the input.
     pub(super) bytes: usize,
+    /// Whether discovery keeps the connection open.
     pub(super) stays_open: bool,
 }
 
-/// The calls to discovery, and how far the endpoint list is known.
+/// The calls to discovery, and the state of the endpoint list.
 pub(super) struct DiscoveryWatch {
     address: SocketAddr,
-    /// Lists come only when the decisions ask for them.
+    /// The list is watched or fetched only when the decisions ask for it (`polls_endpoint_list`).
     on_demand: bool,
-    /// Operators alone list the endpoints: discovery is not asked.
-    off: bool,
-    following: bool,
+    /// Operators alone list the endpoints; discovery is not used.
+    is_disabled: bool,
+    /// Whether the list is to be watched.
+    is_watch_wanted: bool,
     /// The version of the list that was accepted last.
     version: Option<u64>,
     lists_accepted: u64,
     calls: BTreeMap<SocketId, Call>,
-    last_number: u64,
+    last_request_number: u64,
+    /// The next pause before a retry, in seconds, without jitter.
     backoff: f64,
+    /// Whether a list was accepted since the start.
     has_answered: bool,
-    /// A call found nobody there. One that is refused for want of room has found discovery at work.
+    /// Whether a call could not connect, or lost its connection while it sent its request. A call that discovery
+    /// rejects for lack of capacity does not count, as discovery is running.
     was_unreachable: bool,
+    /// Whether a list was applied, received or cached.
     has_list: bool,
 }
 
@@ -81,12 +90,12 @@
         DiscoveryWatch {
             address,
             on_demand,
-            off: false,
-            following: !on_demand,
+            is_disabled: false,
+            is_watch_wanted: !on_demand,
             version: None,
             lists_accepted: 0,
             calls: BTreeMap::new(),
-            last_number: 0,
+            last_request_number: 0,
             backoff: limits.reconnect_backoff.initial,
             has_answered: false,
             was_unreachable: false,
@@ -94,31 +103,32 @@
         }
     }
 
-    /// Discovery is not asked from now on.
-    pub(super) fn turn_off(&mut self) {
-        self.off = true;
-        self.following = false;
+    /// Stops using discovery.
+    pub(super) fn disable(&mut self) {
+        self.is_disabled = true;
+        self.is_watch_wanted = false;
     }
 
-    /// Whether a list is there to go by, be it a cached one.
+    /// Whether a list was applied, received or cached, or none is needed.
     pub(super) fn has_list(&self) -> bool {
-        self.has_list || self.off
+        self.has_list || self.is_disabled
     }
 
-    pub(super) fn is_off(&self) -> bool {
-        self.off
+    pub(super) fn is_disabled(&self) -> bool {
+        self.is_disabled
     }
 
+    /// Whether the list is watched or fetched only when the decisions ask for it.
     pub(super) fn is_on_demand(&self) -> bool {
         self.on_demand
     }
 
-    /// Whether nothing has to be waited for before the router is ready.
+    /// Whether discovery has sent a list since the start, or is not used.
     pub(super) fn has_answered(&self) -> bool {
-        self.has_answered || self.off
+        self.has_answered || self.is_disabled
     }
 
-    /// Whether the first answer is still to come from a discovery that is there.
+    /// Whether lists are requested on demand and the first one is still to come from a discovery that is reachable.
     pub(super) fn awaits_first_answer(&self) -> bool {
         self.on_demand && !self.has_answered() && !self.was_unreachable
     }
@@ -127,45 +137,46 @@
         self.address
     }
 
+    /// The connections of all calls.
     pub(super) fn connections(&self) -> Vec<SocketId> {
         self.calls.keys().copied().collect()
     }
 
-    /// A list has been applied.
-    pub(super) fn note_list_applied(&mut self) {
+    /// Records that a list was applied.
+    pub(super) fn record_list_applied(&mut self) {
         self.has_list = true;
     }
 
-    /// A cached list of this version was applied at the start.
-    pub(super) fn note_restored(&mut self, version: u64) {
-        // What has changed since then is asked for in one call, where a full list and a watch are two: after a
-        // mass restart discovery has as many to serve.
+    /// Records that a cached list of this version was applied at the start.
+    pub(super) fn record_restored(&mut self, version: u64) {
+        // On demand, the changes since then are requested in one call. A full list and a watch would be two, and
+        // discovery would have twice as many calls to serve after a mass restart.
         self.version = Some(version).filter(|_| self.on_demand);
     }
 
-    /// Follows the list from now on, or no more.
+    /// Starts or ends the watch of the list.
     pub(super) fn subscribe(&mut self, event_loop: &mut EventLoop, on: bool) -> Option<Call> {
-        self.following = on && !self.off;
+        self.is_watch_wanted = on && !self.is_disabled;
         match self.watch_connection() {
-            Some(id) if !self.following => {
+            Some(id) if !self.is_watch_wanted => {
                 self.close_call(event_loop, id);
                 None
             }
-            None if self.following => self.begin_watch(event_loop),
+            None if self.is_watch_wanted => self.begin_watch(event_loop),
             _ => None,
         }
     }
 
-    /// Asks for the full list once.
+    /// Fetches the full list once.
     pub(super) fn fetch_list(&mut self, event_loop: &mut EventLoop) -> Option<Call> {
-        if self.off {
+        if self.is_disabled {
             return None;
         }
-        self.call(event_loop, Query::Once)
+        self.start_call(event_loop, Query::SingleFull)
     }
 
-    /// Drops the calls to the old address; the full list is asked for at the new one, as the count of versions
-    /// there need not be that of the old one.
+    /// Drops the calls to the old address. Where the list is watched, requests the full list from the new address,
+    /// whose version numbers may be unrelated.
     pub(super) fn change_address(
         &mut self,
         event_loop: &mut EventLoop,
@@ -179,34 +190,36 @@
                 continue;
             };
             if self.on_demand {
-                self.following &= query == Query::Once;
+                self.is_watch_wanted &= query == Query::SingleFull;
                 event_loop.notify_decisions(Event::EndpointListFailed);
             }
         }
         self.begin_watch(event_loop)
     }
 
-    /// Begins to watch the list, where it is followed and no watch is open.
+    /// Begins to watch the list, where it is to be watched and no watch is open.
     pub(super) fn begin_watch(&mut self, event_loop: &mut EventLoop) -> Option<Call> {
-        if !self.following || self.watch_connection().is_some() {
+        if !self.is_watch_wanted || self.watch_connection().is_some() {
             return None;
         }
         let query = if self.version.is_some() {
             Query::Changes
         } else {
-            Query::First
+            Query::InitialFull
         };
-        self.call(event_loop, query)
+        self.start_call(event_loop, query)
     }
 
+    /// The connection of the open watch.
     fn watch_connection(&self) -> Option<SocketId> {
         self.calls
             .iter()
-            .find(|(_, call)| call.query != Query::Once)
+            .find(|(_, call)| call.query != Query::SingleFull)
             .map(|(id, _)| *id)
     }
 
-    fn call(&mut self, event_loop: &mut EventLoop, query: Query) -> Option<Call> {
+    /// Connects to discovery and sends a request. Returns the call where its input is to be processed.
+    fn start_call(&mut self, event_loop: &mut EventLoop, query: Query) -> Option<Call> {
         match Stream::connect(
             &mut event_loop.reactor,
             self.address,
@@ -217,7 +230,7 @@
                 let call = Call {
                     stream,
                     query,
-                    number: 0,
+                    request_number: 0,
                     accepted_before: 0,
                     connected_at: event_loop.now(),
                     partial: None,
@@ -225,7 +238,7 @@
                     is_closed: false,
                 };
                 self.calls.insert(id, call);
-                self.ask(event_loop, id, query)
+                self.send_request(event_loop, id, query)
             }
             Err(e) => {
                 let now = event_loop.now();
@@ -236,21 +249,27 @@
         }
     }
 
-    /// Writes the next question on a connection that has none out.
-    fn ask(&mut self, event_loop: &mut EventLoop, id: SocketId, query: Query) -> Option<Call> {
+    /// Sends a request on a connection without one, and schedules its timeouts. Returns the call where its input is to
+    /// be processed.
+    fn send_request(
+        &mut self,
+        event_loop: &mut EventLoop,
+        id: SocketId,
+        query: Query,
+    ) -> Option<Call> {
         let now = event_loop.now();
         let call = self.calls.get_mut(&id)?;
-        // What was missed comes at once where a watch begins on demand, even if it is nothing.
-        let answers_at_once = self.on_demand && call.number == 0;
-        let hold = if answers_at_once {
+        // The first request of a watch on demand is not held: discovery responds at once, even if nothing has changed.
+        let responds_at_once = self.on_demand && call.request_number == 0;
+        let hold = if responds_at_once {
             0.0
         } else {
             event_loop.limits.discovery.watch_hold
         };
-        self.last_number += 1;
+        self.last_request_number += 1;
         event_loop.metrics.increment(Counter::EndpointListRequests);
         call.query = query;
-        call.number = self.last_number;
+        call.request_number = self.last_request_number;
         call.partial = None;
         call.accepted_before = self.lists_accepted;
         call.chunks = ChunkedBody::default();
@@ -259,19 +278,20 @@
             .filter(|_| query == Query::Changes)
             .map(|version| ListWatch {
                 known_revision: version,
-                hold_millis: (hold * MILLIS) as u64,
+                hold_millis: (hold * MILLIS_PER_SECOND) as u64,
             });
         discovery::write_list_request(call.stream.output(), self.address, watch);
-        let number = call.number;
-        let served_in_turn = self.on_demand && hold <= 0.0 || query == Query::Once;
-        let grace = if served_in_turn {
+        let number = call.request_number;
+        let is_served_in_turn = self.on_demand && hold <= 0.0 || query == Query::SingleFull;
+        let grace = if is_served_in_turn {
             event_loop.limits.discovery.list_poll_timeout
         } else {
             event_loop.limits.discovery.watch_grace
         };
-        let patience = if watch.is_some() { hold } else { 0.0 } + grace;
-        event_loop.schedule(now + patience, TimerEvent::DiscoveryCallTimeout(id, number));
-        // A connection that does not come up would cost a whole wait, in which all that is missed counts as told.
+        let timeout = if watch.is_some() { hold } else { 0.0 } + grace;
+        event_loop.schedule(now + timeout, TimerEvent::DiscoveryCallTimeout(id, number));
+        // Changes of the list count as known to a router after a fixed time, received or not. A connection that is not
+        // established must therefore be noticed sooner than at the call timeout.
         event_loop.schedule(
             now + event_loop.limits.message_stall_timeout,
             TimerEvent::DiscoveryConnectTimeout(id, number),
@@ -279,7 +299,8 @@
         self.on_readable(event_loop, id)
     }
 
-    /// Writes what waits and reads what is there; an answer that is complete is to be applied, then completed.
+    /// Writes the rest of a request and reads the response. Returns the call where its input is to be applied and then
+    /// passed to [`DiscoveryWatch::complete`].
     pub(super) fn on_readable(&mut self, event_loop: &mut EventLoop, id: SocketId) -> Option<Call> {
         let call = self.calls.get_mut(&id)?;
         match call.flush() {
@@ -292,12 +313,13 @@
             }
         }
         call.read(event_loop);
-        // Out of the map meanwhile: the list is read from the buffer.
+        // Removed from the map while the list borrows from its input buffer; `complete` puts it back.
         self.calls.remove(&id)
     }
 
-    /// The input of a call was read up to here: a complete response has been applied. Its connection asks the next
-    /// question, waits for the rest of the answer, or is closed.
+    /// Continues a call whose input was processed, with the result `response`: after a complete response its connection
+    /// sends the next request or is closed; after an incomplete one it waits for the rest. Returns a call whose input
+    /// is to be processed next.
     pub(super) fn complete(
         &mut self,
         event_loop: &mut EventLoop,
@@ -307,36 +329,37 @@
         let end = match response {
             Ok(Some(end)) => end,
             Ok(None) if call.is_closed => {
-                self.give_up(event_loop, call, "the connection ended");
+                self.abandon_call(event_loop, call, "the connection ended");
                 return None;
             }
             Ok(None) => {
-                self.await_rest_of_answer(event_loop, call);
+                self.await_rest_of_response(event_loop, call);
                 return None;
             }
             Err(why) => {
                 event_loop.metrics.increment(Counter::MalformedMessages);
-                self.give_up(event_loop, call, &why.to_string());
+                self.abandon_call(event_loop, call, &why.to_string());
                 return None;
             }
         };
         call.stream.consume(end.bytes);
-        let can_ask = end.stays_open && !call.is_closed;
-        if !can_ask || call.query == Query::Once || !self.following {
+        let can_send_next = end.stays_open && !call.is_closed;
+        if !can_send_next || call.query == Query::SingleFull || !self.is_watch_wanted {
             call.stream.close(&event_loop.reactor);
             return self.begin_watch(event_loop);
         }
         let id = call.stream.id;
         self.calls.insert(id, call);
-        self.ask(event_loop, id, Query::Changes)
+        self.send_request(event_loop, id, Query::Changes)
     }
 
-    /// How the list is to be applied; none where it brings nothing or has been overtaken.
+    /// Accepts a received list. Returns how it is to be applied; `None` where it holds nothing, or a newer list was
+    /// accepted while it was under way.
     ///
     /// # Errors
     ///
-    /// Where it brings changes of a version before the one that is known.
-    pub(super) fn accept(
+    /// Where it holds changes of a version older than the one it was requested with.
+    pub(super) fn accept_list(
         &mut self,
         event_loop: &mut EventLoop,
         list: &EndpointList,
@@ -344,8 +367,8 @@
     ) -> Result<Option<ListScope>, Malformed> {
         if self.version.is_some_and(|version| list.rev < version) {
             if self.lists_accepted != accepted_before {
-                // Another list came while this one was under way: it would bring back what has passed. On demand
-                // each call is answered, be it with nothing.
+                // A newer list was accepted since this one was requested; applying this one would restore old state. On
+                // demand the decisions expect an event for each call, so they get an empty list.
                 if self.on_demand {
                     event_loop.notify_decisions(Event::EndpointList {
                         scope: ListScope::Delta,
@@ -354,8 +377,8 @@
                 }
                 return Ok(None);
             }
-            // Discovery was asked with that list known, and knows less: it has begun to count anew. A full list
-            // says where it stands; changes do not, so the full list is asked for next.
+            // Discovery's version is older than the one in the request: it has restarted its count. A full list shows
+            // its state; changes do not, so the full list is requested next.
             if !list.all {
                 self.version = None;
                 return Err(Malformed::new(format!(
@@ -373,14 +396,14 @@
         } else {
             ListScope::Delta
         };
-        // On demand each call is answered, be it with nothing.
+        // On demand the decisions expect an event for each call, even for an empty list.
         let is_applied = list.all || !list.targets.is_empty() || self.on_demand;
         Ok(is_applied.then_some(scope))
     }
 
-    /// The answer is not complete yet. One that has begun and stalls is given up sooner than a quiet watch: what
-    /// it was to tell counts as told.
-    fn await_rest_of_answer(&mut self, event_loop: &mut EventLoop, mut call: Call) {
+    /// Waits for the rest of an incomplete response. One that has begun and then stalls is abandoned sooner than a
+    /// watch without changes: the changes in it count as known to this router after a fixed time, received or not.
+    fn await_rest_of_response(&mut self, event_loop: &mut EventLoop, mut call: Call) {
         let id = call.stream.id;
         let now = event_loop.now();
         let bytes = call.stream.input().len();
@@ -392,10 +415,10 @@
             if call.partial.is_none() {
                 event_loop.schedule(
                     now + event_loop.limits.message_stall_timeout,
-                    TimerEvent::DiscoveryAnswerTimeout(id, call.number),
+                    TimerEvent::DiscoveryAnswerTimeout(id, call.request_number),
                 );
             }
-            call.partial = Some(PartialAnswer {
+            call.partial = Some(PartialResponse {
                 bytes,
                 last_received: now,
             });
@@ -403,40 +426,47 @@
         self.calls.insert(id, call);
     }
 
+    /// Abandons the request with this number, if it has no complete response yet.
     pub(super) fn on_call_timeout(
         &mut self,
         event_loop: &mut EventLoop,
         id: SocketId,
         number: u64,
     ) {
-        let is_same = |call: &Call| call.number == number;
+        let is_same = |call: &Call| call.request_number == number;
         if self.calls.get(&id).is_some_and(is_same) {
-            self.fail_call(event_loop, id, "no answer came");
+            self.fail_call(event_loop, id, "no response in time");
         }
     }
 
+    /// Abandons the request with this number, if its connection is not established yet.
     pub(super) fn on_connect_timeout(
         &mut self,
         event_loop: &mut EventLoop,
         id: SocketId,
         number: u64,
     ) {
-        let is_down = |call: &mut Call| {
-            call.number == number && !matches!(call.stream.is_connected(), Ok(true))
+        let is_unconnected = |call: &mut Call| {
+            call.request_number == number && !matches!(call.stream.is_connected(), Ok(true))
         };
-        if self.calls.get_mut(&id).is_some_and(is_down) {
+        if self.calls.get_mut(&id).is_some_and(is_unconnected) {
             self.was_unreachable = true;
             self.fail_call(event_loop, id, "the connection does not come up");
         }
     }
 
-    pub(super) fn on_answer_timeout(
+    /// Abandons the request with this number, if its response has begun and nothing more was received for the stall
+    /// timeout.
+    pub(super) fn on_response_stall(
         &mut self,
         event_loop: &mut EventLoop,
         id: SocketId,
         number: u64,
     ) {
-        let call = self.calls.get(&id).filter(|call| call.number == number);
+        let call = self
+            .calls
+            .get(&id)
+            .filter(|call| call.request_number == number);
         let Some(partial) = call.and_then(|call| call.partial.as_ref()) else {
             return;
         };
@@ -444,30 +474,33 @@
         if event_loop.now() < deadline {
             return event_loop.schedule(deadline, TimerEvent::DiscoveryAnswerTimeout(id, number));
         }
-        self.fail_call(event_loop, id, "an answer does not end");
+        self.fail_call(event_loop, id, "the response stalled");
     }
 
+    /// Closes a call without reporting a failure; returns its query and when it connected.
     fn close_call(&mut self, event_loop: &mut EventLoop, id: SocketId) -> Option<(Query, f64)> {
         let call = self.calls.remove(&id)?;
         call.stream.close(&event_loop.reactor);
         Some((call.query, call.connected_at))
     }
 
+    /// Abandons the call on this connection.
     fn fail_call(&mut self, event_loop: &mut EventLoop, id: SocketId, why: &str) {
         if let Some(call) = self.calls.remove(&id) {
-            self.give_up(event_loop, call, why);
+            self.abandon_call(event_loop, call, why);
         }
     }
 
-    fn give_up(&mut self, event_loop: &mut EventLoop, call: Call, why: &str) {
+    /// Closes a call and reports its failure.
+    fn abandon_call(&mut self, event_loop: &mut EventLoop, call: Call, why: &str) {
         let query = call.query;
         let connected_at = call.connected_at;
         call.stream.close(&event_loop.reactor);
         self.on_call_failed(event_loop, query, connected_at, why);
     }
 
-    /// On demand the decisions hear of it and ask again; else the watch begins again after a while, later
-    /// each time and never in step with other routers, but at once where the connection had stood for long.
+    /// Handles a failed call. On demand the decisions are told, and request the list again. Otherwise the watch is
+    /// retried with exponential backoff and jitter, or at once where the call had been open for the maximum backoff.
     fn on_call_failed(
         &mut self,
         event_loop: &mut EventLoop,
@@ -477,7 +510,7 @@
     ) {
         warn!(event_loop.log, "discovery request failed"; "why" => why.to_owned());
         if self.on_demand {
-            self.following &= query == Query::Once;
+            self.is_watch_wanted &= query == Query::SingleFull;
             return event_loop.notify_decisions(Event::EndpointListFailed);
         }
         let now = event_loop.now();
@@ -493,16 +526,16 @@
 }
 
 impl Call {
-    /// How many lists had been accepted when it was asked.
+    /// How many lists had been accepted when the request was sent.
     pub(super) fn accepted_before(&self) -> u64 {
         self.accepted_before
     }
 
-    /// The response in the input, and how many bytes it takes; none where it is not complete.
+    /// The response in the input and its length in bytes; `None` where it is incomplete.
     ///
     /// # Errors
     ///
-    /// Where it is malformed, longer than it may be or reports a failure.
+    /// Where it is malformed, too long or has another status than 200.
     pub(super) fn response(
         &mut self,
         limits: &ResponseLimits,
@@ -510,33 +543,34 @@
         let input = self.stream.input();
         let Some((response, bytes)) = discovery::parse_response(input, limits, &mut self.chunks)?
         else {
-            // Nothing more of it would ever be read.
+            // The input buffer is full, so the rest would never be read.
             if input.len() >= limits.max_response_bytes() {
                 return Err(Malformed::new(format!(
-                    "the answer is too long (over {} bytes)",
+                    "the response is longer than {} bytes",
                     limits.max_response_bytes()
                 )));
             }
             return Ok(None);
         };
-        if response.status != STATUS_OK {
-            return Err(Malformed::new(format!("status {}", response.status)));
+        if response.status != HTTP_STATUS_OK {
+            return Err(Malformed::new(format!("HTTP status {}", response.status)));
         }
         Ok(Some((response, bytes)))
     }
 
-    /// True where all is written; false where the connection is not up, or takes no more now.
+    /// Writes the request. True once all is written; false where the connection is not established or the socket takes
+    /// no more.
     fn flush(&mut self) -> std::io::Result<bool> {
         Ok(self.stream.is_connected()? && self.stream.flush()?)
     }
 
-    /// Reads what is there, up to the longest answer.
+    /// Reads all available input, up to the size of the longest response.
     fn read(&mut self, event_loop: &EventLoop) {
         let max_bytes = event_loop.limits.discovery.response.max_response_bytes();
-        let read_bytes = event_loop.limits.event_loop.read_bytes_per_turn;
+        let bytes_per_turn = event_loop.limits.event_loop.read_bytes_per_turn;
         let mut status = ReadStatus::More;
         while status == ReadStatus::More && self.stream.input().len() < max_bytes {
-            status = self.stream.read_available(max_bytes, read_bytes);
+            status = self.stream.read_available(max_bytes, bytes_per_turn);
         }
         self.is_closed = status == ReadStatus::Closed;
     }
--- a/router/src/routing/endpoint_table.rs
+++ b/router/src/routing/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoint table: which endpoints discovery and the operators list, and where they are.
+//! The endpoint table: the hosts that discovery and operators list, merged.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,18 +12,20 @@
 
 use crate::protocol::discovery::ListedEndpoint;
 
-/// Where hosts are: what discovery told last, under what operators have set.
+/// All known hosts: discovery's last records, and the revision of the operators' settings that is in force.
 pub(super) struct EndpointTable {
+    /// Includes hosts in the state `Removed`, until [`EndpointTable::forget_removed`] drops them.
     discovered: BTreeMap<HostId, HostRecord>,
     revision: Arc<Snapshot>,
+    /// The most hosts of discovery that are kept.
     capacity: usize,
 }
 
-/// What a list entry changed.
-pub(super) struct StagedEntry {
+/// The result of applying an entry of discovery's list.
+pub(super) struct AppliedEntry {
     pub(super) entry: HostEntry,
-    /// Connections without use lead nowhere now, or are not wanted.
-    pub(super) drop_idle: bool,
+    /// Whether idle connections to the host are to be closed, as it was replaced or is not in service.
+    pub(super) close_idle_connections: bool,
 }
 
 impl EndpointTable {
@@ -35,20 +37,22 @@
         }
     }
 
+    /// The number of hosts that discovery or operators list.
     pub(super) fn len(&self) -> usize {
-        let alone = self
+        let operator_only = self
             .revision
             .hosts
             .iter()
             .filter(|configured| !self.discovered.contains_key(&configured.host));
-        self.discovered.len() + alone.count()
+        self.discovered.len() + operator_only.count()
     }
 
-    /// A host as it counts, whoever lists it.
+    /// The record of a host by the revision in force; `None` where neither discovery nor operators list it completely.
     fn effective(&self, host: HostId) -> Option<Cow<'_, HostRecord>> {
         self.merged(&self.revision, host)
     }
 
+    /// The record of a host, merged from discovery's and that of `revision`.
     fn merged<'a>(&'a self, revision: &'a Snapshot, host: HostId) -> Option<Cow<'a, HostRecord>> {
         match (self.discovered.get(&host), revision.configured(host)) {
             (Some(discovered), Some(configured)) => merge_host(
@@ -67,19 +71,19 @@
         self.effective(host).map(|host| host.endpoint)
     }
 
-    /// The route of an invocation; none: all hosts are for it.
+    /// The route of a request; without one, it may go to all hosts.
     pub(super) fn route(&self, operation: &str, key: &str) -> Option<&Route> {
         self.revision.routes.find(operation, key)
     }
 
-    /// Whether a connection to this host at this address may be used again.
-    pub(super) fn is_usable(&self, host: HostId, at: SocketAddr) -> bool {
+    /// Whether a connection to this host at this address may be reused.
+    pub(super) fn is_usable(&self, host: HostId, address: SocketAddr) -> bool {
         self.effective(host)
-            .is_some_and(|host| host.is_in_service() && host.endpoint == at)
+            .is_some_and(|host| host.is_in_service() && host.endpoint == address)
     }
 
-    /// Notes one entry of discovery's list; None where there is no room for one more host.
-    pub(super) fn stage_entry(&mut self, target: &ListedEndpoint) -> Option<StagedEntry> {
+    /// Applies one entry of discovery's list; `None` where the table is full and the host is new.
+    pub(super) fn apply_entry(&mut self, target: &ListedEndpoint) -> Option<AppliedEntry> {
         let host = HostId::from_name(&target.uid);
         if !self.discovered.contains_key(&host) && self.discovered.len() >= self.capacity {
             return None;
@@ -87,55 +91,60 @@
         let old = self.effective(host).map(Cow::into_owned);
         self.discovered.insert(host, target.to_host_record());
         let new = self.effective(host)?;
-        let moved = old.is_some_and(|old| old.is_replaced_by(&new));
-        Some(StagedEntry {
+        let is_replaced = old.is_some_and(|old| old.is_replaced_by(&new));
+        Some(AppliedEntry {
             entry: new.entry(),
-            drop_idle: moved || !new.is_in_service(),
+            close_idle_connections: is_replaced || !new.is_in_service(),
         })
     }
 
-    /// A whole list has come: who is not in it is gone.
+    /// Marks the hosts that are not in a full list of discovery as removed, and returns them.
     pub(super) fn retain_listed(&mut self, listed: &[HostEntry]) -> Vec<HostId> {
         let listed: BTreeSet<_> = listed.iter().map(|entry| entry.host).collect();
         let missing = self
             .discovered
             .iter_mut()
             .filter(|(host, _)| !listed.contains(host));
-        let gone = missing.map(|(host, discovered)| {
+        let newly_removed = missing.map(|(host, discovered)| {
             discovered.state = HostState::Removed;
             *host
         });
-        gone.collect()
+        newly_removed.collect()
     }
 
-    /// The entries of operators alone, which discovery does not list.
+    /// The entries of the hosts that operators list and discovery does not.
     pub(super) fn operator_only_entries(&self) -> impl Iterator<Item = HostEntry> {
-        let alone = self
+        let operator_only = self
             .revision
             .hosts
             .iter()
             .filter(|configured| !self.discovered.contains_key(&configured.host));
-        alone.filter_map(|configured| configured.entry)
+        operator_only.filter_map(|configured| configured.entry)
     }
 
-    /// Whether a revision's own entries are all that it changes: discovery lists nobody, so that they are worked
-    /// out already and can be told ahead.
+    /// Whether the entries in a revision are all that it changes, so that they can be passed to the decisions in parts
+    /// before it is in force. That is so where it follows the current revision and discovery lists no hosts.
     pub(super) fn can_stage(&self, new: &Snapshot) -> bool {
         new.previous_revision == self.revision.revision() && self.discovered.is_empty()
     }
 
-    /// Takes a revision; the entries that it changes, where what was staged for it has been told or not.
-    pub(super) fn take(&mut self, new: &Arc<Snapshot>, staged: bool) -> Arc<[HostEntry]> {
+    /// Puts a revision in force and returns the entries that it changes. `is_staged` says that the decisions have
+    /// already been given its entries; none are returned then.
+    pub(super) fn apply_revision(
+        &mut self,
+        new: &Arc<Snapshot>,
+        is_staged: bool,
+    ) -> Arc<[HostEntry]> {
         let old = std::mem::replace(&mut self.revision, new.clone());
-        let follows = new.previous_revision == old.revision();
-        if staged {
+        let is_successor = new.previous_revision == old.revision();
+        if is_staged {
             return Arc::default();
         }
-        if follows && self.discovered.is_empty() {
+        if is_successor && self.discovered.is_empty() {
             return new.changed_entries.clone();
         }
         let mut hosts = new.changed_hosts.to_vec();
-        if !follows {
+        if !is_successor {
             hosts = old
                 .hosts
                 .iter()
@@ -158,16 +167,19 @@
         .into()
     }
 
-    /// All that discovery told and did not take back.
+    /// The hosts of discovery, including removed ones that were not dropped yet.
     pub(super) fn discovered(&self) -> impl Iterator<Item = &HostRecord> {
         self.discovered.values()
     }
 
-    pub(super) fn forget_gone(&mut self, using: &BTreeSet<HostId>) {
-        // Who is gone stays gone though operators still list it, until discovery says otherwise.
-        let configured = |host: &HostId| self.revision.configured(*host).is_some();
+    /// Drops removed hosts from the table, unless connections to them are open or operators list them.
+    pub(super) fn forget_removed(&mut self, connected_hosts: &BTreeSet<HostId>) {
+        // A removed host that operators still list stays removed until discovery lists it again.
+        let is_configured = |host: &HostId| self.revision.configured(*host).is_some();
         self.discovered.retain(|host, discovered| {
-            discovered.state != HostState::Removed || using.contains(host) || configured(host)
+            discovered.state != HostState::Removed
+                || connected_hosts.contains(host)
+                || is_configured(host)
         });
     }
 }
