--- a/testkit/src/config.rs
+++ b/testkit/src/config.rs
@@ -1,4 +1,4 @@
-//! Configurations and endpoint lists in the form that the router reads.
+//! Router configurations and endpoint lists as JSON texts.
 
 use std::net::SocketAddr;
 
@@ -7,9 +7,9 @@
 /// `rev` is the list's version; `all` says whether it is complete or only the changes; each host is given by name,
 /// address and state.
 pub fn endpoint_list(rev: u32, all: bool, hosts: &[(&str, SocketAddr, &str)]) -> String {
-    let target = |(uid, at, state): &(&str, SocketAddr, &str)| {
+    let target = |(uid, address, state): &(&str, SocketAddr, &str)| {
         format!(
-            r#"{{"uid":"{uid}","endpoint":"{at}","az":"a","model":"m","pod_group":0,"state":"{state}","#
+            r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":0,"state":"{state}","#
         ) + r#""capacity_hint":1.0,"boot_ms":0,"build":7}"#
     };
     let targets: Vec<_> = hosts.iter().map(target).collect();
--- a/testkit/src/credentials.rs
+++ b/testkit/src/credentials.rs
@@ -1,7 +1,7 @@
 //! Keys and certificates for tests of the management interfaces.
 //!
-//! A folder holds what the router reads: host key, certificates and the file of keys. The other halves are with the
-//! [`ManagementClient`]s.
+//! A folder holds the files that the router reads: SSH host key, certificates and the file of the clients' public keys.
+//! The clients' private keys are in the [`ManagementClient`]s.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -23,6 +23,7 @@
     pub(crate) certificate_key: String,
     /// SHA-256 of the certificate in DER, in hexadecimal.
     certificate_hash: String,
+    /// The value of `rights` in the file of keys.
     rights: String,
 }
 
@@ -180,7 +181,7 @@
     write("host_key", &host_key);
 }
 
-/// Replaces a file at once: readers see either the old or the new text.
+/// Replaces a file atomically: readers see either the old or the new text.
 fn replace(path: &Path, text: &str) {
     let new = path.with_extension("new");
     fs::write(&new, text)
--- a/testkit/src/decisions.rs
+++ b/testkit/src/decisions.rs
@@ -107,7 +107,7 @@
     })
 }
 
-/// The host of the first attempt that is started by these effects.
+/// The host of the first attempt among these effects; `None` if they start no attempt.
 pub fn attempted_host(effects: &[Effect]) -> Option<HostId> {
     effects.iter().find_map(|effect| match effect {
         Effect::StartAttempt { host, .. } => Some(*host),
--- a/testkit/src/discovery.rs
+++ b/testkit/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A test discovery server: it sends the complete endpoint list, or holds a watch until there is a newer one.
+//! A test discovery server that sends the complete endpoint list, or holds a watch until there is a newer list.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -93,8 +93,8 @@
             current: Mutex::new(Published { rev, list }),
             changed: Condvar::new(),
         });
-        let served = shared.clone();
-        let at = spawn_server(move |stream| served.serve(&stream));
+        let shared_with_server = shared.clone();
+        let at = spawn_server(move |stream| shared_with_server.serve(&stream));
         Discovery { at, shared }
     }
 
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -19,7 +19,7 @@
     tags_by_request: Mutex<HashMap<String, Vec<Arc<str>>>>,
     /// Attempts at all hosts.
     pub attempts: AtomicU64,
-    /// Attempts that came after the last time allowed by [`TestHost::set_last_attempt_time`].
+    /// Attempts that arrived after the last time allowed by [`TestHost::set_last_attempt_time`].
     pub late_attempts: AtomicU64,
 }
 
@@ -33,8 +33,8 @@
             .unwrap_or_default()
     }
 
-    fn record(&self, request: String, tag: &Arc<str>, late: bool) {
-        self.late_attempts.fetch_add(u64::from(late), Relaxed);
+    fn record(&self, request: String, tag: &Arc<str>, is_late: bool) {
+        self.late_attempts.fetch_add(u64::from(is_late), Relaxed);
         self.attempts.fetch_add(1, Relaxed);
         self.tags_by_request
             .lock()
@@ -45,12 +45,12 @@
     }
 }
 
-/// What a test sets at a host and its threads read.
+/// Settings of a host that tests change and the host's threads read.
 #[derive(Default)]
 struct HostControls {
     /// Microseconds that each reply takes.
     response_micros: AtomicU64,
-    /// Microseconds of Unix time; 0: no limit.
+    /// The last time at which an attempt is not late, in microseconds of Unix time; 0 for no limit.
     last_attempt_micros: AtomicU64,
 }
 
@@ -74,7 +74,7 @@
         self.controls.response_micros.store(micros, Relaxed);
     }
 
-    /// Counts attempts that come after this as late; with `None`, none are.
+    /// Counts attempts that arrive after this time as late; with `None`, no attempt is late.
     pub fn set_last_attempt_time(&self, at: Option<SystemTime>) {
         let micros = at.map_or(0, unix_micros);
         self.controls.last_attempt_micros.store(micros, Relaxed);
@@ -112,7 +112,7 @@
     }
 }
 
-/// The side of a host that serves its connections.
+/// The part of a host that serves its connections.
 struct HostServer {
     attempt_log: Arc<AttemptLog>,
     tag: Arc<str>,
@@ -160,14 +160,14 @@
 
     fn record(&self, command: &[String], arrival: SystemTime) {
         let last = self.controls.last_attempt_micros.load(Relaxed);
-        let late = last > 0 && unix_micros(arrival) > last;
+        let is_late = last > 0 && unix_micros(arrival) > last;
         self.received.fetch_add(1, Relaxed);
         let request = command.get(2).cloned().unwrap_or_default();
-        self.attempt_log.record(request, &self.tag, late);
+        self.attempt_log.record(request, &self.tag, is_late);
     }
 }
 
-/// Microseconds of Unix time.
+/// Converts a time to microseconds of Unix time.
 fn unix_micros(at: SystemTime) -> u64 {
     let since_epoch = at.duration_since(SystemTime::UNIX_EPOCH);
     since_epoch.map_or(0, |time| time.as_micros() as u64)
--- a/testkit/src/gnmi.rs
+++ b/testkit/src/gnmi.rs
@@ -1,4 +1,4 @@
-//! Clients of gNMI, generated from its description and independent of the server's code.
+//! A gNMI client, generated from the protobuf files and independent of the server's code.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use crate::TestCredentials;
 
-/// The gNMI service as its clients see it.
+/// The generated messages and the client of the gNMI service.
 pub mod proto {
     #![allow(missing_docs, unreachable_pub, clippy::all, clippy::missing_errors_doc)]
     /// The package `gnmi`.
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -2,7 +2,7 @@
 //! clients, and the router itself as a process.
 //!
 //! No server uses a fixed port, and every wait ends when the awaited event is observed or after [`TEST_TIMEOUT`].
-//! All functions panic where the test cannot go on; nothing here is part of a shipped program.
+//! All functions panic if the test cannot continue; nothing here is part of a shipped program.
 
 #![deny(
     missing_docs,
@@ -47,5 +47,5 @@
 };
 pub use test_listener::TestListener;
 
-/// The longest time that anything here waits for an event before the test fails.
+/// The maximum time to wait for an event before the test fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
