--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -292,7 +292,7 @@
 }
 
 /// As above, where the watches of all routers fail at once 6 s after a change that they have not reported. All routers
-/// poll anew then, and discovery serves 4.4 calls/s.
+/// poll again then, and discovery serves 4.4 calls/s.
 #[test]
 fn routers_whose_watches_fail_together_send_nothing_to_drained_hosts() {
     const ROUTERS: usize = 30;
