--- a/testkit/src/arrival.rs
+++ b/testkit/src/arrival.rs
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Returns when the bytes that were read last had arrived, or when they were read if the kernel has not recorded it.
+    /// Returns when the bytes that were read last had arrived, or when they were read if the kernel has not recorded
+    /// it.
     pub fn last_arrival(&self) -> SystemTime {
         self.last_arrival
     }
--- a/testkit/src/servers.rs
+++ b/testkit/src/servers.rs
@@ -30,7 +30,8 @@
     at
 }
 
-/// Returns an address at which nothing listens, now or later: all test servers listen at 127.0.0.1, and this is 127.77.0.1.
+/// Returns an address at which nothing listens, now or later: all test servers listen at 127.0.0.1, and this is
+/// 127.77.0.1.
 pub fn unused_address() -> SocketAddr {
     let port = TcpListener::bind("127.0.0.1:0")
         .and_then(|listener| listener.local_addr())
--- a/tests/canary_assessment.rs
+++ b/tests/canary_assessment.rs
@@ -53,8 +53,8 @@
     assert_eq!(votes, []);
 }
 
-/// Where canary hosts are added beside the baseline hosts, the share of a stage is relative to the baseline hosts: 0.4 of
-/// ten hosts are four canary hosts.
+/// Where canary hosts are added beside the baseline hosts, the share of a stage is relative to the baseline hosts: 0.4
+/// of ten hosts are four canary hosts.
 #[rstest]
 #[case::all_canary_hosts_run(4, true)]
 #[case::one_is_missing(3, false)]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -176,12 +176,13 @@
     }
 }
 
-/// A harness in which every fourth host runs the canary build and has warmed up; hosts have answered within 0.1 s.
+/// A harness in which every fourth host runs the canary build and has warmed up; so far, hosts have answered in
+/// 0.1 s.
 pub fn with_canary(settings: ServiceSettings, hosts: u64) -> RouterHarness {
     with_canary_and_latency(0.1, settings, hosts)
 }
 
-/// As [`with_canary`], where hosts have answered within `took` seconds so far.
+/// As [`with_canary`], where hosts have answered in `took` seconds.
 pub fn with_canary_and_latency(took: f64, settings: ServiceSettings, hosts: u64) -> RouterHarness {
     let mut harness = RouterHarness::new(settings, hosts);
     harness.run(4.0, |_, _| (AttemptOutcome::Succeeded, took));
@@ -201,8 +202,8 @@
     harness
 }
 
-/// Receives gossip about the baseline build from a peer that has received `requests` requests in the last window and has
-/// no evidence yet.
+/// Receives gossip about the baseline build from a peer that has received `requests` requests in the last window and
+/// has no evidence yet.
 pub fn receive_peer_gossip(harness: &mut RouterHarness, from: u32, requests: f32) {
     let mut payload = vec![0, 0, 7, 0];
     [requests, 1.0]
--- a/tests/common/regions.rs
+++ b/tests/common/regions.rs
@@ -1,5 +1,6 @@
-//! A simulated fleet in two regions of five zones each, with a platform that promotes and rolls back builds by the votes
-//! of half of all routers. Machines, zones and the network between the regions can fail. All times are in seconds.
+//! A simulated fleet in two regions of five zones each, with a platform that promotes and rolls back builds by the
+//! votes of half of all routers. Machines, zones and the network between the regions can fail. All times are in
+//! seconds.
 
 use kestreltide::interface::*;
 
--- a/tests/exposure.rs
+++ b/tests/exposure.rs
@@ -85,8 +85,8 @@
     assert!(attempted_host(&harness.send_request(IDEMPOTENT, Some(&key)).1).is_some());
 }
 
-/// Slow replies of the baseline hosts lower the limit on attempts in flight, so that few requests are admitted. The idle
-/// canary hosts must still get their part of all requests.
+/// Slow replies of the baseline hosts lower the limit on attempts in flight, so that few requests are admitted. The
+/// idle canary hosts must still get their part of all requests.
 #[test]
 fn idle_hosts_of_a_faster_canary_get_their_share_of_all_requests() {
     let mut harness = with_canary(service_settings(), 16);
--- a/tests/golden_gossip.rs
+++ b/tests/golden_gossip.rs
@@ -25,7 +25,8 @@
 const STEP: f64 = 0.02;
 const HOSTS: u64 = 4;
 
-/// The body of a message of one slot: 40.0 requests, a slowdown of 1.5, then the twelve figures 1.0 to 12.0 of the slot.
+/// The body of a message of one slot: 40.0 requests, a slowdown of 1.5, then the twelve figures 1.0 to 12.0 of the
+/// slot.
 const ONE_SLOT_BODY: &str = "2042 c03f 803f 0040 4040 8040 a040 c040 e040 0041 1041 2041 3041 4041";
 
 /// One router, its clock, and the transcript of the gossip it sends and receives.
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -111,8 +111,8 @@
     );
 }
 
-/// A datagram may claim any router id as its sender. Messages from ids beyond the number of routers are ignored, so that
-/// they add no evidence.
+/// A datagram may claim any router id as its sender. Messages from ids beyond the number of routers are ignored, so
+/// that they add no evidence.
 #[rstest]
 #[case::the_other_router(1, true)]
 #[case::first_unused_id(2, false)]
--- a/tests/large_endpoint_lists.rs
+++ b/tests/large_endpoint_lists.rs
@@ -1,5 +1,5 @@
-//! One router of a fleet of 760 with an endpoint list of 2000 hosts: it uses a stable subset of the hosts, and changes of
-//! hosts take effect at once all the same.
+//! One router of a fleet of 760 with an endpoint list of 2000 hosts: it uses a stable subset of the hosts, and changes
+//! of hosts take effect at once all the same.
 
 mod common;
 
@@ -10,8 +10,9 @@
 
 const ROUTERS: u32 = 760;
 const HOSTS: u64 = 2000;
-/// The number of host pairs that a router with an average share of the traffic uses: 60 routers per host and 4 pairs per
-/// connection give 60 * 2000 * 2 / (4 * 760), where the factor 2 is 1 plus the router's traffic relative to the mean.
+/// The number of host pairs that a router with an average share of the traffic uses: 60 routers per host and 4 pairs
+/// per connection give 60 * 2000 * 2 / (4 * 760), where the factor 2 is 1 plus the router's traffic relative to the
+/// mean.
 const HOST_PAIRS: usize = 79;
 
 /// An entry whose id is spread over all 64 bits, in one of ten zones.
--- a/tests/operator_overrides.rs
+++ b/tests/operator_overrides.rs
@@ -76,8 +76,8 @@
     harness.handle(weights_applied(1, &[(0, weight)], &[]));
     let sent = run_with_open_requests(&mut harness, 40.0);
     let share = shares_by_host(&sent).get(&0).copied().unwrap_or(0.0);
-    // The router draws two hosts by weight and takes the less loaded one. Thus a host with a low weight gets between its
-    // share and twice its share.
+    // The router draws two hosts by weight and takes the less loaded one. Thus a host with a low weight gets between
+    // its share and twice its share.
     assert!(
         (0.6 * expected..2.1 * expected).contains(&share),
         "{share} of {expected}"
--- a/tests/regions.rs
+++ b/tests/regions.rs
@@ -88,7 +88,8 @@
     assert_next_canary_is_decided(&mut regions, bad);
 }
 
-/// The network between the regions fails during one canary and returns during the next; both regions reach the platform.
+/// The network between the regions fails during one canary and returns during the next; both regions reach the
+/// platform.
 #[rstest]
 #[case::good(false)]
 #[case::bad(true)]
--- a/tests/votes.rs
+++ b/tests/votes.rs
@@ -115,8 +115,8 @@
     );
 }
 
-/// The answer to a vote may arrive after a later status. A router that took it for the newest would go back to an earlier
-/// stage, or send requests to a build that is being rolled back.
+/// The answer to a vote may arrive after a later status. A router that took it for the newest would go back to an
+/// earlier stage, or send requests to a build that is being rolled back.
 #[rstest]
 #[case::earlier_stage(Phase::Canary, 1, 0.0, true)]
 #[case::before_release(Phase::Released, 0, 0.0, true)]
