--- a/router/tests/discovery_watch.rs
+++ b/router/tests/discovery_watch.rs
@@ -9,7 +9,9 @@
 
 use kestreltide_testkit::*;
 
+/// Path of the router's executable.
 const BINARY: &str = env!("CARGO_BIN_EXE_kestreltide");
+/// Request attributes: the idempotent operation `read` with a time limit of 5000 ms.
 const READ: &str = "c=read,d=5000";
 
 /// A host that answers every request with its name.
--- a/router/tests/full_size.rs
+++ b/router/tests/full_size.rs
@@ -18,7 +18,9 @@
 use kestreltide_testkit::*;
 use rstest::rstest;
 
+/// Path of the router's executable.
 const BINARY: &str = env!("CARGO_BIN_EXE_kestreltide");
+/// Request attributes: the idempotent operation `read` with a time limit of 5000 ms.
 const READ: &str = "c=read,d=5000";
 /// The most hosts that a router keeps.
 const MAX_HOSTS: usize = 16_384;
--- a/router/tests/operators.rs
+++ b/router/tests/operators.rs
@@ -14,7 +14,9 @@
 use rstest::rstest;
 use tempfile::TempDir;
 
+/// Path of the router's executable.
 const BINARY: &str = env!("CARGO_BIN_EXE_kestreltide");
+/// Request attributes: the idempotent operation `read` with a time limit of 5000 ms.
 const READ: &str = "c=read,d=5000";
 /// An operator file whose hosts come from `hosts.ini` alone, without discovery.
 const HOSTS_FILE_ONLY: &str = "[datastore]\nstate-directory = .\n[watch]\nhosts = hosts.ini\ndiscovery = off\nsettle = 0.005\npoll = 0.02\n";
--- a/router/tests/shutdown.rs
+++ b/router/tests/shutdown.rs
@@ -11,8 +11,11 @@
 use kestreltide_testkit::*;
 use rstest::rstest;
 
+/// Path of the router's executable.
 const BINARY: &str = env!("CARGO_BIN_EXE_kestreltide");
+/// Request attributes: the idempotent operation `read` with a time limit of 5000 ms.
 const READ: &str = "c=read,d=5000";
+/// Request attributes: the non-idempotent operation `switch` with a time limit of 5000 ms.
 const SWITCH: &str = "c=switch,d=5000";
 
 /// A host that reports each request whose id begins with `held` and holds its answer until the release; it answers
--- a/router/tests/upstream.rs
+++ b/router/tests/upstream.rs
@@ -12,8 +12,11 @@
 use rstest::rstest;
 use socket2::{Domain, Socket, Type};
 
+/// Path of the router's executable.
 const BINARY: &str = env!("CARGO_BIN_EXE_kestreltide");
+/// Request attributes: the idempotent operation `read` with a time limit of 5000 ms.
 const READ: &str = "c=read,d=5000";
+/// Request attributes: the non-idempotent operation `switch` with a time limit of 5000 ms.
 const SWITCH: &str = "c=switch,d=5000";
 
 /// Starts a router with one host; `change` edits its configuration.
