--- a/management/src/gnmi/edits.rs
+++ b/management/src/gnmi/edits.rs
@@ -3,7 +3,7 @@
 use kestreltide_yang::NodeId;
 use kestreltide_yang::data::{InstancePath, Step};
 use kestreltide_yang::edit::{
-    Edit, Operation, edit_at_path, edit_from_json, edits_from_json, edits_from_json_value,
+    Edit, Operation, edit_below_path, edit_from_json, edits_from_json, edits_from_json_value,
 };
 use kestreltide_yang::path::Pattern;
 use kestreltide_yang::schema::NodeKind;
@@ -65,7 +65,7 @@
             });
         }
         let (mut parent, node) = pattern
-            .instance(self.schema)
+            .single_instance(self.schema)
             .map_err(|error| no_instance(shown, &error.to_string()))?;
         let step = parent.0.pop().unwrap_or(Step {
             name: String::new(),
@@ -86,7 +86,7 @@
         if !last.keys.is_empty() || last.any_depth {
             return None;
         }
-        let (parent, parent_node) = Pattern(above.to_vec()).instance(self.schema).ok()?;
+        let (parent, parent_node) = Pattern(above.to_vec()).single_instance(self.schema).ok()?;
         let named = |id: &NodeId| Some(&self.schema.node_of(*id).name) == last.name.as_ref();
         let node = self
             .schema
@@ -172,7 +172,8 @@
 
     /// An edit below its parent, from the top of the model.
     fn place(&self, parent: &InstancePath, edit: Edit, shown: &str) -> Result<Edit, Status> {
-        edit_at_path(self.schema, parent, edit).ok_or_else(|| no_instance(shown, "leads nowhere"))
+        edit_below_path(self.schema, parent, edit)
+            .ok_or_else(|| no_instance(shown, "leads nowhere"))
     }
 
     /// The instances that a removal of the target has to remove.
@@ -206,7 +207,7 @@
                     keys: vec![],
                 };
                 self.schema
-                    .top
+                    .top_level
                     .iter()
                     .filter(config)
                     .map(|id| (*id, step(*id)))
--- a/management/src/gnmi/encoding.rs
+++ b/management/src/gnmi/encoding.rs
@@ -26,7 +26,9 @@
 
 impl Service {
     pub(super) fn json_value(&self, data: &DataNode, encoding: Encoding) -> TypedValue {
-        let bytes = json::value(self.schema, data).to_string().into_bytes();
+        let bytes = json::encode_value(self.schema, data)
+            .to_string()
+            .into_bytes();
         let value = if encoding == Encoding::Json {
             Value::JsonVal(bytes)
         } else {
@@ -115,7 +117,7 @@
         }
         Content::Leaf(text) => {
             let list = matches!(schema.node_of(data.node).kind, NodeKind::LeafList { .. });
-            let value = json::value(schema, data);
+            let value = json::encode_value(schema, data);
             let value = match (encoding, value) {
                 (Encoding::Proto, Json::Bool(flag)) => Value::BoolVal(flag),
                 (Encoding::Proto, Json::Number(number)) => match number.as_u64() {
--- a/management/src/gnmi/get.rs
+++ b/management/src/gnmi/get.rs
@@ -43,7 +43,10 @@
                 return Err(leads_nowhere(path));
             }
             let update = self.updates_of(&pattern, &data, encoding);
-            if update.is_empty() && pattern.instance(self.schema).is_ok() && !pattern.0.is_empty() {
+            if update.is_empty()
+                && pattern.single_instance(self.schema).is_ok()
+                && !pattern.0.is_empty()
+            {
                 return Err(Status::not_found(format!(
                     "{}: is not there (given: {0}; taken: what is there)",
                     path_text(path)
--- a/management/src/gnmi/paths.rs
+++ b/management/src/gnmi/paths.rs
@@ -32,7 +32,7 @@
         let steps = Pattern::from_steps(steps).map_err(|why| {
             invalid_argument(&shown, &why.to_string(), &shown, "names with their keys")
         })?;
-        all = steps.below(&all);
+        all = steps.with_prefix(&all);
     }
     Ok(all)
 }
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -37,7 +37,7 @@
     listener: TcpListener,
     tls: TlsCredentials,
 ) -> Result<(), ServeError> {
-    let schema = kestreltide_yang::published()?;
+    let schema = kestreltide_yang::published_schema()?;
     let binding = Arc::new(Binding::new(schema)?);
     let snapshot = follow_published(schema, binding.clone(), commit_service.clone());
     let service = Service {
--- a/management/src/netconf/server.rs
+++ b/management/src/netconf/server.rs
@@ -55,7 +55,7 @@
         commit_service: CommitServiceHandle,
         limits: Limits,
     ) -> Result<Self, ServeError> {
-        let schema = kestreltide_yang::published()?;
+        let schema = kestreltide_yang::published_schema()?;
         let binding = Arc::new(Binding::new(schema)?);
         Ok(ServerContext {
             log,
--- a/management/src/netconf/session/operations.rs
+++ b/management/src/netconf/session/operations.rs
@@ -92,7 +92,7 @@
                     std::sync::Arc::new(self.candidate(commit_service).tree.clone())
                 }
             };
-            self.binding.tree_data(self.schema, &tree)
+            self.binding.configuration_data(self.schema, &tree)
         };
         Ok(Step::Reply(self.data(&filter.prune(self.schema, &[data]))))
     }
--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -48,7 +48,7 @@
     view: &OperationalState,
     published: &CoordinatorStatus,
 ) -> Option<DataNode> {
-    let mut state = DataBuilder::new(schema, schema.find(&["router", "state"])?);
+    let mut state = DataBuilder::new(schema, schema.find_node(&["router", "state"])?);
     put_load(&mut state, view, published);
     put_rollout(&mut state, view);
     put_hosts(&mut state, view, published);
@@ -155,7 +155,7 @@
     view: &OperationalState,
     published: &CoordinatorStatus,
 ) -> DataNode {
-    let mut router = binding.tree_data(schema, &published.in_force.tree);
+    let mut router = binding.configuration_data(schema, &published.in_force.tree);
     if let (Content::Inner(children), Some(state)) =
         (&mut router.content, router_state(schema, view, published))
     {
--- a/measure/src/capacity/fleet_run/real_router.rs
+++ b/measure/src/capacity/fleet_run/real_router.rs
@@ -11,7 +11,7 @@
 use super::layout::Party;
 use super::net::shared::Shared;
 use super::processes::{self, CoreTime};
-use crate::router_process::{self, AS_ROUTER};
+use crate::router_process::{self, RUN_AS_ROUTER_VARIABLE};
 
 const MEMORY_MB: u32 = 256;
 const SOCKETS: u32 = 512;
@@ -109,7 +109,7 @@
         command
             .args(["serve", "--config"])
             .arg(&config)
-            .env(AS_ROUTER, "1");
+            .env(RUN_AS_ROUTER_VARIABLE, "1");
         for name in [
             "PROXY_NAME",
             "PROXY_LISTEN",
--- a/measure/src/capacity/slopes/by_clients.rs
+++ b/measure/src/capacity/slopes/by_clients.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use kestreltide_testkit::{Client, Program};
+use kestreltide_testkit::{Client, RouterProcess};
 
 use super::growth::{AtSize, By, Figure, Growth, Role, at_all_sizes, growths};
 use super::load::{Load, Shape};
@@ -104,7 +104,7 @@
 
 /// Processor time of a request, and how many there were a second; most of them have to be served.
 fn served(
-    program: &Program,
+    program: &RouterProcess,
     load: &Load,
     idle_percent: f64,
     seconds: f64,
--- a/measure/src/capacity/slopes/by_hosts.rs
+++ b/measure/src/capacity/slopes/by_hosts.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use kestreltide_testkit::Program;
+use kestreltide_testkit::RouterProcess;
 
 use super::growth::{By, Figure, Growth, Role, at_all_sizes, growths};
 use super::load::{Load, Shape};
@@ -202,7 +202,7 @@
     measured
 }
 
-fn at_rest(program: &Program, sizes: &Sizes, measured: &mut Measured) {
+fn at_rest(program: &RouterProcess, sizes: &Sizes, measured: &mut Measured) {
     wait(0.5);
     let mut seconds = 0.0;
     let cpu = cpu_of(program, || seconds = wait(sizes.idle_s));
@@ -211,7 +211,7 @@
     (measured.resident_mb, measured.private_mb) = (memory.resident, memory.private);
 }
 
-fn under_load(around: &Around, program: &Program, sizes: &Sizes, measured: &mut Measured) {
+fn under_load(around: &Around, program: &RouterProcess, sizes: &Sizes, measured: &mut Measured) {
     let load = Load::start(
         program.at,
         Shape::rate(CLIENTS, plan::requests_per_router(), ANSWER),
@@ -235,7 +235,7 @@
     measured.loaded_mb = memory_of(program).resident;
 }
 
-fn events(around: &Around, program: &Program, sizes: &Sizes, measured: &mut Measured) {
+fn events(around: &Around, program: &RouterProcess, sizes: &Sizes, measured: &mut Measured) {
     let (discovery, count) = (&around.discovery, sizes.events);
     let bytes = |kind: Kind, before: Amount| {
         let now = discovery.sent(kind);
@@ -280,7 +280,7 @@
 /// Does something so many times; processor time of the router each time, in microseconds, without what it takes at
 /// rest, and how long each took, in milliseconds.
 pub(super) fn timed(
-    program: &Program,
+    program: &RouterProcess,
     idle_percent: f64,
     count: usize,
     mut work: impl FnMut(usize),
--- a/measure/src/capacity/slopes/by_routers.rs
+++ b/measure/src/capacity/slopes/by_routers.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::time::Instant;
 
-use kestreltide_testkit::{Program, TEST_TIMEOUT, endpoint_list, router_config};
+use kestreltide_testkit::{RouterProcess, TEST_TIMEOUT, endpoint_list, router_config};
 use tempfile::TempDir;
 
 use crate::router_process;
@@ -158,7 +158,7 @@
 
 /// Real routers that know each other, and what they share.
 struct Fleet {
-    routers: Vec<Program>,
+    routers: Vec<RouterProcess>,
     hosts: Hosts,
     discovery: Discovery,
     platform: Platform,
--- a/measure/src/capacity/slopes/by_routes.rs
+++ b/measure/src/capacity/slopes/by_routes.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-use kestreltide_testkit::{Netconf, Program, TestCredentials};
+use kestreltide_testkit::{NetconfSession, RouterProcess, TestCredentials};
 
 use super::growth::{By, Figure, Growth, Role, at_all_sizes, growths};
 use super::load::{Load, Shape};
@@ -120,18 +120,19 @@
         }
     }
 
-    fn start(&self) -> (Program, f64) {
+    fn start(&self) -> (RouterProcess, f64) {
         self.around.router(Some(&self.operator))
     }
 
-    fn commit(&self, program: &Program, edit: &str) {
+    fn commit(&self, program: &RouterProcess, edit: &str) {
         let at = program
             .address_in_startup_log("NETCONF interface opened")
             .expect("the log tells the address");
         block_on(async {
-            let mut session = Netconf::open(self.credentials.management_client(ENGINEER), at)
-                .await
-                .expect("a session");
+            let mut session =
+                NetconfSession::open(self.credentials.management_client(ENGINEER), at)
+                    .await
+                    .expect("a session");
             for operation in [edit, "<commit/>"] {
                 let reply = session.rpc(operation).await;
                 let well = reply.as_ref().is_ok_and(|reply| reply.contains("<ok/>"));
--- a/measure/src/capacity/slopes/files.rs
+++ b/measure/src/capacity/slopes/files.rs
@@ -8,7 +8,7 @@
 use std::process::Command;
 use std::time::Instant;
 
-use kestreltide_testkit::Program;
+use kestreltide_testkit::RouterProcess;
 use tempfile::TempDir;
 
 use crate::router_process;
@@ -196,7 +196,7 @@
 }
 
 /// Further versions, one after another: processor time in microseconds and time in milliseconds of one.
-fn versions(files: &mut Files, program: &Program, count: usize) -> (f64, f64) {
+fn versions(files: &mut Files, program: &RouterProcess, count: usize) -> (f64, f64) {
     let mut took = 0.0;
     let cpu = cpu_of(program, || {
         for _ in 0..count {
@@ -234,7 +234,7 @@
     let begun = Instant::now();
     let mut command = Command::new(binary);
     command
-        .env(router_process::AS_ROUTER, "1")
+        .env(router_process::RUN_AS_ROUTER_VARIABLE, "1")
         .arg("check-operator")
         .arg(files.at("operator.ini"));
     let done = command
--- a/measure/src/capacity/slopes/requests.rs
+++ b/measure/src/capacity/slopes/requests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use kestreltide_testkit::{Program, TEST_TIMEOUT};
+use kestreltide_testkit::{RouterProcess, TEST_TIMEOUT};
 
 use super::load::Load;
 use super::site::{cpu_of, wait};
@@ -24,7 +24,7 @@
 
 /// Watches a load for so many seconds; what the router takes at rest is in percent of a core.
 pub(super) fn requests(
-    program: &Program,
+    program: &RouterProcess,
     load: &Load,
     idle_percent: f64,
     seconds: f64,
--- a/measure/src/capacity/slopes/site.rs
+++ b/measure/src/capacity/slopes/site.rs
@@ -4,7 +4,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use kestreltide_testkit::{Program, TEST_TIMEOUT, endpoint_list, router_config, unused_address};
+use kestreltide_testkit::{
+    RouterProcess, TEST_TIMEOUT, endpoint_list, router_config, unused_address,
+};
 
 use crate::router_process;
 
@@ -165,7 +167,7 @@
     }
 
     /// Starts the router; how long until it answers that it is ready, in milliseconds.
-    pub(super) fn router(&self, operator: Option<&Path>) -> (Program, f64) {
+    pub(super) fn router(&self, operator: Option<&Path>) -> (RouterProcess, f64) {
         let text = self.config();
         let begun = Instant::now();
         let program = router_process::start(&text, operator);
@@ -175,7 +177,7 @@
 }
 
 /// Waits until a router answers PING with PONG.
-pub(super) fn wait_ready(program: &Program) {
+pub(super) fn wait_ready(program: &RouterProcess) {
     let until = Instant::now() + TEST_TIMEOUT;
     let mut client = program.client();
     while client.request(&["PING"]) != "+PONG" {
@@ -195,13 +197,13 @@
 }
 
 /// Processor time of a router while something is done, in seconds.
-pub(super) fn cpu_of(program: &Program, work: impl FnOnce()) -> f64 {
+pub(super) fn cpu_of(program: &RouterProcess, work: impl FnOnce()) -> f64 {
     let before = process::cpu_seconds(program.child.id());
     work();
     process::cpu_seconds(program.child.id()) - before
 }
 
-pub(super) fn memory_of(program: &Program) -> Memory {
+pub(super) fn memory_of(program: &RouterProcess) -> Memory {
     process::memory(program.child.id())
 }
 
--- a/measure/src/soak/hosts.rs
+++ b/measure/src/soak/hosts.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use kestreltide_testkit::{ArrivalReader, note_arrivals, read_command, spawn_server_on};
+use kestreltide_testkit::{ArrivalReader, read_command, record_arrival_times, spawn_server_on};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -58,7 +58,7 @@
                 is_ending: is_ending.clone(),
             };
             let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-            note_arrivals(&listener);
+            record_arrival_times(&listener);
             spawn_server_on(listener, move |stream| server.serve(stream))
         };
         Hosts {
--- a/measure/src/soak/run.rs
+++ b/measure/src/soak/run.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use kestreltide_testkit::{Discovery, Program, router_config};
+use kestreltide_testkit::{Discovery, RouterProcess, router_config};
 
 use super::clients::{Crowd, SoakClients};
 use super::connection::{Answer, Connection};
@@ -66,7 +66,7 @@
     discovery: [Discovery; 2],
     /// Which of them the configuration names.
     active: usize,
-    program: Program,
+    program: RouterProcess,
     drains: Vec<Drain>,
     process: ProcessRecord,
 }
--- a/measure/src/watched_files.rs
+++ b/measure/src/watched_files.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use argh::FromArgs;
-use kestreltide_testkit::{Fleet, Program, TEST_TIMEOUT};
+use kestreltide_testkit::{Fleet, RouterProcess, TEST_TIMEOUT};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tempfile::TempDir;
@@ -118,7 +118,7 @@
 /// A router with its files and hosts.
 struct WatchingRouter {
     files: Files,
-    program: Program,
+    program: RouterProcess,
 }
 
 /// The files of one router, and the hosts that they name.
@@ -198,7 +198,7 @@
 
     fn entries(&self, tag: &str) -> Vec<Entry> {
         self.fleet
-            .of_tag(tag)
+            .hosts_with_tag(tag)
             .map(|host| Entry::new(&host.name, host.at))
             .collect()
     }
@@ -237,7 +237,7 @@
         let tag = self.tag();
         self.sets.allow(&[&before, &tag]);
         self.fleet
-            .of_tag(&tag)
+            .hosts_with_tag(&tag)
             .for_each(|host| host.set_last_attempt_time(None));
         // In either order, by renaming or in place.
         let mut files = [("hosts.ini", hosts), ("weights.ini", weights)];
@@ -266,7 +266,7 @@
         self.sets.allow(&[&tag]);
         let ends = SystemTime::now() + SEEN;
         self.fleet
-            .of_tag(before)
+            .hosts_with_tag(before)
             .for_each(|host| host.set_last_attempt_time(Some(ends)));
         true
     }
@@ -392,7 +392,7 @@
 
     fn attempts_at(&self, tag: &str) -> u64 {
         self.fleet
-            .of_tag(tag)
+            .hosts_with_tag(tag)
             .map(|host| host.received.load(Relaxed))
             .sum()
     }
--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -64,10 +64,10 @@
 
 impl Models {
     pub(super) fn run(&self) -> Result<(), String> {
-        let schema = kestreltide_yang::published().map_err(|error| error.to_string())?;
+        let schema = kestreltide_yang::published_schema().map_err(|error| error.to_string())?;
         let Some(name) = &self.module else {
             (0..schema.modules.len()).for_each(|module| {
-                println!("{}", kestreltide_yang::tree_diagram::print(schema, module))
+                println!("{}", kestreltide_yang::tree_diagram::render(schema, module))
             });
             return Ok(());
         };
--- a/testkit/src/arrival.rs
+++ b/testkit/src/arrival.rs
@@ -13,7 +13,7 @@
 use nix::sys::time::TimeSpec;
 
 /// Makes the machine note when bytes come on the connections that this listener accepts from now on.
-pub fn note_arrivals(listener: &TcpListener) {
+pub fn record_arrival_times(listener: &TcpListener) {
     setsockopt(listener, ReceiveTimestampns, &true).expect("a socket notes when bytes come");
 }
 
--- a/testkit/src/arrival/tests.rs
+++ b/testkit/src/arrival/tests.rs
@@ -3,7 +3,7 @@
 use std::thread;
 use std::time::{Duration, SystemTime};
 
-use super::{ArrivalReader, note_arrivals};
+use super::{ArrivalReader, record_arrival_times};
 
 /// Exchanges until the machine has begun to note arrivals, which it does a moment after the first socket asks for it.
 const MAX_FIRST_EXCHANGES: usize = 20;
@@ -23,7 +23,7 @@
 #[test]
 fn bytes_that_are_read_late_are_told_with_the_time_at_which_they_came() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    note_arrivals(&listener);
+    record_arrival_times(&listener);
     let address = listener.local_addr().expect("an address");
     let mut client = TcpStream::connect(address).expect("a connection");
     let (server, _) = listener.accept().expect("the connection");
--- a/testkit/src/fleet.rs
+++ b/testkit/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, SystemTime};
 
-use crate::arrival::{ArrivalReader, note_arrivals};
+use crate::arrival::{ArrivalReader, record_arrival_times};
 use crate::read_command;
 use crate::servers::spawn_server_on;
 
@@ -107,7 +107,7 @@
     }
 
     /// Returns the hosts with this tag.
-    pub fn of_tag<'a>(&'a self, tag: &'a str) -> impl Iterator<Item = &'a TestHost> {
+    pub fn hosts_with_tag<'a>(&'a self, tag: &'a str) -> impl Iterator<Item = &'a TestHost> {
         self.hosts.iter().filter(move |host| &*host.tag == tag)
     }
 }
@@ -126,7 +126,7 @@
         let received = self.received.clone();
         let controls = self.controls.clone();
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        note_arrivals(&listener);
+        record_arrival_times(&listener);
         let at = spawn_server_on(listener, move |stream| self.serve(stream));
         TestHost {
             name: name.into(),
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -31,16 +31,16 @@
 
 use std::time::Duration;
 
-pub use arrival::{ArrivalReader, note_arrivals};
+pub use arrival::{ArrivalReader, record_arrival_times};
 pub use client::Client;
 pub use config::{endpoint_list, router_config};
 pub use credentials::{ManagementClient, TestCredentials};
 pub use discovery::Discovery;
 pub use fleet::{AttemptLog, Fleet, TestHost};
 pub use gnmi::proto;
-pub use netconf::{Netconf, NetconfError};
+pub use netconf::{NetconfError, NetconfSession};
 pub use platform::{Platform, RolloutState};
-pub use program::Program;
+pub use program::RouterProcess;
 pub use servers::{
     fake_discovery, fake_host, read_command, serve_commands, spawn_server, spawn_server_on,
     unused_address, value_reply,
--- a/testkit/src/netconf.rs
+++ b/testkit/src/netconf.rs
@@ -50,7 +50,7 @@
 }
 
 /// A NETCONF session over SSH.
-pub struct Netconf {
+pub struct NetconfSession {
     _ssh: Handle<AcceptAnyServerKey>,
     stream: russh::ChannelStream<russh::client::Msg>,
     /// Bytes that were received and not yet returned as a message.
@@ -71,7 +71,7 @@
     length: usize,
 }
 
-impl Netconf {
+impl NetconfSession {
     /// Opens a session and exchanges the first messages.
     ///
     /// # Errors
@@ -86,7 +86,7 @@
         }
         let channel = ssh.channel_open_session().await?;
         channel.request_subsystem(true, "netconf").await?;
-        let mut session = Netconf {
+        let mut session = NetconfSession {
             _ssh: ssh,
             stream: channel.into_stream(),
             received: vec![],
@@ -195,7 +195,7 @@
     }
 
     /// Sends a request and returns its reply; notifications received before it are kept in
-    /// [`Netconf::notifications`].
+    /// [`NetconfSession::notifications`].
     ///
     /// # Errors
     ///
--- a/yang/src/binding.rs
+++ b/yang/src/binding.rs
@@ -125,7 +125,7 @@
     /// When model and datastore do not have the same nodes, which is a defect.
     pub fn new(schema: &Schema) -> Result<Self, BindingError> {
         let node_at = |names: &[&str]| {
-            let node = schema.find(names);
+            let node = schema.find_node(names);
             node.ok_or_else(|| BindingError::MissingNode(names.join("/")))
         };
         let router = node_at(&["router"])?;
@@ -251,7 +251,7 @@
     }
 
     /// The configuration as data of the schema.
-    pub fn tree_data(&self, schema: &Schema, tree: &Tree) -> DataNode {
+    pub fn configuration_data(&self, schema: &Schema, tree: &Tree) -> DataNode {
         let mut router = DataBuilder::new(schema, self.router);
         if !tree.hosts.is_empty() {
             router.put_inner("hosts", |hosts| {
--- a/yang/src/edit/mod.rs
+++ b/yang/src/edit/mod.rs
@@ -33,7 +33,7 @@
 
 /// An edit of the instance at a path, from the top: `last` is the edit of the last node of the path. None if the path
 /// leads nowhere in the schema.
-pub fn edit_at_path(schema: &Schema, path: &InstancePath, last: Edit) -> Option<Edit> {
+pub fn edit_below_path(schema: &Schema, path: &InstancePath, last: Edit) -> Option<Edit> {
     let mut ancestors = Vec::new();
     let mut parent = None;
     for step in &path.0 {
--- a/yang/src/json.rs
+++ b/yang/src/json.rs
@@ -8,7 +8,11 @@
 
 /// The members of an object for some nodes, the entries of a list together; a name carries its module if that
 /// differs from its parent's.
-pub fn members(schema: &Schema, data: &[DataNode], parent: Option<NodeId>) -> Map<String, Value> {
+pub fn encode_members(
+    schema: &Schema,
+    data: &[DataNode],
+    parent: Option<NodeId>,
+) -> Map<String, Value> {
     let mut out = Map::new();
     for one in data {
         let node = schema.node_of(one.node);
@@ -18,7 +22,7 @@
         } else {
             node.name.clone()
         };
-        let value = value(schema, one);
+        let value = encode_value(schema, one);
         match (&node.kind, out.get_mut(&name)) {
             (NodeKind::List { .. } | NodeKind::LeafList { .. }, Some(Value::Array(items))) => {
                 items.push(value)
@@ -33,14 +37,16 @@
 }
 
 /// The value of one node: an object, or the value of a leaf in the form of its type.
-pub fn value(schema: &Schema, data: &DataNode) -> Value {
+pub fn encode_value(schema: &Schema, data: &DataNode) -> Value {
     match (&data.content, &schema.node_of(data.node).kind) {
         (
             Content::Leaf(text),
             NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type },
         ) => leaf(leaf_type, text),
         (Content::Leaf(text), _) => Value::String(text.clone()),
-        (Content::Inner(children), _) => Value::Object(members(schema, children, Some(data.node))),
+        (Content::Inner(children), _) => {
+            Value::Object(encode_members(schema, children, Some(data.node)))
+        }
     }
 }
 
--- a/yang/src/lib.rs
+++ b/yang/src/lib.rs
@@ -40,7 +40,7 @@
 /// # Errors
 ///
 /// When the published modules are wrong, which is a defect.
-pub fn published() -> Result<&'static Schema, SchemaError> {
+pub fn published_schema() -> Result<&'static Schema, SchemaError> {
     static SCHEMA: OnceLock<Result<Schema, SchemaError>> = OnceLock::new();
     SCHEMA
         .get_or_init(|| Schema::parse(&MODULES))
--- a/yang/src/path.rs
+++ b/yang/src/path.rs
@@ -211,7 +211,7 @@
     }
 
     /// This path below a prefix.
-    pub fn below(&self, prefix: &Pattern) -> Pattern {
+    pub fn with_prefix(&self, prefix: &Pattern) -> Pattern {
         Pattern(prefix.0.iter().chain(&self.0).cloned().collect())
     }
 
@@ -220,7 +220,10 @@
     /// # Errors
     ///
     /// When the path may match several instances or leads nowhere in the schema.
-    pub fn instance(&self, schema: &Schema) -> Result<(InstancePath, Option<NodeId>), PathError> {
+    pub fn single_instance(
+        &self,
+        schema: &Schema,
+    ) -> Result<(InstancePath, Option<NodeId>), PathError> {
         let mut instance = InstancePath::default();
         let mut node = None;
         for step in &self.0 {
--- a/yang/src/schema/mod.rs
+++ b/yang/src/schema/mod.rs
@@ -84,7 +84,7 @@
     pub modules: Vec<Module>,
     nodes: Vec<Node>,
     /// The data nodes at the top.
-    pub top: Vec<NodeId>,
+    pub top_level: Vec<NodeId>,
     /// The inputs of RPCs by the names of the RPCs.
     pub rpcs: BTreeMap<String, NodeId>,
     /// The notifications by name.
@@ -113,7 +113,7 @@
 
     /// The data node at the top with a name.
     pub fn top_named(&self, name: &str) -> Option<NodeId> {
-        self.top
+        self.top_level
             .iter()
             .copied()
             .find(|top| self.nodes[top.0].name == name)
@@ -121,7 +121,7 @@
 
     /// The children of a node; the data nodes at the top for none.
     pub fn children_of(&self, parent: Option<NodeId>) -> &[NodeId] {
-        parent.map_or(&self.top, |parent| &self.nodes[parent.0].children)
+        parent.map_or(&self.top_level, |parent| &self.nodes[parent.0].children)
     }
 
     /// The names of the keys of a list; empty for any other node.
@@ -147,7 +147,7 @@
     }
 
     /// The data node at a path of names.
-    pub fn find(&self, names: &[&str]) -> Option<NodeId> {
+    pub fn find_node(&self, names: &[&str]) -> Option<NodeId> {
         let (first, rest) = names.split_first()?;
         rest.iter()
             .try_fold(self.top_named(first)?, |parent, name| {
--- a/yang/src/schema/parser.rs
+++ b/yang/src/schema/parser.rs
@@ -203,7 +203,7 @@
                 "rpc" | "notification" => self.read_operation(sources, module, statement)?,
                 _ if is_data_node(statement) => {
                     let node = self.read_node(sources, module, statement, top, 0)?;
-                    self.top.push(node);
+                    self.top_level.push(node);
                 }
                 _ => {}
             }
--- a/yang/src/tree_diagram.rs
+++ b/yang/src/tree_diagram.rs
@@ -5,10 +5,10 @@
 use crate::schema::{NodeId, NodeKind, Schema};
 
 /// The tree diagram of a module, by its index: one line for each node.
-pub fn print(schema: &Schema, module: usize) -> String {
+pub fn render(schema: &Schema, module: usize) -> String {
     let mut out = format!("module: {}\n", schema.modules[module].name);
     let own = |id: &&NodeId| schema.node_of(**id).module == module;
-    let tops: Vec<_> = schema.top.iter().filter(own).copied().collect();
+    let tops: Vec<_> = schema.top_level.iter().filter(own).copied().collect();
     nodes(schema, &tops, "  ", None, &mut out);
     for (title, ids) in [
         ("rpcs", &schema.rpcs),
