--- a/datastore/src/merge.rs
+++ b/datastore/src/merge.rs
@@ -1,4 +1,4 @@
-//! Where discovery and operators both list a host: whose value counts, leaf by leaf.
+//! Merges what discovery and operators list of a host, leaf by leaf.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,40 +8,40 @@
 use crate::host_record::HostRecord;
 use crate::tree::{AdminState, HostConfig, HostName, Leaf, Tree};
 
-/// When operators first listed each host of which no start is known, in Unix seconds.
+/// When operators first listed each host whose start is not known, in Unix seconds.
 pub type FirstListed = BTreeMap<HostName, f64>;
 
-/// The size of a host where nobody gives one.
+/// The size of a host if neither discovery nor operators set it.
 const DEFAULT_SIZE: f64 = 1.0;
-/// The cell of a host where nobody gives one.
+/// The cell of a host if neither discovery nor operators set it.
 const DEFAULT_CELL: u32 = 0;
 
-/// Whose value counts where both give one; where only one does, that one counts.
+/// How a value is chosen if both discovery and operators set a leaf. If only one of them does, its value is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Precedence {
-    /// Discovery's: it observes the processes.
-    Discovery,
-    /// The operators': they know what they want of a machine.
-    Operators,
-    /// The later time.
+pub enum MergePolicy {
+    /// Discovery's value is used, as discovery observes the processes.
+    PreferDiscovery,
+    /// The operators' value is used, as operators decide how to use a machine.
+    PreferOperators,
+    /// The later time is used.
     LaterTime,
-    /// The one that lets less traffic go to the host.
+    /// The state that lets less traffic go to the host is used.
     MostRestrictive,
 }
 
-/// Whose value of a leaf counts. Zone and cell are discovery's as rule 2 rests on them: they tell which hosts drop each
-/// other's repeated requests.
-pub fn precedence_of(leaf: Leaf) -> Precedence {
+/// Returns how the value of a leaf is chosen. Discovery decides on zone and cell because rule 2 depends on them: hosts
+/// of one zone and cell share their record of idempotency keys and drop each other's repeated requests.
+pub fn merge_policy(leaf: Leaf) -> MergePolicy {
     match leaf {
-        Leaf::Size | Leaf::Weight => Precedence::Operators,
-        Leaf::Started => Precedence::LaterTime,
-        Leaf::State => Precedence::MostRestrictive,
-        _ => Precedence::Discovery,
+        Leaf::Size | Leaf::Weight => MergePolicy::PreferOperators,
+        Leaf::Started => MergePolicy::LaterTime,
+        Leaf::State => MergePolicy::MostRestrictive,
+        _ => MergePolicy::PreferDiscovery,
     }
 }
 
 impl AdminState {
-    /// The state for the decisions: nothing new goes to a host that is draining or out.
+    /// Returns the state for the decision module: no new requests go to a host that is draining or out.
     pub fn host_state(self) -> HostState {
         match self {
             AdminState::InService => HostState::Running,
@@ -50,8 +50,8 @@
     }
 }
 
-/// How little may go to a host in this state: higher is less.
-fn restriction(state: HostState) -> u8 {
+/// Ranks states by how little traffic may go to a host; a higher rank means less traffic.
+fn restriction_rank(state: HostState) -> u8 {
     match state {
         HostState::Running => 0,
         HostState::Stopping => 1,
@@ -60,40 +60,39 @@
 }
 
 fn more_restrictive(first: HostState, second: HostState) -> HostState {
-    if restriction(first) >= restriction(second) {
+    if restriction_rank(first) >= restriction_rank(second) {
         first
     } else {
         second
     }
 }
 
-/// The value of a leaf that counts; `combine` decides where its precedence compares the values.
-fn pick<T>(
+/// Returns the value of a leaf that is used. `combine` chooses where the values themselves decide.
+fn resolve_leaf<T>(
     leaf: Leaf,
     discovery: Option<T>,
     operators: Option<T>,
     combine: impl Fn(T, T) -> T,
 ) -> Option<T> {
-    match (precedence_of(leaf), discovery, operators) {
-        (Precedence::Discovery, Some(value), _) | (Precedence::Operators, _, Some(value)) => {
-            Some(value)
-        }
-        (Precedence::LaterTime | Precedence::MostRestrictive, Some(first), Some(second)) => {
+    match (merge_policy(leaf), discovery, operators) {
+        (MergePolicy::PreferDiscovery, Some(value), _)
+        | (MergePolicy::PreferOperators, _, Some(value)) => Some(value),
+        (MergePolicy::LaterTime | MergePolicy::MostRestrictive, Some(first), Some(second)) => {
             Some(combine(first, second))
         }
         (_, first, second) => first.or(second),
     }
 }
 
-/// The value of a leaf whose precedence is discovery's or the operators'.
-fn pick_either<T>(leaf: Leaf, discovery: Option<T>, operators: Option<T>) -> Option<T> {
-    pick(leaf, discovery, operators, |first, _| first)
+/// Returns the value of a leaf for which either discovery or operators decide, whatever the values are.
+fn resolve_leaf_by_source<T>(leaf: Leaf, discovery: Option<T>, operators: Option<T>) -> Option<T> {
+    resolve_leaf(leaf, discovery, operators, |first, _| first)
 }
 
-/// The host as it counts; `None` where all that is known of it makes no complete entry.
+/// Merges what discovery and operators list of one host; `None` if this makes no complete entry.
 ///
-/// `first_listed` is when operators listed it first (Unix seconds), where no start is known: that it has just started
-/// is the careful guess.
+/// `first_listed` is when operators first listed the host (Unix seconds), if its start is not known. It stands in for
+/// the start of a host that discovery does not list: the safe assumption is that the host has just started.
 pub fn merge_host(
     name: &HostName,
     discovery: Option<&HostRecord>,
@@ -111,37 +110,37 @@
         .or(first_listed.filter(|_| discovery.is_none()));
     Some(HostRecord {
         name: discovery.map_or_else(|| name.shared(), |host| host.name.clone()),
-        endpoint: pick_either(
+        endpoint: resolve_leaf_by_source(
             Leaf::Endpoint,
             discovery.map(|host| host.endpoint),
             config.endpoint,
         )?,
-        zone: pick_either(
+        zone: resolve_leaf_by_source(
             Leaf::Zone,
             discovery.map(|host| host.zone.clone()),
             config.zone.clone(),
         )?,
-        cell: pick_either(Leaf::Cell, discovery.map(|host| host.cell), config.cell)
+        cell: resolve_leaf_by_source(Leaf::Cell, discovery.map(|host| host.cell), config.cell)
             .unwrap_or(DEFAULT_CELL),
-        kind: pick_either(
+        kind: resolve_leaf_by_source(
             Leaf::Kind,
             discovery.map(|host| host.kind.clone()),
             config.kind.clone(),
         )?,
-        size: pick_either(Leaf::Size, discovery.map(|host| host.size), config.size)
+        size: resolve_leaf_by_source(Leaf::Size, discovery.map(|host| host.size), config.size)
             .unwrap_or(DEFAULT_SIZE),
-        build: pick_either(
+        build: resolve_leaf_by_source(
             Leaf::Build,
             discovery.map(|host| host.build),
             configured_build,
         )?,
-        started: pick(
+        started: resolve_leaf(
             Leaf::Started,
             discovery.and_then(|host| host.started),
             configured_start,
             f64::max,
         ),
-        state: pick(
+        state: resolve_leaf(
             Leaf::State,
             discovery.map(|host| host.state),
             config.state.map(AdminState::host_state),
@@ -151,7 +150,7 @@
     })
 }
 
-/// All hosts as they count under a tree, by name.
+/// Merges all hosts of a tree with those of discovery, and returns them by name.
 pub fn merge_hosts(
     tree: &Tree,
     first_listed: &FirstListed,
@@ -174,7 +173,7 @@
     hosts
 }
 
-/// A host of discovery with what operators set of it.
+/// Merges a host of discovery with what operators configure for it.
 fn merge_listed(tree: &Tree, listed: &HostRecord) -> Option<HostRecord> {
     let name: Option<HostName> = listed.name.parse().ok();
     let configured = name.and_then(|name| {
--- a/file-watch/src/watch.rs
+++ b/file-watch/src/watch.rs
@@ -1,4 +1,5 @@
-//! The watching thread: looks when a change is notified or time has passed, reads, and hands on versions and rejections.
+//! The watching thread: polls the files after a notification or at intervals, reads them if they may have changed, and
+//! emits versions and rejections.
 
 use std::path::PathBuf;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
@@ -14,45 +15,46 @@
 /// Which files are watched, and how.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchSettings {
-    /// The paths of the files, in the order in which their contents are handed on.
+    /// The paths of the files, in the order in which their contents are passed to the parser.
     pub files: Vec<PathBuf>,
-    /// Bytes of one file that are read at most.
+    /// The maximum size of a file, in bytes.
     pub max_file_size: usize,
-    /// When changes have settled and how far versions are apart.
+    /// The times that decide when changed content is emitted.
     pub debounce: DebounceSettings,
-    /// Seconds after which content is compared though nothing seems to have changed.
+    /// Seconds after which the files are read and compared though their stamps are unchanged.
     pub compare_interval: f64,
-    /// Whether the operating system is asked to notify changes; if not, looks alone find them.
+    /// Whether to use change notifications of the operating system; if not, only polling finds changes.
     pub use_notifier: bool,
 }
 
-/// What a watch hands on.
+/// An event that the watching thread emits.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent<V> {
     /// A complete version.
     Version(V),
-    /// Files that are not accepted as they are, and would not be later.
+    /// The files have settled and are not a valid version.
     Rejected(ValidationErrors),
-    /// Files that may become a version: they do not belong together yet.
+    /// The files have settled but are of different generations: one of them may be replaced later.
     Pending(ValidationErrors),
 }
 
-/// Wakes the watching thread; one message that waits stands for any number.
+/// The channel that wakes the watching thread. It holds one message, which stands for any number of wake-ups.
 #[derive(Debug)]
 pub struct WakeChannel {
-    /// Wakes the thread.
+    /// The end that wakes the thread.
     pub sender: SyncSender<()>,
-    /// Where the thread waits.
+    /// The end that the thread waits on.
     pub receiver: Receiver<()>,
 }
 
-/// A channel by which the notifier and others wake the thread.
+/// Creates a channel through which the notifier and others wake the thread.
 pub fn wake_channel() -> WakeChannel {
     let (sender, receiver) = sync_channel(1);
     WakeChannel { sender, receiver }
 }
 
-/// Reads everything now, as a start needs it; returns what it gives and its digest.
+/// Reads and parses all files at once, without debouncing, as needed at startup. Returns the result and the digest of
+/// the contents.
 pub fn read_and_parse_files<V>(
     settings: &WatchSettings,
     parse: impl Fn(&[Content]) -> Parsed<V>,
@@ -69,25 +71,25 @@
         .collect()
 }
 
-/// What files of these kinds give together.
+/// Parses files of these kinds that make up a version together.
 pub fn parse_files(files: &[(FileKind, PathBuf)], contents: &[Content]) -> Parsed<Version> {
-    let places: Vec<String> = files
+    let locations: Vec<String> = files
         .iter()
         .map(|(_, path)| path.display().to_string())
         .collect();
     let files: Vec<_> = files
         .iter()
-        .zip(&places)
+        .zip(&locations)
         .zip(contents)
-        .map(|(((kind, _), place), content)| (*kind, place.as_str(), content))
+        .map(|(((kind, _), location), content)| (*kind, location.as_str(), content))
         .collect();
     parse_version(&files)
 }
 
-/// Watches until `notify` returns false or all senders of `wake` are gone.
+/// Watches the files until `notify` returns false or all senders of `wake` are dropped.
 ///
-/// `known_digest` is the digest of what is in force already; `heartbeat` is called at every look; `parse` is given the
-/// contents of all files.
+/// `known_digest` is the digest of the contents that are in force already; `heartbeat` is called at every poll; `parse`
+/// is given the contents of all files; `notify` is given each event.
 pub fn watch_files<V>(
     settings: &WatchSettings,
     known_digest: Option<u64>,
@@ -104,7 +106,7 @@
         .then(|| FileNotifier::new(&settings.files, wake.sender.clone()));
     loop {
         heartbeat();
-        let event = watcher.look(now, &parse);
+        let event = watcher.poll(now, &parse);
         if event.is_some_and(|event| !notify(event)) {
             return;
         }
@@ -120,13 +122,13 @@
     }
 }
 
-/// What a watch knows of its files.
+/// The state of a watch.
 struct Watcher<'a> {
     settings: &'a WatchSettings,
     debouncer: Debouncer,
-    /// The stamps at the last reading.
+    /// The stamps of the files just before they were read last.
     stamps: Vec<Option<FileStamp>>,
-    /// When content was read last, in seconds since the start; `None`: never.
+    /// When the files were read last, in seconds since the start of the watch; `None` if never.
     last_read: Option<f64>,
 }
 
@@ -134,7 +136,7 @@
     fn new(settings: &'a WatchSettings, known_digest: Option<u64>, now: f64) -> Self {
         let mut debouncer = Debouncer::new(settings.debounce);
         if let Some(digest) = known_digest {
-            // As if handled long enough ago: the first change is not delayed.
+            // Dated back by the minimum interval, so that the first change is not delayed.
             debouncer.mark_handled(now - settings.debounce.min_interval, digest);
         }
         Watcher {
@@ -145,44 +147,48 @@
         }
     }
 
-    /// Looks at the files and reads them where they may have changed; returns what is to be handed on.
-    fn look<V>(
+    /// Polls the files, and reads them if they may have changed. Returns the event to emit, if there is one.
+    fn poll<V>(
         &mut self,
         now: impl Fn() -> f64,
         parse: impl Fn(&[Content]) -> Parsed<V>,
     ) -> Option<WatchEvent<V>> {
         let files = &self.settings.files;
-        let stamps: Vec<_> = files.iter().map(|path| FileStamp::at(path)).collect();
+        let stamps: Vec<_> = files.iter().map(|path| FileStamp::of_path(path)).collect();
         let is_due = self
             .last_read
             .is_none_or(|last_read| now() - last_read >= self.settings.compare_interval);
         if stamps == self.stamps && !is_due && !self.debouncer.needs_read() {
             return None;
         }
-        // The stamps from before the reading: what changes during it is seen again.
+        // These stamps are from before the read, so that a change during the read is seen at the next poll.
         self.stamps = stamps;
         let contents = read_all(self.settings);
         let digest = digest(&contents);
         let read_at = now();
         self.last_read = Some(read_at);
         let action = self.debouncer.observe(read_at, digest);
-        let event = event_of(action, || parse(&contents));
-        if action == DebounceAction::OfferIfComplete && event.is_some() {
+        let event = event_for(action, || parse(&contents));
+        if action == DebounceAction::EmitIfComplete && event.is_some() {
             self.debouncer.mark_handled(read_at, digest);
         }
         event
     }
 }
 
-/// What is handed on: only a complete version where nothing has settled, otherwise whatever the files give.
-fn event_of<V>(action: DebounceAction, parse: impl FnOnce() -> Parsed<V>) -> Option<WatchEvent<V>> {
+/// Returns the event to emit: only a complete version if the content has not settled, otherwise whatever the result
+/// of parsing is.
+fn event_for<V>(
+    action: DebounceAction,
+    parse: impl FnOnce() -> Parsed<V>,
+) -> Option<WatchEvent<V>> {
     match action {
         DebounceAction::Wait => None,
-        DebounceAction::OfferIfComplete => match parse() {
+        DebounceAction::EmitIfComplete => match parse() {
             Parsed::Complete(version) => Some(WatchEvent::Version(version)),
             _ => None,
         },
-        DebounceAction::Offer => Some(match parse() {
+        DebounceAction::Emit => Some(match parse() {
             Parsed::Complete(version) => WatchEvent::Version(version),
             Parsed::Mismatched(errors) => WatchEvent::Pending(errors),
             Parsed::Incomplete(errors) | Parsed::Invalid(errors) => WatchEvent::Rejected(errors),
--- a/router/src/routing/dispatch_decisions.rs
+++ b/router/src/routing/dispatch_decisions.rs
@@ -1,4 +1,5 @@
-//! Dispatch of decisions: an event goes to the decisions, and their effects are carried out. Nothing is decided here.
+//! The interface to the decisions: passes events to them and carries out the effects that they return. Nothing is
+//! decided here.
 
 use kestreltide::interface::*;
 use slog::info;
@@ -8,36 +9,40 @@
 use crate::protocol::client;
 use crate::protocol::resp::write_error;
 
-const MILLIS: f64 = 1e3;
+const MILLIS_PER_SECOND: f64 = 1e3;
 
 impl Routing {
+    /// Passes an event to the decisions and carries out its effects. A request whose client has disconnected is
+    /// removed after the decisions have processed that.
     pub(super) fn dispatch_event(&mut self, event: Event) {
         let mut effects = std::mem::take(&mut self.effects);
-        let left = if let Event::ClientDisconnected { request } = &event {
+        let disconnected = if let Event::ClientDisconnected { request } = &event {
             Some(request.clone())
         } else {
             None
         };
         self.decisions
             .handle(self.event_loop.now(), event, &mut effects);
-        left.map(|request| self.requests.release(&request));
+        disconnected.map(|request| self.requests.release(&request));
         self.carry_out_all(effects);
     }
 
-    /// Lets the decisions begin what goes by time, though no event has come yet.
-    pub(super) fn begin_decisions(&mut self) {
+    /// Starts the timers of the decisions without waiting for the first event: those of gossip rounds and, where the
+    /// endpoint list is polled, of polls.
+    pub(super) fn start_decision_timers(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         self.decisions
             .start_timers(self.event_loop.now(), &mut effects);
         self.carry_out_all(effects);
     }
 
-    /// Carries out effects, and keeps their buffer for the next event.
+    /// Carries out effects, and keeps the emptied buffer for the next event.
     fn carry_out_all(&mut self, mut effects: Vec<Effect>) {
         effects.drain(..).for_each(|effect| self.carry_out(effect));
         self.effects = effects;
     }
 
+    /// Carries out one effect.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::StartAttempt {
@@ -52,12 +57,13 @@
                 retry_after,
             } => {
                 self.event_loop.metrics.increment(Counter::RequestsShed);
-                let millis = retry_after.map(|time| (time * MILLIS).ceil().max(0.0) as u64);
-                self.answer(&request, |out| client::write_busy(out, millis));
+                let millis =
+                    retry_after.map(|time| (time * MILLIS_PER_SECOND).ceil().max(0.0) as u64);
+                self.respond(&request, |out| client::write_busy(out, millis));
             }
             Effect::FailRequest { request } => {
                 self.event_loop.metrics.increment(Counter::RequestsFailed);
-                self.answer(&request, |out| write_error(out, "ERR failed"));
+                self.respond(&request, |out| write_error(out, "ERR failed"));
             }
             Effect::ScheduleTimer { at, key } => {
                 self.event_loop.schedule(at, TimerEvent::Decisions(key))
--- a/router/src/routing/mod.rs
+++ b/router/src/routing/mod.rs
@@ -1,8 +1,10 @@
-//! The path of a request and its event loop: each owner of state is a type of its own, and [`Routing`] carries what
-//! crosses between them. Only `dispatch_decisions` speaks with the decisions.
+//! The request path of the router and its event loop.
+//!
+//! Each part of the state is owned by a type of its own. [`Routing`] holds these and carries out what involves several
+//! of them. Only `dispatch_decisions` calls the decisions, which choose hosts, retries and votes ([`Router`]).
 
 mod admission;
-mod arrivals;
+mod arrival_times;
 mod attempts;
 mod client_connection;
 mod discovery_watch;
@@ -43,58 +45,68 @@
 use platform_client::PlatformClient;
 use upstream_pool::UpstreamPool;
 
-/// The addresses of this router and of those that it speaks with.
+/// The addresses of this router and of the services that it connects to.
 pub struct Addresses {
+    /// Where clients connect.
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
+    /// `None` for a service without a rollout platform.
     pub platform: Option<SocketAddr>,
+    /// Where this router receives gossip; `None` turns gossip off.
     pub peer_listen: Option<SocketAddr>,
+    /// The gossip addresses of all routers, by [`RouterId`].
     pub peers: Vec<SocketAddr>,
+    /// An address that reaches all routers, where there is one.
     pub peers_all: Option<SocketAddr>,
 }
 
-/// What is to be done after a turn of the event loop.
+/// What the caller does after an iteration of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
+    /// Run the next iteration.
     Continue,
-    /// The configuration is to be read again, then the next turn.
+    /// SIGHUP was received: read the configuration again, then run the next iteration.
     ReloadConfiguration,
+    /// The graceful shutdown has finished: end the program.
     Stop,
 }
 
-/// Why the router reports that it is ready to serve.
+/// Why the router becomes ready to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadyReason {
-    /// Discovery and the platform have both answered.
-    Observed,
-    /// Operators alone list the endpoints: discovery is not asked.
+    /// Discovery and the platform have both sent their state.
+    StateReceived,
+    /// Operators alone list the endpoints; discovery is not used.
     OperatorsOnly,
-    /// The time to wait for discovery and the platform is over.
+    /// The time to wait for discovery and the platform has passed.
     Timeout,
 }
 
 impl ReadyReason {
-    /// The reason as the log names it.
+    /// The value of `by` in the log line "ready".
     fn name(self) -> &'static str {
         match self {
-            ReadyReason::Observed => "news",
+            ReadyReason::StateReceived => "news",
             ReadyReason::OperatorsOnly => "operators",
             ReadyReason::Timeout => "time",
         }
     }
 }
 
-/// The router: all owners of state, and what crosses between them.
+/// The router: all of its state, and the operations that involve several parts of it.
 pub struct Routing {
     event_loop: EventLoop,
     transport: TransportSettings,
+    /// Of each operation, by [`OperationId`].
     idempotency: Vec<Idempotency>,
     decisions: Router,
+    /// A buffer for the effects of one event, kept to avoid allocations.
     effects: Vec<Effect>,
-    /// Clients whose further commands may be taken now.
+    /// Clients that have received a response, so that further commands of their pipeline may be taken.
     resumed_clients: Vec<SocketId>,
-    /// Clients that have had their turn and have more to be read.
-    ready_again: Vec<SocketId>,
+    /// Clients whose read was cut short by `read_bytes_per_turn`; they are read again in the next iteration.
+    clients_with_more_input: Vec<SocketId>,
+    /// `None` once the graceful shutdown has closed it.
     listener: Option<Listener>,
     clients: BTreeMap<SocketId, Client>,
     requests: RequestTable,
@@ -102,22 +114,28 @@
     endpoints: EndpointTable,
     discovery: DiscoveryWatch,
     platform: Option<PlatformClient>,
-    /// The status of the newest build, as last received.
+    /// The last status received of the newest build.
     rollout_status: Option<RolloutStatus>,
     peers: Option<GossipPeers>,
-    /// The link to the management threads, where there are any.
+    /// The link to the management threads; `None` where there are none.
     management: Option<management_link::ManagementLink>,
-    ready: bool,
-    /// When the router began, in Unix seconds.
+    is_ready: bool,
+    /// When the router was started, in Unix seconds.
     started_at: f64,
-    /// A timer is set for clients that could not be accepted.
-    accept_due: bool,
+    /// Whether a [`TimerEvent::AcceptAgain`] timer is pending.
+    accept_scheduled: bool,
     shutdown: GracefulShutdown,
-    /// A timer is set for clients that are silent, or were notified of the close.
+    /// Whether a [`TimerEvent::DrainAgain`] timer is pending.
     drain_scheduled: bool,
 }
 
 impl Routing {
+    /// Opens the listener and the gossip socket; connects to nothing yet. `seed` seeds the decisions and the jitter
+    /// of backoffs.
+    ///
+    /// # Errors
+    ///
+    /// Where a socket cannot be opened or registered with the reactor.
     pub fn start(
         log: Logger,
         (limits, clock): (Limits, Clock),
@@ -126,24 +144,28 @@
         addresses: Addresses,
         seed: u64,
     ) -> io::Result<Self> {
-        let (now, (terms, transport)) = (clock.now(), settings);
+        let (now, (service, transport)) = (clock.now(), settings);
         let listener = Listener::open(
             &mut reactor,
             addresses.listen,
             limits.clients.backlog,
             SocketOwner::Listener.priority(),
         )?;
-        let at = listener.address()?;
-        let idempotency = terms.operations.iter().map(|o| o.idempotency).collect();
+        let listen_address = listener.address()?;
+        let idempotency = service
+            .operations
+            .iter()
+            .map(|operation| operation.idempotency)
+            .collect();
         let discovery =
-            DiscoveryWatch::new(addresses.discovery, terms.polls_endpoint_list, &limits);
+            DiscoveryWatch::new(addresses.discovery, service.polls_endpoint_list, &limits);
         let platform = addresses
             .platform
-            .map(|at| PlatformClient::new(at, transport.operations.clone(), &limits));
-        let peers = match addresses.peer_listen.filter(|_| terms.may_gossip) {
-            Some(at) => Some(GossipPeers::open(
+            .map(|address| PlatformClient::new(address, transport.operations.clone(), &limits));
+        let peers = match addresses.peer_listen.filter(|_| service.may_gossip) {
+            Some(listen) => Some(GossipPeers::open(
                 &mut reactor,
-                at,
+                listen,
                 addresses.peers,
                 addresses.peers_all,
                 &limits,
@@ -153,18 +175,18 @@
         let endpoints = EndpointTable::new(limits.discovery.hosts);
         let mut routing = Routing {
             event_loop: EventLoop::new(log, limits, clock, reactor, seed),
-            decisions: Router::start(terms, seed, now),
+            decisions: Router::start(service, seed, now),
             effects: vec![],
             resumed_clients: vec![],
-            ready_again: vec![],
+            clients_with_more_input: vec![],
             listener: Some(listener),
             clients: BTreeMap::new(),
             requests: RequestTable::default(),
             upstreams: UpstreamPool::default(),
             endpoints,
-            ready: false,
+            is_ready: false,
             started_at: now,
-            accept_due: false,
+            accept_scheduled: false,
             shutdown: GracefulShutdown::new(),
             drain_scheduled: false,
             transport,
@@ -183,71 +205,79 @@
             now + routing.event_loop.limits.event_loop.ready_timeout,
             TimerEvent::Ready,
         );
-        info!(routing.event_loop.log, "listening"; "at" => %at, "clients" => routing.event_loop.limits.clients.connections,
+        info!(routing.event_loop.log, "listening"; "at" => %listen_address, "clients" => routing.event_loop.limits.clients.connections,
             "host_links" => routing.event_loop.limits.upstream.connections);
         Ok(routing)
     }
 
-    /// Reaches out to discovery and the platform; what the router held before has been told by now.
+    /// Connects to discovery and the platform and starts the decisions. State from before the start is to be restored
+    /// before this call.
     pub fn connect(&mut self) {
         if !self.discovery.is_on_demand() {
             self.begin_watch();
         }
         self.with_platform(PlatformClient::connect);
         self.publish_view();
-        if self.discovery.is_off() {
+        if self.discovery.is_disabled() {
             self.mark_ready(ReadyReason::OperatorsOnly);
         }
-        self.begin_decisions();
+        self.start_decision_timers();
         self.process_pending();
     }
 
-    /// Discovery and the platform have moved, and nothing else has: what was learnt from them stays.
+    /// Connects to discovery and the platform at new addresses. The state that the old ones have sent is kept.
     pub fn change_addresses(&mut self, discovery: SocketAddr, platform: Option<SocketAddr>) {
         self.change_discovery_address(discovery);
-        if let Some(at) = platform {
-            self.change_platform_address(at);
+        if let Some(address) = platform {
+            self.change_platform_address(address);
         }
         self.process_pending();
     }
 
-    /// Sleeps until something happens and serves it.
+    /// Runs one iteration of the event loop: sleeps until a socket, a signal or a timer is due, and handles all of
+    /// them.
+    ///
+    /// # Errors
+    ///
+    /// Where polling the sockets fails.
     pub fn run_iteration(&mut self) -> io::Result<NextStep> {
-        let may_sleep = self.ready_again.is_empty() && !self.is_staging();
+        let may_sleep = self.clients_with_more_input.is_empty() && !self.is_staging();
         let (sockets, signals) = self.event_loop.poll(may_sleep)?;
         if signals.stop {
             self.advance_shutdown(ShutdownInput::Requested);
         }
-        // Those that come to it in this turn wait for the next one.
-        let ready_again = std::mem::take(&mut self.ready_again);
+        // Clients that are added during this iteration are read in the next one.
+        let clients_with_more_input = std::mem::take(&mut self.clients_with_more_input);
         for socket in sockets {
-            self.serve(socket);
+            self.handle_ready_socket(socket);
             self.process_pending();
         }
-        // A client that is both ready and due again is served once more.
-        for id in ready_again {
+        // A client that was also reported as ready is read a second time.
+        for id in clients_with_more_input {
             self.read_client(id);
             self.process_pending();
         }
         self.stage_next_part();
-        // Only what was due before anything was read: answers that are here go before time-outs.
+        // Timers run after the sockets, and only those that were due when the sleep ended, so that a response that has
+        // arrived takes precedence over its timeout.
         while let Some(event) = self.event_loop.next_due_timer() {
             self.on_timer(event);
             self.process_pending();
         }
         Ok(match signals.reload {
-            _ if self.is_over() => NextStep::Stop,
+            _ if self.update_shutdown() => NextStep::Stop,
             true => NextStep::ReloadConfiguration,
             false => NextStep::Continue,
         })
     }
 
-    fn serve(&mut self, socket: ReadySocket) {
+    /// Handles a socket that the poll reported as ready.
+    fn handle_ready_socket(&mut self, socket: ReadySocket) {
         let id = socket.id;
         match socket.owner {
             SocketOwner::Discovery => self.on_discovery_readable(id),
             SocketOwner::Platform => self.with_platform(|platform, event_loop| {
-                // The socket may be that of a connection that was closed meanwhile.
+                // The connection may have been replaced since the poll.
                 if platform.owns(id) {
                     platform.on_readable(event_loop);
                 }
@@ -266,6 +296,7 @@
         }
     }
 
+    /// Handles a timer that is due.
     fn on_timer(&mut self, event: TimerEvent) {
         match event {
             TimerEvent::Decisions(key) => self
@@ -274,10 +305,10 @@
             TimerEvent::UpstreamUseTimeout(id, number) => self.on_use_timeout(id, number),
             TimerEvent::UpstreamWriteTimeout(id, number) => self.on_write_timeout(id, number),
             TimerEvent::AcceptAgain => {
-                self.accept_due = false;
+                self.accept_scheduled = false;
                 let _ = self.accept();
             }
-            TimerEvent::ExpireIdle => self.expire_idle(),
+            TimerEvent::ExpireIdle => self.run_periodic_checks(),
             TimerEvent::DiscoveryCallTimeout(id, number) => {
                 self.discovery
                     .on_call_timeout(&mut self.event_loop, id, number)
@@ -288,7 +319,7 @@
             }
             TimerEvent::DiscoveryAnswerTimeout(id, number) => {
                 self.discovery
-                    .on_answer_timeout(&mut self.event_loop, id, number)
+                    .on_response_stall(&mut self.event_loop, id, number)
             }
             TimerEvent::DiscoveryRetry => self.begin_watch(),
             TimerEvent::PlatformReconnect => self.with_platform(PlatformClient::connect),
@@ -302,14 +333,14 @@
             TimerEvent::ServingOver => self.advance_shutdown(ShutdownInput::ServingOver),
             TimerEvent::DrainingOver => self.advance_shutdown(ShutdownInput::DrainingOver),
             TimerEvent::DrainAgain => self.on_drain_timer(),
-            TimerEvent::LastClientsOver(round) => self.on_last_clients_over(round),
+            TimerEvent::LastClientsOver(number) => self.on_last_clients_over(number),
             TimerEvent::KillNear => self.advance_shutdown(ShutdownInput::KillNear),
             TimerEvent::ShutdownDeadline => self.advance_shutdown(ShutdownInput::Deadline),
             TimerEvent::PublishView => self.publish_view(),
         }
     }
 
-    /// Events until none is left, and the commands of clients that may go on.
+    /// Passes events to the decisions until none is left, and reads the clients that were resumed by their effects.
     fn process_pending(&mut self) {
         loop {
             if let Some(event) = self.event_loop.next_decision_event() {
@@ -322,34 +353,41 @@
         }
     }
 
-    /// Serves by what is remembered, as discovery or the platform has not answered; but where the endpoint list is
-    /// asked for in turn with hundreds of routers, the known one may be older than what counts as told, so that the
-    /// turn is waited for.
+    /// Makes the router ready with its restored state, as discovery or the platform has not answered within
+    /// `ready_timeout`.
+    ///
+    /// Where the endpoint list is polled, discovery serves hundreds of routers in turn, and the restored list may be
+    /// so old that hosts have drained for longer than a router may fail to notice. The router then waits for its
+    /// first poll, until `first_poll_timeout` at most.
     fn on_ready_timeout(&mut self) {
         let now = self.event_loop.now();
         let limits = &self.event_loop.limits.event_loop;
-        let waits_for_turn = self.discovery.awaits_first_answer()
+        let awaits_first_poll = self.discovery.awaits_first_answer()
             && now < self.started_at + limits.first_poll_timeout;
-        if waits_for_turn {
-            let next = now + limits.ready_retry_interval;
-            return self.event_loop.schedule(next, TimerEvent::Ready);
+        if awaits_first_poll {
+            let retry_at = now + limits.ready_retry_interval;
+            return self.event_loop.schedule(retry_at, TimerEvent::Ready);
         }
         self.mark_ready(ReadyReason::Timeout);
     }
 
+    /// Makes the router ready to serve, once discovery and the platform have sent their state or the time to wait for
+    /// them has passed.
     fn mark_ready(&mut self, reason: ReadyReason) {
-        let has_observed = self.discovery.has_answered()
+        let has_received_all = self.discovery.has_answered()
             && self
                 .platform
                 .as_ref()
                 .is_none_or(PlatformClient::has_received_state);
-        if !self.ready && (has_observed || reason == ReadyReason::Timeout) {
-            self.ready = true;
+        if !self.is_ready && (has_received_all || reason == ReadyReason::Timeout) {
+            self.is_ready = true;
             info!(self.event_loop.log, "ready"; "by" => reason.name(), "hosts" => self.endpoints.len());
         }
     }
 
-    fn expire_idle(&mut self) {
+    /// Closes what has been idle, silent or unread for too long, and logs the counters; repeats every
+    /// `expiry_interval`.
+    fn run_periodic_checks(&mut self) {
         let now = self.event_loop.now();
         self.event_loop.schedule(
             now + self.event_loop.limits.event_loop.expiry_interval,
@@ -360,10 +398,10 @@
             .close_idle_since(&self.event_loop, idle_since);
         self.with_platform(|platform, event_loop| platform.check_silence(event_loop, now));
         self.close_clients_not_reading(now);
-        self.expire_clients_without_request(now);
+        self.expire_clients_without_command(now);
         self.check_heartbeats(now);
-        let using = self.upstreams.hosts();
-        self.endpoints.forget_gone(&using);
+        let connected_hosts = self.upstreams.hosts();
+        self.endpoints.forget_removed(&connected_hosts);
         if let Some(line) = self
             .event_loop
             .metrics
