--- a/management/src/gnmi/access.rs
+++ b/management/src/gnmi/access.rs
@@ -1,13 +1,13 @@
-//! Authentication and authorization of requests, by the certificate of their connection.
+//! Authentication and authorization of requests by the client certificate of the TLS connection.
 
 use kestreltide_datastore::{Credential, Key, Rights};
 use tonic::{Request, Status};
 
-use super::Service;
+use super::GnmiService;
 
-impl Service {
-    /// The key of the client of a request, and its rights.
-    pub(super) fn key<T>(&self, request: &Request<T>) -> Result<(Key, Rights), Status> {
+impl GnmiService {
+    /// Looks up the client certificate of a request in the file of keys, and returns its key and rights.
+    pub(super) fn authenticate<T>(&self, request: &Request<T>) -> Result<(Key, Rights), Status> {
         let denied = || {
             Status::unauthenticated(
                 "certificate: is not in the file of keys (given: another; taken: one of it)",
@@ -28,9 +28,9 @@
         Ok((key, rights))
     }
 
-    /// The key of the client of a request, which may read.
-    pub(super) fn may_read<T>(&self, request: &Request<T>) -> Result<Key, Status> {
-        let (key, rights) = self.key(request)?;
+    /// Authenticates the client of a request and checks its right to read.
+    pub(super) fn authorize_read<T>(&self, request: &Request<T>) -> Result<Key, Status> {
+        let (key, rights) = self.authenticate(request)?;
         let denied = format!(
             "reading: is beyond the rights of this key (given: {rights}; taken: the right read)"
         );
--- a/management/src/gnmi/confirmed_commit.rs
+++ b/management/src/gnmi/confirmed_commit.rs
@@ -1,4 +1,5 @@
-//! Confirmed commits (gNMI extension `Commit`): the sessions that own them, and how they are confirmed or cancelled.
+//! Confirmed commits (gNMI extension `Commit`): the sessions that own pending commits, and their confirmation and
+//! cancellation.
 
 use std::sync::PoisonError;
 
@@ -6,28 +7,32 @@
 use kestreltide_datastore::commit_coordinator::SessionId;
 use tonic::Status;
 
-use super::Service;
+use super::GnmiService;
 use super::errors::{commit_error_status, invalid_argument};
 use crate::proto::gnmi_ext::Commit as CommitExt;
 use crate::proto::gnmi_ext::commit::Action;
 
-impl Service {
-    /// The session at the commit service that owns the pending commits of a key; none if the service does not reply.
+impl GnmiService {
+    /// The session at the commit service that owns the pending commits of a key, opened on first use; none if the
+    /// commit service does not reply.
     pub(super) async fn confirming_session(&self, key: &Key) -> Option<SessionId> {
         if let Some(session) = self
-            .sessions
+            .commit_sessions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .get(&key.name)
         {
             return Some(*session);
         }
-        let session = self.commit_service.open().await?;
-        let mut sessions = self.sessions.lock().unwrap_or_else(PoisonError::into_inner);
+        let session = self.commit_service.open_session().await?;
+        let mut sessions = self
+            .commit_sessions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         Some(*sessions.entry(key.name.clone()).or_insert(session))
     }
 
-    /// Confirms or cancels the pending commit if the extension asks for that; false if it starts a commit.
+    /// Confirms or cancels the pending commit if the extension requests that; false if it starts a confirmed commit.
     pub(super) async fn confirm_or_cancel(
         &self,
         key: &Key,
@@ -38,7 +43,7 @@
             Some(Action::Confirm(_)) => {
                 let session = self.confirming_session(key).await;
                 self.commit_service
-                    .confirm(session, persist_id)
+                    .confirm_commit(session, persist_id)
                     .await
                     .map_err(|error| commit_error_status(&error))?;
                 Ok(true)
@@ -46,7 +51,7 @@
             Some(Action::Cancel(_)) => {
                 let session = self.confirming_session(key).await;
                 self.commit_service
-                    .cancel(session, persist_id)
+                    .cancel_commit(session, persist_id)
                     .await
                     .map_err(|error| commit_error_status(&error))?;
                 Ok(true)
--- a/management/src/gnmi/encoding.rs
+++ b/management/src/gnmi/encoding.rs
@@ -1,4 +1,4 @@
-//! Values in the supported encodings: JSON_IETF, JSON and PROTO.
+//! Encoding and decoding of values: JSON_IETF, JSON and PROTO.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 use serde_json::Value as Json;
 use tonic::Status;
 
-use super::Service;
+use super::GnmiService;
 use super::errors::invalid_argument;
-use super::paths::path_of;
+use super::paths::to_gnmi_path;
 use crate::proto::gnmi::typed_value::Value;
 use crate::proto::gnmi::{Encoding, ScalarArray, TypedValue, Update};
 
-/// The encoding of a request, if it is supported.
+/// Checks that the encoding of a request is supported.
 pub(super) fn supported_encoding(encoding: i32) -> Result<Encoding, Status> {
     match Encoding::try_from(encoding) {
         Ok(encoding @ (Encoding::Json | Encoding::JsonIetf | Encoding::Proto)) => Ok(encoding),
@@ -24,8 +24,9 @@
     }
 }
 
-impl Service {
-    pub(super) fn json_value(&self, data: &DataNode, encoding: Encoding) -> TypedValue {
+impl GnmiService {
+    /// Encodes a data node as JSON or JSON_IETF.
+    pub(super) fn encode_json(&self, data: &DataNode, encoding: Encoding) -> TypedValue {
         let bytes = json::encode_value(self.schema, data)
             .to_string()
             .into_bytes();
@@ -37,14 +38,14 @@
         TypedValue { value: Some(value) }
     }
 
-    /// A received value as JSON, whatever its encoding.
-    pub(super) fn json_value_of(
+    /// Converts a received value of any supported encoding to JSON; `node` is its schema node.
+    pub(super) fn typed_value_to_json(
         &self,
-        at: &str,
+        path_string: &str,
         node: Option<NodeId>,
         value: &Value,
     ) -> Result<Json, Status> {
-        let typed = |text: String| {
+        let scalar_to_json = |text: String| {
             let kind = node.map(|node| &self.schema.node_of(node).kind);
             match kind {
                 Some(NodeKind::Leaf { leaf_type, .. } | NodeKind::LeafList { leaf_type })
@@ -57,32 +58,32 @@
         };
         Ok(match value {
             Value::JsonIetfVal(bytes) | Value::JsonVal(bytes) => {
-                let read = serde_json::from_slice(bytes);
-                read.map_err(|e| {
+                let parsed = serde_json::from_slice(bytes);
+                parsed.map_err(|e| {
                     invalid_argument(
-                        at,
+                        path_string,
                         &format!("is no JSON: {e}"),
                         &String::from_utf8_lossy(bytes),
                         "JSON (RFC 7951)",
                     )
                 })?
             }
-            Value::StringVal(text) | Value::AsciiVal(text) => typed(text.clone()),
-            Value::IntVal(number) => typed(number.to_string()),
-            Value::UintVal(number) => typed(number.to_string()),
-            Value::DoubleVal(number) => typed(format!("{number:.6}")),
+            Value::StringVal(text) | Value::AsciiVal(text) => scalar_to_json(text.clone()),
+            Value::IntVal(number) => scalar_to_json(number.to_string()),
+            Value::UintVal(number) => scalar_to_json(number.to_string()),
+            Value::DoubleVal(number) => scalar_to_json(format!("{number:.6}")),
             Value::BoolVal(flag) => Json::Bool(*flag),
-            Value::LeaflistVal(all) => {
-                let items = all.element.iter().filter_map(|item| item.value.as_ref());
+            Value::LeaflistVal(array) => {
+                let items = array.element.iter().filter_map(|item| item.value.as_ref());
                 Json::Array(
                     items
-                        .map(|item| self.json_value_of(at, node, item))
+                        .map(|item| self.typed_value_to_json(path_string, node, item))
                         .collect::<Result<_, _>>()?,
                 )
             }
             Value::BytesVal(_) | Value::AnyVal(_) | Value::ProtoBytes(_) => {
                 return Err(invalid_argument(
-                    at,
+                    path_string,
                     "is of a form that is not read",
                     "bytes",
                     "JSON_IETF, JSON or PROTO",
@@ -92,31 +93,37 @@
     }
 }
 
-/// The update of one leaf.
-pub(super) fn update(at: &InstancePath, value: &TypedValue, duplicates: u32) -> Update {
+/// The update message of one leaf; `duplicates` is the number of coalesced changes.
+pub(super) fn leaf_update(path: &InstancePath, value: &TypedValue, duplicates: u32) -> Update {
     Update {
-        path: Some(path_of(at)),
+        path: Some(to_gnmi_path(path)),
         val: Some(value.clone()),
         duplicates,
     }
 }
 
-/// Collects the leaves of a data node with their values; the values of a leaf-list are one array.
-pub(super) fn collect_leaves(
+/// Collects the values of all leaves of a data node by their paths; the values of a leaf-list form one array.
+pub(super) fn collect_leaf_values(
     schema: &Schema,
     encoding: Encoding,
-    at: &InstancePath,
+    path: &InstancePath,
     data: &DataNode,
     out: &mut BTreeMap<InstancePath, TypedValue>,
 ) {
     match &data.content {
         Content::Inner(children) => {
             children.iter().for_each(|child| {
-                collect_leaves(schema, encoding, &at.child(child.step(schema)), child, out)
+                collect_leaf_values(
+                    schema,
+                    encoding,
+                    &path.child(child.step(schema)),
+                    child,
+                    out,
+                )
             });
         }
         Content::Leaf(text) => {
-            let list = matches!(schema.node_of(data.node).kind, NodeKind::LeafList { .. });
+            let is_leaf_list = matches!(schema.node_of(data.node).kind, NodeKind::LeafList { .. });
             let value = json::encode_value(schema, data);
             let value = match (encoding, value) {
                 (Encoding::Proto, Json::Bool(flag)) => Value::BoolVal(flag),
@@ -124,36 +131,37 @@
                     Some(number) => Value::UintVal(number),
                     None => Value::IntVal(number.as_i64().unwrap_or_default()),
                 },
-                (Encoding::Proto, _) => proto_text(schema, data.node, text),
+                (Encoding::Proto, _) => proto_value(schema, data.node, text),
                 (Encoding::Json, value) => Value::JsonVal(value.to_string().into_bytes()),
                 (_, value) => Value::JsonIetfVal(value.to_string().into_bytes()),
             };
-            match (list, out.get_mut(at)) {
+            match (is_leaf_list, out.get_mut(path)) {
                 (
                     true,
                     Some(TypedValue {
-                        value: Some(Value::LeaflistVal(all)),
+                        value: Some(Value::LeaflistVal(array)),
                     }),
-                ) => all.element.push(TypedValue { value: Some(value) }),
+                ) => array.element.push(TypedValue { value: Some(value) }),
                 (true, _) => {
-                    let all = ScalarArray {
+                    let array = ScalarArray {
                         element: vec![TypedValue { value: Some(value) }],
                     };
                     out.insert(
-                        at.clone(),
+                        path.clone(),
                         TypedValue {
-                            value: Some(Value::LeaflistVal(all)),
+                            value: Some(Value::LeaflistVal(array)),
                         },
                     );
                 }
-                _ => drop(out.insert(at.clone(), TypedValue { value: Some(value) })),
+                _ => drop(out.insert(path.clone(), TypedValue { value: Some(value) })),
             }
         }
     }
 }
 
-/// The PROTO value of a leaf that is a string in JSON: integers of 64 bits and decimals are numbers in PROTO.
-fn proto_text(schema: &Schema, node: NodeId, text: &str) -> Value {
+/// The PROTO value of a leaf that is a string in JSON. 64-bit integers and decimals are strings in JSON (RFC 7951) but
+/// numbers in PROTO.
+fn proto_value(schema: &Schema, node: NodeId, text: &str) -> Value {
     use kestreltide_yang::types::Type;
     match &schema.node_of(node).kind {
         NodeKind::Leaf {
--- a/management/src/gnmi/serve.rs
+++ b/management/src/gnmi/serve.rs
@@ -1,4 +1,4 @@
-//! Serves gNMI on a listener, with TLS, client certificates and limits.
+//! The gNMI server: serves a listener with TLS, client certificates and limits.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::{Arc, Mutex};
@@ -8,52 +8,53 @@
 use tokio::net::TcpListener;
 use tonic::transport::{Certificate, Identity, Server, ServerTlsConfig};
 
-use super::Service;
+use super::GnmiService;
 use super::connections::accept_connections;
-use super::snapshot::follow_published;
+use super::snapshot::watch_snapshots;
 use crate::commit_service::CommitServiceHandle;
 use crate::proto::gnmi::g_nmi_server::GNmiServer;
 use crate::{Limits, ServeError};
 
-/// The certificates and the key of TLS, in PEM.
+/// The certificates and the private key of the TLS server, in PEM.
 pub struct TlsCredentials {
     /// The certificate chain of the server.
     pub certificate: Vec<u8>,
     /// The private key of the server.
     pub key: Vec<u8>,
-    /// The certificate that signs the certificates of clients.
+    /// The CA certificate that signs the client certificates.
     pub client_ca: Vec<u8>,
 }
 
-/// Serves until the listener fails for good.
+/// Serves the listener until the server fails; a failed `accept` is retried.
 ///
 /// # Errors
 ///
-/// When the certificate cannot be used, and when the listener fails.
+/// When the published YANG modules are invalid, when the certificate or the key cannot be used, and when the server
+/// fails.
 pub async fn serve(
     log: Logger,
     commit_service: CommitServiceHandle,
     limits: Limits,
     listener: TcpListener,
-    tls: TlsCredentials,
+    credentials: TlsCredentials,
 ) -> Result<(), ServeError> {
     let schema = kestreltide_yang::published_schema()?;
     let binding = Arc::new(Binding::new(schema)?);
-    let snapshot = follow_published(schema, binding.clone(), commit_service.clone());
-    let service = Service {
+    let snapshot = watch_snapshots(schema, binding.clone(), commit_service.clone());
+    let service = GnmiService {
         log: log.clone(),
         commit_service,
         limits: limits.clone(),
         schema,
         binding,
         snapshot,
-        masters: Mutex::default(),
-        sessions: Mutex::default(),
-        streams: Arc::default(),
-        next_set: AtomicU32::new(1),
+        highest_election_ids: Mutex::default(),
+        commit_sessions: Mutex::default(),
+        open_streams: Arc::default(),
+        next_set_number: AtomicU32::new(1),
     };
     let service = GNmiServer::new(service).max_decoding_message_size(limits.max_message_bytes);
-    let config = tls_config(tls, &limits);
+    let config = server_tls_config(credentials, &limits);
     let server = Server::builder()
         .tls_config(config)
         .map_err(ServeError::Certificate)?;
@@ -77,10 +78,10 @@
         })
 }
 
-/// TLS that requires client certificates and limits the time of a handshake.
-fn tls_config(tls: TlsCredentials, limits: &Limits) -> ServerTlsConfig {
-    let clients = Certificate::from_pem(tls.client_ca);
-    let identity = Identity::from_pem(tls.certificate, tls.key);
+/// The TLS configuration, which requires client certificates and limits the time of a handshake.
+fn server_tls_config(credentials: TlsCredentials, limits: &Limits) -> ServerTlsConfig {
+    let clients = Certificate::from_pem(credentials.client_ca);
+    let identity = Identity::from_pem(credentials.certificate, credentials.key);
     ServerTlsConfig::new()
         .identity(identity)
         .client_ca_root(clients)
--- a/management/src/netconf/framing.rs
+++ b/management/src/netconf/framing.rs
@@ -1,38 +1,39 @@
-//! Framing of NETCONF messages over SSH (RFC 6242, section 4): an end-of-message mark until both sides have sent their
-//! hello, chunks afterwards. Memory is bounded by the limit of a message, whatever length a chunk announces.
+//! Framing of NETCONF messages over SSH (RFC 6242, section 4): end-of-message framing for the hello messages, chunked
+//! framing afterwards if both sides support it. The announced size of a chunk is checked against the message limit
+//! before its data is stored, so that a client cannot make the decoder allocate more than that limit.
 
 use thiserror::Error;
 
-/// How messages are framed.
+/// The framing mechanism of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// Each message ends with `]]>]]>`.
-    EndMark,
-    /// Each message is sent in chunks with their lengths.
-    Chunks,
+    /// End-of-message framing: each message ends with `]]>]]>`.
+    EndOfMessage,
+    /// Chunked framing: each message is a sequence of chunks, each with its size in bytes.
+    Chunked,
 }
 
-/// The end-of-message mark.
-const END_MARK: &[u8] = b"]]>]]>";
-/// Digits of the length of a chunk, at most.
-const MAX_CHUNK_DIGITS: usize = 10;
-/// `LF # # LF`, which ends a message in chunks, in bytes.
-const END_OF_CHUNKS_LENGTH: usize = 4;
+/// The end-of-message delimiter.
+const END_OF_MESSAGE: &[u8] = b"]]>]]>";
+/// Maximum number of digits of a chunk size.
+const MAX_CHUNK_SIZE_DIGITS: usize = 10;
+/// Length of `LF # # LF`, which ends a chunked message, in bytes.
+const END_OF_CHUNKS_BYTES: usize = 4;
 
-/// Why bytes are not messages; nothing behind them can be decoded.
+/// A framing error. The bytes after it cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FramingError {
-    /// A message exceeds the limit.
-    #[error("a message is too long")]
+    /// A message exceeds the size limit.
+    #[error("message exceeds the size limit")]
     MessageTooLong,
-    /// A message in chunks has none.
-    #[error("a message has no chunk")]
-    NoChunk,
+    /// A chunked message ends before its first chunk.
+    #[error("chunked message has no chunk")]
+    EmptyChunkedMessage,
     /// A chunk does not begin with a valid header.
-    #[error("a chunk begins wrongly")]
+    #[error("invalid chunk header")]
     InvalidChunkHeader,
-    /// A chunk is longer than any may be (RFC 6242, section 4.2).
-    #[error("a chunk is longer than any may be")]
+    /// A chunk size exceeds 4,294,967,295 bytes, the maximum of RFC 6242, section 4.2.
+    #[error("chunk size exceeds 4294967295 bytes")]
     ChunkTooLong,
 }
 
@@ -41,27 +42,27 @@
 pub struct FrameDecoder {
     framing: Framing,
     max_message_bytes: usize,
-    /// Bytes that have been received and not decoded.
+    /// Received bytes that are not decoded yet.
     buffer: Vec<u8>,
-    /// Bytes of the buffer in which no end mark begins.
-    scanned: usize,
-    /// The chunks of the current message so far.
-    message: Vec<u8>,
-    /// Bytes of the current chunk that are to come.
+    /// Number of bytes at the start of the buffer in which no end-of-message delimiter begins.
+    scanned_bytes: usize,
+    /// The decoded chunks of the current message.
+    partial_message: Vec<u8>,
+    /// Bytes of the current chunk that are not received yet.
     chunk_remaining: usize,
-    /// Chunks of the current message so far.
+    /// Number of chunks of the current message so far.
     chunk_count: usize,
 }
 
 impl FrameDecoder {
-    /// A decoder of messages up to a size, framed by end marks at first.
+    /// Creates a decoder that rejects messages above `max_message_bytes` and begins with end-of-message framing.
     pub fn new(max_message_bytes: usize) -> Self {
         FrameDecoder {
-            framing: Framing::EndMark,
+            framing: Framing::EndOfMessage,
             max_message_bytes,
             buffer: vec![],
-            scanned: 0,
-            message: vec![],
+            scanned_bytes: 0,
+            partial_message: vec![],
             chunk_remaining: 0,
             chunk_count: 0,
         }
@@ -72,83 +73,88 @@
         self.framing
     }
 
-    /// Expects chunks from the next message on.
-    pub fn use_chunks(&mut self) {
-        self.framing = Framing::Chunks;
+    /// Switches to chunked framing from the next message on.
+    pub fn use_chunked_framing(&mut self) {
+        self.framing = Framing::Chunked;
     }
 
-    /// Adds received bytes.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next message; none if its end has not been received.
+    /// Decodes the next message; none if its end is not received yet.
     ///
     /// # Errors
     ///
-    /// When the bytes are no message or it is too long; the session has to end then.
-    pub fn message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
+    /// When the framing is invalid or the message is too long. The session has to end then.
+    pub fn next_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         match self.framing {
-            Framing::EndMark => self.decode_to_end_mark(),
-            Framing::Chunks => self.decode_chunks(),
+            Framing::EndOfMessage => self.decode_end_of_message(),
+            Framing::Chunked => self.decode_chunked(),
         }
     }
 
-    fn decode_to_end_mark(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
-        let mark = self.buffer[self.scanned..]
-            .windows(END_MARK.len())
-            .position(|window| window == END_MARK);
-        let Some(offset) = mark else {
-            if self.buffer.len() > self.max_message_bytes + END_MARK.len() {
+    fn decode_end_of_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
+        let position = self.buffer[self.scanned_bytes..]
+            .windows(END_OF_MESSAGE.len())
+            .position(|window| window == END_OF_MESSAGE);
+        let Some(offset) = position else {
+            if self.buffer.len() > self.max_message_bytes + END_OF_MESSAGE.len() {
                 return Err(FramingError::MessageTooLong);
             }
-            self.scanned = self.buffer.len().saturating_sub(END_MARK.len() - 1);
+            self.scanned_bytes = self.buffer.len().saturating_sub(END_OF_MESSAGE.len() - 1);
             return Ok(None);
         };
-        let end = self.scanned + offset;
+        let end = self.scanned_bytes + offset;
         if end > self.max_message_bytes {
             return Err(FramingError::MessageTooLong);
         }
         let message = self.buffer[..end].to_vec();
-        self.buffer.drain(..end + END_MARK.len());
-        self.scanned = 0;
+        self.buffer.drain(..end + END_OF_MESSAGE.len());
+        self.scanned_bytes = 0;
         Ok(Some(message))
     }
 
-    fn decode_chunks(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
-        let mut used = 0;
-        let result = self.decode_chunks_from(&mut used);
-        self.buffer.drain(..used);
+    fn decode_chunked(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
+        let mut consumed = 0;
+        let result = self.decode_chunks_from(&mut consumed);
+        self.buffer.drain(..consumed);
         result
     }
 
-    /// Decodes chunks from `used` on, which is moved behind each byte that is done with.
-    fn decode_chunks_from(&mut self, used: &mut usize) -> Result<Option<Vec<u8>>, FramingError> {
+    /// Decodes chunks from the buffer position `consumed` on, and advances it behind each decoded byte.
+    fn decode_chunks_from(
+        &mut self,
+        consumed: &mut usize,
+    ) -> Result<Option<Vec<u8>>, FramingError> {
         loop {
-            let rest = &self.buffer[*used..];
+            let unread = &self.buffer[*consumed..];
             if self.chunk_remaining > 0 {
-                let available = self.chunk_remaining.min(rest.len());
-                self.message.extend_from_slice(&rest[..available]);
+                let available = self.chunk_remaining.min(unread.len());
+                self.partial_message.extend_from_slice(&unread[..available]);
                 self.chunk_remaining -= available;
-                *used += available;
+                *consumed += available;
                 if self.chunk_remaining > 0 {
                     return Ok(None);
                 }
                 continue;
             }
-            let Some(header) = parse_header(rest)? else {
+            let Some(header) = parse_chunk_header(unread)? else {
                 return Ok(None);
             };
-            *used += header.length;
+            *consumed += header.header_bytes;
             match header.kind {
-                HeaderKind::EndOfChunks => return self.finish_message().map(Some),
-                HeaderKind::Chunk(size) => self.begin_chunk(size)?,
+                ChunkHeaderKind::EndOfChunks => return self.finish_message().map(Some),
+                ChunkHeaderKind::Chunk(size) => self.begin_chunk(size)?,
             }
         }
     }
 
     fn begin_chunk(&mut self, size: usize) -> Result<(), FramingError> {
-        if size > self.max_message_bytes || self.message.len() + size > self.max_message_bytes {
+        if size > self.max_message_bytes
+            || self.partial_message.len() + size > self.max_message_bytes
+        {
             return Err(FramingError::MessageTooLong);
         }
         self.chunk_remaining = size;
@@ -158,62 +164,63 @@
 
     fn finish_message(&mut self) -> Result<Vec<u8>, FramingError> {
         if self.chunk_count == 0 {
-            return Err(FramingError::NoChunk);
+            return Err(FramingError::EmptyChunkedMessage);
         }
         self.chunk_count = 0;
-        Ok(std::mem::take(&mut self.message))
+        Ok(std::mem::take(&mut self.partial_message))
     }
 }
 
-/// The header of a chunk, or the end of all chunks.
-struct Header {
-    kind: HeaderKind,
-    /// Bytes of the header itself.
-    length: usize,
+/// A chunk header, or the end-of-chunks marker.
+struct ChunkHeader {
+    kind: ChunkHeaderKind,
+    /// Length of the header itself, in bytes.
+    header_bytes: usize,
 }
 
-enum HeaderKind {
-    /// A chunk of so many bytes follows.
+enum ChunkHeaderKind {
+    /// A chunk of this size in bytes follows.
     Chunk(usize),
-    /// The message is complete.
+    /// The message has no more chunks.
     EndOfChunks,
 }
 
-/// Parses `LF # length LF` or `LF # # LF`; none if more bytes are needed. Anything else fails at its first wrong byte.
-fn parse_header(bytes: &[u8]) -> Result<Option<Header>, FramingError> {
-    const INVALID: FramingError = FramingError::InvalidChunkHeader;
-    let expected_start = &b"\n#"[..bytes.len().min(2)];
-    if !bytes.starts_with(expected_start) {
-        return Err(INVALID);
+/// Parses `LF # chunk-size LF` or `LF # # LF`; none if more bytes are needed. Anything else is rejected at its first
+/// invalid byte.
+fn parse_chunk_header(bytes: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
+    const INVALID_HEADER: FramingError = FramingError::InvalidChunkHeader;
+    let expected_prefix = &b"\n#"[..bytes.len().min(2)];
+    if !bytes.starts_with(expected_prefix) {
+        return Err(INVALID_HEADER);
     }
     let Some(first) = bytes.get(2) else {
         return Ok(None);
     };
     if *first == b'#' {
         return match bytes.get(3) {
-            Some(b'\n') => Ok(Some(Header {
-                kind: HeaderKind::EndOfChunks,
-                length: END_OF_CHUNKS_LENGTH,
+            Some(b'\n') => Ok(Some(ChunkHeader {
+                kind: ChunkHeaderKind::EndOfChunks,
+                header_bytes: END_OF_CHUNKS_BYTES,
             })),
-            Some(_) => Err(INVALID),
+            Some(_) => Err(INVALID_HEADER),
             None => Ok(None),
         };
     }
     let digits = bytes[2..]
         .iter()
-        .take(MAX_CHUNK_DIGITS + 1)
+        .take(MAX_CHUNK_SIZE_DIGITS + 1)
         .take_while(|byte| byte.is_ascii_digit())
         .count();
-    if digits > MAX_CHUNK_DIGITS || *first == b'0' || digits == 0 {
-        return Err(INVALID);
+    if digits > MAX_CHUNK_SIZE_DIGITS || *first == b'0' || digits == 0 {
+        return Err(INVALID_HEADER);
     }
     match bytes.get(2 + digits) {
         None => Ok(None),
-        Some(b'\n') => Ok(Some(Header {
-            kind: HeaderKind::Chunk(parse_chunk_size(&bytes[2..2 + digits])?),
-            length: 2 + digits + 1,
+        Some(b'\n') => Ok(Some(ChunkHeader {
+            kind: ChunkHeaderKind::Chunk(parse_chunk_size(&bytes[2..2 + digits])?),
+            header_bytes: 2 + digits + 1,
         })),
-        Some(_) => Err(INVALID),
+        Some(_) => Err(INVALID_HEADER),
     }
 }
 
@@ -224,10 +231,10 @@
     Ok(size as usize)
 }
 
-/// A message with its framing.
-pub fn encode(framing: Framing, message: &str) -> Vec<u8> {
+/// Encodes a message with the given framing.
+pub fn encode_message(framing: Framing, message: &str) -> Vec<u8> {
     match framing {
-        Framing::EndMark => [message.as_bytes(), END_MARK].concat(),
-        Framing::Chunks => format!("\n#{}\n{message}\n##\n", message.len()).into_bytes(),
+        Framing::EndOfMessage => [message.as_bytes(), END_OF_MESSAGE].concat(),
+        Framing::Chunked => format!("\n#{}\n{message}\n##\n", message.len()).into_bytes(),
     }
 }
--- a/management/src/netconf/session/edit_config.rs
+++ b/management/src/netconf/session/edit_config.rs
@@ -1,4 +1,4 @@
-//! `edit-config` (RFC 6241, section 7.2): edits of the candidate of the session or of the running datastore.
+//! The operation `edit-config` (RFC 6241, section 7.2) on the candidate of the session or on the running datastore.
 
 use kestreltide_datastore::commit_coordinator::Target;
 use kestreltide_datastore::{Candidate, Rights, Tree};
@@ -6,58 +6,64 @@
 use kestreltide_yang::edit::{Operation, apply, edits_from_xml};
 use kestreltide_yang::xml::Element;
 
-use super::operations::{target, text};
-use super::rpc_error::{RpcError, edit_error, xpath};
-use super::{DatastoreOperation, Session, Step};
+use super::operations::{child_text, parse_target};
+use super::rpc_error::{RpcError, edit_error, leaf_xpath};
+use super::{DatastoreOperation, Session, SessionAction};
 use crate::commit_service::CommitServiceHandle;
 
-/// The parameters of an edit-config.
+/// The optional parameters of `edit-config`.
 struct EditOptions {
-    /// The operation of elements without one.
-    default: Operation,
-    /// Whether the result is only checked.
+    /// The operation for elements without an `operation` attribute.
+    default_operation: Operation,
+    /// Whether the result is only validated and not applied (`test-only`).
     test_only: bool,
 }
 
 impl EditOptions {
     fn parse(operation: &Element) -> Result<Self, Vec<RpcError>> {
-        let default = text(operation, "default-operation").unwrap_or_else(|| "merge".into());
+        let default_operation =
+            child_text(operation, "default-operation").unwrap_or_else(|| "merge".into());
         let invalid = || {
-            vec![RpcError::invalid(
+            vec![RpcError::invalid_value(
                 "default-operation",
                 "no such operation",
-                &default,
+                &default_operation,
                 "merge, replace or none",
             )]
         };
-        let default = Operation::from_default_operation(&default).ok_or_else(invalid)?;
-        // Edits are applied all or none, whatever the option.
-        option(
+        let default_operation =
+            Operation::from_default_operation(&default_operation).ok_or_else(invalid)?;
+        // The value is checked but has no effect: the edits of a request are always applied all or none.
+        parse_option(
             operation,
             "error-option",
             ["stop-on-error", "continue-on-error", "rollback-on-error"],
         )?;
-        let test = option(
+        let test_option = parse_option(
             operation,
             "test-option",
             ["test-then-set", "set", "test-only"],
         )?;
         Ok(EditOptions {
-            default,
-            test_only: test == "test-only",
+            default_operation,
+            test_only: test_option == "test-only",
         })
     }
 }
 
-/// The value of a parameter that has three values, of which the first is the default.
-fn option(operation: &Element, name: &str, expected: [&str; 3]) -> Result<String, Vec<RpcError>> {
+/// Parses a parameter that allows three values, of which the first is the default.
+fn parse_option(
+    operation: &Element,
+    name: &str,
+    expected: [&str; 3],
+) -> Result<String, Vec<RpcError>> {
     let [first, second, third] = expected;
-    let found = text(operation, name).unwrap_or_else(|| first.into());
+    let found = child_text(operation, name).unwrap_or_else(|| first.into());
     if expected.contains(&found.as_str()) {
         return Ok(found);
     }
     let expected = format!("{first}, {second} or {third}");
-    Err(vec![RpcError::invalid(
+    Err(vec![RpcError::invalid_value(
         name,
         "no such option",
         &found,
@@ -66,17 +72,18 @@
 }
 
 impl Session {
-    pub(super) fn candidate(&mut self, commit_service: &CommitServiceHandle) -> &mut Candidate {
+    /// The candidate of the session; a new one is based on the revision in force.
+    pub(super) fn candidate_mut(&mut self, commit_service: &CommitServiceHandle) -> &mut Candidate {
         self.candidate
             .get_or_insert_with(|| Candidate::new(&commit_service.status.load().in_force))
     }
 
-    /// Edits a tree by a `config` element, all or none.
+    /// Applies the edits of a `config` element to a tree, all or none.
     pub(super) fn apply_config(
         &self,
         tree: &mut Tree,
         config: &Element,
-        default: Operation,
+        default_operation: Operation,
     ) -> Result<(), Vec<RpcError>> {
         let mut errors = vec![];
         let edits = edits_from_xml(
@@ -87,7 +94,7 @@
             &mut errors,
         );
         if errors.is_empty() {
-            errors = apply(self.schema, &self.binding, tree, &edits, default)
+            errors = apply(self.schema, &self.binding, tree, &edits, default_operation)
                 .err()
                 .unwrap_or_default();
         }
@@ -103,59 +110,63 @@
         operation: &Element,
         rights: Rights,
         commit_service: &CommitServiceHandle,
-    ) -> Result<Step, Vec<RpcError>> {
-        let target = target(operation, "target")?;
+    ) -> Result<SessionAction, Vec<RpcError>> {
+        let target = parse_target(operation, "target")?;
         let options = EditOptions::parse(operation)?;
         let config = operation
             .child("config")
-            .ok_or_else(|| vec![RpcError::missing("config")])?;
+            .ok_or_else(|| vec![RpcError::missing_element("config")])?;
         let mut candidate = match target {
             Target::Running => Candidate::new(&commit_service.status.load().in_force),
-            Target::Candidate => self.candidate(commit_service).clone(),
+            Target::Candidate => self.candidate_mut(commit_service).clone(),
         };
-        let before = candidate.tree.clone();
-        let by_default = if options.default == Operation::Replace {
+        let tree_before = candidate.tree.clone();
+        let default_operation = if options.default_operation == Operation::Replace {
             candidate.tree = Tree::default();
             Operation::Merge
         } else {
-            options.default
+            options.default_operation
         };
-        self.apply_config(&mut candidate.tree, config, by_default)?;
-        self.check_rights(&before, &candidate.tree, rights, commit_service)?;
+        self.apply_config(&mut candidate.tree, config, default_operation)?;
+        self.check_rights(&tree_before, &candidate.tree, rights, commit_service)?;
         if options.test_only {
-            return Ok(Step::Perform(DatastoreOperation::Validate(candidate)));
+            return Ok(SessionAction::Perform(DatastoreOperation::Validate(
+                candidate,
+            )));
         }
         match target {
-            Target::Running => Ok(Step::Perform(DatastoreOperation::Commit {
+            Target::Running => Ok(SessionAction::Perform(DatastoreOperation::Commit {
                 candidate,
-                confirm: None,
+                confirmed_commit: None,
                 persist_id: None,
             })),
             Target::Candidate => {
                 self.candidate = Some(candidate);
-                Ok(Step::Reply(self.ok()))
+                Ok(SessionAction::Reply(self.ok_reply()))
             }
         }
     }
 
-    /// Rejects changes that the rights do not cover; the commit service records them.
+    /// Rejects changes that the rights do not cover, and reports them to the commit service, which records them.
     pub(super) fn check_rights(
         &self,
-        before: &Tree,
-        after: &Tree,
+        tree_before: &Tree,
+        tree_after: &Tree,
         rights: Rights,
         commit_service: &CommitServiceHandle,
     ) -> Result<(), Vec<RpcError>> {
-        rights.check(&before.differences(after)).map_err(|error| {
-            let path = error.path.parse().ok().map(|path| xpath(&path));
-            (commit_service.submit)(crate::CommitServiceRequest::RecordDeniedEdit {
-                author: self.author(),
-                error: error.clone(),
-            });
-            vec![RpcError {
-                path,
-                ..RpcError::new("application", "access-denied", error.to_string())
-            }]
-        })
+        rights
+            .check(&tree_before.differences(tree_after))
+            .map_err(|error| {
+                let path = error.path.parse().ok().map(|path| leaf_xpath(&path));
+                (commit_service.submit)(crate::CommitServiceRequest::RecordDeniedEdit {
+                    author: self.author(),
+                    error: error.clone(),
+                });
+                vec![RpcError {
+                    path,
+                    ..RpcError::new("application", "access-denied", error.to_string())
+                }]
+            })
     }
 }
--- a/management/src/netconf/session_task.rs
+++ b/management/src/netconf/session_task.rs
@@ -1,4 +1,4 @@
-//! The task of one NETCONF session: exchanges its messages, and ends it.
+//! The task of one NETCONF session: reads and answers its messages, and closes the session at the commit service.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,21 +15,21 @@
 use tokio::sync::{Notify, broadcast};
 use tokio::time::interval;
 
-use super::framing::{FrameDecoder, Framing, encode};
+use super::framing::{FrameDecoder, Framing, encode_message};
 use super::server::ServerContext;
-use super::session::{DatastoreOperation, Session, Step};
+use super::session::{DatastoreOperation, Session, SessionAction};
 use crate::commit_service::Notification;
 use crate::end_reason::EndReason;
 use crate::state;
 
-/// Bytes that are read from a channel at once.
+/// Size of the buffer for one read from a channel, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Time between checks whether the key of a session is still valid.
 const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves one session from its hello to its end.
+/// Serves one session from its hello until it closes.
 pub(super) async fn serve_session(context: Arc<ServerContext>, key: Key, channel: Channel<Msg>) {
-    let Some(id) = context.commit_service.open().await else {
+    let Some(id) = context.commit_service.open_session().await else {
         return;
     };
     let kill_signal = Arc::new(Notify::new());
@@ -48,11 +48,12 @@
         warn!(context.log, "NETCONF session rejected"; "key" => &key.name, "reason" => "too many sessions");
     }
     context.with_sessions(|sessions| sessions.remove(&id));
-    // Releases its locks, and rolls back the commit that only it could confirm.
+    // The commit service releases the locks of the session and rolls back a commit that only this session could
+    // confirm.
     (context.commit_service.submit)(crate::CommitServiceRequest::CloseSession { session: id });
 }
 
-/// Exchanges messages over a channel until the session ends.
+/// Exchanges messages over a channel until the session ends, and returns the reason.
 async fn exchange_messages(
     context: &ServerContext,
     id: SessionId,
@@ -63,7 +64,7 @@
     let (reader, writer) = tokio::io::split(channel.into_stream());
     let session = Session::new(id, &key.name, context.schema, context.binding.clone());
     let decoder = FrameDecoder::new(context.limits.max_message_bytes);
-    let mut exchange = Exchange {
+    let mut exchange = MessageExchange {
         context,
         id,
         key,
@@ -71,43 +72,46 @@
         decoder,
         writer,
         notifications: None,
-        missed: 0,
+        missed_notifications: 0,
     };
     match exchange.run(reader, kill_signal).await {
         Err(reason) => reason,
     }
 }
 
-/// The messages of one session over its channel.
-struct Exchange<'a, W> {
+/// The message exchange of one session over its channel.
+struct MessageExchange<'a, W> {
     context: &'a ServerContext,
     id: SessionId,
     key: &'a Key,
     session: Session,
     decoder: FrameDecoder,
     writer: W,
-    /// Notifications, once the client has subscribed to them.
+    /// The receiver of notifications; none until the client creates a subscription.
     notifications: Option<broadcast::Receiver<Notification>>,
-    /// Notifications that were lost since the last one that was sent.
-    missed: u64,
+    /// Number of notifications that were lost since the last one that was sent, because the client reads slowly.
+    missed_notifications: u64,
 }
 
-impl<W: AsyncWrite + Unpin> Exchange<'_, W> {
+impl<W: AsyncWrite + Unpin> MessageExchange<'_, W> {
     async fn run(
         &mut self,
         mut reader: impl AsyncRead + Unpin,
         kill_signal: &Notify,
     ) -> Result<Infallible, EndReason> {
-        self.send(&encode(Framing::EndMark, &self.session.hello()))
-            .await?;
+        self.send(&encode_message(
+            Framing::EndOfMessage,
+            &self.session.hello(),
+        ))
+        .await?;
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut key_check = interval(KEY_CHECK_INTERVAL);
-        let begun = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         loop {
             tokio::select! {
                 _ = kill_signal.notified() => return Err(EndReason::Killed),
-                _ = key_check.tick() => self.check_key_and_hello(begun.elapsed())?,
-                notification = next_notification(&mut self.notifications) => self.send_notification(notification).await?,
+                _ = key_check.tick() => self.check_key_and_hello(started.elapsed())?,
+                notification = receive_notification(&mut self.notifications) => self.send_notification(notification).await?,
                 read = reader.read(&mut buffer) => match read {
                     Ok(0) | Err(_) => return Err(EndReason::Disconnected),
                     Ok(count) => self.handle_bytes(&buffer[..count]).await?,
@@ -127,13 +131,13 @@
             .map_err(|_| EndReason::Disconnected)
     }
 
-    /// Ends a session whose key was revoked, or whose hello is late.
+    /// Ends a session whose key was revoked or whose hello was not received within the login timeout.
     fn check_key_and_hello(&self, elapsed: Duration) -> Result<(), EndReason> {
         if self.context.rights(self.key).is_none() {
             return Err(EndReason::KeyRevoked);
         }
-        let is_waiting_for_hello = !self.session.chunked()
-            && self.decoder.framing() == Framing::EndMark
+        let is_waiting_for_hello = !self.session.uses_chunked_framing()
+            && self.decoder.framing() == Framing::EndOfMessage
             && !self.session.hello_received();
         if is_waiting_for_hello && elapsed > self.context.limits.login_timeout {
             return Err(EndReason::HelloTimeout);
@@ -141,39 +145,39 @@
         Ok(())
     }
 
-    /// Sends a notification; those that were lost are counted and reported with the next one.
+    /// Sends a notification. Lost notifications are counted, and the count is sent with the next notification.
     async fn send_notification(
         &mut self,
         notification: Result<Notification, RecvError>,
     ) -> Result<(), EndReason> {
-        let data = match notification {
+        let timed_data = match notification {
             Ok(notification) => notification_data(
                 self.context,
                 &notification,
-                std::mem::take(&mut self.missed),
+                std::mem::take(&mut self.missed_notifications),
             ),
             Err(RecvError::Lagged(count)) => {
-                self.missed += count;
+                self.missed_notifications += count;
                 return Ok(());
             }
             Err(RecvError::Closed) => return Err(EndReason::RouterStopping),
         };
-        let Some((at, data)) = data else {
+        let Some((time, data)) = timed_data else {
             return Ok(());
         };
-        let text = encode(
+        let text = encode_message(
             self.decoder.framing(),
-            &self.session.notification(at, &data),
+            &self.session.encode_notification(time, &data),
         );
         self.send(&text).await
     }
 
-    /// Replies to all messages that are complete with these bytes.
+    /// Decodes received bytes and replies to each complete message.
     async fn handle_bytes(&mut self, bytes: &[u8]) -> Result<(), EndReason> {
         self.decoder.push(bytes);
         while let Some(message) = self
             .decoder
-            .message()
+            .next_message()
             .map_err(|_| EndReason::InvalidFraming)?
         {
             self.handle_message(&message).await?;
@@ -183,37 +187,38 @@
 
     async fn handle_message(&mut self, message: &[u8]) -> Result<(), EndReason> {
         let rights = self.context.rights(self.key).ok_or(EndReason::KeyRevoked)?;
-        let step = self
+        let action = self
             .session
-            .message(message, rights, &self.context.commit_service);
-        let (reply, end_reason) = match step {
-            Step::Reply(reply) => (reply, None),
-            Step::Close(reply) => (reply, Some(EndReason::Closed)),
-            Step::Abort(reason) => return Err(EndReason::Aborted(reason)),
-            Step::Subscribe(reply) => {
+            .handle_message(message, rights, &self.context.commit_service);
+        let (reply, end_reason) = match action {
+            SessionAction::Reply(reply) => (reply, None),
+            SessionAction::Close(reply) => (reply, Some(EndReason::Closed)),
+            SessionAction::Abort(reason) => return Err(EndReason::Aborted(reason)),
+            SessionAction::Subscribe(reply) => {
                 self.notifications = Some(self.context.commit_service.notifications.subscribe());
                 (reply, None)
             }
-            Step::Kill(other, reply) => {
-                let found = self
+            SessionAction::Kill(killed_session, reply) => {
+                let kill_signal = self
                     .context
-                    .with_sessions(|sessions| sessions.get(&other).cloned());
-                found.inspect(|kill_signal| kill_signal.notify_one());
+                    .with_sessions(|sessions| sessions.get(&killed_session).cloned());
+                kill_signal.inspect(|kill_signal| kill_signal.notify_one());
                 (reply, None)
             }
-            Step::Perform(operation) => {
-                let result = perform(self.context, self.id, &self.session, &operation).await;
-                (self.session.complete(&operation, result), None)
+            SessionAction::Perform(operation) => {
+                let result =
+                    perform_operation(self.context, self.id, &self.session, &operation).await;
+                (self.session.complete_operation(&operation, result), None)
             }
         };
         let text = if reply.is_empty() {
             vec![]
         } else {
-            encode(self.decoder.framing(), &reply)
+            encode_message(self.decoder.framing(), &reply)
         };
-        // After the hellos both sides use chunks if both support them (RFC 6242, section 4.1).
-        if self.session.chunked() {
-            self.decoder.use_chunks();
+        // After the hello messages both sides use chunked framing if both support it (RFC 6242, section 4.1).
+        if self.session.uses_chunked_framing() {
+            self.decoder.use_chunked_framing();
         }
         self.send(&text).await?;
         let Some(reason) = end_reason else {
@@ -224,8 +229,8 @@
     }
 }
 
-/// The next notification; pending for ever without a subscription.
-async fn next_notification(
+/// Receives the next notification; never completes without a subscription.
+async fn receive_notification(
     notifications: &mut Option<broadcast::Receiver<Notification>>,
 ) -> Result<Notification, RecvError> {
     match notifications {
@@ -234,7 +239,7 @@
     }
 }
 
-async fn perform(
+async fn perform_operation(
     context: &ServerContext,
     id: SessionId,
     session: &Session,
@@ -247,36 +252,52 @@
         DatastoreOperation::Validate(candidate) => commit_service.validate(candidate).await,
         DatastoreOperation::Commit {
             candidate,
-            confirm,
+            confirmed_commit,
             persist_id,
         } => commit_service
-            .commit(Some(id), candidate, session.author(), confirm, persist_id)
+            .commit(
+                Some(id),
+                candidate,
+                session.author(),
+                confirmed_commit,
+                persist_id,
+            )
             .await
             .map(|_| ()),
-        DatastoreOperation::Confirm { persist_id } => {
-            commit_service.confirm(Some(id), persist_id).await
+        DatastoreOperation::ConfirmCommit { persist_id } => {
+            commit_service.confirm_commit(Some(id), persist_id).await
         }
-        DatastoreOperation::Cancel { persist_id } => {
-            commit_service.cancel(Some(id), persist_id).await
+        DatastoreOperation::CancelCommit { persist_id } => {
+            commit_service.cancel_commit(Some(id), persist_id).await
         }
     }
 }
 
-/// A notification as data, with its time in Unix seconds; none if the model does not have it.
+/// A notification as data of the model, with its event time in Unix seconds; none if the model does not define it.
 fn notification_data(
     context: &ServerContext,
     notification: &Notification,
-    missed: u64,
+    missed_notifications: u64,
 ) -> Option<(f64, kestreltide_yang::DataNode)> {
-    let node = |name: &str| -> Option<NodeId> { context.schema.notifications.get(name).copied() };
+    let notification_node =
+        |name: &str| -> Option<NodeId> { context.schema.notifications.get(name).copied() };
     Some(match notification {
         Notification::Committed(record) => (
             record.at,
-            state::revision_committed(context.schema, node("revision-committed")?, record, missed),
+            state::revision_committed_notification(
+                context.schema,
+                notification_node("revision-committed")?,
+                record,
+                missed_notifications,
+            ),
         ),
-        Notification::Rejected(refusal) => (
-            refusal.at,
-            state::candidate_refused(context.schema, node("candidate-refused")?, refusal),
+        Notification::Rejected(rejection) => (
+            rejection.at,
+            state::candidate_rejected_notification(
+                context.schema,
+                notification_node("candidate-refused")?,
+                rejection,
+            ),
         ),
     })
 }
