--- a/router/src/program/commands.rs
+++ b/router/src/program/commands.rs
@@ -22,12 +22,13 @@
 pub(super) struct CheckOperator {
     #[argh(positional)]
     file: PathBuf,
-    /// the configuration file of the router that will use it: its settings and memory limit are checked too
+    /// the configuration file of the router that will use it; the files are then checked against its settings and
+    /// memory limit as well
     #[argh(option, short = 'c')]
     config: Option<String>,
 }
 
-/// print all keys of an operator file with the values in force, defaults included
+/// print all keys of an operator file with their effective values, defaults included
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show-operator")]
 pub(super) struct ShowOperator {
@@ -45,7 +46,7 @@
     /// the state directory, in place of an operator file that names it
     #[argh(option, short = 's')]
     state: Option<PathBuf>,
-    /// show what this revision changed, leaf by leaf
+    /// print each value that this revision changed, before and after
     #[argh(option, short = 'd')]
     diff: Option<u64>,
     /// how many of the newest revisions to print (default: 20)
@@ -92,6 +93,7 @@
     pub(super) fn run(&self) -> Result<(), String> {
         let settings = operator::load(&self.file)?;
         if let Some(file_watch) = &settings.file_watch {
+            // Only the result is used; the digest of the content, which is returned with it, is for a watch.
             let version = match read_and_parse_files(&file_watch.watched, |contents| {
                 parse_files(&file_watch.files, contents)
             })
@@ -108,6 +110,8 @@
             exceeded_maximums(&version.tree, 0, &rules.maximums)
                 .into_result()
                 .map_err(|errors| errors.to_string())?;
+            // With discovery, the files alone cannot be validated: they may set single leaves of hosts that only the
+            // endpoint list describes, and this command does not have that list.
             if !file_watch.discovery {
                 let mut store = Datastore::new(rules, HistoryLimits::default());
                 let mut candidate = Candidate::new(store.in_force());
@@ -127,22 +131,26 @@
                     .map_err(|errors: ValidationErrors| errors.to_string())?;
             }
         }
+        // Operators match this text; it means that the files are valid.
         println!("{} is well", self.file.display());
         Ok(())
     }
 }
 
 impl CheckOperator {
-    /// The rules by which the router with this configuration validates commits. Without a configuration, the checks
-    /// that depend on it are off (memory, slow start and overload), so that only what every router rejects is an error.
+    /// The rules by which the router with this configuration validates commits. Without a configuration, the limits on
+    /// memory and on the weights of hosts in slow start are off, and the default maximums apply. The watched files
+    /// contain no routes, so that the names of operations are not needed.
     fn rules(&self) -> Result<RuleSettings, String> {
         let Some(config) = &self.config else {
             return Ok(RuleSettings {
                 operations: vec![],
                 routers: 1,
+                // Each host has its full capacity from its start, so that no weight overloads it.
                 slow_start_initial_fraction: 1.0,
                 slow_start_duration: 0.0,
                 overload_multiple: f64::MAX,
+                // Without a limit on memory.
                 maximums: Maximums::default(),
             });
         };
@@ -211,6 +219,8 @@
                 .for_each(|change| println!("  {change}"));
             return Ok(());
         }
+        // Operators match these texts. "taken by the loop" is the number of revisions that the event loop has applied,
+        // and "its longest pause" the time that the slowest of them took.
         println!(
             "router {}: revision {} in force, {} taken by the loop since its start, its longest pause {:.3} ms; \
              as of {}",
@@ -228,6 +238,7 @@
             errors,
         }) = &state.pending_version
         {
+            // Also printed for files of different generations, which are not yet a version that can be held back.
             println!("held back since {}: {author}", format_time(*since));
             errors
                 .to_string()
