--- a/router/src/management_threads/datastore_thread/watched_files.rs
+++ b/router/src/management_threads/datastore_thread/watched_files.rs
@@ -1,4 +1,7 @@
 //! Commits the versions of the watched files, and holds back a version that cannot be committed yet.
+//!
+//! A version is what all watched files contain together, and its generation is the name that operators give to it in
+//! the files. A commit of a version makes a new revision, which is numbered by the datastore and not by operators.
 
 use std::sync::Arc;
 
@@ -27,14 +30,14 @@
     retry_at: f64,
 }
 
-/// Whether a version is tried for the first time. Holding it back is logged at the first attempt only.
+/// Whether a version is committed for the first time or retried. Holding it back is logged the first time only.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Attempt {
+enum CommitTry {
     First,
     Retry,
 }
 
-/// The version of the files that was applied last, and one that is pending.
+/// The version of the files that was applied last, and a version that is pending: held back or not yet complete.
 pub(super) struct WatchedFiles {
     applied_tree: Tree,
     applied_generation: String,
@@ -66,7 +69,7 @@
         &self.applied_generation
     }
 
-    /// The pending version, if any.
+    /// The pending version, if any: one that is held back, or files of different generations.
     pub(super) fn pending_version(&self) -> Option<&PendingVersion> {
         self.held_back
             .as_ref()
@@ -79,6 +82,7 @@
         self.held_back.as_ref().map(|held_back| held_back.retry_at)
     }
 
+    /// Takes the held-back version out if it is due for a retry.
     fn take_due(&mut self, now: f64) -> Option<HeldBackVersion> {
         self.held_back
             .take_if(|held_back| held_back.retry_at <= now)
@@ -89,7 +93,8 @@
     fn candidate(&self, version: &Version) -> Result<Candidate, ValidationErrors> {
         let is_same_generation = version.generation == self.applied_generation;
         if is_same_generation && version.tree != self.applied_tree {
-            // A partly written file of another version looks like this as well.
+            // The operators changed the files without a new generation, or a file of another version is still being
+            // written.
             return Err(ValidationError::new(
                 "generation",
                 "is that of the version in force, but the content differs",
@@ -116,7 +121,7 @@
             parse_files(&settings.files, contents)
         });
         let applied = match parsed {
-            Parsed::Complete(version) => self.apply_version(version, facts, Attempt::First),
+            Parsed::Complete(version) => self.apply_version(version, facts, CommitTry::First),
             Parsed::Mismatched(errors) | Parsed::Incomplete(errors) | Parsed::Invalid(errors) => {
                 self.reject_files("", errors.clone());
                 Err(errors)
@@ -125,12 +130,14 @@
         let Err(errors) = applied else {
             return Ok(digest);
         };
+        // A restored revision serves until the files are valid. It is the last good one, as only valid ones are kept.
         if self.revision() > 0 {
             warn!(self.log, "started with the last good revision, not with the watched files";
                 "revision" => self.revision());
             return Ok(digest);
         }
-        // Hosts that discovery has not listed yet must not prevent the start: until they are, the listed hosts serve.
+        // Hosts that discovery has not listed yet must not prevent the start. The router starts without a revision,
+        // with the hosts that discovery lists, and the version is retried.
         let may_be_valid_later = settings.discovery && errors.retry_at().is_some();
         if may_be_valid_later {
             Ok(digest)
@@ -139,17 +146,18 @@
         }
     }
 
+    /// Applies or rejects what the watch thread read, and returns the new snapshot if one is applied.
     pub(super) fn handle_watch_event(
         &mut self,
         event: WatchEvent<Version>,
         facts: &Facts,
     ) -> Option<Arc<Snapshot>> {
-        // The held-back version is outdated: the files have changed since it was read.
+        // The files have changed since the held-back version was read, so that it is outdated.
         self.files.held_back = None;
         match event {
             WatchEvent::Version(version) => {
                 self.files.mismatched = None;
-                self.apply_version(version, facts, Attempt::First)
+                self.apply_version(version, facts, CommitTry::First)
                     .ok()
                     .flatten()
             }
@@ -174,7 +182,8 @@
     /// Retries the held-back version, if it is due.
     pub(super) fn retry_held_back(&mut self, facts: &Facts) -> Option<Arc<Snapshot>> {
         let held_back = self.files.take_due(facts.now)?;
-        // Only validated, which records no rejection: it was logged when the version was first held back.
+        // The version is validated before it is committed. A failed validation is not recorded as a rejected commit,
+        // so that retries do not fill the history.
         let validated = self
             .files
             .candidate(&held_back.version)
@@ -187,9 +196,10 @@
                 });
                 None
             }
-            // The version is valid now, but a lock of another session may still hold it back.
+            // The version is valid now, or it is invalid for a reason that waiting does not resolve. The commit decides:
+            // it is also rejected while a management session holds a lock or has a pending commit.
             None => self
-                .apply_version(held_back.version, facts, Attempt::Retry)
+                .apply_version(held_back.version, facts, CommitTry::Retry)
                 .ok()
                 .flatten(),
         }
@@ -200,7 +210,7 @@
         &mut self,
         version: Version,
         facts: &Facts,
-        attempt: Attempt,
+        commit_try: CommitTry,
     ) -> Result<Option<Arc<Snapshot>>, ValidationErrors> {
         self.saver.mark_changed();
         let candidate = match self.files.candidate(&version) {
@@ -211,18 +221,23 @@
             }
         };
         let author = files_author(&version.generation);
+        // The watched files have no session and cannot confirm a commit, and their own commits need no confirmation.
         let committed = self
             .coordinator
             .commit(None, &candidate, author, None, None, facts);
-        // Locks and pending commits are temporary, and the files still describe what operators want: retried.
+        // The locks and the pending commit of management sessions are temporary, so that the version is retried.
         let lock_retry_at = facts.now + MIN_RETRY_DELAY_SECONDS;
         match committed.map_err(|error| into_validation_errors(error, lock_retry_at)) {
             Ok(outcome) => Ok(self.record_applied(version, outcome)),
             Err(errors) => {
                 match errors.retry_at() {
-                    Some(at) => {
-                        self.hold_back(version, &errors, earliest_retry(at, facts), facts, attempt)
-                    }
+                    Some(at) => self.hold_back(
+                        version,
+                        &errors,
+                        earliest_retry(at, facts),
+                        facts,
+                        commit_try,
+                    ),
                     None => {
                         self.log_rejection("watched files rejected", &version.generation, &errors)
                     }
@@ -232,12 +247,14 @@
         }
     }
 
+    /// Logs that a version is in force, and makes it the base of the next one.
     fn record_applied(
         &mut self,
         version: Version,
         outcome: CommitOutcome,
     ) -> Option<Arc<Snapshot>> {
         let snapshot = super::applied_snapshot(&outcome);
+        // The log key `changes` counts changed hosts here; in the line "commit applied" it counts changed leaves.
         let changes = snapshot
             .as_ref()
             .map_or(0, |snapshot| snapshot.changed_hosts.len());
@@ -249,20 +266,22 @@
         snapshot
     }
 
+    /// Keeps a version that was rejected now, to be retried at `retry_at` (Unix seconds).
     fn hold_back(
         &mut self,
         version: Version,
         errors: &ValidationErrors,
         retry_at: f64,
         facts: &Facts,
-        attempt: Attempt,
+        commit_try: CommitTry,
     ) {
         let pending = PendingVersion {
+            // The time of this commit, also if it is a retry that a lock or a pending commit prevents.
             since: facts.now,
             author: files_author(&version.generation),
             errors: errors.clone(),
         };
-        if attempt == Attempt::First {
+        if commit_try == CommitTry::First {
             self.log_rejection("watched files pending", &version.generation, errors);
         }
         self.files.held_back = Some(HeldBackVersion {
@@ -282,6 +301,7 @@
     }
 }
 
+/// The time of the next retry, in Unix seconds: `at`, or later if that is sooner than the shortest delay.
 fn earliest_retry(at: f64, facts: &Facts) -> f64 {
     at.max(facts.now + MIN_RETRY_DELAY_SECONDS)
 }
