--- a/router/src/management_threads/datastore_thread/mod.rs
+++ b/router/src/management_threads/datastore_thread/mod.rs
@@ -43,8 +43,8 @@
 /// often.
 const MAX_WAIT_SECONDS: f64 = 0.25;
 
-/// The longest wait for the event loop to publish a fresh view of the router's state. If the loop is delayed for
-/// longer, its last view is used.
+/// The longest wait for the event loop to publish a fresh view, which is its [`OperationalState`]. If the loop is delayed
+/// for longer, the last published view is used.
 const VIEW_REFRESH_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A request to the datastore thread.
@@ -97,11 +97,11 @@
 }
 
 impl DatastoreThread {
-    /// Restores the persisted state, if there is any; a damaged state file is quarantined.
+    /// Restores the persisted state, if there is any. A damaged state file is quarantined: it is renamed and not loaded.
     ///
     /// # Errors
     ///
-    /// If a damaged state file cannot be quarantined.
+    /// If a damaged state file cannot be renamed.
     pub(super) fn restore(
         log: Logger,
         clock: Clock,
@@ -198,7 +198,8 @@
         Duration::from_secs_f64((deadline - now).clamp(0.0, MAX_WAIT_SECONDS))
     }
 
-    /// Expires pending commits, handles `request`, and sends the new snapshots to the event loop.
+    /// Rolls back the pending commit if it was not confirmed in time, handles `request`, and sends the new snapshots to
+    /// the event loop.
     fn serve(
         &mut self,
         request: Option<DatastoreRequest>,
@@ -213,7 +214,7 @@
         let mut is_closed = false;
         for snapshot in rolled_back.into_iter().chain(handled.snapshot.clone()) {
             self.sent_snapshots.push_back(snapshot.clone());
-            // If the inbox is full this thread blocks; the event loop never does.
+            // If the event loop's queue of messages is full, this thread waits. The event loop never waits for it.
             is_closed |= event_loop
                 .messages
                 .send(ManagementMessage::Revision(snapshot))
@@ -230,7 +231,8 @@
     }
 
     /// The facts that commits are validated against. If something may be committed, the view is refreshed first: the
-    /// published view may lack a recent drain, so that a commit that removes the last host would pass validation.
+    /// published view may lack a recent drain, so that a commit that takes the last host in service out of service would
+    /// pass validation.
     fn facts_for(&self, has_request: bool, event_loop: &EventLoopHandle) -> Facts {
         let now = self.clock.now();
         let mut deadlines = self
@@ -252,13 +254,14 @@
             Some(DatastoreRequest::Management(request)) => {
                 self.handle_management_request(request, facts)
             }
+            // `run` handles `Stop` itself and does not pass it on.
             Some(DatastoreRequest::Stop) | None => {
                 HandledRequest::without_reply(self.retry_held_back(facts))
             }
         }
     }
 
-    /// Logs the rollback of an unconfirmed commit, and returns its snapshot.
+    /// Logs the rollback of a pending commit that was not confirmed, and returns its snapshot.
     fn log_rollback(
         &mut self,
         outcome: Result<CommitOutcome, ValidationErrors>,
@@ -276,7 +279,7 @@
         }
     }
 
-    /// Logs why a change is rejected.
+    /// Logs why a change is rejected. `generation` is that of the watched files, or the author of an edit.
     fn log_rejection(
         &mut self,
         message: &'static str,
@@ -288,6 +291,7 @@
             .warn(self.clock.now(), message, generation, errors, revision);
     }
 
+    /// Publishes the status of the coordinator; the state is saved later if it changed.
     fn publish_status(&mut self) {
         if self.status.publish(&self.coordinator) {
             self.saver.mark_changed();
@@ -306,6 +310,7 @@
         }
     }
 
+    /// Saves the state if it has unsaved changes and the last save is long enough ago.
     fn save_if_due(&mut self, view: &OperationalState) {
         let now = self.clock.now();
         if !self.saver.is_due(now) {
@@ -341,7 +346,8 @@
     }
 }
 
-/// Loads the persisted state; an empty state if there is none or if it is damaged.
+/// Loads the persisted state; an empty state if there is none. A damaged state file is renamed, so that it can be examined
+/// and is not loaded again, and the state is empty as well.
 fn load_or_quarantine(log: &Logger, directory: &Path) -> Result<PersistedState, StartError> {
     let error = match persistence::load(directory) {
         Ok(None) => return Ok(PersistedState::default()),
--- a/router/src/management_threads/datastore_thread/rejection_log.rs
+++ b/router/src/management_threads/datastore_thread/rejection_log.rs
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Logs the first error, the number of further errors, and the revision that stays in force.
+    /// Logs the first error, the number of further errors, and the revision that stays in force. `generation` is that of
+    /// the watched files, or the author of an edit; it is empty if neither is known.
     pub(super) fn warn(
         &mut self,
         now: f64,
