--- a/file-watch/src/parse/file.rs
+++ b/file-watch/src/parse/file.rs
@@ -48,7 +48,7 @@
 
 /// Why the content of a file is not text.
 pub(super) enum TextError {
-    /// The file cannot be read or is cut, so it may still be being written.
+    /// The file cannot be read or is truncated, so it may still be being written.
     Incomplete(ValidationError),
     /// The file holds bytes that are not text.
     Invalid(ValidationError),
@@ -58,6 +58,7 @@
 pub(super) struct FileErrors<'a> {
     /// The name of the file in errors.
     pub(super) location: &'a str,
+    /// The errors found so far, in all files.
     pub(super) errors: &'a mut ValidationErrors,
 }
 
@@ -81,9 +82,9 @@
     str::from_utf8(bytes).map_err(|e| {
         let problem = format!("is not UTF-8 from byte {}", e.valid_up_to());
         let error = ValidationError::new(location, problem, "other bytes", "UTF-8");
-        // Without an error length the last character is incomplete, which means that the file is cut there.
-        let is_cut = e.error_len().is_none();
-        if is_cut {
+        // Without an error length the last character is incomplete, which means that the file is truncated there.
+        let is_truncated = e.error_len().is_none();
+        if is_truncated {
             TextError::Incomplete(error)
         } else {
             TextError::Invalid(error)
--- a/file-watch/src/parse/frame.rs
+++ b/file-watch/src/parse/frame.rs
@@ -1,4 +1,4 @@
-//! Parses the header and the end section of a file, which show that the file is complete.
+//! Parses the frame of a file, its header and its end section, which show that the file is complete.
 
 use kestreltide_datastore::ValidationError;
 use kestreltide_datastore::tree_builder::printable;
@@ -25,7 +25,7 @@
     parse_body: impl FnOnce(&[Section], &mut FileErrors) -> usize,
 ) -> Result<Generation, ValidationError> {
     check_last_line(errors.location, text)?;
-    // A file that is cut may no longer be valid INI, so a syntax error also means that the file is not complete.
+    // A truncated file may no longer be valid INI, so a syntax error also means that the file is not complete.
     let sections = ini::parse_sections(errors.location, text)?;
     let (header, rest) = match sections.split_first() {
         Some((header, rest)) if header.name.is_empty() => (header, rest),
@@ -45,6 +45,7 @@
     Ok(Generation(generation))
 }
 
+/// Checks that the file is not empty and that its last line ends with a line feed, as otherwise it may be truncated.
 fn check_last_line(location: &str, text: &str) -> Result<(), ValidationError> {
     if text.trim().is_empty() {
         return Err(ValidationError::new(
@@ -91,6 +92,7 @@
     })
 }
 
+/// Returns the generation that the header names, also if it is not a valid name, which is reported as an error.
 fn parse_generation(header: &Section, errors: &mut FileErrors) -> Option<String> {
     ini::check_keys(errors.location, header, &[GENERATION_KEY], errors.errors);
     let Some(key) = header.keys.iter().find(|key| key.name == GENERATION_KEY) else {
@@ -149,6 +151,7 @@
     Ok(())
 }
 
+/// Returns a key of the end section. `expected` is the value that the error suggests if the key is missing.
 fn required_end_key<'a>(
     location: &str,
     end: &'a Section,
--- a/file-watch/src/parse/mod.rs
+++ b/file-watch/src/parse/mod.rs
@@ -1,8 +1,8 @@
 //! Parses the files of operators.
 //!
-//! Every file names its generation in its header and again in its end section, which also holds the number of entries.
-//! A file that is cut or being overwritten is recognized by these. Several files make up one version if they name the
-//! same generation.
+//! Every file has a frame: a header, which names its generation, and an end section, which names the generation again and
+//! holds the number of entries. A file that is truncated or being overwritten is recognized by its frame. Several files
+//! make up one version if they name the same generation.
 
 mod configuration;
 mod file;
@@ -24,11 +24,15 @@
 pub struct Version {
     /// The generation that all files name.
     pub generation: String,
-    /// The hosts and guards that the files set.
+    /// The hosts that the files set, and the guards: limits on what a single revision may change.
     pub tree: Tree,
 }
 
 /// Parses files that make up a version together. Each has a kind, a name for errors, and its content.
+///
+/// If files have several kinds of errors, only one kind is reported: first incomplete files, since the other errors may
+/// disappear once they are written completely; then different generations, since the files are not one version; then
+/// invalid content.
 pub fn parse_version(files: &[(FileKind, &str, &Content)]) -> Parsed<Version> {
     let mut tree = TreeBuilder::default();
     let mut incomplete = ValidationErrors::default();
@@ -62,9 +66,11 @@
     }
     let tree = tree.finish();
     if let Err(errors) = &tree {
+        // `first` are the errors that are kept, and `more` the number of further errors.
         invalid.extend(errors.first.iter().cloned());
         invalid.more += errors.more;
     }
+    // There is none only if no file is text, which is reported in `invalid`.
     let Some((_, generation)) = generations.first().cloned() else {
         return Parsed::Invalid(invalid);
     };
