--- a/datastore/src/tree/difference.rs
+++ b/datastore/src/tree/difference.rs
@@ -33,6 +33,7 @@
     }
 }
 
+/// Returns a value as text. Operators see and match "nothing", which stands for a leaf that is not set.
 fn text_of(value: &Option<Value>) -> String {
     value.as_ref().map_or("nothing".into(), Value::to_string)
 }
@@ -49,8 +50,9 @@
     }
 }
 
-/// Adds the leaves of a container that differ.
-pub(super) fn add_leaves(
+/// Adds a difference to `found` for each leaf of a container that differs. `path`, `old` and `new` return the path of a
+/// leaf and its values.
+pub(super) fn add_differences(
     found: &mut Vec<Difference>,
     container: Container,
     path: impl Fn(Leaf) -> Path,
--- a/datastore/src/tree/mod.rs
+++ b/datastore/src/tree/mod.rs
@@ -20,7 +20,7 @@
 pub use self::path::Path;
 pub use self::value::{AdminState, MAX_WEIGHT, MIN_WEIGHT, Value, ValueError};
 
-use self::difference::{add_leaves, for_each_changed};
+use self::difference::{add_differences, for_each_changed};
 use crate::validation::{ValidationError, ValidationErrors};
 
 /// Everything that operators have configured.
@@ -34,6 +34,7 @@
     #[serde(default)]
     pub routes: BTreeMap<RouteName, RouteConfig>,
     /// The override of the canary's rollout.
+    // State files name the override "ring".
     #[serde(default)]
     #[serde(rename = "ring")]
     pub rollout: RolloutConfig,
@@ -94,7 +95,7 @@
     pub fn differences(&self, new: &Tree) -> Vec<Difference> {
         let mut found = Vec::new();
         for_each_changed(&self.hosts, &new.hosts, |name, old, new| {
-            add_leaves(
+            add_differences(
                 &mut found,
                 Container::Host,
                 |leaf| Path::Host(name.clone(), leaf),
@@ -102,7 +103,7 @@
                 |leaf| new.get(leaf),
             );
         });
-        add_leaves(
+        add_differences(
             &mut found,
             Container::Guards,
             Path::Guards,
@@ -110,7 +111,7 @@
             |leaf| new.guards.get(leaf),
         );
         for_each_changed(&self.routes, &new.routes, |name, old, new| {
-            add_leaves(
+            add_differences(
                 &mut found,
                 Container::Route,
                 |leaf| Path::Route(name.clone(), leaf),
@@ -118,7 +119,7 @@
                 |leaf| new.get(leaf),
             );
         });
-        add_leaves(
+        add_differences(
             &mut found,
             Container::Rollout,
             Path::Rollout,
@@ -146,6 +147,7 @@
         self.with_values(changes.iter().map(|change| (&change.path, &change.old)))
     }
 
+    /// Returns the tree with these leaves set to these values.
     fn with_values<'a>(
         &self,
         values: impl Iterator<Item = (&'a Path, &'a Option<Value>)>,
