--- a/datastore/src/check/context.rs
+++ b/datastore/src/check/context.rs
@@ -15,10 +15,10 @@
 /// Seconds after which a candidate that depends on missing data of discovery may be checked again.
 pub(super) const RETRY_DELAY_SECONDS: f64 = 0.2;
 
-/// A tree, and its hosts merged with those of discovery.
+/// A tree, and its hosts merged with those of discovery. `tree.hosts` are the entries that operators configure.
 pub(crate) struct MergedTree<'a> {
     pub(super) tree: &'a Tree,
-    /// The merged hosts by name.
+    /// The hosts that discovery or a complete entry lists, by name.
     pub(super) hosts: BTreeMap<Arc<str>, HostRecord>,
 }
 
--- a/datastore/src/commit_coordinator.rs
+++ b/datastore/src/commit_coordinator.rs
@@ -18,7 +18,7 @@
 
 /// The maximum number of revisions in a [`CoordinatorStatus`].
 const MAX_STATUS_REVISIONS: usize = 32;
-/// The author's version in the revision that rolls an unconfirmed commit back.
+/// The author's version in the revision that rolls back a pending commit.
 const UNCONFIRMED_VERSION: &str = "not confirmed";
 
 /// The session that a request comes from; `None` for watched files, which have no session.
--- a/datastore/src/facts.rs
+++ b/datastore/src/facts.rs
@@ -7,6 +7,8 @@
 use crate::host_record::HostRecord;
 
 /// The observations of the router that a check depends on.
+///
+/// With discovery configured, its list is empty and `discovery_received` is false until the first list arrives.
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
     /// The time of the check, in Unix seconds.
--- a/datastore/src/store.rs
+++ b/datastore/src/store.rs
@@ -27,14 +27,15 @@
     pub revision: u64,
     /// The tree of the revision in force.
     pub tree: Arc<Tree>,
-    /// When each host whose start is not known was first listed.
+    /// When operators first listed each host whose start is not known.
+    // The names in the file are kept, so that older state files can be loaded.
     #[serde(rename = "seen")]
     pub first_listed: Arc<FirstListed>,
     /// The hosts that operators have drained.
     pub drained: DrainedHosts,
     /// The newest revisions, oldest first.
     pub history: VecDeque<RevisionRecord>,
-    /// The newest rejected commits, oldest first.
+    /// The newest rejected commits, oldest first. Their name in the file is kept as well.
     #[serde(rename = "refusals")]
     pub rejections: VecDeque<RejectedCommit>,
 }
@@ -55,7 +56,7 @@
     differences: Vec<Difference>,
 }
 
-/// The running tree, its history, and the settings that candidates are checked against.
+/// The revision in force, the history, and the settings that candidates are checked against.
 pub struct Datastore {
     settings: RuleSettings,
     in_force: Arc<InForce>,
@@ -70,7 +71,8 @@
     }
 
     /// Restores a persisted datastore. Its tree is not checked again: it was valid when it was committed, and the rules
-    /// that depend on changing conditions are also enforced when the tree is used.
+    /// that depend on changing conditions are also enforced when the tree is used (rule 4, for example, by
+    /// [`apply_weights`](kestreltide::operator_weights::apply_weights)).
     pub fn from_state(
         settings: RuleSettings,
         limits: HistoryLimits,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Returns the revision in force.
+    /// Returns the revision in force, with its tree.
     pub fn in_force(&self) -> &Arc<InForce> {
         &self.in_force
     }
@@ -242,6 +244,7 @@
             ));
         }
         let mut tree = (*self.in_force.tree).clone();
+        // The changes are undone newest first, so that a leaf that changed more than once ends with its oldest value.
         for record in self.history.revisions_after(revision) {
             for change in record.changes.iter() {
                 tree.set(&change.path, change.old.clone())?;
@@ -291,8 +294,8 @@
         })
     }
 
-    /// Returns when each host of a tree without a start was first listed. A newly listed host may have just started.
-    /// The hosts of the first revision are assumed to have been running long before, and get no time.
+    /// Returns when operators first listed each host for which they set an address but no start. A newly listed host may
+    /// have just started. The hosts of the first revision are assumed to have been running for long, and get no time.
     fn first_listed_hosts(&self, tree: &Tree, facts: &Facts) -> FirstListed {
         let in_force = &*self.in_force;
         if in_force.revision == Revision(0) {
@@ -307,18 +310,18 @@
                 continue;
             }
             let before = in_force.tree.hosts.get(name);
-            let since = if before.is_some_and(|before| is_same_process(before, config)) {
+            let first_listed_at = if before.is_some_and(|before| is_same_process(before, config)) {
                 in_force.first_listed.get(name).copied()
             } else {
                 Some(facts.now)
             };
-            first_listed.extend(since.map(|since| (name.clone(), since)));
+            first_listed.extend(first_listed_at.map(|at| (name.clone(), at)));
         }
         first_listed
     }
 
-    /// Applies the changes of a candidate of an earlier revision to the tree in force. It is a conflict if a leaf has
-    /// been changed to another value since.
+    /// Applies the changes of a candidate that was made from an earlier revision to the tree in force. It is a conflict if
+    /// a leaf that the candidate changes has been changed to another value since.
     fn rebase(&self, candidate: &Candidate) -> Result<Tree, ValidationErrors> {
         let ours = candidate.base_tree().differences(&candidate.tree);
         let theirs = candidate.base_tree().differences(&self.in_force.tree);
@@ -336,8 +339,9 @@
         self.in_force.tree.with_changes(&ours)
     }
 
-    /// Returns the error for a leaf that the candidate changes and that has been changed since the candidate's base
-    /// revision.
+    /// Returns the error for a leaf that the candidate changes and that has been changed to another value since the
+    /// candidate's base revision. What would be accepted is the value in force, or a new candidate that is made from the
+    /// revision in force.
     fn conflict_error(
         &self,
         candidate: &Candidate,
@@ -365,7 +369,7 @@
         )
     }
 
-    /// Records the process of each host that operators drain.
+    /// Records which process of each host operators drain. A process is identified by its start time.
     fn record_drained_hosts(&mut self, tree: &Tree, first_listed: &FirstListed, facts: &Facts) {
         let is_draining = |config: &HostConfig| config.state == Some(AdminState::Draining);
         if !tree.hosts.values().any(is_draining) {
