--- a/router/src/protocol/discovery/wire.rs
+++ b/router/src/protocol/discovery/wire.rs
@@ -38,18 +38,24 @@
     pub model: Cow<'a, str>,
     /// The number of its cell.
     pub pod_group: u32,
+    /// Whether the host takes requests.
     state: State,
-    /// The capacity of the host relative to other hosts.
+    /// The capacity of the host; 1 for a standard machine.
     pub capacity_hint: f64,
+    /// When the host started last, in Unix milliseconds; 0 if it is not known.
     boot_ms: u64,
     /// The number of its build.
     pub build: u16,
 }
 
+/// The state of a host as discovery names it.
 #[derive(Clone, Copy, Debug, Deserialize)]
 enum State {
+    /// The host takes requests.
     Ready,
+    /// The host shuts down and takes no new requests.
     Terminating,
+    /// The host has ended.
     Gone,
 }
 
--- a/router/src/protocol/platform.rs
+++ b/router/src/protocol/platform.rs
@@ -118,6 +118,7 @@
     parse_notification(&line)
 }
 
+/// The outcome that the message of a failed call stands for.
 fn call_outcome(message: &str) -> AttemptOutcome {
     match message {
         "too_many_calls" => AttemptOutcome::Rejected,
@@ -126,6 +127,7 @@
     }
 }
 
+/// The state of the rollout in the result of a call; `None` if the result is not an object.
 fn result_state(result: &RawValue) -> Result<Option<RolloutState>, Malformed> {
     if !result.get().starts_with('{') {
         return Ok(None);
--- a/router/src/protocol/platform/wire.rs
+++ b/router/src/protocol/platform/wire.rs
@@ -11,8 +11,11 @@
 
 use super::RolloutState;
 
+/// A line from the platform: the response to a call (`id` with `result` or `error`), or a notification (`method` with
+/// `params`).
 #[derive(Deserialize)]
 pub(super) struct Line<'a> {
+    /// The id of the call that the line responds to.
     pub(super) id: Option<u64>,
     #[serde(borrow)]
     pub(super) method: Option<Cow<'a, str>>,
@@ -24,28 +27,38 @@
     pub(super) error: Option<CallError<'a>>,
 }
 
+/// The error of a failed call.
 #[derive(Deserialize)]
 pub(super) struct CallError<'a> {
     #[serde(borrow)]
     pub(super) message: Cow<'a, str>,
 }
 
+/// The phase of a rollout as the platform names it.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum Progress {
+    /// The build is the canary.
     Testing,
+    /// The build is being rolled back.
     Recalling,
+    /// The build is released.
     Live,
+    /// The build is rolled back.
     Recalled,
 }
 
 /// The JSON structure of a rollout's state.
 #[derive(Deserialize)]
 pub struct StateForm {
+    /// The newest build.
     image: u16,
+    /// The number of its stage.
     ring: u32,
     progress: Progress,
+    /// The largest fraction of the requests that the newest build may get.
     ceiling: f64,
+    /// The age of this state, in milliseconds.
     lag_ms: f64,
 }
 
@@ -68,12 +81,14 @@
     }
 }
 
+/// The JSON structure of a client's complaint about a host.
 #[derive(Deserialize)]
 pub(super) struct ComplaintForm<'a> {
     #[serde(borrow)]
     pub(super) host: Cow<'a, str>,
     #[serde(borrow, rename = "type")]
     pub(super) operation: Cow<'a, str>,
+    /// The age of the complaint, in milliseconds.
     pub(super) lag_ms: f64,
 }
 
