--- a/router/src/transport/stream.rs
+++ b/router/src/transport/stream.rs
@@ -11,13 +11,13 @@
 use super::reactor::Reactor;
 use super::socket_id::{Priority, SocketId};
 
-/// Maximum bytes of one read, and the capacity that an empty buffer keeps.
+/// Maximum bytes of one read, and the capacity in bytes that an empty buffer keeps.
 const CHUNK_BYTES: usize = 4096;
 
 /// How a read ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadStatus {
-    /// The socket is empty.
+    /// All received data has been read; a further read would block.
     Drained,
     /// The buffer is full or the read limit is reached; more data may be available.
     More,
@@ -31,10 +31,13 @@
     pub id: SocketId,
     socket: Rc<TcpStream>,
     token: RegistrationToken,
+    /// Whether the connection has been found established.
     connected: bool,
+    /// Bytes that have been read from the socket.
     input: Vec<u8>,
     /// Bytes at the beginning of `input` that the caller has consumed.
     consumed: usize,
+    /// Bytes to be written to the socket.
     output: Vec<u8>,
     /// Bytes at the beginning of `output` that have been written to the socket.
     written: usize,
