--- a/router/src/program/config/error.rs
+++ b/router/src/program/config/error.rs
@@ -44,6 +44,7 @@
     #[error("limits: sockets and memory_mb must be more than 0")]
     ZeroLimit,
     /// A field exceeds the memory budget.
+    // Operators match the text; "more than memory bears" means that the field does not fit into the budget.
     #[error(
         "{field}: more than memory bears ({count} {unit}; {} at most where limits.memory_mb is {})",
         .budget.maximum,
@@ -101,6 +102,7 @@
     }
 }
 
+/// The path with a separator after it; empty if the path is not known.
 fn path_prefix(path: &str) -> String {
     if path.is_empty() {
         String::new()
--- a/router/src/program/mod.rs
+++ b/router/src/program/mod.rs
@@ -80,6 +80,7 @@
         Command::Serve(serve) => serve.run().map_err(|error| error.to_string()),
         Command::CheckConfig(CheckConfig { config }) => {
             with_configuration(config, |configuration| {
+                // Operators match this text; it means that the configuration is valid.
                 println!("{} is well", configuration.name);
             })?;
             Ok(())
--- a/router/src/program/operator.rs
+++ b/router/src/program/operator.rs
@@ -44,7 +44,9 @@
     purpose: &'static str,
 }
 
-/// All keys, grouped by section.
+/// All keys, grouped by section. Operators match the output of `show-operator`, so that the texts stay as they are. A
+/// purpose that begins with "without" or "between" belongs to a number of seconds; "notice" is a change notification of
+/// the operating system, and "looking" is polling.
 const KEYS: [KeyDefinition; 16] = [
     KeyDefinition {
         section: "datastore",
@@ -174,9 +176,9 @@
 
 /// Maximum size of a watched file in bytes.
 const MAX_FILE_BYTES: usize = 8 << 20;
-/// Longest time that a file which keeps changing is waited for, as a multiple of the key `settle`.
+/// Longest wait for a file that keeps changing, as a multiple of the value of the key `settle`.
 const MAX_DELAY_SETTLE_MULTIPLE: f64 = 7.5;
-/// Shortest interval between two versions, as a multiple of the key `settle`.
+/// Shortest interval between two versions, as a multiple of the value of the key `settle`.
 const MIN_INTERVAL_SETTLE_MULTIPLE: f64 = 1.0;
 
 /// The names of the sections, in the order of [`KEYS`].
@@ -322,6 +324,7 @@
             ));
         }
     }
+    // From here on every value is valid, so that the defaults below for values that cannot be parsed are never used.
     errors.into_result()?;
     let settle = seconds("watch", "settle");
     let debounce = DebounceSettings {
@@ -444,7 +447,7 @@
     parse(path, &text).map_err(|errors| errors.to_string())
 }
 
-/// All keys with their values in force, in the format of the operator file. Without a file, all are at their defaults.
+/// All keys with their effective values, in the format of the operator file. Without a file, all are at their defaults.
 ///
 /// # Errors
 ///
--- a/router/src/program/serve.rs
+++ b/router/src/program/serve.rs
@@ -110,6 +110,7 @@
         result
     }
 
+    /// Loads the operator file that the command line or the environment names.
     fn operator_settings(&self) -> Result<OperatorSettings, ServeError> {
         super::load_operator_settings(&self.operator).map_err(ServeError::OperatorFile)
     }
@@ -168,6 +169,7 @@
         let files_replace_discovery = self.operator_settings.replaces_discovery();
         let rollout = known_rollout(&configuration);
         let addresses = addresses(&configuration);
+        // The last known endpoint list of discovery. It is not used if the watched files alone list the hosts.
         let known = configuration.known.filter(|_| !files_replace_discovery);
         let known_hosts = known
             .as_ref()
@@ -227,6 +229,7 @@
     Some(fields.state().to_status(false))
 }
 
+/// The addresses that the router listens on and connects to.
 fn addresses(configuration: &ProgramConfiguration) -> Addresses {
     Addresses {
         listen: configuration.listen,
--- a/router/src/program/unique_keys.rs
+++ b/router/src/program/unique_keys.rs
@@ -22,8 +22,10 @@
 }
 
 impl UniqueKeys<'_> {
+    /// Reserves memory for values, in bytes.
     fn reserve<E: de::Error>(&mut self, bytes: usize) -> Result<(), E> {
         self.budget.reserve(bytes).map_err(|error| {
+            // Operators match this text, which means that the budget is exceeded.
             E::custom(format!(
                 "holds more than memory bears (limits.memory_mb is {})",
                 error.memory_mb
