--- a/router/src/management_threads/datastore_thread/management_requests.rs
+++ b/router/src/management_threads/datastore_thread/management_requests.rs
@@ -105,6 +105,7 @@
         HandledRequest::without_reply(None)
     }
 
+    /// Rolls back the pending commit on request. The reply is sent once the new snapshot is on its way.
     fn cancel_commit(
         &mut self,
         requester: RequestingSession,
@@ -117,6 +118,7 @@
         HandledRequest::with_reply(snapshot, reply, cancelled.map(|_| ()))
     }
 
+    /// Logs and records an edit that the rights of the author's key do not allow.
     fn record_denied_edit(&mut self, author: Author, error: ValidationError, facts: &Facts) {
         let errors = ValidationErrors::from(error);
         self.log_rejection("edit denied", &author.name, &errors);
@@ -140,9 +142,11 @@
         HandledRequest::with_reply(snapshot, request.reply, committed)
     }
 
+    /// Logs a commit that was applied or found invalid.
     fn log_commit(&mut self, author: &Author, committed: &Result<CommitOutcome, CommitError>) {
         match committed {
             Ok(CommitOutcome::Applied(snapshot)) => {
+                // The log key `changes` counts changed leaves here; in "watched files applied" it counts changed hosts.
                 let record = self.coordinator.store.history().next_back();
                 info!(self.log, "commit applied"; "author" => %author,
                     "revision" => snapshot.revision().0,
--- a/router/src/management_threads/error.rs
+++ b/router/src/management_threads/error.rs
@@ -17,6 +17,7 @@
     #[error("a thread cannot be started: {0}")]
     Thread(#[source] io::Error),
     /// The persisted state is damaged, and its file cannot be renamed.
+    // Operators match the text; "put aside" means renamed.
     #[error("{damage}; it cannot be put aside: {source}")]
     Quarantine {
         /// Why the state cannot be loaded.
--- a/router/src/management_threads/keys_file.rs
+++ b/router/src/management_threads/keys_file.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Applies a new version of the keys; an invalid one is logged, and the keys in force stay.
+/// Applies a new version of the keys. An invalid version is logged, and the keys in force stay.
 fn apply(log: &Logger, keys: &ArcSwap<Keys>, event: WatchEvent<Keys>) {
     match event {
         WatchEvent::Version(version) => {
@@ -112,6 +112,7 @@
     info!(log, "keys applied"; "generation" => &keys.generation, "keys" => keys.keys.len());
 }
 
+/// Parses the only watched file; `path` names it in errors.
 fn parse(path: &str, contents: &[Content]) -> Parsed<Keys> {
     match contents.first() {
         Some(content) => parse_keys(path, content),
--- a/router/src/management_threads/persistence.rs
+++ b/router/src/management_threads/persistence.rs
@@ -60,10 +60,12 @@
     InvalidContent(serde_json::Error),
 }
 
-/// A version of the watched files that is not in force yet, because it is held back or incomplete.
+/// A version of the watched files that is not in force yet, because it is held back or its files are of different
+/// generations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PendingVersion {
-    /// When it became pending, in Unix seconds.
+    /// When it became pending, or was retried last without success because of a lock or a pending commit, in Unix
+    /// seconds.
     pub since: f64,
     /// The author of the version.
     pub author: Author,
@@ -83,7 +85,7 @@
     /// The configuration in force and its history.
     #[serde(rename = "memory")]
     pub datastore: DatastoreState,
-    /// The configuration in the version of the watched files that was applied last.
+    /// The tree of the version of the watched files that was applied last.
     pub files: Tree,
     /// Generation of that version.
     pub generation: String,
@@ -96,7 +98,7 @@
     /// Number of revisions that the event loop has applied since the program started.
     #[serde(rename = "taken")]
     pub revisions_applied: u64,
-    /// The longest pause of the event loop for applying one of them, in seconds.
+    /// The longest time that the event loop took to apply one of them, in seconds.
     #[serde(rename = "longest_pause")]
     pub longest_apply_time: f64,
 }
--- a/router/src/management_threads/startup.rs
+++ b/router/src/management_threads/startup.rs
@@ -130,6 +130,7 @@
         }))
     }
 
+    /// Creates the datastore thread's state from the persisted state.
     fn restore_datastore(
         &self,
         settings: &OperatorSettings,
@@ -148,6 +149,7 @@
         DatastoreThread::restore(self.log.clone(), self.clock, datastore_settings)
     }
 
+    /// What is known of hosts and rollout before the event loop runs: the last known state from the configuration.
     fn initial_facts(
         &self,
         settings: &OperatorSettings,
@@ -163,6 +165,8 @@
         }
     }
 
+    /// Starts the datastore thread, and the threads of the watched files and the management interfaces if they are
+    /// configured. `file_watch` holds the digest of the files as read at the start.
     fn spawn_threads(
         &self,
         datastore: DatastoreThread,
@@ -170,8 +174,8 @@
         interfaces: Option<ManagementInterfaces>,
         event_loop: &EventLoopHandle,
     ) -> io::Result<ManagementThreads> {
-        let (requests, received) = sync_channel(self.limits.management.datastore_requests);
-        let published = datastore.published_status();
+        let (requests, received_requests) = sync_channel(self.limits.management.datastore_requests);
+        let published_status = datastore.published_status();
         let notifications = datastore.notifications();
         let mut heartbeats = vec![];
         let mut new_heartbeat = |name| {
@@ -180,8 +184,12 @@
             heartbeat
         };
         let heartbeat = new_heartbeat("datastore");
-        let datastore_thread =
-            self.spawn_datastore_thread(datastore, received, event_loop.clone(), heartbeat)?;
+        let datastore_thread = self.spawn_datastore_thread(
+            datastore,
+            received_requests,
+            event_loop.clone(),
+            heartbeat,
+        )?;
         let mut wake_file_watch = None;
         if let Some((settings, digest)) = file_watch {
             let heartbeat = new_heartbeat("watch");
@@ -197,7 +205,7 @@
                         .try_send(DatastoreRequest::Management(request))
                         .is_ok()
                 }),
-                status: published,
+                status: published_status,
                 operational_state: event_loop.view.clone(),
                 applied_revision: event_loop.applied_revision.clone(),
                 notifications,
