--- a/file-watch/src/debounce.rs
+++ b/file-watch/src/debounce.rs
@@ -18,6 +18,7 @@
     pub min_interval: f64,
 }
 
+/// The state of the content that was read last.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     /// The content that was read last has been handled.
@@ -57,6 +58,7 @@
     settings: DebounceSettings,
     state: State,
     last_handled: Option<HandledContent>,
+    /// Whether the files may have changed since they were read last.
     change_notified: bool,
 }
 
--- a/file-watch/src/parse/keys.rs
+++ b/file-watch/src/parse/keys.rs
@@ -42,6 +42,7 @@
     }
 }
 
+/// Parses the sections of all holders.
 fn parse_key_sections(body: &[Section], keys: &mut Vec<Key>, errors: &mut FileErrors) {
     for section in body {
         let name = section.name.strip_prefix("key ").map(str::trim);
@@ -70,6 +71,7 @@
         return;
     };
     let credentials = parse_credentials(section, name, errors);
+    // Reported only if there is no other error yet, since an invalid credential is reported as such.
     if credentials.is_empty() && errors.errors.is_empty() {
         errors.push(ValidationError::new(
             format!("{location}: [key {name}]"),
@@ -100,6 +102,7 @@
 }
 
 fn parse_rights(section: &Section, name: &str, errors: &mut FileErrors) -> Option<Rights> {
+    // The file format names the right to override a rollout `ring`.
     let expected = "read, weights, routes, ring";
     let Some(key) = find_key(section, "rights") else {
         errors.push(ValidationError::new(
--- a/file-watch/src/watch.rs
+++ b/file-watch/src/watch.rs
@@ -32,7 +32,7 @@
 pub enum WatchEvent<V> {
     /// A complete version.
     Version(V),
-    /// The files have settled and are not a valid version.
+    /// The files have settled, and are incomplete or invalid.
     Rejected(ValidationErrors),
     /// The files have settled but are of different generations: one of them may be replaced later.
     Pending(ValidationErrors),
