--- a/datastore/src/access.rs
+++ b/datastore/src/access.rs
@@ -20,11 +20,12 @@
     pub rollout: bool,
 }
 
+// The names of the rights in the keys file and in error texts. Both name the right to override a rollout "ring".
 const READ: &str = "read";
 const WEIGHTS: &str = "weights";
 const ROUTES: &str = "routes";
 const ROLLOUT: &str = "ring";
-/// The names of all rights, for error texts.
+/// All these names, for error texts.
 const ALL_RIGHTS: &str = "read, weights, routes, ring";
 
 /// Why a text is not a list of rights.
--- a/datastore/src/check/rollout.rs
+++ b/datastore/src/check/rollout.rs
@@ -6,7 +6,7 @@
 use crate::tree::RolloutConfig;
 use crate::validation::{Rule, ValidationError, ValidationErrors};
 
-/// Reports a changed override that names no build or not the newest one, or that raises the cap of the platform.
+/// Reports a changed override that names no build, names another than the newest build, or raises the cap of the platform.
 pub(super) fn check_rollout_override(context: &Context, errors: &mut ValidationErrors) {
     let config = &context.after.tree.rollout;
     if context.before.tree.rollout == *config || !overrides_anything(config) {
--- a/datastore/src/commit_coordinator.rs
+++ b/datastore/src/commit_coordinator.rs
@@ -148,6 +148,9 @@
     /// Commits a candidate. While a commit is pending, only a requester that may confirm it may commit: an ordinary
     /// commit then confirms the pending one, and a confirmed commit extends it.
     ///
+    /// `confirm` makes this a confirmed commit. `persist_id` names the pending commit that this commit confirms or extends;
+    /// it is needed if that was made with such an id.
+    ///
     /// # Errors
     ///
     /// Returns an error if another session holds a lock, if a commit is pending that the requester may not confirm, if
@@ -265,6 +268,7 @@
         is_expired.then(|| self.roll_back_pending(facts))
     }
 
+    /// Rolls back the pending commit: commits the tree of the revision before it as a new revision.
     fn roll_back_pending(&mut self, facts: &Facts) -> Result<CommitOutcome, ValidationErrors> {
         let Some(pending) = self.pending.take() else {
             return Ok(CommitOutcome::Unchanged);
--- a/datastore/src/history.rs
+++ b/datastore/src/history.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// The history of a datastore, which is cut down to its limits after each addition.
+/// The history of a datastore, which is trimmed to its limits after each addition.
 pub(crate) struct History {
     limits: HistoryLimits,
     /// Oldest first.
@@ -44,7 +44,7 @@
 }
 
 impl History {
-    /// Restores a stored history and cuts it down to the limits.
+    /// Restores a stored history and trims it to the limits.
     pub(crate) fn new(
         limits: HistoryLimits,
         revisions: VecDeque<RevisionRecord>,
@@ -108,7 +108,7 @@
         self.trim();
     }
 
-    /// Adds a rejected commit. One with the author and errors of the newest only updates the time of that one.
+    /// Adds a rejected commit. If the newest one has the same author and errors, only its time is updated.
     pub(crate) fn push_rejection(&mut self, rejection: RejectedCommit) {
         let last = self
             .rejections
--- a/datastore/src/tree/path.rs
+++ b/datastore/src/tree/path.rs
@@ -9,7 +9,7 @@
 use super::names::{HostName, NameError, RouteName};
 use crate::validation::ValidationError;
 
-/// The path of a leaf in the tree.
+/// The path of a leaf in the tree. Texts and state files name the override of a rollout "ring".
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Path {
     /// A leaf of a host.
--- a/datastore/src/tree_builder.rs
+++ b/datastore/src/tree_builder.rs
@@ -5,7 +5,7 @@
 use crate::tree::{HostName, Leaf, Path, Tree};
 use crate::validation::{ValidationError, ValidationErrors};
 
-/// The number of characters after which a printed text is cut.
+/// The number of characters after which a printed text is truncated.
 const MAX_PRINTED_CHARS: usize = 80;
 /// The character that is printed in place of a control character.
 const CONTROL_CHARACTER_REPLACEMENT: char = '\u{fffd}';
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns a text in a form that is safe to print: shortened, and without control characters, which a terminal or a log
+/// Returns a text in a form that is safe to print: truncated to a maximum length, and without control characters, which a terminal or a log
 /// viewer would execute.
 pub fn printable(text: &str) -> String {
     let replace_control = |c: char| {
