--- a/datastore/tests/commit_coordinator.rs
+++ b/datastore/tests/commit_coordinator.rs
@@ -65,6 +65,7 @@
     (coordinator, first_session, second_session)
 }
 
+/// Sets a leaf of a candidate from text.
 fn set_leaf(candidate: &mut Candidate, at: &str, text: &str) {
     let path: Path = at.parse().expect("a valid path");
     candidate
--- a/datastore/tests/datastore/history.rs
+++ b/datastore/tests/datastore/history.rs
@@ -61,6 +61,7 @@
             .map(|(path, text)| (path.as_str(), text.as_str()))
             .collect();
         try_edits(&mut store, &edits, &facts_at(f64::from(number))).expect("the commit is valid");
+        // Rejected, as no host x is listed.
         let _ = try_edits(
             &mut store,
             &[("hosts/x/weight", "1")],
@@ -74,6 +75,7 @@
             .sum::<usize>()
             <= 60
     );
+    // Each revision changes eight leaves, so that 60 changed leaves allow seven revisions.
     assert!(store.history().count() <= 7 && store.rejections().count() <= 4);
     let oldest = store
         .history()
@@ -94,6 +96,7 @@
         &facts_at(0.0),
     )
     .expect("revision 2");
+    // Rejected, as no host x is listed, so that the state contains a rejection.
     let _ = try_edits(&mut store, &[("hosts/x/weight", "1")], &facts_at(1.0));
     let text = serde_json::to_string(&store.state()).expect("serializable");
     let state: DatastoreState = serde_json::from_str(&text).expect("deserializable");
--- a/datastore/tests/golden_stored_state.rs
+++ b/datastore/tests/golden_stored_state.rs
@@ -83,6 +83,7 @@
     }
 }
 
+/// Returns the tree with these leaves set from text; an empty text removes the value.
 fn with_leaves(tree: &Tree, leaves: &[(&str, &str)]) -> Tree {
     let mut tree = tree.clone();
     for (path, text) in leaves {
@@ -93,6 +94,7 @@
     tree
 }
 
+/// Returns two rejected commits: one breaks every rule and has more errors than are kept, the other can be retried.
 fn rejected_commits() -> VecDeque<RejectedCommit> {
     let mut first_errors = ValidationErrors::default();
     let rules = [
--- a/file-watch/tests/watching.rs
+++ b/file-watch/tests/watching.rs
@@ -73,6 +73,7 @@
         let wake = wake_channel();
         let wake_sender = wake.sender.clone();
         let (sender, events) = channel();
+        // Only the digest is needed: the content that exists at the start counts as in force and is not emitted.
         let known_digest = read_and_parse_files(&settings, |contents| {
             kestreltide_file_watch::parse_files(&files, contents)
         })
@@ -184,7 +185,7 @@
     symlink("2", watch.path_of("new")).expect("the link is created");
     fs::rename(watch.path_of("new"), watch.path_of("data")).expect("the link is replaced");
     assert_eq!(watch.next_version(), "2");
-    // The folder that the link leads to is moved away, and another one takes its place.
+    // The folder that the link leads to is moved away, and another one takes its place. Meanwhile the file is missing.
     fs::rename(watch.path_of("2"), watch.path_of("away")).expect("the folder is moved");
     assert!(matches!(watch.next_event(), WatchEvent::Rejected(_)));
     fs::create_dir(watch.path_of("2")).expect("the folder is created");
@@ -267,6 +268,8 @@
     while seen.last().is_none_or(|last| last != "last") {
         seen.push(watch.next_version());
     }
+    // In one second the minimum interval of 10 ms allows 100 versions; ten more are allowed for the time until the last
+    // version is emitted.
     assert!(
         seen.len() > 1 && seen.len() <= 110,
         "{} versions",
