--- a/router/src/routing/attempts.rs
+++ b/router/src/routing/attempts.rs
@@ -198,7 +198,7 @@
             if status == ReadStatus::Closed {
                 return self.on_upstream_failed(id);
             }
-            if status == ReadStatus::Drained {
+            if status == ReadStatus::Exhausted {
                 return;
             }
         }
--- a/router/src/routing/client_connection.rs
+++ b/router/src/routing/client_connection.rs
@@ -299,7 +299,7 @@
             self.clients_with_more_input.push(id);
         }
         // Only after a read that emptied the socket, so that a command that has arrived still gets its reply.
-        if status == ReadStatus::Drained && self.shutdown.is_draining() {
+        if status == ReadStatus::Exhausted && self.shutdown.is_draining() {
             self.drain_client(id);
         }
     }
--- a/router/src/routing/platform_client.rs
+++ b/router/src/routing/platform_client.rs
@@ -190,7 +190,7 @@
             self.watch_incomplete_line(event_loop, now);
             match status {
                 ReadStatus::Closed => return self.on_lost(event_loop, "the connection ended"),
-                ReadStatus::Drained => return,
+                ReadStatus::Exhausted => return,
                 ReadStatus::More => {}
             }
         }
--- a/router/src/routing/upstream_connection.rs
+++ b/router/src/routing/upstream_connection.rs
@@ -78,7 +78,7 @@
 
     /// Whether no input waits. A duplicate response that arrived late would be taken for the next one.
     pub(super) fn is_clean(&mut self) -> bool {
-        self.stream.read_available(1, 1) == ReadStatus::Drained && self.stream.input().is_empty()
+        self.stream.read_available(1, 1) == ReadStatus::Exhausted && self.stream.input().is_empty()
     }
 
     /// Writes as much of the command as the socket takes; true once all of it is written.
--- a/router/src/transport/stream.rs
+++ b/router/src/transport/stream.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadStatus {
     /// All received data has been read; a further read would block.
-    Drained,
+    Exhausted,
     /// The buffer is full or the read limit is reached; more data may be available.
     More,
     /// The peer has closed its sending direction, or the connection failed.
@@ -138,7 +138,7 @@
                     if self.input.is_empty() {
                         self.input.shrink_to(CHUNK_BYTES);
                     }
-                    return ReadStatus::Drained;
+                    return ReadStatus::Exhausted;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return ReadStatus::Closed,
