--- a/datastore/src/commit_coordinator.rs
+++ b/datastore/src/commit_coordinator.rs
@@ -18,7 +18,7 @@
 
 /// The maximum number of revisions in a [`CoordinatorStatus`].
 const MAX_STATUS_REVISIONS: usize = 32;
-/// The author's version in the revision that rolls an unconfirmed commit back.
+/// The author's version in the revision that rolls back a pending commit.
 const UNCONFIRMED_VERSION: &str = "not confirmed";
 
 /// The session that a request comes from; `None` for watched files, which have no session.
@@ -148,6 +148,9 @@
     /// Commits a candidate. While a commit is pending, only a requester that may confirm it may commit: an ordinary
     /// commit then confirms the pending one, and a confirmed commit extends it.
     ///
+    /// `confirm` makes this a confirmed commit. `persist_id` names the pending commit that this commit confirms or extends;
+    /// it is needed if that was made with such an id.
+    ///
     /// # Errors
     ///
     /// Returns an error if another session holds a lock, if a commit is pending that the requester may not confirm, if
@@ -265,6 +268,7 @@
         is_expired.then(|| self.roll_back_pending(facts))
     }
 
+    /// Rolls back the pending commit: commits the tree of the revision before it as a new revision.
     fn roll_back_pending(&mut self, facts: &Facts) -> Result<CommitOutcome, ValidationErrors> {
         let Some(pending) = self.pending.take() else {
             return Ok(CommitOutcome::Unchanged);
