--- a/tests/golden_gossip.rs
+++ b/tests/golden_gossip.rs
@@ -1,6 +1,17 @@
 //! Golden files of the gossip between routers: the bytes of each form of message, and of the reply to each kind of
 //! received message, are in `tests/golden/gossip_*.txt`.
 //!
+//! A message has a header of four bytes: byte 0 is 1 for a reply and 0 for a request; byte 1 is 1 if the sender is
+//! fresh, that is, it started during a canary and has no evidence about it yet; bytes 2 and 3 are the build, as a
+//! little-endian `u16`. Figures follow, each a little-endian bfloat16 (the upper 16 bits of an `f32`): the requests
+//! that the sender received in its exposure window, the slowdown that it observes of the hosts relative to the time
+//! before the canary (1.0 is none), and twelve counts for each slot. A slot holds the outcomes of one operation, or
+//! of several operations if there are more than four. Its counts are, for each of the signals in time, no error and
+//! quick, the good and the bad outcomes of the baseline, then the good and the bad outcomes of the canary.
+//!
+//! In the titles of the cases, figures that are `taken` are those by which the receiver changes its own counts: a
+//! fresh router copies them, any other router adds half the difference to the counts that it sent.
+//!
 //! Routers of two releases gossip with each other while a release is rolled out, so these bytes must
 //! not change by accident. After a deliberate change of the message format, regenerate the files with
 //! `KESTRELTIDE_REGENERATE_GOLDEN=1 cargo test --test golden_gossip` and review the diff.
@@ -25,8 +36,8 @@
 const STEP: f64 = 0.02;
 const HOSTS: u64 = 4;
 
-/// The body of a message of one slot: 40.0 requests, a slowdown of 1.5, then the twelve figures 1.0 to 12.0 of the
-/// slot.
+/// The body of a message of one slot, that is, all that follows the header: 40.0 requests, a slowdown of 1.5, then the
+/// twelve counts of the slot, 1.0 to 12.0.
 const ONE_SLOT_BODY: &str = "2042 c03f 803f 0040 4040 8040 a040 c040 e040 0041 1041 2041 3041 4041";
 
 /// One router, its clock, and the transcript of the gossip it sends and receives.
@@ -252,7 +263,8 @@
     conversation.check("request_three_slots_small");
 }
 
-/// More operations than slots: they share the four slots of a message.
+/// More operations than slots: they share the four slots of a message. Each outcome is weighted by the number of
+/// routers, so that 5000 routers result in large counts.
 #[test]
 fn request_of_four_slots_with_large_figures() {
     let mut conversation = Conversation::start(5000, 6);
@@ -284,6 +296,7 @@
         answers_vote: false,
     }));
     conversation.wait(0.3);
+    // Requests about build 8, the canary.
     let fresh_request = format!("00 01 0800 {ONE_SLOT_BODY}");
     conversation.receive(0, "a fresh request: answered as fresh", &fresh_request);
     let request = format!("00 00 0800 {ONE_SLOT_BODY}");
@@ -341,6 +354,7 @@
         "of build 8 with its bytes exchanged",
         &format!("00 00 0008 {body}"),
     );
+    // The router has one operation and thus one slot. The first two figures, 10 characters, are not repeated.
     conversation.receive(
         2,
         "of two slots",
@@ -351,6 +365,8 @@
         "half a figure too long",
         &format!("00 00 0800 {body} 00"),
     );
+    // Here and in the next three messages the first figure, 5 characters, is left out; the next three messages have
+    // an invalid figure at the end instead, so that their length is right.
     conversation.receive(
         2,
         "one figure too short",
@@ -374,6 +390,7 @@
     conversation.receive(2, "only a header", "00 00 0800");
     conversation.receive(2, "nothing", "");
     conversation.receive(1, "from itself", &format!("00 00 0800 {body}"));
+    // This message is answered: a value other than 1 in byte 0 or 1 counts as 0, so it is a request that is not fresh.
     conversation.receive(
         2,
         "other flags than 1 count as none",
