--- a/tests/golden_gossip.rs
+++ b/tests/golden_gossip.rs
@@ -9,8 +9,10 @@
 //! of several operations if there are more than four. Its counts are, for each of the signals in time, no error and
 //! quick, the good and the bad outcomes of the baseline, then the good and the bad outcomes of the canary.
 //!
-//! In the titles of the cases, figures that are `taken` are those by which the receiver changes its own counts: a
-//! fresh router copies them, any other router adds half the difference to the counts that it sent.
+//! In the titles of the cases, figures that are `taken` are those by which the receiver changes its own counts. A
+//! fresh router copies the counts of a router that is not fresh. If both are fresh or neither is, the receiver adds
+//! half the difference between the counts received and those that it sent. A router that is not fresh takes nothing
+//! from a fresh one.
 //!
 //! Routers of two releases gossip with each other while a release is rolled out, so these bytes must
 //! not change by accident. After a deliberate change of the message format, regenerate the files with
