--- a/router/tests/golden_wire.rs
+++ b/router/tests/golden_wire.rs
@@ -27,7 +27,30 @@
 /// The length line of a bulk string that exceeds both the router's read buffer and its limit for one bulk string.
 const TOO_LONG_BULK_HEADER: &str = "$70000\r\n";
 
-/// The `settings` of the configuration; durations are in microseconds.
+/// The `settings` of the configuration; durations are in microseconds. The router's code has other names for many of
+/// them:
+///
+/// - `discovery`: `push` is a watch of the endpoint list, `ask` polls it each `ask_every`.
+/// - `me`, `group_size`: the id of the router, the number of routers. `my_zone`: the router's zone.
+/// - `worth_by`: whether requests are weighted by their work. `weight_kind`: the source of host sizes.
+/// - `gate_mode`: the promotion gate; `any` promotes by the number of votes, `timer` by a timer unless votes hold the
+///   canary.
+/// - `votes_to_go`, `back_votes`, `stoppers`: the votes that promote, roll back and hold.
+/// - `bake`: the bake time of a stage. `rings`: the canary's share of the hosts at each stage. `most_shares`: the caps
+///   of the stages.
+/// - `ballot_ttl`, `vote_wait`: the lifetime of a vote and the timeout of the call that casts it. `api_rate`: the limit
+///   on the rate of votes; 0 is none.
+/// - `counted_over`, `spare_tries`, `counts`: the exposure window, the exposure allowance, and whether exposure is
+///   counted by operation.
+/// - `guarded_stages`: the stages with idempotent requests only. `no_return`: sticky keys. `replace_mode`: whether
+///   the baseline's machines drain as soon as their successors run. `flag_share`: the fraction of wrong responses that
+///   are disputed later.
+/// - `cold_share`, `cold`: the initial fraction and the duration of slow start. `fall_multiple`, `fall`: the load at
+///   which a host that is warming up breaks down, as a multiple of what it can carry, and how long that load lasts.
+/// - `may_probe`: health checks. `peers`: gossip. `second_copies`: hedged requests.
+/// - `request_classes`: the operations. `effect`: their idempotency; `repeatable` is idempotent, `by_key` is idempotent
+///   with a key, `once` is not idempotent. `slo`: the latency objective. `give_up`: the time limit. `credit`: the
+///   priority weight. `late_worth`: the value of a late reply, as a fraction.
 const SETTINGS: &str = r#"{"discovery":"push","group_size":1,"me":0,"my_zone":"a","tick":5000,
     "worth_by":"request","weight_kind":"off","telemetry":{"via":"off","fields":[]},
     "extra":{"gate_mode":"any","votes_to_go":1,"back_votes":1,"stoppers":0,"bake":3000000,
@@ -259,8 +282,12 @@
     masked
 }
 
+/// A request has the words command, key, request id, parameters and optionally payload. The parameters are `c`, the
+/// operation; `d`, the time limit in ms; `r`, set for a retry by the client; and `k`, the idempotency key, which a
+/// title calls the request's own mark. Other parameters, such as `x`, are not known to the router.
 #[test]
 fn requests_to_hosts_match_the_golden_file() {
+    // The host replies with an array: the value `ok` and two parts that are null.
     let (address, commands) = recording_host(b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n");
     let hosts = [ListedHost {
         name: "a",
@@ -381,6 +408,7 @@
             b"*3\r\n$1\r\nv\r\n$-1\r\n$5\r\nrif=1\r\n",
             read,
         ),
+        // The host rejects the request; with `retry_after` the router tells the client when to retry.
         ("turned away without a time", SETTINGS, b"-BUSY\r\n", read),
         (
             "turned away with a time",
@@ -670,6 +698,9 @@
 fn requests_to_discovery_match_the_golden_file() {
     let polling_settings = replace_one(SETTINGS, "\"discovery\":\"push\"", "\"discovery\":\"ask\"");
     let known = format!("\"known\":{},", host_list(4, &[]));
+    // The last number is the number of requests to record. A watch requests the whole list, then the changes after
+    // each of the two lists that discovery sends. A router that polls sends one request, as the next comes after
+    // `ask_every`, 10 s.
     let cases = [
         ("a watch that begins with the whole list", "", SETTINGS, 3),
         (
@@ -764,7 +795,8 @@
 fn votes_to_the_platform_match_the_golden_file() {
     let mut transcript = Transcript::default();
 
-    // By votes (`gate_mode` `any`): the router votes to promote a canary without requests after some time.
+    // Promotion by the number of votes (`gate_mode` `any`): the router votes to promote a canary without requests after
+    // some time.
     let (platform, lines) = recording_platform(7);
     let hosts = [ListedHost {
         name: "a",
@@ -777,8 +809,8 @@
     transcript.record("router to platform", &lines_until_vote(&lines, "on"));
     drop(router);
 
-    // By a timer (`gate_mode` `timer`): the router votes to hold a canary with too few outcomes, and later withdraws that
-    // vote.
+    // Promotion by a timer (`gate_mode` `timer`): the router votes to hold a canary with too few outcomes, and later
+    // withdraws that vote.
     let (platform, lines) = recording_platform(7);
     let fields = platform_fields(platform, &hosts);
     let timer_settings = replace_one(SETTINGS, "\"gate_mode\":\"any\"", "\"gate_mode\":\"timer\"");
@@ -874,7 +906,8 @@
     let first = next_datagram(&peer, false);
     transcript.record("router to peer", &hexadecimal(&first));
 
-    // The same datagram with the figures 1.0, 2.0, 3.0 and so on, each as the upper 16 bits of an `f32`.
+    // The same datagram with the counts of outcomes 1.0, 2.0, 3.0 and so on, each as the upper 16 bits of an `f32`.
+    // They begin at byte 8: the header has 4 bytes, the number of requests and the slowdown have 2 bytes each.
     let mut datagram = first.clone();
     for (index, figure) in datagram[8..].chunks_mut(2).enumerate() {
         let bits = (index as f32 + 1.0).to_bits() >> 16;
