--- a/tests/common/regions.rs
+++ b/tests/common/regions.rs
@@ -95,6 +95,7 @@
     /// The hosts that have the canary build at this stage.
     fn canary_hosts(&self, stage: u32) -> Vec<usize> {
         let count = (STAGE_SHARES[stage as usize] * HOSTS as f64).ceil() as usize;
+        // Zones from `SECOND_REGION` on are in the second region.
         let later =
             |id: &usize| self.deploys_first_region_first && (id % ZONES) as u64 >= SECOND_REGION;
         // Steps of 7 visit every host once, and every zone once in ten steps.
@@ -286,6 +287,7 @@
                 .cap_history
                 .partition_point(|(since, _)| *since <= at - EXPOSURE_WINDOW)
                 .saturating_sub(1);
+            // The highest cap in force during the window.
             let cap = self.cap_history[first..]
                 .iter()
                 .filter(|cap| cap.0 <= *at)
