--- a/management/src/gnmi/confirmed_commit.rs
+++ b/management/src/gnmi/confirmed_commit.rs
@@ -13,8 +13,8 @@
 use crate::proto::gnmi_ext::commit::Action;
 
 impl GnmiService {
-    /// The session at the commit service that owns the pending commits of a key, opened on first use; none if the
-    /// commit service does not reply.
+    /// The session at the commit service that owns the pending commits of the client that authenticated with this key,
+    /// opened on first use; none if the commit service does not reply.
     pub(super) async fn confirming_session(&self, key: &Key) -> Option<SessionId> {
         if let Some(session) = self
             .commit_sessions
