--- a/management/src/state.rs
+++ b/management/src/state.rs
@@ -27,6 +27,8 @@
         .put("version", &author.version);
 }
 
+/// Adds a validation error. In the model, `what` is the problem, `given` the value found and `taken` the values that
+/// are valid.
 fn put_validation_error(builder: &mut DataBuilder, error: &ValidationError) {
     builder
         .put("path", &error.path)
@@ -62,6 +64,8 @@
     Some(state.build())
 }
 
+/// Adds the leaves about the router itself. The model has names of its own: requests in flight are
+/// `open-invocations`, upstream connections are `links`, and the longest time to apply a revision is `longest-pause`.
 fn put_router_status(
     state: &mut DataBuilder,
     operational_state: &OperationalState,
@@ -107,6 +111,7 @@
     status: &CoordinatorStatus,
 ) {
     let in_force = &status.in_force;
+    // `first_listed` returns when operators first listed each host.
     let hosts = merge::merge_hosts(
         &in_force.tree,
         in_force.first_listed(),
@@ -150,6 +155,7 @@
             .put("at", format_time(rejection.at))
             .put("stays", rejection.revision);
         put_author(last_rejection, &rejection.author);
+        // `first` has the errors that are kept; further errors are only counted.
         for (number, error) in rejection.errors.first.iter().enumerate() {
             last_rejection.put_inner("fault", |fault| {
                 fault.put("number", number);
@@ -202,6 +208,7 @@
     let mut notification = DataBuilder::new(schema, node);
     put_author(&mut notification, &rejection.author);
     notification.put("stays", rejection.revision);
+    // `first` has the errors that are kept; further errors are only counted.
     for error in &rejection.errors.first {
         notification.put("reason", error);
     }
