--- a/measure/src/soak/schedule.rs
+++ b/measure/src/soak/schedule.rs
@@ -12,7 +12,8 @@
 /// The number of hosts, from the first on, that are never drained, so that some can always serve.
 const UNDRAINED_HOSTS: usize = 2;
 
-/// Every seed that is a multiple of this has extra connections.
+/// Every seed that is a multiple of this has extra connections: some send one request and stay open, others never
+/// send a complete command.
 const EXTRA_CONNECTIONS_EVERY: u64 = 3;
 
 /// The longest time limit of a request, in seconds.
