--- a/measure/src/soak/mod.rs
+++ b/measure/src/soak/mod.rs
@@ -36,7 +36,7 @@
     at_once: usize,
 }
 
-/// Why a soak cannot run.
+/// Why a soak cannot run. In the texts, `given` is the value of the option and `taken` the values that are valid.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
     /// The number of seeds is 0.
@@ -60,9 +60,12 @@
 struct Totals {
     requests: usize,
     served: usize,
+    /// Requests to which the router replied `BUSY`.
     refused: usize,
     failed: usize,
+    /// Requests for which the router accepted no connection.
     not_taken: usize,
+    /// Requests whose client disconnected soon after sending, without waiting for the reply.
     left: usize,
     attempts: usize,
     signals: usize,
