--- a/measure/src/fleet/tests.rs
+++ b/measure/src/fleet/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 
+// The text before the time of day, `0.1`, stands for a prefix added by the program that collects the logs.
 const FIRST_LOG: &str = "0.1 Dec 02 00:00:10.100 INFO starting, router: n0, version: 0.1.0\n\
     Dec 02 00:00:11.500 INFO vote cast, router: n0, build: 8, stage: 0, vote: Promote\n\
     no line of ours\n\
@@ -9,6 +10,8 @@
     Dec 02 00:00:13.100 INFO vote cast, router: n1, build: 8, stage: 1, vote: Abstain\n\
     Dec 02 00:00:12.000 WARN discovery request failed, router: n1, why: no answer in time\n";
 
+/// A `state` line counts what happened since the router's previous one, here since its start: 8 and 4 over 4 seconds.
+/// A vote counts until its router casts another or any router votes on a later stage.
 #[test]
 fn counters_are_spread_over_their_seconds_and_votes_count_until_the_next_stage() {
     let mut totals = FleetTotals {
@@ -22,6 +25,7 @@
     assert!((0..4).all(|second| totals.seconds[&second].counters["taken"] == 2.0));
     assert!((0..4).all(|second| totals.seconds[&second].counters["timed_out"] == 1.0));
     assert_eq!(totals.seconds[&2].failed, 1.0);
+    // The columns are the routers whose latest vote is to promote, to roll back and to abstain.
     let latest_votes = [0, 1, 2, 3].map(|second| totals.seconds[&second].latest_votes);
     assert_eq!(latest_votes, [[0, 0, 0], [1, 0, 0], [1, 1, 0], [0, 0, 1]]);
 }
