--- a/yang/src/edit/apply.rs
+++ b/yang/src/edit/apply.rs
@@ -116,6 +116,7 @@
     ) -> Option<ConfigNode> {
         match self.binding.resolve(parent, edit.node, &edit.step) {
             Ok(Some(target)) => return Some(target),
+            // The node is bound to no configuration: it is state of the router, which is read-only.
             Ok(None) => self.add_error(
                 ErrorTag::InvalidValue,
                 edit,
@@ -223,6 +224,7 @@
     /// Checks that a merged list entry has a leaf other than its keys: the datastore cannot hold an entry without one.
     fn check_entry_has_leaves(&mut self, edit: &Edit, path: &InstancePath, target: &ConfigNode) {
         let is_entry = matches!(target, ConfigNode::Host(_) | ConfigNode::Route(_));
+        // An entry that is set has other leaves already. After an error the edit is rejected in any case.
         if !is_entry || !self.errors.is_empty() || target.is_set(&self.tree) {
             return;
         }
