--- a/yang/src/types/mod.rs
+++ b/yang/src/types/mod.rs
@@ -103,7 +103,7 @@
 pub enum RestrictionError {
     /// A bound of an integer range is not an integer.
     #[error("{0} is not an integer")]
-    NotANumber(String),
+    NotAnInteger(String),
     /// A bound of a decimal range is not a valid value of the type.
     #[error("{bound} {error}")]
     DecimalBound {
@@ -269,7 +269,7 @@
                 let ranges = parse_restricted_ranges(text, &ranges, |bound| {
                     bound
                         .parse()
-                        .map_err(|_| RestrictionError::NotANumber(bound.into()))
+                        .map_err(|_| RestrictionError::NotAnInteger(bound.into()))
                 })?;
                 Ok(Type::Integer {
                     ranges,
